--- a/internal/control/expect/answer.go
+++ b/internal/control/expect/answer.go
@@ -89,7 +89,7 @@
 		case "draining":
 			n.Health = policy.Draining
 		case "gone":
-			n.Health = policy.Gone
+			n.Health = policy.Removed
 		}
 		if i := slices.IndexFunc(l.Nodes, func(o policy.Node) bool { return o.Addr == f.Node }); i >= 0 {
 			l.Nodes[i] = n
--- a/internal/control/gateway/hostcore.go
+++ b/internal/control/gateway/hostcore.go
@@ -47,7 +47,7 @@
 	counts  *counts // that it goes to
 	takenAt float64
 	aimAt   float64
-	group   policy.Group
+	group   policy.DedupScope
 	buffer  *[]byte // what the data of the answer under way lies in
 	spare   bool    // ended because the command's answer no longer depends on it
 }
@@ -130,7 +130,7 @@
 	usage   *rates.Meter
 	limits  map[string]float64 // units a second of a plan's volumes, over all hosts
 	regions *regional          // nil: there is one
-	groups  map[string]policy.Group
+	groups  map[string]policy.DedupScope
 	aims    map[string]float64 // by class, ms
 	self    int
 	zone    string
@@ -161,7 +161,7 @@
 // learn takes what the core itself needs of settings and returns what the module does.
 func (h *hostCore) learn(s *settings.Settings) policy.Settings {
 	s = s.Held()
-	h.version, h.limits, h.groups, h.aims = s.Version, map[string]float64{}, map[string]policy.Group{}, map[string]float64{}
+	h.version, h.limits, h.groups, h.aims = s.Version, map[string]float64{}, map[string]policy.DedupScope{}, map[string]float64{}
 	for _, p := range s.Plans {
 		if p.Limit > 0 {
 			h.limits[p.Name] = p.Limit
@@ -170,8 +170,8 @@
 	p := s.Policy(h.self, h.zone)
 	if faultinject.Is(faultinject.RepeatUnsafe) {
 		for i := range p.Classes {
-			if p.Classes[i].Effect == policy.Unsafe {
-				p.Classes[i].Effect, p.Classes[i].Window = policy.Keyed, p.Classes[i].Deadline
+			if p.Classes[i].Effect == policy.NonIdempotent {
+				p.Classes[i].Effect, p.Classes[i].DedupWindow = policy.Keyed, p.Classes[i].Deadline
 			}
 		}
 	}
@@ -181,7 +181,7 @@
 		}
 	}
 	for _, k := range p.Classes {
-		h.groups[k.Name], h.aims[k.Name] = k.Group, k.Aim
+		h.groups[k.Name], h.aims[k.Name] = k.DedupScope, k.LatencyTarget
 	}
 	return p
 }
@@ -193,7 +193,7 @@
 	if h.regions != nil {
 		h.regions.learn(s)
 	}
-	h.notify(policy.Revised{Settings: p})
+	h.notify(policy.SettingsChanged{Settings: p})
 }
 
 // at moves the clock, which never goes back.
@@ -233,9 +233,9 @@
 	case policy.Send:
 		h.send(a)
 	case policy.Refuse:
-		h.end(a.ID, endRefused, a.After, a.Why)
+		h.end(a.ID, endRefused, a.RetryAfter, a.Cause)
 	case policy.Fail:
-		h.end(a.ID, endFailed, 0, a.Why)
+		h.end(a.ID, endFailed, 0, a.Cause)
 	case policy.CancelAttempt:
 		if j := h.jobs[a.ID]; j != nil {
 			h.cancel(j, a.Attempt)
@@ -262,12 +262,12 @@
 		return
 	}
 	until := j.req.Expires
-	if s.Until > 0 {
-		until = min(until, s.Until)
+	if s.TimeoutAt > 0 {
+		until = min(until, s.TimeoutAt)
 	}
 	a := &attempt{job: j, n: j.sends, node: s.Node, sentAt: h.now, until: until, by: math.Inf(1)}
-	if s.By > 0 {
-		a.by = s.By
+	if s.StartBy > 0 {
+		a.by = s.StartBy
 	}
 	j.last = a
 	goes := h.stamp(a)
@@ -389,9 +389,9 @@
 	diskproto.OK:         policy.Served,
 	diskproto.Miscompare: policy.Served, // it ran, and said no
 	diskproto.Failed:     policy.ServerError,
-	diskproto.Full:       policy.TurnedAway,
-	diskproto.Draining:   policy.TurnedAway,
-	diskproto.Expired:    policy.TurnedAway,
+	diskproto.Full:       policy.Rejected,
+	diskproto.Draining:   policy.Rejected,
+	diskproto.Expired:    policy.Rejected,
 	diskproto.WrongShard: policy.NotSent,
 	diskproto.Fenced:     policy.Served, // the server has done its work, which was to say no
 	diskproto.Stale:      policy.NotSent,
@@ -524,7 +524,7 @@
 func byAddr(a, b inventory.Node) int { return strings.Compare(a.Addr, b.Addr) }
 
 var health = map[string]policy.Health{
-	inventory.Ready: policy.Ready, inventory.Draining: policy.Draining, inventory.Gone: policy.Gone,
+	inventory.Ready: policy.Ready, inventory.Draining: policy.Draining, inventory.Gone: policy.Removed,
 }
 
 // startOf turns an age into a time on this clock, once for each incarnation: the
--- a/internal/control/gateway/hostcore_test.go
+++ b/internal/control/gateway/hostcore_test.go
@@ -86,7 +86,7 @@
 
 func sendAll(ev policy.Event) []policy.Action {
 	if r, ok := ev.(policy.Request); ok {
-		return []policy.Action{policy.Send{ID: r.ID, Node: "n", Until: 500}}
+		return []policy.Action{policy.Send{ID: r.ID, Node: "n", TimeoutAt: 500}}
 	}
 	return nil
 }
--- a/internal/control/gateway/permit_test.go
+++ b/internal/control/gateway/permit_test.go
@@ -18,7 +18,7 @@
 
 func sendBy(ev policy.Event) []policy.Action {
 	if r, ok := ev.(policy.Request); ok {
-		return []policy.Action{policy.Send{ID: r.ID, Node: "n", Until: 500, By: 300}}
+		return []policy.Action{policy.Send{ID: r.ID, Node: "n", TimeoutAt: 500, StartBy: 300}}
 	}
 	return nil
 }
--- a/internal/control/gateway/regional.go
+++ b/internal/control/gateway/regional.go
@@ -70,7 +70,7 @@
 		return
 	}
 	r.parts[q.Volume] = limitPart{max(q.Hosts, 1), limit}
-	q.Share, q.PartSince = r.shareOf(now, limit)
+	q.Fraction, q.FractionSince = r.shareOf(now, limit)
 }
 
 // granted brings what the inventory granted.
@@ -117,7 +117,7 @@
 	for _, v := range volumes {
 		p := r.parts[v]
 		share, _ := r.shareOf(h.now, p.limit)
-		h.notify(policy.Part{Volume: v, Hosts: p.hosts, Share: share})
+		h.notify(policy.VolumeChanged{Volume: v, Hosts: p.hosts, Fraction: share})
 	}
 }
 
@@ -146,7 +146,7 @@
 	if j.gen == 0 {
 		j.gen = home.Gen
 	}
-	everywhere := j.group == policy.GroupAll || j.do.Effect == diskproto.Safe
+	everywhere := j.group == policy.DedupAll || j.do.Effect == diskproto.Safe
 	if !region.MayRepeat(j.gen, home, everywhere) {
 		return false
 	}
--- a/internal/control/gateway/regional_test.go
+++ b/internal/control/gateway/regional_test.go
@@ -65,8 +65,8 @@
 	if len(n.sent) != 1 || n.sent[0].node != "b" || n.sent[0].gen != 1 || n.sent[0].until != 1000 || j.do.Copied {
 		t.Fatalf("%d sent: %+v", len(n.sent), n.sent)
 	}
-	if q := s.told[len(s.told)-1].(policy.Request); q.Share < 0.22 || q.Share > 0.225 || q.PartSince != 100 {
-		t.Errorf("a part of %v since %v", q.Share, q.PartSince)
+	if q := s.told[len(s.told)-1].(policy.Request); q.Fraction < 0.22 || q.Fraction > 0.225 || q.FractionSince != 100 {
+		t.Errorf("a part of %v since %v", q.Fraction, q.FractionSince)
 	}
 	if j := ask(h, 210, "normal"); !j.do.Copied {
 		t.Error("a plan that says nothing is acknowledged before its copy")
@@ -84,7 +84,7 @@
 	for _, everywhere := range []bool{false, true} {
 		h, s, n := regionalCore()
 		if everywhere {
-			h.groups["claim-write"] = policy.GroupAll
+			h.groups["claim-write"] = policy.DedupAll
 		}
 		rec := region.Begin(0, []region.ID{0}, nil)
 		grant(h, 0, rec)
--- a/internal/control/scheduler/checker.go
+++ b/internal/control/scheduler/checker.go
@@ -24,7 +24,7 @@
 	if shards <= 0 { // not known
 		shards = mostShards
 	}
-	k := &checker{classes: map[string]policy.Class{}, plans: map[string]bool{}, shards: shards, most: s.MostUnits}
+	k := &checker{classes: map[string]policy.Class{}, plans: map[string]bool{}, shards: shards, most: s.MaxUnits}
 	for _, c := range s.Classes {
 		k.classes[c.Name] = c
 	}
--- a/internal/control/scheduler/config.go
+++ b/internal/control/scheduler/config.go
@@ -103,7 +103,7 @@
 		return nil, atPath("settings", err)
 	}
 	c.Settings, c.Bounds = *set, usual(bounds)
-	c.Settings.Rules.SendLate = c.Bounds.DialTimeout + lateMargin
+	c.Settings.Rules.MaxSendDelay = c.Bounds.DialTimeout + lateMargin
 	c.boundShards()
 	return c, c.check()
 }
@@ -163,8 +163,8 @@
 		return &ConfigError{"settings.request_classes", errMissing}
 	}
 	for i, k := range c.Settings.Classes {
-		if !(k.Aim > 0) || math.IsInf(k.Aim, 0) {
-			return &ConfigError{fmt.Sprintf("settings.request_classes[%d].aim_ms", i), fmt.Errorf("is %v", k.Aim)}
+		if !(k.LatencyTarget > 0) || math.IsInf(k.LatencyTarget, 0) {
+			return &ConfigError{fmt.Sprintf("settings.request_classes[%d].aim_ms", i), fmt.Errorf("is %v", k.LatencyTarget)}
 		}
 	}
 	if len(c.Settings.Plans) == 0 {
--- a/internal/control/scheduler/core.go
+++ b/internal/control/scheduler/core.go
@@ -151,9 +151,9 @@
 	case policy.Send:
 		k.send(a)
 	case policy.Refuse:
-		k.end(a.ID, refused, a.After, a.Why)
+		k.end(a.ID, refused, a.RetryAfter, a.Cause)
 	case policy.Fail:
-		k.end(a.ID, failed, 0, a.Why)
+		k.end(a.ID, failed, 0, a.Cause)
 	case policy.CancelAttempt:
 		if x := k.attempt(a.ID, a.Attempt); x != nil {
 			k.cancel(x)
@@ -192,11 +192,11 @@
 		return
 	}
 	a := &attempt{call: c, n: c.sends, host: s.Node, sentAt: k.now, by: math.Inf(1), until: c.req.Expires}
-	if s.Until > 0 {
-		a.until = min(a.until, s.Until)
+	if s.TimeoutAt > 0 {
+		a.until = min(a.until, s.TimeoutAt)
 	}
-	if s.By > 0 {
-		a.by = s.By
+	if s.StartBy > 0 {
+		a.by = s.StartBy
 	}
 	c.sends++
 	c.out++
@@ -300,7 +300,7 @@
 		return
 	}
 	c.req.Expires = min(c.req.Expires, by)
-	k.notify(policy.Sooner{ID: c.req.ID, By: by})
+	k.notify(policy.DeadlineShortened{ID: c.req.ID, Deadline: by})
 }
 
 // stop has all that is open answered now.
@@ -384,7 +384,7 @@
 func (k *core) revise(now float64, s policy.Settings) {
 	k.at(now)
 	k.shards = s.Shards
-	k.notify(policy.Revised{Settings: s})
+	k.notify(policy.SettingsChanged{Settings: s})
 }
 
 // list brings the list of disk servers, or what changed. The module is told only what
@@ -411,7 +411,7 @@
 		n := policy.Node{Addr: e.Host, Health: health[e.Health], Shard: e.Block, Started: started, Zone: e.Site, Weight: e.Share}
 		nodes = append(nodes, n)
 		switch n.Health {
-		case policy.Gone:
+		case policy.Removed:
 			delete(k.hosts, e.Host)
 			continue
 		case policy.Draining:
@@ -423,7 +423,7 @@
 	k.heard = k.heard || !cached
 	k.notify(policy.NodeList{Cached: cached, Nodes: nodes})
 	for _, n := range nodes {
-		if n.Health == policy.Gone {
+		if n.Health == policy.Removed {
 			k.eff.serverRemoved(n.Addr)
 		}
 	}
--- a/internal/control/scheduler/link.go
+++ b/internal/control/scheduler/link.go
@@ -111,7 +111,7 @@
 	case m.Status == 200:
 		return policy.Served
 	case (m.Status == 503 || m.Status == 504) && m.Fields.Get("not-started") == "1":
-		return policy.TurnedAway
+		return policy.Rejected
 	}
 	return policy.ServerError
 }
--- a/internal/control/scheduler/list.go
+++ b/internal/control/scheduler/list.go
@@ -36,7 +36,7 @@
 	stateLeft    = "left"
 )
 
-var health = map[string]policy.Health{stateActive: policy.Ready, stateLeaving: policy.Draining, stateLeft: policy.Gone}
+var health = map[string]policy.Health{stateActive: policy.Ready, stateLeaving: policy.Draining, stateLeft: policy.Removed}
 
 // strictness orders the states by what they forbid.
 var strictness = map[string]int{stateActive: 0, stateLeaving: 1, stateLeft: 2}
--- a/internal/control/scheduler/listsize_test.go
+++ b/internal/control/scheduler/listsize_test.go
@@ -74,7 +74,7 @@
 	}
 	short := List{Seq: 3, Whole: true, Hosts: append([]Entry{l.Hosts[0]}, l.Hosts[:39]...)}
 	k.list(k.now, short, false)
-	if n := len(spy.nodes); n != 1 || spy.nodes[0].Addr != l.Hosts[39].Host || spy.nodes[0].Health != policy.Gone {
+	if n := len(spy.nodes); n != 1 || spy.nodes[0].Addr != l.Hosts[39].Host || spy.nodes[0].Health != policy.Removed {
 		t.Error(spy.nodes)
 	}
 	if len(k.hosts) != 39 {
--- a/internal/control/scheduler/outcome_test.go
+++ b/internal/control/scheduler/outcome_test.go
@@ -26,8 +26,8 @@
 		"500":                      {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
 		"404":                      {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
 		"503":                      {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
-		"503 not started":          {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 503 No\r\n" + noStart)}, policy.TurnedAway},
-		"504 not started":          {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 504 No\r\n" + noStart)}, policy.TurnedAway},
+		"503 not started":          {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 503 No\r\n" + noStart)}, policy.Rejected},
+		"504 not started":          {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 504 No\r\n" + noStart)}, policy.Rejected},
 		"500 not started":          {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 500 No\r\n" + noStart)}, policy.ServerError},
 		"noise":                    {standin.HTTPAnswer{Raw: []byte("\x00\x01\r\n\r\n")}, policy.ServerError},
 		"its end":                  {standin.HTTPAnswer{Close: true}, policy.ConnectionLost},
@@ -57,7 +57,7 @@
 					within = "0.300"
 				}
 				got := sc.connect().ask(sc.request("PUT", "txn-write", "00000000000000aa", within, "x"))
-				want := map[policy.Result]int{policy.Served: 200, policy.TurnedAway: 503}[c.want]
+				want := map[policy.Result]int{policy.Served: 200, policy.Rejected: 503}[c.want]
 				if want == 0 {
 					want = 504
 				}
--- a/internal/control/settings/settings.go
+++ b/internal/control/settings/settings.go
@@ -686,40 +686,40 @@
 }
 
 var (
-	effects = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
-	groups  = map[string]policy.Group{"cell": policy.GroupCell, "zone": policy.GroupZone, "all": policy.GroupAll}
+	effects = map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.Keyed, "unsafe": policy.NonIdempotent}
+	groups  = map[string]policy.DedupScope{"cell": policy.DedupShard, "zone": policy.DedupZone, "all": policy.DedupAll}
 )
 
 // Policy returns what the module of host number self in that zone is told.
 func (s *Settings) Policy(self int, zone string) policy.Settings {
 	p := policy.Settings{
 		Hosts: s.Hosts, Self: self, Zone: zone, Tick: 1, Shards: s.Shards,
-		MeanUnits: s.MeanUnits, MostUnits: s.MostUnits, FairWorth: s.FairWorth, SpareWorth: s.SpareWorth,
+		MeanUnits: s.MeanUnits, MaxUnits: s.MostUnits, FairFactor: s.FairWorth, SpareFactor: s.SpareWorth,
 		Limits: policy.Limits{MaxAttempts: s.Limits.MaxAttempts, Cancel: true, Probe: true,
-			Copies: s.Limits.Copies, RetryAfter: s.Limits.RetryAfter},
+			Duplicates: s.Limits.Copies, RetryAfter: s.Limits.RetryAfter},
 		Rules: policy.Rules{AnswerSlack: s.Rules.AnswerSlack, DrainGrace: s.Rules.DrainGrace,
-			FallMultiple: s.Rules.FallMultiple, FallTime: s.Rules.FallTime, ColdFrom: s.Rules.ColdFrom,
-			ColdTime: s.Rules.ColdTime, ColdUnits: s.Rules.ColdUnits, KeyRest: s.Rules.KeyRest,
-			SendLate: 2 * s.Limits.DialTimeout}, // to connect and to be greeted
+			OverloadFactor: s.Rules.FallMultiple, OverloadWindow: s.Rules.FallTime, ColdCapacity: s.Rules.ColdFrom,
+			WarmUpTime: s.Rules.ColdTime, ColdUnits: s.Rules.ColdUnits, KeyHoldoff: s.Rules.KeyRest,
+			MaxSendDelay: 2 * s.Limits.DialTimeout}, // to connect and to be greeted
 	}
 	if s.Regions != nil {
 		// Clocks may differ by twice the drift: what is short by this host's may still
 		// run by a disk server's, which goes by its own while it is cold.
 		apart := (1 + s.Regions.Drift) / (1 - s.Regions.Drift)
-		p.Rules.ColdTime *= apart
-		p.Rules.FallTime *= apart
+		p.Rules.WarmUpTime *= apart
+		p.Rules.OverloadWindow *= apart
 	}
 	if b := s.Rules.Budget; b != nil {
-		p.Rules.HasBudget, p.Rules.BudgetFree, p.Rules.BudgetShare, p.Rules.BudgetSpan = true, b.Free, b.Share, b.Span
+		p.Rules.HasBudget, p.Rules.BudgetBase, p.Rules.BudgetRatio, p.Rules.BudgetWindow = true, b.Free, b.Share, b.Span
 	}
 	for _, k := range s.Classes {
-		p.Classes = append(p.Classes, policy.Class{Name: k.Name, Worth: k.Worth, LateWorth: k.LateWorth,
-			Aim: k.Aim, Deadline: k.Deadline, Effect: effects[k.Effect], Group: groups[k.Group],
-			Window: k.Window, Ordered: k.Ordered})
+		p.Classes = append(p.Classes, policy.Class{Name: k.Name, Value: k.Worth, LateValue: k.LateWorth,
+			LatencyTarget: k.Aim, Deadline: k.Deadline, Effect: effects[k.Effect], DedupScope: groups[k.Group],
+			DedupWindow: k.Window, Ordered: k.Ordered})
 	}
 	for _, l := range s.Plans {
 		p.Plans = append(p.Plans, policy.Plan{Name: l.Name, Price: l.Price, Weight: l.Weight, Rate: l.Rate, Reserve: l.Reserve,
-			Limit: l.Limit, Burst: l.Burst, Slack: l.Slack})
+			Limit: l.Limit, Burst: l.Burst, Overdraft: l.Slack})
 	}
 	return p
 }
--- a/internal/control/settings/settings_test.go
+++ b/internal/control/settings/settings_test.go
@@ -242,11 +242,11 @@
 	s.Regions = &Regions{Lease: 8000, Quiet: 2000, Drift: 0.1, Hosts: []int{0, 1, 0, 1}}
 	p := s.Policy(0, "")
 	fast, slow := 1+s.Regions.Drift, 1-s.Regions.Drift
-	if p.Rules.ColdTime/fast < s.Rules.ColdTime/slow-1e-9 || p.Rules.FallTime/fast < s.Rules.FallTime/slow-1e-9 {
-		t.Errorf("cold for %v ms and counted over %v ms of a fast clock", p.Rules.ColdTime, p.Rules.FallTime)
+	if p.Rules.WarmUpTime/fast < s.Rules.ColdTime/slow-1e-9 || p.Rules.OverloadWindow/fast < s.Rules.FallTime/slow-1e-9 {
+		t.Errorf("cold for %v ms and counted over %v ms of a fast clock", p.Rules.WarmUpTime, p.Rules.OverloadWindow)
 	}
 	s.Regions = nil
-	if p := s.Policy(0, ""); p.Rules.ColdTime != s.Rules.ColdTime {
-		t.Errorf("%v where clocks do not matter", p.Rules.ColdTime)
+	if p := s.Policy(0, ""); p.Rules.WarmUpTime != s.Rules.ColdTime {
+		t.Errorf("%v where clocks do not matter", p.Rules.WarmUpTime)
 	}
 }
--- a/internal/observe/metrics/metrics.go
+++ b/internal/observe/metrics/metrics.go
@@ -35,7 +35,7 @@
 	Class, Plan                                 string
 	Taken, Served, InAim, Refused, Failed, Gone uint64
 	Units                                       float64 // of those served
-	Reasons                                     [policy.Reasons]uint64
+	Reasons                                     [policy.ReasonCount]uint64
 	Times                                       [history.Buckets]uint64 // of the served
 }
 
@@ -43,7 +43,7 @@
 type Attempts [policy.NotSent + 1]uint64
 
 // resultNames are the results of attempts as labels.
-var resultNames = [policy.NotSent + 1]string{policy.Served: "served", policy.ServerError: "server_error", policy.TurnedAway: "turned_away",
+var resultNames = [policy.NotSent + 1]string{policy.Served: "served", policy.ServerError: "server_error", policy.Rejected: "turned_away",
 	policy.NoAnswer: "no_answer", policy.NoConnection: "no_connection", policy.ConnectionLost: "connection_lost",
 	policy.Cancelled: "cancelled", policy.NotSent: "not_sent"}
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -185,7 +185,7 @@
 
 var results = map[string]policy.Result{
 	"served": policy.Served, "server_error": policy.ServerError,
-	"turned_away": policy.TurnedAway, "no_answer": policy.NoAnswer,
+	"turned_away": policy.Rejected, "no_answer": policy.NoAnswer,
 	"no_connection": policy.NoConnection, "connection_lost": policy.ConnectionLost,
 	"called_off": policy.Cancelled, "not_sent": policy.NotSent,
 }
@@ -251,7 +251,7 @@
 	case "hangup":
 		ev.Event = policy.ClientGone{ID: f.raw()}
 	case "sampled":
-		p := policy.Probed{Node: f.raw(), Elapsed: f.number()}
+		p := policy.ProbeResult{Node: f.raw(), Elapsed: f.number()}
 		p.Result, p.Report = f.result(), f.readings()
 		ev.Event = p
 	case "begun":
@@ -416,53 +416,53 @@
 	bounds := Bounds{o.Limits.DialTimeoutMs, o.Limits.ConnIdleMs}
 	set := &policy.Settings{
 		Hosts: o.Balancers, Self: o.Me, Zone: o.Zone, Tick: o.TickMs,
-		OnRequest: o.Discovery == "on_request", Shards: o.Extra.SlotsTotal,
-		MeanUnits: o.Extra.UnitMean, MostUnits: o.Extra.Largest,
-		FairWorth: orOne(o.Extra.FairWorth), SpareWorth: orOne(o.Extra.SpareWorth),
-		UsePeriod: o.Extra.UsePeriodMs, TellsOther: o.Extra.CountsOther,
+		MustSubscribe: o.Discovery == "on_request", Shards: o.Extra.SlotsTotal,
+		MeanUnits: o.Extra.UnitMean, MaxUnits: o.Extra.Largest,
+		FairFactor: orOne(o.Extra.FairWorth), SpareFactor: orOne(o.Extra.SpareWorth),
+		UsePeriod: o.Extra.UsePeriodMs, CountsOthers: o.Extra.CountsOther,
 	}
 	for _, c := range o.Classes {
 		class := policy.Class{
-			Name: c.Name, Worth: c.Worth, LateWorth: c.LateValue, Aim: c.AimMs,
-			Deadline: c.GiveUpMs, Window: c.KeyTTLMs, Ordered: c.ByArrival, Streamed: c.Streamed,
+			Name: c.Name, Value: c.Worth, LateValue: c.LateValue, LatencyTarget: c.AimMs,
+			Deadline: c.GiveUpMs, DedupWindow: c.KeyTTLMs, Ordered: c.ByArrival, Streamed: c.Streamed,
 		}
 		switch c.Effect {
 		case "read_like":
-			class.Effect = policy.Safe
+			class.Effect = policy.Idempotent
 		case "idempotency_key":
 			class.Effect = policy.Keyed
 		}
 		switch c.Group {
 		case "all":
-			class.Group = policy.GroupAll
+			class.DedupScope = policy.DedupAll
 		case "zone":
-			class.Group = policy.GroupZone
+			class.DedupScope = policy.DedupZone
 		}
 		set.Classes = append(set.Classes, class)
 	}
 	for _, g := range o.Grades {
 		set.Plans = append(set.Plans, policy.Plan{
 			Name: g.Name, Price: g.Price, Weight: g.Proportion, Rate: g.Rate,
-			Reserve: g.Reserve, Limit: g.Limit, Burst: g.CapDepth, Slack: g.Tolerance,
+			Reserve: g.Reserve, Limit: g.Limit, Burst: g.CapDepth, Overdraft: g.Tolerance,
 		})
 	}
 	set.Limits = policy.Limits{
 		MaxAttempts: o.Limits.AttemptsCap, Cancel: o.Limits.Cancel, Probe: o.Limits.MayProbe,
-		Peers: o.Limits.Peers, Copies: o.Limits.MayDuplicate,
+		Peers: o.Limits.Peers, Duplicates: o.Limits.MayDuplicate,
 	}
 	if o.Limits.RetryAfter {
 		set.Limits.RetryAfter = o.Limits.MaxRetryAfterMs
 	}
 	set.Rules = policy.Rules{
 		AnswerSlack: o.Safety.AnswerSlackMs, DrainGrace: o.Safety.StopSendingWithinMs,
-		AskWithin: o.Safety.AskWithinMs, FallMultiple: o.Safety.FallMultiple,
-		FallTime: o.Safety.OverloadForMs, ColdFrom: o.Safety.ColdFrom, ColdTime: o.Safety.ColdMs,
-		ColdUnits: o.Extra.ColdUnits, KeyRest: o.Safety.KeyRestMs,
+		AskWithin: o.Safety.AskWithinMs, OverloadFactor: o.Safety.FallMultiple,
+		OverloadWindow: o.Safety.OverloadForMs, ColdCapacity: o.Safety.ColdFrom, WarmUpTime: o.Safety.ColdMs,
+		ColdUnits: o.Extra.ColdUnits, KeyHoldoff: o.Safety.KeyRestMs,
 		HasBudget:  o.Safety.ExtraRatio != nil || o.Safety.ResendSpanMs > 0,
-		BudgetFree: o.Safety.FreeResends, BudgetSpan: o.Safety.ResendSpanMs,
+		BudgetBase: o.Safety.FreeResends, BudgetWindow: o.Safety.ResendSpanMs,
 	}
 	if o.Safety.ExtraRatio != nil {
-		set.Rules.BudgetShare = *o.Safety.ExtraRatio
+		set.Rules.BudgetRatio = *o.Safety.ExtraRatio
 	}
 	return set, bounds, nil
 }
@@ -493,9 +493,9 @@
 	i := strconv.Itoa(inst)
 	switch a := a.(type) {
 	case policy.Send:
-		w.line("route", i, a.ID, a.Node, ms(a.Until))
+		w.line("route", i, a.ID, a.Node, ms(a.TimeoutAt))
 	case policy.Refuse:
-		w.line("refuse", i, a.ID, ms(a.After))
+		w.line("refuse", i, a.ID, ms(a.RetryAfter))
 	case policy.Fail:
 		w.line("give_up", i, a.ID)
 	case policy.CancelAttempt:
@@ -508,7 +508,7 @@
 		w.line("fetch", i)
 	case policy.Probe:
 		w.line("sample", i, a.Node)
-	case policy.Tell:
+	case policy.SendPeerMessage:
 		to, data := "all", "-"
 		if a.To >= 0 {
 			to = strconv.Itoa(a.To)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -32,13 +32,13 @@
 		{"call 3 aa 6 read plan vol -1 2 blk 9.5 4", policy.Request{ID: "aa", Class: "read", Plan: "plan",
 			Volume: "vol", Shard: -1, Units: 2, Key: "blk", Expires: 9.5, Hosts: 4, Repeat: true, Write: true}},
 		{"settled 3 aa n:1 0 7 18.5 1 86 turned_away cpu:0.5,rps:3", policy.Outcome{ID: "aa", Node: "n:1",
-			FromOthers: 7, Elapsed: 18.5, Attempt: 1, Use: 86, Result: policy.TurnedAway,
+			FromOthers: 7, Elapsed: 18.5, Attempt: 1, Use: 86, Result: policy.Rejected,
 			Report: []policy.Reading{{Name: "cpu", Value: 0.5}, {Name: "rps", Value: 3}}}},
 		{"alarm 3 two words", policy.TimerFired{Name: "two words"}},
 		{"mail 3 1 6869", policy.PeerMessage{From: 1, Data: []byte("hi")}},
 		{"hangup 3 aa", policy.ClientGone{ID: "aa"}},
 		{"begun 3 aa 0 n:1 4", policy.StreamStarted{ID: "aa", Node: "n:1"}},
-		{"sampled 3 n:1 2 served -", policy.Probed{Node: "n:1", Elapsed: 2}},
+		{"sampled 3 n:1 2 served -", policy.ProbeResult{Node: "n:1", Elapsed: 2}},
 		{"membership 3 1 0 0", policy.ListFailed{}},
 	}
 	for _, tt := range tests {
@@ -88,10 +88,10 @@
 	var b strings.Builder
 	w := NewWriter(&b)
 	for _, a := range []policy.Action{
-		policy.Send{ID: "aa", Node: "n:1", Until: 5}, policy.Refuse{ID: "aa", After: 9},
+		policy.Send{ID: "aa", Node: "n:1", TimeoutAt: 5}, policy.Refuse{ID: "aa", RetryAfter: 9},
 		policy.Fail{ID: "aa"}, policy.CancelAttempt{ID: "aa", Attempt: 2},
 		policy.SetTimer{Delay: 1.5, Name: "x"}, policy.Subscribe{On: true}, policy.FetchList{},
-		policy.Probe{Node: "n:1"}, policy.Tell{To: -1, Data: []byte("hi")}, policy.Tell{To: 2},
+		policy.Probe{Node: "n:1"}, policy.SendPeerMessage{To: -1, Data: []byte("hi")}, policy.SendPeerMessage{To: 2},
 		policy.CloseIdle{Node: "n:1"}, policy.Log{Text: "a\nb"},
 	} {
 		w.Action(4, a)
--- a/policy/api.go
+++ b/policy/api.go
@@ -24,19 +24,19 @@
 
 // The kinds of effect.
 const (
-	Unsafe Effect = iota // every further attempt takes effect once more
-	Keyed                // nodes of one Group drop repeats for a while
-	Safe                 // repeating does no harm
+	NonIdempotent Effect = iota // every further attempt takes effect once more
+	Keyed                       // nodes of one Group drop repeats for a while
+	Idempotent                  // repeating does no harm
 )
 
-// Group names the nodes among which a keyed request's repeats are dropped.
-type Group int
+// DedupScope names the nodes among which a keyed request's repeats are dropped.
+type DedupScope int
 
 // The kinds of group.
 const (
-	GroupCell Group = iota // the nodes holding one shard
-	GroupZone
-	GroupAll
+	DedupShard DedupScope = iota // the nodes holding one shard
+	DedupZone
+	DedupAll
 )
 
 // Settings is what a host knows at start. Zero values mean "not present".
@@ -50,41 +50,41 @@
 	Limits  Limits
 	Rules   Rules
 
-	OnRequest  bool    // the node list must be subscribed to
-	Shards     int     // number of shards
-	MeanUnits  float64 // mean units of a request
-	MostUnits  float64 // largest units of a request
-	FairWorth  float64 // worth factor within a volume's weighted share
-	SpareWorth float64 // worth factor beyond it
+	MustSubscribe bool    // the node list must be subscribed to
+	Shards        int     // number of shards
+	MeanUnits     float64 // mean units of a request
+	MaxUnits      float64 // largest units of a request
+	FairFactor    float64 // worth factor within a volume's weighted share
+	SpareFactor   float64 // worth factor beyond it
 	// Told for policies to come; this one does not read them.
-	UsePeriod  float64 // period of Outcome.Use
-	TellsOther bool    // Outcome.FromOthers is filled in
+	UsePeriod    float64 // period of Outcome.Use
+	CountsOthers bool    // Outcome.FromOthers is filled in
 }
 
 // Class is a kind of request.
 type Class struct {
-	Name      string
-	Worth     float64
-	LateWorth float64
-	Aim       float64 // full worth inside this time
-	Deadline  float64
-	Effect    Effect
-	Group     Group   // for Keyed
-	Window    float64 // for Keyed: how long repeats are dropped
-	Ordered   bool    // requests of one key run one at a time, in order
-	Streamed  bool
+	Name          string
+	Value         float64
+	LateValue     float64
+	LatencyTarget float64 // full worth inside this time
+	Deadline      float64
+	Effect        Effect
+	DedupScope    DedupScope // for Keyed
+	DedupWindow   float64    // for Keyed: how long repeats are dropped
+	Ordered       bool       // requests of one key run one at a time, in order
+	Streamed      bool
 }
 
 // Plan is what a volume has bought. Rates are units a second over all hosts.
 type Plan struct {
-	Name    string
-	Price   float64
-	Weight  float64
-	Rate    float64
-	Reserve float64
-	Limit   float64 // 0: none
-	Burst   float64 // depth of the limit's store
-	Slack   float64 // how far that store may go below zero
+	Name      string
+	Price     float64
+	Weight    float64
+	Rate      float64
+	Reserve   float64
+	Limit     float64 // 0: none
+	Burst     float64 // depth of the limit's store
+	Overdraft float64 // how far that store may go below zero
 }
 
 // Limits says what the site lets a host do.
@@ -93,28 +93,28 @@
 	Cancel      bool
 	Probe       bool
 	Peers       bool
-	Copies      bool // two attempts of a request may be out at once
+	Duplicates  bool // two attempts of a request may be out at once
 	RetryAfter  float64
 }
 
 // Rules holds the figures of the safety rules.
 type Rules struct {
-	AnswerSlack  float64
-	DrainGrace   float64
-	AskWithin    float64
-	FallMultiple float64
-	FallTime     float64
-	ColdFrom     float64
-	ColdTime     float64
-	ColdUnits    float64
-	KeyRest      float64
-	HasBudget    bool
-	BudgetFree   float64
-	BudgetShare  float64
-	BudgetSpan   float64
-	// SendLate is how long an attempt may wait at this host once it was decided, ms: for
+	AnswerSlack    float64
+	DrainGrace     float64
+	AskWithin      float64
+	OverloadFactor float64
+	OverloadWindow float64
+	ColdCapacity   float64
+	WarmUpTime     float64
+	ColdUnits      float64
+	KeyHoldoff     float64
+	HasBudget      bool
+	BudgetBase     float64
+	BudgetRatio    float64
+	BudgetWindow   float64
+	// MaxSendDelay is how long an attempt may wait at this host once it was decided, ms: for
 	// its connection. 0: it goes at once, or whoever carries it out holds no By.
-	SendLate float64
+	MaxSendDelay float64
 }
 
 // Health is what the node list says of a node.
@@ -122,7 +122,7 @@
 
 // The states of a node.
 const (
-	Gone Health = iota
+	Removed Health = iota
 	Ready
 	Draining
 )
@@ -140,11 +140,11 @@
 // Result says how an attempt ended.
 type Result int
 
-// The results. TurnedAway, NoConnection and NotSent prove that it never ran.
+// The results. Rejected, NoConnection and NotSent prove that it never ran.
 const (
 	Served Result = iota
 	ServerError
-	TurnedAway
+	Rejected
 	NoAnswer
 	NoConnection
 	ConnectionLost
@@ -183,22 +183,22 @@
 	Hosts   int     // hosts that the volume's requests come through
 	Repeat  bool
 	Write   bool
-	// Share is what those hosts have of the plan's figures, 0: all; PartSince is since when
+	// Fraction is what those hosts have of the plan's figures, 0: all; FractionSince is since when
 	// they had no less, 0: always.
-	Share, PartSince float64
+	Fraction, FractionSince float64
 }
 
-// Part says what a volume's hosts have of its plan's figures now.
-type Part struct {
-	Volume string
-	Hosts  int
-	Share  float64
+// VolumeChanged says what a volume's hosts have of its plan's figures now.
+type VolumeChanged struct {
+	Volume   string
+	Hosts    int
+	Fraction float64
 }
 
-// Revised brings other settings. Requests taken before end under the classes, attempts and
+// SettingsChanged brings other settings. Requests taken before end under the classes, attempts and
 // times that they were taken under; what is counted over all requests (limits, budget,
 // cold nodes) is held to those in force. What was learnt stays.
-type Revised struct{ Settings Settings }
+type SettingsChanged struct{ Settings Settings }
 
 // Outcome ends an attempt. Done is set if the request is over with it.
 type Outcome struct {
@@ -225,11 +225,11 @@
 // ClientGone ends a request from the client's side.
 type ClientGone struct{ ID string }
 
-// Sooner brings a request's end forward: its final answer is wanted by a time before its own,
+// DeadlineShortened brings a request's end forward: its final answer is wanted by a time before its own,
 // for others wait behind it that have less time. A later time than its own changes nothing.
-type Sooner struct {
-	ID string
-	By float64
+type DeadlineShortened struct {
+	ID       string
+	Deadline float64
 }
 
 // Stop says that this host ends: what it holds gets its final answer now.
@@ -242,8 +242,8 @@
 	Node    string
 }
 
-// Probed answers Probe. This policy sends no Probe and passes Probed over.
-type Probed struct {
+// ProbeResult answers Probe. This policy sends no Probe and passes ProbeResult over.
+type ProbeResult struct {
 	Node    string
 	Elapsed float64
 	Result  Result
@@ -257,19 +257,19 @@
 	Data []byte
 }
 
-func (NodeList) event()      {}
-func (ListFailed) event()    {}
-func (Request) event()       {}
-func (Outcome) event()       {}
-func (TimerFired) event()    {}
-func (ClientGone) event()    {}
-func (Sooner) event()        {}
-func (Stop) event()          {}
-func (Part) event()          {}
-func (Revised) event()       {}
-func (StreamStarted) event() {}
-func (Probed) event()        {}
-func (PeerMessage) event()   {}
+func (NodeList) event()          {}
+func (ListFailed) event()        {}
+func (Request) event()           {}
+func (Outcome) event()           {}
+func (TimerFired) event()        {}
+func (ClientGone) event()        {}
+func (DeadlineShortened) event() {}
+func (Stop) event()              {}
+func (VolumeChanged) event()     {}
+func (SettingsChanged) event()   {}
+func (StreamStarted) event()     {}
+func (ProbeResult) event()       {}
+func (PeerMessage) event()       {}
 
 // Action is one of the types below that have an action method.
 type Action interface{ action() }
@@ -277,8 +277,8 @@
 // Send starts an attempt; Until 0 leaves its time-out to the deadline. One that waits for
 // its connection has to begin by By; if it has not, it ends as never sent.
 type Send struct {
-	ID, Node  string
-	Until, By float64
+	ID, Node           string
+	TimeoutAt, StartBy float64
 }
 
 // Withdraw takes an attempt back that has not begun, for it waits for its connection still;
@@ -290,15 +290,15 @@
 
 // Refuse is a final answer that promises that trying again is harmless.
 type Refuse struct {
-	ID    string
-	After float64 // advice to the client; 0: none
-	Why   Reason
+	ID         string
+	RetryAfter float64 // advice to the client; 0: none
+	Cause      Reason
 }
 
 // Fail is a final answer that promises nothing.
 type Fail struct {
-	ID  string
-	Why Reason
+	ID    string
+	Cause Reason
 }
 
 // CancelAttempt stops waiting for an attempt.
@@ -322,8 +322,8 @@
 // Probe asks a node for its load report.
 type Probe struct{ Node string }
 
-// Tell sends a message to one host, or to all others if To is negative.
-type Tell struct {
+// SendPeerMessage sends a message to one host, or to all others if To is negative.
+type SendPeerMessage struct {
 	To   int
 	Data []byte
 }
@@ -334,15 +334,15 @@
 // Log is a line for the operators.
 type Log struct{ Text string }
 
-func (Send) action()          {}
-func (Refuse) action()        {}
-func (Fail) action()          {}
-func (CancelAttempt) action() {}
-func (Withdraw) action()      {}
-func (SetTimer) action()      {}
-func (Subscribe) action()     {}
-func (FetchList) action()     {}
-func (Probe) action()         {}
-func (Tell) action()          {}
-func (CloseIdle) action()     {}
-func (Log) action()           {}
+func (Send) action()            {}
+func (Refuse) action()          {}
+func (Fail) action()            {}
+func (CancelAttempt) action()   {}
+func (Withdraw) action()        {}
+func (SetTimer) action()        {}
+func (Subscribe) action()       {}
+func (FetchList) action()       {}
+func (Probe) action()           {}
+func (SendPeerMessage) action() {}
+func (CloseIdle) action()       {}
+func (Log) action()             {}
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -155,14 +155,14 @@
 	r.out++
 	r.sentAt, r.sentTo, r.sentCold, r.givenUp = p.now, n, n.coldAt, false
 	sh.out = append(sh.out, r)
-	p.do(Send{ID: r.ID, Node: n.Addr, Until: p.until(r, sh), By: p.by(r)})
+	p.do(Send{ID: r.ID, Node: n.Addr, TimeoutAt: p.until(r, sh), StartBy: p.by(r)})
 }
 
 // by is when an attempt has to have begun that may wait for its connection: what was counted
 // as sent now is not to pass much later, and no repeat goes when none is dropped any more.
 func (p *scheduler) by(r *request) float64 {
 	by := math.Inf(1)
-	if late := p.s.Rules.SendLate; late > 0 {
+	if late := p.s.Rules.MaxSendDelay; late > 0 {
 		by = p.now + late
 	}
 	if r.ran && r.class.Effect == Keyed {
@@ -175,8 +175,8 @@
 // way, or a process that hangs, would else hold depth until the client leaves,
 // and make the node look as slow. Where only this node is slow it costs work.
 func (p *scheduler) until(r *request, sh *shard) float64 {
-	if r.class.Effect == Unsafe || r.class.Streamed {
+	if r.class.Effect == NonIdempotent || r.class.Streamed {
 		return 0
 	}
-	return min(p.now+max(stuckAims*r.class.Aim, stuckTimes*p.meanAt(sh)), r.Expires)
+	return min(p.now+max(stuckAims*r.class.LatencyTarget, stuckTimes*p.meanAt(sh)), r.Expires)
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -52,9 +52,9 @@
 		}
 		at := f.now
 		if f.rng.IntN(3) == 0 {
-			at += f.rng.Float64() * f.s.Rules.SendLate
+			at += f.rng.Float64() * f.s.Rules.MaxSendDelay
 		}
-		if at > s.By {
+		if at > s.StartBy {
 			f.done = append(f.done, outcomeAt{at, g, Outcome{ID: s.ID, Node: s.Node, Result: NotSent}})
 			continue
 		}
@@ -91,8 +91,8 @@
 	slices.Sort(f.arrived)
 	r := f.s.Rules
 	for i, from := range f.arrived {
-		j, _ := slices.BinarySearch(f.arrived, from+r.FallTime)
-		grown := 1 + (1-r.ColdFrom)/r.ColdFrom*(from-coldStart)/r.ColdTime
+		j, _ := slices.BinarySearch(f.arrived, from+r.OverloadWindow)
+		grown := 1 + (1-r.ColdCapacity)/r.ColdCapacity*(from-coldStart)/r.WarmUpTime
 		n := r.ColdUnits * grown / f.s.MeanUnits
 		over = max(over, float64(j-i)-(n+2*math.Sqrt(n)+2))
 	}
@@ -114,7 +114,7 @@
 				for seed := range uint64(20) {
 					s := settings()
 					s.Hosts, s.Shards, s.MeanUnits = hosts, 1, 1
-					s.Rules.FallTime, s.Rules.ColdUnits, s.Rules.SendLate = 1000, 60, 300
+					s.Rules.OverloadWindow, s.Rules.ColdUnits, s.Rules.MaxSendDelay = 1000, 60, 300
 					f := &fleet{s: s, rng: rand.New(rand.NewPCG(seed, 7)), now: 1000}
 					for range hosts {
 						f.hosts = append(f.hosts, f.host())
@@ -157,7 +157,7 @@
 			for seed := range uint64(seeds) {
 				s := settings()
 				s.Hosts, s.Shards, s.MeanUnits = hosts, tt.shards, 1
-				s.Rules.FallTime, s.Rules.ColdUnits, s.Rules.SendLate = 1000, tt.units, 300
+				s.Rules.OverloadWindow, s.Rules.ColdUnits, s.Rules.MaxSendDelay = 1000, tt.units, 300
 				f := &fleet{s: s, rng: rand.New(rand.NewPCG(seed, 11)), now: 1000, shards: tt.shards}
 				for range hosts {
 					f.hosts = append(f.hosts, f.host())
@@ -183,8 +183,8 @@
 func TestUnitsAreTakenWhenTheyPass(t *testing.T) {
 	const shards = 8
 	s := settings()
-	s.Rules.SendLate, s.Limits.MaxAttempts = 300, 10
-	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Slack = 11, 36, 6
+	s.Rules.MaxSendDelay, s.Limits.MaxAttempts = 300, 10
+	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 11, 36, 6
 	g := newRig(s)
 	var nodes []Node
 	for n := range shards {
@@ -243,8 +243,8 @@
 func TestALimitKeepsRoomForTheWait(t *testing.T) {
 	for _, late := range []float64{0, 300} {
 		s := settings()
-		s.Rules.SendLate = late
-		s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Slack = 11, 36, 6
+		s.Rules.MaxSendDelay = late
+		s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 11, 36, 6
 		g := newRig(s)
 		g.ask("read", "low", "", 1)
 		v := g.p.vols["low"]
--- a/policy/health.go
+++ b/policy/health.go
@@ -51,7 +51,7 @@
 		if o.Elapsed >= p.tightest() {
 			p.hold(n, p.crowd())
 		}
-	case TurnedAway: // a whole queue stands before what would be taken now
+	case Rejected: // a whole queue stands before what would be taken now
 		// Not so where it serves many within the pause and turns a few away: at
 		// thousands a second, a pause for each would keep an idle node from work.
 		sh.got.add(stuckAims * p.tightest())
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -46,7 +46,7 @@
 		p.visits++
 		if !named[addr] {
 			p.exclude(n)
-			n.Health = Gone // its record stays, as its answers may come still
+			n.Health = Removed // its record stays, as its answers may come still
 		}
 	}
 }
@@ -57,7 +57,7 @@
 	p.visits++
 	n := p.nodes[e.Addr]
 	if n == nil {
-		if e.Health == Gone {
+		if e.Health == Removed {
 			return
 		}
 		n = newNode(e)
@@ -69,9 +69,9 @@
 		n.coldAt = max(n.coldAt, e.Started)
 	}
 	p.exclude(n)
-	if e.Health == Gone {
+	if e.Health == Removed {
 		delete(p.nodes, e.Addr)
-		n.Health = Gone
+		n.Health = Removed
 		return
 	}
 	n.Node = e
--- a/policy/membership_test.go
+++ b/policy/membership_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestDrainIsKept(t *testing.T) {
-	for _, h := range []Health{Draining, Gone} {
+	for _, h := range []Health{Draining, Removed} {
 		g := newRig(settings())
 		g.do(NodeList{Nodes: []Node{{Addr: "n0", Health: h}}})
 		if id := g.ask("read", "high", "", 2); g.sends(id) != 0 {
@@ -46,7 +46,7 @@
 		t.Error("new objects went to", to)
 	}
 	s.Shards = 6
-	g.do(Revised{Settings: s})
+	g.do(SettingsChanged{Settings: s})
 	if to := count(5); to["n5"] == 0 || len(to) != 1 {
 		t.Error("shard 5 is served by", to)
 	}
@@ -57,7 +57,7 @@
 
 func TestSubscribesAgain(t *testing.T) {
 	s := settings()
-	s.OnRequest = true
+	s.MustSubscribe = true
 	g := newRig(s)
 	count := func() (n int) {
 		for _, a := range g.acts {
@@ -81,7 +81,7 @@
 func TestOutcomeAfterItsNodeIsGone(t *testing.T) {
 	g := newRig(settings())
 	id := g.ask("write", "high", "", 2)
-	g.do(NodeList{Nodes: []Node{{Addr: "n0", Health: Gone}}})
+	g.do(NodeList{Nodes: []Node{{Addr: "n0", Health: Removed}}})
 	g.do(NodeList{Nodes: []Node{{Addr: "n1", Health: Ready}}})
 	g.do(NodeList{Nodes: []Node{{Addr: "n1", Health: Ready}}})
 	g.end(id, ConnectionLost)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -52,7 +52,7 @@
 		{"write", ServerError, 10, 2, ""},
 		{"write", ServerError, 900, 1, "fail"}, // past the window
 		{"once", ServerError, 10, 1, "fail"},
-		{"once", TurnedAway, 10, 2, ""},
+		{"once", Rejected, 10, 2, ""},
 	}
 	for _, tt := range tests {
 		g := newRig(settings())
@@ -91,7 +91,7 @@
 
 func TestResendBudget(t *testing.T) {
 	s := settings()
-	s.Rules.HasBudget, s.Rules.BudgetFree, s.Rules.BudgetShare, s.Rules.BudgetSpan = true, 1, 0.25, 5000
+	s.Rules.HasBudget, s.Rules.BudgetBase, s.Rules.BudgetRatio, s.Rules.BudgetWindow = true, 1, 0.25, 5000
 	g := newRig(s)
 	again := 0
 	for range 8 {
@@ -177,8 +177,8 @@
 		g.p.shards[0].got = gathered{100, 100 * 50}
 		id := g.ask(class, "high", "", 2)
 		for _, a := range g.acts {
-			if s, ok := a.(Send); ok && s.ID == id && s.Until != want {
-				t.Errorf("%s: given up at %v, want %v", class, s.Until, want)
+			if s, ok := a.(Send); ok && s.ID == id && s.TimeoutAt != want {
+				t.Errorf("%s: given up at %v, want %v", class, s.TimeoutAt, want)
 			}
 		}
 	}
@@ -229,8 +229,8 @@
 		res   Result
 		most  float64
 	}{
-		{1, TurnedAway, 1000}, {5, TurnedAway, 1000}, {50, TurnedAway, 50.0 / 6 * 1000},
-		{230, TurnedAway, 230.0 / 6 * 1000}, {230, NoAnswer, 230.0 / 6 * 1000}, {230, NoConnection, 1000},
+		{1, Rejected, 1000}, {5, Rejected, 1000}, {50, Rejected, 50.0 / 6 * 1000},
+		{230, Rejected, 230.0 / 6 * 1000}, {230, NoAnswer, 230.0 / 6 * 1000}, {230, NoConnection, 1000},
 	} {
 		s := settings()
 		s.Hosts = tt.hosts
@@ -255,10 +255,10 @@
 	}{
 		{"no hosts", func(s *Settings) { s.Hosts = 0 }, 1},
 		{"no cold units", func(s *Settings) { s.Rules.ColdUnits = 0 }, 0},
-		{"no fall time", func(s *Settings) { s.Rules.ColdUnits, s.Rules.FallTime = 0, 0 }, 0},
-		{"no cold share", func(s *Settings) { s.Rules.ColdFrom = 0 }, 1},
+		{"no fall time", func(s *Settings) { s.Rules.ColdUnits, s.Rules.OverloadWindow = 0, 0 }, 0},
+		{"no cold share", func(s *Settings) { s.Rules.ColdCapacity = 0 }, 1},
 		{"no plans, no classes", func(s *Settings) { s.Plans, s.Classes = nil, nil }, 1},
-		{"no units", func(s *Settings) { s.MeanUnits, s.MostUnits = 0, 0 }, 1},
+		{"no units", func(s *Settings) { s.MeanUnits, s.MaxUnits = 0, 0 }, 1},
 	}
 	for _, tt := range tests {
 		s := settings()
@@ -272,7 +272,7 @@
 		g.pass(3000)
 	}
 	g := newRig(settings())
-	g.p.s.Classes[1].Group = GroupZone
+	g.p.s.Classes[1].DedupScope = DedupZone
 	g.list(Node{Addr: "n0", Health: Ready}) // its zone is not told
 	r := &request{class: &g.p.s.Classes[1], ranNode: g.p.nodes["n0"], ranAt: g.now}
 	if g.p.now = g.now; g.p.repeatable(r, &node{}) || !g.p.repeatable(r, g.p.nodes["n0"]) {
@@ -288,7 +288,7 @@
 func TestUnusedEventsAreSkipped(t *testing.T) {
 	g := newRig(settings())
 	for _, ev := range []Event{PeerMessage{From: -1}, PeerMessage{Data: make([]byte, 1<<16)},
-		PeerMessage{From: 9, Data: []byte{255, 255, 0}}, Probed{}, Probed{Node: "nowhere", Report: []Reading{{"cpu", 9}}},
+		PeerMessage{From: 9, Data: []byte{255, 255, 0}}, ProbeResult{}, ProbeResult{Node: "nowhere", Report: []Reading{{"cpu", 9}}},
 		StreamStarted{ID: "none"}, ClientGone{ID: "none"}, Outcome{ID: "none"}, TimerFired{"none"}} {
 		if got := g.do(ev); len(got) > 0 {
 			if _, ok := got[0].(SetTimer); !ok {
--- a/policy/rate_test.go
+++ b/policy/rate_test.go
@@ -13,15 +13,15 @@
 
 // rateSettings are those of one gateway of three before nine disk servers.
 func rateSettings() Settings {
-	return Settings{Hosts: 3, Tick: 1, Shards: 9, MeanUnits: 2, MostUnits: 6, FairWorth: 1, SpareWorth: 0.05,
+	return Settings{Hosts: 3, Tick: 1, Shards: 9, MeanUnits: 2, MaxUnits: 6, FairFactor: 1, SpareFactor: 0.05,
 		Classes: []Class{
-			{Name: "read", Worth: 2, LateWorth: 0.1, Aim: 300, Deadline: 2000, Effect: Safe},
-			{Name: "write", Worth: 3, LateWorth: 0.15, Aim: 500, Deadline: 4000, Effect: Keyed, Window: 6000},
+			{Name: "read", Value: 2, LateValue: 0.1, LatencyTarget: 300, Deadline: 2000, Effect: Idempotent},
+			{Name: "write", Value: 3, LateValue: 0.15, LatencyTarget: 500, Deadline: 4000, Effect: Keyed, DedupWindow: 6000},
 		},
 		Plans:  []Plan{{Name: "normal", Price: 1, Weight: 3, Rate: 5}, {Name: "prioritario", Price: 1.5, Weight: 6, Rate: 8}},
 		Limits: Limits{MaxAttempts: 4, RetryAfter: 500},
-		Rules: Rules{AnswerSlack: 8, DrainGrace: 500, FallMultiple: 2, FallTime: 1500, ColdFrom: 0.2, ColdTime: 17000, ColdUnits: 26,
-			HasBudget: true, BudgetFree: 3, BudgetShare: 0.25, BudgetSpan: 5000}}
+		Rules: Rules{AnswerSlack: 8, DrainGrace: 500, OverloadFactor: 2, OverloadWindow: 1500, ColdCapacity: 0.2, WarmUpTime: 17000, ColdUnits: 26,
+			HasBudget: true, BudgetBase: 3, BudgetRatio: 0.25, BudgetWindow: 5000}}
 }
 
 // reply is an outcome on its way.
@@ -63,7 +63,7 @@
 			f.tries[a.ID]++
 			o := Outcome{ID: a.ID, Node: a.Node, Attempt: n, Done: true, Elapsed: 1, Result: Served}
 			if n == 0 && f.rng.Float64() < 0.02 {
-				o.Done, o.Result = false, TurnedAway
+				o.Done, o.Result = false, Rejected
 			}
 			heap.Push(&f.out, reply{f.now + 1, o})
 		case Refuse:
@@ -193,7 +193,7 @@
 		sh.node.hard.add(f.now, easySpan)
 	}
 	f.handle(Request{ID: "x", Class: "read", Plan: "normal", Volume: "v", Shard: 0, Units: 1, Expires: f.now + 2000, Hosts: 3})
-	f.handle(Outcome{ID: "x", Node: sh.node.Addr, Result: TurnedAway})
+	f.handle(Outcome{ID: "x", Node: sh.node.Addr, Result: Rejected})
 	if sh.node.holdTill <= f.now {
 		t.Error("not left alone")
 	}
@@ -226,7 +226,7 @@
 // waits for a small one's pace for ever.
 func TestPartsOfALimitMove(t *testing.T) {
 	s := settings()
-	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Slack = 40, 8, 4
+	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 40, 8, 4
 	var rigs [2]*rig
 	for i := range rigs {
 		rigs[i] = newRig(s)
@@ -242,7 +242,7 @@
 		for i, g := range rigs {
 			g.n++
 			id := fmt.Sprint(i, "-", g.n)
-			g.do(Request{ID: id, Class: "read", Plan: "low", Volume: "v", Units: 1 + float64(rng.IntN(3)), Expires: g.now + 400, Hosts: 1, Share: parts[i], PartSince: since[i]})
+			g.do(Request{ID: id, Class: "read", Plan: "low", Volume: "v", Units: 1 + float64(rng.IntN(3)), Expires: g.now + 400, Hosts: 1, Fraction: parts[i], FractionSince: since[i]})
 			g.pass(5)
 			for k := 0; k < len(g.acts); k++ { // those of the last change too
 				if s, ok := g.acts[k].(Send); ok {
@@ -259,12 +259,12 @@
 		next := [][2]float64{{0.5, 0.5}, {1, none}, {none, 1}, {0.25, 0.5}}[rng.IntN(4)]
 		for i, g := range rigs {
 			parts[i] = min(parts[i], next[i])
-			g.do(Part{"v", 1, parts[i]})
+			g.do(VolumeChanged{"v", 1, parts[i]})
 		}
 		for i, g := range rigs {
 			if next[i] > parts[i] {
 				parts[i], since[i] = next[i], g.now
-				g.do(Part{"v", 1, parts[i]})
+				g.do(VolumeChanged{"v", 1, parts[i]})
 			}
 		}
 	}
@@ -272,7 +272,7 @@
 	level, at, total := s.Plans[0].Burst, 0.0, 0.0
 	for _, x := range all {
 		level, at = min(level+s.Plans[0].Limit*(x.at-at)/1000, s.Plans[0].Burst)-x.units, x.at
-		if total += x.units; level < -s.Plans[0].Slack-1e-9 {
+		if total += x.units; level < -s.Plans[0].Overdraft-1e-9 {
 			t.Fatalf("%.2f units below the limit at %.0f", -level, x.at)
 		}
 	}
@@ -285,8 +285,8 @@
 // have lost to its cap meanwhile: what passes keeps to the limit in every window.
 func TestUnitsThatComeBackFillNothing(t *testing.T) {
 	s := settings()
-	s.Rules.SendLate, s.Limits.MaxAttempts = 300, 4
-	s.Plans[0] = Plan{Name: "low", Price: 1, Weight: 1, Limit: 17, Burst: 36, Slack: 6}
+	s.Rules.MaxSendDelay, s.Limits.MaxAttempts = 300, 4
+	s.Plans[0] = Plan{Name: "low", Price: 1, Weight: 1, Limit: 17, Burst: 36, Overdraft: 6}
 	g := newRig(s)
 	nodes := []Node{{Addr: "n0", Health: Ready, Shard: 0, Zone: "z"}}
 	for shard := 1; shard <= 60; shard++ { // none of them can be reached
@@ -348,8 +348,8 @@
 // Units that were taken under a larger part of the limit and come back find the smaller one.
 func TestUnitsThatComeBackToASmallerPart(t *testing.T) {
 	s := settings()
-	s.Rules.SendLate, s.Limits.MaxAttempts = 300, 4
-	s.Plans[0] = Plan{Name: "low", Price: 1, Weight: 1, Limit: 17, Burst: 36, Slack: 6}
+	s.Rules.MaxSendDelay, s.Limits.MaxAttempts = 300, 4
+	s.Plans[0] = Plan{Name: "low", Price: 1, Weight: 1, Limit: 17, Burst: 36, Overdraft: 6}
 	nodes := []Node{{Addr: "n0", Health: Ready, Shard: 0, Zone: "z"}}
 	for shard := 1; shard <= 5; shard++ {
 		nodes = append(nodes, Node{Addr: fmt.Sprint("cut", shard), Health: Ready, Shard: shard, Zone: "z"})
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -4,28 +4,28 @@
 // its way at the end, and decides nothing.
 type Reason int
 
-// The reasons, the first that holds.
+// The reasonEnd, the first that holds.
 const (
-	ReasonNone     Reason = iota
-	ReasonOut             // an attempt of it was still without an answer
-	ReasonOutcome         // it may have run, and its class does not let it run twice
-	ReasonAttempts        // its attempts are used up
-	ReasonNoNode          // its shard had no node that it might be sent to
-	ReasonLimit           // its volume's limit held it
-	ReasonBudget          // the budget of further attempts was spent
-	ReasonKey             // an earlier request of its key stood before it, or the key rested
-	ReasonNodeHeld        // its node had just refused, failed or not answered others
-	ReasonCold            // its node was warming up
-	ReasonOverload        // dearer requests stood before it, for longer than it had
-	ReasonTime            // there was no time left for it
-	reasons
+	ReasonNone           Reason = iota
+	ReasonAttemptOut            // an attempt of it was still without an answer
+	ReasonOutcomeUnknown        // it may have run, and its class does not let it run twice
+	ReasonAttemptsUsed          // its attempts are used up
+	ReasonNoNode                // its shard had no node that it might be sent to
+	ReasonLimit                 // its volume's limit held it
+	ReasonBudget                // the budget of further attempts was spent
+	ReasonKeyOrder              // an earlier request of its key stood before it, or the key rested
+	ReasonNodeHeld              // its node had just refused, failed or not answered others
+	ReasonCold                  // its node was warming up
+	ReasonOverload              // dearer requests stood before it, for longer than it had
+	ReasonTime                  // there was no time left for it
+	reasonEnd
 )
 
-// Reasons is the number of reasons.
-const Reasons = int(reasons)
+// ReasonCount is the number of reasons.
+const ReasonCount = int(reasonEnd)
 
 func (r Reason) String() string {
-	return [Reasons]string{"none", "attempt_out", "outcome_unknown", "attempts_used",
+	return [ReasonCount]string{"none", "attempt_out", "outcome_unknown", "attempts_used",
 		"no_node", "limit", "budget", "key",
 		"node_held", "cold", "overload", "time"}[r]
 }
@@ -39,11 +39,11 @@
 	}
 	switch {
 	case r.out > 0:
-		return ReasonOut
+		return ReasonAttemptOut
 	case r.ran && n != nil && !p.repeatable(r, n):
-		return ReasonOutcome
+		return ReasonOutcomeUnknown
 	case r.terms.Limits.MaxAttempts > 0 && r.attempts >= r.terms.Limits.MaxAttempts:
-		return ReasonAttempts
+		return ReasonAttemptsUsed
 	case n == nil || n.excluded:
 		return ReasonNoNode
 	case r.attempts == 0 && p.now-r.vol.heldAt < period:
@@ -51,7 +51,7 @@
 	case r.attempts > 0 && !p.inBudget():
 		return ReasonBudget
 	case c != nil && len(c.members) > 0 && (c.members[0] != r || p.now < c.restTo):
-		return ReasonKey
+		return ReasonKeyOrder
 	case p.now < n.holdTill || n.suspect:
 		return ReasonNodeHeld
 	}
--- a/policy/reason_test.go
+++ b/policy/reason_test.go
@@ -8,11 +8,11 @@
 		switch a := a.(type) {
 		case Refuse:
 			if a.ID == id {
-				return a.Why
+				return a.Cause
 			}
 		case Fail:
 			if a.ID == id {
-				return a.Why
+				return a.Cause
 			}
 		}
 	}
@@ -33,27 +33,27 @@
 			}
 			return last
 		},
-		ReasonOut: func(g *rig) string { return g.ask("once", "high", "", 1) },
-		ReasonOutcome: func(g *rig) string {
+		ReasonAttemptOut: func(g *rig) string { return g.ask("once", "high", "", 1) },
+		ReasonOutcomeUnknown: func(g *rig) string {
 			id := g.ask("once", "high", "", 1)
 			g.answer(id, ConnectionLost)
 			return id
 		},
-		ReasonAttempts: func(g *rig) string {
+		ReasonAttemptsUsed: func(g *rig) string {
 			id := g.ask("read", "high", "", 1)
 			for range 3 {
 				g.answer(id, ServerError)
 			}
 			return id
 		},
-		ReasonKey: func(g *rig) string {
+		ReasonKeyOrder: func(g *rig) string {
 			g.ask("turns", "high", "k", 1)
 			return g.ask("turns", "high", "k", 1)
 		},
 		ReasonNodeHeld: func(g *rig) string {
 			s := settings()
 			s.Limits.MaxAttempts = 0
-			g.do(Revised{s})
+			g.do(SettingsChanged{s})
 			id := g.ask("read", "high", "", 1)
 			for range 60 {
 				if r := g.p.reqs[id]; r != nil && r.out > 0 {
@@ -71,7 +71,7 @@
 			t.Errorf("%v, want %v", got, want)
 		}
 	}
-	for r := range Reason(Reasons) {
+	for r := range Reason(ReasonCount) {
 		if r.String() == "" {
 			t.Errorf("reason %d has no name", r)
 		}
--- a/policy/request.go
+++ b/policy/request.go
@@ -8,23 +8,23 @@
 	r := &request{Request: q, arrived: p.now, terms: p.s}
 	p.reqs[q.ID] = r
 	r.flow = max(slices.IndexFunc(p.s.Plans, func(pl Plan) bool { return pl.Name == q.Plan }), 0)
-	r.class = &Class{Worth: 1, Aim: q.Expires - p.now} // if never announced: the most careful kind
+	r.class = &Class{Value: 1, LatencyTarget: q.Expires - p.now} // if never announced: the most careful kind
 	if i := slices.IndexFunc(p.s.Classes, func(c Class) bool { return c.Name == q.Class }); i >= 0 {
 		r.class = &p.s.Classes[i]
 	}
 	r.first = p.firstTry(q) // a client's further try counts its aim from its first
-	r.aimAt = min(r.first+r.class.Aim, q.Expires)
+	r.aimAt = min(r.first+r.class.LatencyTarget, q.Expires)
 	r.vol = p.volume(q, &p.s.Plans[r.flow])
-	if h := parts(q.Hosts, q.Share); r.vol.parts != h || r.vol.plan != &p.s.Plans[r.flow] {
+	if h := parts(q.Hosts, q.Fraction); r.vol.parts != h || r.vol.plan != &p.s.Plans[r.flow] {
 		p.redivide(r.vol, &p.s.Plans[r.flow], h)
 	}
 	if p.s.Rules.HasBudget {
 		p.taken.add(p.now, 1)
-		p.taken.since(p.now - p.s.Rules.BudgetSpan + p.s.Tick)
+		p.taken.since(p.now - p.s.Rules.BudgetWindow + p.s.Tick)
 	}
 	p.largest = max(p.largest, q.Units)
 	r.shard = p.place(q.Shard)
-	most := max(p.now+waitPart*(q.Expires-p.now), r.aimAt+waitAims*r.class.Aim)
+	most := max(p.now+waitPart*(q.Expires-p.now), r.aimAt+waitAims*r.class.LatencyTarget)
 	r.halfAt = min(most, q.Expires-p.s.Tick-guard)
 	p.setTimer(r.halfAt, r, nil)
 	p.rate(r)
@@ -52,8 +52,8 @@
 		p.settleCharge(r)
 	}
 	switch o.Result {
-	case TurnedAway, NoConnection, NotSent:
-		r.reached = r.reached || o.Result == TurnedAway
+	case Rejected, NoConnection, NotSent:
+		r.reached = r.reached || o.Result == Rejected
 		p.uncharge(r, o.Result)
 	default:
 		if r.reached = true; !r.ran {
@@ -63,7 +63,7 @@
 	if c := p.chainOf(r); c != nil {
 		switch o.Result {
 		case NoAnswer, ConnectionLost, Cancelled:
-			c.restTo = max(c.restTo, p.now+r.terms.Rules.KeyRest+p.s.Tick)
+			c.restTo = max(c.restTo, p.now+r.terms.Rules.KeyHoldoff+p.s.Tick)
 		}
 	}
 	if o.Done {
@@ -86,7 +86,7 @@
 func (p *scheduler) again(r *request) {
 	last := p.now >= r.Expires-p.s.Tick-guard || !r.reached && p.now >= r.halfAt
 	used := r.terms.Limits.MaxAttempts > 0 && r.attempts >= r.terms.Limits.MaxAttempts
-	if last || used || r.ran && r.class.Effect == Unsafe {
+	if last || used || r.ran && r.class.Effect == NonIdempotent {
 		p.end(r)
 		return
 	}
@@ -94,12 +94,12 @@
 }
 
 // sooner brings r's end forward. What waits keeps its place; what is out is awaited no longer.
-func (p *scheduler) sooner(e Sooner) {
+func (p *scheduler) sooner(e DeadlineShortened) {
 	r := p.reqs[e.ID]
-	if r == nil || r.done || e.By >= r.Expires {
+	if r == nil || r.done || e.Deadline >= r.Expires {
 		return
 	}
-	r.Expires = e.By
+	r.Expires = e.Deadline
 	last := r.Expires - p.s.Tick - guard
 	r.halfAt = min(r.halfAt, last)
 	r.shard.firstEnd = min(r.shard.firstEnd, r.Expires)
@@ -135,7 +135,7 @@
 
 // end gives r its final answer: a refusal where its class allows that.
 func (p *scheduler) end(r *request) {
-	safe := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll
+	safe := r.class.Effect == Idempotent || r.class.Effect == Keyed && r.class.DedupScope == DedupAll
 	if safe || !r.ran && r.out == 0 {
 		p.do(Refuse{r.ID, r.terms.Limits.RetryAfter, p.why(r)})
 	} else {
--- a/policy/revise_test.go
+++ b/policy/revise_test.go
@@ -32,10 +32,10 @@
 			next.Plans[0].Burst = 2 + float64(r.IntN(9))
 			if v := g.p.vols["low"]; v != nil {
 				g.p.volume(Request{Volume: "low"}, v.plan)
-				floor := min(next.Plans[0].Limit*bunching/1000-next.Plans[0].Slack, 0)
+				floor := min(next.Plans[0].Limit*bunching/1000-next.Plans[0].Overdraft, 0)
 				cut += max(v.limit-v.limFloor-(next.Plans[0].Burst-floor), 0)
 			}
-			g.do(Revised{next})
+			g.do(SettingsChanged{next})
 			for range 16 { // of 1 unit each 100 ms: eight times the mean limit
 				id := g.ask("read", "low", "", 1)
 				units[id] = 1
@@ -49,7 +49,7 @@
 				}
 			}
 		}
-		most := integral + begin.Burst + begin.Slack
+		most := integral + begin.Burst + begin.Overdraft
 		least := integral - cut - begin.Burst - 2 // a request may stand before the gate, and one lies within rounding
 		if passed > most || passed < least {
 			t.Errorf("seed %d: %.1f units passed, the integral is %.1f, bounds %.1f and %.1f", seed, passed, integral, least, most)
@@ -64,8 +64,8 @@
 	old := g.ask("read", "high", "", 2)
 	next := settings()
 	next.Limits.MaxAttempts, next.Limits.RetryAfter = 1, 900
-	next.Classes[0] = Class{Name: "read", Worth: 2, Aim: 300, Deadline: 1000, Effect: Unsafe}
-	g.do(Revised{next})
+	next.Classes[0] = Class{Name: "read", Value: 2, LatencyTarget: 300, Deadline: 1000, Effect: NonIdempotent}
+	g.do(SettingsChanged{next})
 	g.answer(old, ConnectionLost)
 	g.pass(200)
 	if n := g.sends(old); n != 2 {
@@ -85,9 +85,9 @@
 	g := newRig(settings())
 	g.ask("read", "high", "", 2)
 	next := settings()
-	next.Plans[1].Limit, next.Plans[1].Burst, next.Plans[1].Slack = 10, 40, 0
+	next.Plans[1].Limit, next.Plans[1].Burst, next.Plans[1].Overdraft = 10, 40, 0
 	g.pass(20000)
-	g.do(Revised{next})
+	g.do(SettingsChanged{next})
 	before := len(g.acts)
 	for range 10 {
 		g.ask("read", "high", "", 2)
@@ -123,8 +123,8 @@
 		t.Fatalf("only %d are out", out)
 	}
 	next := settings()
-	next.Plans[0].Limit, next.Plans[0].Burst, next.Plans[0].Slack = 2, 1, 0
-	g.do(Revised{next})
+	next.Plans[0].Limit, next.Plans[0].Burst, next.Plans[0].Overdraft = 2, 1, 0
+	g.do(SettingsChanged{next})
 	v := g.p.vols["low"]
 	if v.limit > 1 || v.limit < v.limFloor {
 		t.Errorf("the store holds %v after the change, its floor is %v", v.limit, v.limFloor)
@@ -152,7 +152,7 @@
 	theta := slices.Clone(g.p.shares.fits[1].theta)
 	next := settings()
 	next.Plans = append(next.Plans, Plan{Name: "mid", Price: 1, Weight: 1})
-	g.do(Revised{next})
+	g.do(SettingsChanged{next})
 	if g.p.shards[0].depth != depth || g.p.shards[0].got != got {
 		t.Error("the depth was forgotten")
 	}
@@ -168,7 +168,7 @@
 	}
 	waiting := g.ask("read", "mid", "", 2)
 	next.Plans = next.Plans[:2]
-	g.do(Revised{next})
+	g.do(SettingsChanged{next})
 	g.pass(100)
 	if g.sends(waiting) != 1 {
 		t.Error("a request whose plan is gone was not sent")
@@ -176,7 +176,7 @@
 	for n := range 50 { // plans that come and go don't pile up
 		next := settings()
 		next.Plans = append(next.Plans, Plan{Name: fmt.Sprint("p", n), Price: 1, Weight: 1})
-		g.do(Revised{next})
+		g.do(SettingsChanged{next})
 		id := g.ask("read", next.Plans[2].Name, "", 1)
 		g.answer(id, Served)
 		g.pass(1200)
@@ -206,8 +206,8 @@
 					s.Plans = s.Plans[1:]
 				}
 				s.Limits.MaxAttempts = rapid.IntRange(1, 3).Draw(t, "attempts")
-				s.Rules.HasBudget, s.Rules.BudgetFree, s.Rules.BudgetSpan = rapid.Bool().Draw(t, "budget"), 2, 5000
-				g.do(Revised{s})
+				s.Rules.HasBudget, s.Rules.BudgetBase, s.Rules.BudgetWindow = rapid.Bool().Draw(t, "budget"), 2, 5000
+				g.do(SettingsChanged{s})
 			case 1, 2:
 				id := g.ask(rapid.SampledFrom([]string{"read", "write", "once", "turns"}).Draw(t, "class"),
 					rapid.SampledFrom([]string{"low", "high", "x", "y"}).Draw(t, "plan"), "k", 1)
@@ -221,7 +221,7 @@
 				}
 				slices.Sort(ids)
 				for _, id := range ids {
-					g.answer(id, rapid.SampledFrom([]Result{Served, ConnectionLost, TurnedAway, NoAnswer}).Draw(t, "result"))
+					g.answer(id, rapid.SampledFrom([]Result{Served, ConnectionLost, Rejected, NoAnswer}).Draw(t, "result"))
 				}
 			}
 			g.pass(float64(rapid.IntRange(0, 300).Draw(t, "pass")))
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -7,20 +7,20 @@
 
 func settings() Settings {
 	return Settings{
-		Hosts: 1, Zone: "z", Tick: 1, MeanUnits: 2, MostUnits: 4, FairWorth: 1, SpareWorth: 0.1,
+		Hosts: 1, Zone: "z", Tick: 1, MeanUnits: 2, MaxUnits: 4, FairFactor: 1, SpareFactor: 0.1,
 		Classes: []Class{
-			{Name: "read", Worth: 2, Aim: 300, Deadline: 1000, Effect: Safe},
-			{Name: "write", Worth: 3, Aim: 500, Deadline: 2000, Effect: Keyed, Window: 800},
-			{Name: "once", Worth: 1, Aim: 500, Deadline: 2000, Effect: Unsafe},
-			{Name: "turns", Worth: 1, Aim: 500, Deadline: 2000, Effect: Safe, Ordered: true},
+			{Name: "read", Value: 2, LatencyTarget: 300, Deadline: 1000, Effect: Idempotent},
+			{Name: "write", Value: 3, LatencyTarget: 500, Deadline: 2000, Effect: Keyed, DedupWindow: 800},
+			{Name: "once", Value: 1, LatencyTarget: 500, Deadline: 2000, Effect: NonIdempotent},
+			{Name: "turns", Value: 1, LatencyTarget: 500, Deadline: 2000, Effect: Idempotent, Ordered: true},
 		},
 		Plans: []Plan{
-			{Name: "low", Price: 1, Weight: 1, Limit: 10, Burst: 8, Slack: 2},
+			{Name: "low", Price: 1, Weight: 1, Limit: 10, Burst: 8, Overdraft: 2},
 			{Name: "high", Price: 2, Weight: 3},
 		},
-		Limits: Limits{MaxAttempts: 3, Copies: true, RetryAfter: 500},
-		Rules: Rules{AnswerSlack: 8, DrainGrace: 500, FallTime: 1000, ColdFrom: 0.2, ColdTime: 10000,
-			ColdUnits: 20, KeyRest: 200},
+		Limits: Limits{MaxAttempts: 3, Duplicates: true, RetryAfter: 500},
+		Rules: Rules{AnswerSlack: 8, DrainGrace: 500, OverloadWindow: 1000, ColdCapacity: 0.2, WarmUpTime: 10000,
+			ColdUnits: 20, KeyHoldoff: 200},
 	}
 }
 
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -22,7 +22,7 @@
 
 // subscribe keeps a subscription up: a host without one counts as told.
 func (p *scheduler) subscribe() {
-	if p.s.OnRequest && !p.subOn && (p.askedAt == 0 || p.now-p.askedAt >= askAgain) {
+	if p.s.MustSubscribe && !p.subOn && (p.askedAt == 0 || p.now-p.askedAt >= askAgain) {
 		p.do(Subscribe{true})
 		p.askedAt = p.now
 	}
@@ -128,7 +128,7 @@
 func (p *scheduler) tightest() float64 {
 	low := math.Inf(1)
 	for i := range p.s.Classes {
-		low = min(low, p.s.Classes[i].Aim)
+		low = min(low, p.s.Classes[i].LatencyTarget)
 	}
 	if math.IsInf(low, 1) {
 		return period
@@ -151,11 +151,11 @@
 		p.take(ev)
 	case Outcome:
 		p.outcome(ev)
-	case Part:
+	case VolumeChanged:
 		p.repart(ev)
-	case Revised:
+	case SettingsChanged:
 		p.revise(ev.Settings)
-	case Sooner:
+	case DeadlineShortened:
 		p.sooner(ev)
 	case ClientGone:
 		if r := p.reqs[ev.ID]; r != nil {
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -17,7 +17,7 @@
 	}{
 		{"no node", func(g *rig, id string) {}, true},
 		{"never reached", func(g *rig, id string) { g.end(id, NoConnection) }, true},
-		{"turned away", func(g *rig, id string) { g.end(id, TurnedAway) }, false},
+		{"turned away", func(g *rig, id string) { g.end(id, Rejected) }, false},
 		{"failed", func(g *rig, id string) { g.end(id, ServerError) }, false},
 	} {
 		g := newRig(settings())
@@ -146,8 +146,8 @@
 		want   int
 	}{{"read", true, true, 1}, {"write", true, true, 1}, {"once", true, true, 0}, {"read", false, true, 0}, {"read", true, false, 0}} {
 		set := settings()
-		set.Limits.Cancel, set.Limits.Copies = c.cancel, c.copies
-		set.Classes[0].Aim, set.Classes[1].Aim = 1000, 1000
+		set.Limits.Cancel, set.Limits.Duplicates = c.cancel, c.copies
+		set.Classes[0].LatencyTarget, set.Classes[1].LatencyTarget = 1000, 1000
 		g := newRig(set)
 		for i := range 20 { // it is known to answer in 10 ms
 			id := g.ask("read", "high", fmt.Sprint(i), 2)
@@ -249,8 +249,8 @@
 		if got := g.sends(id); (got == 1) != out {
 			t.Fatalf("%d sends", got)
 		}
-		g.do(Sooner{ID: id, By: g.now + 1e6})
-		g.do(Sooner{ID: id, By: g.now + 100})
+		g.do(DeadlineShortened{ID: id, Deadline: g.now + 1e6})
+		g.do(DeadlineShortened{ID: id, Deadline: g.now + 100})
 		g.pass(90)
 		if g.final(id) != "" {
 			t.Errorf("out %v: it ended before its time", out)
--- a/policy/shares.go
+++ b/policy/shares.go
@@ -133,7 +133,7 @@
 	g.lat[i] += latency
 	g.count[i]++
 	g.worth[i] += r.value * r.Units
-	g.aims[i] += r.class.Aim
+	g.aims[i] += r.class.LatencyTarget
 	g.waits += r.sentAt - r.arrived
 	g.waitN++
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -31,15 +31,15 @@
 // have more than others to send let a smaller part go, so the sum holds.
 func (p *scheduler) cold(n *node) (budget, part float64, yes bool) {
 	age, r := p.now-n.coldAt, p.s.Rules
-	if age >= r.ColdTime {
+	if age >= r.WarmUpTime {
 		return 0, 1, false
 	}
 	grown := 1.0
-	if r.ColdFrom > 0 && r.ColdTime > 0 {
-		grown += (1 - r.ColdFrom) / r.ColdFrom * max(age-r.FallTime, 0) / r.ColdTime
+	if r.ColdCapacity > 0 && r.WarmUpTime > 0 {
+		grown += (1 - r.ColdCapacity) / r.ColdCapacity * max(age-r.OverloadWindow, 0) / r.WarmUpTime
 	}
 	bears, hosts := r.ColdUnits*grown, float64(p.s.Hosts)
-	demand := p.demandRate() * hosts / float64(max(p.s.Shards, len(p.shards))) * r.FallTime / period
+	demand := p.demandRate() * hosts / float64(max(p.s.Shards, len(p.shards))) * r.OverloadWindow / period
 	return bears / hosts, min(coldMean(bears/p.s.MeanUnits)*p.s.MeanUnits/demand, 1), true
 }
 
@@ -106,4 +106,6 @@
 }
 
 // fallSpan is how long ago an attempt may have been decided that still counts at a cold node.
-func (p *scheduler) fallSpan() float64 { return p.s.Rules.FallTime + p.s.Rules.SendLate + p.s.Tick }
+func (p *scheduler) fallSpan() float64 {
+	return p.s.Rules.OverloadWindow + p.s.Rules.MaxSendDelay + p.s.Tick
+}
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -9,11 +9,11 @@
 	if v == nil {
 		v = &volume{plan: plan, at: p.now, heldAt: math.Inf(-1)}
 		p.vols[q.Volume] = v
-		p.divide(v, parts(q.Hosts, q.Share))
+		p.divide(v, parts(q.Hosts, q.Fraction))
 		v.due, v.reserve = v.dueCap, v.resCap
 		// This host may have spent its part just before it was restarted, or others what
 		// of it was theirs: count only on what has filled since.
-		v.limit = min(v.limFloor+v.limFill*(p.now-max(p.born, q.PartSince))/1000, v.limCap)
+		v.limit = min(v.limFloor+v.limFill*(p.now-max(p.born, q.FractionSince))/1000, v.limCap)
 	}
 	s := (p.now - v.at) / 1000
 	v.reserve = min(v.reserve+v.resFill*s, v.resCap)
@@ -28,9 +28,9 @@
 	plan := v.plan
 	v.parts = h
 	v.resFill, v.limFill, v.dueFill = plan.Reserve/h, plan.Limit/h, dueTimes*plan.Rate/h
-	v.resCap, v.limCap = plan.Reserve/h+p.s.MostUnits, plan.Burst/h
-	v.limFloor = min(plan.Limit*(bunching+p.s.Rules.SendLate)/1000-plan.Slack, 0) / h
-	v.dueCap = max(v.dueFill*spread, 2*p.s.MostUnits)
+	v.resCap, v.limCap = plan.Reserve/h+p.s.MaxUnits, plan.Burst/h
+	v.limFloor = min(plan.Limit*(bunching+p.s.Rules.MaxSendDelay)/1000-plan.Overdraft, 0) / h
+	v.dueCap = max(v.dueFill*spread, 2*p.s.MaxUnits)
 }
 
 // redivide gives a volume another part of its plan, or another plan. What is left of the
@@ -51,15 +51,15 @@
 // then inside its weighted share of the node, then as spare.
 func (p *scheduler) rate(r *request) {
 	plan := &p.s.Plans[r.flow]
-	part := p.s.SpareWorth
+	part := p.s.SpareFactor
 	if plan.Reserve > 0 && r.vol.reserve >= r.Units {
 		r.vol.reserve -= r.Units
 		part = 1
 	} else if r.vol.due >= r.Units || plan.Rate == 0 {
 		r.vol.due -= r.Units
-		part = p.s.FairWorth
+		part = p.s.FairFactor
 	}
-	r.value = r.class.Worth * plan.Price * part
+	r.value = r.class.Value * plan.Price * part
 	r.rank = r.value * (1 + worthDither*p.rng.Float64())
 	p.asked += r.Units
 	p.recentUnits.addSome(r.Units, p.now, burstSpan)
@@ -92,7 +92,7 @@
 		return
 	}
 	r.vol.limit -= r.Units // limitOK has just brought it up to now
-	if p.s.Rules.SendLate > 0 {
+	if p.s.Rules.MaxSendDelay > 0 {
 		r.pending = r.Units
 		r.vol.pending += r.Units
 	}
@@ -108,7 +108,7 @@
 // uncharge has a request that never passed take its units anew when it does, for the store has
 // filled meanwhile. What found no connection has them back; of the rest that is less sure.
 func (p *scheduler) uncharge(r *request, o Result) {
-	if p.s.Rules.SendLate <= 0 || r.reached || !r.charged {
+	if p.s.Rules.MaxSendDelay <= 0 || r.reached || !r.charged {
 		return
 	}
 	if r.charged = false; o == NoConnection && r.vol.plan.Limit > 0 {
@@ -141,13 +141,13 @@
 }
 
 // repart gives a volume another part of what its plan has.
-func (p *scheduler) repart(e Part) {
+func (p *scheduler) repart(e VolumeChanged) {
 	v := p.vols[e.Volume]
 	if v == nil {
 		return
 	}
 	p.volume(Request{Volume: e.Volume}, v.plan) // levels of now
-	p.redivide(v, v.plan, parts(e.Hosts, e.Share))
+	p.redivide(v, v.plan, parts(e.Hosts, e.Fraction))
 	p.lookAgain()
 }
 
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -31,7 +31,7 @@
 // must find that missing part left over.
 func TestLimitHoldsWhereSendsArrive(t *testing.T) {
 	s := settings()
-	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Slack = 100, 8, 4
+	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 100, 8, 4
 	g := newRig(s)
 	g.pass(1000) // long enough alive to count on a full store
 	type sent struct{ at, units float64 }
@@ -48,8 +48,8 @@
 	for _, x := range sends {
 		x.at = max(x.at, sends[0].at+bunching)
 		level, at = min(level+s.Plans[0].Limit*(x.at-at)/1000, s.Plans[0].Burst)-x.units, x.at
-		if level < -s.Plans[0].Slack-1e-6 {
-			t.Fatalf("level %.3f at %g ms, %g is allowed", level, x.at, -s.Plans[0].Slack)
+		if level < -s.Plans[0].Overdraft-1e-6 {
+			t.Fatalf("level %.3f at %g ms, %g is allowed", level, x.at, -s.Plans[0].Overdraft)
 		}
 	}
 	if len(sends) < 100 {
@@ -84,8 +84,8 @@
 	for _, hosts := range []int{1, 5, 50, 230} {
 		s := settings()
 		s.Hosts = hosts
-		s.Rules.HasBudget, s.Rules.BudgetFree, s.Rules.BudgetShare, s.Rules.BudgetSpan = true, 1, 0.25, 5000
-		s.Plans[0].Burst = 2 * s.MostUnits * float64(hosts)
+		s.Rules.HasBudget, s.Rules.BudgetBase, s.Rules.BudgetRatio, s.Rules.BudgetWindow = true, 1, 0.25, 5000
+		s.Plans[0].Burst = 2 * s.MaxUnits * float64(hosts)
 		units, asked, start, end := 0.0, 0, 0.0, 0.0
 		for h := range hosts {
 			g := &rig{p: newScheduler(s, uint64(h)), now: 1000, at: map[string]float64{}}
@@ -108,7 +108,7 @@
 			}
 			start, end = 1000, g.now
 		}
-		if most := s.Plans[0].Limit*(end-start)/1000 + s.Plans[0].Burst + s.Plans[0].Slack; units > most {
+		if most := s.Plans[0].Limit*(end-start)/1000 + s.Plans[0].Burst + s.Plans[0].Overdraft; units > most {
 			t.Errorf("%d hosts sent %v units of one volume, limit %v", hosts, units, most)
 		}
 	}
--- a/policy/twins_test.go
+++ b/policy/twins_test.go
@@ -18,7 +18,7 @@
 
 func newTwins(t *testing.T) *twins {
 	s := settings()
-	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Slack = 40, 8, 4
+	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 40, 8, 4
 	tw := &twins{t, newRig(s), newRig(s)}
 	tw.b.before = func() {
 		for _, sh := range tw.b.p.shards {
@@ -46,13 +46,13 @@
 			if _, timer := a.(SetTimer); !timer {
 				switch s := a.(type) {
 				case Send: // its end is reckoned from the moment of sending
-					s.Until = 0
+					s.TimeoutAt = 0
 					a = s
 				case Refuse: // the reason tells when a limit was last looked at, and decides nothing
-					s.Why = ReasonNone
+					s.Cause = ReasonNone
 					a = s
 				case Fail:
-					s.Why = ReasonNone
+					s.Cause = ReasonNone
 					a = s
 				}
 				acts[k], when[k] = append(acts[k], a), append(when[k], g.when[i])
@@ -86,7 +86,7 @@
 			case x < 9 && len(tw.a.p.shards) > 0 && len(tw.a.p.shards[0].out) > 0:
 				r := tw.a.p.shards[0].out[0]
 				sends++
-				res := []Result{Served, Served, Served, Served, ServerError, TurnedAway, NoAnswer, ConnectionLost}[rng.IntN(8)]
+				res := []Result{Served, Served, Served, Served, ServerError, Rejected, NoAnswer, ConnectionLost}[rng.IntN(8)]
 				ev = Outcome{ID: r.ID, Node: "n0", Attempt: r.attempts - 1, Done: res == Served, Elapsed: now - r.sentAt, Result: res}
 			case rng.IntN(20) == 0:
 				started := 0.0
@@ -111,7 +111,7 @@
 func BenchmarkHeldQueue(b *testing.B) {
 	run := func(forget bool) time.Duration {
 		s := settings()
-		s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Slack = 0.001, 8, 4
+		s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 0.001, 8, 4
 		g := newRig(s)
 		g.list(Node{Addr: "n0", Health: Ready})
 		for k := range 5000 {
