--- a/policy/depth.go
+++ b/policy/depth.go
@@ -2,14 +2,14 @@
 
 // The depth bound of each shard, reset each second by a self-tuning regulator.
 
-func (p *scheduler) floor() float64 { return max(fewDepth/float64(p.s.Hosts), minPart) }
+func (p *scheduler) minDepth() float64 { return max(fewDepth/float64(p.s.Hosts), minPart) }
 
-// setDepth aims the node's service time at a part of the tightest aim, less
+// updateDepth aims the node's service time at a part of the tightest aim, less
 // that class's wait, by the control law; it moves only when the depth held
 // something back, for otherwise depth was not what made the service time.
-func (p *scheduler) setDepth(sh *shard) {
+func (p *scheduler) updateDepth(sh *shard) {
 	aim := p.tightest()
-	mean, full := p.meanAt(sh), sh.wasFull
+	mean, full := p.meanServiceTime(sh), sh.wasFull
 	y := mean / aim
 	sh.wasFull = false
 	sh.quick = sh.took.n >= minSample && sh.took.mean(p.median, poolWeight)*maxDepth <= aimPart*aim
@@ -36,7 +36,7 @@
 	b := sh.fit.theta[1] * depthScale / maxDepth
 	ref := partAim
 	if sh.depth >= 1 { // a part holds nothing back for long: what waits is let go of
-		ref = max(aimPart-p.shares.tightWait(aim)/aim, aimPart/2)
+		ref = max(aimPart-p.shares.meanWait(aim)/aim, aimPart/2)
 	}
 	du := controlStep([][]float64{{b}}, []float64{ref - y}, depthQ)
 	if du == nil {
@@ -49,12 +49,12 @@
 		// minute to give an idle node of a millisecond enough to do.
 		d = sh.depth * riseStep
 	}
-	sh.depth = min(max(d, p.floor(), sh.depth*fallStep), maxDepth, sh.depth*riseStep)
+	sh.depth = min(max(d, p.minDepth(), sh.depth*fallStep), maxDepth, sh.depth*riseStep)
 }
 
 // resetDepth forgets what was learnt of the shard's node.
 func (p *scheduler) resetDepth(sh *shard) {
-	sh.depth = max(p.floor(), 1)
+	sh.depth = max(p.minDepth(), 1)
 	sh.fit = newRLS([]float64{0, depthGain, depthGain}, forget, maxCov)
 	sh.got, sh.took = gathered{}, gathered{}
 }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -25,8 +25,8 @@
 		if n == nil {
 			return
 		}
-		if p.now < n.holdTill {
-			p.setTimer(n.holdTill, nil, sh)
+		if p.now < n.backoffEnd {
+			p.setTimer(n.backoffEnd, nil, sh)
 			return
 		}
 		if n.suspect && len(sh.out) > 0 {
@@ -65,14 +65,14 @@
 	}
 	if best != nil {
 		sh.vtime = best.finish // the start tag of what goes
-		best.finish += pick.Units / p.shares.u[pick.flow]
+		best.finish += pick.Units / p.shares.share[pick.flow]
 		return pick
 	}
 	// The parked go only to a node with nothing of ours that also answers nearly
 	// as quickly as it does unloaded: a late answer earns little and would delay
 	// what is due through other hosts. A node first met under load looks idle.
 	// A quick one with room to spare is as good as idle.
-	idle := sh.quick || len(sh.out) == 0 && p.meanAt(sh) <= idleTimes*p.base
+	idle := sh.quick || len(sh.out) == 0 && p.meanServiceTime(sh) <= idleTimes*p.base
 	if !idle || p.part(sh) < 1 {
 		return nil
 	}
@@ -120,40 +120,40 @@
 		p.setTimer(max(c.restTo, p.now+guard), nil, sh)
 		return false
 	}
-	if !p.limitOK(r, sh) {
+	if !p.withinLimit(r, sh) {
 		return false
 	}
-	budget, part, cold := p.cold(n)
-	if !cold {
+	budget, part, slowStart := p.slowStart(n)
+	if !slowStart {
 		return true
 	}
-	if rest := p.born + p.fallSpan(); n.coldAt < p.born && p.now < rest { // this host may have been restarted
+	if rest := p.born + p.fallSpan(); n.coldSince < p.born && p.now < rest { // this host may have been restarted
 		p.setTimer(rest, nil, sh)
 		return false
 	}
-	sends, units := n.sends.since(p.now - p.fallSpan())
+	recentSends, units := n.recentSends.since(p.now - p.fallSpan())
 	if units+r.Units <= budget {
 		return true
 	}
-	if sends > 0 {
-		p.setTimer(n.sends.oldest()+p.fallSpan()+p.s.Tick, nil, sh)
+	if recentSends > 0 {
+		p.setTimer(n.recentSends.oldest()+p.fallSpan()+p.s.Tick, nil, sh)
 		return false
 	}
-	return r.attempts == 0 && p.amongDearest(r, part)
+	return r.attempts == 0 && p.inTopFraction(r, part)
 }
 
 func (p *scheduler) send(sh *shard, r *request) {
 	n := sh.node
-	p.touch(sh)
+	p.markTouched(sh)
 	sh.remove(r)
-	if p.charge(r); r.attempts > 0 && p.s.Rules.HasBudget {
+	if p.chargeLimit(r); r.attempts > 0 && p.s.Rules.HasBudget {
 		p.resends.add(p.now, 1)
 	}
-	n.sends.add(p.now, r.Units)
-	n.sends.since(p.now - p.fallSpan())
+	n.recentSends.add(p.now, r.Units)
+	n.recentSends.since(p.now - p.fallSpan())
 	r.attempts++
 	r.out++
-	r.sentAt, r.sentTo, r.sentCold, r.givenUp = p.now, n, n.coldAt, false
+	r.sentAt, r.sentTo, r.sentCold, r.givenUp = p.now, n, n.coldSince, false
 	sh.out = append(sh.out, r)
 	p.do(Send{ID: r.ID, Node: n.Addr, TimeoutAt: p.until(r, sh), StartBy: p.by(r)})
 }
@@ -178,5 +178,5 @@
 	if r.class.Effect == NonIdempotent || r.class.Streamed {
 		return 0
 	}
-	return min(p.now+max(stuckAims*r.class.LatencyTarget, stuckTimes*p.meanAt(sh)), r.Expires)
+	return min(p.now+max(stuckAims*r.class.LatencyTarget, stuckTimes*p.meanServiceTime(sh)), r.Expires)
 }
--- a/policy/estimate.go
+++ b/policy/estimate.go
@@ -7,45 +7,45 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// rls fits y = theta·x by recursive least squares with forgetting.
-type rls struct {
-	theta []float64
-	cov   [][]float64
-	// forget is the weight of the past at each sample, bound the trace of
+// rlsEstimator fits y = theta·x by recursive least squares with forgetting.
+type rlsEstimator struct {
+	theta      []float64
+	covariance [][]float64
+	// forgetting is the weight of the past at each sample, traceBound the trace of
 	// the covariance above which nothing is forgotten.
-	forget, bound float64
+	forgetting, traceBound float64
 }
 
-func newRLS(theta []float64, forget, bound float64) *rls {
-	f := &rls{theta: theta, forget: forget, bound: bound}
+func newRLS(theta []float64, forgetting, traceBound float64) *rlsEstimator {
+	f := &rlsEstimator{theta: theta, forgetting: forgetting, traceBound: traceBound}
 	for i := range theta {
-		f.cov = append(f.cov, make([]float64, len(theta)))
-		f.cov[i][i] = 1
+		f.covariance = append(f.covariance, make([]float64, len(theta)))
+		f.covariance[i][i] = 1
 	}
 	return f
 }
 
-// grown is the fit with one more figure at that place, of which nothing is known.
-func (f *rls) grown(at int) *rls {
-	g := newRLS(slices.Insert(slices.Clone(f.theta), at, 0), f.forget, f.bound)
-	for i, row := range f.cov {
+// withCoefficient is the fit with one more figure at that place, of which nothing is known.
+func (f *rlsEstimator) withCoefficient(at int) *rlsEstimator {
+	g := newRLS(slices.Insert(slices.Clone(f.theta), at, 0), f.forgetting, f.traceBound)
+	for i, row := range f.covariance {
 		wider := slices.Insert(slices.Clone(row), at, 0)
 		if i >= at {
 			i++
 		}
-		g.cov[i] = wider
+		g.covariance[i] = wider
 	}
 	return g
 }
 
 // update takes one sample; one that would leave the fit non-finite is dropped.
-func (f *rls) update(x []float64, y float64) {
+func (f *rlsEstimator) update(x []float64, y float64) {
 	n := len(x)
 	px := make([]float64, n)
-	den, err := f.forget, y
+	den, err := f.forgetting, y
 	for i := range n {
 		for k := range n {
-			px[i] += f.cov[i][k] * x[k]
+			px[i] += f.covariance[i][k] * x[k]
 		}
 		den += x[i] * px[i]
 		err -= f.theta[i] * x[i]
@@ -55,16 +55,16 @@
 	}
 	trace := 0.0
 	for i := range n {
-		trace += f.cov[i][i]
+		trace += f.covariance[i][i]
 	}
-	grow := 1 / f.forget
-	if trace > f.bound {
+	grow := 1 / f.forgetting
+	if trace > f.traceBound {
 		grow = 1 // forgetting without excitation would let the covariance run away
 	}
 	for i := range n {
 		f.theta[i] += px[i] / den * err
 		for k := range n {
-			f.cov[i][k] = (f.cov[i][k] - px[i]*px[k]/den) * grow
+			f.covariance[i][k] = (f.covariance[i][k] - px[i]*px[k]/den) * grow
 		}
 	}
 }
@@ -94,23 +94,23 @@
 	}
 	return du.RawVector().Data
 }
-func (g *regulator) row(i int, u []float64) []float64 {
-	x := append([]float64{g.y[i]}, u...)
+func (g *shareRegulator) regressors(i int, u []float64) []float64 {
+	x := append([]float64{g.output[i]}, u...)
 	return append(x, 1)
 }
 
-func (g *regulator) predict(i int, u []float64) float64 {
+func (g *shareRegulator) predict(i int, u []float64) float64 {
 	v := 0.0
-	for k, x := range g.row(i, u) {
-		v += g.fits[i].theta[k] * x
+	for k, x := range g.regressors(i, u) {
+		v += g.models[i].theta[k] * x
 	}
 	return max(v, 0)
 }
 
-// weighted returns the shares' gains and the misses of ref, the latencies' rows
-// weighted by latency.
-func (g *regulator) weighted(ref []float64, latency float64) (b [][]float64, miss []float64) {
-	n := len(g.u)
+// weightedSystem returns the shares' gains and the misses of ref, the latencies' rows
+// weightedSystem by latency.
+func (g *shareRegulator) weightedSystem(ref []float64, latency float64) (b [][]float64, miss []float64) {
+	n := len(g.share)
 	for i := range 2 * n {
 		w := 1.0
 		if i >= n {
@@ -118,16 +118,16 @@
 		}
 		row := make([]float64, n)
 		for k := range row {
-			row[k] = w * g.fits[i].theta[1+k]
+			row[k] = w * g.models[i].theta[1+k]
 		}
-		b, miss = append(b, row), append(miss, w*(ref[i]-g.predict(i, g.u)))
+		b, miss = append(b, row), append(miss, w*(ref[i]-g.predict(i, g.share)))
 	}
 	return b, miss
 }
 
-// cut is the worth above which lies that part of the units, of asks sorted from the
+// valueCutoff is the worth above which lies that part of the units, of asks sorted from the
 // dearest down, and the part of further such asks that is expected to lie above it.
-func cut(asks []ask, part float64) (price, above float64) {
+func valueCutoff(asks []ask, part float64) (price, above float64) {
 	left := 0.0
 	for _, a := range asks {
 		left += part * a.units
--- a/policy/fairqueue.go
+++ b/policy/fairqueue.go
@@ -132,7 +132,7 @@
 	waiting   int
 	depth     float64
 	timerAt   float64 // earliest timer that was set
-	fit       *rls
+	fit       *rlsEstimator
 	got       gathered
 	took      gathered // the same of what was served alone
 	quick     bool     // what the ceiling would put there still meets the aim, one by one
@@ -157,7 +157,7 @@
 	sh := r.shard
 	r.queued = true
 	sh.waiting++
-	p.touch(sh)
+	p.markTouched(sh)
 	if r.attempts > 0 {
 		sh.retries.add(r)
 	} else {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -248,8 +248,8 @@
 		g := newRig(s)
 		g.ask("read", "low", "", 1)
 		v := g.p.vols["low"]
-		if want := 11*(bunching+late)/1000 - 6; math.Abs(v.limFloor-want) > 1e-9 {
-			t.Errorf("late by %v: the store goes down to %v, want %v", late, v.limFloor, want)
+		if want := 11*(bunching+late)/1000 - 6; math.Abs(v.limitFloor-want) > 1e-9 {
+			t.Errorf("late by %v: the store goes down to %v, want %v", late, v.limitFloor, want)
 		}
 	}
 }
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -8,36 +8,36 @@
 // Membership: which nodes there are, and which of them holds a shard. A list costs what it
 // changes, whatever the size of the fleet.
 
-func (p *scheduler) list(l NodeList) {
+func (p *scheduler) applyNodeList(l NodeList) {
 	if !l.Cached {
 		p.subOn = true
 	}
 	if l.Full {
-		p.dropUnnamed(l.Nodes)
+		p.removeUnlisted(l.Nodes)
 	}
-	p.takeNodes(l.Nodes)
+	p.updateNodes(l.Nodes)
 }
 
-// takeNodes keeps what is said of nodes and has the shards that it concerns act on it.
-func (p *scheduler) takeNodes(nodes []Node) {
+// updateNodes keeps what is said of nodes and has the shards that it concerns act on it.
+func (p *scheduler) updateNodes(nodes []Node) {
 	for _, e := range nodes {
-		p.setNode(e)
+		p.updateNode(e)
 	}
 	slices.SortFunc(p.listed, func(a, b *shard) int { return cmp.Compare(a.id, b.id) })
 	for _, sh := range p.listed {
 		p.visits++
 		sh.listed = false
-		p.recall(sh)
-		p.assign(sh)
+		p.withdrawStale(sh)
+		p.assignNode(sh)
 		p.pumpWaiting(sh)
 	}
 	clear(p.listed)
 	p.listed = p.listed[:0]
-	p.settle()
+	p.reinsertIdle()
 }
 
-// dropUnnamed excludes the nodes that a full list leaves out.
-func (p *scheduler) dropUnnamed(entries []Node) {
+// removeUnlisted excludes the nodes that a full list leaves out.
+func (p *scheduler) removeUnlisted(entries []Node) {
 	named := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		named[e.Addr] = true
@@ -51,9 +51,9 @@
 	}
 }
 
-// setNode keeps what the list says of a node. What is gone is forgotten; attempts that are
+// updateNode keeps what the list says of a node. What is gone is forgotten; attempts that are
 // out there keep its record.
-func (p *scheduler) setNode(e Node) {
+func (p *scheduler) updateNode(e Node) {
 	p.visits++
 	n := p.nodes[e.Addr]
 	if n == nil {
@@ -62,11 +62,11 @@
 		}
 		n = newNode(e)
 		p.nodes[e.Addr] = n
-	} else if n.Node == e && n.excluded == !p.admissible(e) {
+	} else if n.Node == e && n.excluded == !p.eligible(e) {
 		return
 	}
 	if e.Started > 0 && e.Started != n.Started {
-		n.coldAt = max(n.coldAt, e.Started)
+		n.coldSince = max(n.coldSince, e.Started)
 	}
 	p.exclude(n)
 	if e.Health == Removed {
@@ -75,33 +75,33 @@
 		return
 	}
 	n.Node = e
-	if p.admissible(e) {
-		p.admit(n)
+	if p.eligible(e) {
+		p.include(n)
 	}
 }
 
-// admissible tells whether a node may be sent to: it is ready, and holds a shard that there is.
-func (p *scheduler) admissible(e Node) bool {
+// eligible tells whether a node may be sent to: it is ready, and holds a shard that there is.
+func (p *scheduler) eligible(e Node) bool {
 	return e.Health == Ready && e.Shard >= 0 && (p.s.Shards <= 0 || e.Shard < p.s.Shards)
 }
 
-// relist looks at all nodes again, in an order of its own, once the settings name another
+// reapplyNodes looks at all nodes again, in an order of its own, once the settings name another
 // number of shards.
-func (p *scheduler) relist() {
+func (p *scheduler) reapplyNodes() {
 	nodes := make([]Node, 0, len(p.nodes))
 	for _, n := range p.nodes {
 		nodes = append(nodes, n.Node)
 	}
 	slices.SortFunc(nodes, func(a, b Node) int { return cmp.Compare(a.Addr, b.Addr) })
-	p.takeNodes(nodes)
+	p.updateNodes(nodes)
 }
 
-// admit lets n be sent to as a holder of its shard.
-func (p *scheduler) admit(n *node) {
+// include lets n be sent to as a holder of its shard.
+func (p *scheduler) include(n *node) {
 	sh := p.shard(n.Shard)
 	n.excluded = false
 	sh.ready = append(sh.ready, n)
-	p.listChanges(sh)
+	p.markChanged(sh)
 }
 
 // exclude has nothing new sent to n.
@@ -112,30 +112,30 @@
 	n.excluded = true
 	sh := p.shard(n.Shard)
 	sh.ready = slices.DeleteFunc(sh.ready, func(x *node) bool { return x == n })
-	p.listChanges(sh)
+	p.markChanged(sh)
 }
 
-// listChanges notes that the list being taken in changes something at sh.
-func (p *scheduler) listChanges(sh *shard) {
+// markChanged notes that the list being taken in changes something at sh.
+func (p *scheduler) markChanged(sh *shard) {
 	if !sh.listed {
 		sh.listed = true
 		p.listed = append(p.listed, sh)
 	}
 }
 
-// recall takes back what still waits for its connection to a node that was excluded, or has
+// withdrawStale takes back what still waits for its connection to a node that was excluded, or has
 // started anew, since it was decided: drains and cold nodes are held to when bytes leave.
-func (p *scheduler) recall(sh *shard) {
+func (p *scheduler) withdrawStale(sh *shard) {
 	for _, r := range sh.out {
-		if r.sentTo.excluded || r.sentTo.coldAt != r.sentCold {
+		if r.sentTo.excluded || r.sentTo.coldSince != r.sentCold {
 			p.do(Withdraw{r.ID, r.attempts - 1})
 		}
 	}
 }
 
-// assign gives the shard the node that holds it now: of those that may be sent to, the one
+// assignNode gives the shard the node that holds it now: of those that may be sent to, the one
 // started last.
-func (p *scheduler) assign(sh *shard) {
+func (p *scheduler) assignNode(sh *shard) {
 	var best *node
 	for _, n := range sh.ready {
 		p.visits++
@@ -143,7 +143,7 @@
 			best = n
 		}
 	}
-	p.touch(sh)
+	p.markTouched(sh)
 	if best == sh.node {
 		return
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -214,9 +214,9 @@
 		g.end(id, Served)
 		g.pass(20)
 	}
-	for _, u := range append(g.p.shares.u, g.p.shares.y...) {
-		if math.IsNaN(u) || math.IsInf(u, 0) {
-			t.Fatalf("shares %v, last sample %v", g.p.shares.u, g.p.shares.y)
+	for _, share := range append(g.p.shares.share, g.p.shares.output...) {
+		if math.IsNaN(share) || math.IsInf(share, 0) {
+			t.Fatalf("shares %v, last sample %v", g.p.shares.share, g.p.shares.output)
 		}
 	}
 }
@@ -237,10 +237,10 @@
 		g := newRig(s)
 		n := g.p.nodes["n0"]
 		for range 20 {
-			g.p.judge(&request{shard: g.p.shards[0]}, n, Outcome{Result: tt.res, Elapsed: 400})
+			g.p.recordOutcome(&request{shard: g.p.shards[0]}, n, Outcome{Result: tt.res, Elapsed: 400})
 		}
-		if math.Abs(n.pause-tt.most) > 1 {
-			t.Errorf("%+v: held for %v", tt, n.pause)
+		if math.Abs(n.backoff-tt.most) > 1 {
+			t.Errorf("%+v: held for %v", tt, n.backoff)
 		}
 	}
 }
@@ -279,8 +279,8 @@
 		t.Error("two nodes without a zone were taken to share one")
 	}
 	g.do(Request{ID: "ff", Class: "read", Plan: "high", Volume: "w", Units: 2, Expires: g.now + 900, Hosts: 1000})
-	if v := g.p.vols["w"]; v.dueFill > 0 || v.limFill > 0 {
-		t.Errorf("a plan without a rate got %v, %v", v.dueFill, v.limFill)
+	if v := g.p.vols["w"]; v.fairRate > 0 || v.limitRate > 0 {
+		t.Errorf("a plan without a rate got %v, %v", v.fairRate, v.limitRate)
 	}
 }
 
--- a/policy/rate_test.go
+++ b/policy/rate_test.go
@@ -190,11 +190,11 @@
 	f.run(20000, 3000, 0)
 	sh := f.p.(*scheduler).shards[0]
 	for range 200 { // a whole queue stands before what comes now
-		sh.node.hard.add(f.now, easySpan)
+		sh.node.rejectedShort.add(f.now, easySpan)
 	}
 	f.handle(Request{ID: "x", Class: "read", Plan: "normal", Volume: "v", Shard: 0, Units: 1, Expires: f.now + 2000, Hosts: 3})
 	f.handle(Outcome{ID: "x", Node: sh.node.Addr, Result: Rejected})
-	if sh.node.holdTill <= f.now {
+	if sh.node.backoffEnd <= f.now {
 		t.Error("not left alone")
 	}
 }
@@ -207,7 +207,7 @@
 		p := f.p.(*scheduler)
 		all := len(p.timers) + len(p.taken.all) + len(p.resends.all) + len(p.reqs) + len(p.pool)
 		for _, nd := range p.nodes {
-			all += len(nd.sends.all)
+			all += len(nd.recentSends.all)
 		}
 		for _, sh := range p.shards {
 			all += len(sh.parked.all) + len(sh.retries.all)
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -52,10 +52,10 @@
 		return ReasonBudget
 	case c != nil && len(c.members) > 0 && (c.members[0] != r || p.now < c.restTo):
 		return ReasonKeyOrder
-	case p.now < n.holdTill || n.suspect:
+	case p.now < n.backoffEnd || n.suspect:
 		return ReasonNodeHeld
 	}
-	if _, _, cold := p.cold(n); cold {
+	if _, _, slowStart := p.slowStart(n); slowStart {
 		return ReasonCold
 	}
 	if r.list == &sh.parked || sh.waiting > 1 {
--- a/policy/request.go
+++ b/policy/request.go
@@ -14,20 +14,20 @@
 	}
 	r.first = p.firstTry(q) // a client's further try counts its aim from its first
 	r.aimAt = min(r.first+r.class.LatencyTarget, q.Expires)
-	r.vol = p.volume(q, &p.s.Plans[r.flow])
-	if h := parts(q.Hosts, q.Fraction); r.vol.parts != h || r.vol.plan != &p.s.Plans[r.flow] {
-		p.redivide(r.vol, &p.s.Plans[r.flow], h)
+	r.vol = p.volumeBuckets(q, &p.s.Plans[r.flow])
+	if h := divisor(q.Hosts, q.Fraction); r.vol.divisor != h || r.vol.plan != &p.s.Plans[r.flow] {
+		p.resizeBuckets(r.vol, &p.s.Plans[r.flow], h)
 	}
 	if p.s.Rules.HasBudget {
 		p.taken.add(p.now, 1)
 		p.taken.since(p.now - p.s.Rules.BudgetWindow + p.s.Tick)
 	}
 	p.largest = max(p.largest, q.Units)
-	r.shard = p.place(q.Shard)
+	r.shard = p.selectShard(q.Shard)
 	most := max(p.now+waitPart*(q.Expires-p.now), r.aimAt+waitAims*r.class.LatencyTarget)
 	r.halfAt = min(most, q.Expires-p.s.Tick-guard)
 	p.setTimer(r.halfAt, r, nil)
-	p.rate(r)
+	p.valueRequest(r)
 	if c := p.chainOf(r); c != nil {
 		c.members = append(c.members, r)
 		c.live++
@@ -46,15 +46,15 @@
 	sh, n := r.shard, r.sentTo // the list may have dropped the node since
 	r.out--
 	sh.out = slices.DeleteFunc(sh.out, func(x *request) bool { return x == r })
-	p.touch(sh)
-	p.judge(r, n, o)
+	p.markTouched(sh)
+	p.recordOutcome(r, n, o)
 	if r.pending > 0 {
-		p.settleCharge(r)
+		p.settlePending(r)
 	}
 	switch o.Result {
 	case Rejected, NoConnection, NotSent:
 		r.reached = r.reached || o.Result == Rejected
-		p.uncharge(r, o.Result)
+		p.refundLimit(r, o.Result)
 	default:
 		if r.reached = true; !r.ran {
 			r.ran, r.ranAt, r.ranNode = true, r.sentAt, n
@@ -151,7 +151,7 @@
 	class    *Class
 	flow     int
 	shard    *shard
-	vol      *volume
+	vol      *volumeBuckets
 	arrived  float64
 	first    float64 // when its client first tried it
 	aimAt    float64
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -46,7 +46,7 @@
 // is lost. In a pause nothing overtakes. A cancel may leave a copy at work: only where two may.
 func (p *scheduler) giveUpOvertaken(sh *shard) {
 	for _, r := range sh.out {
-		lost := r.sentAt+stuckTimes*p.meanAt(sh) < sh.passed && r.class.Effect != NonIdempotent
+		lost := r.sentAt+stuckTimes*p.meanServiceTime(sh) < sh.passed && r.class.Effect != NonIdempotent
 		if lost && p.s.Limits.Cancel && p.s.Limits.Duplicates && !r.givenUp && !r.done && !r.class.Streamed {
 			r.givenUp = true
 			p.do(CancelAttempt{r.ID, r.attempts - 1})
--- a/policy/revise.go
+++ b/policy/revise.go
@@ -17,22 +17,22 @@
 	}
 	for id, v := range p.vols {
 		if plan := byPlan[v.plan]; plan != nil && plan.Name == v.plan.Name {
-			seen := v.seen
-			p.volume(Request{Volume: id}, v.plan) // levels of now, filled at the old rates
-			p.redivide(v, plan, v.parts)
-			v.seen = seen
+			lastUsed := v.lastUsed
+			p.volumeBuckets(Request{Volume: id}, v.plan) // levels of now, filled at the old rates
+			p.resizeBuckets(v, plan, v.divisor)
+			v.lastUsed = lastUsed
 		}
 	}
 	for i, n := len(old), len(next.Plans); i < n; i++ {
-		p.shares.grow(next.Plans)
+		p.shares.addFlow(next.Plans)
 		for _, sh := range p.shards {
 			sh.flows = append(sh.flows, flow{finish: sh.vtime})
 		}
 	}
 	if shards != next.Shards {
-		p.relist()
+		p.reapplyNodes()
 	}
-	p.lookAgain()
+	p.recheckLimited()
 }
 
 // slots gives the new plans numbers: their own where they had one, then those of plans
--- a/policy/revise_test.go
+++ b/policy/revise_test.go
@@ -31,9 +31,9 @@
 			next.Plans[0].Limit = 4 + float64(r.IntN(33))
 			next.Plans[0].Burst = 2 + float64(r.IntN(9))
 			if v := g.p.vols["low"]; v != nil {
-				g.p.volume(Request{Volume: "low"}, v.plan)
+				g.p.volumeBuckets(Request{Volume: "low"}, v.plan)
 				floor := min(next.Plans[0].Limit*bunching/1000-next.Plans[0].Overdraft, 0)
-				cut += max(v.limit-v.limFloor-(next.Plans[0].Burst-floor), 0)
+				cut += max(v.limitLevel-v.limitFloor-(next.Plans[0].Burst-floor), 0)
 			}
 			g.do(SettingsChanged{next})
 			for range 16 { // of 1 unit each 100 ms: eight times the mean limit
@@ -126,16 +126,16 @@
 	next.Plans[0].Limit, next.Plans[0].Burst, next.Plans[0].Overdraft = 2, 1, 0
 	g.do(SettingsChanged{next})
 	v := g.p.vols["low"]
-	if v.limit > 1 || v.limit < v.limFloor {
-		t.Errorf("the store holds %v after the change, its floor is %v", v.limit, v.limFloor)
+	if v.limitLevel > 1 || v.limitLevel < v.limitFloor {
+		t.Errorf("the store holds %v after the change, its floor is %v", v.limitLevel, v.limitFloor)
 	}
 	for _, id := range ids {
 		g.answer(id, Served)
 	}
 	late := g.ask("read", "low", "", 1)
 	g.pass(990)
-	if g.sends(late) != 0 && v.limit < v.limFloor {
-		t.Errorf("sent from a store of %v, its floor is %v", v.limit, v.limFloor)
+	if g.sends(late) != 0 && v.limitLevel < v.limitFloor {
+		t.Errorf("sent from a store of %v, its floor is %v", v.limitLevel, v.limitFloor)
 	}
 }
 
@@ -148,23 +148,23 @@
 		g.pass(20)
 		g.answer(id, Served)
 	}
-	u, depth, got := slices.Clone(g.p.shares.u), g.p.shards[0].depth, g.p.shards[0].got
-	theta := slices.Clone(g.p.shares.fits[1].theta)
+	share, depth, got := slices.Clone(g.p.shares.share), g.p.shards[0].depth, g.p.shards[0].got
+	theta := slices.Clone(g.p.shares.models[1].theta)
 	next := settings()
 	next.Plans = append(next.Plans, Plan{Name: "mid", Price: 1, Weight: 1})
 	g.do(SettingsChanged{next})
 	if g.p.shards[0].depth != depth || g.p.shards[0].got != got {
 		t.Error("the depth was forgotten")
 	}
-	if f := g.p.shares.fits[1]; f.theta[0] != theta[0] || f.theta[2] != theta[2] || f.theta[3] != 0 || f.theta[4] != theta[3] {
+	if f := g.p.shares.models[1]; f.theta[0] != theta[0] || f.theta[2] != theta[2] || f.theta[3] != 0 || f.theta[4] != theta[3] {
 		t.Errorf("%v became %v", theta, f.theta)
 	}
 	sum := 0.0
-	for _, x := range g.p.shares.u {
+	for _, x := range g.p.shares.share {
 		sum += x
 	}
-	if math.Abs(sum-1) > 1e-9 || g.p.shares.u[0]/g.p.shares.u[1] != u[0]/u[1] {
-		t.Errorf("%v became %v", u, g.p.shares.u)
+	if math.Abs(sum-1) > 1e-9 || g.p.shares.share[0]/g.p.shares.share[1] != share[0]/share[1] {
+		t.Errorf("%v became %v", share, g.p.shares.share)
 	}
 	waiting := g.ask("read", "mid", "", 2)
 	next.Plans = next.Plans[:2]
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -8,16 +8,16 @@
 
 // Routing of new objects, which any node can take: to the shard where the wait is shortest.
 
-// place picks the queue: the shard's own, or for a new object the one where
+// selectShard picks the queue: the shard's own, or for a new object the one where
 // the wait is shortest.
-func (p *scheduler) place(id int) *shard {
+func (p *scheduler) selectShard(id int) *shard {
 	if id >= 0 {
 		return p.shard(id)
 	}
-	p.settle()
-	best, low := p.index.quiet.least()
+	p.reinsertIdle()
+	best, low := p.index.idle.peek()
 	for _, sh := range p.index.touched {
-		if cost, ok := p.costOf(sh); ok && (best == nil || cost < low || cost == low && sh.id < best.id) {
+		if cost, ok := p.placementCost(sh); ok && (best == nil || cost < low || cost == low && sh.id < best.id) {
 			best, low = sh, cost
 		}
 	}
@@ -27,18 +27,18 @@
 	return best
 }
 
-// costOf is what a new object would wait at sh, by the part of it that may go; false if
+// placementCost is what a new object would wait at sh, by the part of it that may go; false if
 // none is to go there.
-func (p *scheduler) costOf(sh *shard) (float64, bool) {
+func (p *scheduler) placementCost(sh *shard) (float64, bool) {
 	p.visits++
 	if sh.node == nil || sh.node.suspect {
 		return 0, false
 	}
 	// What a cold or busy node may take is for what must go there.
 	ahead := float64(sh.waiting + len(sh.out))
-	cost := (p.waitFor(sh, ahead) + p.serviceOf(sh)) / max(min(p.part(sh), 1), minPart)
+	cost := (p.waitFor(sh, ahead) + p.expectedServiceTime(sh)) / max(min(p.part(sh), 1), minPart)
 	// Quick errors leave a node's queue empty: what it fails would else come there first.
-	well := 1 - sh.node.failing(p.now)
+	well := 1 - sh.node.errorFraction(p.now)
 	return cost / (well * well), true
 }
 
@@ -46,91 +46,91 @@
 // nothing waits and nothing is out keeps the cost that it had when something last happened
 // there, or at the last second; the others are looked at one by one.
 type shardIndex struct {
-	quiet   shardCosts
+	idle    shardHeap
 	touched []*shard // something has happened there since, or is under way
 }
 
-// touch notes that what a new object would wait at sh has changed.
-func (p *scheduler) touch(sh *shard) {
+// markTouched notes that what a new object would wait at sh has changed.
+func (p *scheduler) markTouched(sh *shard) {
 	if !sh.touched {
 		sh.touched = true
 		p.index.touched = append(p.index.touched, sh)
 	}
 }
 
-// settle takes the touched shards that are quiet again back by their costs.
-func (p *scheduler) settle() {
+// reinsertIdle takes the touched shards that are quiet again back by their costs.
+func (p *scheduler) reinsertIdle() {
 	x := &p.index
 	busy := x.touched[:0]
 	for _, sh := range x.touched {
-		x.quiet.remove(sh)
+		x.idle.remove(sh)
 		if sh.busy() {
 			busy = append(busy, sh)
 			continue
 		}
 		sh.touched = false
-		if cost, ok := p.costOf(sh); ok {
+		if cost, ok := p.placementCost(sh); ok {
 			sh.cost = cost
-			heap.Push(&x.quiet, sh)
+			heap.Push(&x.idle, sh)
 		}
 	}
 	clear(x.touched[len(busy):])
 	x.touched = busy
 }
 
-// reindex reckons all costs anew.
-func (p *scheduler) reindex() {
+// rebuildIndex reckons all costs anew.
+func (p *scheduler) rebuildIndex() {
 	x := &p.index
 	clear(x.touched)
-	x.touched, x.quiet = x.touched[:0], x.quiet[:0]
+	x.touched, x.idle = x.touched[:0], x.idle[:0]
 	for _, sh := range p.shards {
 		sh.touched, sh.slot = false, 0
 		if sh.busy() {
-			p.touch(sh)
-		} else if cost, ok := p.costOf(sh); ok {
+			p.markTouched(sh)
+		} else if cost, ok := p.placementCost(sh); ok {
 			sh.cost = cost
-			x.quiet.Push(sh)
+			x.idle.Push(sh)
 		}
 	}
-	heap.Init(&x.quiet)
+	heap.Init(&x.idle)
 }
 
 func (sh *shard) busy() bool { return sh.waiting+len(sh.out) > 0 }
 
-// shardCosts is a heap of shards, the least cost first; equals go by number.
-type shardCosts []*shard
+// shardHeap is a heap of shards, the least cost first; equals go by number.
+type shardHeap []*shard
 
-func (c shardCosts) least() (*shard, float64) {
+func (c shardHeap) peek() (*shard, float64) {
 	if len(c) == 0 {
 		return nil, math.Inf(1)
 	}
 	return c[0], c[0].cost
 }
 
-func (c *shardCosts) remove(sh *shard) {
+func (c *shardHeap) remove(sh *shard) {
 	if sh.slot > 0 {
 		heap.Remove(c, sh.slot-1)
 	}
 }
 
-func (c shardCosts) Len() int { return len(c) }
+func (c shardHeap) Len() int { return len(c) }
 
-func (c shardCosts) Less(i, j int) bool {
+func (c shardHeap) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(c[i].cost, c[j].cost), cmp.Compare(c[i].id, c[j].id)) < 0
 }
 
-func (c shardCosts) Swap(i, j int) {
+func (c shardHeap) Swap(i, j int) {
 	c[i], c[j] = c[j], c[i]
 	c[i].slot, c[j].slot = i+1, j+1
 }
 
-func (c *shardCosts) Push(x any) {
+func (c *shardHeap) Push(x any) {
 	sh := x.(*shard)
 	*c = append(*c, sh)
 	sh.slot = len(*c)
 }
 
-func (c *shardCosts) Pop() any {
+func (c *shardHeap) Pop() any {
 	last := len(*c) - 1
 	sh := (*c)[last]
 	(*c)[last] = nil
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -31,19 +31,19 @@
 func (p *scheduler) everySecond() {
 	p.do(SetTimer{period, "second"})
 	p.subscribe()
-	p.learnRate()
+	p.updateOwnRate()
 	p.ranked = append(p.ranked[:0], p.recent...)
 	slices.SortFunc(p.ranked, func(a, b ask) int { return cmp.Compare(b.worth, a.worth) })
-	p.median = medianOf(p.pool, p.tightest()*aimPart/2)
+	p.median = medianServiceTime(p.pool, p.tightest()*aimPart/2)
 	if len(p.pool) >= minSample {
 		p.base = min(p.base+baseGain*(p.median-p.base), p.median)
 	}
 	for _, sh := range p.shards {
-		p.setDepth(sh)
+		p.updateDepth(sh)
 		p.pumpWaiting(sh)
 	}
-	p.reindex()
-	p.pool = slices.DeleteFunc(p.pool, func(a answer) bool { return p.now-a.at > poolSpan })
+	p.rebuildIndex()
+	p.pool = slices.DeleteFunc(p.pool, func(a serviceSample) bool { return p.now-a.at > poolSpan })
 	p.shares.step()
 	p.dropIdle(idleVolume)
 }
@@ -61,7 +61,7 @@
 	index       shardIndex
 	visits      int // nodes and shards looked at one by one: what an event costs as a fleet grows
 	reqs        map[string]*request
-	vols        map[string]*volume
+	vols        map[string]*volumeBuckets
 	chains      map[string]*chain
 	timers      timerHeap
 	staleTimers int // timers of requests that are over
@@ -73,11 +73,11 @@
 	heldAt      float64        // when the request just looked at may go by its limit; 0: it is not held
 	subOn       bool
 	askedAt     float64
-	shares      regulator
-	pool        []answer // answers of all nodes
-	median      float64  // of their times
-	base        float64  // the same when nothing waits
-	asked       float64  // units taken since ratedAt
+	shares      shareRegulator
+	pool        []serviceSample // answers of all nodes
+	median      float64         // of their times
+	base        float64         // the same when nothing waits
+	asked       float64         // units taken since ratedAt
 	ratedAt     float64
 	ownRate     float64 // units taken a second, smoothed over some ten seconds
 	// recentUnits are the units taken, fading with burstSpan.
@@ -91,8 +91,8 @@
 // dropIdle forgets volumes unused for so long and full again, and rested keys.
 func (p *scheduler) dropIdle(after float64) {
 	for id, v := range p.vols {
-		full := v.limit+v.limFill*(p.now-v.at)/1000 >= v.limCap
-		if full && v.pending == 0 && p.now-v.seen > after {
+		full := v.limitLevel+v.limitRate*(p.now-v.refilledAt)/1000 >= v.limitCap
+		if full && v.pending == 0 && p.now-v.lastUsed > after {
 			delete(p.vols, id)
 		}
 	}
@@ -119,7 +119,7 @@
 	p := &scheduler{
 		s: s.filledIn(), rng: rand.New(rand.NewPCG(seed, 0)), armed: math.Inf(1),
 		nodes: map[string]*node{}, reqs: map[string]*request{},
-		vols: map[string]*volume{}, chains: map[string]*chain{}, turned: map[tried]turn{},
+		vols: map[string]*volumeBuckets{}, chains: map[string]*chain{}, turned: map[tried]turn{},
 	}
 	p.shares.init(p.s.Plans)
 	return p
@@ -144,7 +144,7 @@
 	}
 	switch ev := ev.(type) {
 	case NodeList:
-		p.list(ev)
+		p.applyNodeList(ev)
 	case ListFailed:
 		p.subOn = false
 	case Request:
@@ -152,7 +152,7 @@
 	case Outcome:
 		p.outcome(ev)
 	case VolumeChanged:
-		p.repart(ev)
+		p.updateDivisor(ev)
 	case SettingsChanged:
 		p.revise(ev.Settings)
 	case DeadlineShortened:
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -77,7 +77,7 @@
 	if got["n0"] > 100 || got["n1"]+got["n2"] < 200 {
 		t.Errorf("sent to: %v", got)
 	}
-	if g.pass(10 * poolSpan); g.p.nodes["n0"].failing(g.now) > 0.001 {
+	if g.pass(10 * poolSpan); g.p.nodes["n0"].errorFraction(g.now) > 0.001 {
 		t.Error("it is not forgotten")
 	}
 }
@@ -122,7 +122,7 @@
 	g.pass(250)
 	g.do(TimerFired{Name: "wake"})
 	sh := g.p.shards[0]
-	if s := g.p.serviceOf(sh); s < 120 {
+	if s := g.p.expectedServiceTime(sh); s < 120 {
 		t.Errorf("a pause shows as %.0f ms", s)
 	}
 	id := g.ask("read", "high", "b", 2)
@@ -131,7 +131,7 @@
 		t.Fatal("there is no room for a second one")
 	}
 	g.do(Outcome{ID: id, Node: "n0", Elapsed: 20, Result: Served, Done: true})
-	if s := g.p.serviceOf(sh); s > 100 {
+	if s := g.p.expectedServiceTime(sh); s > 100 {
 		t.Errorf("overtaken, it shows as %.0f ms", s)
 	}
 }
@@ -163,7 +163,7 @@
 			return n
 		}
 		slow := g.ask(c.class, "high", "s", 2)
-		mean := g.p.meanAt(g.p.shards[0])
+		mean := g.p.meanServiceTime(g.p.shards[0])
 		for i := range 12 {
 			if before := given(slow); i < 3 && before > 0 {
 				t.Errorf("%s: given up at once", c.class)
--- a/policy/shares_test.go
+++ b/policy/shares_test.go
@@ -40,11 +40,11 @@
 			t.Errorf("result %d: depth %v", res, d)
 		}
 		sum := 0.0
-		for _, u := range g.p.shares.u {
-			if !(u > 0) {
-				t.Errorf("result %d: share %v", res, u)
+		for _, share := range g.p.shares.share {
+			if !(share > 0) {
+				t.Errorf("result %d: share %v", res, share)
 			}
-			sum += u
+			sum += share
 		}
 		if math.Abs(sum-1) > 0.1 {
 			t.Errorf("result %d: shares add up to %v", res, sum)
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -11,7 +11,7 @@
 // part is how much of what this host is asked for at sh may go, dearest first: a
 // depth below 1, or what a node that warms up bears of the demand to expect.
 func (p *scheduler) part(sh *shard) float64 {
-	_, bears, _ := p.coldAt(sh)
+	_, bears, _ := p.shardSlowStart(sh)
 	return min(sh.depth, bears)
 }
 
@@ -20,13 +20,13 @@
 	if part >= 1 {
 		return 0
 	}
-	price, _ := cut(p.ranked, part)
+	price, _ := valueCutoff(p.ranked, part)
 	return price
 }
 
 // waitFor is the wait of a request with `ahead` mean requests before it.
 func (p *scheduler) waitFor(sh *shard, ahead float64) float64 {
-	return ahead * p.serviceOf(sh) / max(sh.depth, 1)
+	return ahead * p.expectedServiceTime(sh) / max(sh.depth, 1)
 }
 
 // byWorth orders a plan's requests, and the shedding: under overload the
@@ -43,7 +43,7 @@
 // after the other, still meets the earliest aim. One that is long is made once in
 // walkGap; a queue that long comes only with thousands of requests a second.
 func (p *scheduler) shed(sh *shard) {
-	service, price := p.serviceOf(sh), p.priceFor(p.part(sh))
+	service, price := p.expectedServiceTime(sh), p.priceFor(p.part(sh))
 	most := max(p.base*(p.largest/p.s.MeanUnits-1), 0)
 	calm := price == 0 && p.now+p.waitFor(sh, sh.load/p.s.MeanUnits)+service+most+guard <= sh.firstAim
 	stay := p.now+service+most+guard <= sh.firstEnd
@@ -56,7 +56,7 @@
 }
 
 func (p *scheduler) shedQueues(sh *shard, service, price float64) {
-	_, bears, warming := p.coldAt(sh)
+	_, bears, warming := p.shardSlowStart(sh)
 	room := sh.room
 	sh.room = nil // what is let go of may bring another walk in the midst of this one
 	all := sh.dearest(room)
@@ -65,7 +65,7 @@
 	look := func(r *request) {
 		switch {
 		case r == nil || !r.queued: // ended or sent while an earlier one was let go of
-		case r.rank < price, warming && !p.amongDearest(r, bears):
+		case r.rank < price, warming && !p.inTopFraction(r, bears):
 			sh.wasFull = true
 			p.park(sh, r)
 		case p.now+ahead*service/max(sh.depth, 1)+service+p.extra(r) > r.aimAt:
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -6,22 +6,22 @@
 // within what such a node bears, and they don't talk.
 
 const (
-	// coldTail is how many standard deviations the sum of what independent hosts send stays
+	// coldMarginSigmas is how many standard deviations the sum of what independent hosts send stays
 	// below the load at which a cold node falls: a fleet has hundreds of cold nodes, each for
 	// some ten windows of Rules.FallTime. At 4.5 one window in some hundred thousand is over.
-	coldTail = 4.5
-	// fewCold is the budget, in requests, below which the load at which a node falls has
+	coldMarginSigmas = 4.5
+	// smallColdLoad is the budget, in requests, below which the load at which a node falls has
 	// three standard deviations in it, and not two.
-	fewCold = 30.0
-	// ratePull is a second's pull on the smoothed rate of this host, and rateSpan the time, in
-	// ms, that such a rate is a mean of: 2/ratePull - 1 seconds.
-	ratePull = 0.1
-	rateSpan = 19_000.0
-	// burstSpan is the memory, in ms, that shows a burst before the smoothed rate does.
-	burstSpan = 1000.0
+	smallColdLoad = 30.0
+	// rateSmoothing is a second's pull on the smoothed rate of this host, and rateSpan the time, in
+	// ms, that such a rate is a mean of: 2/rateSmoothing - 1 seconds.
+	rateSmoothing = 0.1
+	rateMemory    = 19_000.0
+	// burstMemory is the memory, in ms, that shows a burst before the smoothed rate does.
+	burstMemory = 1000.0
 )
 
-// cold tells whether n is still warming up, and the units that this host may
+// slowStart tells whether n is still warming up, and the units that this host may
 // send it within any Rules.FallTime. All hosts together may send ColdUnits at
 // the least capacity; that capacity grows no slower than evenly over ColdTime.
 //
@@ -29,8 +29,8 @@
 // what it is asked for which the budget bears of the demand to expect at a node,
 // one request at a time: its own rate over all nodes, for all hosts. Hosts that
 // have more than others to send let a smaller part go, so the sum holds.
-func (p *scheduler) cold(n *node) (budget, part float64, yes bool) {
-	age, r := p.now-n.coldAt, p.s.Rules
+func (p *scheduler) slowStart(n *node) (budget, part float64, yes bool) {
+	age, r := p.now-n.coldSince, p.s.Rules
 	if age >= r.WarmUpTime {
 		return 0, 1, false
 	}
@@ -40,38 +40,38 @@
 	}
 	bears, hosts := r.ColdUnits*grown, float64(p.s.Hosts)
 	demand := p.demandRate() * hosts / float64(max(p.s.Shards, len(p.shards))) * r.OverloadWindow / period
-	return bears / hosts, min(coldMean(bears/p.s.MeanUnits)*p.s.MeanUnits/demand, 1), true
+	return bears / hosts, min(maxColdMean(bears/p.s.MeanUnits)*p.s.MeanUnits/demand, 1), true
 }
 
-// coldAt is cold for the node that has the shard.
-func (p *scheduler) coldAt(sh *shard) (budget, part float64, yes bool) {
+// shardSlowStart is cold for the node that has the shard.
+func (p *scheduler) shardSlowStart(sh *shard) (budget, part float64, yes bool) {
 	if sh.node == nil {
 		return 0, 1, false
 	}
-	return p.cold(sh.node)
+	return p.slowStart(sh.node)
 }
 
-// coldMean is how many requests all hosts may send in the mean within Rules.FallTime, so
+// maxColdMean is how many requests all hosts may send in the mean within Rules.FallTime, so
 // that chance hardly ever takes their sum to where a node that bears n falls: n + 2 root n
 // + 2, below fewCold n + 3 root n + 3. The sum of what many hosts send by chance is spread
 // as Poisson's law has it: by the root of its mean.
-func coldMean(n float64) float64 {
+func maxColdMean(n float64) float64 {
 	falls := n + 2*math.Sqrt(n) + 2
-	if n < fewCold {
+	if n < smallColdLoad {
 		falls = n + 3*math.Sqrt(n) + 3
 	}
-	root := (math.Sqrt(coldTail*coldTail+4*falls) - coldTail) / 2
+	root := (math.Sqrt(coldMarginSigmas*coldMarginSigmas+4*falls) - coldMarginSigmas) / 2
 	return min(root*root, n)
 }
 
-// amongDearest tells whether r is of the dearest part of what this host is asked for. Of few
+// inTopFraction tells whether r is of the dearest part of what this host is asked for. Of few
 // requests the cut between them leaves more above it than that part: as much the fewer of
 // those go, by lot.
-func (p *scheduler) amongDearest(r *request, part float64) bool {
+func (p *scheduler) inTopFraction(r *request, part float64) bool {
 	if part >= 1 {
 		return true
 	}
-	price, above := cut(p.ranked, part)
+	price, above := valueCutoff(p.ranked, part)
 	if part <= 0 || r.rank < price {
 		return false
 	}
@@ -81,12 +81,12 @@
 	return r.drawn*above <= part
 }
 
-// learnRate takes in what was asked since it last did, once a second: the mean since the
+// updateOwnRate takes in what was asked since it last did, once a second: the mean since the
 // start until that is long enough ago, and then a fading one.
-func (p *scheduler) learnRate() {
+func (p *scheduler) updateOwnRate() {
 	span := max(p.now-p.ratedAt, 1)
 	rate := p.asked * period / span
-	p.ownRate += max(ratePull, min(span/max(p.now-p.born, 1), 1)) * (rate - p.ownRate)
+	p.ownRate += max(rateSmoothing, min(span/max(p.now-p.born, 1), 1)) * (rate - p.ownRate)
 	p.asked, p.ratedAt = 0, p.now
 }
 
@@ -95,13 +95,13 @@
 // more is counted than came: of k requests by Poisson's law with the mean m, the mean of
 // 1/(k+1) is below 1/m, while that of 1/k is above, and the part that goes is such a quotient.
 func (p *scheduler) demandRate() float64 {
-	known := min(p.ratedAt-p.born, rateSpan)
+	known := min(p.ratedAt-p.born, rateMemory)
 	if known <= 0 {
 		return math.Inf(1)
 	}
-	recent := p.recentUnits.value(p.now, burstSpan) * period / burstSpan
+	recent := p.recentUnits.value(p.now, burstMemory) * period / burstMemory
 	requests := recent / p.s.MeanUnits
-	chance := math.Sqrt(requests * period / (2 * burstSpan)) // of a fading sum
+	chance := math.Sqrt(requests * period / (2 * burstMemory)) // of a fading sum
 	return max(p.ownRate+p.s.MeanUnits*period/known, recent-p.s.MeanUnits*chance)
 }
 
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -67,11 +67,11 @@
 		return id
 	}
 	ask("spent")
-	g.p.vols["spent"].limit = -2
+	g.p.vols["spent"].limitLevel = -2
 	held := ask("spent")
 	g.list()
 	free := ask("free")
-	g.p.vols["free"].limit = 8
+	g.p.vols["free"].limitLevel = 8
 	g.list(Node{Addr: "n0", Health: Ready, Zone: "z"})
 	if g.sends(held) != 0 || g.sends(free) != 1 {
 		t.Errorf("held %d, free %d sends", g.sends(held), g.sends(free))
--- a/policy/view.go
+++ b/policy/view.go
@@ -63,7 +63,7 @@
 	for _, sh := range p.shards {
 		x := ShardView{
 			Shard: sh.id, Depth: sh.depth, Out: len(sh.out), Waiting: sh.waiting,
-			Parked: sh.parked.len(), Service: p.serviceOf(sh),
+			Parked: sh.parked.len(), Service: p.expectedServiceTime(sh),
 		}
 		if sh.node != nil && !sh.node.excluded {
 			x.Node = sh.node.Addr
@@ -71,14 +71,14 @@
 		v.Shards = append(v.Shards, x)
 	}
 	for i, pl := range p.s.Plans {
-		v.Shares = append(v.Shares, ShareView{pl.Name, p.shares.u[i]})
+		v.Shares = append(v.Shares, ShareView{pl.Name, p.shares.share[i]})
 	}
 	for addr, n := range p.nodes {
 		x := NodeView{
 			Addr: addr, Shard: n.Shard, Off: n.excluded, Suspect: n.suspect,
-			HeldFor: max(n.holdTill-p.now, 0), Cold: 1,
+			HeldFor: max(n.backoffEnd-p.now, 0), Cold: 1,
 		}
-		if _, part, cold := p.cold(n); cold {
+		if _, part, slowStart := p.slowStart(n); slowStart {
 			x.Cold = part
 		}
 		v.Nodes = append(v.Nodes, x)
@@ -86,9 +86,9 @@
 	slices.SortFunc(v.Nodes, func(a, b NodeView) int { return cmp.Compare(a.Addr, b.Addr) })
 	for id, vol := range p.vols {
 		if vol.plan.Limit > 0 {
-			level := min(vol.limit+vol.limFill*(p.now-vol.at)/1000, vol.limCap)
-			left := max(level-vol.limFloor, 0)
-			v.Limited = append(v.Limited, LimitView{id, vol.plan.Name, left, vol.limFill})
+			level := min(vol.limitLevel+vol.limitRate*(p.now-vol.refilledAt)/1000, vol.limitCap)
+			left := max(level-vol.limitFloor, 0)
+			v.Limited = append(v.Limited, LimitView{id, vol.plan.Name, left, vol.limitRate})
 		}
 	}
 	slices.SortFunc(v.Limited, func(a, b LimitView) int { return cmp.Compare(a.Volume, b.Volume) })
