--- a/internal/control/scheduler/ahead.go
+++ b/internal/control/scheduler/ahead.go
@@ -8,51 +8,51 @@
 )
 
 const (
-	// mostAhead bounds what a client may send ahead of its answers; what is beyond that
+	// maxReadAhead bounds what a client may send ahead of its answers; what is beyond that
 	// stays with the kernel, and the client's end behind it unseen. Where all clients together
 	// have sent more than their budget, one may have sureAhead still.
-	mostAhead = 256 << 10
-	sureAhead = 16 << 10
-	aheadStep = 2 << 10
-	// markGap is how exactly times are known, ms: it bounds the marks of a request that
+	maxReadAhead      = 256 << 10
+	reservedReadAhead = 16 << 10
+	readAheadChunk    = 2 << 10
+	// markIntervalMS is how exactly times are known, ms: it bounds the marks of a request that
 	// comes byte by byte.
-	markGap = 1.0
+	markIntervalMS = 1.0
 )
 
-// ahead is the reading half of a client's connection. While a request is open it reads on,
-// so that the client's leaving is seen behind what the client sent ahead, and it knows when
+// readAhead is the reading half of a client's connection. While a request is open it reads on,
+// so that the client's leaving is seen behind what the client sent readAhead, and it knows when
 // what was read came. One goroutine uses it.
-type ahead struct {
-	conn  net.Conn
-	now   func() float64
-	held  *aheadBudget
-	from  float64 // since when the first bytes may have lain unread
-	kept  []byte
-	read  int64 // bytes of the stream so far
-	marks []mark
-	err   error // the stream's end
+type readAhead struct {
+	conn      net.Conn
+	now       func() float64
+	budget    *readAheadBudget
+	arrivedAt float64 // since when the first bytes may have lain unread
+	buffer    []byte
+	bytesRead int64 // bytes of the stream so far
+	marks     []arrivalMark
+	err       error // the stream's end
 }
 
-// aheadBudget bounds what all clients together may have sent ahead, in bytes.
-type aheadBudget struct{ held, most atomic.Int64 }
+// readAheadBudget bounds what all clients together may have sent ahead, in bytes.
+type readAheadBudget struct{ used, limit atomic.Int64 }
 
-func (b *aheadBudget) add(n int) { b.held.Add(int64(n)) }
+func (b *readAheadBudget) add(n int) { b.used.Add(int64(n)) }
 
-func (b *aheadBudget) spent() bool { return b.held.Load() >= b.most.Load() }
+func (b *readAheadBudget) exhausted() bool { return b.used.Load() >= b.limit.Load() }
 
-// mark says when the stream had come up to a byte.
-type mark struct {
-	upTo int64
-	at   float64
+// arrivalMark says when the stream had come up to a byte.
+type arrivalMark struct {
+	offset int64
+	time   float64
 }
 
 // Read implements io.Reader: first what was kept.
-func (a *ahead) Read(b []byte) (int, error) {
-	if len(a.kept) > 0 {
-		n := copy(b, a.kept)
-		a.held.add(-n)
-		if a.kept = a.kept[n:]; len(a.kept) == 0 {
-			a.kept = nil
+func (a *readAhead) Read(b []byte) (int, error) {
+	if len(a.buffer) > 0 {
+		n := copy(b, a.buffer)
+		a.budget.add(-n)
+		if a.buffer = a.buffer[n:]; len(a.buffer) == 0 {
+			a.buffer = nil
 		}
 		return n, nil
 	}
@@ -60,22 +60,22 @@
 		return 0, a.err
 	}
 	n, err := a.conn.Read(b)
-	a.came(n, err)
+	a.recordRead(n, err)
 	return n, err
 }
 
-// came notes bytes and the end of the stream.
-func (a *ahead) came(n int, err error) {
+// recordRead notes bytes and the end of the stream.
+func (a *readAhead) recordRead(n int, err error) {
 	if n > 0 {
 		now := a.now()
-		if a.read == 0 {
-			now = min(now, a.from)
+		if a.bytesRead == 0 {
+			now = min(now, a.arrivedAt)
 		}
-		a.read += int64(n)
-		if k := len(a.marks); k > 0 && now-a.marks[k-1].at < markGap {
-			a.marks[k-1].upTo = a.read
+		a.bytesRead += int64(n)
+		if k := len(a.marks); k > 0 && now-a.marks[k-1].time < markIntervalMS {
+			a.marks[k-1].offset = a.bytesRead
 		} else {
-			a.marks = append(a.marks, mark{a.read, now})
+			a.marks = append(a.marks, arrivalMark{a.bytesRead, now})
 		}
 	}
 	if err != nil && err != env.ErrNothing && !env.IsTimeout(err) {
@@ -83,60 +83,60 @@
 	}
 }
 
-func (a *ahead) full() bool {
-	return len(a.kept) >= mostAhead || len(a.kept) >= sureAhead && a.held.spent()
+func (a *readAhead) full() bool {
+	return len(a.buffer) >= maxReadAhead || len(a.buffer) >= reservedReadAhead && a.budget.exhausted()
 }
 
-// drop forgets what was kept.
-func (a *ahead) drop() {
-	a.held.add(-len(a.kept))
-	a.kept = nil
+// discard forgets what was kept.
+func (a *readAhead) discard() {
+	a.budget.add(-len(a.buffer))
+	a.buffer = nil
 }
 
-// more waits until more has come and keeps it.
-func (a *ahead) more() error { return a.keep(a.conn.Read) }
+// readMore waits until readMore has come and keeps it.
+func (a *readAhead) readMore() error { return a.fill(a.conn.Read) }
 
-// look keeps what has come already; the error is the stream's end.
-func (a *ahead) look() error {
+// readAvailable keeps what has come already; the error is the stream's end.
+func (a *readAhead) readAvailable() error {
 	for a.err == nil && !a.full() {
-		if a.keep(func(b []byte) (int, error) { return env.ReadNow(a.conn, b) }) != nil {
+		if a.fill(func(b []byte) (int, error) { return env.ReadNow(a.conn, b) }) != nil {
 			break
 		}
 	}
 	return a.err
 }
 
-func (a *ahead) keep(read func([]byte) (int, error)) error {
+func (a *readAhead) fill(read func([]byte) (int, error)) error {
 	if a.err != nil {
 		return a.err
 	}
-	var b [aheadStep]byte
+	var b [readAheadChunk]byte
 	n, err := read(b[:])
-	a.kept = append(a.kept, b[:n]...)
-	a.held.add(n)
-	a.came(n, err)
+	a.buffer = append(a.buffer, b[:n]...)
+	a.budget.add(n)
+	a.recordRead(n, err)
 	return err
 }
 
-// cameAt is when the stream had come up to a byte, as far as that is known still.
-func (a *ahead) cameAt(upTo int64) float64 {
+// arrivalTime is when the stream had come up to a byte, as far as that is known still.
+func (a *readAhead) arrivalTime(offset int64) float64 {
 	for _, m := range a.marks {
-		if m.upTo >= upTo {
-			return m.at
+		if m.offset >= offset {
+			return m.time
 		}
 	}
 	return a.now()
 }
 
-// since is when the stream had come up to all but the last so many bytes of what was read
+// consumedArrivalTime is when the stream had come up to all but the last so many bytes of what was read
 // from here. Earlier times are forgotten.
-func (a *ahead) since(unread int) float64 {
-	upTo := a.read - int64(len(a.kept)) - int64(unread)
-	for len(a.marks) > 1 && a.marks[0].upTo < upTo {
+func (a *readAhead) consumedArrivalTime(unread int) float64 {
+	offset := a.bytesRead - int64(len(a.buffer)) - int64(unread)
+	for len(a.marks) > 1 && a.marks[0].offset < offset {
 		a.marks = a.marks[1:]
 	}
 	if len(a.marks) == 0 {
 		return a.now()
 	}
-	return a.marks[0].at
+	return a.marks[0].time
 }
--- a/internal/control/scheduler/ahead_test.go
+++ b/internal/control/scheduler/ahead_test.go
@@ -26,7 +26,7 @@
 		sc.gates = append(sc.gates, &gate)
 		p := sc.connect()
 		var many strings.Builder
-		for many.Len() < 5*sureAhead {
+		for many.Len() < 5*reservedReadAhead {
 			many.WriteString(strings.Replace(sc.get(), "0.480", "19.0", 1))
 		}
 		io.WriteString(p.conn, many.String())
@@ -34,36 +34,36 @@
 		p.conn.Close()
 		sc.until("its leaving was seen", func() bool { return sc.counters().Gone == 1 })
 		gate.Open()
-		sc.until("its connection is gone", func() bool { return sc.s.front.open() == 0 })
-		if c := sc.counters(); c.Sends != 1 || sc.s.front.ahead.held.Load() != 0 {
-			t.Errorf("%+v, %d bytes are held", c, sc.s.front.ahead.held.Load())
+		sc.until("its connection is gone", func() bool { return sc.s.frontend.clientCount() == 0 })
+		if c := sc.counters(); c.Sends != 1 || sc.s.frontend.readAhead.used.Load() != 0 {
+			t.Errorf("%+v, %d bytes are held", c, sc.s.frontend.readAhead.used.Load())
 		}
 	})
 }
 
 // Where clients together sent too much ahead, each may still send sureAhead.
 func TestAheadBudget(t *testing.T) {
-	var b aheadBudget
-	b.most.Store(40 << 10)
+	var b readAheadBudget
+	b.limit.Store(40 << 10)
 	now := func() float64 { return 0 }
-	one, two := &ahead{held: &b, now: now}, &ahead{held: &b, now: now}
-	keep := func(a *ahead, n int) {
-		a.keep(func(p []byte) (int, error) { return min(n, len(p)), nil })
+	one, two := &readAhead{budget: &b, now: now}, &readAhead{budget: &b, now: now}
+	fill := func(a *readAhead, n int) {
+		a.fill(func(p []byte) (int, error) { return min(n, len(p)), nil })
 	}
 	for range 20 {
-		keep(one, aheadStep)
+		fill(one, readAheadChunk)
 	}
 	if !one.full() || two.full() {
 		t.Errorf("full: %v, %v", one.full(), two.full())
 	}
-	for range sureAhead / aheadStep {
-		keep(two, aheadStep)
+	for range reservedReadAhead / readAheadChunk {
+		fill(two, readAheadChunk)
 	}
 	if !two.full() {
 		t.Error("the second one goes on")
 	}
-	if one.drop(); two.full() || b.held.Load() != sureAhead {
-		t.Errorf("%d bytes are held after one left", b.held.Load())
+	if one.discard(); two.full() || b.used.Load() != reservedReadAhead {
+		t.Errorf("%d bytes are held after one left", b.used.Load())
 	}
 }
 
@@ -88,7 +88,7 @@
 		w := &lateListener{Real: env.NewReal(), fault: fault, left: 3}
 		from := time.Now()
 		l, err := listen(w, "127.0.0.1:0", zap.NewNop())
-		if got := err == nil; got != waits || waits && time.Since(from) < 3*listenPause {
+		if got := err == nil; got != waits || waits && time.Since(from) < 3*listenRetryInterval {
 			t.Error(fmt.Errorf("%w: %v", fault, err))
 		}
 		if err == nil {
--- a/internal/control/scheduler/back.go
+++ b/internal/control/scheduler/back.go
@@ -124,19 +124,19 @@
 // configure takes what the configuration says; what is under way goes on.
 func (b *back) configure(c *Config) {
 	b.dialIn, b.keep = env.Duration(c.Bounds.DialTimeout), c.Bounds.ConnIdle*idlePart
-	b.bytes.Store(bytesOf(c))
+	b.bytes.Store(bodyByteLimit(c))
 }
 
 // serverListed notes a server's address; at another one, what is open to the old one is left.
-func (b *back) serverListed(e Entry) {
+func (b *back) serverListed(e ServerEntry) {
 	s := b.servers[e.Host]
 	if s == nil {
 		s = &server{host: e.Host}
 		b.servers[e.Host] = s
 	}
 	s.gone = false
-	if s.dial != e.Dial || s.born != e.BornMS { // another process answers there
-		s.dial, s.born = e.Dial, e.BornMS
+	if s.dial != e.Address || s.born != e.StartedMS { // another process answers there
+		s.dial, s.born = e.Address, e.StartedMS
 		b.shutFree(s)
 	}
 }
--- a/internal/control/scheduler/checker.go
+++ b/internal/control/scheduler/checker.go
@@ -11,20 +11,20 @@
 
 // Which requests can be served.
 
-// checker tells requests that can be served from those that cannot.
-type checker struct {
-	classes map[string]policy.Class
-	plans   map[string]bool
-	shards  int
-	most    float64
+// requestParser tells requests that can be served from those that cannot.
+type requestParser struct {
+	classes    map[string]policy.Class
+	plans      map[string]bool
+	shardCount int
+	maxUnits   float64
 }
 
-func newChecker(s *policy.Settings) *checker {
-	shards := s.Shards
-	if shards <= 0 { // not known
-		shards = mostShards
+func newRequestParser(s *policy.Settings) *requestParser {
+	shardCount := s.Shards
+	if shardCount <= 0 { // not known
+		shardCount = maxShards
 	}
-	k := &checker{classes: map[string]policy.Class{}, plans: map[string]bool{}, shards: shards, most: s.MaxUnits}
+	k := &requestParser{classes: map[string]policy.Class{}, plans: map[string]bool{}, shardCount: shardCount, maxUnits: s.MaxUnits}
 	for _, c := range s.Classes {
 		k.classes[c.Name] = c
 	}
@@ -35,14 +35,14 @@
 }
 
 const (
-	hexDigits  = 16
-	mostID     = 64
-	mostKey    = 256
-	mostWaitMS = 600_000
+	hexLength              = 16
+	maxIDBytes             = 64
+	maxIdempotencyKeyBytes = 256
+	maxTimeoutMS           = 600_000
 )
 
-// read makes a call of a request, or says what to answer.
-func (k *checker) read(r *request) (*call, int) {
+// parse makes a call of a request, or says what to answer.
+func (k *requestParser) parse(r *request) (*call, int) {
 	path, _, _ := strings.Cut(r.Target, "?")
 	parts := strings.Split(path, "/")
 	if len(parts) != 4 {
@@ -67,20 +67,20 @@
 		Write: write, Repeat: f.Get("client-retry") == "1"}
 	left, err := strconv.ParseFloat(f.Get("request-timeout"), 64)
 	switch {
-	case err != nil, !(left > 0), left*1000 > mostWaitMS,
-		!isID(q.ID), len(c.key) > mostKey, f.Count("idempotency-key") > 1,
+	case err != nil, !(left > 0), left*1000 > maxTimeoutMS,
+		!isRequestID(q.ID), len(c.key) > maxIdempotencyKeyBytes, f.Count("idempotency-key") > 1,
 		class.Effect == policy.Keyed && c.key == "",
 		!write && len(r.body) > 0,
-		!k.plans[q.Plan], !k.place(f.Get("x-placement"), &q):
+		!k.plans[q.Plan], !k.parsePlacement(f.Get("x-placement"), &q):
 		return nil, 400
 	}
-	q.Expires = r.at + left*1000
+	q.Expires = r.receivedAt + left*1000
 	c.req = q
 	return c, 0
 }
 
-// place reads units, shard and hosts.
-func (k *checker) place(s string, q *policy.Request) bool {
+// parsePlacement reads units, shard and hosts.
+func (k *requestParser) parsePlacement(s string, q *policy.Request) bool {
 	q.Units, q.Shard, q.Hosts = math.NaN(), math.MinInt, 0
 	for part := range strings.SplitSeq(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -97,17 +97,17 @@
 			return false
 		}
 	}
-	return q.Units > 0 && (k.most <= 0 || q.Units <= k.most) &&
-		q.Shard >= -1 && q.Shard < k.shards && q.Hosts >= 1
+	return q.Units > 0 && (k.maxUnits <= 0 || q.Units <= k.maxUnits) &&
+		q.Shard >= -1 && q.Shard < k.shardCount && q.Hosts >= 1
 }
 
 func isHex(s string) bool {
-	return len(s) == hexDigits && strings.Trim(s, "0123456789abcdefABCDEF") == ""
+	return len(s) == hexLength && strings.Trim(s, "0123456789abcdefABCDEF") == ""
 }
 
-// isID takes what can be an id: it goes on to disk servers as it is.
-func isID(s string) bool {
-	return s != "" && len(s) <= mostID && !slices.ContainsFunc([]byte(s), func(b byte) bool {
+// isRequestID takes what can be an id: it goes on to disk servers as it is.
+func isRequestID(s string) bool {
+	return s != "" && len(s) <= maxIDBytes && !slices.ContainsFunc([]byte(s), func(b byte) bool {
 		return !(b >= '0' && b <= '9' || b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || b == '-' || b == '_')
 	})
 }
--- a/internal/control/scheduler/client.go
+++ b/internal/control/scheduler/client.go
@@ -24,26 +24,26 @@
 // the client and returns the error that ended the stream, if one did.
 func (c *client) serveRequests() error {
 	for {
-		c.await()
-		if err := c.begun(); err != nil {
+		c.setIdleDeadline()
+		if err := c.awaitFirstByte(); err != nil {
 			c.reason = closeClientEnded
 			if env.IsTimeout(err) {
 				c.reason = closeIdle
 			}
 			return err
 		}
-		c.active()
-		r, err := c.request()
+		c.beginRequest()
+		r, err := c.readRequest()
 		if err != nil {
 			c.reason = closeUnreadable
-			c.turnAway(statusOf(err))
+			c.reject(readErrorStatus(err))
 			return err
 		}
 		c.requests++
 		c.reason = closeAsked
 		c.out.Settle() // a client that reads slowly gets each answer whole before the next is made
 		if !c.handle(r) {
-			return c.ahead.err
+			return c.readAhead.err
 		}
 	}
 }
@@ -51,14 +51,14 @@
 // close ends the connection so that no answer is lost to a reset. What comes once nothing
 // more is sent is left unread: a client may send that again elsewhere.
 func (c *client) close(cause error) {
-	f := c.front
+	f := c.frontend
 	c.out.Finish()
 	c.out.Wait()
-	if c.answeredSince(f.loop.now() - env.MS(lingerTime)) {
+	if c.answeredSince(f.loop.now() - env.MS(lingerTimeout)) {
 		c.linger()
 	}
 	c.conn.Close()
-	c.ahead.drop()
+	c.readAhead.discard()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.clients.Remove(c)
@@ -66,30 +66,30 @@
 }
 
 func (c *client) linger() {
-	w := c.front.world
-	until := w.Now() + lingerTime
-	c.conn.SetReadDeadline(w.Deadline(lingerTime))
+	w := c.frontend.environment
+	until := w.Now() + lingerTimeout
+	c.conn.SetReadDeadline(w.Deadline(lingerTimeout))
 	if env.Readable(c.conn) == nil { // it will be reset, but not before its answer is there
-		env.Wait(w, until-w.Now(), &c.front.ended)
+		env.Wait(w, until-w.Now(), &c.frontend.ended)
 	}
 }
 
 // answeredSince tells whether an answer may still be on its way, and the client still there.
 func (c *client) answeredSince(t float64) bool {
-	c.front.mu.Lock()
-	defer c.front.mu.Unlock()
-	return c.ahead.err == nil && c.spoke > t
+	c.frontend.mu.Lock()
+	defer c.frontend.mu.Unlock()
+	return c.readAhead.err == nil && c.lastAnswerAt > t
 }
 
-// begun waits for a request's first byte. When the time for it is over it looks once more:
+// awaitFirstByte waits for a request's first byte. When the time for it is over it looks once more:
 // on a machine that stands still now and then a request may have lain there for long, and
 // it was taken as it came in.
-func (c *client) begun() error {
+func (c *client) awaitFirstByte() error {
 	_, err := c.in.Peek(1)
 	if env.IsTimeout(err) {
 		c.conn.SetReadDeadline(time.Time{})
-		c.ahead.look()
-		if len(c.ahead.kept) > 0 {
+		c.readAhead.readAvailable()
+		if len(c.readAhead.buffer) > 0 {
 			_, err = c.in.Peek(1)
 		}
 	}
@@ -99,11 +99,11 @@
 // request is a request as read.
 type request struct {
 	*http1.Request
-	body []byte
-	at   float64 // of its last byte
+	body       []byte
+	receivedAt float64 // of its last byte
 }
 
-func (c *client) request() (*request, error) {
+func (c *client) readRequest() (*request, error) {
 	head, err := http1.ReadRequest(c.in, messageLimits)
 	if err != nil {
 		return nil, err
@@ -116,11 +116,11 @@
 		c.out.Put(func(b []byte) []byte { return append(b, "HTTP/1.1 100 Continue\r\n\r\n"...) })
 	}
 	body, err := http1.ReadBody(c.in, fr, messageLimits)
-	return &request{Request: head, body: body, at: c.ahead.since(c.in.Buffered())}, err
+	return &request{Request: head, body: body, receivedAt: c.readAhead.consumedArrivalTime(c.in.Buffered())}, err
 }
 
-// statusOf is the answer to what could not be read; 0: none, for the stream is at fault.
-func statusOf(err error) int {
+// readErrorStatus is the answer to what could not be read; 0: none, for the stream is at fault.
+func readErrorStatus(err error) int {
 	if e, ok := err.(*http1.Error); ok {
 		return e.Status()
 	}
@@ -133,22 +133,22 @@
 	return 0
 }
 
-// turnAway answers what is no request that can be served, and ends the connection: who
+// reject answers what is no request that can be served, and ends the connection: who
 // sends such is not listened to further. Status 0 says nothing.
-func (c *client) turnAway(status int) {
+func (c *client) reject(status int) {
 	if status != 0 {
-		c.write(status, true, nil, nil)
+		c.respond(status, true, nil, nil)
 	}
 }
 
-// write answers and makes the connection idle, or ends it: it tells whether it goes on.
-func (c *client) write(status int, last bool, f http1.Fields, body []byte) bool {
-	last = last || c.front.finishing()
+// respond answers and makes the connection idle, or ends it: it tells whether it goes on.
+func (c *client) respond(status int, last bool, f http1.Fields, body []byte) bool {
+	last = last || c.frontend.isFinishing()
 	if last {
 		f = append(f, http1.Field{Name: "Connection", Value: "close"})
 	}
 	c.out.Put(func(b []byte) []byte { return http1.AppendResponse(b, status, f, body) })
-	if c.rest(last) {
+	if c.becomeIdle(last) {
 		return true
 	}
 	c.out.Finish()
@@ -159,52 +159,52 @@
 
 // handle answers a request; false if the connection ends with it.
 func (c *client) handle(r *request) bool {
-	f := c.front
+	f := c.frontend
 	last := r.Close()
 	if r.Target == readyPath {
 		status := 503
-		if f.ready.Opened() && f.leaving() == 0 {
+		if f.ready.Opened() && f.drainDeadline() == 0 {
 			status = 200
 		}
-		return c.write(status, last, nil, nil)
+		return c.respond(status, last, nil, nil)
 	}
-	call, status := f.check.Load().read(r)
+	call, status := f.parser.Load().parse(r)
 	if status != 0 {
 		c.reason = closeRejected
-		c.turnAway(status)
+		c.reject(status)
 		return false
 	}
-	if by := f.leaving(); by > 0 {
+	if by := f.drainDeadline(); by > 0 {
 		call.req.Expires = min(call.req.Expires, by)
 	}
 	size := int64(len(r.body))
-	if f.held.Add(size) > f.bytes.Load() {
-		f.held.Add(-size)
-		return c.write(503, last, http1.Fields{{Name: "Retry-After", Value: "1"}}, nil)
+	if f.requestBytes.Add(size) > f.byteLimit.Load() {
+		f.requestBytes.Add(-size)
+		return c.respond(503, last, http1.Fields{{Name: "Retry-After", Value: "1"}}, nil)
 	}
-	defer f.held.Add(-size)
-	return c.ask(call, r.at, last)
+	defer f.requestBytes.Add(-size)
+	return c.submit(call, r.receivedAt, last)
 }
 
-// ask has the core take the call and waits for its answer, or for the client to leave. Who
+// submit has the core take the call and waits for its answer, or for the client to leave. Who
 // has left already is not served: nothing is to begin for it.
-func (c *client) ask(call *call, at float64, last bool) bool {
-	q := &asking{client: c, close: last}
+func (c *client) submit(call *call, at float64, last bool) bool {
+	q := &responder{client: c, closeAfter: last}
 	call.owner = q
-	c.lastID = call.req.ID
-	f := c.front
+	c.lastRequestID = call.req.ID
+	f := c.frontend
 	// Discovery may know already what the list of the start does not: nothing goes by that
 	// list until discovery was heard, or has had the time for it.
-	env.WaitAny(f.world, &f.ready, &f.ended)
+	env.WaitAny(f.environment, &f.ready, &f.ended)
 	c.conn.SetReadDeadline(time.Time{})
-	if c.ahead.look() != nil {
+	if c.readAhead.readAvailable() != nil {
 		return false
 	}
 	until := call.req.Expires
 	ok := f.loop.post(at, eventRequest, func(at float64) {
 		if !f.core.take(at, call) {
-			q.close, q.duplicate = true, true
-			c.turnAway(409)
+			q.closeAfter, q.duplicate = true, true
+			c.reject(409)
 			q.done.Open()
 		}
 	})
@@ -212,12 +212,12 @@
 		c.reason = closeUnanswerable
 		return false
 	}
-	for !q.done.Opened() && !c.ahead.full() {
-		if by := c.behindEnds(); by < until {
+	for !q.done.Opened() && !c.readAhead.full() {
+		if by := c.earliestPipelinedDeadline(); by < until {
 			until = by
 			f.loop.post(f.loop.now(), eventSooner, func(at float64) { f.core.sooner(at, call, by) })
 		}
-		if err := c.ahead.more(); err != nil && !env.IsTimeout(err) {
+		if err := c.readAhead.readMore(); err != nil && !env.IsTimeout(err) {
 			call.over.Store(true)
 			f.loop.post(f.loop.now(), eventClientGone, func(at float64) { f.core.gone(at, call) })
 			return false
@@ -225,25 +225,25 @@
 			break // it is answered: only then is there a deadline
 		}
 	}
-	env.WaitAny(f.world, &q.done, &f.ended)
+	env.WaitAny(f.environment, &q.done, &f.ended)
 	switch {
 	case !q.done.Opened():
 		c.reason = closeUnanswerable
 	case q.duplicate:
 		c.reason = closeDuplicateID
-	case q.close && !last:
+	case q.closeAfter && !last:
 		c.reason = closeLastAnswer
 	}
-	return q.done.Opened() && !q.close
+	return q.done.Opened() && !q.closeAfter
 }
 
 // answer implements answerer, on the loop.
-func (q *asking) answer(outcome callOutcome, after float64, body []byte) {
+func (q *responder) answer(outcome callOutcome, after float64, body []byte) {
 	status, f := 504, http1.Fields(nil)
 	switch outcome {
 	case served:
 		// Clients that don't read may hold all the room.
-		if fr := q.client.front; fr.queued.Load()+int64(len(body)) <= fr.bytes.Load() {
+		if fr := q.client.frontend; fr.answerBytes.Load()+int64(len(body)) <= fr.byteLimit.Load() {
 			status = 200
 		} else {
 			body = nil
@@ -254,40 +254,40 @@
 			f = http1.Fields{{Name: "Retry-After", Value: strconv.FormatFloat(after/1000, 'f', 3, 64)}}
 		}
 	}
-	q.close = !q.client.write(status, q.close, f, body)
+	q.closeAfter = !q.client.respond(status, q.closeAfter, f, body)
 	q.done.Open()
 }
 
-// mostBehind bounds how many requests that came ahead are looked at for their ends.
-const mostBehind = 64
+// maxPipelinedScanned bounds how many requests that came ahead are looked at for their ends.
+const maxPipelinedScanned = 64
 
-// behindEnds is when the time of the first of those requests ends that have come whole behind
+// earliestPipelinedDeadline is when the time of the first of those requests ends that have come whole behind
 // the one that is open, on the loop's clock; +Inf where there are none. Answers go in order:
 // each of them waits for the one before it.
-func (c *client) behindEnds() float64 {
+func (c *client) earliestPipelinedDeadline() float64 {
 	ends := math.Inf(1)
 	buffered, _ := c.in.Peek(c.in.Buffered())
-	if len(buffered)+len(c.ahead.kept) == 0 {
+	if len(buffered)+len(c.readAhead.buffer) == 0 {
 		return ends
 	}
-	all := slices.Concat(buffered, c.ahead.kept)
-	from := c.ahead.read - int64(len(all))
+	all := slices.Concat(buffered, c.readAhead.buffer)
+	from := c.readAhead.bytesRead - int64(len(all))
 	rest := bytes.NewReader(all)
 	in := bufio.NewReaderSize(rest, linkBuffer)
-	for range mostBehind {
-		left, ok := timeLeft(in)
+	for range maxPipelinedScanned {
+		left, ok := readRequestTimeout(in)
 		if !ok {
 			break
 		}
 		upTo := len(all) - rest.Len() - in.Buffered()
-		ends = min(ends, c.ahead.cameAt(from+int64(upTo))+left)
+		ends = min(ends, c.readAhead.arrivalTime(from+int64(upTo))+left)
 	}
 	return ends
 }
 
-// timeLeft reads a whole request and tells the time that its client waits, ms, +Inf where it
+// readRequestTimeout reads a whole request and tells the time that its client waits, ms, +Inf where it
 // does not say.
-func timeLeft(in *bufio.Reader) (float64, bool) {
+func readRequestTimeout(in *bufio.Reader) (float64, bool) {
 	head, _, err := http1.ReadWholeRequest(in, messageLimits)
 	if err != nil {
 		return 0, false
--- a/internal/control/scheduler/config.go
+++ b/internal/control/scheduler/config.go
@@ -19,7 +19,7 @@
 	Discovery string // address of discovery
 	Seed      uint64
 	Limits    Limits
-	Known     List // the disk servers as this scheduler last held them
+	Known     ServerList // the disk servers as this scheduler last held them
 	Settings  policy.Settings
 	Bounds    wire.Bounds
 	Ignored   []error // faults of the settings that were put right, each a *ConfigError
@@ -74,11 +74,11 @@
 func ParseConfig(b []byte, env func(string) string) (*Config, error) {
 	var f configFile
 	if err := json.Unmarshal(b, &f); err != nil {
-		return nil, atPath("", err)
+		return nil, configErrorAt("", err)
 	}
 	c := &Config{
-		Name: orElse(f.Name, env(envName)), Listen: orElse(f.Listen, env(envListen)),
-		Discovery: orElse(f.Discovery, env(envDiscovery)),
+		Name: valueOr(f.Name, env(envName)), Listen: valueOr(f.Listen, env(envListen)),
+		Discovery: valueOr(f.Discovery, env(envDiscovery)),
 		Limits:    Limits{f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets},
 	}
 	var err error
@@ -88,10 +88,10 @@
 		}
 	}
 	if len(f.Known) > 0 {
-		if c.Known, err = parseList(f.Known); err != nil {
-			return nil, atPath("known", err)
+		if c.Known, err = parseServerList(f.Known); err != nil {
+			return nil, configErrorAt("known", err)
 		}
-		if c.Known.doubtful {
+		if c.Known.malformed {
 			return nil, &ConfigError{"known", fmt.Errorf("%v", c.Known.faults)}
 		}
 	}
@@ -100,31 +100,31 @@
 	}
 	set, bounds, err := wire.ParseSettings(f.Settings)
 	if err != nil {
-		return nil, atPath("settings", err)
+		return nil, configErrorAt("settings", err)
 	}
-	c.Settings, c.Bounds = *set, usual(bounds)
-	c.Settings.Rules.MaxSendDelay = c.Bounds.DialTimeout + lateMargin
-	c.boundShards()
-	return c, c.check()
+	c.Settings, c.Bounds = *set, withDefaultBounds(bounds)
+	c.Settings.Rules.MaxSendDelay = c.Bounds.DialTimeout + sendLateMarginMS
+	c.resetInvalidShardCount()
+	return c, c.validate()
 }
 
-// mostShards bounds the number of shards: each that a request names is kept in memory.
-const mostShards = 100_000
+// maxShards bounds the number of shards: each that a request names is kept in memory.
+const maxShards = 100_000
 
-// boundShards takes a number of shards that cannot be one as not known.
-func (c *Config) boundShards() {
-	if n := c.Settings.Shards; n < 1 || n > mostShards {
-		fault := fmt.Errorf("is %d, from 1 to %d can be served: taken as not known", n, mostShards)
+// resetInvalidShardCount takes a number of shards that cannot be one as not known.
+func (c *Config) resetInvalidShardCount() {
+	if n := c.Settings.Shards; n < 1 || n > maxShards {
+		fault := fmt.Errorf("is %d, from 1 to %d can be served: taken as not known", n, maxShards)
 		c.Ignored = append(c.Ignored, &ConfigError{"settings.extra.slots_total", fault})
 		c.Settings.Shards = 0
 	}
 }
 
-// lateMargin is how much later than its connection may be up, ms, an attempt may begin.
-const lateMargin = 50.0
+// sendLateMarginMS is how much later than its connection may be up, ms, an attempt may begin.
+const sendLateMarginMS = 50.0
 
-// usual fills in the times of connections that the settings leave out.
-func usual(b wire.Bounds) wire.Bounds {
+// withDefaultBounds fills in the times of connections that the settings leave out.
+func withDefaultBounds(b wire.Bounds) wire.Bounds {
 	if !(b.DialTimeout > 0) {
 		b.DialTimeout = env.MS(usualDial)
 	}
@@ -134,15 +134,15 @@
 	return b
 }
 
-func orElse(s, other string) string {
+func valueOr(s, other string) string {
 	if s == "" {
 		return other
 	}
 	return s
 }
 
-// atPath names the field that JSON of the wrong type stands at.
-func atPath(path string, err error) error {
+// configErrorAt names the field that JSON of the wrong type stands at.
+func configErrorAt(path string, err error) error {
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) && wrong.Field != "" {
 		if path != "" {
@@ -150,10 +150,10 @@
 		}
 		return &ConfigError{path + wrong.Field, fmt.Errorf("holds a %s", wrong.Value)}
 	}
-	return &ConfigError{orElse(path, "file"), err}
+	return &ConfigError{valueOr(path, "file"), err}
 }
 
-func (c *Config) check() error {
+func (c *Config) validate() error {
 	for _, must := range []struct{ path, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if must.value == "" {
 			return &ConfigError{must.path, errMissing}
--- a/internal/control/scheduler/connectionends_test.go
+++ b/internal/control/scheduler/connectionends_test.go
@@ -34,11 +34,11 @@
 // is served, and at a stop with the connection's last answer.
 func TestARequestLandsAsItsConnectionEnds(t *testing.T) {
 	for name, end := range map[string]func(sc *scene){
-		"a stop": func(sc *scene) { sc.s.front.finish() },
+		"a stop": func(sc *scene) { sc.s.frontend.finish() },
 		"for another's sake": func(sc *scene) {
-			sc.s.front.mu.Lock()
-			defer sc.s.front.mu.Unlock()
-			sc.s.front.eachIdle(func(c *client) { c.end(sc.s.loop.now()) })
+			sc.s.frontend.mu.Lock()
+			defer sc.s.frontend.mu.Unlock()
+			sc.s.frontend.forEachIdle(func(c *client) { c.beginClose(sc.s.loop.now()) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -60,9 +60,9 @@
 				}
 				sc.until("it is idle", func() bool {
 					idle := 0
-					sc.s.front.mu.Lock()
-					defer sc.s.front.mu.Unlock()
-					sc.s.front.eachIdle(func(*client) { idle++ })
+					sc.s.frontend.mu.Lock()
+					defer sc.s.frontend.mu.Unlock()
+					sc.s.frontend.forEachIdle(func(*client) { idle++ })
 					return idle == 1
 				})
 				end(sc)
@@ -90,9 +90,9 @@
 		p := sc.connect()
 		defer p.conn.Close()
 		sc.until("the hook", at.Opened)
-		sc.s.front.finish()
+		sc.s.frontend.finish()
 		gate.Open()
-		if got := p.hear(sc.w.Now()); got.status != 0 || got.took > firstTime/2 {
+		if got := p.hear(sc.w.Now()); got.status != 0 || got.took > firstByteTimeout/2 {
 			t.Errorf("%+v", got)
 		}
 	})
--- a/internal/control/scheduler/core.go
+++ b/internal/control/scheduler/core.go
@@ -84,9 +84,9 @@
 // effects is what a core has done. The calls neither block nor call back.
 type effects interface {
 	send(a *attempt)
-	drop(a *attempt) fate      // its outcome is known; tells how far it had come
-	serverListed(e Entry)      // the server stands at this address
-	serverRemoved(host string) // nothing new goes there
+	drop(a *attempt) fate       // its outcome is known; tells how far it had come
+	serverListed(e ServerEntry) // the server stands at this address
+	serverRemoved(host string)  // nothing new goes there
 	note(text string)
 }
 
@@ -117,7 +117,7 @@
 
 // heldEntry is a disk server as the module was told of it.
 type heldEntry struct {
-	Entry
+	ServerEntry
 	started float64 // on the module's clock; 0: long ago
 }
 
@@ -132,7 +132,7 @@
 }
 
 // start tells the module the list from before the start, which may be old.
-func (k *core) start(known List) {
+func (k *core) start(known ServerList) {
 	k.list(epoch, known, true)
 }
 
@@ -390,25 +390,25 @@
 // list brings the list of disk servers, or what changed. The module is told only what
 // differs from what it was told before; what a whole list leaves out is named as gone, so
 // that nothing keeps a record of it.
-func (k *core) list(now float64, l List, cached bool) {
+func (k *core) list(now float64, l ServerList, cached bool) {
 	k.at(now)
-	entries := l.Hosts
-	if l.Whole && len(k.hosts) > 0 {
+	entries := l.Entries
+	if l.Full && len(k.hosts) > 0 {
 		entries = append(slices.Clone(entries), k.missing(entries)...)
 	}
 	var nodes []policy.Node
 	draining := 0
 	for _, e := range entries {
 		old, known := k.hosts[e.Host]
-		if known && old.Entry == e {
+		if known && old.ServerEntry == e {
 			continue
 		}
 		started := old.started
 		k.look(&l, e)
-		if !known || old.BornMS != e.BornMS {
+		if !known || old.StartedMS != e.StartedMS {
 			started = k.startOf(e)
 		}
-		n := policy.Node{Addr: e.Host, Health: health[e.Health], Shard: e.Block, Started: started, Zone: e.Site, Weight: e.Share}
+		n := policy.Node{Addr: e.Host, Health: policyHealth[e.Health], Shard: e.ShardIndex, Started: started, Zone: e.Site, Weight: e.Share}
 		nodes = append(nodes, n)
 		switch n.Health {
 		case policy.Removed:
@@ -433,12 +433,12 @@
 
 // look notes what an entry says that cannot be right. The module sends nothing to a server
 // whose shard the settings don't name, and a start in the future counts from now.
-func (k *core) look(l *List, e Entry) {
-	if e.Block < 0 || k.shards > 0 && e.Block >= k.shards {
-		l.fault(e.Host, fmt.Sprintf("holds shard %d, the settings name %d", e.Block, k.shards))
+func (k *core) look(l *ServerList, e ServerEntry) {
+	if e.ShardIndex < 0 || k.shards > 0 && e.ShardIndex >= k.shards {
+		l.addFault(e.Host, fmt.Sprintf("holds shard %d, the settings name %d", e.ShardIndex, k.shards))
 	}
-	if ahead := float64(e.BornMS-k.born) - k.now; ahead > clockSkew {
-		l.fault(e.Host, fmt.Sprintf("started %.0f s from now", ahead/1000))
+	if ahead := float64(e.StartedMS-k.born) - k.now; ahead > clockSkew {
+		l.addFault(e.Host, fmt.Sprintf("started %.0f s from now", ahead/1000))
 	}
 }
 
@@ -446,17 +446,17 @@
 const clockSkew = 5000.0
 
 // missing lists as gone what is held and not in a whole list, in an order of its own.
-func (k *core) missing(whole []Entry) (gone []Entry) {
+func (k *core) missing(whole []ServerEntry) (gone []ServerEntry) {
 	left := maps.Clone(k.hosts)
 	for _, e := range whole {
 		delete(left, e.Host)
 	}
 	for _, held := range left {
-		e := held.Entry
+		e := held.ServerEntry
 		e.Health = stateLeft
 		gone = append(gone, e)
 	}
-	slices.SortFunc(gone, func(a, b Entry) int { return cmp.Compare(a.Host, b.Host) })
+	slices.SortFunc(gone, func(a, b ServerEntry) int { return cmp.Compare(a.Host, b.Host) })
 	return gone
 }
 
@@ -464,14 +464,14 @@
 // service counts from when it was: wall clocks may be stepped, here and at the disk server,
 // and a start that is taken for an older one has its server overloaded. Of the lists at this
 // process's own start there is only the stamp; one in the future counts from now.
-func (k *core) startOf(e Entry) float64 {
+func (k *core) startOf(e ServerEntry) float64 {
 	switch {
-	case e.BornMS == 0:
+	case e.StartedMS == 0:
 		return 0
 	case k.heard:
 		return k.now
 	}
-	return min(max(float64(e.BornMS-k.born), 0), k.now)
+	return min(max(float64(e.StartedMS-k.born), 0), k.now)
 }
 
 // ring remembers the last ids.
--- a/internal/control/scheduler/core_test.go
+++ b/internal/control/scheduler/core_test.go
@@ -24,7 +24,7 @@
 	}
 	return fateNotConnected
 }
-func (p *played) serverListed(Entry)        {}
+func (p *played) serverListed(ServerEntry)  {}
 func (p *played) serverRemoved(host string) { p.retired = append(p.retired, host) }
 func (p *played) note(string)               {}
 
@@ -127,7 +127,7 @@
 // What a whole list leaves out is gone, in the module too.
 func TestAWholeListNamesWhatIsGone(t *testing.T) {
 	k, p := coreFor(t)
-	k.list(epoch+1, List{Seq: 2, Whole: true, Hosts: []Entry{{Host: "s2", Dial: "x:3", Block: 0, Health: "active"}}}, false)
+	k.list(epoch+1, ServerList{Seq: 2, Full: true, Entries: []ServerEntry{{Host: "s2", Address: "x:3", ShardIndex: 0, Health: "active"}}}, false)
 	if len(k.hosts) != 1 || len(p.retired) != 2 || p.retired[0] != "s0" || p.retired[1] != "s1" {
 		t.Errorf("held %v, retired %v", k.hosts, p.retired)
 	}
@@ -141,7 +141,7 @@
 func TestStartsOnTheClock(t *testing.T) {
 	k, _ := coreFor(t)
 	for born, want := range map[int64]float64{0: 0, 1_000_000 + epoch - 250: epoch - 250, 10: 0} {
-		if got := k.startOf(Entry{BornMS: born}); got != want {
+		if got := k.startOf(ServerEntry{StartedMS: born}); got != want {
 			t.Errorf("%d: %v, want %v", born, got, want)
 		}
 	}
@@ -157,18 +157,18 @@
 		k, _ := coreFor(t)
 		spy := &spyModule{Scheduler: k.mod}
 		k.mod = spy
-		one := Entry{Host: "s9", Dial: "x:9", Block: 0, Health: "active", BornMS: wall + step}
-		k.list(epoch+10, List{Seq: 1, Hosts: []Entry{one}}, false)
+		one := ServerEntry{Host: "s9", Address: "x:9", ShardIndex: 0, Health: "active", StartedMS: wall + step}
+		k.list(epoch+10, ServerList{Seq: 1, Entries: []ServerEntry{one}}, false)
 		if got := spy.nodes[0].Started; got > epoch+10 || step <= 0 && got != max(float64(epoch+step), 0) {
 			t.Errorf("step %d: the first list's start is %v", step, got-epoch)
 		}
-		one.BornMS++
-		k.list(epoch+5000, List{Seq: 2, Hosts: []Entry{one}}, false)
+		one.StartedMS++
+		k.list(epoch+5000, ServerList{Seq: 2, Entries: []ServerEntry{one}}, false)
 		if got := spy.nodes[0].Started; got != epoch+5000 {
 			t.Errorf("step %d: a start in service is at %v", step, got-epoch)
 		}
 		one.Health = "leaving"
-		k.list(epoch+9000, List{Seq: 3, Hosts: []Entry{one}}, false)
+		k.list(epoch+9000, ServerList{Seq: 3, Entries: []ServerEntry{one}}, false)
 		if got := spy.nodes[0].Started; got != epoch+5000 {
 			t.Errorf("step %d: it has moved to %v", step, got-epoch)
 		}
--- a/internal/control/scheduler/crossing_test.go
+++ b/internal/control/scheduler/crossing_test.go
@@ -119,7 +119,7 @@
 		io.WriteString(p.conn, strings.Replace(sc.get(), "0.480", "1.900", 1))
 		sc.until("the dial", came)
 		sc.list.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entry("s0", other.Addr, "active", 0)))
-		sc.until("the list", sc.core(func(k *core) bool { return k.hosts["s0"].Dial == other.Addr }))
+		sc.until("the list", sc.core(func(k *core) bool { return k.hosts["s0"].Address == other.Addr }))
 		release()
 		if got := p.hear(0); got.status != 200 || len(sc.disk.Asked()) != 0 || len(other.Asked()) != 1 {
 			t.Errorf("%+v, %d at the old address, %d at the new", got, len(sc.disk.Asked()), len(other.Asked()))
--- a/internal/control/scheduler/day_test.go
+++ b/internal/control/scheduler/day_test.go
@@ -307,7 +307,7 @@
 func (d *day) ending() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.stopped > 0 && d.w.Now() > d.stopped+env.Duration(graceOf(dayConfig("a:1"))-drainAnswer)
+	return d.stopped > 0 && d.w.Now() > d.stopped+env.Duration(gracePeriod(dayConfig("a:1"))-finishLeadMS)
 }
 
 // reached tells whether an attempt of a request came to a disk server.
@@ -382,8 +382,8 @@
 	if d.s, err = Start(late, dayConfig(a.l.Addr().String()), zap.NewNop()); err != nil {
 		return err
 	}
-	d.addr = d.s.front.listener.Addr().String()
-	d.s.front.ready.Wait(d.w)
+	d.addr = d.s.frontend.listener.Addr().String()
+	d.s.frontend.ready.Wait(d.w)
 	var clients env.Group
 	for range 12 {
 		clients.Go(d.w, func() { d.client(15 * time.Second) })
--- a/internal/control/scheduler/discovery_test.go
+++ b/internal/control/scheduler/discovery_test.go
@@ -81,7 +81,7 @@
 
 // told is what a watch told, and when.
 type told struct {
-	lists []List
+	lists []ServerList
 	at    []time.Duration
 }
 
@@ -93,13 +93,13 @@
 }
 
 // watching plays f on a watch of an agent, in a virtual world.
-func watching(t *testing.T, do func(n int, target string, c net.Conn), f func(w env.Environment, d *watch, got *told, a *agent)) {
+func watching(t *testing.T, do func(n int, target string, c net.Conn), f func(w env.Environment, d *discoveryClient, got *told, a *agent)) {
 	t.Helper()
 	v := world.New(1)
 	err := v.Run("n0", 10*time.Minute, func(p *world.Process) {
 		a := serveAgent(p, do)
 		got := &told{}
-		d := newWatch(p, a.l.Addr().String(), 7, func(l List) {
+		d := newDiscoveryClient(p, a.l.Addr().String(), 7, func(l ServerList) {
 			got.lists = append(got.lists, l)
 			got.at = append(got.at, p.Now())
 		}, func(string, error) {})
@@ -152,7 +152,7 @@
 					c.Write(chunkOf(diff(9) + "\n"))
 				}
 			}
-			watching(t, do, func(p env.Environment, d *watch, got *told, a *agent) {
+			watching(t, do, func(p env.Environment, d *discoveryClient, got *told, a *agent) {
 				w = p
 				for w.Now() < 7*time.Second && (len(got.lists) == 0 || got.lists[len(got.lists)-1].Seq != 9) {
 					env.Wait(w, 10*time.Millisecond, nil)
@@ -177,7 +177,7 @@
 			env.Wait(w, 2*time.Second, nil)
 		}
 	}
-	watching(t, do, func(p env.Environment, d *watch, got *told, a *agent) {
+	watching(t, do, func(p env.Environment, d *discoveryClient, got *told, a *agent) {
 		w = p
 		env.Wait(w, 30*time.Second, nil)
 		if len(a.conns) != 1 || len(got.lists) != 1 || got.lists[0].Seq != 7 {
@@ -194,7 +194,7 @@
 		"another type":  `{"seq":"x"}` + "\n",
 		"health":        `{"seq":9,"hosts":[{"host":"s","health":"well"}]}` + "\n",
 		"back":          diff(3) + "\n",
-		"too long":      `{"seq":9,"hosts":[` + strings.Repeat(" ", mostMessage) + "]}\n",
+		"too long":      `{"seq":9,"hosts":[` + strings.Repeat(" ", maxMessageBytes) + "]}\n",
 		"closed by it":  `{"seq":9]` + "\n" + `}`,
 		"an array only": "[]\n",
 	} {
@@ -203,7 +203,7 @@
 				whole := `{"seq":11,"whole":true,"hosts":[]}`
 				watches := 0
 				do := func(_ int, target string, c net.Conn) {
-					if target == listPath {
+					if target == discoveryPath {
 						fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(whole), whole)
 						return
 					}
@@ -212,10 +212,10 @@
 						c.Write(chunkOf(line))
 					}
 				}
-				watching(t, do, func(w env.Environment, d *watch, got *told, a *agent) {
+				watching(t, do, func(w env.Environment, d *discoveryClient, got *told, a *agent) {
 					env.Wait(w, 1900*time.Millisecond, nil)
-					want := []string{listPath + "?stream=1&index=7", listPath, listPath + "?stream=1&index=11"}
-					if len(a.targets) < 3 || !slices.Equal(a.targets[:3], want) || len(got.lists) == 0 || got.lists[0].Seq != 11 || !got.lists[0].Whole {
+					want := []string{discoveryPath + "?stream=1&index=7", discoveryPath, discoveryPath + "?stream=1&index=11"}
+					if len(a.targets) < 3 || !slices.Equal(a.targets[:3], want) || len(got.lists) == 0 || got.lists[0].Seq != 11 || !got.lists[0].Full {
 						t.Fatalf("asked %q, told %+v", a.targets, got.lists)
 					}
 					if n := len(a.targets); !always && n != 3 || n > 25 {
@@ -229,8 +229,8 @@
 
 // Messages may be indented and come in any pieces: an object is one message.
 func TestMessagesInWhateverForm(t *testing.T) {
-	one := List{Seq: 9, Hosts: []Entry{{Host: `a "\}{`, Dial: "x:1", Health: "active", Share: 1}}}
-	two := List{Seq: 10, Whole: true, Hosts: []Entry{{Host: "b", Dial: "x:2", Health: "leaving", Share: 1}}}
+	one := ServerList{Seq: 9, Entries: []ServerEntry{{Host: `a "\}{`, Address: "x:1", Health: "active", Share: 1}}}
+	two := ServerList{Seq: 10, Full: true, Entries: []ServerEntry{{Host: "b", Address: "x:2", Health: "leaving", Share: 1}}}
 	flat1, _ := json.Marshal(one)
 	wide1, _ := json.MarshalIndent(one, "", "  ")
 	wide2, _ := json.MarshalIndent(two, "\t", "\t")
@@ -249,9 +249,9 @@
 						b = b[n:]
 					}
 				}
-				watching(t, do, func(w env.Environment, d *watch, got *told, a *agent) {
+				watching(t, do, func(w env.Environment, d *discoveryClient, got *told, a *agent) {
 					env.Wait(w, time.Second, nil)
-					if len(got.lists) != 2 || got.lists[0].Hosts[0] != one.Hosts[0] || !got.lists[1].Whole || got.lists[1].Hosts[0] != two.Hosts[0] {
+					if len(got.lists) != 2 || got.lists[0].Entries[0] != one.Entries[0] || !got.lists[1].Full || got.lists[1].Entries[0] != two.Entries[0] {
 						t.Errorf("%+v", got.lists)
 					}
 				})
@@ -271,12 +271,12 @@
 	silent := func(int, string, net.Conn) {}
 	for name, first := range map[string]func(int, string, net.Conn){"silent": silent, "open": answer(8)} {
 		t.Run(name, func(t *testing.T) {
-			watching(t, first, func(w env.Environment, d *watch, got *told, a *agent) {
+			watching(t, first, func(w env.Environment, d *discoveryClient, got *told, a *agent) {
 				env.Wait(w, 20*time.Millisecond, nil)
 				b, c := serveAgent(w, answer(9)), serveAgent(w, answer(10))
 				from := w.Now()
-				d.move(b.l.Addr().String())
-				d.move(c.l.Addr().String())
+				d.setAddress(b.l.Addr().String())
+				d.setAddress(c.l.Addr().String())
 				env.Wait(w, time.Second, nil)
 				if len(got.lists) == 0 || got.lists[len(got.lists)-1].Seq != 10 || got.last()-from > 500*time.Millisecond {
 					t.Errorf("%+v after %s", got.lists, got.last()-from)
@@ -294,7 +294,7 @@
 	f.Add([]byte("[]"), 1)
 	f.Fuzz(func(t *testing.T, in []byte, cut int) {
 		read := func(pieces ...[]byte) (out []string) {
-			var m messages
+			var m objectReader
 			for _, b := range pieces {
 				for len(b) > 0 {
 					n, what, err := m.next(b)
@@ -304,8 +304,8 @@
 					if n <= 0 || n > len(b) {
 						t.Fatal("no progress")
 					}
-					if b = b[n:]; what != gotPart {
-						out = append(out, fmt.Sprint(what, string(m.take())))
+					if b = b[n:]; what != itemPartial {
+						out = append(out, fmt.Sprint(what, string(m.bytes())))
 					}
 				}
 			}
@@ -349,7 +349,7 @@
 			}
 			up := sc.connect().ask("GET /up HTTP/1.1\r\n\r\n")
 			got := sc.connect().ask(strings.Replace(sc.get(), "0.480", "30", 1))
-			if up.status != 503 || got.status != 200 || got.took > readyWait+100*time.Millisecond {
+			if up.status != 503 || got.status != 200 || got.took > readyTimeout+100*time.Millisecond {
 				t.Errorf("silent %v: %+v, %+v", silent, up, got)
 			}
 			if was, is := len(old.Asked()), len(now.Asked()); silent != (was == 1) || silent == (is == 1) {
--- a/internal/control/scheduler/eventlog.go
+++ b/internal/control/scheduler/eventlog.go
@@ -87,16 +87,16 @@
 }
 
 // listTaken notes a list of disk servers that came into force.
-func (l *eventLog) listTaken(list List, changed, draining int) {
+func (l *eventLog) listTaken(list ServerList, changed, draining int) {
 	if l == nil || changed == 0 {
 		return
 	}
-	l.log.Info("list taken", zap.Uint64("seq", list.Seq), zap.Bool("whole", list.Whole), zap.Int("entries", len(list.Hosts)),
+	l.log.Info("list taken", zap.Uint64("seq", list.Seq), zap.Bool("whole", list.Full), zap.Int("entries", len(list.Entries)),
 		zap.Int("changed", changed), zap.Int("leaving", draining))
 }
 
 // entryFaults notes entries of a list that cannot be right.
-func (l *eventLog) entryFaults(list List) {
+func (l *eventLog) entryFaults(list ServerList) {
 	if l == nil {
 		return
 	}
@@ -141,10 +141,10 @@
 
 // connectionClosed notes a client's connection that ends, unless it rested or its client ended it.
 func (l *eventLog) connectionClosed(c *client, err error) {
-	if l == nil || c.reason == closeClientEnded || c.reason == closeIdle && c.ahead.read == 0 {
+	if l == nil || c.reason == closeClientEnded || c.reason == closeIdle && c.readAhead.bytesRead == 0 {
 		return
 	}
 	l.log.Info("client connection closed", zap.Stringer("reason", c.reason), zap.String("client", c.conn.RemoteAddr().String()),
-		zap.Int64("read", c.ahead.read), zap.Int("requests", c.requests), zap.Int("answers", c.answers),
-		zap.String("request", c.lastID), zap.NamedError("cause", err))
+		zap.Int64("read", c.readAhead.bytesRead), zap.Int("requests", c.requests), zap.Int("answers", c.answers),
+		zap.String("request", c.lastRequestID), zap.NamedError("cause", err))
 }
--- a/internal/control/scheduler/front.go
+++ b/internal/control/scheduler/front.go
@@ -13,249 +13,249 @@
 )
 
 const (
-	// firstTime is how long a client may say nothing after it has connected, and newTime how
+	// firstByteTimeout is how long a client may say nothing after it has connected, and newTime how
 	// long its first request may take from then: who opens connections by hundreds and says
 	// nothing, or never ends its head, is turned away within the platform's 3 s. Who had an
 	// answer may write slowly: slowTime from a request's first byte to its last.
-	firstTime = time.Second
-	newTime   = 2700 * time.Millisecond
-	slowTime  = 4 * time.Second
-	// keepTime is how long a connection without a request is kept, and idleTime where many
+	firstByteTimeout    = time.Second
+	firstRequestTimeout = 2700 * time.Millisecond
+	requestReadTimeout  = 4 * time.Second
+	// keepAliveTimeout is how long a connection without a request is kept, and idleTime where many
 	// are open: clients that ask once and stay would else hold all the descriptors there are.
-	keepTime = 20 * time.Second
-	idleTime = 2200 * time.Millisecond
-	// At the bound of connections those give way that have said nothing for freshTime or
+	keepAliveTimeout        = 20 * time.Second
+	reducedKeepAliveTimeout = 2200 * time.Millisecond
+	// At the bound of connections those give way that have said nothing for evictNewAfterMS or
 	// have had no request for spareTime; until there is one, nothing new is accepted.
-	freshTime   = 100.0 // ms
-	spareTime   = 500.0 // ms
-	acceptPause = 5 * time.Millisecond
-	queueEmpty  = 1.0 // ms that an accept waits where no connection was there already
-	clientOut   = mostAnswer + messageBytes
-	outTimeout  = 3 * time.Second
-	// lingerTime is how long a connection that was just answered on stays open once nothing
+	evictNewAfterMS       = 100.0 // ms
+	evictIdleAfterMS      = 500.0 // ms
+	acceptRetryInterval   = 5 * time.Millisecond
+	maxQueuedAcceptWaitMS = 1.0 // ms that an accept waits where no connection was there already
+	clientWriteLimit      = mostAnswer + messageBytes
+	clientWriteTimeout    = 3 * time.Second
+	// lingerTimeout is how long a connection that was just answered on stays open once nothing
 	// more is sent on it (RFC 9112, section 9.6), or until its client ends its side too:
 	// what lies there unread turns a close into a reset, which overtakes the answer.
-	lingerTime = 200 * time.Millisecond
+	lingerTimeout = 200 * time.Millisecond
 )
 
-// front is the listener and the clients' connections.
-type front struct {
-	world    env.Environment
-	loop     *loop
-	core     *core
-	log      *eventLog
-	check    atomic.Pointer[checker]
-	most     int // connections that stay,
-	ending   int // and that are ending beside them
-	bytes    atomic.Int64
-	held     atomic.Int64  // of requests, of which there may be so many bytes
-	queued   atomic.Int64  // of answers on their way out, likewise
-	ahead    aheadBudget   // of what clients send ahead of their answers
-	ready    env.Gate      // discovery has spoken, or was waited for
-	answerBy atomic.Uint64 // bits of the time by which all must be answered; 0: none
-	stop     env.Gate      // nothing more is accepted
-	ended    env.Gate      // nothing is waited for any more
-	tasks    env.Group
-	listener net.Listener
+// frontend is the listener and the clients' connections.
+type frontend struct {
+	environment       env.Environment
+	loop              *loop
+	core              *core
+	log               *eventLog
+	parser            atomic.Pointer[requestParser]
+	maxClients        int // connections that stay,
+	maxClosing        int // and that are ending beside them
+	byteLimit         atomic.Int64
+	requestBytes      atomic.Int64    // of requests, of which there may be so many bytes
+	answerBytes       atomic.Int64    // of answers on their way out, likewise
+	readAhead         readAheadBudget // of what clients send ahead of their answers
+	ready             env.Gate        // discovery has spoken, or was waited for
+	drainDeadlineBits atomic.Uint64   // bits of the time by which all must be answered; 0: none
+	stopAccepting     env.Gate        // nothing more is accepted
+	ended             env.Gate        // nothing is waited for any more
+	tasks             env.Group
+	listener          net.Listener
 
 	listenedAt float64 // when it began to listen at the earliest
 
-	mu      sync.Mutex
-	clients env.Roster[*client]
-	closing bool // each answer ends its connection, and there are no idle ones
+	mu        sync.Mutex
+	clients   env.Roster[*client]
+	finishing bool // each answer ends its connection, and there are no idle ones
 }
 
 // clientState is what a client's connection is at, under the front's lock.
 type clientState int
 
 const (
-	clientNew    clientState = iota // it has said nothing
-	clientIdle                      // it has had its answer
-	clientActive                    // a request is being read or is open
-	clientEnding                    // it was told to end while it was idle
+	clientNew     clientState = iota // it has said nothing
+	clientIdle                       // it has had its answer
+	clientActive                     // a request is being read or is open
+	clientClosing                    // it was told to end while it was idle
 )
 
 // client is one connection. Its goroutine reads it, and alone closes it; its write queue writes.
 type client struct {
-	front *front
-	conn  net.Conn
-	ahead *ahead
-	in    *bufio.Reader
-	out   *writequeue.Queue
+	frontend  *frontend
+	conn      net.Conn
+	readAhead *readAhead
+	in        *bufio.Reader
+	out       *writequeue.Queue
 	// Under the front's lock.
-	state clientState
-	since float64 // when it came to that state, ms
-	spoke float64 // when it last was answered
+	state        clientState
+	stateSince   float64 // when it came to that state, ms
+	lastAnswerAt float64 // when it last was answered
 
 	answers int // that were written, under the front's lock
 
 	// Its goroutine's own.
-	reason   closeReason
-	requests int    // that were read whole
-	lastID   string // of the last of them
+	reason        closeReason
+	requests      int    // that were read whole
+	lastRequestID string // of the last of them
 }
 
-// asking is a call's answer on its way to the client.
-type asking struct {
-	client *client
-	close  bool // the client's wish
-	done   env.Gate
+// responder is a call's answer on its way to the client.
+type responder struct {
+	client     *client
+	closeAfter bool // the client's wish
+	done       env.Gate
 
 	duplicate bool // its id was used before
 }
 
 // accept takes connections. Those that lay in the listener's queue while this process was
 // still starting may have come at any time since it listened, and count from then.
-func (f *front) accept() {
+func (f *frontend) accept() {
 	starting := true
 	for {
 		for !f.hasCapacity() {
-			if !env.Wait(f.world, acceptPause, &f.stop) {
+			if !env.Wait(f.environment, acceptRetryInterval, &f.stopAccepting) {
 				return
 			}
 		}
 		from := f.loop.now()
 		conn, err := f.listener.Accept()
-		starting = starting && f.loop.now()-from < queueEmpty
+		starting = starting && f.loop.now()-from < maxQueuedAcceptWaitMS
 		if err != nil { // where there are no descriptors left, there may be again
 			f.log.acceptFailed(err)
-			if f.stop.Opened() || !env.Wait(f.world, acceptPause, &f.stop) {
+			if f.stopAccepting.Opened() || !env.Wait(f.environment, acceptRetryInterval, &f.stopAccepting) {
 				return
 			}
 			continue
 		}
-		came := f.cameAt(conn)
+		came := f.arrivalTime(conn)
 		if starting {
 			came = min(came, f.listenedAt)
 		}
-		f.tasks.Go(f.world, f.client(conn, came).serve)
+		f.tasks.Go(f.environment, f.newClient(conn, came).serve)
 	}
 }
 
-// mostQueued bounds how long a connection is taken to have lain in the listener's queue, ms.
-const mostQueued = 60_000.0
+// maxListenQueueMS bounds how long a connection is taken to have lain in the listener's queue, ms.
+const maxListenQueueMS = 60_000.0
 
-// cameAt is when the first bytes came on a connection that was just accepted, as far as the
+// arrivalTime is when the first bytes came on a connection that was just accepted, as far as the
 // kernel tells: it may have lain in the listener's queue, behind others.
-func (f *front) cameAt(conn net.Conn) float64 {
+func (f *frontend) arrivalTime(conn net.Conn) float64 {
 	since, known := env.SinceData(conn)
-	if !known || env.MS(since) > mostQueued {
+	if !known || env.MS(since) > maxListenQueueMS {
 		return f.loop.now()
 	}
 	return f.loop.now() - env.MS(since)
 }
 
-// client takes a connection that may have come as early as that.
-func (f *front) client(conn net.Conn, came float64) *client {
-	c := &client{front: f, conn: conn, ahead: &ahead{conn: conn, now: f.loop.now, held: &f.ahead, from: came}, since: f.loop.now()}
-	c.in = bufio.NewReaderSize(c.ahead, linkBuffer)
-	c.out = writequeue.New(f.world, conn, clientOut, outTimeout)
+// newClient takes a connection that may have come as early as that.
+func (f *frontend) newClient(conn net.Conn, came float64) *client {
+	c := &client{frontend: f, conn: conn, readAhead: &readAhead{conn: conn, now: f.loop.now, budget: &f.readAhead, arrivedAt: came}, stateSince: f.loop.now()}
+	c.in = bufio.NewReaderSize(c.readAhead, linkBuffer)
+	c.out = writequeue.New(f.environment, conn, clientWriteLimit, clientWriteTimeout)
 	c.out.HalfClose = true
-	c.out.Gauge = func(delta int) { f.queued.Add(int64(delta)) }
+	c.out.Gauge = func(delta int) { f.answerBytes.Add(int64(delta)) }
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.clients.Add(c)
-	if conn.SetReadDeadline(f.world.Deadline(firstTime)); f.closing {
-		c.end(c.since)
+	if conn.SetReadDeadline(f.environment.Deadline(firstByteTimeout)); f.finishing {
+		c.beginClose(c.stateSince)
 	}
 	return c
 }
 
 // hasCapacity tells whether one more connection may be accepted. At the bound the one that can
 // be spared best is told to end; while many are ending still, nothing is accepted.
-func (f *front) hasCapacity() bool {
+func (f *frontend) hasCapacity() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.clients.Len() < f.most {
+	if f.clients.Len() < f.maxClients {
 		return true
 	}
 	now := f.loop.now()
 	staying := 0
 	var pick *client
 	for _, c := range f.clients.All() {
-		if c.state == clientEnding {
+		if c.state == clientClosing {
 			continue
 		}
 		staying++
-		if c.spare(now) && (pick == nil || c.sparedBefore(pick)) {
+		if c.evictable(now) && (pick == nil || c.evictedBefore(pick)) {
 			pick = c
 		}
 	}
-	if staying >= f.most && pick != nil {
-		pick.end(now)
+	if staying >= f.maxClients && pick != nil {
+		pick.beginClose(now)
 		staying--
 	}
-	return staying < f.most && f.clients.Len() < f.most+f.ending
+	return staying < f.maxClients && f.clients.Len() < f.maxClients+f.maxClosing
 }
 
-// spare tells whether a connection may be ended for another's sake.
-func (c *client) spare(now float64) bool {
-	return c.state == clientNew && now-c.since > freshTime || c.state == clientIdle && now-c.since > spareTime
+// evictable tells whether a connection may be ended for another's sake.
+func (c *client) evictable(now float64) bool {
+	return c.state == clientNew && now-c.stateSince > evictNewAfterMS || c.state == clientIdle && now-c.stateSince > evictIdleAfterMS
 }
 
-func (c *client) sparedBefore(other *client) bool {
+func (c *client) evictedBefore(other *client) bool {
 	if c.state != other.state {
 		return c.state == clientNew
 	}
-	return c.since < other.since
+	return c.stateSince < other.stateSince
 }
 
-// end has an idle connection closed, but for a request that has come already: its goroutine
+// beginClose has an idle connection closed, but for a request that has come already: its goroutine
 // looks for one. The front's lock is held.
-func (c *client) end(now float64) {
-	c.state, c.since = clientEnding, now
-	c.conn.SetReadDeadline(c.front.world.Deadline(0))
+func (c *client) beginClose(now float64) {
+	c.state, c.stateSince = clientClosing, now
+	c.conn.SetReadDeadline(c.frontend.environment.Deadline(0))
 }
 
-// active takes a request's first byte.
-func (c *client) active() {
-	f := c.front
+// beginRequest takes a request's first byte.
+func (c *client) beginRequest() {
+	f := c.frontend
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	within := slowTime
-	if c.spoke == 0 {
-		within = newTime - env.Duration(f.loop.now()-c.since)
+	within := requestReadTimeout
+	if c.lastAnswerAt == 0 {
+		within = firstRequestTimeout - env.Duration(f.loop.now()-c.stateSince)
 	}
-	c.state, c.since = clientActive, f.loop.now()
-	c.conn.SetReadDeadline(f.world.Deadline(within))
+	c.state, c.stateSince = clientActive, f.loop.now()
+	c.conn.SetReadDeadline(f.environment.Deadline(within))
 }
 
-// rest makes an answered connection idle; false where it ends. Then nothing is read on it
+// becomeIdle makes an answered connection idle; false where it ends. Then nothing is read on it
 // any more: what a client sends now is unread, and so the client's to send elsewhere. Either
 // way its goroutine stops waiting for bytes: the next request may have come long ago.
-func (c *client) rest(last bool) bool {
-	f := c.front
+func (c *client) becomeIdle(last bool) bool {
+	f := c.frontend
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c.spoke = f.loop.now()
+	c.lastAnswerAt = f.loop.now()
 	c.answers++
-	c.conn.SetReadDeadline(f.world.Deadline(0))
-	if last || f.closing {
+	c.conn.SetReadDeadline(f.environment.Deadline(0))
+	if last || f.finishing {
 		return false
 	}
-	c.state, c.since = clientIdle, c.spoke
+	c.state, c.stateSince = clientIdle, c.lastAnswerAt
 	return true
 }
 
-// await lets an idle connection wait for its next request, unless it was told to end.
-func (c *client) await() {
-	f := c.front
+// setIdleDeadline lets an idle connection wait for its next request, unless it was told to end.
+func (c *client) setIdleDeadline() {
+	f := c.frontend
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if c.state == clientIdle {
-		c.conn.SetReadDeadline(f.idleUntil())
+		c.conn.SetReadDeadline(f.idleDeadline())
 	}
 }
 
-// open is how many connections clients have, one at least for each call without an answer.
-func (f *front) open() int {
+// clientCount is how many connections clients have, one at least for each call without an answer.
+func (f *frontend) clientCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.clients.Len()
 }
 
-// eachIdle does something to the connections without a request. The lock is held.
-func (f *front) eachIdle(do func(c *client)) {
+// forEachIdle does something to the connections without a request. The lock is held.
+func (f *frontend) forEachIdle(do func(c *client)) {
 	for _, c := range f.clients.All() {
 		if c.state == clientNew || c.state == clientIdle {
 			do(c)
@@ -263,67 +263,67 @@
 	}
 }
 
-// trim ends what has been idle for long while more than half of the connections that there
+// trimIdle ends what has been idle for long while more than half of the connections that there
 // may be are open.
-func (f *front) trim() {
+func (f *frontend) trimIdle() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	over := f.clients.Len() - f.most/2
-	if over <= 0 || f.leaving() > 0 {
+	over := f.clients.Len() - f.maxClients/2
+	if over <= 0 || f.drainDeadline() > 0 {
 		return
 	}
 	now := f.loop.now()
-	f.eachIdle(func(c *client) {
-		if over > 0 && now-c.since > env.MS(idleTime) {
-			c.end(now)
+	f.forEachIdle(func(c *client) {
+		if over > 0 && now-c.stateSince > env.MS(reducedKeepAliveTimeout) {
+			c.beginClose(now)
 			over--
 		}
 	})
 }
 
-// leaving is the time by which all must be answered, 0 while the scheduler stays.
-func (f *front) leaving() float64 { return math.Float64frombits(f.answerBy.Load()) }
+// drainDeadline is the time by which all must be answered, 0 while the scheduler stays.
+func (f *frontend) drainDeadline() float64 { return math.Float64frombits(f.drainDeadlineBits.Load()) }
 
-// leave has all answered by that time, and keeps until then the connections that clients
+// beginDrain has all answered by that time, and keeps until then the connections that clients
 // have: they can't open others here.
-func (f *front) leave(by float64) {
-	f.answerBy.Store(math.Float64bits(by))
+func (f *frontend) beginDrain(by float64) {
+	f.drainDeadlineBits.Store(math.Float64bits(by))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.eachIdle(func(c *client) {
+	f.forEachIdle(func(c *client) {
 		if c.state == clientIdle {
-			c.conn.SetReadDeadline(f.idleUntil())
+			c.conn.SetReadDeadline(f.idleDeadline())
 		}
 	})
 }
 
 // finish has each answer from now on end its connection, and ends the idle ones.
-func (f *front) finish() {
+func (f *frontend) finish() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.closing = true
+	f.finishing = true
 	now := f.loop.now()
-	f.eachIdle(func(c *client) { c.end(now) })
+	f.forEachIdle(func(c *client) { c.beginClose(now) })
 }
 
-func (f *front) finishing() bool {
+func (f *frontend) isFinishing() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.closing
+	return f.finishing
 }
 
-// idleUntil is when a connection that is idle from now on is closed.
-func (f *front) idleUntil() time.Time {
-	d := keepTime
-	if by := f.leaving(); by > 0 {
+// idleDeadline is when a connection that is idle from now on is closed.
+func (f *frontend) idleDeadline() time.Time {
+	d := keepAliveTimeout
+	if by := f.drainDeadline(); by > 0 {
 		d = max(d, env.Duration(by-f.loop.now()))
 	}
-	return f.world.Deadline(d)
+	return f.environment.Deadline(d)
 }
 
 // close ends the listener and all connections at once; what was said is still written.
-func (f *front) close() {
-	f.stop.Open()
+func (f *frontend) close() {
+	f.stopAccepting.Open()
 	f.listener.Close()
 	f.finish()
 	f.mu.Lock()
@@ -337,5 +337,5 @@
 		c.conn.Close()
 	}
 	f.ended.Open()
-	f.tasks.Wait(f.world)
+	f.tasks.Wait(f.environment)
 }
--- a/internal/control/scheduler/heldscene_test.go
+++ b/internal/control/scheduler/heldscene_test.go
@@ -133,9 +133,9 @@
 			g.Open()
 		}
 	}()
-	sc.addr = sc.s.front.listener.Addr().String()
-	sc.until("discovery was heard", sc.s.told.Opened)
-	sc.until("ready", sc.s.front.ready.Opened)
+	sc.addr = sc.s.frontend.listener.Addr().String()
+	sc.until("discovery was heard", sc.s.listReceived.Opened)
+	sc.until("ready", sc.s.frontend.ready.Opened)
 	f(sc, h)
 }
 
--- a/internal/control/scheduler/list_test.go
+++ b/internal/control/scheduler/list_test.go
@@ -14,10 +14,10 @@
 func TestWrongEntriesOfAList(t *testing.T) {
 	right := entry("b", "x:2", stateActive, 1)
 	for name, tt := range map[string]struct {
-		entries  []string
-		want     string // states of a and b
-		faults   int
-		doubtful bool
+		entries   []string
+		want      string // states of a and b
+		faults    int
+		malformed bool
 	}{
 		"all right":               {[]string{entry("a", "x:1", stateActive, 0), right}, "active active", 0, false},
 		"no name":                 {[]string{entry("", "x:1", stateActive, 0), right}, " active", 1, true},
@@ -28,25 +28,25 @@
 		"active, then left":       {[]string{entry("a", "x:1", stateActive, 0), entry("a", "x:1", stateLeft, 0), right}, "left active", 1, false},
 		"three times, one leaves": {[]string{entry("a", "x:1", stateActive, 0), entry("a", "x:1", stateLeaving, 0), entry("a", "x:1", stateActive, 0), right}, "leaving active", 2, false},
 	} {
-		l, err := parseList([]byte(listOf(3, tt.entries...)))
+		l, err := parseServerList([]byte(listOf(3, tt.entries...)))
 		state := map[string]string{}
-		for _, e := range l.Hosts {
+		for _, e := range l.Entries {
 			if _, twice := state[e.Host]; twice || e.Host == "" {
-				t.Errorf("%s: %+v", name, l.Hosts)
+				t.Errorf("%s: %+v", name, l.Entries)
 			}
 			state[e.Host] = e.Health
 		}
-		if got := state["a"] + " " + state["b"]; err != nil || got != tt.want || len(l.faults) != tt.faults || l.doubtful != tt.doubtful {
-			t.Errorf("%s: %q, %+v, doubtful %v, %v", name, got, l.faults, l.doubtful, err)
+		if got := state["a"] + " " + state["b"]; err != nil || got != tt.want || len(l.faults) != tt.faults || l.malformed != tt.malformed {
+			t.Errorf("%s: %q, %+v, doubtful %v, %v", name, got, l.faults, l.malformed, err)
 		}
 	}
 }
 
 // Of a server that is named twice at another address the later entry counts.
 func TestTheLaterOfTwoEntriesCounts(t *testing.T) {
-	l, err := parseList([]byte(listOf(3, entry("a", "x:1", stateActive, 0), entry("a", "x:2", stateActive, 0))))
-	if err != nil || len(l.Hosts) != 1 || l.Hosts[0].Dial != "x:2" {
-		t.Errorf("%+v, %v", l.Hosts, err)
+	l, err := parseServerList([]byte(listOf(3, entry("a", "x:1", stateActive, 0), entry("a", "x:2", stateActive, 0))))
+	if err != nil || len(l.Entries) != 1 || l.Entries[0].Address != "x:2" {
+		t.Errorf("%+v, %v", l.Entries, err)
 	}
 }
 
@@ -56,7 +56,7 @@
 	logged, lines := observer.New(zap.InfoLevel)
 	k.log = newEventLog(zap.New(logged))
 	stamped := fmt.Sprintf(`{"host":"s3","dial":"x:5","block":0,"health":"active","born_ms":%d}`, k.born+epoch+3_600_000)
-	l, err := parseList([]byte(listOf(2, entry("s0", "x:1", stateActive, 0), entry("s0", "x:1", stateActive, 0),
+	l, err := parseServerList([]byte(listOf(2, entry("s0", "x:1", stateActive, 0), entry("s0", "x:1", stateActive, 0),
 		entry("s1", "x:2", "resting", 1), entry("s2", "x:4", stateActive, 1_000_000), entry("s4", "x:6", stateActive, -3), stamped)))
 	if err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 // A number of shards that cannot be one is not known: the list's shards are served, and what
 // a client can have kept in memory stays bounded.
 func TestNumbersOfShards(t *testing.T) {
-	for number, named := range map[int]int{-1: 0, 0: 0, 1: 1, mostShards: mostShards, mostShards + 1: 0, 1_000_000: 0} {
+	for number, named := range map[int]int{-1: 0, 0: 0, 1: 1, maxShards: maxShards, maxShards + 1: 0, 1_000_000: 0} {
 		raw := strings.Replace(testConfig("a:1", "b:1", listOf(1, entry("s0", "x:1", stateActive, 0))), `"slots_total":2`, fmt.Sprintf(`"slots_total":%d`, number), 1)
 		c, err := ParseConfig([]byte(raw), func(string) string { return "" })
 		if err != nil {
@@ -99,11 +99,11 @@
 		if c.Settings.Shards != named || (len(c.Ignored) > 0) != (named == 0) {
 			t.Errorf("%d: %d, %v", number, c.Settings.Shards, c.Ignored)
 		}
-		bound := mostShards
+		bound := maxShards
 		if named > 0 {
 			bound = named
 		}
-		if got := newChecker(&c.Settings).shards; got != bound {
+		if got := newRequestParser(&c.Settings).shardCount; got != bound {
 			t.Errorf("%d: requests may name %d shards", number, got)
 		}
 		p := &played{sent: map[*attempt]bool{}, answers: map[string]int{}}
@@ -118,7 +118,7 @@
 // A server whose shard comes with other settings is served from then on.
 func TestAReloadNamesMoreShards(t *testing.T) {
 	k, p := coreFor(t)
-	k.list(epoch+1, List{Seq: 2, Hosts: []Entry{{Host: "s9", Dial: "x:9", Block: 9, Health: stateActive}}}, false)
+	k.list(epoch+1, ServerList{Seq: 2, Entries: []ServerEntry{{Host: "s9", Address: "x:9", ShardIndex: 9, Health: stateActive}}}, false)
 	ask := func(id string) {
 		c := p.call(k, id, "card-read", k.now, 400)
 		c.req.Shard = 9
--- a/internal/control/scheduler/listsize_test.go
+++ b/internal/control/scheduler/listsize_test.go
@@ -8,10 +8,10 @@
 	"merlinhitch/policy"
 )
 
-func listOfSize(n int, health string) List {
-	l := List{Seq: 1, Whole: true}
+func listOfSize(n int, health string) ServerList {
+	l := ServerList{Seq: 1, Full: true}
 	for i := range n {
-		l.Hosts = append(l.Hosts, Entry{Host: fmt.Sprintf("s-%08x", i*2654435761%(1<<32)), Dial: fmt.Sprintf("10.1.%d.%d:5000", i/250, i%250), Site: "hall-a", Block: i, Health: health, Share: 1, BornMS: 1764691200000})
+		l.Entries = append(l.Entries, ServerEntry{Host: fmt.Sprintf("s-%08x", i*2654435761%(1<<32)), Address: fmt.Sprintf("10.1.%d.%d:5000", i/250, i%250), Site: "hall-a", ShardIndex: i, Health: health, Share: 1, StartedMS: 1764691200000})
 	}
 	return l
 }
@@ -27,17 +27,17 @@
 	b.Run("read", func(b *testing.B) {
 		b.SetBytes(int64(len(raw)))
 		for b.Loop() {
-			var m messages
+			var m objectReader
 			for rest := raw; ; {
 				n, what, err := m.next(rest)
 				if err != nil {
 					b.Fatal(err)
 				}
-				if rest = rest[n:]; what == gotMessage {
+				if rest = rest[n:]; what == itemObject {
 					break
 				}
 			}
-			if _, err := parseList(m.take()); err != nil {
+			if _, err := parseServerList(m.bytes()); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -66,15 +66,15 @@
 	if n := len(spy.nodes); n != 0 {
 		t.Errorf("%d of the same list again", n)
 	}
-	drained := l.Hosts[7]
+	drained := l.Entries[7]
 	drained.Health = "leaving"
-	k.list(k.now, List{Seq: 2, Hosts: []Entry{drained, l.Hosts[7], l.Hosts[8]}}, false)
+	k.list(k.now, ServerList{Seq: 2, Entries: []ServerEntry{drained, l.Entries[7], l.Entries[8]}}, false)
 	if n := len(spy.nodes); n != 2 || spy.nodes[0].Health != policy.Draining || spy.nodes[1].Health != policy.Ready {
 		t.Error(spy.nodes)
 	}
-	short := List{Seq: 3, Whole: true, Hosts: append([]Entry{l.Hosts[0]}, l.Hosts[:39]...)}
+	short := ServerList{Seq: 3, Full: true, Entries: append([]ServerEntry{l.Entries[0]}, l.Entries[:39]...)}
 	k.list(k.now, short, false)
-	if n := len(spy.nodes); n != 1 || spy.nodes[0].Addr != l.Hosts[39].Host || spy.nodes[0].Health != policy.Removed {
+	if n := len(spy.nodes); n != 1 || spy.nodes[0].Addr != l.Entries[39].Host || spy.nodes[0].Health != policy.Removed {
 		t.Error(spy.nodes)
 	}
 	if len(k.hosts) != 39 {
@@ -101,17 +101,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m messages
+	var m objectReader
 	for rest := raw; len(rest) > 0; {
 		n, what, err := m.next(rest)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if rest = rest[n:]; what == gotMessage {
+		if rest = rest[n:]; what == itemObject {
 			break
 		}
 	}
-	if l, err := parseList(m.take()); err != nil || len(l.Hosts) != 3200 {
-		t.Errorf("%d bytes: %d entries, %v", len(raw), len(l.Hosts), err)
+	if l, err := parseServerList(m.bytes()); err != nil || len(l.Entries) != 3200 {
+		t.Errorf("%d bytes: %d entries, %v", len(raw), len(l.Entries), err)
 	}
 }
--- a/internal/control/scheduler/messages.go
+++ b/internal/control/scheduler/messages.go
@@ -6,52 +6,52 @@
 	"merlinhitch/internal/protocol/http1"
 )
 
-// messages cuts a stream of JSON objects into one after the other. Discovery sends one a
+// objectReader cuts a stream of JSON objects into one after the other. Discovery sends one a
 // line and an empty line as a sign of life; an object may be indented, and then stands on
 // several lines.
-type messages struct {
-	held   []byte // of an object, from its first byte on
-	depth  int    // of the brackets that are open
-	quoted bool   // within a string,
-	escape bool   // behind a backslash in it
+type objectReader struct {
+	object   []byte // of an object, from its first byte on
+	nesting  int    // of the brackets that are open
+	inString bool   // within a string,
+	escaped  bool   // behind a backslash in it
 }
 
-// got is what a part of a stream brought.
-type got int
+// streamItem is what a part of a stream brought.
+type streamItem int
 
 const (
-	gotPart    got = iota // nothing that is whole
-	gotLine               // the end of a line between objects
-	gotMessage            // a whole object, to be taken
+	itemPartial streamItem = iota // nothing that is whole
+	itemNewline                   // the end of a line between objects
+	itemObject                    // a whole object, to be taken
 )
 
-var errNoObject = &unreadable{errors.New("no JSON object")}
+var errNotObject = &unreadableError{errors.New("no JSON object")}
 
 // next reads on in b up to the next thing that is whole; it tells how many bytes it took.
-func (m *messages) next(b []byte) (int, got, error) {
+func (m *objectReader) next(b []byte) (int, streamItem, error) {
 	for i, c := range b {
 		switch {
-		case m.depth > 0:
-			if m.held = append(m.held, c); len(m.held) > mostMessage {
-				return 0, gotPart, &unreadable{&http1.Error{Kind: http1.TooLarge, Part: "message"}}
+		case m.nesting > 0:
+			if m.object = append(m.object, c); len(m.object) > maxMessageBytes {
+				return 0, itemPartial, &unreadableError{&http1.Error{Kind: http1.TooLarge, Part: "message"}}
 			}
-			if m.inside(c); m.depth == 0 {
-				return i + 1, gotMessage, nil
+			if m.scanByte(c); m.nesting == 0 {
+				return i + 1, itemObject, nil
 			}
 		case c == '{':
-			m.held, m.depth = append(m.held[:0], c), 1
+			m.object, m.nesting = append(m.object[:0], c), 1
 		case c == '\n':
-			return i + 1, gotLine, nil
+			return i + 1, itemNewline, nil
 		case c != ' ' && c != '\t' && c != '\r':
-			return 0, gotPart, errNoObject
+			return 0, itemPartial, errNotObject
 		}
 	}
-	return len(b), gotPart, nil
+	return len(b), itemPartial, nil
 }
 
-// read has do called for each thing in a stream, until it wants no more or the stream ends;
+// forEach has do called for each thing in a stream, until it wants no more or the stream ends;
 // then the error says how.
-func (m *messages) read(s *http1.Stream, do func(what got) (more bool, err error)) error {
+func (m *objectReader) forEach(s *http1.Stream, do func(what streamItem) (more bool, err error)) error {
 	for {
 		b, err := s.Next()
 		if err != nil {
@@ -70,20 +70,20 @@
 	}
 }
 
-func (m *messages) inside(c byte) {
+func (m *objectReader) scanByte(c byte) {
 	switch {
-	case m.escape:
-		m.escape = false
-	case m.quoted:
-		m.escape, m.quoted = c == '\\', c != '"'
+	case m.escaped:
+		m.escaped = false
+	case m.inString:
+		m.escaped, m.inString = c == '\\', c != '"'
 	case c == '"':
-		m.quoted = true
+		m.inString = true
 	case c == '{' || c == '[':
-		m.depth++
+		m.nesting++
 	case c == '}' || c == ']':
-		m.depth--
+		m.nesting--
 	}
 }
 
-// take returns the object that is whole, valid until the next call of next.
-func (m *messages) take() []byte { return m.held }
+// bytes returns the object that is whole, valid until the next call of next.
+func (m *objectReader) bytes() []byte { return m.object }
--- a/internal/control/scheduler/notices.go
+++ b/internal/control/scheduler/notices.go
@@ -17,17 +17,17 @@
 }
 
 // take notes a list, or what changed.
-func (n *notices) take(l List) {
+func (n *notices) take(l ServerList) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if l.Whole || n.of == nil {
-		n.of = make(map[string]notice, len(l.Hosts))
+	if l.Full || n.of == nil {
+		n.of = make(map[string]notice, len(l.Entries))
 	}
-	for _, e := range l.Hosts {
+	for _, e := range l.Entries {
 		if e.Health == stateLeft {
 			delete(n.of, e.Host)
 		} else {
-			n.of[e.Host] = notice{e.Health == stateActive, e.BornMS}
+			n.of[e.Host] = notice{e.Health == stateActive, e.StartedMS}
 		}
 	}
 }
--- a/internal/control/scheduler/outcome_test.go
+++ b/internal/control/scheduler/outcome_test.go
@@ -117,8 +117,8 @@
 		}
 		var within time.Duration
 		sc.on(func() { within = sc.s.back.dialIn })
-		if within != 400*time.Millisecond || sc.s.front.bytes.Load() != 4<<20 {
-			t.Errorf("dials within %s, %d bytes of bodies", within, sc.s.front.bytes.Load())
+		if within != 400*time.Millisecond || sc.s.frontend.byteLimit.Load() != 4<<20 {
+			t.Errorf("dials within %s, %d bytes of bodies", within, sc.s.frontend.byteLimit.Load())
 		}
 		from := time.Now()
 		sc.s.Drain()
--- a/internal/control/scheduler/permit_test.go
+++ b/internal/control/scheduler/permit_test.go
@@ -18,22 +18,28 @@
 // An attempt that the loop let begin is looked at once more when its first byte is to go:
 // its process may have been held up in between.
 func TestPermitAtTheFirstByte(t *testing.T) {
-	two := List{Seq: 1, Whole: true, Hosts: []Entry{{Host: "s0", Health: "active", BornMS: 7}, {Host: "s1", Health: "active"}}}
-	changed := func(e Entry) List { return List{Seq: 2, Hosts: []Entry{e}} }
+	two := ServerList{Seq: 1, Full: true, Entries: []ServerEntry{{Host: "s0", Health: "active", StartedMS: 7}, {Host: "s1", Health: "active"}}}
+	changed := func(e ServerEntry) ServerList { return ServerList{Seq: 2, Entries: []ServerEntry{e}} }
 	for name, tt := range map[string]struct {
 		do   func(b *back, a *attempt)
 		now  float64
 		want bool
 	}{
-		"nothing happened":     {func(*back, *attempt) {}, 100, true},
-		"too late to begin":    {func(*back, *attempt) {}, 151, false},
-		"its time is over":     {func(_ *back, a *attempt) { a.by, a.until = 300, 120 }, 120, false},
-		"its client left":      {func(_ *back, a *attempt) { a.call.over.Store(true) }, 100, false},
-		"drains":               {func(b *back, _ *attempt) { b.notices.take(changed(Entry{Host: "s0", Health: "leaving", BornMS: 7})) }, 100, false},
-		"gone":                 {func(b *back, _ *attempt) { b.notices.take(changed(Entry{Host: "s0", Health: "left", BornMS: 7})) }, 100, false},
-		"started anew":         {func(b *back, _ *attempt) { b.notices.take(changed(Entry{Host: "s0", Health: "active", BornMS: 9})) }, 100, false},
-		"another one drains":   {func(b *back, _ *attempt) { b.notices.take(changed(Entry{Host: "s1", Health: "leaving"})) }, 100, true},
-		"not on a whole list":  {func(b *back, _ *attempt) { b.notices.take(List{Seq: 3, Whole: true, Hosts: two.Hosts[1:]}) }, 100, false},
+		"nothing happened":  {func(*back, *attempt) {}, 100, true},
+		"too late to begin": {func(*back, *attempt) {}, 151, false},
+		"its time is over":  {func(_ *back, a *attempt) { a.by, a.until = 300, 120 }, 120, false},
+		"its client left":   {func(_ *back, a *attempt) { a.call.over.Store(true) }, 100, false},
+		"drains": {func(b *back, _ *attempt) {
+			b.notices.take(changed(ServerEntry{Host: "s0", Health: "leaving", StartedMS: 7}))
+		}, 100, false},
+		"gone": {func(b *back, _ *attempt) {
+			b.notices.take(changed(ServerEntry{Host: "s0", Health: "left", StartedMS: 7}))
+		}, 100, false},
+		"started anew": {func(b *back, _ *attempt) {
+			b.notices.take(changed(ServerEntry{Host: "s0", Health: "active", StartedMS: 9}))
+		}, 100, false},
+		"another one drains":   {func(b *back, _ *attempt) { b.notices.take(changed(ServerEntry{Host: "s1", Health: "leaving"})) }, 100, true},
+		"not on a whole list":  {func(b *back, _ *attempt) { b.notices.take(ServerList{Seq: 3, Full: true, Entries: two.Entries[1:]}) }, 100, false},
 		"on a whole list anew": {func(b *back, _ *attempt) { b.notices.take(two) }, 100, true},
 	} {
 		b := &back{}
@@ -272,13 +278,13 @@
 		p := sc.connect()
 		fmt.Fprint(p.conn, strings.Replace(sc.get(), "0.480", "30", 1))
 		env.Wait(sc.w, 10*time.Millisecond, nil)
-		grace := graceOf(&Config{Settings: policy.Settings{Classes: []policy.Class{{Deadline: longestCounted}}}})
+		grace := gracePeriod(&Config{Settings: policy.Settings{Classes: []policy.Class{{Deadline: maxCountedDeadlineMS}}}})
 		sc.w.Go(sc.s.Drain)
-		env.Wait(sc.w, env.Duration(grace-drainMargin-5), nil)
+		env.Wait(sc.w, env.Duration(grace-answerLeadMS-5), nil)
 		var gate env.Gate
 		sc.s.loop.post(sc.s.loop.now(), eventReload, func(float64) { gate.Wait(sc.w) })
 		sc.w.Go(func() {
-			env.Wait(sc.w, env.Duration(drainMargin), nil)
+			env.Wait(sc.w, env.Duration(answerLeadMS), nil)
 			gate.Open()
 		})
 		if got := p.hear(sc.w.Now()); got.status != 503 && got.status != 504 {
--- a/internal/control/scheduler/scene_test.go
+++ b/internal/control/scheduler/scene_test.go
@@ -357,8 +357,8 @@
 		if got := sc.connect().ask(sc.get()); got.status != 200 || got.took > time.Second {
 			t.Error(got)
 		}
-		if n := sc.s.front.open(); n > sc.s.front.most {
-			t.Errorf("%d connections of %d", n, sc.s.front.most)
+		if n := sc.s.frontend.clientCount(); n > sc.s.frontend.maxClients {
+			t.Errorf("%d connections of %d", n, sc.s.frontend.maxClients)
 		}
 	})
 }
@@ -440,7 +440,7 @@
 		env.Wait(sc.w, 5*time.Millisecond, nil)
 		p.conn.Close()
 		env.Wait(sc.w, 200*time.Millisecond, nil)
-		if n := sc.s.front.open(); n != 0 {
+		if n := sc.s.frontend.clientCount(); n != 0 {
 			t.Errorf("%d connections are left", n)
 		}
 		if k := sc.s.core; len(k.calls) != 0 || k.counters.Gone != 1 {
@@ -467,7 +467,7 @@
 func TestFaultsOfTheConfigurationAreNamedByPath(t *testing.T) {
 	good := testConfig("127.0.0.1:5000", "127.0.0.1:8500", listOf(1, entry("s0", "x:1", "active", 0)))
 	env := func(string) string { return "" }
-	if c, err := ParseConfig([]byte(good), env); err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 64 || c.Bounds.DialTimeout != 250 || len(c.Known.Hosts) != 1 {
+	if c, err := ParseConfig([]byte(good), env); err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 64 || c.Bounds.DialTimeout != 250 || len(c.Known.Entries) != 1 {
 		t.Fatalf("%+v %v", c, err)
 	}
 	for path, change := range map[string][2]string{
--- a/internal/control/scheduler/serverbytes_test.go
+++ b/internal/control/scheduler/serverbytes_test.go
@@ -42,7 +42,7 @@
 		}
 	}()
 	sc.list.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entry("s0", l.Addr().String(), "active", 0)))
-	sc.until("the list", sc.core(func(k *core) bool { return k.hosts["s0"].Dial == l.Addr().String() }))
+	sc.until("the list", sc.core(func(k *core) bool { return k.hosts["s0"].Address == l.Addr().String() }))
 	return d
 }
 
--- a/internal/control/scheduler/staleness_test.go
+++ b/internal/control/scheduler/staleness_test.go
@@ -61,8 +61,8 @@
 		if got.status != 200 || got.body != string(body) {
 			t.Error(got.status, len(got.body))
 		}
-		if b := sc.s.back; b.held.Load() != 0 || sc.s.front.queued.Load() != 0 {
-			t.Errorf("%d and %d bytes are still counted", b.held.Load(), sc.s.front.queued.Load())
+		if b := sc.s.back; b.held.Load() != 0 || sc.s.frontend.answerBytes.Load() != 0 {
+			t.Errorf("%d and %d bytes are still counted", b.held.Load(), sc.s.frontend.answerBytes.Load())
 		}
 	})
 }
