--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -127,16 +127,16 @@
 	if !slowStart {
 		return true
 	}
-	if rest := p.born + p.fallSpan(); n.coldSince < p.born && p.now < rest { // this host may have been restarted
+	if rest := p.born + p.coldWindow(); n.coldSince < p.born && p.now < rest { // this host may have been restarted
 		p.setTimer(rest, nil, sh)
 		return false
 	}
-	recentSends, units := n.recentSends.since(p.now - p.fallSpan())
+	recentSends, units := n.recentSends.since(p.now - p.coldWindow())
 	if units+r.Units <= budget {
 		return true
 	}
 	if recentSends > 0 {
-		p.setTimer(n.recentSends.oldest()+p.fallSpan()+p.s.Tick, nil, sh)
+		p.setTimer(n.recentSends.oldest()+p.coldWindow()+p.s.Tick, nil, sh)
 		return false
 	}
 	return r.attempts == 0 && p.inTopFraction(r, part)
@@ -150,7 +150,7 @@
 		p.resends.add(p.now, 1)
 	}
 	n.recentSends.add(p.now, r.Units)
-	n.recentSends.since(p.now - p.fallSpan())
+	n.recentSends.since(p.now - p.coldWindow())
 	r.attempts++
 	r.out++
 	r.sentAt, r.sentTo, r.sentCold, r.givenUp = p.now, n, n.coldSince, false
--- a/policy/health.go
+++ b/policy/health.go
@@ -10,13 +10,13 @@
 // expectedServiceTime is the service time to expect at sh: no less than what the oldest
 // attempt out there has already taken, so a pause or a dead node shows at once.
 func (p *scheduler) expectedServiceTime(sh *shard) float64 {
-	s := p.meanServiceTime(sh)
+	expected := p.meanServiceTime(sh)
 	for _, r := range sh.out {
 		if r.sentAt >= sh.passed { // what later ones have overtaken is stuck by itself
-			s = max(s, (p.now-r.sentAt)/2)
+			expected = max(expected, (p.now-r.sentAt)/2)
 		}
 	}
-	return s
+	return expected
 }
 
 // meanServiceTime is the mean service time at sh. A host that meets a node once in seconds
@@ -72,17 +72,17 @@
 // that holds too much works slower and slower: if each of many hosts tried once a
 // second it would never drain, so before one that is full or does not answer the
 // time grows with the hosts. It harms where only this host met a lone long pause.
-func (p *scheduler) backOff(n *node, times float64) {
-	n.backoff = min(max(2*n.backoff, retryPause*times), maxPause*times)
+func (p *scheduler) backOff(n *node, scale float64) {
+	n.backoff = min(max(2*n.backoff, retryPause*scale), maxPause*scale)
 	n.backoffEnd = p.now + n.backoff
 }
 
 func (p *scheduler) backoffScale() float64 { return max(float64(p.s.Hosts)/fewDepth, 1) }
 
-func (p *scheduler) addServiceTime(sh *shard, took float64) {
-	took = min(took, stuckAims*p.tightest()) // one bad node must not stand for all
-	sh.got.add(took)
-	p.pool = append(p.pool[max(len(p.pool)-poolMost, 0):], serviceSample{p.now, took})
+func (p *scheduler) addServiceTime(sh *shard, elapsed float64) {
+	elapsed = min(elapsed, stuckAims*p.tightest()) // one bad node must not stand for all
+	sh.got.add(elapsed)
+	p.pool = append(p.pool[max(len(p.pool)-poolMost, 0):], serviceSample{p.now, elapsed})
 }
 
 type node struct {
@@ -109,18 +109,18 @@
 }
 
 // serviceSample is a time that an attempt took.
-type serviceSample struct{ at, elapsed float64 }
+type serviceSample struct{ recordedAt, elapsed float64 }
 
-func medianServiceTime(as []serviceSample, none float64) float64 {
-	if len(as) == 0 {
-		return none
+func medianServiceTime(samples []serviceSample, fallback float64) float64 {
+	if len(samples) == 0 {
+		return fallback
 	}
-	t := make([]float64, len(as))
-	for i, a := range as {
-		t[i] = a.elapsed
+	times := make([]float64, len(samples))
+	for i, a := range samples {
+		times[i] = a.elapsed
 	}
-	slices.Sort(t)
-	return t[len(t)/2]
+	slices.Sort(times)
+	return times[len(times)/2]
 }
 
 // newNode is a node's record before the list's entry is taken in.
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -19,8 +19,8 @@
 }
 
 // updateNodes keeps what is said of nodes and has the shards that it concerns act on it.
-func (p *scheduler) updateNodes(nodes []Node) {
-	for _, e := range nodes {
+func (p *scheduler) updateNodes(entries []Node) {
+	for _, e := range entries {
 		p.updateNode(e)
 	}
 	slices.SortFunc(p.listed, func(a, b *shard) int { return cmp.Compare(a.id, b.id) })
@@ -38,13 +38,13 @@
 
 // removeUnlisted excludes the nodes that a full list leaves out.
 func (p *scheduler) removeUnlisted(entries []Node) {
-	named := make(map[string]bool, len(entries))
+	listed := make(map[string]bool, len(entries))
 	for _, e := range entries {
-		named[e.Addr] = true
+		listed[e.Addr] = true
 	}
 	for addr, n := range p.nodes {
 		p.visits++
-		if !named[addr] {
+		if !listed[addr] {
 			p.exclude(n)
 			n.Health = Removed // its record stays, as its answers may come still
 		}
@@ -53,36 +53,36 @@
 
 // updateNode keeps what the list says of a node. What is gone is forgotten; attempts that are
 // out there keep its record.
-func (p *scheduler) updateNode(e Node) {
+func (p *scheduler) updateNode(entry Node) {
 	p.visits++
-	n := p.nodes[e.Addr]
+	n := p.nodes[entry.Addr]
 	if n == nil {
-		if e.Health == Removed {
+		if entry.Health == Removed {
 			return
 		}
-		n = newNode(e)
-		p.nodes[e.Addr] = n
-	} else if n.Node == e && n.excluded == !p.eligible(e) {
+		n = newNode(entry)
+		p.nodes[entry.Addr] = n
+	} else if n.Node == entry && n.excluded == !p.eligible(entry) {
 		return
 	}
-	if e.Started > 0 && e.Started != n.Started {
-		n.coldSince = max(n.coldSince, e.Started)
+	if entry.Started > 0 && entry.Started != n.Started {
+		n.coldSince = max(n.coldSince, entry.Started)
 	}
 	p.exclude(n)
-	if e.Health == Removed {
-		delete(p.nodes, e.Addr)
+	if entry.Health == Removed {
+		delete(p.nodes, entry.Addr)
 		n.Health = Removed
 		return
 	}
-	n.Node = e
-	if p.eligible(e) {
+	n.Node = entry
+	if p.eligible(entry) {
 		p.include(n)
 	}
 }
 
 // eligible tells whether a node may be sent to: it is ready, and holds a shard that there is.
-func (p *scheduler) eligible(e Node) bool {
-	return e.Health == Ready && e.Shard >= 0 && (p.s.Shards <= 0 || e.Shard < p.s.Shards)
+func (p *scheduler) eligible(entry Node) bool {
+	return entry.Health == Ready && entry.Shard >= 0 && (p.s.Shards <= 0 || entry.Shard < p.s.Shards)
 }
 
 // reapplyNodes looks at all nodes again, in an order of its own, once the settings name another
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -15,10 +15,10 @@
 		return p.shard(id)
 	}
 	p.reinsertIdle()
-	best, low := p.index.idle.peek()
+	best, lowest := p.index.idle.peek()
 	for _, sh := range p.index.touched {
-		if cost, ok := p.placementCost(sh); ok && (best == nil || cost < low || cost == low && sh.id < best.id) {
-			best, low = sh, cost
+		if cost, ok := p.placementCost(sh); ok && (best == nil || cost < lowest || cost == lowest && sh.id < best.id) {
+			best, lowest = sh, cost
 		}
 	}
 	if best == nil {
@@ -35,11 +35,11 @@
 		return 0, false
 	}
 	// What a cold or busy node may take is for what must go there.
-	ahead := float64(sh.waiting + len(sh.out))
-	cost := (p.waitFor(sh, ahead) + p.expectedServiceTime(sh)) / max(min(p.part(sh), 1), minPart)
+	queued := float64(sh.waiting + len(sh.out))
+	cost := (p.waitFor(sh, queued) + p.expectedServiceTime(sh)) / max(min(p.part(sh), 1), minPart)
 	// Quick errors leave a node's queue empty: what it fails would else come there first.
-	well := 1 - sh.node.errorFraction(p.now)
-	return cost / (well * well), true
+	successFraction := 1 - sh.node.errorFraction(p.now)
+	return cost / (successFraction * successFraction), true
 }
 
 // shardIndex finds the shard of least cost without a walk over all of them. A shard where
@@ -60,10 +60,10 @@
 
 // reinsertIdle takes the touched shards that are quiet again back by their costs.
 func (p *scheduler) reinsertIdle() {
-	x := &p.index
-	busy := x.touched[:0]
-	for _, sh := range x.touched {
-		x.idle.remove(sh)
+	idx := &p.index
+	busy := idx.touched[:0]
+	for _, sh := range idx.touched {
+		idx.idle.remove(sh)
 		if sh.busy() {
 			busy = append(busy, sh)
 			continue
@@ -71,28 +71,28 @@
 		sh.touched = false
 		if cost, ok := p.placementCost(sh); ok {
 			sh.cost = cost
-			heap.Push(&x.idle, sh)
+			heap.Push(&idx.idle, sh)
 		}
 	}
-	clear(x.touched[len(busy):])
-	x.touched = busy
+	clear(idx.touched[len(busy):])
+	idx.touched = busy
 }
 
 // rebuildIndex reckons all costs anew.
 func (p *scheduler) rebuildIndex() {
-	x := &p.index
-	clear(x.touched)
-	x.touched, x.idle = x.touched[:0], x.idle[:0]
+	idx := &p.index
+	clear(idx.touched)
+	idx.touched, idx.idle = idx.touched[:0], idx.idle[:0]
 	for _, sh := range p.shards {
 		sh.touched, sh.slot = false, 0
 		if sh.busy() {
 			p.markTouched(sh)
 		} else if cost, ok := p.placementCost(sh); ok {
 			sh.cost = cost
-			x.idle.Push(sh)
+			idx.idle.Push(sh)
 		}
 	}
-	heap.Init(&x.idle)
+	heap.Init(&idx.idle)
 }
 
 func (sh *shard) busy() bool { return sh.waiting+len(sh.out) > 0 }
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -43,7 +43,7 @@
 		p.pumpWaiting(sh)
 	}
 	p.rebuildIndex()
-	p.pool = slices.DeleteFunc(p.pool, func(a serviceSample) bool { return p.now-a.at > poolSpan })
+	p.pool = slices.DeleteFunc(p.pool, func(a serviceSample) bool { return p.now-a.recordedAt > poolSpan })
 	p.shares.step()
 	p.dropIdle(idleVolume)
 }
--- a/policy/shares.go
+++ b/policy/shares.go
@@ -8,82 +8,82 @@
 // step is one sample: fit, optimize, control.
 func (g *shareRegulator) step() {
 	n := len(g.share)
-	total, units := 0.0, 0.0
+	totalAnswers, units := 0.0, 0.0
 	for i := range n {
-		total += g.answers[i]
+		totalAnswers += g.answers[i]
 		units += g.units[i]
 	}
 	defer g.clear()
-	if total < minSample || n < 2 || units <= 0 {
+	if totalAnswers < minSample || n < 2 || units <= 0 {
 		return
 	}
 	for i := range n {
 		if g.answers[i] == 0 {
 			continue
 		}
-		thr, inv := g.units[i]/units, min(g.targetSum[i]/max(g.latencySum[i], 1), 2)
-		for k, output := range map[int]float64{i: thr, n + i: inv} {
+		throughput, inverseLatency := g.units[i]/units, min(g.targetSum[i]/max(g.latencySum[i], 1), 2)
+		for k, output := range map[int]float64{i: throughput, n + i: inverseLatency} {
 			g.models[k].update(g.regressors(k, g.share), output)
 			g.models[k].theta[1+i] = max(g.models[k].theta[1+i], minGain)
 			g.output[k] = output
 		}
 	}
-	g.applyControl(g.optimalOutputs(min(total, shareSteps)))
+	g.applyControl(g.optimalOutputs(min(totalAnswers, shareSteps)))
 }
 
 // flowUtility is worth got: throughput up to what was asked, by the part of its
 // answers inside the aim, at the plan's mean worth.
-func (g *shareRegulator) flowUtility(i int, u []float64) float64 {
+func (g *shareRegulator) flowUtility(i int, share []float64) float64 {
 	if g.answers[i] == 0 {
 		return 0
 	}
-	return g.valueSum[i] / g.units[i] * g.predict(i, u) * min(g.predict(len(u)+i, u), 1)
+	return g.valueSum[i] / g.units[i] * g.predict(i, share) * min(g.predict(len(share)+i, share), 1)
 }
 
 // optimalOutputs is the greedy optimizer of the paper's figure 4.
 func (g *shareRegulator) optimalOutputs(total float64) []float64 {
 	n := len(g.share)
-	share, cur := make([]float64, n), make([]float64, n)
-	for left := int(total); left > 0; {
-		pick, step, gain := 0, 1, math.Inf(-1)
+	share, utility := make([]float64, n), make([]float64, n)
+	for remaining := int(total); remaining > 0; {
+		best, increment, bestGain := 0, 1, math.Inf(-1)
 		for i := range n {
-			d, got := left, 0.0 // what nobody asked of gains nothing by any share
+			size, candidate := remaining, 0.0 // what nobody asked of gains nothing by any share
 			if g.answers[i] > 0 {
-				d, got = 1, g.utilityWith(i, share, 1/total)
+				size, candidate = 1, g.utilityWith(i, share, 1/total)
 			}
-			for got <= cur[i] && d < left {
-				d++
-				got = g.utilityWith(i, share, float64(d)/total)
+			for candidate <= utility[i] && size < remaining {
+				size++
+				candidate = g.utilityWith(i, share, float64(size)/total)
 			}
-			if v := (got - cur[i]) / float64(d); v > gain {
-				pick, step, gain = i, d, v
+			if gain := (candidate - utility[i]) / float64(size); gain > bestGain {
+				best, increment, bestGain = i, size, gain
 			}
 		}
-		share[pick] += float64(step) / total
-		cur[pick] = g.utilityWith(pick, share, 0)
-		left -= step
+		share[best] += float64(increment) / total
+		utility[best] = g.utilityWith(best, share, 0)
+		remaining -= increment
 	}
-	ref := make([]float64, 2*n)
-	for i := range ref {
-		ref[i] = g.predict(i, share)
+	reference := make([]float64, 2*n)
+	for i := range reference {
+		reference[i] = g.predict(i, share)
 	}
-	return ref
+	return reference
 }
 
 // applyControl minimises |W(y-yref)|^2 + |Q du|^2 over the next shares.
-func (g *shareRegulator) applyControl(ref []float64) {
-	b, miss := g.weightedSystem(ref, latencyW)
-	du := controlStep(b, miss, shareQ)
-	if du == nil {
+func (g *shareRegulator) applyControl(reference []float64) {
+	gains, deviation := g.weightedSystem(reference, latencyW)
+	change := controlStep(gains, deviation, shareQ)
+	if change == nil {
 		return
 	}
-	sum := 0.0
+	shareSum := 0.0
 	for k := range g.share {
-		g.share[k] = max(g.share[k]+du[k], minShare)
-		sum += g.share[k]
+		g.share[k] = max(g.share[k]+change[k], minShare)
+		shareSum += g.share[k]
 	}
 	for k := range g.share {
-		g.share[k] = max(g.share[k]/sum, minShare/float64(len(g.share)))
+		g.share[k] = max(g.share[k]/shareSum, minShare/float64(len(g.share)))
 	}
 }
 
@@ -103,12 +103,12 @@
 
 func (g *shareRegulator) init(plans []Plan) {
 	n := len(plans)
-	sum := 0.0
-	for _, pl := range plans {
-		sum += max(pl.Weight, minShare)
+	weightSum := 0.0
+	for _, plan := range plans {
+		weightSum += max(plan.Weight, minShare)
 	}
-	for _, pl := range plans {
-		g.share = append(g.share, max(pl.Weight, minShare)/sum)
+	for _, plan := range plans {
+		g.share = append(g.share, max(plan.Weight, minShare)/weightSum)
 	}
 	g.output = make([]float64, 2*n)
 	for i := range 2 * n {
@@ -139,21 +139,21 @@
 }
 
 // meanWait is the mean wait in the queues, at most the aim.
-func (g *shareRegulator) meanWait(aim float64) float64 {
-	return min(g.waitSum/max(g.waitCount, 1), aim)
+func (g *shareRegulator) meanWait(limit float64) float64 {
+	return min(g.waitSum/max(g.waitCount, 1), limit)
 }
 
 // addFlow makes room for one more flow; what was learnt of the others stays.
 func (g *shareRegulator) addFlow(plans []Plan) {
 	n := len(g.share)
-	sum := 0.0
-	for _, pl := range plans {
-		sum += max(pl.Weight, minShare)
+	weightSum := 0.0
+	for _, plan := range plans {
+		weightSum += max(plan.Weight, minShare)
 	}
-	g.share = append(g.share, max(plans[n].Weight, minShare)/sum)
-	rest := 1 - g.share[n]
+	g.share = append(g.share, max(plans[n].Weight, minShare)/weightSum)
+	remainder := 1 - g.share[n]
 	for i := range n {
-		g.share[i] *= rest
+		g.share[i] *= remainder
 	}
 	models, output := g.models, g.output
 	g.models, g.output = nil, make([]float64, 2*n+2)
@@ -178,9 +178,9 @@
 }
 
 // utilityWith is the utility of flow i utilityWith so much more share.
-func (g *shareRegulator) utilityWith(i int, u []float64, more float64) float64 {
-	old := u[i]
-	u[i] += more
-	defer func() { u[i] = old }()
-	return g.flowUtility(i, u)
+func (g *shareRegulator) utilityWith(i int, share []float64, increase float64) float64 {
+	old := share[i]
+	share[i] += increase
+	defer func() { share[i] = old }()
+	return g.flowUtility(i, share)
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -29,22 +29,22 @@
 // what it is asked for which the budget bears of the demand to expect at a node,
 // one request at a time: its own rate over all nodes, for all hosts. Hosts that
 // have more than others to send let a smaller part go, so the sum holds.
-func (p *scheduler) slowStart(n *node) (budget, part float64, yes bool) {
-	age, r := p.now-n.coldSince, p.s.Rules
-	if age >= r.WarmUpTime {
+func (p *scheduler) slowStart(n *node) (budget, fraction float64, warming bool) {
+	age, rules := p.now-n.coldSince, p.s.Rules
+	if age >= rules.WarmUpTime {
 		return 0, 1, false
 	}
-	grown := 1.0
-	if r.ColdCapacity > 0 && r.WarmUpTime > 0 {
-		grown += (1 - r.ColdCapacity) / r.ColdCapacity * max(age-r.OverloadWindow, 0) / r.WarmUpTime
+	growth := 1.0
+	if rules.ColdCapacity > 0 && rules.WarmUpTime > 0 {
+		growth += (1 - rules.ColdCapacity) / rules.ColdCapacity * max(age-rules.OverloadWindow, 0) / rules.WarmUpTime
 	}
-	bears, hosts := r.ColdUnits*grown, float64(p.s.Hosts)
-	demand := p.demandRate() * hosts / float64(max(p.s.Shards, len(p.shards))) * r.OverloadWindow / period
-	return bears / hosts, min(maxColdMean(bears/p.s.MeanUnits)*p.s.MeanUnits/demand, 1), true
+	safeUnits, hosts := rules.ColdUnits*growth, float64(p.s.Hosts)
+	demand := p.demandRate() * hosts / float64(max(p.s.Shards, len(p.shards))) * rules.OverloadWindow / period
+	return safeUnits / hosts, min(maxColdMean(safeUnits/p.s.MeanUnits)*p.s.MeanUnits/demand, 1), true
 }
 
 // shardSlowStart is cold for the node that has the shard.
-func (p *scheduler) shardSlowStart(sh *shard) (budget, part float64, yes bool) {
+func (p *scheduler) shardSlowStart(sh *shard) (budget, fraction float64, warming bool) {
 	if sh.node == nil {
 		return 0, 1, false
 	}
@@ -55,38 +55,38 @@
 // that chance hardly ever takes their sum to where a node that bears n falls: n + 2 root n
 // + 2, below fewCold n + 3 root n + 3. The sum of what many hosts send by chance is spread
 // as Poisson's law has it: by the root of its mean.
-func maxColdMean(n float64) float64 {
-	falls := n + 2*math.Sqrt(n) + 2
-	if n < smallColdLoad {
-		falls = n + 3*math.Sqrt(n) + 3
+func maxColdMean(capacity float64) float64 {
+	overload := capacity + 2*math.Sqrt(capacity) + 2
+	if capacity < smallColdLoad {
+		overload = capacity + 3*math.Sqrt(capacity) + 3
 	}
-	root := (math.Sqrt(coldMarginSigmas*coldMarginSigmas+4*falls) - coldMarginSigmas) / 2
-	return min(root*root, n)
+	sqrtMean := (math.Sqrt(coldMarginSigmas*coldMarginSigmas+4*overload) - coldMarginSigmas) / 2
+	return min(sqrtMean*sqrtMean, capacity)
 }
 
 // inTopFraction tells whether r is of the dearest part of what this host is asked for. Of few
 // requests the cut between them leaves more above it than that part: as much the fewer of
 // those go, by lot.
-func (p *scheduler) inTopFraction(r *request, part float64) bool {
-	if part >= 1 {
+func (p *scheduler) inTopFraction(r *request, fraction float64) bool {
+	if fraction >= 1 {
 		return true
 	}
-	price, above := valueCutoff(p.ranked, part)
-	if part <= 0 || r.rank < price {
+	cutoff, above := valueCutoff(p.ranked, fraction)
+	if fraction <= 0 || r.rank < cutoff {
 		return false
 	}
 	if r.drawn == 0 {
 		r.drawn = 1 - p.rng.Float64()
 	}
-	return r.drawn*above <= part
+	return r.drawn*above <= fraction
 }
 
 // updateOwnRate takes in what was asked since it last did, once a second: the mean since the
 // start until that is long enough ago, and then a fading one.
 func (p *scheduler) updateOwnRate() {
-	span := max(p.now-p.ratedAt, 1)
-	rate := p.asked * period / span
-	p.ownRate += max(rateSmoothing, min(span/max(p.now-p.born, 1), 1)) * (rate - p.ownRate)
+	elapsed := max(p.now-p.ratedAt, 1)
+	rate := p.asked * period / elapsed
+	p.ownRate += max(rateSmoothing, min(elapsed/max(p.now-p.born, 1), 1)) * (rate - p.ownRate)
 	p.asked, p.ratedAt = 0, p.now
 }
 
@@ -95,17 +95,17 @@
 // more is counted than came: of k requests by Poisson's law with the mean m, the mean of
 // 1/(k+1) is below 1/m, while that of 1/k is above, and the part that goes is such a quotient.
 func (p *scheduler) demandRate() float64 {
-	known := min(p.ratedAt-p.born, rateMemory)
-	if known <= 0 {
+	knownSpan := min(p.ratedAt-p.born, rateMemory)
+	if knownSpan <= 0 {
 		return math.Inf(1)
 	}
-	recent := p.recentUnits.value(p.now, burstMemory) * period / burstMemory
-	requests := recent / p.s.MeanUnits
-	chance := math.Sqrt(requests * period / (2 * burstMemory)) // of a fading sum
-	return max(p.ownRate+p.s.MeanUnits*period/known, recent-p.s.MeanUnits*chance)
+	recentRate := p.recentUnits.value(p.now, burstMemory) * period / burstMemory
+	recentRequests := recentRate / p.s.MeanUnits
+	stdDev := math.Sqrt(recentRequests * period / (2 * burstMemory)) // of a fading sum
+	return max(p.ownRate+p.s.MeanUnits*period/knownSpan, recentRate-p.s.MeanUnits*stdDev)
 }
 
-// fallSpan is how long ago an attempt may have been decided that still counts at a cold node.
-func (p *scheduler) fallSpan() float64 {
+// coldWindow is how long ago an attempt may have been decided that still counts at a cold node.
+func (p *scheduler) coldWindow() float64 {
 	return p.s.Rules.OverloadWindow + p.s.Rules.MaxSendDelay + p.s.Tick
 }
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -15,21 +15,21 @@
 		// of it was theirs: count only on what has filled since.
 		v.limitLevel = min(v.limitFloor+v.limitRate*(p.now-max(p.born, q.FractionSince))/1000, v.limitCap)
 	}
-	s := (p.now - v.refilledAt) / 1000
-	v.reserveLevel = min(v.reserveLevel+v.reserveRate*s, v.reserveCap)
-	v.limitLevel = max(v.limitLevel, min(v.limitLevel+v.limitRate*s, v.limitCap-v.pending))
-	v.fairLevel = min(v.fairLevel+v.fairRate*s, v.fairCap)
+	seconds := (p.now - v.refilledAt) / 1000
+	v.reserveLevel = min(v.reserveLevel+v.reserveRate*seconds, v.reserveCap)
+	v.limitLevel = max(v.limitLevel, min(v.limitLevel+v.limitRate*seconds, v.limitCap-v.pending))
+	v.fairLevel = min(v.fairLevel+v.fairRate*seconds, v.fairCap)
 	v.refilledAt, v.lastUsed = p.now, p.now
 	return v
 }
 
 // setBuckets gives a volume this host's part of what its plan has.
-func (p *scheduler) setBuckets(v *volumeBuckets, h float64) {
+func (p *scheduler) setBuckets(v *volumeBuckets, parts float64) {
 	plan := v.plan
-	v.divisor = h
-	v.reserveRate, v.limitRate, v.fairRate = plan.Reserve/h, plan.Limit/h, dueTimes*plan.Rate/h
-	v.reserveCap, v.limitCap = plan.Reserve/h+p.s.MaxUnits, plan.Burst/h
-	v.limitFloor = min(plan.Limit*(bunching+p.s.Rules.MaxSendDelay)/1000-plan.Overdraft, 0) / h
+	v.divisor = parts
+	v.reserveRate, v.limitRate, v.fairRate = plan.Reserve/parts, plan.Limit/parts, dueTimes*plan.Rate/parts
+	v.reserveCap, v.limitCap = plan.Reserve/parts+p.s.MaxUnits, plan.Burst/parts
+	v.limitFloor = min(plan.Limit*(bunching+p.s.Rules.MaxSendDelay)/1000-plan.Overdraft, 0) / parts
 	v.fairCap = max(v.fairRate*spread, 2*p.s.MaxUnits)
 }
 
@@ -37,29 +37,29 @@
 // old one stays, as far as the new one holds it: what it gains may have been spent
 // elsewhere. Where nothing was limited, nothing is left that was counted. What is pending
 // counts as left, for it may come back, and is taken from what the new part holds.
-func (p *scheduler) resizeBuckets(v *volumeBuckets, plan *Plan, h float64) {
-	left := v.limitLevel + v.pending - v.limitFloor
+func (p *scheduler) resizeBuckets(v *volumeBuckets, plan *Plan, parts float64) {
+	remaining := v.limitLevel + v.pending - v.limitFloor
 	if v.plan.Limit <= 0 {
-		left = 0
+		remaining = 0
 	}
 	v.plan = plan
-	p.setBuckets(v, h)
-	v.limitLevel = v.limitFloor + min(left, v.limitCap-v.limitFloor) - v.pending
+	p.setBuckets(v, parts)
+	v.limitLevel = v.limitFloor + min(remaining, v.limitCap-v.limitFloor) - v.pending
 }
 
 // valueRequest sets what r's units are worth: in full inside the volume's reserve,
 // then inside its weighted share of the node, then as spare.
 func (p *scheduler) valueRequest(r *request) {
 	plan := &p.s.Plans[r.flow]
-	part := p.s.SpareFactor
+	factor := p.s.SpareFactor
 	if plan.Reserve > 0 && r.vol.reserveLevel >= r.Units {
 		r.vol.reserveLevel -= r.Units
-		part = 1
+		factor = 1
 	} else if r.vol.fairLevel >= r.Units || plan.Rate == 0 {
 		r.vol.fairLevel -= r.Units
-		part = p.s.FairFactor
+		factor = p.s.FairFactor
 	}
-	r.value = r.class.Value * plan.Price * part
+	r.value = r.class.Value * plan.Price * factor
 	r.rank = r.value * (1 + worthDither*p.rng.Float64())
 	p.asked += r.Units
 	p.recentUnits.addSome(r.Units, p.now, burstMemory)
@@ -73,8 +73,8 @@
 	}
 	v := p.volumeBuckets(r.Request, r.vol.plan)
 	r.vol = v // it may have been forgotten since, and begun anew
-	if lack := v.limitFloor + r.Units - v.limitLevel; lack > 0 {
-		p.heldAt, v.heldAt = p.now+lack/v.limitRate*1000, p.now
+	if deficit := v.limitFloor + r.Units - v.limitLevel; deficit > 0 {
+		p.heldAt, v.heldAt = p.now+deficit/v.limitRate*1000, p.now
 		p.setTimer(p.heldAt+guard, nil, sh)
 		return false
 	}
@@ -133,11 +133,11 @@
 }
 
 // divisor is of how many equal divisor a host has one.
-func divisor(hosts int, share float64) float64 {
-	if share <= 0 {
-		share = 1
+func divisor(hosts int, fraction float64) float64 {
+	if fraction <= 0 {
+		fraction = 1
 	}
-	return float64(max(hosts, 1)) / share
+	return float64(max(hosts, 1)) / fraction
 }
 
 // updateDivisor gives a volume another part of what its plan has.
