--- a/internal/control/scheduler/ahead.go
+++ b/internal/control/scheduler/ahead.go
@@ -72,8 +72,8 @@
 			now = min(now, a.arrivedAt)
 		}
 		a.bytesRead += int64(n)
-		if k := len(a.marks); k > 0 && now-a.marks[k-1].time < markIntervalMS {
-			a.marks[k-1].offset = a.bytesRead
+		if count := len(a.marks); count > 0 && now-a.marks[count-1].time < markIntervalMS {
+			a.marks[count-1].offset = a.bytesRead
 		} else {
 			a.marks = append(a.marks, arrivalMark{a.bytesRead, now})
 		}
@@ -110,9 +110,9 @@
 	if a.err != nil {
 		return a.err
 	}
-	var b [readAheadChunk]byte
-	n, err := read(b[:])
-	a.buffer = append(a.buffer, b[:n]...)
+	var chunk [readAheadChunk]byte
+	n, err := read(chunk[:])
+	a.buffer = append(a.buffer, chunk[:n]...)
 	a.budget.add(n)
 	a.recordRead(n, err)
 	return err
--- a/internal/control/scheduler/checker.go
+++ b/internal/control/scheduler/checker.go
@@ -19,19 +19,19 @@
 	maxUnits   float64
 }
 
-func newRequestParser(s *policy.Settings) *requestParser {
-	shardCount := s.Shards
+func newRequestParser(settings *policy.Settings) *requestParser {
+	shardCount := settings.Shards
 	if shardCount <= 0 { // not known
 		shardCount = maxShards
 	}
-	k := &requestParser{classes: map[string]policy.Class{}, plans: map[string]bool{}, shardCount: shardCount, maxUnits: s.MaxUnits}
-	for _, c := range s.Classes {
-		k.classes[c.Name] = c
+	parser := &requestParser{classes: map[string]policy.Class{}, plans: map[string]bool{}, shardCount: shardCount, maxUnits: settings.MaxUnits}
+	for _, c := range settings.Classes {
+		parser.classes[c.Name] = c
 	}
-	for _, p := range s.Plans {
-		k.plans[p.Name] = true
+	for _, p := range settings.Plans {
+		parser.plans[p.Name] = true
 	}
-	return k
+	return parser
 }
 
 const (
@@ -42,13 +42,13 @@
 )
 
 // parse makes a call of a request, or says what to answer.
-func (k *requestParser) parse(r *request) (*call, int) {
+func (p *requestParser) parse(r *request) (*call, int) {
 	path, _, _ := strings.Cut(r.Target, "?")
 	parts := strings.Split(path, "/")
 	if len(parts) != 4 {
 		return nil, 404
 	}
-	class, known := k.classes[parts[1]]
+	class, known := p.classes[parts[1]]
 	if !known || !isHex(parts[2]) || !isHex(parts[3]) {
 		return nil, 404
 	}
@@ -56,49 +56,49 @@
 	if !write && r.Method != "GET" {
 		return nil, 405
 	}
-	f := r.Fields
+	fields := r.Fields
 	for _, name := range []string{"request-id", "request-timeout", "x-qos-policy", "x-placement"} {
-		if f.Count(name) != 1 {
+		if fields.Count(name) != 1 {
 			return nil, 400
 		}
 	}
-	c := &call{message: message{method: r.Method, target: r.Target, key: f.Get("idempotency-key"), body: r.body}}
-	q := policy.Request{ID: f.Get("request-id"), Class: class.Name, Plan: f.Get("x-qos-policy"), Volume: parts[2], Key: parts[3],
-		Write: write, Repeat: f.Get("client-retry") == "1"}
-	left, err := strconv.ParseFloat(f.Get("request-timeout"), 64)
+	parsed := &call{message: message{method: r.Method, target: r.Target, key: fields.Get("idempotency-key"), body: r.body}}
+	policyRequest := policy.Request{ID: fields.Get("request-id"), Class: class.Name, Plan: fields.Get("x-qos-policy"), Volume: parts[2], Key: parts[3],
+		Write: write, Repeat: fields.Get("client-retry") == "1"}
+	seconds, err := strconv.ParseFloat(fields.Get("request-timeout"), 64)
 	switch {
-	case err != nil, !(left > 0), left*1000 > maxTimeoutMS,
-		!isRequestID(q.ID), len(c.key) > maxIdempotencyKeyBytes, f.Count("idempotency-key") > 1,
-		class.Effect == policy.Keyed && c.key == "",
+	case err != nil, !(seconds > 0), seconds*1000 > maxTimeoutMS,
+		!isRequestID(policyRequest.ID), len(parsed.key) > maxIdempotencyKeyBytes, fields.Count("idempotency-key") > 1,
+		class.Effect == policy.Keyed && parsed.key == "",
 		!write && len(r.body) > 0,
-		!k.plans[q.Plan], !k.parsePlacement(f.Get("x-placement"), &q):
+		!p.plans[policyRequest.Plan], !p.parsePlacement(fields.Get("x-placement"), &policyRequest):
 		return nil, 400
 	}
-	q.Expires = r.receivedAt + left*1000
-	c.req = q
-	return c, 0
+	policyRequest.Expires = r.receivedAt + seconds*1000
+	parsed.req = policyRequest
+	return parsed, 0
 }
 
 // parsePlacement reads units, shard and hosts.
-func (k *requestParser) parsePlacement(s string, q *policy.Request) bool {
-	q.Units, q.Shard, q.Hosts = math.NaN(), math.MinInt, 0
-	for part := range strings.SplitSeq(s, ",") {
+func (p *requestParser) parsePlacement(placement string, req *policy.Request) bool {
+	req.Units, req.Shard, req.Hosts = math.NaN(), math.MinInt, 0
+	for part := range strings.SplitSeq(placement, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		var err error
 		switch name {
 		case "units":
-			q.Units, err = strconv.ParseFloat(value, 64)
+			req.Units, err = strconv.ParseFloat(value, 64)
 		case "shard":
-			q.Shard, err = strconv.Atoi(value)
+			req.Shard, err = strconv.Atoi(value)
 		case "hosts":
-			q.Hosts, err = strconv.Atoi(value)
+			req.Hosts, err = strconv.Atoi(value)
 		}
 		if err != nil {
 			return false
 		}
 	}
-	return q.Units > 0 && (k.maxUnits <= 0 || q.Units <= k.maxUnits) &&
-		q.Shard >= -1 && q.Shard < k.shardCount && q.Hosts >= 1
+	return req.Units > 0 && (p.maxUnits <= 0 || req.Units <= p.maxUnits) &&
+		req.Shard >= -1 && req.Shard < p.shardCount && req.Hosts >= 1
 }
 
 func isHex(s string) bool {
@@ -106,8 +106,8 @@
 }
 
 // isRequestID takes what can be an id: it goes on to disk servers as it is.
-func isRequestID(s string) bool {
-	return s != "" && len(s) <= maxIDBytes && !slices.ContainsFunc([]byte(s), func(b byte) bool {
+func isRequestID(id string) bool {
+	return id != "" && len(id) <= maxIDBytes && !slices.ContainsFunc([]byte(id), func(b byte) bool {
 		return !(b >= '0' && b <= '9' || b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || b == '-' || b == '_')
 	})
 }
--- a/internal/control/scheduler/client.go
+++ b/internal/control/scheduler/client.go
@@ -67,18 +67,18 @@
 
 func (c *client) linger() {
 	w := c.frontend.environment
-	until := w.Now() + lingerTimeout
+	deadline := w.Now() + lingerTimeout
 	c.conn.SetReadDeadline(w.Deadline(lingerTimeout))
 	if env.Readable(c.conn) == nil { // it will be reset, but not before its answer is there
-		env.Wait(w, until-w.Now(), &c.frontend.ended)
+		env.Wait(w, deadline-w.Now(), &c.frontend.ended)
 	}
 }
 
 // answeredSince tells whether an answer may still be on its way, and the client still there.
-func (c *client) answeredSince(t float64) bool {
+func (c *client) answeredSince(since float64) bool {
 	c.frontend.mu.Lock()
 	defer c.frontend.mu.Unlock()
-	return c.readAhead.err == nil && c.lastAnswerAt > t
+	return c.readAhead.err == nil && c.lastAnswerAt > since
 }
 
 // awaitFirstByte waits for a request's first byte. When the time for it is over it looks once more:
@@ -108,21 +108,21 @@
 	if err != nil {
 		return nil, err
 	}
-	fr, err := head.Framing(messageLimits)
+	framing, err := head.Framing(messageLimits)
 	if err != nil {
 		return nil, err
 	}
 	if head.Continues() && c.in.Buffered() == 0 {
 		c.out.Put(func(b []byte) []byte { return append(b, "HTTP/1.1 100 Continue\r\n\r\n"...) })
 	}
-	body, err := http1.ReadBody(c.in, fr, messageLimits)
+	body, err := http1.ReadBody(c.in, framing, messageLimits)
 	return &request{Request: head, body: body, receivedAt: c.readAhead.consumedArrivalTime(c.in.Buffered())}, err
 }
 
 // readErrorStatus is the answer to what could not be read; 0: none, for the stream is at fault.
 func readErrorStatus(err error) int {
-	if e, ok := err.(*http1.Error); ok {
-		return e.Status()
+	if protocolErr, ok := err.(*http1.Error); ok {
+		return protocolErr.Status()
 	}
 	if env.IsTimeout(err) {
 		return 408
@@ -142,13 +142,13 @@
 }
 
 // respond answers and makes the connection idle, or ends it: it tells whether it goes on.
-func (c *client) respond(status int, last bool, f http1.Fields, body []byte) bool {
-	last = last || c.frontend.isFinishing()
-	if last {
-		f = append(f, http1.Field{Name: "Connection", Value: "close"})
+func (c *client) respond(status int, closeConn bool, fields http1.Fields, body []byte) bool {
+	closeConn = closeConn || c.frontend.isFinishing()
+	if closeConn {
+		fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
 	}
-	c.out.Put(func(b []byte) []byte { return http1.AppendResponse(b, status, f, body) })
-	if c.becomeIdle(last) {
+	c.out.Put(func(b []byte) []byte { return http1.AppendResponse(b, status, fields, body) })
+	if c.becomeIdle(closeConn) {
 		return true
 	}
 	c.out.Finish()
@@ -160,13 +160,13 @@
 // handle answers a request; false if the connection ends with it.
 func (c *client) handle(r *request) bool {
 	f := c.frontend
-	last := r.Close()
+	closeConn := r.Close()
 	if r.Target == readyPath {
 		status := 503
 		if f.ready.Opened() && f.drainDeadline() == 0 {
 			status = 200
 		}
-		return c.respond(status, last, nil, nil)
+		return c.respond(status, closeConn, nil, nil)
 	}
 	call, status := f.parser.Load().parse(r)
 	if status != 0 {
@@ -174,23 +174,23 @@
 		c.reject(status)
 		return false
 	}
-	if by := f.drainDeadline(); by > 0 {
-		call.req.Expires = min(call.req.Expires, by)
+	if deadline := f.drainDeadline(); deadline > 0 {
+		call.req.Expires = min(call.req.Expires, deadline)
 	}
-	size := int64(len(r.body))
-	if f.requestBytes.Add(size) > f.byteLimit.Load() {
-		f.requestBytes.Add(-size)
-		return c.respond(503, last, http1.Fields{{Name: "Retry-After", Value: "1"}}, nil)
+	bodySize := int64(len(r.body))
+	if f.requestBytes.Add(bodySize) > f.byteLimit.Load() {
+		f.requestBytes.Add(-bodySize)
+		return c.respond(503, closeConn, http1.Fields{{Name: "Retry-After", Value: "1"}}, nil)
 	}
-	defer f.requestBytes.Add(-size)
-	return c.submit(call, r.receivedAt, last)
+	defer f.requestBytes.Add(-bodySize)
+	return c.submit(call, r.receivedAt, closeConn)
 }
 
 // submit has the core take the call and waits for its answer, or for the client to leave. Who
 // has left already is not served: nothing is to begin for it.
-func (c *client) submit(call *call, at float64, last bool) bool {
-	q := &responder{client: c, closeAfter: last}
-	call.owner = q
+func (c *client) submit(call *call, at float64, closeConn bool) bool {
+	resp := &responder{client: c, closeAfter: closeConn}
+	call.owner = resp
 	c.lastRequestID = call.req.ID
 	f := c.frontend
 	// Discovery may know already what the list of the start does not: nothing goes by that
@@ -200,22 +200,22 @@
 	if c.readAhead.readAvailable() != nil {
 		return false
 	}
-	until := call.req.Expires
-	ok := f.loop.post(at, eventRequest, func(at float64) {
+	deadline := call.req.Expires
+	posted := f.loop.post(at, eventRequest, func(at float64) {
 		if !f.core.take(at, call) {
-			q.closeAfter, q.duplicate = true, true
+			resp.closeAfter, resp.duplicate = true, true
 			c.reject(409)
-			q.done.Open()
+			resp.done.Open()
 		}
 	})
-	if !ok {
+	if !posted {
 		c.reason = closeUnanswerable
 		return false
 	}
-	for !q.done.Opened() && !c.readAhead.full() {
-		if by := c.earliestPipelinedDeadline(); by < until {
-			until = by
-			f.loop.post(f.loop.now(), eventSooner, func(at float64) { f.core.sooner(at, call, by) })
+	for !resp.done.Opened() && !c.readAhead.full() {
+		if earlier := c.earliestPipelinedDeadline(); earlier < deadline {
+			deadline = earlier
+			f.loop.post(f.loop.now(), eventSooner, func(at float64) { f.core.sooner(at, call, earlier) })
 		}
 		if err := c.readAhead.readMore(); err != nil && !env.IsTimeout(err) {
 			call.over.Store(true)
@@ -225,37 +225,37 @@
 			break // it is answered: only then is there a deadline
 		}
 	}
-	env.WaitAny(f.environment, &q.done, &f.ended)
+	env.WaitAny(f.environment, &resp.done, &f.ended)
 	switch {
-	case !q.done.Opened():
+	case !resp.done.Opened():
 		c.reason = closeUnanswerable
-	case q.duplicate:
+	case resp.duplicate:
 		c.reason = closeDuplicateID
-	case q.closeAfter && !last:
+	case resp.closeAfter && !closeConn:
 		c.reason = closeLastAnswer
 	}
-	return q.done.Opened() && !q.closeAfter
+	return resp.done.Opened() && !resp.closeAfter
 }
 
 // answer implements answerer, on the loop.
-func (q *responder) answer(outcome callOutcome, after float64, body []byte) {
-	status, f := 504, http1.Fields(nil)
+func (r *responder) answer(outcome callOutcome, retryAfterMS float64, body []byte) {
+	status, fields := 504, http1.Fields(nil)
 	switch outcome {
 	case served:
 		// Clients that don't read may hold all the room.
-		if fr := q.client.frontend; fr.answerBytes.Load()+int64(len(body)) <= fr.byteLimit.Load() {
+		if fr := r.client.frontend; fr.answerBytes.Load()+int64(len(body)) <= fr.byteLimit.Load() {
 			status = 200
 		} else {
 			body = nil
 		}
 	case refused:
 		status = 503
-		if after > 0 {
-			f = http1.Fields{{Name: "Retry-After", Value: strconv.FormatFloat(after/1000, 'f', 3, 64)}}
+		if retryAfterMS > 0 {
+			fields = http1.Fields{{Name: "Retry-After", Value: strconv.FormatFloat(retryAfterMS/1000, 'f', 3, 64)}}
 		}
 	}
-	q.closeAfter = !q.client.respond(status, q.closeAfter, f, body)
-	q.done.Open()
+	r.closeAfter = !r.client.respond(status, r.closeAfter, fields, body)
+	r.done.Open()
 }
 
 // maxPipelinedScanned bounds how many requests that came ahead are looked at for their ends.
@@ -265,24 +265,24 @@
 // the one that is open, on the loop's clock; +Inf where there are none. Answers go in order:
 // each of them waits for the one before it.
 func (c *client) earliestPipelinedDeadline() float64 {
-	ends := math.Inf(1)
+	earliest := math.Inf(1)
 	buffered, _ := c.in.Peek(c.in.Buffered())
 	if len(buffered)+len(c.readAhead.buffer) == 0 {
-		return ends
+		return earliest
 	}
-	all := slices.Concat(buffered, c.readAhead.buffer)
-	from := c.readAhead.bytesRead - int64(len(all))
-	rest := bytes.NewReader(all)
-	in := bufio.NewReaderSize(rest, linkBuffer)
+	pending := slices.Concat(buffered, c.readAhead.buffer)
+	startOffset := c.readAhead.bytesRead - int64(len(pending))
+	unread := bytes.NewReader(pending)
+	in := bufio.NewReaderSize(unread, linkBuffer)
 	for range maxPipelinedScanned {
-		left, ok := readRequestTimeout(in)
+		timeout, ok := readRequestTimeout(in)
 		if !ok {
 			break
 		}
-		upTo := len(all) - rest.Len() - in.Buffered()
-		ends = min(ends, c.readAhead.arrivalTime(from+int64(upTo))+left)
+		endOffset := len(pending) - unread.Len() - in.Buffered()
+		earliest = min(earliest, c.readAhead.arrivalTime(startOffset+int64(endOffset))+timeout)
 	}
-	return ends
+	return earliest
 }
 
 // readRequestTimeout reads a whole request and tells the time that its client waits, ms, +Inf where it
--- a/internal/control/scheduler/config.go
+++ b/internal/control/scheduler/config.go
@@ -71,41 +71,41 @@
 
 // ParseConfig reads the configuration file's JSON and, for what it leaves out, the
 // environment.
-func ParseConfig(b []byte, env func(string) string) (*Config, error) {
-	var f configFile
-	if err := json.Unmarshal(b, &f); err != nil {
+func ParseConfig(data []byte, getenv func(string) string) (*Config, error) {
+	var file configFile
+	if err := json.Unmarshal(data, &file); err != nil {
 		return nil, configErrorAt("", err)
 	}
-	c := &Config{
-		Name: valueOr(f.Name, env(envName)), Listen: valueOr(f.Listen, env(envListen)),
-		Discovery: valueOr(f.Discovery, env(envDiscovery)),
-		Limits:    Limits{f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets},
+	config := &Config{
+		Name: valueOr(file.Name, getenv(envName)), Listen: valueOr(file.Listen, getenv(envListen)),
+		Discovery: valueOr(file.Discovery, getenv(envDiscovery)),
+		Limits:    Limits{file.Limits.Cores, file.Limits.MemoryMB, file.Limits.Sockets},
 	}
 	var err error
-	if f.Seed != "" {
-		if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
+	if file.Seed != "" {
+		if config.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 			return nil, &ConfigError{"seed", err}
 		}
 	}
-	if len(f.Known) > 0 {
-		if c.Known, err = parseServerList(f.Known); err != nil {
+	if len(file.Known) > 0 {
+		if config.Known, err = parseServerList(file.Known); err != nil {
 			return nil, configErrorAt("known", err)
 		}
-		if c.Known.malformed {
-			return nil, &ConfigError{"known", fmt.Errorf("%v", c.Known.faults)}
+		if config.Known.malformed {
+			return nil, &ConfigError{"known", fmt.Errorf("%v", config.Known.faults)}
 		}
 	}
-	if len(f.Settings) == 0 {
+	if len(file.Settings) == 0 {
 		return nil, &ConfigError{"settings", errMissing}
 	}
-	set, bounds, err := wire.ParseSettings(f.Settings)
+	set, bounds, err := wire.ParseSettings(file.Settings)
 	if err != nil {
 		return nil, configErrorAt("settings", err)
 	}
-	c.Settings, c.Bounds = *set, withDefaultBounds(bounds)
-	c.Settings.Rules.MaxSendDelay = c.Bounds.DialTimeout + sendLateMarginMS
-	c.resetInvalidShardCount()
-	return c, c.validate()
+	config.Settings, config.Bounds = *set, withDefaultBounds(bounds)
+	config.Settings.Rules.MaxSendDelay = config.Bounds.DialTimeout + sendLateMarginMS
+	config.resetInvalidShardCount()
+	return config, config.validate()
 }
 
 // maxShards bounds the number of shards: each that a request names is kept in memory.
@@ -113,9 +113,9 @@
 
 // resetInvalidShardCount takes a number of shards that cannot be one as not known.
 func (c *Config) resetInvalidShardCount() {
-	if n := c.Settings.Shards; n < 1 || n > maxShards {
-		fault := fmt.Errorf("is %d, from 1 to %d can be served: taken as not known", n, maxShards)
-		c.Ignored = append(c.Ignored, &ConfigError{"settings.extra.slots_total", fault})
+	if shards := c.Settings.Shards; shards < 1 || shards > maxShards {
+		err := fmt.Errorf("is %d, from 1 to %d can be served: taken as not known", shards, maxShards)
+		c.Ignored = append(c.Ignored, &ConfigError{"settings.extra.slots_total", err})
 		c.Settings.Shards = 0
 	}
 }
@@ -124,47 +124,47 @@
 const sendLateMarginMS = 50.0
 
 // withDefaultBounds fills in the times of connections that the settings leave out.
-func withDefaultBounds(b wire.Bounds) wire.Bounds {
-	if !(b.DialTimeout > 0) {
-		b.DialTimeout = env.MS(usualDial)
+func withDefaultBounds(bounds wire.Bounds) wire.Bounds {
+	if !(bounds.DialTimeout > 0) {
+		bounds.DialTimeout = env.MS(usualDial)
 	}
-	if !(b.ConnIdle > 0) {
-		b.ConnIdle = usualIdle
+	if !(bounds.ConnIdle > 0) {
+		bounds.ConnIdle = usualIdle
 	}
-	return b
+	return bounds
 }
 
-func valueOr(s, other string) string {
-	if s == "" {
-		return other
+func valueOr(value, fallback string) string {
+	if value == "" {
+		return fallback
 	}
-	return s
+	return value
 }
 
 // configErrorAt names the field that JSON of the wrong type stands at.
 func configErrorAt(path string, err error) error {
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) && wrong.Field != "" {
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) && typeErr.Field != "" {
 		if path != "" {
 			path += "."
 		}
-		return &ConfigError{path + wrong.Field, fmt.Errorf("holds a %s", wrong.Value)}
+		return &ConfigError{path + typeErr.Field, fmt.Errorf("holds a %s", typeErr.Value)}
 	}
 	return &ConfigError{valueOr(path, "file"), err}
 }
 
 func (c *Config) validate() error {
-	for _, must := range []struct{ path, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if must.value == "" {
-			return &ConfigError{must.path, errMissing}
+	for _, required := range []struct{ path, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
+		if required.value == "" {
+			return &ConfigError{required.path, errMissing}
 		}
 	}
 	if len(c.Settings.Classes) == 0 {
 		return &ConfigError{"settings.request_classes", errMissing}
 	}
-	for i, k := range c.Settings.Classes {
-		if !(k.LatencyTarget > 0) || math.IsInf(k.LatencyTarget, 0) {
-			return &ConfigError{fmt.Sprintf("settings.request_classes[%d].aim_ms", i), fmt.Errorf("is %v", k.LatencyTarget)}
+	for i, class := range c.Settings.Classes {
+		if !(class.LatencyTarget > 0) || math.IsInf(class.LatencyTarget, 0) {
+			return &ConfigError{fmt.Sprintf("settings.request_classes[%d].aim_ms", i), fmt.Errorf("is %v", class.LatencyTarget)}
 		}
 	}
 	if len(c.Settings.Plans) == 0 {
--- a/internal/control/scheduler/discovery.go
+++ b/internal/control/scheduler/discovery.go
@@ -122,7 +122,7 @@
 
 // get sends a request and reads the head of its answer; what comes of it is read from the
 // stream, until use returns.
-func (d *discoveryClient) get(addr, target string, use func(net.Conn, *http1.Stream) error) error {
+func (d *discoveryClient) get(addr, target string, handle func(net.Conn, *http1.Stream) error) error {
 	conn, err := d.environment.Dial(d.ctx, "tcp", addr, watchResponseTimeout)
 	if err != nil {
 		return err
@@ -136,30 +136,30 @@
 		return err
 	}
 	in := bufio.NewReaderSize(conn, linkBuffer)
-	m, err := http1.ReadResponse(in, messageLimits)
+	response, err := http1.ReadResponse(in, messageLimits)
 	if err != nil {
 		return err
 	}
-	if m.Status != 200 {
-		return fmt.Errorf("discovery answered %d", m.Status)
+	if response.Status != 200 {
+		return fmt.Errorf("discovery answered %d", response.Status)
 	}
-	fr, err := m.Framing(http1.Limits{Body: maxMessageBytes})
+	framing, err := response.Framing(http1.Limits{Body: maxMessageBytes})
 	if err != nil {
 		return err
 	}
 	conn.SetReadDeadline(d.environment.Deadline(watchSilenceTimeout))
-	return use(conn, http1.NewStream(in, fr, messageLimits))
+	return handle(conn, http1.NewStream(in, framing, messageLimits))
 }
 
 // fetchFullList brings the whole list.
 func (d *discoveryClient) fetchFullList(addr string) error {
-	return d.get(addr, discoveryPath, func(_ net.Conn, s *http1.Stream) error {
-		var m objectReader
-		return m.forEach(s, func(what streamItem) (more bool, err error) {
-			if what != itemObject {
+	return d.get(addr, discoveryPath, func(_ net.Conn, stream *http1.Stream) error {
+		var objects objectReader
+		return objects.forEach(stream, func(item streamItem) (more bool, err error) {
+			if item != itemObject {
 				return true, nil
 			}
-			return false, d.handleMessage(m.bytes(), true)
+			return false, d.handleMessage(objects.bytes(), true)
 		})
 	})
 }
@@ -167,21 +167,21 @@
 // watch holds one watch until it ends.
 func (d *discoveryClient) watch(addr string) error {
 	target := fmt.Sprintf("%s?stream=1&index=%d", discoveryPath, d.seq)
-	return d.get(addr, target, func(conn net.Conn, s *http1.Stream) error {
-		var m objectReader
-		heard := false
-		return m.forEach(s, func(what streamItem) (more bool, err error) {
-			if what == itemPartial {
+	return d.get(addr, target, func(conn net.Conn, stream *http1.Stream) error {
+		var objects objectReader
+		received := false
+		return objects.forEach(stream, func(item streamItem) (more bool, err error) {
+			if item == itemPartial {
 				return true, nil // half a message is no sign of life
 			}
 			conn.SetReadDeadline(d.environment.Deadline(watchSilenceTimeout))
-			if what == itemObject {
-				err = d.handleMessage(m.bytes(), false)
-			} else if !heard {
+			if item == itemObject {
+				err = d.handleMessage(objects.bytes(), false)
+			} else if !received {
 				d.onList(ServerList{Seq: d.seq}) // nothing has changed
 			}
 			if err == nil {
-				heard, d.backoff = true, minWatchBackoff
+				received, d.backoff = true, minWatchBackoff
 			}
 			return true, err
 		})
@@ -189,21 +189,21 @@
 }
 
 // handleMessage takes a handleMessage. One that goes back in the versions leaves open what is missing.
-func (d *discoveryClient) handleMessage(b []byte, fetched bool) error {
-	l, err := parseServerList(b)
+func (d *discoveryClient) handleMessage(data []byte, fetched bool) error {
+	list, err := parseServerList(data)
 	if err != nil {
 		return &unreadableError{err}
 	}
-	if fetched && !l.Full {
+	if fetched && !list.Full {
 		return &unreadableError{errors.New("the list is not whole")}
 	}
-	if !l.Full && l.Seq < d.seq {
-		return &unreadableError{fmt.Errorf("version %d after %d", l.Seq, d.seq)}
+	if !list.Full && list.Seq < d.seq {
+		return &unreadableError{fmt.Errorf("version %d after %d", list.Seq, d.seq)}
 	}
-	if !l.Full && l.malformed {
-		return &unreadableError{fmt.Errorf("version %d: %v", l.Seq, l.faults)}
+	if !list.Full && list.malformed {
+		return &unreadableError{fmt.Errorf("version %d: %v", list.Seq, list.faults)}
 	}
-	d.seq, d.needsFullList = l.Seq, d.needsFullList && !l.Full
-	d.onList(l)
+	d.seq, d.needsFullList = list.Seq, d.needsFullList && !list.Full
+	d.onList(list)
 	return nil
 }
--- a/internal/control/scheduler/front.go
+++ b/internal/control/scheduler/front.go
@@ -107,16 +107,16 @@
 // accept takes connections. Those that lay in the listener's queue while this process was
 // still starting may have come at any time since it listened, and count from then.
 func (f *frontend) accept() {
-	starting := true
+	fromBacklog := true
 	for {
 		for !f.hasCapacity() {
 			if !env.Wait(f.environment, acceptRetryInterval, &f.stopAccepting) {
 				return
 			}
 		}
-		from := f.loop.now()
+		waitStart := f.loop.now()
 		conn, err := f.listener.Accept()
-		starting = starting && f.loop.now()-from < maxQueuedAcceptWaitMS
+		fromBacklog = fromBacklog && f.loop.now()-waitStart < maxQueuedAcceptWaitMS
 		if err != nil { // where there are no descriptors left, there may be again
 			f.log.acceptFailed(err)
 			if f.stopAccepting.Opened() || !env.Wait(f.environment, acceptRetryInterval, &f.stopAccepting) {
@@ -124,11 +124,11 @@
 			}
 			continue
 		}
-		came := f.arrivalTime(conn)
-		if starting {
-			came = min(came, f.listenedAt)
+		arrivedAt := f.arrivalTime(conn)
+		if fromBacklog {
+			arrivedAt = min(arrivedAt, f.listenedAt)
 		}
-		f.tasks.Go(f.environment, f.newClient(conn, came).serve)
+		f.tasks.Go(f.environment, f.newClient(conn, arrivedAt).serve)
 	}
 }
 
@@ -138,16 +138,16 @@
 // arrivalTime is when the first bytes came on a connection that was just accepted, as far as the
 // kernel tells: it may have lain in the listener's queue, behind others.
 func (f *frontend) arrivalTime(conn net.Conn) float64 {
-	since, known := env.SinceData(conn)
-	if !known || env.MS(since) > maxListenQueueMS {
+	elapsed, known := env.SinceData(conn)
+	if !known || env.MS(elapsed) > maxListenQueueMS {
 		return f.loop.now()
 	}
-	return f.loop.now() - env.MS(since)
+	return f.loop.now() - env.MS(elapsed)
 }
 
 // newClient takes a connection that may have come as early as that.
-func (f *frontend) newClient(conn net.Conn, came float64) *client {
-	c := &client{frontend: f, conn: conn, readAhead: &readAhead{conn: conn, now: f.loop.now, budget: &f.readAhead, arrivedAt: came}, stateSince: f.loop.now()}
+func (f *frontend) newClient(conn net.Conn, earliestArrival float64) *client {
+	c := &client{frontend: f, conn: conn, readAhead: &readAhead{conn: conn, now: f.loop.now, budget: &f.readAhead, arrivedAt: earliestArrival}, stateSince: f.loop.now()}
 	c.in = bufio.NewReaderSize(c.readAhead, linkBuffer)
 	c.out = writequeue.New(f.environment, conn, clientWriteLimit, clientWriteTimeout)
 	c.out.HalfClose = true
@@ -170,22 +170,22 @@
 		return true
 	}
 	now := f.loop.now()
-	staying := 0
-	var pick *client
+	open := 0
+	var victim *client
 	for _, c := range f.clients.All() {
 		if c.state == clientClosing {
 			continue
 		}
-		staying++
-		if c.evictable(now) && (pick == nil || c.evictedBefore(pick)) {
-			pick = c
+		open++
+		if c.evictable(now) && (victim == nil || c.evictedBefore(victim)) {
+			victim = c
 		}
 	}
-	if staying >= f.maxClients && pick != nil {
-		pick.beginClose(now)
-		staying--
+	if open >= f.maxClients && victim != nil {
+		victim.beginClose(now)
+		open--
 	}
-	return staying < f.maxClients && f.clients.Len() < f.maxClients+f.maxClosing
+	return open < f.maxClients && f.clients.Len() < f.maxClients+f.maxClosing
 }
 
 // evictable tells whether a connection may be ended for another's sake.
@@ -212,25 +212,25 @@
 	f := c.frontend
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	within := requestReadTimeout
+	timeout := requestReadTimeout
 	if c.lastAnswerAt == 0 {
-		within = firstRequestTimeout - env.Duration(f.loop.now()-c.stateSince)
+		timeout = firstRequestTimeout - env.Duration(f.loop.now()-c.stateSince)
 	}
 	c.state, c.stateSince = clientActive, f.loop.now()
-	c.conn.SetReadDeadline(f.environment.Deadline(within))
+	c.conn.SetReadDeadline(f.environment.Deadline(timeout))
 }
 
 // becomeIdle makes an answered connection idle; false where it ends. Then nothing is read on it
 // any more: what a client sends now is unread, and so the client's to send elsewhere. Either
 // way its goroutine stops waiting for bytes: the next request may have come long ago.
-func (c *client) becomeIdle(last bool) bool {
+func (c *client) becomeIdle(closeConn bool) bool {
 	f := c.frontend
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c.lastAnswerAt = f.loop.now()
 	c.answers++
 	c.conn.SetReadDeadline(f.environment.Deadline(0))
-	if last || f.finishing {
+	if closeConn || f.finishing {
 		return false
 	}
 	c.state, c.stateSince = clientIdle, c.lastAnswerAt
@@ -255,10 +255,10 @@
 }
 
 // forEachIdle does something to the connections without a request. The lock is held.
-func (f *frontend) forEachIdle(do func(c *client)) {
+func (f *frontend) forEachIdle(visit func(c *client)) {
 	for _, c := range f.clients.All() {
 		if c.state == clientNew || c.state == clientIdle {
-			do(c)
+			visit(c)
 		}
 	}
 }
@@ -268,15 +268,15 @@
 func (f *frontend) trimIdle() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	over := f.clients.Len() - f.maxClients/2
-	if over <= 0 || f.drainDeadline() > 0 {
+	excess := f.clients.Len() - f.maxClients/2
+	if excess <= 0 || f.drainDeadline() > 0 {
 		return
 	}
 	now := f.loop.now()
 	f.forEachIdle(func(c *client) {
-		if over > 0 && now-c.stateSince > env.MS(reducedKeepAliveTimeout) {
+		if excess > 0 && now-c.stateSince > env.MS(reducedKeepAliveTimeout) {
 			c.beginClose(now)
-			over--
+			excess--
 		}
 	})
 }
@@ -286,8 +286,8 @@
 
 // beginDrain has all answered by that time, and keeps until then the connections that clients
 // have: they can't open others here.
-func (f *frontend) beginDrain(by float64) {
-	f.drainDeadlineBits.Store(math.Float64bits(by))
+func (f *frontend) beginDrain(deadline float64) {
+	f.drainDeadlineBits.Store(math.Float64bits(deadline))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.forEachIdle(func(c *client) {
@@ -314,11 +314,11 @@
 
 // idleDeadline is when a connection that is idle from now on is closed.
 func (f *frontend) idleDeadline() time.Time {
-	d := keepAliveTimeout
-	if by := f.drainDeadline(); by > 0 {
-		d = max(d, env.Duration(by-f.loop.now()))
+	timeout := keepAliveTimeout
+	if deadline := f.drainDeadline(); deadline > 0 {
+		timeout = max(timeout, env.Duration(deadline-f.loop.now()))
 	}
-	return f.environment.Deadline(d)
+	return f.environment.Deadline(timeout)
 }
 
 // close ends the listener and all connections at once; what was said is still written.
@@ -327,12 +327,12 @@
 	f.listener.Close()
 	f.finish()
 	f.mu.Lock()
-	all := f.clients.All()
+	open := f.clients.All()
 	f.mu.Unlock()
-	for _, c := range all {
+	for _, c := range open {
 		c.out.Finish()
 	}
-	for _, c := range all {
+	for _, c := range open {
 		c.out.Wait()
 		c.conn.Close()
 	}
--- a/internal/control/scheduler/lifecycle.go
+++ b/internal/control/scheduler/lifecycle.go
@@ -47,8 +47,8 @@
 
 // bodyByteLimit is what bodies on one of their ways may hold at once: of requests, of disk
 // servers' answers, of answers to clients.
-func bodyByteLimit(c *Config) int64 {
-	return int64(max(c.Limits.MemoryMB, minMemoryMB)) << 20 / bodyMemoryDivisor
+func bodyByteLimit(config *Config) int64 {
+	return int64(max(config.Limits.MemoryMB, minMemoryMB)) << 20 / bodyMemoryDivisor
 }
 
 // Scheduler is one running scheduler.
@@ -67,30 +67,30 @@
 }
 
 // Start listens and serves until Drain or Close.
-func Start(w env.Environment, c *Config, log *zap.Logger) (*Scheduler, error) {
+func Start(w env.Environment, config *Config, log *zap.Logger) (*Scheduler, error) {
 	s := &Scheduler{environment: w, log: log, loop: newLoop(w)}
 	listenedAt := s.loop.now()
-	listener, err := listen(w, c.Listen, log) // first of all: clients may come already
+	listener, err := listen(w, config.Listen, log) // first of all: clients may come already
 	if err != nil {
 		return nil, err
 	}
-	sockets := max(c.Limits.Sockets, minSockets)
-	born := w.Deadline(0).UnixMilli() - epoch
-	s.back = newBack(w, s.loop, c, int(float64(sockets)*serverSocketFraction))
-	s.core = newCore(born, c, s)
+	sockets := max(config.Limits.Sockets, minSockets)
+	clockZeroMS := w.Deadline(0).UnixMilli() - epoch
+	s.back = newBack(w, s.loop, config, int(float64(sockets)*serverSocketFraction))
+	s.core = newCore(clockZeroMS, config, s)
 	s.back.core = s.core
 	events := newEventLog(log)
 	s.core.log, s.loop.log, s.back.log = events, events, events
-	known := c.Known
+	known := config.Known
 	known.Full = true
 	s.back.notices.take(known)
 	s.core.start(known)
 	s.loop.ticked = s.sweep
 	s.frontend = &frontend{environment: w, listener: listener, listenedAt: listenedAt, loop: s.loop, core: s.core, log: events, maxClients: int(float64(sockets) * clientSocketFraction), maxClosing: int(float64(sockets) * closingSocketFraction)}
-	s.applyConfig(c)
+	s.applyConfig(config)
 	w.Go(func() { s.loop.run(s.core) })
 	s.loop.wake.Unpark()
-	s.discoveryClient = newDiscoveryClient(w, c.Discovery, c.Known.Seq, s.receiveList, func(what string, err error) { log.Warn(what, zap.Error(err)) })
+	s.discoveryClient = newDiscoveryClient(w, config.Discovery, config.Known.Seq, s.receiveList, func(message string, err error) { log.Warn(message, zap.Error(err)) })
 	s.frontend.tasks.Go(w, s.frontend.accept)
 	w.Go(s.awaitFirstList)
 	return s, nil
@@ -98,26 +98,26 @@
 
 // listen listens for clients. A fault that may be over soon (an address that the process of
 // before still holds, a machine short of memory) is waited out for a while.
-func listen(w env.Environment, address string, log *zap.Logger) (net.Listener, error) {
-	for until := w.Now() + listenTimeout; ; {
-		l, err := w.Listen("tcp", address)
-		if err == nil || !ownFault(err) || w.Now() >= until {
-			return l, err
+func listen(environment env.Environment, address string, log *zap.Logger) (net.Listener, error) {
+	for deadline := environment.Now() + listenTimeout; ; {
+		listener, err := environment.Listen("tcp", address)
+		if err == nil || !ownFault(err) || environment.Now() >= deadline {
+			return listener, err
 		}
 		log.Warn("cannot listen yet", zap.String("address", address), zap.Error(err))
-		env.Wait(w, listenRetryInterval, nil)
+		env.Wait(environment, listenRetryInterval, nil)
 	}
 }
 
 // applyConfig takes what the front and a stop need of the configuration.
-func (s *Scheduler) applyConfig(c *Config) {
-	for _, fault := range c.Ignored {
-		s.log.Warn("setting ignored", zap.Error(fault))
+func (s *Scheduler) applyConfig(config *Config) {
+	for _, err := range config.Ignored {
+		s.log.Warn("setting ignored", zap.Error(err))
 	}
-	s.frontend.parser.Store(newRequestParser(&c.Settings))
-	s.frontend.byteLimit.Store(bodyByteLimit(c))
-	s.frontend.readAhead.limit.Store(bodyByteLimit(c))
-	s.grace.Store(math.Float64bits(gracePeriod(c)))
+	s.frontend.parser.Store(newRequestParser(&config.Settings))
+	s.frontend.byteLimit.Store(bodyByteLimit(config))
+	s.frontend.readAhead.limit.Store(bodyByteLimit(config))
+	s.grace.Store(math.Float64bits(gracePeriod(config)))
 }
 
 func (s *Scheduler) awaitFirstList() {
@@ -127,10 +127,10 @@
 }
 
 // receiveList passes on what discovery told.
-func (s *Scheduler) receiveList(l ServerList) {
-	s.back.notices.take(l)
+func (s *Scheduler) receiveList(update ServerList) {
+	s.back.notices.take(update)
 	s.loop.post(s.loop.now(), eventList, func(at float64) {
-		s.core.list(at, l, false)
+		s.core.list(at, update, false)
 		s.listReceived.Open()
 	})
 }
@@ -146,28 +146,28 @@
 
 // Reload takes another configuration: where discovery is, and the settings. The module has
 // them before a request that was read under them can come to it.
-func (s *Scheduler) Reload(c *Config) {
-	s.log.Info("configuration read again", zap.String("discovery", c.Discovery))
-	s.discoveryClient.setAddress(c.Discovery)
+func (s *Scheduler) Reload(config *Config) {
+	s.log.Info("configuration read again", zap.String("discovery", config.Discovery))
+	s.discoveryClient.setAddress(config.Discovery)
 	s.loop.post(s.loop.now(), eventReload, func(at float64) {
-		s.back.configure(c)
-		s.core.revise(at, c.Settings)
+		s.back.configure(config)
+		s.core.revise(at, config.Settings)
 	})
-	s.applyConfig(c)
+	s.applyConfig(config)
 }
 
 // Drain ends the scheduler once all it has taken is answered.
 func (s *Scheduler) Drain() {
 	grace := math.Float64frombits(s.grace.Load())
 	s.log.Info("draining", zap.Float64("grace_ms", grace))
-	from := s.loop.now()
-	s.frontend.beginDrain(from + grace - answerLeadMS)
+	startedAt := s.loop.now()
+	s.frontend.beginDrain(startedAt + grace - answerLeadMS)
 	env.Wait(s.environment, drainAcceptPeriod, &s.ended)
 	s.frontend.stopAccepting.Open()
 	s.frontend.listener.Close()
-	env.Wait(s.environment, env.Duration(from+grace-finishLeadMS-s.loop.now()), &s.ended)
+	env.Wait(s.environment, env.Duration(startedAt+grace-finishLeadMS-s.loop.now()), &s.ended)
 	s.frontend.finish()
-	s.awaitClientsClosed(from + grace - answerLeadMS)
+	s.awaitClientsClosed(startedAt + grace - answerLeadMS)
 	// What was taken before the signal may have longer than there is.
 	var answered env.Gate
 	if s.loop.post(s.loop.now(), eventStop, func(at float64) {
@@ -176,22 +176,22 @@
 	}) {
 		env.WaitAny(s.environment, &answered, &s.ended) // an answer made after Close began would not be written
 	}
-	s.awaitClientsClosed(from + grace - exitLeadMS)
+	s.awaitClientsClosed(startedAt + grace - exitLeadMS)
 	s.Close()
 }
 
 // awaitClientsClosed waits until clients have no connections any more, or until a time.
-func (s *Scheduler) awaitClientsClosed(until float64) {
-	for s.frontend.clientCount() > 0 && s.loop.now() < until {
+func (s *Scheduler) awaitClientsClosed(deadline float64) {
+	for s.frontend.clientCount() > 0 && s.loop.now() < deadline {
 		env.Wait(s.environment, drainPollInterval, nil)
 	}
 }
 
 // gracePeriod is how long a scheduler has after SIGTERM, ms.
-func gracePeriod(c *Config) float64 {
+func gracePeriod(config *Config) float64 {
 	longest := 0.0
-	for _, k := range c.Settings.Classes {
-		longest = max(longest, k.Deadline)
+	for _, class := range config.Settings.Classes {
+		longest = max(longest, class.Deadline)
 	}
 	return min(longest, maxCountedDeadlineMS) + killDelayMS
 }
--- a/internal/control/scheduler/list.go
+++ b/internal/control/scheduler/list.go
@@ -47,37 +47,37 @@
 // parseServerList reads a message of discovery. An entry that cannot be right costs only itself:
 // one without a name is left out, one of an unknown state gets nothing new, and of a server
 // that is named twice the entry that forbids more counts, else the later one.
-func parseServerList(b []byte) (ServerList, error) {
-	var l ServerList
-	if err := json.Unmarshal(b, &l); err != nil {
+func parseServerList(data []byte) (ServerList, error) {
+	var list ServerList
+	if err := json.Unmarshal(data, &list); err != nil {
 		return ServerList{}, err
 	}
-	hosts := l.Entries
-	l.Entries = hosts[:0]
-	place := make(map[string]int, len(hosts))
-	for _, e := range hosts {
+	received := list.Entries
+	list.Entries = received[:0]
+	indexByHost := make(map[string]int, len(received))
+	for _, e := range received {
 		if e.Host == "" {
-			l.addFault(e.Host, "has no name")
-			l.malformed = true
+			list.addFault(e.Host, "has no name")
+			list.malformed = true
 			continue
 		}
 		if _, known := policyHealth[e.Health]; !known {
-			l.addFault(e.Host, fmt.Sprintf("has the unknown state %q", e.Health))
+			list.addFault(e.Host, fmt.Sprintf("has the unknown state %q", e.Health))
 			e.Health = stateLeaving
-			l.malformed = true
+			list.malformed = true
 		}
-		at, twice := place[e.Host]
-		if !twice {
-			place[e.Host] = len(l.Entries)
-			l.Entries = append(l.Entries, e)
+		index, duplicate := indexByHost[e.Host]
+		if !duplicate {
+			indexByHost[e.Host] = len(list.Entries)
+			list.Entries = append(list.Entries, e)
 			continue
 		}
-		l.addFault(e.Host, "is named twice")
-		if severity[e.Health] >= severity[l.Entries[at].Health] {
-			l.Entries[at] = e
+		list.addFault(e.Host, "is named twice")
+		if severity[e.Health] >= severity[list.Entries[index].Health] {
+			list.Entries[index] = e
 		}
 	}
-	return l, nil
+	return list, nil
 }
 
 func (f entryFault) String() string { return strconv.Quote(f.host) + " " + f.reason }
--- a/internal/control/scheduler/messages.go
+++ b/internal/control/scheduler/messages.go
@@ -28,8 +28,8 @@
 var errNotObject = &unreadableError{errors.New("no JSON object")}
 
 // next reads on in b up to the next thing that is whole; it tells how many bytes it took.
-func (m *objectReader) next(b []byte) (int, streamItem, error) {
-	for i, c := range b {
+func (m *objectReader) next(data []byte) (int, streamItem, error) {
+	for i, c := range data {
 		switch {
 		case m.nesting > 0:
 			if m.object = append(m.object, c); len(m.object) > maxMessageBytes {
@@ -46,24 +46,24 @@
 			return 0, itemPartial, errNotObject
 		}
 	}
-	return len(b), itemPartial, nil
+	return len(data), itemPartial, nil
 }
 
 // forEach has do called for each thing in a stream, until it wants no more or the stream ends;
 // then the error says how.
-func (m *objectReader) forEach(s *http1.Stream, do func(what streamItem) (more bool, err error)) error {
+func (m *objectReader) forEach(stream *http1.Stream, handle func(item streamItem) (more bool, err error)) error {
 	for {
-		b, err := s.Next()
+		chunk, err := stream.Next()
 		if err != nil {
 			return err
 		}
-		for len(b) > 0 {
-			n, what, err := m.next(b)
+		for len(chunk) > 0 {
+			n, item, err := m.next(chunk)
 			if err != nil {
 				return err
 			}
-			b = b[n:]
-			if more, err := do(what); err != nil || !more {
+			chunk = chunk[n:]
+			if more, err := handle(item); err != nil || !more {
 				return err
 			}
 		}
