--- a/policy/health.go
+++ b/policy/health.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Health of nodes, as learnt from the outcomes of attempts.
+// Node health, learned from the outcomes of attempts.
 
-// expectedServiceTime is the service time to expect at sh: no less than what the oldest
-// attempt out there has already taken, so a pause or a dead node shows at once.
+// expectedServiceTime returns the service time to expect at sh, ms: the mean, but at least half the
+// age of each outstanding attempt, so that a stalled or dead node shows at once.
 func (p *scheduler) expectedServiceTime(sh *shard) float64 {
 	expected := p.meanServiceTime(sh)
 	for _, r := range sh.out {
-		if r.sentAt >= sh.passed { // what later ones have overtaken is stuck by itself
+		if r.sentAt >= sh.passed { // if overtaken by a later one, the attempt itself is stuck, not the node
 			expected = max(expected, (p.now-r.sentAt)/2)
 		}
 	}
 	return expected
 }
 
-// meanServiceTime is the mean service time at sh. A host that meets a node once in seconds
-// knows little of it: what it has gathered there is filled up with the median of
-// all nodes, which also lets a bad sample fade when nothing follows it.
+// meanServiceTime returns the mean service time at sh, ms. A host that sends to a node only once in
+// several seconds has few samples of it, so the median over all nodes counts as poolWeight further
+// samples. That also lets an outlier fade when no samples follow it.
 func (p *scheduler) meanServiceTime(sh *shard) float64 {
 	return sh.got.mean(p.median, poolWeight)
 }
 
-// recordOutcome learns from an outcome. Only what was served tells service time: an
-// error or a refusal is quick without the node being so.
+// recordOutcome updates the health and service time estimates of n from an outcome. A server error
+// gives no service time sample: errors return quickly from slow nodes too.
 func (p *scheduler) recordOutcome(r *request, n *node, o Outcome) {
 	sh := r.shard
 	switch o.Result {
@@ -40,66 +40,71 @@
 		p.giveUpOvertaken(sh)
 		p.shares.recordServed(r, p.now-r.arrived)
 		if n.suspect && n.backoff > maxPause/2 {
-			n.coldSince = max(n.coldSince, p.now) // down for long: it was restarted
+			n.coldSince = max(n.coldSince, p.now) // unreachable for long: assume that it restarted
 			p.withdrawStale(sh)
 		}
 		n.suspect, n.backoff = false, 0
 	case ServerError:
 		n.errorsLong.add(p.now, poolSpan)
-	case NoAnswer: // it took at least so long
+	case NoAnswer: // the service time is at least Elapsed
 		p.addServiceTime(sh, max(o.Elapsed, p.meanServiceTime(sh)))
 		if o.Elapsed >= p.tightest() {
 			p.backOff(n, p.backoffScale())
 		}
-	case Rejected: // a whole queue stands before what would be taken now
-		// Not so where it serves many within the pause and turns a few away: at
-		// thousands a second, a pause for each would keep an idle node from work.
+	case Rejected: // the node's queue is full: count the longest service time
 		sh.got.add(stuckAims * p.tightest())
 		n.rejectedShort.add(p.now, easySpan)
+		// No backoff if it serves many and rejects few: at thousands of requests a second, a
+		// backoff for each rejection would leave the node idle.
 		if n.servedShort.value(p.now, easySpan) < easyTimes*n.rejectedShort.value(p.now, easySpan) {
 			p.backOff(n, p.backoffScale())
 		}
 	case NoConnection, ConnectionLost:
 		n.errorsLong.add(p.now, poolSpan)
-		if o.Result == NoConnection || n.errorFraction(p.now) > lonePart { // a connection also breaks alone
+		if o.Result == NoConnection || n.errorFraction(p.now) > lonePart { // a single lost connection is no sign of a dead process
 			n.suspect = true
 			p.backOff(n, 1)
 		}
 	}
 }
 
-// backOff keeps this host away from n for a while, twice as long each time. A node
-// that holds too much works slower and slower: if each of many hosts tried once a
-// second it would never drain, so before one that is full or does not answer the
-// time grows with the hosts. It harms where only this host met a lone long pause.
+// backOff stops sends from this host to n for a time that doubles with each call. An overloaded
+// node gets slower the more it holds and would never drain if each of many hosts tried it once a
+// second. Where a node is full or does not answer, scale therefore grows with the number of hosts;
+// the price is a needlessly long backoff if only this host met a single long pause.
 func (p *scheduler) backOff(n *node, scale float64) {
 	n.backoff = min(max(2*n.backoff, retryPause*scale), maxPause*scale)
 	n.backoffEnd = p.now + n.backoff
 }
 
+// backoffScale grows with the number of hosts, from 1 up to fewDepth of them.
+// 1.
 func (p *scheduler) backoffScale() float64 { return max(float64(p.s.Hosts)/fewDepth, 1) }
 
+// addServiceTime adds a sample, in ms, to the estimates of sh and of all nodes.
 func (p *scheduler) addServiceTime(sh *shard, elapsed float64) {
-	elapsed = min(elapsed, stuckAims*p.tightest()) // one bad node must not stand for all
+	elapsed = min(elapsed, stuckAims*p.tightest()) // one slow node must not dominate the samples of all
 	sh.got.add(elapsed)
 	p.pool = append(p.pool[max(len(p.pool)-poolMost, 0):], serviceSample{p.now, elapsed})
 }
 
+// node is what this host knows of a disk server.
 type node struct {
 	Node
-	excluded      bool    // draining or gone
-	coldSince     float64 // start that it has still to warm up from
-	suspect       bool    // last attempt found no process; one trial at a time
-	backoff       float64
-	backoffEnd    float64
-	recentSends   window // within the last Rules.FallTime and a tick
-	servedShort   fading // of late answers that it served
-	rejectedShort fading // and that it turned away
-	servedLong    fading // of attempts within some poolSpan that it served
-	errorsLong    fading // and that it failed
+	excluded      bool    // not eligible: draining, removed or without a valid shard
+	coldSince     float64 // last known start, from which slow start counts; -Inf: none known
+	suspect       bool    // connections fail; one attempt at a time until one is served
+	backoff       float64 // last backoff, ms
+	backoffEnd    float64 // nothing is sent before this time
+	recentSends   window  // attempts within coldWindow
+	servedShort   fading  // served attempts, decaying with easySpan
+	rejectedShort fading  // rejected attempts, decaying with easySpan
+	servedLong    fading  // served attempts, decaying with poolSpan
+	errorsLong    fading  // server errors and lost or failed connections, decaying with poolSpan
 }
 
-// errorFraction is the part of its late answers that were errors, with a prior of none.
+// errorFraction returns the fraction of recent outcomes that were errors or lost connections,
+// pulled towards 0 by poolWeight prior successes.
 func (n *node) errorFraction(now float64) float64 {
 	if n.errorsLong.n == 0 {
 		return 0
@@ -108,9 +113,10 @@
 	return errorsLong / (errorsLong + n.servedLong.value(now, poolSpan) + poolWeight)
 }
 
-// serviceSample is a time that an attempt took.
+// serviceSample is the time that an attempt took, ms.
 type serviceSample struct{ recordedAt, elapsed float64 }
 
+// medianServiceTime returns the median of the samples, or fallback if there are none.
 func medianServiceTime(samples []serviceSample, fallback float64) float64 {
 	if len(samples) == 0 {
 		return fallback
@@ -123,7 +129,7 @@
 	return times[len(times)/2]
 }
 
-// newNode is a node's record before the list's entry is taken in.
+// newNode returns the record of a node before its list entry is applied.
 func newNode(e Node) *node {
 	n := &node{coldSince: math.Inf(-1), excluded: true}
 	n.Addr, n.Shard = e.Addr, e.Shard
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -5,9 +5,10 @@
 	"slices"
 )
 
-// Membership: which nodes there are, and which of them holds a shard. A list costs what it
-// changes, whatever the size of the fleet.
+// Node membership: which nodes are known and which of them serves each shard. An incremental list
+// takes time in proportion to its entries, whatever the number of nodes; a full one walks them all.
 
+// applyNodeList applies a node list, full or incremental.
 func (p *scheduler) applyNodeList(l NodeList) {
 	if !l.Cached {
 		p.subOn = true
@@ -18,7 +19,9 @@
 	p.updateNodes(l.Nodes)
 }
 
-// updateNodes keeps what is said of nodes and has the shards that it concerns act on it.
+// updateNodes applies the entries and then updates the shards that they affect, by shard number:
+// attempts that may no longer begin are withdrawn, nodes are assigned and waiting requests are
+// sent.
 func (p *scheduler) updateNodes(entries []Node) {
 	for _, e := range entries {
 		p.updateNode(e)
@@ -46,13 +49,13 @@
 		p.visits++
 		if !listed[addr] {
 			p.exclude(n)
-			n.Health = Removed // its record stays, as its answers may come still
+			n.Health = Removed // the record stays: outcomes of its attempts may still arrive
 		}
 	}
 }
 
-// updateNode keeps what the list says of a node. What is gone is forgotten; attempts that are
-// out there keep its record.
+// updateNode applies one list entry. A removed node is deleted from p.nodes; attempts still
+// outstanding keep its record.
 func (p *scheduler) updateNode(entry Node) {
 	p.visits++
 	n := p.nodes[entry.Addr]
@@ -80,13 +83,13 @@
 	}
 }
 
-// eligible tells whether a node may be sent to: it is ready, and holds a shard that there is.
+// eligible reports whether a node may be sent to: it is ready and its shard exists.
 func (p *scheduler) eligible(entry Node) bool {
 	return entry.Health == Ready && entry.Shard >= 0 && (p.s.Shards <= 0 || entry.Shard < p.s.Shards)
 }
 
-// reapplyNodes looks at all nodes again, in an order of its own, once the settings name another
-// number of shards.
+// reapplyNodes re-evaluates all known nodes after the settings changed the number of shards. It
+// sorts them by address, so that the actions do not depend on the order of a map.
 func (p *scheduler) reapplyNodes() {
 	nodes := make([]Node, 0, len(p.nodes))
 	for _, n := range p.nodes {
@@ -96,7 +99,7 @@
 	p.updateNodes(nodes)
 }
 
-// include lets n be sent to as a holder of its shard.
+// include makes n a candidate to serve its shard.
 func (p *scheduler) include(n *node) {
 	sh := p.shard(n.Shard)
 	n.excluded = false
@@ -104,7 +107,7 @@
 	p.markChanged(sh)
 }
 
-// exclude has nothing new sent to n.
+// exclude stops new attempts from going to n.
 func (p *scheduler) exclude(n *node) {
 	if n.excluded {
 		return
@@ -115,7 +118,7 @@
 	p.markChanged(sh)
 }
 
-// markChanged notes that the list being taken in changes something at sh.
+// markChanged records that the node list being applied affects sh.
 func (p *scheduler) markChanged(sh *shard) {
 	if !sh.listed {
 		sh.listed = true
@@ -123,8 +126,9 @@
 	}
 }
 
-// withdrawStale takes back what still waits for its connection to a node that was excluded, or has
-// started anew, since it was decided: drains and cold nodes are held to when bytes leave.
+// withdrawStale withdraws attempts that still wait for a connection if their node was excluded or
+// has restarted since they were sent: draining and slow start apply to the time at which bytes
+// leave.
 func (p *scheduler) withdrawStale(sh *shard) {
 	for _, r := range sh.out {
 		if r.sentTo.excluded || r.sentTo.coldSince != r.sentCold {
@@ -133,8 +137,8 @@
 	}
 }
 
-// assignNode gives the shard the node that holds it now: of those that may be sent to, the one
-// started last.
+// assignNode selects the node that serves the shard: of the eligible ones the one started last,
+// then the one with the lowest address. A change from one node to another resets the depth.
 func (p *scheduler) assignNode(sh *shard) {
 	var best *node
 	for _, n := range sh.ready {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -2,33 +2,36 @@
 
 import "math"
 
-// Slow start: what may go to a node that has just started. All hosts together have to stay
-// within what such a node bears, and they don't talk.
+// Slow start: how much may be sent to a node that has just started. All hosts together have to stay
+// within what such a node can take, without communicating.
 
 const (
-	// coldMarginSigmas is how many standard deviations the sum of what independent hosts send stays
-	// below the load at which a cold node falls: a fleet has hundreds of cold nodes, each for
-	// some ten windows of Rules.FallTime. At 4.5 one window in some hundred thousand is over.
+	// coldMarginSigmas is the number of standard deviations by which the load from all hosts stays
+	// below the overload threshold of a cold node: about one overload window in 100,000 exceeds it,
+	// and a fleet can have hundreds of cold nodes, each for about ten windows.
 	coldMarginSigmas = 4.5
-	// smallColdLoad is the budget, in requests, below which the load at which a node falls has
-	// three standard deviations in it, and not two.
+	// smallColdLoad is the capacity, in requests, below which the overload threshold lies three
+	// standard deviations above it instead of two.
 	smallColdLoad = 30.0
-	// rateSmoothing is a second's pull on the smoothed rate of this host, and rateSpan the time, in
-	// ms, that such a rate is a mean of: 2/rateSmoothing - 1 seconds.
+	// rateSmoothing is the weight of the newest second in this host's smoothed rate. rateMemory is
+	// the equivalent averaging time, ms: 2/rateSmoothing - 1 seconds.
 	rateSmoothing = 0.1
 	rateMemory    = 19_000.0
-	// burstMemory is the memory, in ms, that shows a burst before the smoothed rate does.
+	// burstMemory is the time constant, ms, of the recent rate, which shows a burst sooner than the
+	// smoothed rate does.
 	burstMemory = 1000.0
 )
 
-// slowStart tells whether n is still warming up, and the units that this host may
-// send it within any Rules.FallTime. All hosts together may send ColdUnits at
-// the least capacity; that capacity grows no slower than evenly over ColdTime.
+// slowStart reports whether n is warming up, the units that this host may send to it within
+// coldWindow, and the fraction of its requests that it may send where that budget is less than a
+// request. All hosts together may send Rules.ColdUnits to a node that has just started. This total
+// grows linearly, as the node's capacity does from ColdCapacity to 1 over WarmUpTime, one
+// OverloadWindow late.
 //
-// With many hosts that is less than a request. Then a host lets go that part of
-// what it is asked for which the budget bears of the demand to expect at a node,
-// one request at a time: its own rate over all nodes, for all hosts. Hosts that
-// have more than others to send let a smaller part go, so the sum holds.
+// With many hosts the budget of each is less than a request. A host then sends, one request at a
+// time, the fraction by which the total has to be below the demand expected at the node: this
+// host's own rate times the number of hosts, spread over the shards. A host with more than the
+// average load sends a smaller fraction, so that the sum holds.
 func (p *scheduler) slowStart(n *node) (budget, fraction float64, warming bool) {
 	age, rules := p.now-n.coldSince, p.s.Rules
 	if age >= rules.WarmUpTime {
@@ -43,7 +46,7 @@
 	return safeUnits / hosts, min(maxColdMean(safeUnits/p.s.MeanUnits)*p.s.MeanUnits/demand, 1), true
 }
 
-// shardSlowStart is cold for the node that has the shard.
+// shardSlowStart is slowStart for the node that serves sh; without one, nothing is warming up.
 func (p *scheduler) shardSlowStart(sh *shard) (budget, fraction float64, warming bool) {
 	if sh.node == nil {
 		return 0, 1, false
@@ -51,10 +54,11 @@
 	return p.slowStart(sh.node)
 }
 
-// maxColdMean is how many requests all hosts may send in the mean within Rules.FallTime, so
-// that chance hardly ever takes their sum to where a node that bears n falls: n + 2 root n
-// + 2, below fewCold n + 3 root n + 3. The sum of what many hosts send by chance is spread
-// as Poisson's law has it: by the root of its mean.
+// maxColdMean returns the mean number of requests that all hosts together may send within
+// Rules.OverloadWindow, so that their sum hardly ever overloads a node of that capacity, in
+// requests. The overload threshold is c + 2 sqrt(c) + 2 for a capacity c, and c + 3 sqrt(c) + 3
+// below smallColdLoad. The sum over many independent hosts is Poisson distributed: its standard
+// deviation is the square root of its mean.
 func maxColdMean(capacity float64) float64 {
 	overload := capacity + 2*math.Sqrt(capacity) + 2
 	if capacity < smallColdLoad {
@@ -64,9 +68,9 @@
 	return min(sqrtMean*sqrtMean, capacity)
 }
 
-// inTopFraction tells whether r is of the dearest part of what this host is asked for. Of few
-// requests the cut between them leaves more above it than that part: as much the fewer of
-// those go, by lot.
+// inTopFraction reports whether r belongs to the most valuable fraction of this host's requests.
+// With few requests the cutoff leaves more than that fraction above it; a random draw, made once
+// for each request, reduces these to the fraction.
 func (p *scheduler) inTopFraction(r *request, fraction float64) bool {
 	if fraction >= 1 {
 		return true
@@ -81,8 +85,8 @@
 	return r.drawn*above <= fraction
 }
 
-// updateOwnRate takes in what was asked since it last did, once a second: the mean since the
-// start until that is long enough ago, and then a fading one.
+// updateOwnRate updates this host's smoothed rate of units a second, once a second: the plain mean
+// since the start, until the exponentially weighted mean takes over.
 func (p *scheduler) updateOwnRate() {
 	elapsed := max(p.now-p.ratedAt, 1)
 	rate := p.asked * period / elapsed
@@ -90,10 +94,12 @@
 	p.asked, p.ratedAt = 0, p.now
 }
 
-// demandRate is the units a second to reckon with, +Inf where nothing is known: the long
-// rate, or the rate of this moment as far as it is over that by more than chance. One request
-// more is counted than came: of k requests by Poisson's law with the mean m, the mean of
-// 1/(k+1) is below 1/m, while that of 1/k is above, and the part that goes is such a quotient.
+// demandRate returns the expected demand in units a second, +Inf while nothing is known: the
+// smoothed rate, or the recent rate less its standard deviation if that is higher.
+//
+// The smoothed rate counts one request more than arrived, because the fraction that is sent has the
+// count as its divisor: for a Poisson count k with mean m, the mean of 1/(k+1) is below 1/m, that
+// of 1/k above it.
 func (p *scheduler) demandRate() float64 {
 	knownSpan := min(p.ratedAt-p.born, rateMemory)
 	if knownSpan <= 0 {
@@ -101,11 +107,12 @@
 	}
 	recentRate := p.recentUnits.value(p.now, burstMemory) * period / burstMemory
 	recentRequests := recentRate / p.s.MeanUnits
-	stdDev := math.Sqrt(recentRequests * period / (2 * burstMemory)) // of a fading sum
+	stdDev := math.Sqrt(recentRequests * period / (2 * burstMemory)) // of an exponentially decaying count
 	return max(p.ownRate+p.s.MeanUnits*period/knownSpan, recentRate-p.s.MeanUnits*stdDev)
 }
 
-// coldWindow is how long ago an attempt may have been decided that still counts at a cold node.
+// coldWindow is the age in ms up to which an attempt counts towards the budget of a cold node: it
+// may leave up to MaxSendDelay after it was sent.
 func (p *scheduler) coldWindow() float64 {
 	return p.s.Rules.OverloadWindow + p.s.Rules.MaxSendDelay + p.s.Tick
 }
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -2,8 +2,10 @@
 
 import "math"
 
-// Token buckets: what a volume has of its plan's reserve, rate and limit at this host.
+// Token buckets: this host's part of the reserve, rate and limit in each volume's plan.
 
+// volumeBuckets returns the token buckets of q's volume at this host, refilled to the present. On
+// first use they are created, with the reserve and the fair share full.
 func (p *scheduler) volumeBuckets(q Request, plan *Plan) *volumeBuckets {
 	v := p.vols[q.Volume]
 	if v == nil {
@@ -11,8 +13,8 @@
 		p.vols[q.Volume] = v
 		p.setBuckets(v, divisor(q.Hosts, q.Fraction))
 		v.fairLevel, v.reserveLevel = v.fairCap, v.reserveCap
-		// This host may have spent its part just before it was restarted, or others what
-		// of it was theirs: count only on what has filled since.
+		// This host may have spent its part just before a restart, or other hosts before they
+		// gave it up: count only what has filled since.
 		v.limitLevel = min(v.limitFloor+v.limitRate*(p.now-max(p.born, q.FractionSince))/1000, v.limitCap)
 	}
 	seconds := (p.now - v.refilledAt) / 1000
@@ -23,7 +25,7 @@
 	return v
 }
 
-// setBuckets gives a volume this host's part of what its plan has.
+// setBuckets sets the fill rates and capacities for one of that many equal parts of the plan.
 func (p *scheduler) setBuckets(v *volumeBuckets, parts float64) {
 	plan := v.plan
 	v.divisor = parts
@@ -33,10 +35,10 @@
 	v.fairCap = max(v.fairRate*spread, 2*p.s.MaxUnits)
 }
 
-// resizeBuckets gives a volume another part of its plan, or another plan. What is left of the
-// old one stays, as far as the new one holds it: what it gains may have been spent
-// elsewhere. Where nothing was limited, nothing is left that was counted. What is pending
-// counts as left, for it may come back, and is taken from what the new part holds.
+// resizeBuckets gives a volume another plan or another part of it. Tokens left in the limit's
+// bucket are kept up to the new capacity; none are added, since a larger part may have been spent
+// at other hosts. Without a limit before, none are left. Pending units count as left, since they
+// may be refunded, and are then taken from the new bucket.
 func (p *scheduler) resizeBuckets(v *volumeBuckets, plan *Plan, parts float64) {
 	remaining := v.limitLevel + v.pending - v.limitFloor
 	if v.plan.Limit <= 0 {
@@ -47,8 +49,8 @@
 	v.limitLevel = v.limitFloor + min(remaining, v.limitCap-v.limitFloor) - v.pending
 }
 
-// valueRequest sets what r's units are worth: in full inside the volume's reserve,
-// then inside its weighted share of the node, then as spare.
+// valueRequest sets the value of each of r's units: in full inside the volume's reserve, by
+// FairFactor inside its fair share, by SpareFactor beyond it.
 func (p *scheduler) valueRequest(r *request) {
 	plan := &p.s.Plans[r.flow]
 	factor := p.s.SpareFactor
@@ -66,13 +68,14 @@
 	p.recent = append(p.recent[max(len(p.recent)-recentMost, 0):], ask{r.rank, r.Units})
 }
 
-// withinLimit holds a limited volume to this host's part of the limit.
+// withinLimit reports whether the limit of r's volume lets r go from this host; if not, it sets a
+// timer for when the bucket will have filled far enough.
 func (p *scheduler) withinLimit(r *request, sh *shard) bool {
 	if r.vol.plan.Limit <= 0 || r.charged {
 		return true
 	}
 	v := p.volumeBuckets(r.Request, r.vol.plan)
-	r.vol = v // it may have been forgotten since, and begun anew
+	r.vol = v // the old record may have been dropped as idle
 	if deficit := v.limitFloor + r.Units - v.limitLevel; deficit > 0 {
 		p.heldAt, v.heldAt = p.now+deficit/v.limitRate*1000, p.now
 		p.setTimer(p.heldAt+guard, nil, sh)
@@ -81,8 +84,9 @@
 	return true
 }
 
-// chargeLimit takes r's units from its volume's limit. Until it is known whether they pass they are
-// pending: what comes back must not find that the bucket has filled in their place.
+// chargeLimit takes r's units from the limit of its volume, once. They are pending until the
+// outcome is known, and the bucket does not refill their place meanwhile: a refund would exceed the
+// limit.
 func (p *scheduler) chargeLimit(r *request) {
 	if r.charged {
 		return
@@ -91,22 +95,23 @@
 	if r.vol.plan.Limit <= 0 {
 		return
 	}
-	r.vol.limitLevel -= r.Units // limitOK has just brought it up to now
+	r.vol.limitLevel -= r.Units // just refilled by withinLimit
 	if p.s.Rules.MaxSendDelay > 0 {
 		r.pending = r.Units
 		r.vol.pending += r.Units
 	}
 }
 
-// settlePending has the units of an attempt that ended no longer pending.
+// settlePending ends the pending state of r's units, after its attempt has ended.
 func (p *scheduler) settlePending(r *request) {
-	p.volumeBuckets(r.Request, r.vol.plan) // what has filled until now
+	p.volumeBuckets(r.Request, r.vol.plan) // refill first, with the units still pending
 	r.vol.pending = max(r.vol.pending-r.pending, 0)
 	r.pending = 0
 }
 
-// refundLimit has a request that never passed take its units anew when it does, for the store has
-// filled meanwhile. What found no connection has them back; of the rest that is less sure.
+// refundLimit has a request that reached no node charged again at its next attempt, since the
+// bucket has filled meanwhile. Its units are returned only if no connection was made; otherwise it
+// is less sure that they were not used.
 func (p *scheduler) refundLimit(r *request, o Result) {
 	if p.s.Rules.MaxSendDelay <= 0 || r.reached || !r.charged {
 		return
@@ -116,23 +121,24 @@
 	}
 }
 
-// volumeBuckets is what one volumeBuckets is due through this host.
+// volumeBuckets are the token buckets of one volume at this host: levels and capacities in units,
+// rates in units a second.
 type volumeBuckets struct {
 	plan                     *Plan
 	lastUsed                 float64
-	reserveLevel, limitLevel float64 // levels, in units
+	reserveLevel, limitLevel float64
 	reserveRate, reserveCap  float64
 	limitRate, limitCap      float64
-	pending                  float64 // of the limit, taken by attempts of which it is not known whether they pass
-	limitFloor               float64
-	divisor                  float64 // of which this host has one
+	pending                  float64 // charged to the limit by attempts without an outcome, refundable
+	limitFloor               float64 // lowest limitLevel after a charge; not above 0
+	divisor                  float64 // equal parts of the plan, of which this host has one
 	fairLevel, fairRate      float64
 	fairCap                  float64
-	refilledAt               float64 // time of the levels
-	heldAt                   float64 // when its limit last held a request
+	refilledAt               float64
+	heldAt                   float64 // when the limit last delayed a request
 }
 
-// divisor is of how many equal divisor a host has one.
+// divisor returns the number of equal parts into which a plan is split, of which each host has one.
 func divisor(hosts int, fraction float64) float64 {
 	if fraction <= 0 {
 		fraction = 1
@@ -140,18 +146,19 @@
 	return float64(max(hosts, 1)) / fraction
 }
 
-// updateDivisor gives a volume another part of what its plan has.
+// updateDivisor applies a change of the hosts that share a volume's plan, or of the fraction they
+// have.
 func (p *scheduler) updateDivisor(e VolumeChanged) {
 	v := p.vols[e.Volume]
 	if v == nil {
 		return
 	}
-	p.volumeBuckets(Request{Volume: e.Volume}, v.plan) // levels of now
+	p.volumeBuckets(Request{Volume: e.Volume}, v.plan) // refill at the old rates
 	p.resizeBuckets(v, v.plan, divisor(e.Hosts, e.Fraction))
 	p.recheckLimited()
 }
 
-// recheckLimited has everything looked at that a limit may have held.
+// recheckLimited pumps all shards again after a change that may let limited requests go.
 func (p *scheduler) recheckLimited() {
 	for _, sh := range p.shards {
 		sh.forgetHeld()
