--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -32,7 +32,7 @@
 			return err
 		}
 		for _, ev := range b.Events {
-			if err := step(hosts, w, b.Now, ev); err != nil {
+			if err := handleEvent(hosts, w, b.Now, ev); err != nil {
 				return err
 			}
 		}
@@ -42,12 +42,12 @@
 	}
 }
 
-// step gives one event to its instance and prints what it does.
-func step(hosts map[int]policy.Scheduler, w *wire.Writer, now float64, ev wire.Event) error {
+// handleEvent gives one event to its instance and prints what it does.
+func handleEvent(hosts map[int]policy.Scheduler, w *wire.Writer, now float64, ev wire.Event) error {
 	switch {
 	case ev.Boot != nil:
 		hosts[ev.Instance] = policy.New(*ev.Boot, ev.Seed)
-	case ev.Kill:
+	case ev.Stop:
 		delete(hosts, ev.Instance)
 	case hosts[ev.Instance] == nil:
 		return fmt.Errorf("event for instance %d, which is not running", ev.Instance)
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-const boot = `boot 0 7 {"balancers":1,"request_classes":[{"name":"r","aim_ms":200,"effect":"read_like"}]}` + "\n"
+const bootLine = `boot 0 7 {"balancers":1,"request_classes":[{"name":"r","aim_ms":200,"effect":"read_like"}]}` + "\n"
 
 func TestRun(t *testing.T) {
 	tests := []struct{ name, in, want, err string }{
 		{"empty input", "", "", ""},
 		{"empty batch", "begin_batch 1\nend\n", "yield\n", ""},
-		{"restart in one batch", "begin_batch 1\n" + boot + "detach 0\n" + boot + "hangup 0 aa\nend\n", "yield\n", ""},
+		{"restart in one batch", "begin_batch 1\n" + bootLine + "detach 0\n" + bootLine + "hangup 0 aa\nend\n", "yield\n", ""},
 		{"not running", "begin_batch 1\nhangup 0 aa\nend\n", "", "not running"},
 		{"unterminated", "begin_batch 1\n", "", "no end"},
 	}
--- a/cmd/merlinhitch/scheduler_test.go
+++ b/cmd/merlinhitch/scheduler_test.go
@@ -166,7 +166,7 @@
 // hear tells an answer's status, 0 where the connection ended without one.
 func (c *conn) hear() int {
 	c.SetReadDeadline(time.Now().Add(15 * time.Second))
-	lim := http1.Limits{Head: 4 << 10, Fields: 20, Body: 4 << 10}
+	lim := http1.Limits{MaxHeadBytes: 4 << 10, MaxFields: 20, MaxBodyBytes: 4 << 10}
 	m, _, err := http1.ReadWholeResponse(c.in, lim)
 	if err != nil {
 		return 0
--- a/cmd/merlinhitch/serve.go
+++ b/cmd/merlinhitch/serve.go
@@ -139,7 +139,7 @@
 func (c *diskserverCmd) Run(log *zap.Logger) error {
 	w := env.NewReal()
 	m := standin.NewMachine(standin.MachineConfig{Cores: c.Cores, Queue: 120, UnitWork: c.Work, WriteX: 1.5, ColdFrom: 1, FallTime: 1000, FallMultiple: 2},
-		w.Uint64(), standin.NewCell(func(string) int { return c.Block }), standin.NewRack(6000), nil, uint32(c.Shard), 0, false)
+		w.RandomUint64(), standin.NewCell(func(string) int { return c.Block }), standin.NewRack(6000), nil, uint32(c.Shard), 0, false)
 	d := &standin.DiskServer{Name: fmt.Sprintf("d%d", c.Shard), Zone: c.Zone, Rack: fmt.Sprintf("d%d", c.Shard), Shard: c.Shard}
 	if c.Keys != "" {
 		var err error
--- a/cmd/merlinhitch/top.go
+++ b/cmd/merlinhitch/top.go
@@ -38,7 +38,7 @@
 	}
 	w := env.NewReal()
 	before := top.Take(ctx, sources, c.Within, w.Now)
-	for env.Pause(ctx, w, c.Every) {
+	for env.SleepContext(ctx, w, c.Every) {
 		after := top.Take(ctx, sources, c.Within, w.Now)
 		if err := c.print(top.Sum(sources, before, after)); err != nil || c.Once {
 			return err
--- a/internal/control/gateway/announcer.go
+++ b/internal/control/gateway/announcer.go
@@ -129,7 +129,7 @@
 
 func (a *announcer) run() {
 	defer a.done.Open()
-	for env.Wait(a.cfg.Environment, lookEvery, &a.stopped) {
+	for env.Sleep(a.cfg.Environment, lookEvery, &a.stopped) {
 		a.look()
 	}
 }
--- a/internal/control/gateway/announcer_test.go
+++ b/internal/control/gateway/announcer_test.go
@@ -55,7 +55,7 @@
 		if w.Now() > end {
 			t.Fatal("not seen: " + what)
 		}
-		env.Wait(w, 2*time.Millisecond, nil)
+		env.Sleep(w, 2*time.Millisecond, nil)
 	}
 }
 
--- a/internal/control/gateway/answerer.go
+++ b/internal/control/gateway/answerer.go
@@ -104,7 +104,7 @@
 // release has it written, and forgets the queues.
 func (w *heldWrites) release() {
 	for _, queue := range *w {
-		queue.Release()
+		queue.Flush()
 	}
 	clear(*w)
 	*w = (*w)[:0]
--- a/internal/control/gateway/back.go
+++ b/internal/control/gateway/back.go
@@ -35,9 +35,9 @@
 
 	mu     sync.Mutex
 	links  map[string]*link // that can be used, by server
-	all    env.Roster[*link]
+	all    env.OrderedSet[*link]
 	closed bool
-	tasks  env.Group
+	tasks  env.WaitGroup
 	ctx    context.Context
 	stop   context.CancelFunc
 }
@@ -52,7 +52,7 @@
 )
 
 func newBack(w env.Environment, h *host, name string, dialIn time.Duration, log *zap.Logger) *back {
-	b := &back{world: w, host: h, id: w.Uint64(), name: name, log: log, links: map[string]*link{}}
+	b := &back{world: w, host: h, id: w.RandomUint64(), name: name, log: log, links: map[string]*link{}}
 	b.dialIn.Store(int64(dialIn))
 	b.ctx, b.stop = context.WithCancel(context.Background())
 	return b
@@ -117,7 +117,7 @@
 	if l.up && !l.down {
 		l.nextTag++
 		tag := l.nextTag
-		l.out.Put(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindProbe, tag, nil) })
+		l.out.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindProbe, tag, nil) })
 	}
 }
 
@@ -131,7 +131,7 @@
 		if now := float64(b.world.Now()) / float64(time.Microsecond); now-l.clockAt > clockOld && l.up && !l.down {
 			l.nextTag++
 			tag := l.nextTag
-			l.out.Put(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindProbe, tag, nil) })
+			l.out.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindProbe, tag, nil) })
 		}
 		l.mu.Unlock()
 	}
@@ -177,7 +177,7 @@
 		return // timed out while it waited
 	}
 	l.nextTag++
-	if faultinject.Is(faultinject.TagReused) {
+	if faultinject.Active(faultinject.TagReused) {
 		l.nextTag %= 4
 	}
 	a.tag = l.nextTag
@@ -185,10 +185,10 @@
 	do := a.job.do
 	do.Attempt = uint16(a.n)
 	do.Gen, do.Deadline = a.gen, l.deadline(a.until)
-	if faultinject.Is(faultinject.DeadlineUnsaid) {
+	if faultinject.Active(faultinject.DeadlineUnsaid) {
 		do.Deadline += 60_000_000
 	}
-	if !l.out.Hold(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindDo, a.tag, &do) }) {
+	if !l.out.Buffer(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindDo, a.tag, &do) }) {
 		l.conn.Close() // the reader ends the rest
 	}
 }
@@ -233,7 +233,7 @@
 func (l *link) serve(conn net.Conn) error {
 	out := writequeue.New(l.back.world, conn, backOut, backTimeout)
 	defer out.Wait()
-	defer out.Cut()
+	defer out.Abort()
 	l.mu.Lock()
 	l.conn, l.out = conn, out
 	l.mu.Unlock()
@@ -259,7 +259,7 @@
 // and then hangs has carried nothing, and says so by NoConnection.
 func (l *link) greet(conn net.Conn, r *diskproto.Reader) error {
 	h := &diskproto.Hello{Oldest: diskproto.Oldest, Newest: diskproto.Version, Host: l.back.id, Name: l.back.name}
-	l.out.Put(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindHello, 0, h) })
+	l.out.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindHello, 0, h) })
 	conn.SetReadDeadline(l.back.world.Deadline(time.Duration(l.back.dialIn.Load())))
 	f, err := r.Next()
 	if err != nil {
@@ -284,7 +284,7 @@
 	for _, a := range l.waiting {
 		l.put(a)
 	}
-	l.out.Release()
+	l.out.Flush()
 	l.waiting = nil
 	return nil
 }
@@ -429,7 +429,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.up && l.open[a.tag] == a {
-		l.out.Put(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCancel, a.tag, nil) })
+		l.out.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCancel, a.tag, nil) })
 	}
 }
 
--- a/internal/control/gateway/command.go
+++ b/internal/control/gateway/command.go
@@ -158,7 +158,7 @@
 		}
 		j := cmd.add(v, vol, class, io.Op, p.Shard, p.Extent, n)
 		j.do.LBA, j.do.Blocks, j.do.Data = p.LBA, p.Blocks, data
-		if faultinject.Is(faultinject.ExtentMissed) && len(cmd.jobs) > 1 && io.Op == scsi.Write {
+		if faultinject.Active(faultinject.ExtentMissed) && len(cmd.jobs) > 1 && io.Op == scsi.Write {
 			j.do.LBA--
 		}
 	}
@@ -197,7 +197,7 @@
 		Key: key, Hosts: v.hosts[vol.Name], Write: op.Writes(), Expires: cmd.task.At + class.Deadline}
 	j.do = diskproto.Do{Op: byte(op), Effect: wireEffect[class.Effect], Shard: uint32(shard), Host: c.front.host.back.id,
 		Origin: uint64(c.tsih)<<32 | uint64(cmd.task.ITT), Fence: cmd.fence, Units: units, Plan: vol.Plan, Volume: vol.Name, Key: key}
-	if faultinject.Is(faultinject.KeyForgotten) {
+	if faultinject.Active(faultinject.KeyForgotten) {
 		j.req.Key += fmt.Sprint(c.front.open.Load())
 	}
 	cmd.jobs = append(cmd.jobs, j)
@@ -216,7 +216,7 @@
 		for _, j := range cmd.jobs {
 			h.abandon(h.now, j)
 		}
-		if cmd.landing == 0 || faultinject.Is(faultinject.AbortAtOnce) {
+		if cmd.landing == 0 || faultinject.Active(faultinject.AbortAtOnce) {
 			cmd.tellGroup()
 		}
 	}})
@@ -232,7 +232,7 @@
 	if how == endRefused || how == endFailed {
 		cmd.spare()
 	}
-	if faultinject.Is(faultinject.LossTakenForGood) && how == endFailed && j.req.Write {
+	if faultinject.Active(faultinject.LossTakenForGood) && how == endFailed && j.req.Write {
 		how = endServed
 	}
 	cmd.worst, cmd.after = max(cmd.worst, how), max(cmd.after, after)
@@ -306,7 +306,7 @@
 		return iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.Miscompare.Fixed()}
 	case cmd.worst == endServed:
 		return iscsi.Answer{Data: cmd.data, Out: cmd.outcome.Out}
-	case cmd.worst == endRefused && !cmd.partRan(), faultinject.Is(faultinject.BusyAfterSend) && cmd.worst == endFailed:
+	case cmd.worst == endRefused && !cmd.partRan(), faultinject.Active(faultinject.BusyAfterSend) && cmd.worst == endFailed:
 		return iscsi.Answer{Status: scsi.Busy, Qualifier: retryDelay(cmd.after)}
 	}
 	return iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.CommandAborted.Fixed()}
--- a/internal/control/gateway/front.go
+++ b/internal/control/gateway/front.go
@@ -65,10 +65,10 @@
 	answers  []*answerer
 
 	mu       sync.Mutex
-	conns    env.Roster[*conn]
+	conns    env.OrderedSet[*conn]
 	sessions map[sessionKey]*conn
 	stopping bool
-	tasks    env.Group
+	tasks    env.WaitGroup
 }
 
 // sessionKey is the identity of a session: a login with the same takes its place
@@ -91,7 +91,7 @@
 	f := &front{world: w, host: h, log: log, listener: l, sessions: map[sessionKey]*conn{}}
 	f.keeper, f.answers = newKeeper(f), newAnswerers(h)
 	f.view.Store(v)
-	f.nextTSIH.Store(uint32(w.Uint64()))
+	f.nextTSIH.Store(uint32(w.RandomUint64()))
 	f.tasks.Go(w, f.accept)
 	return f
 }
@@ -196,7 +196,7 @@
 		k.answers = f.answers[f.turn.Add(1)%n]
 	}
 	k.out = writequeue.New(f.world, c, outMost, env.Duration(f.view.Load().Target.WriteTime))
-	k.out.Gauge = func(delta int) { f.memory.Add(int64(delta)) }
+	k.out.OnBytesChanged = func(delta int) { f.memory.Add(int64(delta)) }
 	return k
 }
 
@@ -217,9 +217,9 @@
 
 // emit sends a PDU, or holds it while the host core is in a batch. Held: mu.
 func (c *conn) emit(p *iscsi.PDU) {
-	c.out.Hold(func(b []byte) []byte { return p.Append(b, c.digests) })
+	c.out.Buffer(func(b []byte) []byte { return p.Append(b, c.digests) })
 	if !c.batch {
-		c.out.Release()
+		c.out.Flush()
 	}
 }
 
@@ -271,7 +271,7 @@
 	p := iscsi.DefaultParams()
 	p.MaxRecv, p.MaxBurst, p.FirstBurst, p.InitialR2T, p.MaxR2T = maxSegment, maxTransfer, maxSegment, false, 4
 	tp := &iscsi.TargetPolicy{Params: p, Window: uint32(v.Target.Window), PortalGroup: 1,
-		Random: func(b []byte) { env.Fill(c.front.world, b) },
+		Random: func(b []byte) { env.FillRandom(c.front.world, b) },
 		Admit: func(_, target string) iscsi.LoginStatus {
 			if target != "" && v.targets[target] == nil {
 				return iscsi.LoginNotFound
@@ -302,7 +302,7 @@
 		c.port = portOf(c.key, c.front.host.self)
 		if old := c.front.register(c.key, c); old != nil {
 			old.log.Info("session reinstated by a new login")
-			old.out.Cut()
+			old.out.Abort()
 			old.ended.Wait(c.front.world)
 		}
 		c.log = c.log.With(zap.String("volume", c.unit.vol.Name), zap.Uint16("session", l.TSIH))
@@ -348,7 +348,7 @@
 		defer c.mu.Unlock()
 		if !c.heard && !c.sess.Ping() {
 			c.log.Info("closed: no sign of life")
-			c.out.Cut()
+			c.out.Abort()
 			return
 		}
 		c.heard = false
@@ -463,7 +463,7 @@
 			continue
 		}
 		if cold {
-			o.out.Cut()
+			o.out.Abort()
 			continue
 		}
 		for _, t := range o.reset() {
@@ -523,7 +523,7 @@
 	defer c.mu.Unlock()
 	c.closed = true
 	if !c.parting {
-		c.out.Cut()
+		c.out.Abort()
 	}
 	if c.sess == nil {
 		return
@@ -564,7 +564,7 @@
 func (f *front) cutAll() {
 	f.stopAccepting()
 	for _, c := range f.all() {
-		c.out.Cut()
+		c.out.Abort()
 	}
 	f.tasks.Wait(f.world)
 	for _, a := range f.answers {
--- a/internal/control/gateway/gateway.go
+++ b/internal/control/gateway/gateway.go
@@ -362,7 +362,7 @@
 func (g *Gateway) await(ctx context.Context, most time.Duration, done func() bool) {
 	end := g.cfg.Environment.Now() + most
 	for !done() && g.cfg.Environment.Now() < end && ctx.Err() == nil {
-		env.Pause(ctx, g.cfg.Environment, stopLook)
+		env.SleepContext(ctx, g.cfg.Environment, stopLook)
 	}
 }
 
--- a/internal/control/gateway/host.go
+++ b/internal/control/gateway/host.go
@@ -38,7 +38,7 @@
 
 	lease   atomic.Uint64 // bits of the lease's end; without regions it never ends
 	sooner  func()        // has a lease asked for at once
-	alarm   env.Alarm
+	alarm   env.WakeTimer
 	buffers sync.Pool
 	said    heldWrites // what the present batch of events left to be written
 }
@@ -71,7 +71,7 @@
 
 func newHost(w env.Environment, s *settings.Settings, self int, name, zone string, k *keys.Holder, log *zap.Logger) *host {
 	h := &host{world: w, log: log, self: self, wake: w.NewParker(), fetch: func() {}}
-	h.core = newHostCore(env.MS(w.Now()), s, self, zone, w.Uint64(), h)
+	h.core = newHostCore(env.MS(w.Now()), s, self, zone, w.RandomUint64(), h)
 	h.back = newBack(w, h, name, env.Duration(s.Limits.DialTimeout), log)
 	h.sooner = func() {}
 	if h.leased(math.Inf(1)); s.Regions != nil {
@@ -180,7 +180,7 @@
 // arm has the goroutine woken when the core next has something to do.
 func (h *host) arm() {
 	at := h.core.next()
-	if faultinject.Is(faultinject.WakeupLost) && h.alarm.At() > 0 && at >= h.alarm.At() {
+	if faultinject.Active(faultinject.WakeupLost) && h.alarm.Due() > 0 && at >= h.alarm.Due() {
 		return
 	}
 	h.alarm.Set(h.world, env.MS(h.world.Now()), at, h.wake.Unpark)
--- a/internal/control/gateway/host_test.go
+++ b/internal/control/gateway/host_test.go
@@ -56,7 +56,7 @@
 	h := newHost(w, settings.Example(1, 1), 0, "h0", "z0", nil, zap.NewNop())
 	defer h.stop()
 	for range 3 {
-		env.Wait(w, 5*time.Millisecond, nil)
+		env.Sleep(w, 5*time.Millisecond, nil)
 		asked := env.MS(w.Now())
 		var now float64
 		if !h.ask(func(c *hostCore) { now = c.now }) || now < asked {
--- a/internal/control/gateway/hostcore.go
+++ b/internal/control/gateway/hostcore.go
@@ -168,14 +168,14 @@
 		}
 	}
 	p := s.Policy(h.self, h.zone)
-	if faultinject.Is(faultinject.RepeatUnsafe) {
+	if faultinject.Active(faultinject.RepeatUnsafe) {
 		for i := range p.Classes {
 			if p.Classes[i].Effect == policy.NonIdempotent {
 				p.Classes[i].Effect, p.Classes[i].DedupWindow = policy.Keyed, p.Classes[i].Deadline
 			}
 		}
 	}
-	if faultinject.Is(faultinject.LimitMisread) {
+	if faultinject.Active(faultinject.LimitMisread) {
 		for i := range p.Plans {
 			p.Plans[i].Limit *= 4
 		}
@@ -245,7 +245,7 @@
 			h.withdraw(j.last)
 		}
 	case policy.SetTimer:
-		h.timers.Push(&timer{At: h.now + a.Delay, What: awaited{name: a.Name}})
+		h.timers.Push(&timer{Due: h.now + a.Delay, Value: awaited{name: a.Name}})
 	case policy.FetchList:
 		h.eff.fetchList() // Subscribe needs nothing: the client always is
 	case policy.CloseIdle:
@@ -277,11 +277,11 @@
 	if a.n > 0 {
 		h.resends++
 	}
-	a.timer = timer{At: min(a.by, a.until), What: awaited{a: a}}
+	a.timer = timer{Due: min(a.by, a.until), Value: awaited{a: a}}
 	if goes {
 		h.eff.send(a)
 	} else {
-		a.timer.At, a.timer.What.cancelled = h.now, true // the module is in the midst of an event
+		a.timer.Due, a.timer.Value.cancelled = h.now, true // the module is in the midst of an event
 	}
 	h.timers.Push(&a.timer)
 }
@@ -297,7 +297,7 @@
 
 func (h *hostCore) rearm(a *attempt, at float64) {
 	h.timers.Remove(&a.timer)
-	a.timer.At = at
+	a.timer.Due = at
 	h.timers.Push(&a.timer)
 }
 
@@ -305,9 +305,9 @@
 // the module is in the middle of an event.
 func (h *hostCore) cancel(j *job, n int) {
 	for _, d := range h.timers.All() { // rare: the module's own time-outs do most
-		if a := d.What.a; a != nil && a.job == j && a.n == n {
+		if a := d.Value.a; a != nil && a.job == j && a.n == n {
 			h.timers.Remove(d)
-			d.At, d.What.cancelled = h.now, true
+			d.Due, d.Value.cancelled = h.now, true
 			h.timers.Push(d)
 			h.eff.cancel(a)
 			return
@@ -365,7 +365,7 @@
 		return
 	}
 	if j.landBy > h.now {
-		h.timers.Push(&timer{At: j.landBy, What: awaited{j: j}})
+		h.timers.Push(&timer{Due: j.landBy, Value: awaited{j: j}})
 		return
 	}
 	j.settled = true
@@ -444,13 +444,13 @@
 }
 
 // next is when tick has something to do, +Inf if never.
-func (h *hostCore) next() float64 { return h.timers.Next() }
+func (h *hostCore) next() float64 { return h.timers.NextDue() }
 
 // tick does what has come due.
 func (h *hostCore) tick(now float64) {
 	h.at(now)
-	for e := h.timers.Take(h.now); e != nil; e = h.timers.Take(h.now) {
-		switch d := e.What; {
+	for e := h.timers.PopDue(h.now); e != nil; e = h.timers.PopDue(h.now) {
+		switch d := e.Value; {
 		case d.a != nil:
 			h.timeOut(d.a, d.cancelled)
 		case d.j != nil:
@@ -496,7 +496,7 @@
 		clear(h.nodes)
 	}
 	for i, n := range l.Nodes {
-		if faultinject.Is(faultinject.DrainOverlooked) && n.Health == inventory.Draining {
+		if faultinject.Active(faultinject.DrainOverlooked) && n.Health == inventory.Draining {
 			l.Nodes[i].Health = inventory.Ready
 		}
 		h.nodes[n.Addr] = l.Nodes[i]
@@ -530,7 +530,7 @@
 // startOf turns an age into a time on this clock, once for each incarnation: the
 // module takes another time for another start.
 func (h *hostCore) startOf(n inventory.Node) float64 {
-	if n.AgeMS <= 0 || faultinject.Is(faultinject.StartUnheard) {
+	if n.AgeMS <= 0 || faultinject.Active(faultinject.StartUnheard) {
 		return 0
 	}
 	k := startKey{n.Addr, n.Incarnation}
--- a/internal/control/gateway/hostcore_test.go
+++ b/internal/control/gateway/hostcore_test.go
@@ -19,7 +19,7 @@
 	for range 20000 {
 		switch {
 		case len(live) == 0 || rng.IntN(3) > 0:
-			d := &timer{At: float64(rng.IntN(50))}
+			d := &timer{Due: float64(rng.IntN(50))}
 			h.Push(d)
 			live = append(live, d)
 		case rng.IntN(2) == 0:
@@ -29,9 +29,9 @@
 			live = slices.Delete(live, i, i+1)
 		default:
 			// Of equals the first, which was set before the others.
-			want := slices.MinFunc(live, func(a, b *timer) int { return int(a.At - b.At) })
+			want := slices.MinFunc(live, func(a, b *timer) int { return int(a.Due - b.Due) })
 			if got := h.First(); got != want {
-				t.Fatalf("first is due at %v, want %v", got.At, want.At)
+				t.Fatalf("first is due at %v, want %v", got.Due, want.Due)
 			}
 			h.Remove(want)
 			live = slices.DeleteFunc(live, func(d *timer) bool { return d == want })
--- a/internal/control/gateway/keeper.go
+++ b/internal/control/gateway/keeper.go
@@ -333,7 +333,7 @@
 		req.Hosts = append(req.Hosts, uint16(h+1))
 	}
 	p.req, p.out = req, len(r.List)
-	p.stamp = c.front.world.Uint64()
+	p.stamp = c.front.world.RandomUint64()
 	c.front.keeper.fresh(vol, p.expires, p.try)
 }
 
--- a/internal/control/gateway/recorder.go
+++ b/internal/control/gateway/recorder.go
@@ -20,7 +20,7 @@
 	store *history.Store
 	was   map[history.Key]history.Counts
 	over  env.Gate
-	tasks env.Group
+	tasks env.WaitGroup
 }
 
 // flushEvery is how many seconds may be lost in a crash.
@@ -38,7 +38,7 @@
 
 func (r *recorder) run() {
 	w := r.g.cfg.Environment
-	for n := 1; env.Wait(w, time.Second, &r.over); n++ {
+	for n := 1; env.Sleep(w, time.Second, &r.over); n++ {
 		r.second(w.Deadline(0).Unix(), n%flushEvery == 0)
 	}
 	r.second(w.Deadline(0).Unix(), true)
--- a/internal/control/gateway/regional.go
+++ b/internal/control/gateway/regional.go
@@ -81,7 +81,7 @@
 		return
 	}
 	h.eff.leased(r.Until())
-	h.timers.Push(&timer{At: r.Until(), What: awaited{name: leaseEnd}})
+	h.timers.Push(&timer{Due: r.Until(), Value: awaited{name: leaseEnd}})
 	if r.held && r.Known().Term == r.term {
 		return
 	}
@@ -150,7 +150,7 @@
 	if !region.MayRepeat(j.gen, home, everywhere) {
 		return false
 	}
-	if a.gen = home.Gen; !faultinject.Is(faultinject.FenceMissing) {
+	if a.gen = home.Gen; !faultinject.Active(faultinject.FenceMissing) {
 		a.until = min(a.until, r.Until())
 	}
 	return true
@@ -211,7 +211,7 @@
 		l.soon = &env.Gate{}
 		soon := l.soon
 		l.mu.Unlock()
-		env.Wait(l.world, l.every, soon)
+		env.Sleep(l.world, l.every, soon)
 		if l.over.Opened() {
 			return
 		}
--- a/internal/control/scheduler/ahead.go
+++ b/internal/control/scheduler/ahead.go
@@ -78,7 +78,7 @@
 			a.marks = append(a.marks, arrivalMark{a.bytesRead, now})
 		}
 	}
-	if err != nil && err != env.ErrNothing && !env.IsTimeout(err) {
+	if err != nil && err != env.ErrNoData && !env.IsTimeout(err) {
 		a.err = err
 	}
 }
@@ -99,7 +99,7 @@
 // readAvailable keeps what has come already; the error is the stream's end.
 func (a *readAhead) readAvailable() error {
 	for a.err == nil && !a.full() {
-		if a.fill(func(b []byte) (int, error) { return env.ReadNow(a.conn, b) }) != nil {
+		if a.fill(func(b []byte) (int, error) { return env.ReadAvailable(a.conn, b) }) != nil {
 			break
 		}
 	}
--- a/internal/control/scheduler/ahead_test.go
+++ b/internal/control/scheduler/ahead_test.go
@@ -126,7 +126,7 @@
 		for range requests {
 			io.WriteString(p.conn, strings.Replace(sc.get(), "0.480", "19.0", 1))
 		}
-		env.Wait(sc.w, 300*time.Millisecond, nil) // it reads nothing meanwhile
+		env.Sleep(sc.w, 300*time.Millisecond, nil) // it reads nothing meanwhile
 		for i := range requests {
 			if got := p.hear(p.w.Now()); got.status != 200 || len(got.body) != size {
 				t.Fatalf("answer %d: %d, %d bytes", i, got.status, len(got.body))
@@ -152,7 +152,7 @@
 	if w.conn, err = net.Dial("tcp", l.Addr().String()); err == nil {
 		_, err = io.WriteString(w.conn, w.raw)
 	}
-	env.Wait(w.Real, w.heldUp, nil)
+	env.Sleep(w.Real, w.heldUp, nil)
 	return l, err
 }
 
@@ -189,7 +189,7 @@
 		long := sc.request("PUT", "txn-write", "00000000000000c1", "9.000", "x", "Idempotency-Key: k\r\n")
 		from := sc.w.Now()
 		io.WriteString(p.conn, long)
-		env.Wait(sc.w, 20*time.Millisecond, nil)
+		env.Sleep(sc.w, 20*time.Millisecond, nil)
 		io.WriteString(p.conn, sc.get()+sc.get()) // of 0.48 s
 		for i := range 3 {
 			got := p.hear(from)
--- a/internal/control/scheduler/back.go
+++ b/internal/control/scheduler/back.go
@@ -17,10 +17,10 @@
 )
 
 var (
-	messageLimits = http1.Limits{Head: 16 << 10, Fields: 64, Body: 64 << 10}
+	messageLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: 64 << 10}
 	// answerLimits: the platform's page speaks of 64 KiB, its disk servers answer with
 	// several times that. What all answers hold at once is bounded by the back's budget.
-	answerLimits = http1.Limits{Head: 16 << 10, Fields: 64, Body: mostAnswer}
+	answerLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: mostAnswer}
 )
 
 const (
@@ -59,10 +59,10 @@
 	idle    list.List // of free links, the one that has been free for longest first
 	starved []*server // that something waits for, and nothing could be dialled
 	pausing bool      // a dial failed by this machine's own fault just now
-	tasks   env.Group
+	tasks   env.WaitGroup
 	ctx     context.Context
 	stop    context.CancelFunc
-	all     env.Roster[*link]
+	all     env.OrderedSet[*link]
 }
 
 // server is one disk server's connections.
@@ -123,7 +123,7 @@
 
 // configure takes what the configuration says; what is under way goes on.
 func (b *back) configure(c *Config) {
-	b.dialIn, b.keep = env.Duration(c.Bounds.DialTimeout), c.Bounds.ConnIdle*idlePart
+	b.dialIn, b.keep = env.Duration(c.Bounds.DialTimeout), c.Bounds.IdleTimeout*idlePart
 	b.bytes.Store(bodyByteLimit(c))
 }
 
@@ -251,7 +251,7 @@
 	}
 	b.pausing = true
 	b.tasks.Go(b.world, func() {
-		env.Wait(b.world, dialPause, nil)
+		env.Sleep(b.world, dialPause, nil)
 		b.loop.post(b.loop.now(), eventDialled, func(float64) {
 			b.pausing = false
 			b.feed()
--- a/internal/control/scheduler/client.go
+++ b/internal/control/scheduler/client.go
@@ -41,7 +41,7 @@
 		}
 		c.requests++
 		c.reason = closeAsked
-		c.out.Settle() // a client that reads slowly gets each answer whole before the next is made
+		c.out.WaitFlushed() // a client that reads slowly gets each answer whole before the next is made
 		if !c.handle(r) {
 			return c.readAhead.err
 		}
@@ -69,8 +69,8 @@
 	w := c.frontend.environment
 	deadline := w.Now() + lingerTimeout
 	c.conn.SetReadDeadline(w.Deadline(lingerTimeout))
-	if env.Readable(c.conn) == nil { // it will be reset, but not before its answer is there
-		env.Wait(w, deadline-w.Now(), &c.frontend.ended)
+	if env.WaitReadable(c.conn) == nil { // it will be reset, but not before its answer is there
+		env.Sleep(w, deadline-w.Now(), &c.frontend.ended)
 	}
 }
 
@@ -112,8 +112,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if head.Continues() && c.in.Buffered() == 0 {
-		c.out.Put(func(b []byte) []byte { return append(b, "HTTP/1.1 100 Continue\r\n\r\n"...) })
+	if head.ExpectsContinue() && c.in.Buffered() == 0 {
+		c.out.Enqueue(func(b []byte) []byte { return append(b, "HTTP/1.1 100 Continue\r\n\r\n"...) })
 	}
 	body, err := http1.ReadBody(c.in, framing, messageLimits)
 	return &request{Request: head, body: body, receivedAt: c.readAhead.consumedArrivalTime(c.in.Buffered())}, err
@@ -147,7 +147,7 @@
 	if closeConn {
 		fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
 	}
-	c.out.Put(func(b []byte) []byte { return http1.AppendResponse(b, status, fields, body) })
+	c.out.Enqueue(func(b []byte) []byte { return http1.AppendResponse(b, status, fields, body) })
 	if c.becomeIdle(closeConn) {
 		return true
 	}
--- a/internal/control/scheduler/config.go
+++ b/internal/control/scheduler/config.go
@@ -21,7 +21,7 @@
 	Limits    Limits
 	Known     ServerList // the disk servers as this scheduler last held them
 	Settings  policy.Settings
-	Bounds    wire.Bounds
+	Bounds    wire.ConnTimeouts
 	Ignored   []error // faults of the settings that were put right, each a *ConfigError
 }
 
@@ -124,12 +124,12 @@
 const sendLateMarginMS = 50.0
 
 // withDefaultBounds fills in the times of connections that the settings leave out.
-func withDefaultBounds(bounds wire.Bounds) wire.Bounds {
+func withDefaultBounds(bounds wire.ConnTimeouts) wire.ConnTimeouts {
 	if !(bounds.DialTimeout > 0) {
 		bounds.DialTimeout = env.MS(usualDial)
 	}
-	if !(bounds.ConnIdle > 0) {
-		bounds.ConnIdle = usualIdle
+	if !(bounds.IdleTimeout > 0) {
+		bounds.IdleTimeout = usualIdle
 	}
 	return bounds
 }
--- a/internal/control/scheduler/connectionends_test.go
+++ b/internal/control/scheduler/connectionends_test.go
@@ -150,7 +150,7 @@
 		p := sc.connect()
 		io.WriteString(p.conn, sc.request("PUT", "txn-write", "00000000000000ab", "30", "x", "Idempotency-Key: k\r\n"))
 		io.WriteString(sc.connect().conn, strings.Replace(sc.get(), "0.480", "30", 1))
-		env.Wait(sc.w, 10*time.Millisecond, nil)
+		env.Sleep(sc.w, 10*time.Millisecond, nil)
 		from := sc.w.Now()
 		sc.w.Go(sc.s.Drain)
 		if got := p.hear(from); got.status != 504 || got.took > 3700*time.Millisecond {
--- a/internal/control/scheduler/core.go
+++ b/internal/control/scheduler/core.go
@@ -163,7 +163,7 @@
 			k.cancel(x)
 		}
 	case policy.SetTimer:
-		k.timers.Push(&timerqueue.Timer[pending]{At: k.now + a.Delay, What: pending{timer: a.Name}})
+		k.timers.Push(&timerqueue.Timer[pending]{Due: k.now + a.Delay, Value: pending{timer: a.Name}})
 	case policy.CloseIdle:
 		k.eff.serverRemoved(a.Node)
 	case policy.Log:
@@ -205,7 +205,7 @@
 	if a.n > 0 {
 		k.counters.Resends++
 	}
-	a.timer = timerqueue.Timer[pending]{At: min(a.by, a.until), What: pending{a: a}}
+	a.timer = timerqueue.Timer[pending]{Due: min(a.by, a.until), Value: pending{a: a}}
 	k.timers.Push(&a.timer)
 	k.eff.send(a)
 }
@@ -214,7 +214,7 @@
 // begun. What may not ends as never sent.
 func (k *core) begin(now float64, a *attempt) bool {
 	k.at(now)
-	if a.over || a.timer.What.cancelled {
+	if a.over || a.timer.Value.cancelled {
 		return false
 	}
 	if k.now > a.by || k.now >= a.until {
@@ -228,7 +228,7 @@
 
 func (k *core) rearm(a *attempt, at float64) {
 	k.timers.Remove(&a.timer)
-	a.timer.At = at
+	a.timer.Due = at
 	k.timers.Push(&a.timer)
 }
 
@@ -245,7 +245,7 @@
 // module is in the midst of an event.
 func (k *core) cancel(a *attempt) {
 	if !a.over {
-		a.timer.What.cancelled = true
+		a.timer.Value.cancelled = true
 		k.rearm(a, k.now)
 	}
 }
@@ -353,16 +353,16 @@
 }
 
 // next is when tick has something to do, +Inf if never.
-func (k *core) next() float64 { return k.timers.Next() }
+func (k *core) next() float64 { return k.timers.NextDue() }
 
 // tick does what has come due.
 func (k *core) tick(now float64) {
 	k.at(now)
-	for d := k.timers.Take(k.now); d != nil; d = k.timers.Take(k.now) {
-		if d.What.a != nil {
-			k.timeOut(d.What.a, d.What.cancelled)
+	for d := k.timers.PopDue(k.now); d != nil; d = k.timers.PopDue(k.now) {
+		if d.Value.a != nil {
+			k.timeOut(d.Value.a, d.Value.cancelled)
 		} else {
-			k.notify(policy.TimerFired{Name: d.What.timer})
+			k.notify(policy.TimerFired{Name: d.Value.timer})
 		}
 	}
 }
--- a/internal/control/scheduler/day_test.go
+++ b/internal/control/scheduler/day_test.go
@@ -173,7 +173,7 @@
 		late = time.Duration(w.rng.IntN(240)) * time.Millisecond
 	}
 	w.mu.Unlock()
-	env.Wait(w.Environment, late, nil)
+	env.Sleep(w.Environment, late, nil)
 	return c, err
 }
 
@@ -279,7 +279,7 @@
 			continue
 		}
 		if d.chance(6) == 0 {
-			env.Wait(d.w, time.Duration(d.chance(min(250, int(within.Milliseconds()))))*time.Millisecond, nil)
+			env.Sleep(d.w, time.Duration(d.chance(min(250, int(within.Milliseconds()))))*time.Millisecond, nil)
 			p.conn.Close()
 			d.note(passed{kind: left, id: id})
 			p = nil
@@ -295,7 +295,7 @@
 			p.conn.Close()
 			p = nil
 		}
-		env.Wait(d.w, time.Duration(d.chance(20))*time.Millisecond, nil)
+		env.Sleep(d.w, time.Duration(d.chance(20))*time.Millisecond, nil)
 	}
 	if p != nil {
 		p.conn.Close()
@@ -343,7 +343,7 @@
 	d.mu.Unlock()
 	for _, s := range leaving {
 		if d.silent { // it counts as told 6 s after the silence began
-			env.Wait(d.w, 5900*time.Millisecond, nil)
+			env.Sleep(d.w, 5900*time.Millisecond, nil)
 		}
 		d.note(passed{kind: wasTold, server: s})
 	}
@@ -384,23 +384,23 @@
 	}
 	d.addr = d.s.frontend.listener.Addr().String()
 	d.s.frontend.ready.Wait(d.w)
-	var clients env.Group
+	var clients env.WaitGroup
 	for range 12 {
 		clients.Go(d.w, func() { d.client(15 * time.Second) })
 	}
-	env.Wait(d.w, 700*time.Millisecond, nil)
+	env.Sleep(d.w, 700*time.Millisecond, nil)
 	now := d.w.Deadline(0).UnixMilli()
 	d.tell(listOf(2, at("s0", "active", 0, 0), at("s1", "leaving", 1, 0), at("s2", "active", 2, 0), at("s3", "active", 1, now)), "s1")
-	env.Wait(d.w, 700*time.Millisecond, nil)
+	env.Sleep(d.w, 700*time.Millisecond, nil)
 	b := serveAgent(d.w, d.discovery)
 	defer b.close()
 	d.s.Reload(dayConfig(b.l.Addr().String()))
-	env.Wait(d.w, 400*time.Millisecond, nil)
+	env.Sleep(d.w, 400*time.Millisecond, nil)
 	d.mu.Lock()
 	d.silent = true
 	d.mu.Unlock()
 	d.tell(listOf(3, at("s0", "leaving", 0, 0), at("s4", "active", 0, now), at("s2", "active", 2, 0), at("s3", "active", 1, now)), "s0")
-	env.Wait(d.w, 900*time.Millisecond, nil)
+	env.Sleep(d.w, 900*time.Millisecond, nil)
 	d.mu.Lock()
 	d.stopped = d.w.Now()
 	d.mu.Unlock()
--- a/internal/control/scheduler/discovery.go
+++ b/internal/control/scheduler/discovery.go
@@ -42,7 +42,7 @@
 	seq           uint64 // its goroutine's, as whole is
 	needsFullList bool   // what is held may lack something
 	backoff       time.Duration
-	tasks         env.Group
+	tasks         env.WaitGroup
 	ended         env.Gate
 	ctx           context.Context // of its dials
 	cancelDial    context.CancelFunc
@@ -96,7 +96,7 @@
 		}
 		d.needsFullList = d.needsFullList || isUnreadable(err)
 		d.onError("watch ended", err)
-		env.Wait(d.environment, d.backoff, &d.ended)
+		env.Sleep(d.environment, d.backoff, &d.ended)
 		d.backoff = min(2*d.backoff, maxWatchBackoff)
 	}
 }
@@ -143,7 +143,7 @@
 	if response.Status != 200 {
 		return fmt.Errorf("discovery answered %d", response.Status)
 	}
-	framing, err := response.Framing(http1.Limits{Body: maxMessageBytes})
+	framing, err := response.Framing(http1.Limits{MaxBodyBytes: maxMessageBytes})
 	if err != nil {
 		return err
 	}
--- a/internal/control/scheduler/discovery_test.go
+++ b/internal/control/scheduler/discovery_test.go
@@ -23,7 +23,7 @@
 type agent struct {
 	w       env.Environment
 	l       net.Listener
-	tasks   env.Group
+	tasks   env.WaitGroup
 	mu      sync.Mutex
 	conns   []net.Conn
 	targets []string
@@ -132,7 +132,7 @@
 				if _, err := c.Write(chunkOf(" ")); err != nil {
 					return
 				}
-				env.Wait(w, 500*time.Millisecond, nil)
+				env.Sleep(w, 500*time.Millisecond, nil)
 			}
 		},
 	} {
@@ -155,7 +155,7 @@
 			watching(t, do, func(p env.Environment, d *discoveryClient, got *told, a *agent) {
 				w = p
 				for w.Now() < 7*time.Second && (len(got.lists) == 0 || got.lists[len(got.lists)-1].Seq != 9) {
-					env.Wait(w, 10*time.Millisecond, nil)
+					env.Sleep(w, 10*time.Millisecond, nil)
 				}
 				if took := got.last() - silentAt; len(got.lists) < 2 || took > 5900*time.Millisecond {
 					t.Errorf("%d messages, the last %s after the silence; asked %v at %v", len(got.lists), took, a.targets, a.times)
@@ -174,12 +174,12 @@
 			if _, err := c.Write(chunkOf("\n")); err != nil {
 				return
 			}
-			env.Wait(w, 2*time.Second, nil)
+			env.Sleep(w, 2*time.Second, nil)
 		}
 	}
 	watching(t, do, func(p env.Environment, d *discoveryClient, got *told, a *agent) {
 		w = p
-		env.Wait(w, 30*time.Second, nil)
+		env.Sleep(w, 30*time.Second, nil)
 		if len(a.conns) != 1 || len(got.lists) != 1 || got.lists[0].Seq != 7 {
 			t.Errorf("%d watches, %+v", len(a.conns), got.lists)
 		}
@@ -213,7 +213,7 @@
 					}
 				}
 				watching(t, do, func(w env.Environment, d *discoveryClient, got *told, a *agent) {
-					env.Wait(w, 1900*time.Millisecond, nil)
+					env.Sleep(w, 1900*time.Millisecond, nil)
 					want := []string{discoveryPath + "?stream=1&index=7", discoveryPath, discoveryPath + "?stream=1&index=11"}
 					if len(a.targets) < 3 || !slices.Equal(a.targets[:3], want) || len(got.lists) == 0 || got.lists[0].Seq != 11 || !got.lists[0].Full {
 						t.Fatalf("asked %q, told %+v", a.targets, got.lists)
@@ -250,7 +250,7 @@
 					}
 				}
 				watching(t, do, func(w env.Environment, d *discoveryClient, got *told, a *agent) {
-					env.Wait(w, time.Second, nil)
+					env.Sleep(w, time.Second, nil)
 					if len(got.lists) != 2 || got.lists[0].Entries[0] != one.Entries[0] || !got.lists[1].Full || got.lists[1].Entries[0] != two.Entries[0] {
 						t.Errorf("%+v", got.lists)
 					}
@@ -272,12 +272,12 @@
 	for name, first := range map[string]func(int, string, net.Conn){"silent": silent, "open": answer(8)} {
 		t.Run(name, func(t *testing.T) {
 			watching(t, first, func(w env.Environment, d *discoveryClient, got *told, a *agent) {
-				env.Wait(w, 20*time.Millisecond, nil)
+				env.Sleep(w, 20*time.Millisecond, nil)
 				b, c := serveAgent(w, answer(9)), serveAgent(w, answer(10))
 				from := w.Now()
 				d.setAddress(b.l.Addr().String())
 				d.setAddress(c.l.Addr().String())
-				env.Wait(w, time.Second, nil)
+				env.Sleep(w, time.Second, nil)
 				if len(got.lists) == 0 || got.lists[len(got.lists)-1].Seq != 10 || got.last()-from > 500*time.Millisecond {
 					t.Errorf("%+v after %s", got.lists, got.last()-from)
 				}
@@ -336,7 +336,7 @@
 				if silent {
 					return
 				}
-				env.Wait(w, 300*time.Millisecond, nil)
+				env.Sleep(w, 300*time.Millisecond, nil)
 				c.Write([]byte(watchHead))
 				c.Write(chunkOf(listOf(8, entry("s1", now.Addr, "active", 0)) + "\n"))
 			})
--- a/internal/control/scheduler/front.go
+++ b/internal/control/scheduler/front.go
@@ -55,13 +55,13 @@
 	drainDeadlineBits atomic.Uint64   // bits of the time by which all must be answered; 0: none
 	stopAccepting     env.Gate        // nothing more is accepted
 	ended             env.Gate        // nothing is waited for any more
-	tasks             env.Group
+	tasks             env.WaitGroup
 	listener          net.Listener
 
 	listenedAt float64 // when it began to listen at the earliest
 
 	mu        sync.Mutex
-	clients   env.Roster[*client]
+	clients   env.OrderedSet[*client]
 	finishing bool // each answer ends its connection, and there are no idle ones
 }
 
@@ -110,7 +110,7 @@
 	fromBacklog := true
 	for {
 		for !f.hasCapacity() {
-			if !env.Wait(f.environment, acceptRetryInterval, &f.stopAccepting) {
+			if !env.Sleep(f.environment, acceptRetryInterval, &f.stopAccepting) {
 				return
 			}
 		}
@@ -119,7 +119,7 @@
 		fromBacklog = fromBacklog && f.loop.now()-waitStart < maxQueuedAcceptWaitMS
 		if err != nil { // where there are no descriptors left, there may be again
 			f.log.acceptFailed(err)
-			if f.stopAccepting.Opened() || !env.Wait(f.environment, acceptRetryInterval, &f.stopAccepting) {
+			if f.stopAccepting.Opened() || !env.Sleep(f.environment, acceptRetryInterval, &f.stopAccepting) {
 				return
 			}
 			continue
@@ -138,7 +138,7 @@
 // arrivalTime is when the first bytes came on a connection that was just accepted, as far as the
 // kernel tells: it may have lain in the listener's queue, behind others.
 func (f *frontend) arrivalTime(conn net.Conn) float64 {
-	elapsed, known := env.SinceData(conn)
+	elapsed, known := env.SinceLastReceive(conn)
 	if !known || env.MS(elapsed) > maxListenQueueMS {
 		return f.loop.now()
 	}
@@ -151,7 +151,7 @@
 	c.in = bufio.NewReaderSize(c.readAhead, linkBuffer)
 	c.out = writequeue.New(f.environment, conn, clientWriteLimit, clientWriteTimeout)
 	c.out.HalfClose = true
-	c.out.Gauge = func(delta int) { f.answerBytes.Add(int64(delta)) }
+	c.out.OnBytesChanged = func(delta int) { f.answerBytes.Add(int64(delta)) }
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.clients.Add(c)
--- a/internal/control/scheduler/lifecycle.go
+++ b/internal/control/scheduler/lifecycle.go
@@ -105,7 +105,7 @@
 			return listener, err
 		}
 		log.Warn("cannot listen yet", zap.String("address", address), zap.Error(err))
-		env.Wait(environment, listenRetryInterval, nil)
+		env.Sleep(environment, listenRetryInterval, nil)
 	}
 }
 
@@ -121,7 +121,7 @@
 }
 
 func (s *Scheduler) awaitFirstList() {
-	env.Wait(s.environment, readyTimeout, &s.listReceived)
+	env.Sleep(s.environment, readyTimeout, &s.listReceived)
 	s.frontend.ready.Open()
 	s.log.Info("ready", zap.Bool("discovery", s.listReceived.Opened()))
 }
@@ -162,10 +162,10 @@
 	s.log.Info("draining", zap.Float64("grace_ms", grace))
 	startedAt := s.loop.now()
 	s.frontend.beginDrain(startedAt + grace - answerLeadMS)
-	env.Wait(s.environment, drainAcceptPeriod, &s.ended)
+	env.Sleep(s.environment, drainAcceptPeriod, &s.ended)
 	s.frontend.stopAccepting.Open()
 	s.frontend.listener.Close()
-	env.Wait(s.environment, env.Duration(startedAt+grace-finishLeadMS-s.loop.now()), &s.ended)
+	env.Sleep(s.environment, env.Duration(startedAt+grace-finishLeadMS-s.loop.now()), &s.ended)
 	s.frontend.finish()
 	s.awaitClientsClosed(startedAt + grace - answerLeadMS)
 	// What was taken before the signal may have longer than there is.
@@ -183,7 +183,7 @@
 // awaitClientsClosed waits until clients have no connections any more, or until a time.
 func (s *Scheduler) awaitClientsClosed(deadline float64) {
 	for s.frontend.clientCount() > 0 && s.loop.now() < deadline {
-		env.Wait(s.environment, drainPollInterval, nil)
+		env.Sleep(s.environment, drainPollInterval, nil)
 	}
 }
 
--- a/internal/control/scheduler/link.go
+++ b/internal/control/scheduler/link.go
@@ -47,7 +47,7 @@
 	}
 	l.conn.SetDeadline(time.Time{})
 	r, clean, err := l.answer()
-	if err != nil && !http1.IsError(err) {
+	if err != nil && !http1.IsMessageError(err) {
 		b.held.Add(-r.size)
 		b.loop.post(b.loop.now(), eventBroken, func(at float64) { b.broke(at, l, a, policy.ConnectionLost) })
 		return
@@ -97,7 +97,7 @@
 	}
 	r.result = resultOf(m)
 	r.use, r.other = figure(m.Fields.Get("x-iops-used"), 1), figure(m.Fields.Get("x-rho"), 0)
-	return r, !m.Close() && !fr.ToClose, nil
+	return r, !m.Close() && !fr.UntilClose, nil
 }
 
 func startsMessage(b []byte) bool {
@@ -130,6 +130,6 @@
 // for nor its end.
 func (l *link) quiet() bool {
 	var one [1]byte
-	_, err := env.ReadNow(l.conn, one[:])
-	return err == env.ErrNothing && l.in.Buffered() == 0
+	_, err := env.ReadAvailable(l.conn, one[:])
+	return err == env.ErrNoData && l.in.Buffered() == 0
 }
--- a/internal/control/scheduler/loop.go
+++ b/internal/control/scheduler/loop.go
@@ -27,7 +27,7 @@
 	waiting []env.Parker // who has something to post and finds no room
 	stopped bool
 
-	alarm env.Alarm
+	alarm env.WakeTimer
 }
 
 // event is something to do on the loop, at the time at which it happened.
--- a/internal/control/scheduler/permit_test.go
+++ b/internal/control/scheduler/permit_test.go
@@ -112,17 +112,17 @@
 		sc.s.Reload(c)
 		sc.s.loop.post(sc.s.loop.now(), eventReload, func(float64) { sc.s.back.most = most })
 		sc.list.Say(fmt.Sprintf(`{"seq":8,"whole":true,"hosts":[%s]}`, strings.Join(entries, ",")))
-		env.Wait(sc.w, 20*time.Millisecond, nil)
+		env.Sleep(sc.w, 20*time.Millisecond, nil)
 		status := make([]int, len(work))
-		var done env.Group
+		var done env.WaitGroup
 		for i := range work {
 			raw := strings.Replace(sc.request("GET", "card-read", fmt.Sprintf("%016x", 0xa0+i), "1.900", ""), "shard=0", fmt.Sprintf("shard=%d", i), 1)
 			done.Go(sc.w, func() { status[i] = sc.connect().ask(raw).status })
-			env.Wait(sc.w, 5*time.Millisecond, nil)
+			env.Sleep(sc.w, 5*time.Millisecond, nil)
 		}
 		for i := range work {
 			work[i].Open()
-			env.Wait(sc.w, 15*time.Millisecond, nil)
+			env.Sleep(sc.w, 15*time.Millisecond, nil)
 		}
 		done.Wait(sc.w)
 		for i, s := range status {
@@ -177,7 +177,7 @@
 			sc.list.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entry("s0", sc.disk.Addr, "leaving", 0)))
 			sc.until("the list was read", func() bool { return !sc.s.back.notices.admits("s0", 0) })
 		},
-		"time to begin is over": func(sc *scene, _ *peer) { env.Wait(sc.w, 320*time.Millisecond, nil) },
+		"time to begin is over": func(sc *scene, _ *peer) { env.Sleep(sc.w, 320*time.Millisecond, nil) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			playReal(t, nil, answering(ok200), func(sc *scene, h *held) {
@@ -217,7 +217,7 @@
 		fmt.Fprint(sc.connect().conn, strings.Replace(sc.get(), "0.480", "9.000", 1))
 		sc.until("the write was reached", reached.Opened)
 		from := sc.w.Now()
-		env.Wait(sc.w, 150*time.Millisecond, nil)
+		env.Sleep(sc.w, 150*time.Millisecond, nil)
 		heldUp := sc.w.Now() - from
 		gate.Open()
 		sc.until("it came to the disk server", func() bool { return len(sc.disk.Asked()) > 0 })
@@ -277,14 +277,14 @@
 	play(t, silent, func(sc *scene) {
 		p := sc.connect()
 		fmt.Fprint(p.conn, strings.Replace(sc.get(), "0.480", "30", 1))
-		env.Wait(sc.w, 10*time.Millisecond, nil)
+		env.Sleep(sc.w, 10*time.Millisecond, nil)
 		grace := gracePeriod(&Config{Settings: policy.Settings{Classes: []policy.Class{{Deadline: maxCountedDeadlineMS}}}})
 		sc.w.Go(sc.s.Drain)
-		env.Wait(sc.w, env.Duration(grace-answerLeadMS-5), nil)
+		env.Sleep(sc.w, env.Duration(grace-answerLeadMS-5), nil)
 		var gate env.Gate
 		sc.s.loop.post(sc.s.loop.now(), eventReload, func(float64) { gate.Wait(sc.w) })
 		sc.w.Go(func() {
-			env.Wait(sc.w, env.Duration(answerLeadMS), nil)
+			env.Sleep(sc.w, env.Duration(answerLeadMS), nil)
 			gate.Open()
 		})
 		if got := p.hear(sc.w.Now()); got.status != 503 && got.status != 504 {
--- a/internal/control/scheduler/scene_test.go
+++ b/internal/control/scheduler/scene_test.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		panic(err)
 	}
-	env.Wait(sc.w, 50*time.Millisecond, nil)
+	env.Sleep(sc.w, 50*time.Millisecond, nil)
 	return s
 }
 
@@ -151,7 +151,7 @@
 func (p *peer) hear(from time.Duration) said {
 	p.conn.SetReadDeadline(p.w.Deadline(20 * time.Second))
 	m, b, err := http1.ReadWholeResponse(p.in, answerLimits)
-	if http1.IsError(err) {
+	if http1.IsMessageError(err) {
 		panic(err)
 	}
 	if err != nil {
@@ -298,7 +298,7 @@
 				if _, err := io.WriteString(p.conn, raw[i:i+1]); err != nil {
 					break
 				}
-				env.Wait(sc.w, over/time.Duration(len(raw)), nil)
+				env.Sleep(sc.w, over/time.Duration(len(raw)), nil)
 			}
 			return p.hear(from)
 		}
@@ -314,7 +314,7 @@
 		}
 		q := sc.connect()
 		from := sc.w.Now()
-		env.Wait(sc.w, 900*time.Millisecond, nil)
+		env.Sleep(sc.w, 900*time.Millisecond, nil)
 		io.WriteString(q.conn, "GET /up HT")
 		if got := q.hear(from); got.status != 408 || got.took > 3*time.Second {
 			t.Errorf("a first request that never ends: %+v", got)
@@ -328,7 +328,7 @@
 		raw := sc.get()
 		p, thief := sc.connect(), sc.connect()
 		io.WriteString(p.conn, raw)
-		env.Wait(sc.w, 5*time.Millisecond, nil)
+		env.Sleep(sc.w, 5*time.Millisecond, nil)
 		if got := thief.ask(raw); got.status != 409 {
 			t.Error("while it is open:", got)
 		}
@@ -373,7 +373,7 @@
 		sc.w.Go(sc.s.Drain)
 		served, last := 0, time.Duration(0)
 		for {
-			env.Wait(sc.w, 10*time.Millisecond, nil)
+			env.Sleep(sc.w, 10*time.Millisecond, nil)
 			got := p.ask(sc.get())
 			if got.status != 200 {
 				break // it was closed between two requests
@@ -405,13 +405,13 @@
 		if err != nil {
 			panic(err)
 		}
-		env.Wait(sc.w, 50*time.Millisecond, nil)
+		env.Sleep(sc.w, 50*time.Millisecond, nil)
 		c, err := ParseConfig([]byte(testConfig(sc.addr, other.Addr, listOf(0))), func(string) string { return "" })
 		if err != nil {
 			panic(err)
 		}
 		sc.s.Reload(c)
-		env.Wait(sc.w, 500*time.Millisecond, nil)
+		env.Sleep(sc.w, 500*time.Millisecond, nil)
 		if got := other.Targets(); len(got) != 1 || got[0] != "/discovery/hosts?stream=1&index=9" {
 			t.Error(got)
 		}
@@ -424,7 +424,7 @@
 				held = append(held, h)
 			}
 		})
-		env.Wait(sc.w, time.Millisecond, nil)
+		env.Sleep(sc.w, time.Millisecond, nil)
 		if len(held) != 1 || held[0] != "s1" {
 			t.Error("held:", held)
 		}
@@ -437,9 +437,9 @@
 	play(t, answering(ok200), func(sc *scene) {
 		p := sc.connect()
 		io.WriteString(p.conn, sc.get())
-		env.Wait(sc.w, 5*time.Millisecond, nil)
+		env.Sleep(sc.w, 5*time.Millisecond, nil)
 		p.conn.Close()
-		env.Wait(sc.w, 200*time.Millisecond, nil)
+		env.Sleep(sc.w, 200*time.Millisecond, nil)
 		if n := sc.s.frontend.clientCount(); n != 0 {
 			t.Errorf("%d connections are left", n)
 		}
@@ -454,7 +454,7 @@
 	play(t, answering(ok200), func(sc *scene) {
 		p := sc.connect()
 		p.ask(sc.get())
-		env.Wait(sc.w, 25*time.Second, nil)
+		env.Sleep(sc.w, 25*time.Second, nil)
 		if n := sc.s.back.conns; n != 0 {
 			t.Errorf("%d connections are open", n)
 		}
--- a/internal/control/scheduler/staleness_test.go
+++ b/internal/control/scheduler/staleness_test.go
@@ -41,7 +41,7 @@
 			if got := p.ask(sc.get()); got.status != 200 {
 				t.Error(got)
 			}
-			env.Wait(sc.w, 150*time.Millisecond, nil)
+			env.Sleep(sc.w, 150*time.Millisecond, nil)
 		}
 		if n := sc.s.core.counters.Resends; n > 10 {
 			t.Errorf("%d of 100 were sent again", n)
--- a/internal/control/settings/disk_test.go
+++ b/internal/control/settings/disk_test.go
@@ -176,7 +176,7 @@
 	}
 	changed(t, st, func(s *Settings) { s.Plans[0].Limit = 44 })
 	st.Close()
-	half := file + "-1" + durable.Unfinished // of a kill in the midst of a write
+	half := file + "-1" + durable.TempSuffix // of a kill in the midst of a write
 	for name, b := range map[string][]byte{file: old, half: old[:20]} {
 		if err := os.WriteFile(name, b, 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/control/settings/ledger.go
+++ b/internal/control/settings/ledger.go
@@ -106,7 +106,7 @@
 		kept.Close()
 		return nil, err
 	}
-	if err := durable.Clean(file); err != nil && st.late == nil {
+	if err := durable.RemoveTemp(file); err != nil && st.late == nil {
 		st.late = err
 	}
 	return st, nil
--- a/internal/fleet/region/region.go
+++ b/internal/fleet/region/region.go
@@ -40,7 +40,7 @@
 
 // planted is the bounds with the fault that is planted.
 func (c Config) planted() Config {
-	if faultinject.Is(faultinject.LeaseNoDrift) {
+	if faultinject.Active(faultinject.LeaseNoDrift) {
 		c.Drift = 0
 	}
 	return c
--- a/internal/fleet/region/source.go
+++ b/internal/fleet/region/source.go
@@ -339,7 +339,7 @@
 	s.copied()
 	s.alone(now)
 	s.retreat(now)
-	if s.clear(now) || faultinject.Is(faultinject.ShareEarly) {
+	if s.clear(now) || faultinject.Active(faultinject.ShareEarly) {
 		s.advance(now)
 	}
 }
--- a/internal/fleet/rollout/roll.go
+++ b/internal/fleet/rollout/roll.go
@@ -205,7 +205,7 @@
 			return sum, err
 		}
 	}
-	if x.opt.Watch > 0 && !env.Pause(ctx, x.w, x.opt.Watch) {
+	if x.opt.Watch > 0 && !env.SleepContext(ctx, x.w, x.opt.Watch) {
 		return sum, ctx.Err()
 	}
 	for k, i := range which {
--- a/internal/fleet/rollout/rollout.go
+++ b/internal/fleet/rollout/rollout.go
@@ -106,7 +106,7 @@
 			}
 		}
 		done(i + 1)
-		if i+1 < len(steps) && pause > 0 && !env.Pause(ctx, w, pause) {
+		if i+1 < len(steps) && pause > 0 && !env.SleepContext(ctx, w, pause) {
 			return ctx.Err()
 		}
 	}
--- a/internal/protocol/bgp/speaker.go
+++ b/internal/protocol/bgp/speaker.go
@@ -35,7 +35,7 @@
 	peers    []*neighbour
 	nextConn ConnID
 	closed   bool
-	tasks    env.Group
+	tasks    env.WaitGroup
 	ctx      context.Context
 	cancel   context.CancelFunc
 }
@@ -58,7 +58,7 @@
 	telling bool // updates wait to be written: more are asked for when they are out
 }
 
-func (l *link) put(data []byte) { l.Put(func(b []byte) []byte { return append(b, data...) }) }
+func (l *link) put(data []byte) { l.Enqueue(func(b []byte) []byte { return append(b, data...) }) }
 
 const (
 	// outMost bounds what waits for a peer to read: a batch and some signs of life.
@@ -101,7 +101,7 @@
 func (s *Speaker) now() float64 { return env.MS(s.world.Now()) }
 
 // jitter is 0.75 to 1 (RFC 4271 section 10).
-func (s *Speaker) jitter() float64 { return 0.75 + 0.25*float64(s.world.Uint64()>>11)/(1<<53) }
+func (s *Speaker) jitter() float64 { return 0.75 + 0.25*float64(s.world.RandomUint64()>>11)/(1<<53) }
 
 // Addr is where the speaker listens, nil if nowhere.
 func (s *Speaker) Addr() net.Addr {
@@ -211,7 +211,7 @@
 	s.nextConn++
 	id := s.nextConn
 	l := &link{Queue: writequeue.New(s.world, c, outMost, max(env.Duration(2*p.Cfg.Times.Hold), leastSend))}
-	l.Idle = func() {
+	l.OnIdle = func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if l.telling = false; p.conns[id] == l {
@@ -344,7 +344,7 @@
 	}
 	late := s.world.AfterFunc(partTime, func() {
 		for _, l := range links {
-			l.Cut()
+			l.Abort()
 		}
 	})
 	defer late.Stop()
@@ -360,7 +360,7 @@
 	}
 	for _, p := range s.peers {
 		for _, c := range p.inOrder() {
-			p.conns[c].Cut()
+			p.conns[c].Abort()
 		}
 	}
 	s.end()
--- a/internal/protocol/bgp/speaker_test.go
+++ b/internal/protocol/bgp/speaker_test.go
@@ -66,7 +66,7 @@
 		if w.Now() > end {
 			t.Fatal("not seen: " + what)
 		}
-		env.Wait(w, 2*time.Millisecond, nil)
+		env.Sleep(w, 2*time.Millisecond, nil)
 	}
 }
 
--- a/internal/protocol/http1/body.go
+++ b/internal/protocol/http1/body.go
@@ -9,15 +9,15 @@
 
 // Framing is how the end of a body is told (RFC 9112, section 6).
 type Framing struct {
-	Chunked bool
-	Length  int  // where it is not chunked
-	ToClose bool // of a response: neither length nor chunks say
+	Chunked    bool
+	Length     int  // where it is not chunked
+	UntilClose bool // of a response: neither length nor chunks say
 }
 
 // Framing of a request; one that carries both a length and a transfer coding may hide
 // another in its body (section 11.2) and is refused.
 func (r *Request) Framing(lim Limits) (Framing, error) {
-	return framing(r.Fields, lim.Body)
+	return parseFraming(r.Fields, lim.MaxBodyBytes)
 }
 
 // Framing of a response.
@@ -25,12 +25,12 @@
 	if r.Status == 204 || r.Status == 304 {
 		return Framing{}, nil
 	}
-	fr, err := framing(r.Fields, lim.Body)
-	fr.ToClose = r.Fields.Count("content-length") == 0 && !fr.Chunked
+	fr, err := parseFraming(r.Fields, lim.MaxBodyBytes)
+	fr.UntilClose = r.Fields.Count("content-length") == 0 && !fr.Chunked
 	return fr, err
 }
 
-func framing(f Fields, most int) (fr Framing, err error) {
+func parseFraming(f Fields, most int) (fr Framing, err error) {
 	lengths, codings := f.Count("content-length"), f.Count("transfer-encoding")
 	switch {
 	case codings > 0 && lengths > 0, lengths > 1, codings > 1:
@@ -41,15 +41,15 @@
 		}
 		fr.Chunked = true
 	case lengths == 1:
-		fr.Length, err = length(f.Get("content-length"), most)
+		fr.Length, err = parseLength(f.Get("content-length"), most)
 	}
 	return fr, err
 }
 
-// mostDigits keeps lengths within an int.
-const mostDigits = 18
+// maxLengthDigits keeps lengths within an int.
+const maxLengthDigits = 18
 
-func length(s string, most int) (int, error) {
+func parseLength(s string, most int) (int, error) {
 	for i := range len(s) {
 		if s[i] < '0' || s[i] > '9' {
 			return 0, &Error{Malformed, "length"}
@@ -58,7 +58,7 @@
 	if s == "" {
 		return 0, &Error{Malformed, "length"}
 	}
-	if len(s) > mostDigits {
+	if len(s) > maxLengthDigits {
 		return 0, &Error{TooLarge, "body"}
 	}
 	n, _ := strconv.Atoi(s)
@@ -102,27 +102,27 @@
 // whole where the stream ends cleanly (RFC 9112, section 6.3): a reset is no end.
 func ReadBody(br *bufio.Reader, fr Framing, lim Limits) ([]byte, error) {
 	switch {
-	case fr.ToClose:
-		return readToClose(br, lim)
+	case fr.UntilClose:
+		return readUntilClose(br, lim)
 	case fr.Chunked:
 		return readChunks(br, lim)
 	}
-	return readMore(br, nil, fr.Length, lim)
+	return appendBytes(br, nil, fr.Length, lim)
 }
 
-func readToClose(br *bufio.Reader, lim Limits) (b []byte, err error) {
+func readUntilClose(br *bufio.Reader, lim Limits) (b []byte, err error) {
 	for {
 		if len(b) == cap(b) {
 			n := len(b)
-			if b, err = lim.grow(b, step); err != nil {
+			if b, err = lim.grow(b, growStep); err != nil {
 				return nil, err
 			}
-			b = b[: n : n+step]
+			b = b[: n : n+growStep]
 		}
 		n, err := br.Read(b[len(b):cap(b)])
 		b = b[:len(b)+n]
 		switch {
-		case len(b) > lim.Body:
+		case len(b) > lim.MaxBodyBytes:
 			return nil, &Error{TooLarge, "body"}
 		case err == io.EOF:
 			return b, nil
@@ -132,18 +132,18 @@
 	}
 }
 
-// step is how much room is made at a time: what a peer only promises takes none.
-const step = 4 << 10
+// growStep is how much room is made at a time: what a peer only promises takes none.
+const growStep = 4 << 10
 
-func readMore(br *bufio.Reader, b []byte, n int, lim Limits) (_ []byte, err error) {
+func appendBytes(br *bufio.Reader, b []byte, n int, lim Limits) (_ []byte, err error) {
 	for n > 0 {
-		k := min(n, step)
+		k := min(n, growStep)
 		at := len(b)
 		if b, err = lim.grow(b, k); err != nil {
 			return nil, err
 		}
 		if _, err := io.ReadFull(br, b[at:]); err != nil {
-			return nil, cut(err)
+			return nil, unexpectedEOF(err)
 		}
 		n -= k
 	}
@@ -158,8 +158,8 @@
 	return append(b, make([]byte, n)...), nil
 }
 
-// cut is err within a message.
-func cut(err error) error {
+// unexpectedEOF is err within a message.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
@@ -169,45 +169,45 @@
 // readChunks reads a chunked body (section 7.1). Extensions and trailers are passed over.
 func readChunks(br *bufio.Reader, lim Limits) ([]byte, error) {
 	var b []byte
-	h := head{br: br, left: lim.Head, read: true}
+	h := lineReader{br: br, remaining: lim.MaxHeadBytes, started: true}
 	for {
-		n, err := h.chunkSize(lim.Body - len(b))
+		n, err := h.readChunkSize(lim.MaxBodyBytes - len(b))
 		if err != nil {
 			return nil, err
 		}
 		if n == 0 {
-			_, err := h.fields(lim.Fields)
+			_, err := h.readFields(lim.MaxFields)
 			return b, err
 		}
-		if b, err = readMore(br, b, n, lim); err != nil {
+		if b, err = appendBytes(br, b, n, lim); err != nil {
 			return nil, err
 		}
-		if err := h.chunkEnd(); err != nil {
+		if err := h.readChunkEnd(); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// chunkSize reads the line before a chunk, of which at most left bytes may come.
-func (h *head) chunkSize(left int) (int, error) {
-	line, err := h.line("chunk size")
+// readChunkSize reads the line before a chunk, of which at most left bytes may come.
+func (h *lineReader) readChunkSize(left int) (int, error) {
+	line, err := h.readLine("chunk size")
 	if err != nil {
 		return 0, err
 	}
 	digits, _, _ := strings.Cut(line, ";")
-	return chunkSize(strings.TrimRight(digits, " \t"), left)
+	return parseChunkSize(strings.TrimRight(digits, " \t"), left)
 }
 
-// chunkEnd reads what ends a chunk's data.
-func (h *head) chunkEnd() error {
-	end, err := h.line("chunk")
+// readChunkEnd reads what ends a chunk's data.
+func (h *lineReader) readChunkEnd() error {
+	end, err := h.readLine("chunk")
 	if err == nil && end != "" {
 		err = &Error{Malformed, "chunk"}
 	}
 	return err
 }
 
-func chunkSize(s string, left int) (int, error) {
+func parseChunkSize(s string, left int) (int, error) {
 	if s == "" || strings.Trim(s, "0123456789abcdefABCDEF") != "" {
 		return 0, &Error{Malformed, "chunk size"}
 	}
@@ -221,13 +221,13 @@
 // Stream reads a chunked body that goes on, piece by piece as it comes. It holds one
 // piece at a time.
 type Stream struct {
-	br      *bufio.Reader
-	framing Framing
-	lim     Limits
-	left    int // of the present chunk
-	buf     [step]byte
-	begun   bool
-	over    bool
+	br             *bufio.Reader
+	framing        Framing
+	lim            Limits
+	remaining      int // of the present chunk
+	buf            [growStep]byte
+	firstChunkRead bool
+	finished       bool
 }
 
 // NewStream reads the body that fr frames. Limits bound the lines between chunks.
@@ -241,33 +241,33 @@
 		n, err := s.br.Read(s.buf[:])
 		return s.buf[:n], err
 	}
-	if s.left == 0 {
+	if s.remaining == 0 {
 		if err := s.nextChunk(); err != nil {
 			return nil, err
 		}
 	}
-	n, err := s.br.Read(s.buf[:min(s.left, step)])
-	s.left -= n
-	return s.buf[:n], cut(err)
+	n, err := s.br.Read(s.buf[:min(s.remaining, growStep)])
+	s.remaining -= n
+	return s.buf[:n], unexpectedEOF(err)
 }
 
 func (s *Stream) nextChunk() error {
-	if s.over {
+	if s.finished {
 		return io.EOF
 	}
-	h := head{br: s.br, left: s.lim.Head, read: true}
-	if s.begun {
-		if err := h.chunkEnd(); err != nil {
+	h := lineReader{br: s.br, remaining: s.lim.MaxHeadBytes, started: true}
+	if s.firstChunkRead {
+		if err := h.readChunkEnd(); err != nil {
 			return err
 		}
 	}
 	var err error
-	if s.left, err = h.chunkSize(mostChunk); err != nil {
+	if s.remaining, err = h.readChunkSize(maxStreamChunk); err != nil {
 		return err
 	}
-	if s.begun = true; s.left == 0 {
-		s.over = true
-		_, err := h.fields(s.lim.Fields)
+	if s.firstChunkRead = true; s.remaining == 0 {
+		s.finished = true
+		_, err := h.readFields(s.lim.MaxFields)
 		if err == nil {
 			err = io.EOF
 		}
@@ -276,5 +276,5 @@
 	return nil
 }
 
-// mostChunk bounds one chunk of a stream, which is never held whole.
-const mostChunk = 1 << 30
+// maxStreamChunk bounds one chunk of a stream, which is never held whole.
+const maxStreamChunk = 1 << 30
--- a/internal/protocol/http1/http1.go
+++ b/internal/protocol/http1/http1.go
@@ -23,7 +23,7 @@
 	Unsupported             // a form that this package does not read
 )
 
-var kinds = [...]string{"malformed", "too large", "ambiguous", "unsupported"}
+var kindNames = [...]string{"malformed", "too large", "ambiguous", "unsupported"}
 
 // Error is a message that cannot be read. Faults of the stream itself come as they are;
 // one that ends within a message is io.ErrUnexpectedEOF.
@@ -32,7 +32,7 @@
 	Part string // of the message: "request line", "field", "length", ...
 }
 
-func (e *Error) Error() string { return "http1: " + e.Part + " " + kinds[e.Kind] }
+func (e *Error) Error() string { return "http1: " + e.Part + " " + kindNames[e.Kind] }
 
 // Status is what a server answers to such a request (RFC 9110, section 15.5).
 func (e *Error) Status() int {
@@ -47,17 +47,17 @@
 	return 400
 }
 
-// IsError tells whether the message was at fault, not the stream.
-func IsError(err error) bool {
+// IsMessageError tells whether the message was at fault, not the stream.
+func IsMessageError(err error) bool {
 	var e *Error
 	return errors.As(err, &e)
 }
 
 // Limits bound a message, in bytes and fields.
 type Limits struct {
-	Head   int // start line and fields
-	Fields int
-	Body   int
+	MaxHeadBytes int // start line and fields
+	MaxFields    int
+	MaxBodyBytes int
 	// Reserve, if set, is asked before that many more bytes of a body are held.
 	Reserve func(n int) bool
 }
@@ -113,54 +113,54 @@
 
 // Response is a response's head; Interim counts the 1xx that came before it.
 type Response struct {
-	Status  int
-	Minor   int
-	Fields  Fields
-	Interim int
+	Status       int
+	Minor        int
+	Fields       Fields
+	InterimCount int
 }
 
-func closes(minor int, f Fields) bool {
+func closesConnection(minor int, f Fields) bool {
 	return f.hasToken("connection", "close") || minor == 0 && !f.hasToken("connection", "keep-alive")
 }
 
 // Close tells whether the connection ends after this message (RFC 9112, section 9.3).
-func (r *Request) Close() bool { return closes(r.Minor, r.Fields) }
+func (r *Request) Close() bool { return closesConnection(r.Minor, r.Fields) }
 
 // Close tells whether the connection ends after this message.
-func (r *Response) Close() bool { return closes(r.Minor, r.Fields) }
+func (r *Response) Close() bool { return closesConnection(r.Minor, r.Fields) }
 
-// Continues tells whether the sender waits for a 100 (RFC 9110, section 10.1.1).
-func (r *Request) Continues() bool {
+// ExpectsContinue tells whether the sender waits for a 100 (RFC 9110, section 10.1.1).
+func (r *Request) ExpectsContinue() bool {
 	return r.Minor > 0 && r.Fields.hasToken("expect", "100-continue")
 }
 
 // ReadRequest reads the head of a request. At the end of the stream between messages it
 // returns io.EOF.
 func ReadRequest(br *bufio.Reader, lim Limits) (*Request, error) {
-	h := head{br: br, left: lim.Head}
-	line, err := h.line("request line")
+	h := lineReader{br: br, remaining: lim.MaxHeadBytes}
+	line, err := h.readLine("request line")
 	if err == nil && line == "" { // section 2.2: an empty line before it is passed over
-		line, err = h.line("request line")
+		line, err = h.readLine("request line")
 	}
 	if err != nil {
 		return nil, err
 	}
 	r := &Request{}
-	if err := r.start(line); err != nil {
+	if err := r.parseRequestLine(line); err != nil {
 		return nil, err
 	}
-	r.Fields, err = h.fields(lim.Fields)
+	r.Fields, err = h.readFields(lim.MaxFields)
 	return r, err
 }
 
-func (r *Request) start(line string) error {
+func (r *Request) parseRequestLine(line string) error {
 	bad := &Error{Malformed, "request line"}
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
-	if !ok || !ok2 || !isToken(method) || !isVisible(target) || target[0] != '/' {
+	if !ok || !ok2 || !isToken(method) || !isVisibleASCII(target) || target[0] != '/' {
 		return bad
 	}
-	minor, ok := minorOf(version)
+	minor, ok := parseVersion(version)
 	if !ok {
 		return bad
 	}
@@ -168,25 +168,25 @@
 	return nil
 }
 
-// mostInterim bounds the 1xx before an answer.
-const mostInterim = 16
+// maxInterim bounds the 1xx before an answer.
+const maxInterim = 16
 
 // ReadResponse reads the head of a final response and passes over interim ones.
 func ReadResponse(br *bufio.Reader, lim Limits) (*Response, error) {
-	h := head{br: br, left: lim.Head}
-	for n := 0; n <= mostInterim; n++ {
-		line, err := h.line("status line")
+	h := lineReader{br: br, remaining: lim.MaxHeadBytes}
+	for n := 0; n <= maxInterim; n++ {
+		line, err := h.readLine("status line")
 		if err != nil {
 			if n > 0 && err == io.EOF {
 				err = io.ErrUnexpectedEOF
 			}
 			return nil, err
 		}
-		r := &Response{Interim: n}
-		if err := r.start(line); err != nil {
+		r := &Response{InterimCount: n}
+		if err := r.parseStatusLine(line); err != nil {
 			return nil, err
 		}
-		if r.Fields, err = h.fields(lim.Fields); err != nil {
+		if r.Fields, err = h.readFields(lim.MaxFields); err != nil {
 			return nil, err
 		}
 		if r.Status == 101 {
@@ -199,10 +199,10 @@
 	return nil, &Error{TooLarge, "interim answers"}
 }
 
-func (r *Response) start(line string) error {
+func (r *Response) parseStatusLine(line string) error {
 	bad := &Error{Malformed, "status line"}
 	version, rest, _ := strings.Cut(line, " ")
-	minor, ok := minorOf(version)
+	minor, ok := parseVersion(version)
 	if !ok || len(rest) < 3 || len(rest) > 3 && rest[3] != ' ' {
 		return bad
 	}
@@ -212,14 +212,14 @@
 		}
 		r.Status = r.Status*10 + int(c-'0')
 	}
-	if r.Status < 100 || r.Status > 599 || !isText(rest[3:]) {
+	if r.Status < 100 || r.Status > 599 || !isFieldValue(rest[3:]) {
 		return bad
 	}
 	r.Minor = minor
 	return nil
 }
 
-func minorOf(version string) (int, bool) {
+func parseVersion(version string) (int, bool) {
 	switch version {
 	case "HTTP/1.1":
 		return 1, true
@@ -229,34 +229,34 @@
 	return 0, false
 }
 
-// head reads the lines of a message's head within what is left of its bound.
-type head struct {
-	br   *bufio.Reader
-	left int
-	read bool
+// lineReader reads the lines of a message's lineReader within what is left of its bound.
+type lineReader struct {
+	br        *bufio.Reader
+	remaining int
+	started   bool
 }
 
-// line returns the next line without its CRLF. A bare LF ends no line here: what peers
+// readLine returns the next readLine without its CRLF. A bare LF ends no readLine here: what peers
 // read differently must not be guessed at.
-func (h *head) line(part string) (string, error) {
+func (h *lineReader) readLine(part string) (string, error) {
 	var long []byte
 	for {
 		b, err := h.br.ReadSlice('\n')
-		h.left -= len(b)
+		h.remaining -= len(b)
 		if len(b) > 0 {
-			h.read = true
+			h.started = true
 		}
 		switch {
-		case h.left < 0:
+		case h.remaining < 0:
 			return "", &Error{TooLarge, part}
 		case err == nil:
 			if len(long) > 0 {
 				b = append(long, b...)
 			}
-			return trim(b, part)
+			return trimCRLF(b, part)
 		case errors.Is(err, bufio.ErrBufferFull):
 			long = append(long, b...)
-		case err == io.EOF && h.read:
+		case err == io.EOF && h.started:
 			return "", io.ErrUnexpectedEOF
 		default:
 			return "", err
@@ -264,17 +264,17 @@
 	}
 }
 
-func trim(b []byte, part string) (string, error) {
+func trimCRLF(b []byte, part string) (string, error) {
 	if len(b) < 2 || b[len(b)-2] != '\r' {
 		return "", &Error{Malformed, part}
 	}
 	return string(b[:len(b)-2]), nil
 }
 
-func (h *head) fields(most int) (Fields, error) {
+func (h *lineReader) readFields(most int) (Fields, error) {
 	var f Fields
 	for {
-		line, err := h.line("field")
+		line, err := h.readLine("field")
 		if err != nil {
 			return nil, err
 		}
@@ -286,7 +286,7 @@
 		}
 		name, value, ok := strings.Cut(line, ":")
 		value = strings.Trim(value, " \t")
-		if !ok || !isToken(name) || !isText(value) {
+		if !ok || !isToken(name) || !isFieldValue(value) {
 			return nil, &Error{Malformed, "field"}
 		}
 		f = append(f, Field{strings.ToLower(name), value})
@@ -304,7 +304,7 @@
 	return s != ""
 }
 
-func isVisible(s string) bool {
+func isVisibleASCII(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 0x7f {
 			return false
@@ -313,8 +313,8 @@
 	return s != ""
 }
 
-// isText tells whether s may stand in a field's value (RFC 9110, section 5.5).
-func isText(s string) bool {
+// isFieldValue tells whether s may stand in a field's value (RFC 9110, section 5.5).
+func isFieldValue(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' && s[i] != '\t' || s[i] == 0x7f {
 			return false
@@ -334,7 +334,7 @@
 	return append(b, body...)
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 409: "Conflict",
 	413: "Content Too Large", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 501: "Not Implemented", 502: "Bad Gateway",
@@ -343,7 +343,7 @@
 
 // AppendResponse appends a whole response, framed by its length.
 func AppendResponse(b []byte, status int, f Fields, body []byte) []byte {
-	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\n", status, reasons[status])
+	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\n", status, reasonPhrases[status])
 	b = appendFields(b, f)
 	b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n", len(body))
 	return append(b, body...)
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -11,13 +11,13 @@
 	"testing/iotest"
 )
 
-var lim = Limits{Head: 512, Fields: 8, Body: 64}
+var lim = Limits{MaxHeadBytes: 512, MaxFields: 8, MaxBodyBytes: 64}
 
-func reader(s string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(s), 16) }
+func smallReader(s string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(s), 16) }
 
-// whole reads a request with its body.
-func whole(s string) (*Request, []byte, error) {
-	br := reader(s)
+// readRequest reads a request with its body.
+func readRequest(s string) (*Request, []byte, error) {
+	br := smallReader(s)
 	r, err := ReadRequest(br, lim)
 	if err != nil {
 		return nil, nil, err
@@ -30,21 +30,21 @@
 	return r, b, err
 }
 
-func TestRequestsThatAreRead(t *testing.T) {
+func TestReadRequestAcceptsValid(t *testing.T) {
 	for _, c := range []struct{ in, method, target, body string }{
 		{"GET /a/b?c=%20 HTTP/1.1\r\nHost: x\r\n\r\n", "GET", "/a/b?c=%20", ""},
 		{"\r\nPUT /a HTTP/1.1\r\nContent-Length: 3\r\nX:  y \t\r\n\r\nabc", "PUT", "/a", "abc"},
 		{"PUT /a HTTP/1.1\r\ntransfer-encoding: Chunked\r\n\r\n3;x=y\r\nabc\r\n0a\r\n0123456789\r\n0\r\nT: 1\r\n\r\n", "PUT", "/a", "abc0123456789"},
 		{"PUT /a HTTP/1.1\r\nContent-Length: 0\r\n\r\n", "PUT", "/a", ""},
 	} {
-		r, b, err := whole(c.in)
+		r, b, err := readRequest(c.in)
 		if err != nil || r.Method != c.method || r.Target != c.target || string(b) != c.body {
 			t.Errorf("%q: %+v %q %v", c.in, r, b, err)
 		}
 	}
 }
 
-func TestRequestsThatAreNot(t *testing.T) {
+func TestReadRequestRejectsInvalid(t *testing.T) {
 	long := strings.Repeat("a", 600)
 	for _, c := range []struct {
 		in   string
@@ -79,26 +79,26 @@
 		{"PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n41\r\n", TooLarge},
 		{"PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n", TooLarge},
 	} {
-		_, _, err := whole(c.in)
+		_, _, err := readRequest(c.in)
 		var e *Error
 		if !errors.As(err, &e) || e.Kind != c.kind || e.Status() < 400 || e.Status() > 599 {
-			t.Errorf("%.60q: %v, want %s", c.in, err, kinds[c.kind])
+			t.Errorf("%.60q: %v, want %s", c.in, err, kindNames[c.kind])
 		}
 	}
 }
 
 // A message that ends in its midst is no clean end, wherever it is cut.
-func TestEveryCutIsTold(t *testing.T) {
+func TestTruncatedRequestIsUnexpectedEOF(t *testing.T) {
 	const msg = "PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	for n := range len(msg) {
-		_, _, err := whole(msg[:n])
+		_, _, err := readRequest(msg[:n])
 		if n == 0 && err != io.EOF || n > 0 && err != io.ErrUnexpectedEOF {
 			t.Errorf("cut at %d: %v", n, err)
 		}
 	}
 }
 
-func TestResponses(t *testing.T) {
+func TestReadResponse(t *testing.T) {
 	for _, c := range []struct {
 		in      string
 		status  int // 0: an Error
@@ -113,14 +113,14 @@
 		{"HTTP/1.1 204 No\r\n\r\n", 204, 0, "", 0},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", 0, 0, "", 0},
 		{"HTTP/1.1 200 OK\r\n\r\nab", 200, 0, "ab", 0}, // up to the close
-		{"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("a", lim.Body+1), 0, 0, "", 0},
+		{"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("a", lim.MaxBodyBytes+1), 0, 0, "", 0},
 		{"HTTP/1.1 20 OK\r\n\r\n", 0, 0, "", 0},
 		{"HTTP/1.1 101 Up\r\n\r\n", 0, 0, "", 0},
 		{"HTTP/1.1 999 No\r\n\r\n", 0, 0, "", 0},
 		{"\x00\x01noise\r\n\r\n", 0, 0, "", 0},
 		{strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 40), 0, 0, "", 0},
 	} {
-		br := reader(c.in)
+		br := smallReader(c.in)
 		m, err := ReadResponse(br, lim)
 		var body []byte
 		if err == nil {
@@ -130,13 +130,13 @@
 			}
 		}
 		if c.status == 0 {
-			if !IsError(err) {
+			if !IsMessageError(err) {
 				t.Errorf("%.40q was read: %v", c.in, err)
 			}
 			continue
 		}
 		rest, _ := io.ReadAll(br)
-		if err != nil || m.Status != c.status || m.Interim != c.interim || string(body) != c.body || len(rest) != c.rest {
+		if err != nil || m.Status != c.status || m.InterimCount != c.interim || string(body) != c.body || len(rest) != c.rest {
 			t.Errorf("%.40q: %+v %q %v, %d behind", c.in, m, body, err, len(rest))
 		}
 	}
@@ -163,7 +163,7 @@
 	}
 	br := bufio.NewReader(iotest.OneByteReader(strings.NewReader("HTTP/1.1 103 H\r\nA: b\r\n\r\nHTTP/1.1 200\r\n\r\nabc")))
 	m, err := ReadResponse(br, lim)
-	if err != nil || m.Interim != 1 {
+	if err != nil || m.InterimCount != 1 {
 		t.Fatal(m, err)
 	}
 	fr, _ := m.Framing(lim)
@@ -174,33 +174,33 @@
 
 // A body up to the close is whole only where the stream ends cleanly, and is given no more
 // room than there is.
-func TestBodyUpToTheClose(t *testing.T) {
+func TestBodyUntilClose(t *testing.T) {
 	broken := io.MultiReader(strings.NewReader("ab"), iotest.ErrReader(syscall.ECONNRESET))
-	if b, err := ReadBody(bufio.NewReader(broken), Framing{ToClose: true}, lim); err != syscall.ECONNRESET || b != nil {
+	if b, err := ReadBody(bufio.NewReader(broken), Framing{UntilClose: true}, lim); err != syscall.ECONNRESET || b != nil {
 		t.Errorf("a reset: %q, %v", b, err)
 	}
 	short := lim
 	asked := 0
-	short.Reserve = func(n int) bool { asked += n; return asked <= step }
-	for _, fr := range []Framing{{ToClose: true}, {Length: step + 1}, {Chunked: true}} {
+	short.Reserve = func(n int) bool { asked += n; return asked <= growStep }
+	for _, fr := range []Framing{{UntilClose: true}, {Length: growStep + 1}, {Chunked: true}} {
 		asked = 0
-		short.Body = 2 * step
-		in := strings.Repeat("a", step+1)
+		short.MaxBodyBytes = 2 * growStep
+		in := strings.Repeat("a", growStep+1)
 		if fr.Chunked {
 			in = "800\r\n" + in[:0x800] + "\r\n801\r\n" + in[:0x801] + "\r\n0\r\n\r\n"
 		}
-		if _, err := ReadBody(reader(in), fr, short); !IsError(err) || asked <= step {
+		if _, err := ReadBody(smallReader(in), fr, short); !IsMessageError(err) || asked <= growStep {
 			t.Errorf("%+v: %v, %d asked for", fr, err, asked)
 		}
 	}
 	asked = 0
-	if b, err := ReadBody(bufio.NewReader(iotest.OneByteReader(strings.NewReader("abcdef"))), Framing{ToClose: true}, short); err != nil || string(b) != "abcdef" || asked != step {
+	if b, err := ReadBody(bufio.NewReader(iotest.OneByteReader(strings.NewReader("abcdef"))), Framing{UntilClose: true}, short); err != nil || string(b) != "abcdef" || asked != growStep {
 		t.Errorf("byte by byte: %q, %v, %d asked for", b, err, asked)
 	}
 }
 
-func TestStreamIsReadAsItComes(t *testing.T) {
-	s := NewStream(reader("5\r\nab\ncd\r\n2\r\ne\n\r\n0\r\n\r\nmore"), Framing{Chunked: true}, lim)
+func TestStreamReadsChunksIncrementally(t *testing.T) {
+	s := NewStream(smallReader("5\r\nab\ncd\r\n2\r\ne\n\r\n0\r\n\r\nmore"), Framing{Chunked: true}, lim)
 	var got []byte
 	for {
 		b, err := s.Next()
@@ -218,7 +218,7 @@
 	if _, err := s.Next(); err != io.EOF {
 		t.Error("the end does not last:", err)
 	}
-	if _, err := NewStream(reader("2\r\nabc\r\n"), Framing{Chunked: true}, lim).nextTwice(); !IsError(err) {
+	if _, err := NewStream(smallReader("2\r\nabc\r\n"), Framing{Chunked: true}, lim).nextTwice(); !IsMessageError(err) {
 		t.Error("a chunk that is longer than it says:", err)
 	}
 }
@@ -230,14 +230,14 @@
 	return s.Next()
 }
 
-func TestClose(t *testing.T) {
+func TestRequestClose(t *testing.T) {
 	for in, want := range map[string]bool{
 		"GET / HTTP/1.1\r\n\r\n":                                         false,
 		"GET / HTTP/1.0\r\n\r\n":                                         true,
 		"GET / HTTP/1.0\r\nConnection: Keep-Alive\r\n\r\n":               false,
 		"GET / HTTP/1.1\r\nConnection: x\r\nConnection: Close,y\r\n\r\n": true,
 	} {
-		if r, err := ReadRequest(reader(in), lim); err != nil || r.Close() != want {
+		if r, err := ReadRequest(smallReader(in), lim); err != nil || r.Close() != want {
 			t.Errorf("%q: %v", in, err)
 		}
 	}
@@ -249,14 +249,14 @@
 	f.Add([]byte("PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
 	f.Add([]byte("GET / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		r, body, err := whole(string(in))
+		r, body, err := readRequest(string(in))
 		if err != nil {
 			return
 		}
-		if len(body) > lim.Body || len(r.Fields) > lim.Fields {
+		if len(body) > lim.MaxBodyBytes || len(r.Fields) > lim.MaxFields {
 			t.Fatal("a bound was passed")
 		}
-		again, b, err := whole(string(AppendRequest(nil, r.Method, r.Target, nil, body)))
+		again, b, err := readRequest(string(AppendRequest(nil, r.Method, r.Target, nil, body)))
 		if r.Method == "GET" && len(body) == 0 {
 			b = body
 		}
@@ -270,7 +270,7 @@
 	f.Add([]byte("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		br := reader(string(in))
+		br := smallReader(string(in))
 		m, err := ReadResponse(br, lim)
 		if err != nil {
 			return
@@ -279,7 +279,7 @@
 		if err != nil {
 			return
 		}
-		if b, err := ReadBody(br, fr, lim); err == nil && (len(b) > lim.Body || m.Status < 200 || m.Status > 599) {
+		if b, err := ReadBody(br, fr, lim); err == nil && (len(b) > lim.MaxBodyBytes || m.Status < 200 || m.Status > 599) {
 			t.Fatal("a bound was passed")
 		}
 	})
--- a/internal/protocol/initiator/initiator.go
+++ b/internal/protocol/initiator/initiator.go
@@ -78,7 +78,7 @@
 	}
 	r := iscsi.NewReader(bufio.NewReaderSize(conn, 8<<10), max(cfg.Params.MaxRecv, 8192))
 	if err := c.login(r); err != nil {
-		c.out.Cut()
+		c.out.Abort()
 		c.out.Wait()
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 }
 
 func (c *Client) emit(p *iscsi.PDU) {
-	c.out.Put(func(b []byte) []byte { return p.Append(b, c.digests) })
+	c.out.Enqueue(func(b []byte) []byte { return p.Append(b, c.digests) })
 }
 
 func (c *Client) login(r *iscsi.Reader) error {
@@ -115,7 +115,7 @@
 	}
 }
 
-func (c *Client) random(b []byte) { env.Fill(c.cfg.Environment, b) }
+func (c *Client) random(b []byte) { env.FillRandom(c.cfg.Environment, b) }
 
 func (c *Client) run(r *iscsi.Reader) {
 	for {
@@ -127,7 +127,7 @@
 			break
 		}
 	}
-	c.out.Cut()
+	c.out.Abort()
 	c.out.Wait()
 	c.mu.Lock()
 	c.closed = true
@@ -235,7 +235,7 @@
 		got = result{r, err}
 		over.Open()
 	})
-	if !env.Await(ctx, c.cfg.Environment, &over) {
+	if !env.WaitContext(ctx, c.cfg.Environment, &over) {
 		return iscsi.Result{}, ctx.Err()
 	}
 	return got.r, got.err
@@ -281,7 +281,7 @@
 		over.Open()
 	}
 	c.mu.Unlock()
-	if !env.Await(ctx, c.cfg.Environment, &over) {
+	if !env.WaitContext(ctx, c.cfg.Environment, &over) {
 		return nil, ctx.Err()
 	}
 	keys, err := iscsi.ParseText(r.Text)
@@ -306,7 +306,7 @@
 
 // Close drops the connection and waits for its goroutines.
 func (c *Client) Close() {
-	c.out.Cut()
+	c.out.Abort()
 	c.done.Wait(c.cfg.Environment)
 }
 
--- a/internal/protocol/inventory/client.go
+++ b/internal/protocol/inventory/client.go
@@ -88,7 +88,7 @@
 			return
 		}
 		c.Told(List{Kind: Failed})
-		if !env.Wait(c.world, wait, &c.over) {
+		if !env.Sleep(c.world, wait, &c.over) {
 			return
 		}
 		wait = min(2*wait, againMost)
--- a/internal/runtime/env/alarm.go
+++ b/internal/runtime/env/alarm.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Alarm wakes the goroutine that serves a core when the core next has something to do.
+// WakeTimer wakes the goroutine that serves a core when the core next has something to do.
 // Times are in ms on the core's clock. Only that goroutine uses it; the zero value is not
 // set.
-type Alarm struct {
-	at    float64
+type WakeTimer struct {
+	due   float64
 	timer Timer
 }
 
-// At is when it is due or was last due, 0 if it never was set.
-func (a *Alarm) At() float64 { return a.at }
+// Due is when it is due or was last due, 0 if it never was set.
+func (a *WakeTimer) Due() float64 { return a.due }
 
 // Set has wake called at a time, at once if that has come. An earlier time that is still
 // to come stays as it is set.
-func (a *Alarm) Set(w Environment, now, at float64, wake func()) {
-	if at >= a.at && a.at > now || math.IsInf(at, 1) {
+func (a *WakeTimer) Set(w Environment, now, due float64, wake func()) {
+	if due >= a.due && a.due > now || math.IsInf(due, 1) {
 		return
 	}
 	a.Stop()
-	if a.at = at; at <= now {
+	if a.due = due; due <= now {
 		wake()
 		return
 	}
-	a.timer = w.AfterFunc(Duration(at-now)+time.Microsecond, wake)
+	a.timer = w.AfterFunc(Duration(due-now)+time.Microsecond, wake)
 }
 
 // Stop takes it back.
-func (a *Alarm) Stop() {
+func (a *WakeTimer) Stop() {
 	if a.timer != nil {
 		a.timer.Stop()
 	}
--- a/internal/runtime/env/env.go
+++ b/internal/runtime/env/env.go
@@ -28,8 +28,8 @@
 	Dial(ctx context.Context, network, address string, within time.Duration) (net.Conn, error)
 	// Listen accepts streams at the address.
 	Listen(network, address string) (net.Listener, error)
-	// Uint64 is a random number that no peer can guess.
-	Uint64() uint64
+	// RandomUint64 is a random number that no peer can guess.
+	RandomUint64() uint64
 	// Go runs f on a goroutine of its own. A shell starts none but by this.
 	Go(f func())
 	// NewParker is a place for one goroutine to wait at. A shell waits for other
@@ -75,8 +75,8 @@
 	return net.Listen(network, address)
 }
 
-// Uint64 implements Environment.
-func (w *Real) Uint64() uint64 {
+// RandomUint64 implements Environment.
+func (w *Real) RandomUint64() uint64 {
 	var b [8]byte
 	rand.Read(b[:]) // never fails: crypto/rand aborts the process instead
 	return binary.BigEndian.Uint64(b[:])
@@ -108,11 +108,11 @@
 // Duration is the inverse of MS.
 func Duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Fill fills b with random bytes.
-func Fill(w Environment, b []byte) {
+// FillRandom fills b with random bytes.
+func FillRandom(w Environment, b []byte) {
 	for len(b) > 0 {
 		var word [8]byte
-		binary.BigEndian.PutUint64(word[:], w.Uint64())
+		binary.BigEndian.PutUint64(word[:], w.RandomUint64())
 		b = b[copy(b, word[:]):]
 	}
 }
--- a/internal/runtime/env/roster.go
+++ b/internal/runtime/env/roster.go
@@ -6,33 +6,33 @@
 	"slices"
 )
 
-// Roster is a set that lists its members in the order in which they came, so that what
+// OrderedSet is a set that lists its members in the order in which they came, so that what
 // a shell does to each happens in the same order in every run. The zero value is empty.
 // Its user serialises the calls.
-type Roster[T comparable] struct {
-	came map[T]uint64
-	next uint64
+type OrderedSet[T comparable] struct {
+	sequence     map[T]uint64
+	lastSequence uint64
 }
 
 // Add enters a member.
-func (r *Roster[T]) Add(v T) {
-	if r.came == nil {
-		r.came = map[T]uint64{}
+func (r *OrderedSet[T]) Add(v T) {
+	if r.sequence == nil {
+		r.sequence = map[T]uint64{}
 	}
-	r.next++
-	r.came[v] = r.next
+	r.lastSequence++
+	r.sequence[v] = r.lastSequence
 }
 
 // Remove takes a member out, if it is in.
-func (r *Roster[T]) Remove(v T) { delete(r.came, v) }
+func (r *OrderedSet[T]) Remove(v T) { delete(r.sequence, v) }
 
 // Has tells whether v is a member.
-func (r *Roster[T]) Has(v T) bool { return r.came[v] != 0 }
+func (r *OrderedSet[T]) Has(v T) bool { return r.sequence[v] != 0 }
 
 // Len is the number of members.
-func (r *Roster[T]) Len() int { return len(r.came) }
+func (r *OrderedSet[T]) Len() int { return len(r.sequence) }
 
 // All lists the members.
-func (r *Roster[T]) All() []T {
-	return slices.SortedFunc(maps.Keys(r.came), func(a, b T) int { return cmp.Compare(r.came[a], r.came[b]) })
+func (r *OrderedSet[T]) All() []T {
+	return slices.SortedFunc(maps.Keys(r.sequence), func(a, b T) int { return cmp.Compare(r.sequence[a], r.sequence[b]) })
 }
--- a/internal/runtime/env/stream.go
+++ b/internal/runtime/env/stream.go
@@ -10,23 +10,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrNothing says that nothing has come on a connection that was not read already.
-var ErrNothing = errors.New("nothing has come")
+// ErrNoData says that nothing has come on a connection that was not read already.
+var ErrNoData = errors.New("nothing has come")
 
-// ReadNow reads what has come on a stream and waits for nothing: ErrNothing where nothing
+// ReadAvailable reads what has come on a stream and waits for nothing: ErrNothing where nothing
 // has, io.EOF where its other end has closed. Nobody else reads the stream meanwhile, and
 // its deadline for reading is not over.
-func ReadNow(c net.Conn, b []byte) (int, error) {
+func ReadAvailable(c net.Conn, b []byte) (int, error) {
 	switch c := c.(type) {
-	case interface{ ReadNow(b []byte) (int, error) }:
-		return c.ReadNow(b)
+	case interface{ ReadAvailable(b []byte) (int, error) }:
+		return c.ReadAvailable(b)
 	case syscall.Conn:
-		return readNow(c, b)
+		return readAvailable(c, b)
 	}
-	return 0, ErrNothing
+	return 0, ErrNoData
 }
 
-func readNow(c syscall.Conn, b []byte) (n int, fault error) {
+func readAvailable(c syscall.Conn, b []byte) (n int, fault error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0, err
@@ -42,7 +42,7 @@
 	case err != nil:
 		return 0, err
 	case fault == syscall.EAGAIN:
-		return 0, ErrNothing
+		return 0, ErrNoData
 	case fault != nil:
 		return 0, fault
 	case n == 0:
@@ -51,19 +51,19 @@
 	return n, nil
 }
 
-// Readable waits until bytes have come on a stream, which it leaves there: nil. The error is
+// WaitReadable waits until bytes have come on a stream, which it leaves there: nil. The error is
 // the stream's end, io.EOF where the other end has closed, or a deadline for reading.
-func Readable(c net.Conn) error {
+func WaitReadable(c net.Conn) error {
 	switch c := c.(type) {
-	case interface{ Readable() error }:
-		return c.Readable()
+	case interface{ WaitReadable() error }:
+		return c.WaitReadable()
 	case syscall.Conn:
-		return readable(c)
+		return waitReadable(c)
 	}
-	return ErrNothing
+	return ErrNoData
 }
 
-func readable(c syscall.Conn) error {
+func waitReadable(c syscall.Conn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return err
@@ -86,10 +86,10 @@
 	return nil
 }
 
-// SinceData is how long ago the last bytes came on a stream, or the stream itself if none have:
+// SinceLastReceive is how long ago the last bytes came on a stream, or the stream itself if none have:
 // what lay in a listener's queue, or with the kernel, is older than the moment in which it is
 // read. False where that can't be known.
-func SinceData(c net.Conn) (time.Duration, bool) {
+func SinceLastReceive(c net.Conn) (time.Duration, bool) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return 0, false
--- a/internal/runtime/env/wait.go
+++ b/internal/runtime/env/wait.go
@@ -13,7 +13,7 @@
 type Gate struct {
 	mu      sync.Mutex
 	open    bool
-	waiting []Parker
+	waiters []Parker
 	signal  chan struct{}
 }
 
@@ -25,10 +25,10 @@
 		return
 	}
 	g.open = true
-	for _, p := range g.waiting {
+	for _, p := range g.waiters {
 		p.Unpark()
 	}
-	g.waiting = nil
+	g.waiters = nil
 	if g.signal != nil {
 		close(g.signal)
 	}
@@ -57,21 +57,21 @@
 	return g.signal
 }
 
-// tell has p woken when the gate opens; false if it is open.
-func (g *Gate) tell(p Parker) bool {
+// addWaiter has p woken when the gate opens; false if it is open.
+func (g *Gate) addWaiter(p Parker) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.open {
-		g.waiting = append(g.waiting, p)
+		g.waiters = append(g.waiters, p)
 	}
 	return !g.open
 }
 
-func (g *Gate) untell(p Parker) {
+func (g *Gate) removeWaiter(p Parker) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if i := slices.Index(g.waiting, p); i >= 0 {
-		g.waiting = slices.Delete(g.waiting, i, i+1)
+	if i := slices.Index(g.waiters, p); i >= 0 {
+		g.waiters = slices.Delete(g.waiters, i, i+1)
 	}
 }
 
@@ -79,8 +79,8 @@
 func WaitAny(w Environment, gates ...*Gate) {
 	p := w.NewParker()
 	for _, g := range gates {
-		defer g.untell(p)
-		if !g.tell(p) {
+		defer g.removeWaiter(p)
+		if !g.addWaiter(p) {
 			return
 		}
 	}
@@ -89,12 +89,12 @@
 	}
 }
 
-// Await returns once the gate is open, or ctx ends; it tells whether it is open.
-func Await(ctx context.Context, w Environment, g *Gate) bool {
+// WaitContext returns once the gate is open, or ctx ends; it tells whether it is open.
+func WaitContext(ctx context.Context, w Environment, g *Gate) bool {
 	p := w.NewParker()
 	defer context.AfterFunc(ctx, p.Unpark)()
-	defer g.untell(p)
-	if !g.tell(p) {
+	defer g.removeWaiter(p)
+	if !g.addWaiter(p) {
 		return true
 	}
 	for !g.Opened() && ctx.Err() == nil {
@@ -103,25 +103,25 @@
 	return g.Opened()
 }
 
-// Group counts goroutines, as sync.WaitGroup does. The zero value is empty.
-type Group struct {
+// WaitGroup counts goroutines, as sync.WaitGroup does. The zero value is empty.
+type WaitGroup struct {
 	mu      sync.Mutex
-	n       int
+	count   int
 	waiting []Parker
 }
 
 // Add counts n more.
-func (g *Group) Add(n int) {
+func (g *WaitGroup) Add(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.n += n
+	g.count += n
 }
 
 // Done takes one off.
-func (g *Group) Done() {
+func (g *WaitGroup) Done() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.n--; g.n > 0 {
+	if g.count--; g.count > 0 {
 		return
 	}
 	for _, p := range g.waiting {
@@ -131,7 +131,7 @@
 }
 
 // Go runs f on a goroutine that is counted.
-func (g *Group) Go(w Environment, f func()) {
+func (g *WaitGroup) Go(w Environment, f func()) {
 	g.Add(1)
 	w.Go(func() {
 		defer g.Done()
@@ -140,43 +140,43 @@
 }
 
 // Wait returns once the count is 0.
-func (g *Group) Wait(w Environment) {
+func (g *WaitGroup) Wait(w Environment) {
 	p := w.NewParker()
-	for !g.over(p) {
+	for !g.doneOrAddWaiter(p) {
 		p.Park()
 	}
 }
 
-func (g *Group) over(p Parker) bool {
+func (g *WaitGroup) doneOrAddWaiter(p Parker) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.n > 0 && !slices.Contains(g.waiting, p) {
+	if g.count > 0 && !slices.Contains(g.waiting, p) {
 		g.waiting = append(g.waiting, p)
 	}
-	return g.n <= 0
+	return g.count <= 0
 }
 
-// Wait waits for d, or until stop is open; it tells whether the whole of d passed.
+// Sleep waits for d, or until stop is open; it tells whether the whole of d passed.
 // Without stop it always does.
-func Wait(w Environment, d time.Duration, stop *Gate) bool {
+func Sleep(w Environment, d time.Duration, stop *Gate) bool {
 	p := w.NewParker()
 	if stop != nil {
-		defer stop.untell(p)
-		if !stop.tell(p) {
+		defer stop.removeWaiter(p)
+		if !stop.addWaiter(p) {
 			return false
 		}
 	}
-	return pause(w, p, d, func() bool { return stop != nil && stop.Opened() })
+	return sleep(w, p, d, func() bool { return stop != nil && stop.Opened() })
 }
 
-// Pause is Wait with a context in place of the gate.
-func Pause(ctx context.Context, w Environment, d time.Duration) bool {
+// SleepContext is Wait with a context in place of the gate.
+func SleepContext(ctx context.Context, w Environment, d time.Duration) bool {
 	p := w.NewParker()
 	defer context.AfterFunc(ctx, p.Unpark)()
-	return pause(w, p, d, func() bool { return ctx.Err() != nil })
+	return sleep(w, p, d, func() bool { return ctx.Err() != nil })
 }
 
-func pause(w Environment, p Parker, d time.Duration, stopped func() bool) bool {
+func sleep(w Environment, p Parker, d time.Duration, stopped func() bool) bool {
 	var due atomic.Bool
 	t := w.AfterFunc(d, func() {
 		due.Store(true)
--- a/internal/runtime/timerqueue/timerqueue.go
+++ b/internal/runtime/timerqueue/timerqueue.go
@@ -10,52 +10,52 @@
 // Timer is something to do at a time, in whatever unit its owner counts. A timer is in
 // one queue at a time.
 type Timer[T any] struct {
-	At   float64
-	What T
-	seq  uint64 // equals come due in the order in which they were set
-	slot int    // its place in the heap and one more; 0 when it is in none
+	Due     float64
+	Value   T
+	seq     uint64 // equals come due in the order in which they were set
+	heapPos int    // its place in the heap and one more; 0 when it is in none
 }
 
 // Queue orders entries by time. The zero value is empty.
 type Queue[T any] struct {
-	all entries[T]
-	seq uint64
+	timers timerHeap[T]
+	seq    uint64
 }
 
 // Push enters e.
 func (h *Queue[T]) Push(e *Timer[T]) {
 	h.seq++
 	e.seq = h.seq
-	heap.Push(&h.all, e)
+	heap.Push(&h.timers, e)
 }
 
 // Remove takes e out, if it is in.
 func (h *Queue[T]) Remove(e *Timer[T]) {
-	if e.slot > 0 {
-		heap.Remove(&h.all, e.slot-1)
+	if e.heapPos > 0 {
+		heap.Remove(&h.timers, e.heapPos-1)
 	}
 }
 
 // First is the earliest entry, nil if there is none.
 func (h *Queue[T]) First() *Timer[T] {
-	if len(h.all) == 0 {
+	if len(h.timers) == 0 {
 		return nil
 	}
-	return h.all[0]
+	return h.timers[0]
 }
 
-// Next is when the earliest entry comes due, +Inf where there is none.
-func (h *Queue[T]) Next() float64 {
-	if len(h.all) == 0 {
+// NextDue is when the earliest entry comes due, +Inf where there is none.
+func (h *Queue[T]) NextDue() float64 {
+	if len(h.timers) == 0 {
 		return math.Inf(1)
 	}
-	return h.all[0].At
+	return h.timers[0].Due
 }
 
-// Take takes out the earliest entry that is due by now, nil if there is none.
-func (h *Queue[T]) Take(now float64) *Timer[T] {
+// PopDue takes out the earliest entry that is due by now, nil if there is none.
+func (h *Queue[T]) PopDue(now float64) *Timer[T] {
 	e := h.First()
-	if e == nil || e.At > now {
+	if e == nil || e.Due > now {
 		return nil
 	}
 	h.Remove(e)
@@ -63,32 +63,32 @@
 }
 
 // All lists the entries, in no order that means anything. It is the heap's own.
-func (h *Queue[T]) All() []*Timer[T] { return h.all }
+func (h *Queue[T]) All() []*Timer[T] { return h.timers }
 
-type entries[T any] []*Timer[T]
+type timerHeap[T any] []*Timer[T]
 
-func (h entries[T]) Len() int { return len(h) }
+func (h timerHeap[T]) Len() int { return len(h) }
 
-func (h entries[T]) Less(i, k int) bool {
-	return h[i].At < h[k].At || h[i].At == h[k].At && h[i].seq < h[k].seq
+func (h timerHeap[T]) Less(i, k int) bool {
+	return h[i].Due < h[k].Due || h[i].Due == h[k].Due && h[i].seq < h[k].seq
 }
 
-func (h entries[T]) Swap(i, k int) {
+func (h timerHeap[T]) Swap(i, k int) {
 	h[i], h[k] = h[k], h[i]
-	h[i].slot, h[k].slot = i+1, k+1
+	h[i].heapPos, h[k].heapPos = i+1, k+1
 }
 
-func (h *entries[T]) Push(x any) {
+func (h *timerHeap[T]) Push(x any) {
 	e := x.(*Timer[T])
 	*h = append(*h, e)
-	e.slot = len(*h)
+	e.heapPos = len(*h)
 }
 
-func (h *entries[T]) Pop() any {
+func (h *timerHeap[T]) Pop() any {
 	last := len(*h) - 1
 	e := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	e.slot = 0
+	e.heapPos = 0
 	return e
 }
--- a/internal/runtime/timerqueue/timerqueue_test.go
+++ b/internal/runtime/timerqueue/timerqueue_test.go
@@ -14,7 +14,7 @@
 		var h Queue[int]
 		var all []*Timer[int]
 		for i, at := range rapid.SliceOfN(rapid.IntRange(0, 9), 0, 50).Draw(t, "times") {
-			e := &Timer[int]{At: float64(at), What: i}
+			e := &Timer[int]{Due: float64(at), Value: i}
 			h.Push(e)
 			all = append(all, e)
 		}
@@ -27,7 +27,7 @@
 				want = append(want, e)
 			}
 		}
-		slices.SortStableFunc(want, func(a, b *Timer[int]) int { return int(a.At - b.At) })
+		slices.SortStableFunc(want, func(a, b *Timer[int]) int { return int(a.Due - b.Due) })
 		for _, e := range want {
 			if h.First() != e {
 				t.Fatal("wrong order")
@@ -41,11 +41,11 @@
 			h.Push(e)
 		}
 		for _, e := range want {
-			if h.Next() != e.At || h.Take(e.At-1) != nil || h.Take(e.At) != e {
+			if h.NextDue() != e.Due || h.PopDue(e.Due-1) != nil || h.PopDue(e.Due) != e {
 				t.Fatal("not taken when it is due")
 			}
 		}
-		if !math.IsInf(h.Next(), 1) || h.Take(math.MaxFloat64) != nil {
+		if !math.IsInf(h.NextDue(), 1) || h.PopDue(math.MaxFloat64) != nil {
 			t.Fatal("something is due still")
 		}
 	})
--- a/internal/runtime/writequeue/writequeue.go
+++ b/internal/runtime/writequeue/writequeue.go
@@ -13,75 +13,75 @@
 
 // Queue is the writing half of a connection. It is safe for concurrent use.
 type Queue struct {
-	// Gauge, if set before the first Put, is told of each change of the bytes that
+	// OnBytesChanged, if set before the first Put, is told of each change of the bytes that
 	// wait or are being written.
-	Gauge func(delta int)
-	// Idle, if set before the first Put, is called from the queue's goroutine each
+	OnBytesChanged func(delta int)
+	// OnIdle, if set before the first Put, is called from the queue's goroutine each
 	// time that all was written.
-	Idle func()
+	OnIdle func()
 	// HalfClose, if set before the first Put, leaves a connection that was finished open
 	// for what its other end still sends: only what is sent from here ends. Who set it
 	// closes the connection after Wait.
 	HalfClose bool
 
-	world   env.Environment
-	conn    net.Conn
-	limit   int
-	timeout time.Duration
-
-	mu      sync.Mutex
-	wake    env.Parker
-	buf     []byte
-	writing bool         // what was taken out of buf is not written yet
-	settle  []env.Parker // who waits until all is written
-	closed  bool         // nothing more is taken
-	cut     bool         // what waits is dropped
-	drained env.Gate
+	environment  env.Environment
+	conn         net.Conn
+	limit        int
+	writeTimeout time.Duration
+
+	mu           sync.Mutex
+	wake         env.Parker
+	pending      []byte
+	writing      bool         // what was taken out of buf is not written yet
+	flushWaiters []env.Parker // who waits until all is written
+	closed       bool         // nothing more is taken
+	aborted      bool         // what waits is dropped
+	finished     env.Gate
 }
 
-// keepBuffer bounds the memory that a queue with nothing to say keeps, in bytes.
-const keepBuffer = 16 << 10
+// maxIdleBuffer bounds the memory that a queue with nothing to say keeps, in bytes.
+const maxIdleBuffer = 16 << 10
 
 // New starts a queue that holds at most limit bytes and gives a write so much
 // time.
-func New(w env.Environment, conn net.Conn, limit int, timeout time.Duration) *Queue {
-	o := &Queue{world: w, conn: conn, limit: limit, timeout: timeout, wake: w.NewParker()}
+func New(w env.Environment, conn net.Conn, limit int, writeTimeout time.Duration) *Queue {
+	o := &Queue{environment: w, conn: conn, limit: limit, writeTimeout: writeTimeout, wake: w.NewParker()}
 	w.Go(o.run)
 	return o
 }
 
-// Put has f append bytes to what waits. It tells whether they were taken; an
+// Enqueue has f append bytes to what waits. It tells whether they were taken; an
 // queue over its limit closes its connection.
-func (o *Queue) Put(f func(b []byte) []byte) bool {
-	ok := o.Hold(f)
-	o.Release()
+func (o *Queue) Enqueue(f func(b []byte) []byte) bool {
+	ok := o.Buffer(f)
+	o.Flush()
 	return ok
 }
 
-// Hold is Put without starting to write: who has more to say says it first, and
+// Buffer is Put without starting to write: who has more to say says it first, and
 // then calls Release.
-func (o *Queue) Hold(f func(b []byte) []byte) bool {
+func (o *Queue) Buffer(f func(b []byte) []byte) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed {
 		return false
 	}
-	before := len(o.buf)
-	o.buf = f(o.buf)
-	o.gauge(len(o.buf) - before)
-	if len(o.buf) > o.limit {
-		o.cutLocked()
+	before := len(o.pending)
+	o.pending = f(o.pending)
+	o.bytesChanged(len(o.pending) - before)
+	if len(o.pending) > o.limit {
+		o.abortLocked()
 		return false
 	}
 	return true
 }
 
-// Release starts to write what was held.
-func (o *Queue) Release() { o.wake.Unpark() }
+// Flush starts to write what was held.
+func (o *Queue) Flush() { o.wake.Unpark() }
 
-func (o *Queue) gauge(delta int) {
-	if o.Gauge != nil {
-		o.Gauge(delta)
+func (o *Queue) bytesChanged(delta int) {
+	if o.OnBytesChanged != nil {
+		o.OnBytesChanged(delta)
 	}
 }
 
@@ -91,104 +91,104 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.closed = true
-	o.settled()
+	o.wakeFlushWaiters()
 	o.wake.Unpark()
 }
 
-// Cut closes the connection at once.
-func (o *Queue) Cut() {
+// Abort closes the connection at once.
+func (o *Queue) Abort() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.cutLocked()
+	o.abortLocked()
 }
 
-func (o *Queue) cutLocked() {
-	o.closed, o.cut = true, true
-	o.settled()
+func (o *Queue) abortLocked() {
+	o.closed, o.aborted = true, true
+	o.wakeFlushWaiters()
 	o.conn.Close()
 	o.wake.Unpark()
 }
 
 // Wait returns once the goroutine has ended and the connection, or its half, is closed.
-func (o *Queue) Wait() { o.drained.Wait(o.world) }
+func (o *Queue) Wait() { o.finished.Wait(o.environment) }
 
-// Settle returns once all that was put is written, or the queue takes nothing more.
-func (o *Queue) Settle() {
+// WaitFlushed returns once all that was put is written, or the queue takes nothing more.
+func (o *Queue) WaitFlushed() {
 	var p env.Parker
 	for {
 		o.mu.Lock()
-		if o.closed || len(o.buf) == 0 && !o.writing {
+		if o.closed || len(o.pending) == 0 && !o.writing {
 			o.mu.Unlock()
 			return
 		}
 		if p == nil {
-			p = o.world.NewParker()
+			p = o.environment.NewParker()
 		}
-		o.settle = append(o.settle, p)
+		o.flushWaiters = append(o.flushWaiters, p)
 		o.mu.Unlock()
 		p.Park()
 	}
 }
 
-// settled lets those go on that wait in Settle. The lock is held.
-func (o *Queue) settled() {
-	for _, p := range o.settle {
+// wakeFlushWaiters lets those go on that wait in Settle. The lock is held.
+func (o *Queue) wakeFlushWaiters() {
+	for _, p := range o.flushWaiters {
 		p.Unpark()
 	}
-	o.settle = o.settle[:0]
+	o.flushWaiters = o.flushWaiters[:0]
 }
 
-func (o *Queue) empty() bool {
+func (o *Queue) idle() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.buf) == 0 && !o.closed
+	return len(o.pending) == 0 && !o.closed
 }
 
-// end closes the connection, or the half of it that is this queue's.
-func (o *Queue) end() {
+// closeConn closes the connection, or the half of it that is this queue's.
+func (o *Queue) closeConn() {
 	o.mu.Lock()
-	cut := o.cut
+	aborted := o.aborted
 	o.mu.Unlock()
-	if cut || !o.HalfClose || !env.CloseWrite(o.conn) {
+	if aborted || !o.HalfClose || !env.CloseWrite(o.conn) {
 		o.conn.Close()
 	}
 }
 
 func (o *Queue) run() {
-	defer o.drained.Open()
-	defer o.end()
+	defer o.finished.Open()
+	defer o.closeConn()
 	var out []byte
 	for {
 		o.mu.Lock()
-		for len(o.buf) == 0 && !o.closed {
+		for len(o.pending) == 0 && !o.closed {
 			o.mu.Unlock()
 			o.wake.Park()
 			o.mu.Lock()
 		}
-		if o.cut || len(o.buf) == 0 {
-			o.gauge(-len(o.buf))
+		if o.aborted || len(o.pending) == 0 {
+			o.bytesChanged(-len(o.pending))
 			o.mu.Unlock()
 			return
 		}
-		out, o.buf, o.writing = o.buf, out[:0], true
+		out, o.pending, o.writing = o.pending, out[:0], true
 		o.mu.Unlock()
-		o.conn.SetWriteDeadline(o.world.Deadline(o.timeout))
+		o.conn.SetWriteDeadline(o.environment.Deadline(o.writeTimeout))
 		_, err := o.conn.Write(out)
-		o.gauge(-len(out))
+		o.bytesChanged(-len(out))
 		o.mu.Lock()
-		if o.writing = false; len(o.buf) == 0 {
-			o.settled()
+		if o.writing = false; len(o.pending) == 0 {
+			o.wakeFlushWaiters()
 		}
 		o.mu.Unlock()
 		if err != nil {
-			o.Cut()
+			o.Abort()
 			continue // to settle what waits still
 		}
-		if cap(out) > keepBuffer {
+		if cap(out) > maxIdleBuffer {
 			out = nil
 		}
-		if o.Idle != nil && o.empty() {
-			o.Idle()
+		if o.OnIdle != nil && o.idle() {
+			o.OnIdle()
 		}
 	}
 }
--- a/internal/runtime/writequeue/writequeue_test.go
+++ b/internal/runtime/writequeue/writequeue_test.go
@@ -21,12 +21,12 @@
 	a, b := net.Pipe()
 	o := New(env.NewReal(), a, 1<<20, time.Minute)
 	var held atomic.Int64
-	o.Gauge = func(d int) { held.Add(int64(d)) }
-	o.Hold(add("one "))
-	o.Put(add("two "))
-	o.Put(add("three"))
+	o.OnBytesChanged = func(d int) { held.Add(int64(d)) }
+	o.Buffer(add("one "))
+	o.Enqueue(add("two "))
+	o.Enqueue(add("three"))
 	o.Finish()
-	if o.Put(add("more")) {
+	if o.Enqueue(add("more")) {
 		t.Error("taken after Finish")
 	}
 	got, err := io.ReadAll(b)
@@ -42,9 +42,9 @@
 	defer b.Close()
 	o := New(env.NewReal(), a, 1000, time.Minute)
 	var held atomic.Int64
-	o.Gauge = func(d int) { held.Add(int64(d)) }
+	o.OnBytesChanged = func(d int) { held.Add(int64(d)) }
 	taken := 0
-	for o.Put(func(x []byte) []byte { return append(x, bytes.Repeat([]byte{1}, 100)...) }) {
+	for o.Enqueue(func(x []byte) []byte { return append(x, bytes.Repeat([]byte{1}, 100)...) }) {
 		taken++
 	}
 	o.Wait()
@@ -57,9 +57,9 @@
 	a, b := net.Pipe()
 	defer b.Close()
 	o := New(env.NewReal(), a, 1<<20, time.Millisecond)
-	o.Put(add("nobody reads this"))
+	o.Enqueue(add("nobody reads this"))
 	o.Wait() // returns only because the write ran out of time
-	if o.Put(add("x")) {
+	if o.Enqueue(add("x")) {
 		t.Error("taken after the cut")
 	}
 }
--- a/internal/simulation/faultinject/faultinject.go
+++ b/internal/simulation/faultinject/faultinject.go
@@ -24,9 +24,9 @@
 	ShareEarly   = "share-taken-back-early" // what a source takes back is given on at once
 )
 
-// All lists the faults.
-var All = []string{DrainOverlooked, RepeatUnsafe, LimitMisread, TagReused, WakeupLost, AbortAtOnce, KeyForgotten, StartUnheard,
+// HostFaults lists the faults.
+var HostFaults = []string{DrainOverlooked, RepeatUnsafe, LimitMisread, TagReused, WakeupLost, AbortAtOnce, KeyForgotten, StartUnheard,
 	LossTakenForGood, DeadlineUnsaid, BusyAfterSend, ExtentMissed}
 
-// OfRegions lists those of a service over two regions.
-var OfRegions = []string{FenceMissing, LeaseNoDrift, ShareEarly}
+// RegionFaults lists those of a service over two regions.
+var RegionFaults = []string{FenceMissing, LeaseNoDrift, ShareEarly}
--- a/internal/simulation/faultinject/off.go
+++ b/internal/simulation/faultinject/off.go
@@ -2,11 +2,11 @@
 
 package faultinject
 
-// Possible tells whether faults can be planted in this build.
-const Possible = false
+// Enabled tells whether faults can be planted in this build.
+const Enabled = false
 
-// Set has no effect in this build.
-func Set(string) {}
+// Activate has no effect in this build.
+func Activate(string) {}
 
-// Is tells whether that fault is planted.
-func Is(string) bool { return false }
+// Active tells whether that fault is planted.
+func Active(string) bool { return false }
--- a/internal/simulation/faultinject/on.go
+++ b/internal/simulation/faultinject/on.go
@@ -2,13 +2,13 @@
 
 package faultinject
 
-// Possible tells whether faults can be planted in this build.
-const Possible = true
+// Enabled tells whether faults can be planted in this build.
+const Enabled = true
 
 var planted string
 
-// Set plants a fault, "" for none; before anything runs.
-func Set(name string) { planted = name }
+// Activate plants a fault, "" for none; before anything runs.
+func Activate(name string) { planted = name }
 
-// Is tells whether that fault is planted.
-func Is(name string) bool { return planted == name }
+// Active tells whether that fault is planted.
+func Active(name string) bool { return planted == name }
--- a/internal/simulation/lab/benchwatch.go
+++ b/internal/simulation/lab/benchwatch.go
@@ -39,7 +39,7 @@
 	w := env.NewReal()
 	for range 2 {
 		readers.Go(func() {
-			for env.Wait(w, scrapeEvery, &over) {
+			for env.Sleep(w, scrapeEvery, &over) {
 				if resp, err := http.Get("http://" + watched.admin + "/metrics"); err == nil {
 					io.Copy(io.Discard, resp.Body)
 					resp.Body.Close()
--- a/internal/simulation/lab/changes.go
+++ b/internal/simulation/lab/changes.go
@@ -55,7 +55,7 @@
 	gap  time.Duration
 	mu   sync.Mutex
 	made []change
-	done env.Group
+	done env.WaitGroup
 }
 
 // ChangeDay plays a bad day while operators change what hosts are told: each has so many
@@ -91,7 +91,7 @@
 // operate is one operator's day.
 func (ch *changing) operate(ctx context.Context, op int, rng *rand.Rand) {
 	for n := range ch.each {
-		env.Pause(ctx, ch.f.Environment, time.Duration(float64(ch.gap)*(0.5+rng.Float64())))
+		env.SleepContext(ctx, ch.f.Environment, time.Duration(float64(ch.gap)*(0.5+rng.Float64())))
 		hosts := ch.f.Admins()
 		if len(hosts) == 0 {
 			continue
@@ -110,7 +110,7 @@
 		return // the host was ended in between
 	}
 	ch.alter(s, rng)
-	env.Pause(ctx, ch.f.Environment, time.Duration(float64(2*ch.gap)*rng.Float64())) // meanwhile others change things
+	env.SleepContext(ctx, ch.f.Environment, time.Duration(float64(2*ch.gap)*rng.Float64())) // meanwhile others change things
 	c := change{host: trail.HostOf(name), why: why, asked: ch.now()}
 	now, err := api.Put(ctx, s, settings.Ask{Why: why, Who: "operator", Merge: rng.IntN(2) == 0})
 	c.said = ch.now()
--- a/internal/simulation/lab/clients.go
+++ b/internal/simulation/lab/clients.go
@@ -64,7 +64,7 @@
 	// before their answer; StrayWorth is what the former would have been worth.
 	Strays, Unanswered atomic.Int64
 	StrayWorth         float64
-	running            env.Group
+	running            env.WaitGroup
 	stopping           atomic.Bool
 	lateBy             time.Duration
 }
@@ -132,7 +132,7 @@
 
 // Login opens every session, so that a day doesn't begin with a storm.
 func (c *Crowd) Login() {
-	var all env.Group
+	var all env.WaitGroup
 	for _, ls := range c.lanes {
 		for _, l := range ls {
 			all.Go(c.fleet.Environment, func() { l.session() })
@@ -248,7 +248,7 @@
 		next += time.Duration(c.rng.ExpFloat64() / (rate * x) * float64(time.Second))
 		c.mu.Unlock()
 		if wait := next - c.fleet.Environment.Now(); wait > 0 {
-			if !env.Pause(ctx, c.fleet.Environment, wait) {
+			if !env.SleepContext(ctx, c.fleet.Environment, wait) {
 				return
 			}
 		}
@@ -360,7 +360,7 @@
 		at = c.habits.AbuseAt
 	}
 	c.mu.Unlock()
-	if !env.Wait(c.fleet.Environment, env.Duration(a.class(c.fleet.Set).Aim*at), &end.done) {
+	if !env.Sleep(c.fleet.Environment, env.Duration(a.class(c.fleet.Set).Aim*at), &end.done) {
 		return stayed
 	}
 	if a.how == 1 {
@@ -493,7 +493,7 @@
 		p, left = left[0], left[1:]
 		return p, true
 	}
-	var all env.Group
+	var all env.WaitGroup
 	for range 16 { // gently: this is no load test
 		all.Go(c.fleet.Environment, func() {
 			for p, ok := next(); ok; p, ok = next() {
@@ -521,7 +521,7 @@
 				return true
 			}
 		}
-		env.Pause(ctx, c.fleet.Environment, redialAfter)
+		env.SleepContext(ctx, c.fleet.Environment, redialAfter)
 	}
 	return false
 }
--- a/internal/simulation/lab/cutworld.go
+++ b/internal/simulation/lab/cutworld.go
@@ -52,7 +52,7 @@
 		return nil, errCut
 	}
 	if cut {
-		env.Pause(ctx, w, within)
+		env.SleepContext(ctx, w, within)
 		return nil, errCut
 	}
 	c, err := w.Environment.Dial(ctx, network, address, within)
--- a/internal/simulation/lab/experiment.go
+++ b/internal/simulation/lab/experiment.go
@@ -159,7 +159,7 @@
 	rows = make([]ExperimentRow, len(cells))
 	each := make([][]SecondRow, len(cells))
 	var mu sync.Mutex
-	var all env.Group
+	var all env.WaitGroup
 	next, done := 0, 0
 	w := env.NewReal()
 	for range max(g.Parallel, 1) {
--- a/internal/simulation/lab/explore.go
+++ b/internal/simulation/lab/explore.go
@@ -191,7 +191,7 @@
 // Play plays a scene to its end or to its first failure. keep, if any, is a file for
 // its trail.
 func (s Scene) Play(ctx context.Context, keep string) (*Outcome, error) {
-	if s.Planted != "" && !faultinject.Possible {
+	if s.Planted != "" && !faultinject.Enabled {
 		return nil, errors.New("lab: the scene has a planted fault, and this build can have none")
 	}
 	for _, t := range s.Script {
@@ -515,7 +515,7 @@
 	var failed error
 	next := uint64(0)
 	w := env.NewReal()
-	var all env.Group
+	var all env.WaitGroup
 	for range max(x.Parallel, 1) {
 		all.Go(w, func() {
 			for {
--- a/internal/simulation/lab/fan.go
+++ b/internal/simulation/lab/fan.go
@@ -59,7 +59,7 @@
 
 func (f *fan) serve(c net.Conn, out *writequeue.Queue) {
 	defer out.Wait()
-	defer out.Cut()
+	defer out.Abort()
 	r := bufio.NewReaderSize(c, 64<<10)
 	var p [requestLen]byte
 	for n := uint32(0); ; n++ {
@@ -76,7 +76,7 @@
 	tag := u.next
 	u.wait[tag] = fanAsk{client, binary.BigEndian.Uint32(p[16:])}
 	u.mu.Unlock()
-	u.out.Put(func(b []byte) []byte {
+	u.out.Enqueue(func(b []byte) []byte {
 		at := len(b)
 		b = append(append(b, p[:]...), make([]byte, forwardLen-requestLen)...)
 		binary.BigEndian.PutUint32(b[at+16:], tag)
@@ -85,7 +85,7 @@
 }
 
 func (u *fanUp) read() {
-	defer u.out.Cut()
+	defer u.out.Abort()
 	r := bufio.NewReaderSize(u.conn, 256<<10)
 	p := make([]byte, replyLen)
 	for {
@@ -100,7 +100,7 @@
 		if a.out == nil {
 			return
 		}
-		a.out.Put(func(b []byte) []byte {
+		a.out.Enqueue(func(b []byte) []byte {
 			at := len(b)
 			b = append(append(b, p...), make([]byte, responseLen-replyLen)...)
 			b[at+3], b[at+5], b[at+6], b[at+7] = 0, byte(benchBlock>>16), byte(benchBlock>>8&0xff), byte(benchBlock&0xff)
--- a/internal/simulation/lab/fleet.go
+++ b/internal/simulation/lab/fleet.go
@@ -46,7 +46,7 @@
 	site   site
 	racks  []*standin.Rack
 	fell   []string
-	later  env.Group
+	later  env.WaitGroup
 	over   bool
 	now    *settings.Settings // what hosts start with
 	ran    map[effectKey]bool // keyed and unsafe requests that took effect, in either region
@@ -482,7 +482,7 @@
 
 // StopHosts ends every host gracefully.
 func (f *Fleet) StopHosts(ctx context.Context) {
-	var all env.Group
+	var all env.WaitGroup
 	f.mu.Lock()
 	hosts := f.hosts
 	f.mu.Unlock()
--- a/internal/simulation/lab/limits.go
+++ b/internal/simulation/lab/limits.go
@@ -60,14 +60,14 @@
 	var steps []limitStep
 	var events []trail.Event
 	var over env.Gate
-	var done env.Group
+	var done env.WaitGroup
 	var begin int64
 	opt.during = func(d *day, span time.Duration) {
 		now := func() int64 { return int64(d.fleet.Environment.Now() / time.Microsecond) }
 		begin = now()
 		done.Go(d.fleet.Environment, func() {
 			rng := rand.New(rand.NewPCG(opt.Seed, 8))
-			for env.Wait(d.fleet.Environment, limitEvery, &over) {
+			for env.Sleep(d.fleet.Environment, limitEvery, &over) {
 				limit := limitLow + float64(rng.IntN(limitHigh-limitLow+1))
 				for i, h := range d.fleet.hosts {
 					s := *h.gate.Settings().Get()
--- a/internal/simulation/lab/losses.go
+++ b/internal/simulation/lab/losses.go
@@ -254,7 +254,7 @@
 // gives it back.
 func (s *loser) lose(kind int) (lossResult, error) {
 	w := s.rig.world
-	env.Wait(w, time.Duration(s.rng.Int64N(int64(200*time.Millisecond))), nil) // at any point of its rounds
+	env.Sleep(w, time.Duration(s.rng.Int64N(int64(200*time.Millisecond))), nil) // at any point of its rounds
 	all := make([]string, len(s.rig.disks))
 	for i, d := range s.rig.disks {
 		all[i] = d.Addr
@@ -291,7 +291,7 @@
 		res.seen = res.seen && ok
 		res.took = max(res.took, c.At-at)
 	}
-	env.Wait(w, 100*time.Millisecond, nil) // nothing may come while it lasts
+	env.Sleep(w, 100*time.Millisecond, nil) // nothing may come while it lasts
 	res.wrong = s.wrong(from, gone, LossKinds[kind] == LossKinds[4])
 	from = s.rig.mark()
 	if err := heal(); err != nil || LossKinds[kind] == "process killed" {
--- a/internal/simulation/lab/peers.go
+++ b/internal/simulation/lab/peers.go
@@ -54,7 +54,7 @@
 		s.Set(routes)
 		for _, r := range routers {
 			for !has(r.Held(1)) {
-				if !env.Pause(ctx, w, time.Millisecond) {
+				if !env.SleepContext(ctx, w, time.Millisecond) {
 					return ctx.Err()
 				}
 			}
--- a/internal/simulation/lab/regionday.go
+++ b/internal/simulation/lab/regionday.go
@@ -162,7 +162,7 @@
 }
 
 func (o *operator) run(over *env.Gate) {
-	for env.Wait(o.f.Environment, operatorLooks, over) {
+	for env.Sleep(o.f.Environment, operatorLooks, over) {
 		o.look()
 	}
 }
--- a/internal/simulation/lab/reservations.go
+++ b/internal/simulation/lab/reservations.go
@@ -108,12 +108,12 @@
 		return nil, err
 	}
 	defer r.close()
-	var all env.Group
+	var all env.WaitGroup
 	for i := range rInitiators {
 		all.Go(w, func() { r.client(ctx, i, steps) })
 	}
 	var stop env.Gate
-	var faults env.Group
+	var faults env.WaitGroup
 	faults.Go(r.world, func() { r.faults(&stop) })
 	all.Wait(w)
 	stop.Open()
@@ -241,7 +241,7 @@
 
 // faults strikes now and then until stop is open.
 func (r *reservationRig) faults(stop *env.Gate) {
-	for env.Wait(r.world, time.Duration(50+r.rng.IntN(200))*time.Millisecond, stop) {
+	for env.Sleep(r.world, time.Duration(50+r.rng.IntN(200))*time.Millisecond, stop) {
 		h, d := r.rng.IntN(rHosts), r.rng.IntN(rShards)
 		r.mu.Lock()
 		g, addr := r.hosts[h], r.disks[d].Addr
@@ -250,12 +250,12 @@
 		switch r.rng.IntN(5) {
 		case 0, 1: // a link
 			r.worlds[h].off(cutKind(r.rng.IntN(2)), addr)
-			env.Wait(r.world, lasts, stop)
+			env.Sleep(r.world, lasts, stop)
 			r.worlds[h].heal(addr)
 		case 2: // a pause of a host
 			var until env.Gate
 			g.Freeze(&until)
-			env.Wait(r.world, lasts, stop)
+			env.Sleep(r.world, lasts, stop)
 			until.Open()
 		case 3: // a host
 			g.Kill()
@@ -299,7 +299,7 @@
 	for n := 0; n < steps && ctx.Err() == nil; {
 		for tries := 0; s == nil && tries < 200; tries++ {
 			s = r.dial(ctx, who)
-			if s == nil && !env.Pause(ctx, r.world, 10*time.Millisecond) {
+			if s == nil && !env.SleepContext(ctx, r.world, 10*time.Millisecond) {
 				return
 			}
 		}
@@ -308,7 +308,7 @@
 			return
 		}
 		// Time for a fault to strike in between, and for others to be in the midst of theirs.
-		env.Pause(ctx, r.world, time.Duration(rng.IntN(40))*time.Millisecond)
+		env.SleepContext(ctx, r.world, time.Duration(rng.IntN(40))*time.Millisecond)
 		step := ReservationStep{Who: who, Kind: kinds[rng.IntN(len(kinds))], Type: types[rng.IntN(len(types))], Whom: rng.IntN(rInitiators)}
 		if done, alive := r.step(s, &step, rng); done {
 			n++
@@ -382,7 +382,7 @@
 func (r *reservationRig) do(s *initiator.Client, cdb, out []byte, in int) (iscsi.Result, error) {
 	end := &ending{}
 	s.Submit(0, cdb, out, in, end.set)
-	if env.Wait(r.world, 8*time.Second, &end.done) {
+	if env.Sleep(r.world, 8*time.Second, &end.done) {
 		end.set(iscsi.Result{}, context.DeadlineExceeded)
 	}
 	return end.res, end.err
--- a/internal/simulation/lab/reservations_test.go
+++ b/internal/simulation/lab/reservations_test.go
@@ -115,7 +115,7 @@
 			st := ReservationStep{Who: who, Kind: kind, Type: typ, Whom: whom}
 			if done, _ := r.step(s[who], &st, rng); done {
 				if st.Said == saidNothing && tries < 500 { // a server is away: what is refused is asked again
-					env.Wait(r.world, 10*time.Millisecond, nil)
+					env.Sleep(r.world, 10*time.Millisecond, nil)
 					continue
 				}
 				if st.Said != want {
@@ -207,7 +207,7 @@
 		}
 	}()
 	for r.worlds[0].waiting() < r.set.Volumes[0].BlockSize { // the write is in the link
-		env.Wait(r.world, time.Millisecond, nil)
+		env.Sleep(r.world, time.Millisecond, nil)
 	}
 	do(1, stepPreempt, 1, 0, saidGood)
 	r.worlds[0].heal(addrs...)
@@ -236,11 +236,11 @@
 	r.worlds[0].off(cutHold, addrs...)
 	h := s.Submit(0, []byte{0x5f, 6, 0, 0, 0, 0, 0, 0, 24, 0}, append(make([]byte, 15), 9, 0, 0, 0, 0, 0, 0, 0, 0), 0, func(iscsi.Result, error) {})
 	for r.worlds[0].waiting() == 0 {
-		env.Wait(r.world, time.Millisecond, nil)
+		env.Sleep(r.world, time.Millisecond, nil)
 	}
 	answered := make(chan byte, 1)
 	s.Abort(h, func(code byte) { answered <- code })
-	env.Wait(r.world, 100*time.Millisecond, nil)
+	env.Sleep(r.world, 100*time.Millisecond, nil)
 	select {
 	case <-answered:
 		t.Error("answered while it may still be made")
@@ -261,7 +261,7 @@
 	var until env.Gate
 	r.hosts[0].Freeze(&until)
 	do(1, stepPreempt, 1, 0, saidGood)
-	env.Wait(r.world, 1200*time.Millisecond, nil) // past the lease, which is a time of the product's own
+	env.Sleep(r.world, 1200*time.Millisecond, nil) // past the lease, which is a time of the product's own
 	until.Open()
 	do(0, stepWrite, 0, 0, saidConflict)
 	do(1, stepWrite, 0, 0, saidGood)
--- a/internal/simulation/lab/routing.go
+++ b/internal/simulation/lab/routing.go
@@ -83,7 +83,7 @@
 		for g := range groups {
 			missing = missing || len(f.Router.Best(groupPrefix(g))) < len(f.hosts)
 		}
-		if !missing || !env.Pause(ctx, f.Environment, 20*time.Millisecond) {
+		if !missing || !env.SleepContext(ctx, f.Environment, 20*time.Millisecond) {
 			return
 		}
 	}
--- a/internal/simulation/lab/virtual_test.go
+++ b/internal/simulation/lab/virtual_test.go
@@ -237,7 +237,7 @@
 	run := func() (order []int) {
 		w := world.New(1)
 		err := w.Run("main", time.Second, func(p *world.Process) {
-			var all env.Group
+			var all env.WaitGroup
 			all.Add(50)
 			for i := range 50 {
 				p.AfterFunc(time.Millisecond, func() {
@@ -300,17 +300,17 @@
 // Each planted fault is found, plays again as it was, and gets smaller. Only in a build
 // with the tag "planted".
 func TestPlantedFaultsAreFound(t *testing.T) {
-	if !faultinject.Possible {
+	if !faultinject.Enabled {
 		t.Skip("needs the build tag planted")
 	}
-	for _, name := range append(slices.Clone(faultinject.All), faultinject.OfRegions...) {
+	for _, name := range append(slices.Clone(faultinject.HostFaults), faultinject.RegionFaults...) {
 		t.Run(name, func(t *testing.T) {
-			faultinject.Set(name)
-			defer faultinject.Set("")
+			faultinject.Activate(name)
+			defer faultinject.Activate("")
 			x := Exploration{First: 1, Seeds: 200, Hosts: 3, Servers: 9, Span: 30 * time.Second, Rate: 300, Swarm: true,
 				Planted: name, Parallel: 4, StopAtFirst: true}
 			switch {
-			case slices.Contains(faultinject.OfRegions, name):
+			case slices.Contains(faultinject.RegionFaults, name):
 				x.Regions, x.Hosts, x.Servers, x.Span, x.Rate = true, 4, 8, time.Minute, 120
 				if name == faultinject.LeaseNoDrift {
 					x.Draw = leaderWithoutHosts
@@ -333,7 +333,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			faultinject.Set("")
+			faultinject.Activate("")
 			sane := s
 			sane.Planted, sane.Failure = "", nil
 			kept(t, sane) // it is the fault that fails it
@@ -361,8 +361,8 @@
 		t.Fatal("a damaged file was taken")
 	}
 	for _, bad := range []Scene{{Hosts: 0, Servers: 9, Commands: 1, Rate: 1}, {Hosts: 1, Servers: 9, Commands: 1, Rate: 1, Script: []Strike{{Kind: "earthquake"}}},
-		{Hosts: 1, Servers: 9, Commands: 1, Rate: 1, Planted: faultinject.All[0] + "?"}} {
-		if bad.Planted != "" && faultinject.Possible {
+		{Hosts: 1, Servers: 9, Commands: 1, Rate: 1, Planted: faultinject.HostFaults[0] + "?"}} {
+		if bad.Planted != "" && faultinject.Enabled {
 			continue
 		}
 		if _, err := bad.Play(context.Background(), ""); err == nil {
--- a/internal/simulation/soak/servers.go
+++ b/internal/simulation/soak/servers.go
@@ -51,7 +51,7 @@
 	conns map[net.Conn]bool
 }
 
-var messageLimits = http1.Limits{Head: 16 << 10, Fields: 64, Body: 64 << 10}
+var messageLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: 64 << 10}
 
 // StartServers listens for so many disk servers on loopback.
 func StartServers(n int, service time.Duration, r *Record) (*Servers, error) {
--- a/internal/simulation/standin/copier.go
+++ b/internal/simulation/standin/copier.go
@@ -29,7 +29,7 @@
 
 // copying keeps a connection to the copy while this server is the shard's home.
 func (d *DiskServer) copying() {
-	for env.Wait(d.world, copyAgain, &d.stopped) {
+	for env.Sleep(d.world, copyAgain, &d.stopped) {
 		gen, home := d.machine.cell.Home()
 		addr := d.Peer()
 		if !home || addr == "" {
@@ -66,12 +66,12 @@
 	w := c.d.world
 	c.out = writequeue.New(w, c.conn, diskOut, diskTimeout)
 	defer c.out.Wait()
-	defer c.out.Cut()
+	defer c.out.Abort()
 	if !c.d.keep(c.out) {
 		return
 	}
 	defer c.d.leave(c.out)
-	c.out.Put(func(b []byte) []byte {
+	c.out.Enqueue(func(b []byte) []byte {
 		b = diskproto.Append(b, diskproto.KindHello, 0, &diskproto.Hello{Oldest: diskproto.Oldest, Newest: diskproto.Version, Host: c.d.Started, Name: c.d.Name})
 		return diskproto.Append(b, diskproto.KindJoin, 0, &diskproto.Join{Shard: uint32(c.d.Shard), Gen: c.gen})
 	})
@@ -108,7 +108,7 @@
 }
 
 func (c *copier) put(m *diskproto.Copy) bool {
-	return c.out.Put(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCopy, 0, m) })
+	return c.out.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCopy, 0, m) })
 }
 
 // write sends what follows until the connection or the home is over.
@@ -165,7 +165,7 @@
 		if m.Shard == uint32(d.Shard) {
 			a, *gen = cell.join(m.Gen), m.Gen
 		}
-		return o.Put(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindJoined, f.Tag, &a) })
+		return o.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindJoined, f.Tag, &a) })
 	}
 	var m diskproto.Copy
 	if m.Parse(f.Body) != nil || *gen == 0 {
@@ -179,14 +179,14 @@
 	if m.Part && a.Result == diskproto.OK {
 		return true
 	}
-	return o.Put(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCopied, f.Tag, &a) }) && a.Result == diskproto.OK
+	return o.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCopied, f.Tag, &a) }) && a.Result == diskproto.OK
 }
 
 // reporting tells the inventory of the copy, and hears of the shard's home.
 func (d *DiskServer) reporting() {
 	c := inventory.NewCaller(d.world, d.Inventory)
 	defer c.Close()
-	for env.Wait(d.world, reportEach, &d.stopped) {
+	for env.Sleep(d.world, reportEach, &d.stopped) {
 		word := d.machine.cell.Word(d.now())
 		word.Shard = d.Shard
 		a := inventory.Ask{Op: "copies", Copies: []region.Copy{word}}
--- a/internal/simulation/standin/copies.go
+++ b/internal/simulation/standin/copies.go
@@ -128,7 +128,7 @@
 	switch {
 	case !r.on || c.Unfenced:
 		return true
-	case faultinject.Is(faultinject.FenceMissing) && gen < r.gen:
+	case faultinject.Active(faultinject.FenceMissing) && gen < r.gen:
 		return true
 	case gen > r.gen:
 		r.becomes(gen, home)
@@ -292,7 +292,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &c.rep
-	if faultinject.Is(faultinject.FenceMissing) && gen < r.gen {
+	if faultinject.Active(faultinject.FenceMissing) && gen < r.gen {
 		d := m.Do
 		d.Data = slices.Clone(d.Data)
 		c.carry(&d)
--- a/internal/simulation/standin/diskserver.go
+++ b/internal/simulation/standin/diskserver.go
@@ -40,11 +40,11 @@
 	machine  *Machine
 	timer    env.Timer
 	timerAt  float64
-	conns    env.Roster[*writequeue.Queue]
+	conns    env.OrderedSet[*writequeue.Queue]
 	net      NetTrouble
 	rng      *rand.Rand
 	dead     bool
-	tasks    env.Group
+	tasks    env.WaitGroup
 	stopped  env.Gate
 	// Of one of two regions: where the inventory is, and the disk server of the same shard
 	// in the other region; "" while there is none.
@@ -68,7 +68,7 @@
 		return err
 	}
 	d.world, d.listener, d.machine = w, l, m
-	d.Addr, d.Started = l.Addr().String(), w.Uint64()
+	d.Addr, d.Started = l.Addr().String(), w.RandomUint64()
 	d.timerAt = math.Inf(1)
 	d.rng = rand.New(rand.NewPCG(d.Started, 2))
 	m.Outside = d.outside
@@ -96,7 +96,7 @@
 		}
 		o := writequeue.New(d.world, c, diskOut, diskTimeout)
 		if !d.keep(o) {
-			o.Cut()
+			o.Abort()
 			return
 		}
 		d.tasks.Go(d.world, func() { d.serve(c, o) })
@@ -134,7 +134,7 @@
 func (d *DiskServer) serve(c net.Conn, o *writequeue.Queue) {
 	defer d.leave(o)
 	defer o.Wait()
-	defer o.Cut()
+	defer o.Abort()
 	if d.hangs() {
 		var b [1]byte
 		for { // the process doesn't read, but the kernel still takes bytes
@@ -193,7 +193,7 @@
 		if h.Oldest > diskproto.Version || h.Newest < diskproto.Oldest {
 			w.Version = 0
 		}
-		return o.Put(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindWelcome, f.Tag, w) })
+		return o.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindWelcome, f.Tag, w) })
 	case diskproto.KindDo:
 		var m diskproto.Do
 		if m.Parse(f.Body) != nil {
@@ -205,7 +205,7 @@
 		d.mu.Lock()
 		p := &diskproto.Probed{Clock: uint64(d.world.Now() / time.Microsecond), Report: []diskproto.Figure{{Name: "waiting", Value: float64(len(d.machine.queue))}, {Name: "active", Value: float64(len(d.machine.run))}}}
 		d.mu.Unlock()
-		return o.Put(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindProbed, f.Tag, p) })
+		return o.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindProbed, f.Tag, p) })
 	}
 	return true // Cancel stops nothing here; unknown kinds are of later versions
 }
@@ -231,18 +231,18 @@
 	frame := diskproto.Append(nil, diskproto.KindAnswer, tag, &a)
 	switch {
 	case d.net.Torn > 0 && d.rng.Float64() < d.net.Torn:
-		o.Put(func(b []byte) []byte { return append(b, frame[:len(frame)/2]...) })
+		o.Enqueue(func(b []byte) []byte { return append(b, frame[:len(frame)/2]...) })
 		o.Finish()
 	case d.net.LateShare > 0 && d.rng.Float64() < d.net.LateShare:
 		d.world.AfterFunc(env.Duration(d.net.Late), func() {
-			o.Put(func(b []byte) []byte { return append(b, frame...) })
+			o.Enqueue(func(b []byte) []byte { return append(b, frame...) })
 		})
 	case d.net.Bytewise:
 		for i := range frame {
-			o.Put(func(b []byte) []byte { return append(b, frame[i]) })
+			o.Enqueue(func(b []byte) []byte { return append(b, frame[i]) })
 		}
 	default:
-		o.Put(func(b []byte) []byte { return append(b, frame...) })
+		o.Enqueue(func(b []byte) []byte { return append(b, frame...) })
 	}
 }
 
@@ -288,7 +288,7 @@
 	d.net = t
 	if change {
 		for _, o := range d.conns.All() {
-			o.Cut()
+			o.Abort()
 		}
 	}
 }
@@ -319,7 +319,7 @@
 	d.stopped.Open()
 	d.mu.Lock()
 	for _, o := range d.conns.All() {
-		o.Put(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindBye, fellOver, nil) })
+		o.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindBye, fellOver, nil) })
 		o.Finish()
 	}
 	d.mu.Unlock()
@@ -342,7 +342,7 @@
 		d.timer.Stop()
 	}
 	for _, o := range d.conns.All() {
-		o.Cut()
+		o.Abort()
 	}
 	d.mu.Unlock()
 	d.tasks.Wait(d.world)
--- a/internal/simulation/standin/door.go
+++ b/internal/simulation/standin/door.go
@@ -13,7 +13,7 @@
 	Addr  string
 	world env.Environment
 	l     net.Listener
-	tasks env.Group
+	tasks env.WaitGroup
 
 	mu    sync.Mutex
 	conns []net.Conn
--- a/internal/simulation/standin/http.go
+++ b/internal/simulation/standin/http.go
@@ -47,7 +47,7 @@
 	return d, nil
 }
 
-var httpLimits = http1.Limits{Head: 16 << 10, Fields: 64, Body: 64 << 10}
+var httpLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: 64 << 10}
 
 func (d *HTTPDisk) serve(c net.Conn, conn int) {
 	defer c.Close()
@@ -62,10 +62,10 @@
 		d.asks = append(d.asks, ask)
 		d.mu.Unlock()
 		a := d.do(ask)
-		env.Wait(d.world, a.After, nil)
+		env.Sleep(d.world, a.After, nil)
 		c.Write(a.Raw)
 		if len(a.Behind) > 0 {
-			env.Wait(d.world, a.Late, nil)
+			env.Sleep(d.world, a.Late, nil)
 			c.Write(a.Behind)
 		}
 		if t, ok := c.(*net.TCPConn); ok && a.Reset {
--- a/internal/simulation/standin/inventory.go
+++ b/internal/simulation/standin/inventory.go
@@ -19,9 +19,9 @@
 	mu    sync.Mutex
 	book  *inventory.Book
 	late  float64
-	conns env.Roster[*watcher]
+	conns env.OrderedSet[*watcher]
 	l     net.Listener
-	tasks env.Group
+	tasks env.WaitGroup
 	dead  bool
 	over  env.Gate
 	reg   *source // of one of two regions
@@ -85,11 +85,11 @@
 			v.tell(wt, true)
 		default:
 			l := v.answer(&a)
-			wt.out.Put(func(b []byte) []byte { return append(b, inventory.Line(l)...) })
+			wt.out.Enqueue(func(b []byte) []byte { return append(b, inventory.Line(l)...) })
 		}
 		v.mu.Unlock()
 	}
-	wt.out.Cut()
+	wt.out.Abort()
 	wt.out.Wait()
 	v.mu.Lock()
 	v.conns.Remove(wt)
@@ -106,7 +106,7 @@
 		return
 	}
 	wt.known = l.Generation
-	wt.out.Put(func(b []byte) []byte { return append(b, inventory.Line(l)...) })
+	wt.out.Enqueue(func(b []byte) []byte { return append(b, inventory.Line(l)...) })
 }
 
 // Change makes changes to the list, which are told after the delay.
@@ -149,7 +149,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, wt := range v.conns.All() {
-		wt.out.Cut()
+		wt.out.Abort()
 	}
 }
 
@@ -160,7 +160,7 @@
 	v.mu.Lock()
 	v.dead = true
 	for _, wt := range v.conns.All() {
-		wt.out.Cut()
+		wt.out.Abort()
 	}
 	v.mu.Unlock()
 	v.tasks.Wait(v.world)
--- a/internal/simulation/standin/links.go
+++ b/internal/simulation/standin/links.go
@@ -125,7 +125,7 @@
 		whole = w.whole // it may be cut again already
 		l.mu.Unlock()
 	}
-	return late == 0 || env.Wait(l.world, late, over)
+	return late == 0 || env.Sleep(l.world, late, over)
 }
 
 // Times after which what was lost is sent again (RFC 6298 section 5.5).
--- a/internal/simulation/standin/links_test.go
+++ b/internal/simulation/standin/links_test.go
@@ -48,7 +48,7 @@
 		io.ReadFull(s, got)
 		came.Open()
 	}()
-	if env.Wait(w, 50*time.Millisecond, &came); came.Opened() {
+	if env.Sleep(w, 50*time.Millisecond, &came); came.Opened() {
 		t.Fatal("it came through a cut")
 	}
 	links.Set("a", "b", standin.Way{Loss: 0.5, Delay: time.Millisecond})
--- a/internal/simulation/standin/relay.go
+++ b/internal/simulation/standin/relay.go
@@ -19,10 +19,10 @@
 	tap    func(addr string) *Tap
 	l      net.Listener
 	mu     sync.Mutex
-	conns  env.Roster[net.Conn]
+	conns  env.OrderedSet[net.Conn]
 	dead   bool
 	over   env.Gate
-	tasks  env.Group
+	tasks  env.WaitGroup
 	// pass, if set, waits until what is to go on that way may; false if the relay ended.
 	pass func(up bool, over *env.Gate) bool
 }
@@ -97,7 +97,7 @@
 	if r.tap != nil {
 		t = r.tap(r.Addr)
 	}
-	var both env.Group
+	var both env.WaitGroup
 	both.Go(r.world, func() { r.pump(t, s, c, true) })
 	both.Go(r.world, func() { r.pump(t, c, s, false) })
 	both.Wait(r.world)
--- a/internal/simulation/standin/router.go
+++ b/internal/simulation/standin/router.go
@@ -66,14 +66,14 @@
 	mu       sync.Mutex
 	fault    RouterFault
 	rng      *rand.Rand
-	sessions env.Roster[*routerSession]
+	sessions env.OrderedSet[*routerSession]
 	rib      map[netip.Prefix]map[uint32]bgp.Path
 	log      []RouteChange
 	updates  int
 	ends     int // End-of-RIB marks
 	ups      int
 	closed   bool
-	tasks    env.Group
+	tasks    env.WaitGroup
 }
 
 type routerSession struct {
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Router{Addr: l.Addr().String(), AS: as, ID: uint32(w.Uint64()) | 1, world: w, listener: l, rng: rand.New(rand.NewPCG(w.Uint64(), 1)),
+	r := &Router{Addr: l.Addr().String(), AS: as, ID: uint32(w.RandomUint64()) | 1, world: w, listener: l, rng: rand.New(rand.NewPCG(w.RandomUint64(), 1)),
 		rib: map[netip.Prefix]map[uint32]bgp.Path{}}
 	r.tasks.Go(w, r.accept)
 	return r, nil
@@ -119,7 +119,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.sessions.All() {
-		s.out.Cut()
+		s.out.Abort()
 	}
 }
 
@@ -159,7 +159,7 @@
 }
 
 func (r slowReader) Read(b []byte) (int, error) {
-	env.Wait(r.s.r.world, r.d, nil)
+	env.Sleep(r.s.r.world, r.d, nil)
 	return r.s.conn.Read(b[:min(len(b), 16)])
 }
 
@@ -167,7 +167,7 @@
 	r := s.r
 	defer s.end()
 	if f := s.fault.AcceptAfter; f > 0 {
-		env.Wait(r.world, f, nil)
+		env.Sleep(r.world, f, nil)
 	}
 	buf := bufio.NewReaderSize(s.conn, bgp.MaxLen)
 	if s.fault.SlowRead > 0 {
@@ -194,7 +194,9 @@
 
 var errRouterEnd = errors.New("standin: session over")
 
-func (s *routerSession) say(b []byte) { s.out.Put(func(o []byte) []byte { return append(o, b...) }) }
+func (s *routerSession) say(b []byte) {
+	s.out.Enqueue(func(o []byte) []byte { return append(o, b...) })
+}
 
 // message handles one message. Held: Router.mu.
 func (s *routerSession) message(t bgp.Type, body []byte) error {
@@ -250,10 +252,10 @@
 func (s *routerSession) reach(state bgp.State) {
 	s.state = state
 	if s.fault.ResetAt == state && state != bgp.Idle {
-		s.out.Cut()
+		s.out.Abort()
 	}
 	if state == bgp.Established && s.fault.LiveFor > 0 {
-		s.r.world.AfterFunc(s.fault.LiveFor, s.out.Cut)
+		s.r.world.AfterFunc(s.fault.LiveFor, s.out.Abort)
 	}
 }
 
--- a/internal/simulation/standin/source.go
+++ b/internal/simulation/standin/source.go
@@ -67,7 +67,7 @@
 	g := v.reg
 	c := inventory.NewCaller(v.world, g.other)
 	defer c.Close()
-	for env.Wait(v.world, g.every, &v.over) {
+	for env.Sleep(v.world, g.every, &v.over) {
 		v.mu.Lock()
 		now := v.now()
 		g.src.Tick(now)
--- a/internal/simulation/world/net.go
+++ b/internal/simulation/world/net.go
@@ -320,24 +320,24 @@
 
 // Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
-	if err := c.Readable(); err != nil {
+	if err := c.WaitReadable(); err != nil {
 		return 0, err
 	}
 	return c.take(b), nil
 }
 
-// ReadNow reads what has come, and waits for nothing.
-func (c *conn) ReadNow(b []byte) (int, error) {
+// ReadAvailable reads what has come, and waits for nothing.
+func (c *conn) ReadAvailable(b []byte) (int, error) {
 	if err := c.come(); err != nil {
 		return 0, err
 	}
 	return c.take(b), nil
 }
 
-// Readable waits until bytes have come, and leaves them.
-func (c *conn) Readable() error {
+// WaitReadable waits until bytes have come, and leaves them.
+func (c *conn) WaitReadable() error {
 	for {
-		if err := c.come(); err != env.ErrNothing {
+		if err := c.come(); err != env.ErrNoData {
 			return err
 		}
 		if c.readBy != 0 && c.w.now >= c.readBy {
@@ -363,7 +363,7 @@
 	case c.ended:
 		return io.EOF
 	}
-	return env.ErrNothing
+	return env.ErrNoData
 }
 
 func (c *conn) take(b []byte) int {
--- a/internal/simulation/world/process.go
+++ b/internal/simulation/world/process.go
@@ -56,8 +56,8 @@
 // Deadline implements env.Environment.
 func (p *Process) Deadline(d time.Duration) time.Time { return epoch.Add(p.w.now + d) }
 
-// Uint64 implements env.Environment.
-func (p *Process) Uint64() uint64 { return p.rng.Uint64() }
+// RandomUint64 implements env.Environment.
+func (p *Process) RandomUint64() uint64 { return p.rng.Uint64() }
 
 // Processors implements env.Environment.
 func (p *Process) Processors() int { return p.Cores }
--- a/internal/simulation/world/world_test.go
+++ b/internal/simulation/world/world_test.go
@@ -164,7 +164,7 @@
 			t.Errorf("%q %v", b, err)
 		}
 		c.Write([]byte("?"))
-		env.Wait(p, time.Second, nil)
+		env.Sleep(p, time.Second, nil)
 		if _, err := c.Write([]byte("?")); !errors.Is(err, syscall.ECONNRESET) {
 			t.Error("written to a dead process:", err)
 		}
@@ -182,11 +182,11 @@
 	})
 	run(t, w, func(p *Process) {
 		c := dial(t, p, addr)
-		env.Wait(p, time.Millisecond, nil)
+		env.Sleep(p, time.Millisecond, nil)
 		far.AfterFunc(time.Second, func() { rang = far.Now() })
 		far.Stall(5 * time.Second)
 		c.Write([]byte("x"))
-		env.Wait(p, 6*time.Second, nil)
+		env.Sleep(p, 6*time.Second, nil)
 	})
 	if rang < 5*time.Second || read < 5*time.Second {
 		t.Errorf("rang at %v, read at %v", rang, read)
@@ -200,7 +200,7 @@
 		var rang time.Duration
 		q.AfterFunc(3*time.Second, func() { rang = p.Now() })
 		q.Jump(2 * time.Second)
-		env.Wait(p, 2*time.Second, nil)
+		env.Sleep(p, 2*time.Second, nil)
 		if rang != time.Second || q.Now() != p.Now()+2*time.Second {
 			t.Error("rang at", rang, "clock", q.Now())
 		}
@@ -214,15 +214,15 @@
 	run(t, w, func(p *Process) {
 		q := w.Process("q")
 		q.Go(func() {
-			defer env.Wait(q, time.Second, nil)
-			env.Wait(q, time.Second, nil)
+			defer env.Sleep(q, time.Second, nil)
+			env.Sleep(q, time.Second, nil)
 			done++
 		})
 		q.AfterFunc(time.Second, func() { done++ })
-		env.Wait(p, time.Millisecond, nil)
+		env.Sleep(p, time.Millisecond, nil)
 		q.Kill(Crash)
 		q.Go(func() { done++ })
-		env.Wait(p, 5*time.Second, nil)
+		env.Sleep(p, 5*time.Second, nil)
 	})
 	if done != 0 || w.Process("r").Dead() {
 		t.Error(done, "things were done after the end")
@@ -235,13 +235,13 @@
 	if err := New(1).Run("main", time.Second, func(p *Process) { p.NewParker().Park() }); !errors.As(err, &stuck) || !stuck.Idle {
 		t.Error(err)
 	}
-	if err := New(1).Run("main", time.Second, func(p *Process) { env.Wait(p, time.Hour, nil) }); !errors.As(err, &stuck) || stuck.Idle {
+	if err := New(1).Run("main", time.Second, func(p *Process) { env.Sleep(p, time.Hour, nil) }); !errors.As(err, &stuck) || stuck.Idle {
 		t.Error(err)
 	}
 	var crash *CrashError
 	err := New(1).Run("main", time.Second, func(p *Process) {
 		p.w.Process("q").Go(func() { panic("on purpose") })
-		env.Wait(p, 10*time.Millisecond, nil)
+		env.Sleep(p, 10*time.Millisecond, nil)
 	})
 	if !errors.As(err, &crash) || crash.Process != "q" || !strings.Contains(crash.Stack, "on purpose") && crash.Value != "on purpose" {
 		t.Error(err)
@@ -272,7 +272,7 @@
 			c.Write([]byte("hey"))
 			io.ReadFull(c, make([]byte, 3))
 			c.Close()
-			env.Wait(p, time.Second, nil)
+			env.Sleep(p, time.Second, nil)
 		})
 		if got := strings.Join(log, ", "); got != "down one, down closed, up hey, down hey, up closed" {
 			t.Errorf("by the dialler %v: %s", byDialler, got)
--- a/internal/storage/durable/replace.go
+++ b/internal/storage/durable/replace.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// Unfinished is how the names of files end that are not whole yet. One that a crash leaves
+// TempSuffix is how the names of files end that are not whole yet. One that a crash leaves
 // behind has taken the place of nothing.
-const Unfinished = ".half"
+const TempSuffix = ".half"
 
 // Replace writes a file with the mode anew: beside the old one first, synced, then renamed
 // to its name, and the folder synced. After an error of write, or of the file's sync, the
@@ -19,12 +19,12 @@
 // outlast a power cut.
 func Replace(file string, mode fs.FileMode, write func(*os.File) error) error {
 	dir := filepath.Dir(file)
-	f, err := os.CreateTemp(dir, filepath.Base(file)+"-*"+Unfinished)
+	f, err := os.CreateTemp(dir, filepath.Base(file)+"-*"+TempSuffix)
 	if err != nil {
 		return err
 	}
 	defer os.Remove(f.Name()) // gone already where the rename was reached
-	if err := fill(f, mode, write); err != nil {
+	if err := writeAndSync(f, mode, write); err != nil {
 		return err
 	}
 	if err := os.Rename(f.Name(), file); err != nil {
@@ -33,23 +33,23 @@
 	return syncDir(dir)
 }
 
-// Clean removes what a crash in the midst of Replace left of a file. Nobody else may be
+// RemoveTemp removes what a crash in the midst of Replace left of a file. Nobody else may be
 // replacing it meanwhile.
-func Clean(file string) error {
+func RemoveTemp(file string) error {
 	dir, name := filepath.Split(file)
-	return clean(filepath.Clean(dir), name+"-")
+	return removeTempFiles(filepath.Clean(dir), name+"-")
 }
 
-// CleanDir is Clean for all files of a folder.
-func CleanDir(dir string) error { return clean(dir, "") }
+// RemoveTempDir is Clean for all files of a folder.
+func RemoveTempDir(dir string) error { return removeTempFiles(dir, "") }
 
-func clean(dir, prefix string) error {
+func removeTempFiles(dir, prefix string) error {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return err
 	}
 	for _, e := range entries {
-		if strings.HasPrefix(e.Name(), prefix) && strings.HasSuffix(e.Name(), Unfinished) {
+		if strings.HasPrefix(e.Name(), prefix) && strings.HasSuffix(e.Name(), TempSuffix) {
 			if err := os.Remove(filepath.Join(dir, e.Name())); err != nil {
 				return err
 			}
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// fill writes and closes f.
-func fill(f *os.File, mode fs.FileMode, write func(*os.File) error) error {
+// writeAndSync writes and closes f.
+func writeAndSync(f *os.File, mode fs.FileMode, write func(*os.File) error) error {
 	err := f.Chmod(mode)
 	if err == nil {
 		err = write(f)
--- a/internal/storage/durable/replace_test.go
+++ b/internal/storage/durable/replace_test.go
@@ -9,14 +9,14 @@
 	"testing"
 )
 
-func put(text string) func(*os.File) error {
+func writeText(text string) func(*os.File) error {
 	return func(f *os.File) error {
 		_, err := f.WriteString(text)
 		return err
 	}
 }
 
-func names(t *testing.T, dir string) (out []string) {
+func fileNames(t *testing.T, dir string) (out []string) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -29,10 +29,10 @@
 }
 
 // A write that fails leaves the old file, and nothing beside it.
-func TestAFailedReplaceLeavesTheOldFile(t *testing.T) {
+func TestFailedReplaceKeepsOldFile(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "state")
-	if err := Replace(file, 0o600, put("old")); err != nil {
+	if err := Replace(file, 0o600, writeText("old")); err != nil {
 		t.Fatal(err)
 	}
 	half := func(f *os.File) error {
@@ -42,10 +42,10 @@
 	if err := Replace(file, 0o600, half); !errors.Is(err, syscall.ENOSPC) {
 		t.Error(err)
 	}
-	if b, err := os.ReadFile(file); err != nil || string(b) != "old" || len(names(t, dir)) != 1 {
-		t.Errorf("%q, %v, %v", b, err, names(t, dir))
+	if b, err := os.ReadFile(file); err != nil || string(b) != "old" || len(fileNames(t, dir)) != 1 {
+		t.Errorf("%q, %v, %v", b, err, fileNames(t, dir))
 	}
-	if err := Replace(file, 0o640, put("new")); err != nil {
+	if err := Replace(file, 0o640, writeText("new")); err != nil {
 		t.Fatal(err)
 	}
 	info, err := os.Stat(file)
@@ -55,17 +55,17 @@
 }
 
 // What a kill leaves of a file is removed, and nothing of another.
-func TestCleanRemovesWhatAKillLeft(t *testing.T) {
+func TestRemoveTempRemovesOnlyOwnTempFiles(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"state", "state-1.half", "state-22.half", "state.audit", "state-1", "other-1.half"} {
 		if err := os.WriteFile(filepath.Join(dir, name), nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := Clean(filepath.Join(dir, "state")); err != nil {
+	if err := RemoveTemp(filepath.Join(dir, "state")); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := names(t, dir), []string{"other-1.half", "state", "state-1", "state.audit"}; !slices.Equal(got, want) {
+	if got, want := fileNames(t, dir), []string{"other-1.half", "state", "state-1", "state.audit"}; !slices.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
 }
--- a/internal/storage/history/store.go
+++ b/internal/storage/history/store.go
@@ -52,7 +52,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	if err := durable.CleanDir(dir); err != nil {
+	if err := durable.RemoveTempDir(dir); err != nil {
 		return nil, err
 	}
 	return &Store{dir: dir}, nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -28,7 +28,7 @@
 	Instance int
 	Boot     *policy.Settings
 	Seed     uint64
-	Kill     bool
+	Stop     bool
 	Event    policy.Event
 }
 
@@ -44,8 +44,8 @@
 	return &Reader{in: bufio.NewReaderSize(r, 1<<20)}
 }
 
-// next returns the coming line without its end.
-func (r *Reader) next() (string, error) {
+// readLine returns the coming line without its end.
+func (r *Reader) readLine() (string, error) {
 	s, err := r.in.ReadString('\n')
 	if err != nil && (s == "" || err != io.EOF) {
 		return "", err
@@ -56,23 +56,23 @@
 
 // Next returns the next batch, or io.EOF at the end of input.
 func (r *Reader) Next() (*Batch, error) {
-	s, err := r.next()
+	s, err := r.readLine()
 	for err == nil && s == "" {
-		s, err = r.next()
+		s, err = r.readLine()
 	}
 	if err != nil {
 		return nil, err
 	}
-	f := fields{parts: strings.Split(s, " ")}
+	f := lineFields{parts: strings.Split(s, " ")}
 	if name := f.text(); name != "begin_batch" {
-		return nil, r.fail(s, fmt.Errorf("want begin_batch, got %q", name))
+		return nil, r.lineError(s, fmt.Errorf("want begin_batch, got %q", name))
 	}
 	b := &Batch{Now: f.number()}
 	if f.err != nil {
-		return nil, r.fail(s, f.err)
+		return nil, r.lineError(s, f.err)
 	}
 	for {
-		s, err := r.next()
+		s, err := r.readLine()
 		if err == io.EOF {
 			return nil, fmt.Errorf("line %d: batch has no end", r.line)
 		}
@@ -82,9 +82,9 @@
 		if s == "end" {
 			return b, nil
 		}
-		ev, ok, err := r.event(s)
+		ev, ok, err := r.parseEvent(s)
 		if err != nil {
-			return nil, r.fail(s, err)
+			return nil, r.lineError(s, err)
 		}
 		if ok {
 			b.Events = append(b.Events, ev)
@@ -92,7 +92,7 @@
 	}
 }
 
-func (r *Reader) fail(s string, err error) error {
+func (r *Reader) lineError(s string, err error) error {
 	const most = 120
 	if len(s) > most {
 		s = s[:most] + "..."
@@ -100,13 +100,13 @@
 	return fmt.Errorf("line %d: %w in %q", r.line, err, s)
 }
 
-// fields hands out the parts of a line and keeps the first error.
-type fields struct {
+// lineFields hands out the parts of a line and keeps the first error.
+type lineFields struct {
 	parts []string
 	err   error
 }
 
-func (f *fields) raw() string {
+func (f *lineFields) raw() string {
 	if len(f.parts) == 0 {
 		if f.err == nil {
 			f.err = errors.New("line too short")
@@ -118,20 +118,20 @@
 	return s
 }
 
-func (f *fields) text() string {
+func (f *lineFields) text() string {
 	if s := f.raw(); s != "-" {
 		return s
 	}
 	return ""
 }
 
-func (f *fields) rest() string {
+func (f *lineFields) rest() string {
 	s := strings.Join(f.parts, " ")
 	f.parts = nil
 	return s
 }
 
-func (f *fields) number() float64 {
+func (f *lineFields) number() float64 {
 	s := f.text()
 	if s == "" {
 		return 0
@@ -143,7 +143,7 @@
 	return v
 }
 
-func (f *fields) integer() int {
+func (f *lineFields) integer() int {
 	s := f.text()
 	if s == "" {
 		return 0
@@ -155,9 +155,9 @@
 	return v
 }
 
-func (f *fields) flag() bool { return f.integer() != 0 }
+func (f *lineFields) flag() bool { return f.integer() != 0 }
 
-func (f *fields) hex() []byte {
+func (f *lineFields) hex() []byte {
 	b, err := hex.DecodeString(f.text())
 	if err != nil && f.err == nil {
 		f.err = errors.New("bad hex digits")
@@ -166,7 +166,7 @@
 }
 
 // readings parses name:value pairs set apart by commas.
-func (f *fields) readings() []policy.Reading {
+func (f *lineFields) readings() []policy.Reading {
 	s := f.text()
 	if s == "" {
 		return nil
@@ -183,23 +183,23 @@
 	return out
 }
 
-var results = map[string]policy.Result{
+var resultsByName = map[string]policy.Result{
 	"served": policy.Served, "server_error": policy.ServerError,
 	"turned_away": policy.Rejected, "no_answer": policy.NoAnswer,
 	"no_connection": policy.NoConnection, "connection_lost": policy.ConnectionLost,
 	"called_off": policy.Cancelled, "not_sent": policy.NotSent,
 }
 
-func (f *fields) result() policy.Result {
+func (f *lineFields) result() policy.Result {
 	s := f.text()
-	v, ok := results[s]
+	v, ok := resultsByName[s]
 	if !ok && f.err == nil {
 		f.err = fmt.Errorf("unknown outcome %q", s)
 	}
 	return v
 }
 
-func (f *fields) slot() int {
+func (f *lineFields) poolIndex() int {
 	n := f.integer()
 	if (n < 0 || n > 15) && f.err == nil {
 		f.err = fmt.Errorf("pool number %d out of range", n)
@@ -210,16 +210,16 @@
 	return n
 }
 
-// event parses one line; ok is false for a line that is no instance's event.
-func (r *Reader) event(s string) (ev Event, ok bool, err error) {
-	f := &fields{parts: strings.Split(s, " ")}
+// parseEvent parses one line; ok is false for a line that is no instance's parseEvent.
+func (r *Reader) parseEvent(s string) (ev Event, ok bool, err error) {
+	f := &lineFields{parts: strings.Split(s, " ")}
 	name := f.text()
 	if name == "pool" {
-		n, count := f.slot(), f.integer()
+		n, count := f.poolIndex(), f.integer()
 		if f.err != nil {
 			return ev, false, f.err
 		}
-		r.pools[n], err = r.pool(count)
+		r.pools[n], err = r.readPool(count)
 		return ev, false, err
 	}
 	ev.Instance = f.integer()
@@ -237,13 +237,13 @@
 			return ev, false, err
 		}
 	case "detach":
-		ev.Kill = true
+		ev.Stop = true
 	case "membership":
-		ev.Event, err = r.membership(f)
+		ev.Event, err = r.parseMembership(f)
 	case "call":
-		ev.Event = call(f)
+		ev.Event = parseCall(f)
 	case "settled":
-		ev.Event = settled(f)
+		ev.Event = parseSettled(f)
 	case "alarm":
 		ev.Event = policy.TimerFired{Name: f.rest()}
 	case "mail":
@@ -265,7 +265,7 @@
 	return ev, err == nil, err
 }
 
-func (r *Reader) membership(f *fields) (policy.Event, error) {
+func (r *Reader) parseMembership(f *lineFields) (policy.Event, error) {
 	mode := f.integer()
 	f.raw()
 	if mode == 1 {
@@ -274,11 +274,11 @@
 	if mode != 0 && mode != 3 && mode != 4 {
 		return nil, fmt.Errorf("unknown membership mode %d", mode)
 	}
-	n := f.slot()
+	n := f.poolIndex()
 	return policy.NodeList{Full: mode != 3, Cached: mode == 4, Nodes: r.pools[n]}, f.err
 }
 
-func call(f *fields) policy.Event {
+func parseCall(f *lineFields) policy.Event {
 	q := policy.Request{ID: f.raw()}
 	bits := f.integer()
 	q.Repeat, q.Write = bits&2 != 0, bits&4 != 0
@@ -290,25 +290,25 @@
 	return q
 }
 
-func settled(f *fields) policy.Event {
+func parseSettled(f *lineFields) policy.Event {
 	o := policy.Outcome{ID: f.raw(), Node: f.raw(), Done: f.flag(), FromOthers: f.number()}
 	o.Elapsed, o.Attempt, o.Use = f.number(), f.integer(), f.number()
 	o.Result, o.Report = f.result(), f.readings()
 	return o
 }
 
-// pool reads the entries of a node list.
-func (r *Reader) pool(count int) ([]policy.Node, error) {
+// readPool reads the entries of a node list.
+func (r *Reader) readPool(count int) ([]policy.Node, error) {
 	if count < 0 {
 		return nil, fmt.Errorf("negative pool size %d", count)
 	}
 	var nodes []policy.Node
 	for range count {
-		s, err := r.next()
+		s, err := r.readLine()
 		if err != nil {
 			return nil, errors.New("pool has too few entries")
 		}
-		f := &fields{parts: strings.Split(s, " ")}
+		f := &lineFields{parts: strings.Split(s, " ")}
 		if f.text() != "item" {
 			return nil, fmt.Errorf("want item, got %q", s)
 		}
@@ -328,8 +328,8 @@
 	return nodes, nil
 }
 
-// options mirrors the keys of the first message that are used here.
-type options struct {
+// settingsJSON mirrors the keys of the first message that are used here.
+type settingsJSON struct {
 	Balancers int
 	Me        int
 	Zone      string
@@ -393,32 +393,32 @@
 	}
 }
 
-func orOne(p *float64) float64 {
+func valueOrOne(p *float64) float64 {
 	if p == nil {
 		return 1
 	}
 	return *p
 }
 
-// Bounds are what the settings say of connections, which the module has no part in.
-type Bounds struct {
+// ConnTimeouts are what the settings say of connections, which the module has no part in.
+type ConnTimeouts struct {
 	DialTimeout float64 // ms within which a connection must be up
-	ConnIdle    float64 // ms after which a disk server closes an idle connection at the latest
+	IdleTimeout float64 // ms after which a disk server closes an idle connection at the latest
 }
 
 // ParseSettings decodes the settings of an instance, as the first message and the
 // configuration of a scheduler in service hold them.
-func ParseSettings(b []byte) (*policy.Settings, Bounds, error) {
-	var o options
+func ParseSettings(b []byte) (*policy.Settings, ConnTimeouts, error) {
+	var o settingsJSON
 	if err := json.Unmarshal(b, &o); err != nil {
-		return nil, Bounds{}, fmt.Errorf("bad settings: %w", err)
+		return nil, ConnTimeouts{}, fmt.Errorf("bad settings: %w", err)
 	}
-	bounds := Bounds{o.Limits.DialTimeoutMs, o.Limits.ConnIdleMs}
+	bounds := ConnTimeouts{o.Limits.DialTimeoutMs, o.Limits.ConnIdleMs}
 	set := &policy.Settings{
 		Hosts: o.Balancers, Self: o.Me, Zone: o.Zone, Tick: o.TickMs,
 		MustSubscribe: o.Discovery == "on_request", Shards: o.Extra.SlotsTotal,
 		MeanUnits: o.Extra.UnitMean, MaxUnits: o.Extra.Largest,
-		FairFactor: orOne(o.Extra.FairWorth), SpareFactor: orOne(o.Extra.SpareWorth),
+		FairFactor: valueOrOne(o.Extra.FairWorth), SpareFactor: valueOrOne(o.Extra.SpareWorth),
 		UsePeriod: o.Extra.UsePeriodMs, CountsOthers: o.Extra.CountsOther,
 	}
 	for _, c := range o.Classes {
@@ -479,9 +479,9 @@
 	return w.out.Flush()
 }
 
-func ms(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
+func formatMS(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
 
-func bit(b bool) string {
+func formatBool(b bool) string {
 	if b {
 		return "1"
 	}
@@ -493,21 +493,21 @@
 	i := strconv.Itoa(inst)
 	switch a := a.(type) {
 	case policy.Send:
-		w.line("route", i, a.ID, a.Node, ms(a.TimeoutAt))
+		w.writeLine("route", i, a.ID, a.Node, formatMS(a.TimeoutAt))
 	case policy.Refuse:
-		w.line("refuse", i, a.ID, ms(a.RetryAfter))
+		w.writeLine("refuse", i, a.ID, formatMS(a.RetryAfter))
 	case policy.Fail:
-		w.line("give_up", i, a.ID)
+		w.writeLine("give_up", i, a.ID)
 	case policy.CancelAttempt:
-		w.line("cancel", i, a.ID, strconv.Itoa(a.Attempt))
+		w.writeLine("cancel", i, a.ID, strconv.Itoa(a.Attempt))
 	case policy.SetTimer:
-		w.line("sleep", i, ms(a.Delay), a.Name)
+		w.writeLine("sleep", i, formatMS(a.Delay), a.Name)
 	case policy.Subscribe:
-		w.line("keep_informed", i, bit(a.On))
+		w.writeLine("keep_informed", i, formatBool(a.On))
 	case policy.FetchList:
-		w.line("fetch", i)
+		w.writeLine("fetch", i)
 	case policy.Probe:
-		w.line("sample", i, a.Node)
+		w.writeLine("sample", i, a.Node)
 	case policy.SendPeerMessage:
 		to, data := "all", "-"
 		if a.To >= 0 {
@@ -516,15 +516,15 @@
 		if len(a.Data) > 0 {
 			data = hex.EncodeToString(a.Data)
 		}
-		w.line("share", i, to, data)
+		w.writeLine("share", i, to, data)
 	case policy.CloseIdle:
-		w.line("hang_up", i, a.Node)
+		w.writeLine("hang_up", i, a.Node)
 	case policy.Log:
-		w.line("debug", i, strings.ReplaceAll(a.Text, "\n", " "))
+		w.writeLine("debug", i, strings.ReplaceAll(a.Text, "\n", " "))
 	}
 }
 
-func (w *Writer) line(parts ...string) {
+func (w *Writer) writeLine(parts ...string) {
 	for k, p := range parts {
 		if k > 0 {
 			w.out.WriteByte(' ')
@@ -536,5 +536,5 @@
 
 // Fault prints that an instance's decision code failed.
 func (w *Writer) Fault(inst int, text string) {
-	w.line("bail_out", strconv.Itoa(inst), strings.ReplaceAll(text, "\n", " "))
+	w.writeLine("bail_out", strconv.Itoa(inst), strings.ReplaceAll(text, "\n", " "))
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"merlinhitch/policy"
 )
 
-func parse(s string) (events []Event, err error) {
+func readEvents(s string) (events []Event, err error) {
 	r := NewReader(strings.NewReader(s))
 	for {
 		b, err := r.Next()
@@ -42,7 +42,7 @@
 		{"membership 3 1 0 0", policy.ListFailed{}},
 	}
 	for _, tt := range tests {
-		got, err := parse("begin_batch 1\n" + tt.line + "\nend\n")
+		got, err := readEvents("begin_batch 1\n" + tt.line + "\nend\n")
 		if err != nil || len(got) != 1 || !reflect.DeepEqual(got[0].Event, tt.want) {
 			t.Errorf("%s: got %+v, %v", tt.line, got, err)
 		}
@@ -50,7 +50,7 @@
 }
 
 func TestPoolReusedWithinBatch(t *testing.T) {
-	got, err := parse("begin_batch 1\npool 0 1\nitem 1 1 k 0 - a:1 z\nmembership 0 4 1 0\n" +
+	got, err := readEvents("begin_batch 1\npool 0 1\nitem 1 1 k 0 - a:1 z\nmembership 0 4 1 0\n" +
 		"pool 0 1\nitem 2 1 k 1 5 b:1 z\nmembership 0 3 2 0\nend\n")
 	if err != nil || len(got) != 2 {
 		t.Fatal(got, err)
@@ -77,7 +77,7 @@
 		{"begin_batch 1\nsettled 3 a n 1 0 1 0 0 maybe -\nend\n", "unknown outcome"},
 	}
 	for _, tt := range tests {
-		_, err := parse(tt.in)
+		_, err := readEvents(tt.in)
 		if err == nil || !strings.Contains(err.Error(), tt.want) {
 			t.Errorf("%q: error %v, want %q", tt.in, err, tt.want)
 		}
@@ -111,5 +111,5 @@
 func FuzzReader(f *testing.F) {
 	f.Add("begin_batch 1\npool 0 1\nitem 1 1 k 0 - a:1 z\nmembership 0 4 1 0\nend\n")
 	f.Add("begin_batch 1\nboot 0 1 {}\ncall 3 aa 0 r p v 0 1 - 9 1\nend\n")
-	f.Fuzz(func(t *testing.T, s string) { _, _ = parse(s) }) // a panic fails it
+	f.Fuzz(func(t *testing.T, s string) { _, _ = readEvents(s) }) // a panic fails it
 }
