--- a/policy/counting.go
+++ b/policy/counting.go
@@ -4,18 +4,18 @@
 
 // Counts over a window of time, and such that fade.
 
-type sent struct{ at, units float64 }
+type windowEntry struct{ at, units float64 }
 
 // window holds what was noted within a time, oldest first, and its sum. Each
 // entry is added and dropped once, whatever the rate.
 type window struct {
-	all  []sent
+	all  []windowEntry
 	head int
 	sum  float64
 }
 
 func (w *window) add(at, units float64) {
-	w.all = append(w.all, sent{at, units})
+	w.all = append(w.all, windowEntry{at, units})
 	w.sum += units
 }
 
@@ -36,23 +36,23 @@
 
 func (w *window) oldest() float64 { return w.all[w.head].at }
 
-// fading is a count that halves and halves again with time.
-type fading struct{ n, at float64 }
+// decayingCount is a count that halves and halves again with time.
+type decayingCount struct{ n, at float64 }
 
-func (c *fading) add(now, span float64) { c.addSome(1, now, span) }
+func (c *decayingCount) add(now, span float64) { c.addN(1, now, span) }
 
-func (c *fading) addSome(n, now, span float64) { c.n, c.at = c.value(now, span)+n, now }
+func (c *decayingCount) addN(n, now, span float64) { c.n, c.at = c.value(now, span)+n, now }
 
-func (c *fading) value(now, span float64) float64 { return c.n * math.Exp((c.at-now)/span) }
+func (c *decayingCount) value(now, span float64) float64 { return c.n * math.Exp((c.at-now)/span) }
 
-// gathered is a fading sum of answers' times.
-type gathered struct{ n, time float64 }
+// decayingMean is a fading sum of answers' times.
+type decayingMean struct{ n, sum float64 }
 
-func (g *gathered) add(t float64) { g.n, g.time = g.n+1, g.time+t }
+func (g *decayingMean) add(t float64) { g.n, g.sum = g.n+1, g.sum+t }
 
-func (g *gathered) fade(keep float64) { g.n, g.time = g.n*keep, g.time*keep }
+func (g *decayingMean) decay(keep float64) { g.n, g.sum = g.n*keep, g.sum*keep }
 
 // mean fills the sum up with so many answers that took the prior.
-func (g *gathered) mean(prior, weight float64) float64 {
-	return (g.time + weight*prior) / (g.n + weight)
+func (g *decayingMean) mean(prior, weight float64) float64 {
+	return (g.sum + weight*prior) / (g.n + weight)
 }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -6,18 +6,18 @@
 
 // hasCapacity tells whether the depth bound lets one more go.
 func (p *scheduler) hasCapacity(sh *shard) bool {
-	return float64(len(sh.out)+1) <= max(math.Round(sh.depth), 1)
+	return float64(len(sh.outstanding)+1) <= max(math.Round(sh.depth), 1)
 }
 
-// pumpWaiting is pump where something waits.
-func (p *scheduler) pumpWaiting(sh *shard) {
+// dispatchWaiting is pump where something waits.
+func (p *scheduler) dispatchWaiting(sh *shard) {
 	if sh.waiting > 0 {
-		p.pump(sh)
+		p.dispatch(sh)
 	}
 }
 
-// pump sends what may go to sh's node.
-func (p *scheduler) pump(sh *shard) {
+// dispatch sends what may go to sh's node.
+func (p *scheduler) dispatch(sh *shard) {
 	p.visits++
 	p.shed(sh)
 	for sh.waiting > 0 {
@@ -29,14 +29,14 @@
 			p.setTimer(n.backoffEnd, nil, sh)
 			return
 		}
-		if n.suspect && len(sh.out) > 0 {
+		if n.suspect && len(sh.outstanding) > 0 {
 			return
 		}
 		if !p.hasCapacity(sh) {
-			sh.wasFull = true
+			sh.depthLimited = true
 			return
 		}
-		r := p.choose(sh)
+		r := p.selectNext(sh)
 		if r == nil {
 			return
 		}
@@ -44,11 +44,11 @@
 	}
 }
 
-// choose picks the next request that the rules let go: further attempts, then
+// selectNext picks the next request that the rules let go: further attempts, then
 // smallest start tag, then the parked.
-func (p *scheduler) choose(sh *shard) *request {
+func (p *scheduler) selectNext(sh *shard) *request {
 	for _, r := range sh.retries.all {
-		if r != nil && p.may(r, sh) {
+		if r != nil && p.maySend(r, sh) {
 			return r
 		}
 	}
@@ -56,7 +56,7 @@
 	var pick *request
 	for i := range sh.flows {
 		f := &sh.flows[i]
-		if best != nil && f.finish >= best.finish {
+		if best != nil && f.finishTag >= best.finishTag {
 			continue
 		}
 		if r := f.next(p, sh); r != nil {
@@ -64,60 +64,60 @@
 		}
 	}
 	if best != nil {
-		sh.vtime = best.finish // the start tag of what goes
-		best.finish += pick.Units / p.shares.share[pick.flow]
+		sh.virtualTime = best.finishTag // the start tag of what goes
+		best.finishTag += pick.Units / p.shares.share[pick.flow]
 		return pick
 	}
 	// The parked go only to a node with nothing of ours that also answers nearly
 	// as quickly as it does unloaded: a late answer earns little and would delay
 	// what is due through other hosts. A node first met under load looks idle.
 	// A quick one with room to spare is as good as idle.
-	idle := sh.quick || len(sh.out) == 0 && p.meanServiceTime(sh) <= idleTimes*p.base
-	if !idle || p.part(sh) < 1 {
+	idle := sh.quick || len(sh.outstanding) == 0 && p.meanServiceTime(sh) <= idleFactor*p.unloadedServiceTime
+	if !idle || p.admittedFraction(sh) < 1 {
 		return nil
 	}
-	if p.now < sh.asideTill-rounding && sh.asideMark == sh.mark() { // limits hold all that would be seen
-		p.setTimer(sh.asideTill+guard, nil, sh)
+	if p.now < sh.deferredLimitedUntil-rounding && sh.deferredSeen == sh.deferredState() { // limits hold all that would be seen
+		p.setTimer(sh.deferredLimitedUntil+answerMargin, nil, sh)
 		return nil
 	}
 	seen, held, till := 0, 0, math.Inf(1)
-	for _, r := range sh.parked.all {
+	for _, r := range sh.deferred.all {
 		if r == nil {
 			continue
 		}
 		if seen++; seen > longQueue {
 			break
 		}
-		better := pick == nil || (r.aimAt > p.now) && (pick.aimAt <= p.now) || r.value > pick.value
-		if p.heldAt = 0; better && p.may(r, sh) {
+		better := pick == nil || (r.targetTime > p.now) && (pick.targetTime <= p.now) || r.value > pick.value
+		if p.limitOpensAt = 0; better && p.maySend(r, sh) {
 			pick = r
-		} else if p.heldAt > 0 {
-			held, till = held+1, min(till, p.heldAt)
+		} else if p.limitOpensAt > 0 {
+			held, till = held+1, min(till, p.limitOpensAt)
 		}
 	}
-	if sh.asideMark, sh.asideTill = sh.mark(), 0; held > 0 && held == min(seen, longQueue) {
-		sh.asideTill = till
+	if sh.deferredSeen, sh.deferredLimitedUntil = sh.deferredState(), 0; held > 0 && held == min(seen, longQueue) {
+		sh.deferredLimitedUntil = till
 	}
 	return pick
 }
 
-// may is the one gate before every send: it holds each rule.
-func (p *scheduler) may(r *request, sh *shard) bool {
+// maySend is the one gate before every send: it holds each rule.
+func (p *scheduler) maySend(r *request, sh *shard) bool {
 	n := sh.node
 	if r.done || n == nil || n.excluded {
 		return false
 	}
-	if most := r.terms.Limits.MaxAttempts; most > 0 && r.attempts >= most {
+	if most := r.arrivalSettings.Limits.MaxAttempts; most > 0 && r.attempts >= most {
 		return false
 	}
-	if r.out > 0 || r.ran && !p.repeatable(r, n) {
+	if r.outstanding > 0 || r.mayHaveRun && !p.mayRepeat(r, n) {
 		return false
 	}
-	if r.attempts > 0 && !p.inBudget() {
+	if r.attempts > 0 && !p.withinBudget() {
 		return false
 	}
-	if c := p.chainOf(r); c != nil && (c.members[0] != r || p.now < c.restTo) {
-		p.setTimer(max(c.restTo, p.now+guard), nil, sh)
+	if c := p.keyQueueOf(r); c != nil && (c.members[0] != r || p.now < c.blockedUntil) {
+		p.setTimer(max(c.blockedUntil, p.now+answerMargin), nil, sh)
 		return false
 	}
 	if !p.withinLimit(r, sh) {
@@ -127,7 +127,7 @@
 	if !slowStart {
 		return true
 	}
-	if rest := p.born + p.coldWindow(); n.coldSince < p.born && p.now < rest { // this host may have been restarted
+	if rest := p.startedAt + p.coldWindow(); n.coldSince < p.startedAt && p.now < rest { // this host may have been restarted
 		p.setTimer(rest, nil, sh)
 		return false
 	}
@@ -136,7 +136,7 @@
 		return true
 	}
 	if recentSends > 0 {
-		p.setTimer(n.recentSends.oldest()+p.coldWindow()+p.s.Tick, nil, sh)
+		p.setTimer(n.recentSends.oldest()+p.coldWindow()+p.settings.Tick, nil, sh)
 		return false
 	}
 	return r.attempts == 0 && p.inTopFraction(r, part)
@@ -146,37 +146,37 @@
 	n := sh.node
 	p.markTouched(sh)
 	sh.remove(r)
-	if p.chargeLimit(r); r.attempts > 0 && p.s.Rules.HasBudget {
+	if p.chargeLimit(r); r.attempts > 0 && p.settings.Rules.HasBudget {
 		p.resends.add(p.now, 1)
 	}
 	n.recentSends.add(p.now, r.Units)
 	n.recentSends.since(p.now - p.coldWindow())
 	r.attempts++
-	r.out++
-	r.sentAt, r.sentTo, r.sentCold, r.givenUp = p.now, n, n.coldSince, false
-	sh.out = append(sh.out, r)
-	p.do(Send{ID: r.ID, Node: n.Addr, TimeoutAt: p.until(r, sh), StartBy: p.by(r)})
+	r.outstanding++
+	r.sentAt, r.sentTo, r.sentColdAt, r.givenUp = p.now, n, n.coldSince, false
+	sh.outstanding = append(sh.outstanding, r)
+	p.emit(Send{ID: r.ID, Node: n.Addr, TimeoutAt: p.timeoutAt(r, sh), StartBy: p.startBy(r)})
 }
 
-// by is when an attempt has to have begun that may wait for its connection: what was counted
+// startBy is when an attempt has to have begun that may wait for its connection: what was counted
 // as sent now is not to pass much later, and no repeat goes when none is dropped any more.
-func (p *scheduler) by(r *request) float64 {
-	by := math.Inf(1)
-	if late := p.s.Rules.MaxSendDelay; late > 0 {
-		by = p.now + late
+func (p *scheduler) startBy(r *request) float64 {
+	startBy := math.Inf(1)
+	if late := p.settings.Rules.MaxSendDelay; late > 0 {
+		startBy = p.now + late
 	}
-	if r.ran && r.class.Effect == Keyed {
-		by = min(by, p.dropped(r))
+	if r.mayHaveRun && r.class.Effect == Keyed {
+		startBy = min(startBy, p.dedupUntil(r))
 	}
-	return by
+	return startBy
 }
 
-// until is when to give an attempt up that may be repeated: an answer lost on its
-// way, or a process that hangs, would else hold depth until the client leaves,
+// timeoutAt is when to give an attempt up that may be repeated: an answer lost on its
+// way, or a process that hangs, would else hold depth timeoutAt the client leaves,
 // and make the node look as slow. Where only this node is slow it costs work.
-func (p *scheduler) until(r *request, sh *shard) float64 {
+func (p *scheduler) timeoutAt(r *request, sh *shard) float64 {
 	if r.class.Effect == NonIdempotent || r.class.Streamed {
 		return 0
 	}
-	return min(p.now+max(stuckAims*r.class.LatencyTarget, stuckTimes*p.meanServiceTime(sh)), r.Expires)
+	return min(p.now+max(stuckTargets*r.class.LatencyTarget, stuckServiceTimes*p.meanServiceTime(sh)), r.Expires)
 }
--- a/policy/fairqueue.go
+++ b/policy/fairqueue.go
@@ -8,20 +8,20 @@
 
 // Start-time fair queueing of plans at a shard.
 
-// list keeps requests in the order in which they came; each can be taken out at
+// fifo keeps requests in the order in which they came; each can be taken out at
 // once by its slot, and the gaps are closed when they are half of all.
-type list struct {
+type fifo struct {
 	all  []*request // nil: a gap
 	gaps int
 }
 
-func (l *list) add(r *request) {
-	r.list, r.slot = l, len(l.all)
+func (l *fifo) add(r *request) {
+	r.fifo, r.slot = l, len(l.all)
 	l.all = append(l.all, r)
 }
 
-func (l *list) remove(r *request) {
-	l.all[r.slot], r.list = nil, nil
+func (l *fifo) remove(r *request) {
+	l.all[r.slot], r.fifo = nil, nil
 	if l.gaps++; 2*l.gaps > len(l.all) {
 		l.gaps = 0
 		kept := l.all[:0]
@@ -36,14 +36,14 @@
 	}
 }
 
-func (l *list) len() int { return len(l.all) - l.gaps }
+func (l *fifo) len() int { return len(l.all) - l.gaps }
 
 // flow is a plan at a shard.
 type flow struct {
-	finish   float64
-	queue    []*request // by worth
-	heldTill float64    // limits hold all of the queue but the fresh until then
-	fresh    []*request // that came since
+	finishTag    float64
+	queue        []*request // by worth
+	limitedUntil float64    // limits hold all of the queue but the fresh until then
+	fresh        []*request // that came since
 }
 
 // rounding is more, in ms, than the same moment differs by when it is reckoned from two
@@ -54,45 +54,45 @@
 // Where limits hold all of it, only what comes is looked at until the first of them lets
 // one go: a long queue of limited volumes costs its shard nothing.
 func (f *flow) next(p *scheduler, sh *shard) *request {
-	if p.now < f.heldTill-rounding && len(f.fresh) <= len(f.queue)+poolMost {
-		if r := f.newcomer(p, sh); r != nil {
+	if p.now < f.limitedUntil-rounding && len(f.fresh) <= len(f.queue)+maxNewerAnswers {
+		if r := f.nextFresh(p, sh); r != nil {
 			return r
 		}
-		p.setTimer(f.heldTill+guard, nil, sh)
+		p.setTimer(f.limitedUntil+answerMargin, nil, sh)
 		return nil
 	}
 	clear(f.fresh)
-	f.fresh, f.heldTill = f.fresh[:0], 0
+	f.fresh, f.limitedUntil = f.fresh[:0], 0
 	held, till := 0, math.Inf(1)
 	for _, r := range f.queue {
-		p.heldAt = 0
-		if p.may(r, sh) {
+		p.limitOpensAt = 0
+		if p.maySend(r, sh) {
 			return r
 		}
-		if p.heldAt > 0 {
-			held, till = held+1, min(till, p.heldAt)
+		if p.limitOpensAt > 0 {
+			held, till = held+1, min(till, p.limitOpensAt)
 		}
 	}
 	if held == len(f.queue) && held > 0 {
-		f.heldTill = till
+		f.limitedUntil = till
 	}
 	return nil
 }
 
-// newcomer is the dearest of the fresh that may go. Those that limits hold join the rest.
-func (f *flow) newcomer(p *scheduler, sh *shard) (best *request) {
+// nextFresh is the dearest of the fresh that may go. Those that limits hold join the rest.
+func (f *flow) nextFresh(p *scheduler, sh *shard) (best *request) {
 	kept := f.fresh[:0]
 	for _, r := range f.fresh {
-		if !r.queued || r.list != nil {
+		if !r.queued || r.fifo != nil {
 			continue // sent, parked or over
 		}
-		p.heldAt = 0
-		if p.may(r, sh) {
-			if best == nil || byWorth(r, best) < 0 {
+		p.limitOpensAt = 0
+		if p.maySend(r, sh) {
+			if best == nil || byValue(r, best) < 0 {
 				best = r
 			}
-		} else if p.heldAt > 0 {
-			f.heldTill = min(f.heldTill, p.heldAt)
+		} else if p.limitOpensAt > 0 {
+			f.limitedUntil = min(f.limitedUntil, p.limitOpensAt)
 			continue
 		}
 		kept = append(kept, r)
@@ -104,51 +104,51 @@
 
 // shard holds the queue of the node that has the shard.
 type shard struct {
-	id      int
-	node    *node
-	ready   []*node // that hold the shard and may be sent to
-	listed  bool    // the list that is being taken in changes something here
-	touched bool    // what a new object would wait here has changed since cost was reckoned
-	cost    float64 // see shardIndex
-	slot    int     // its place among the quiet ones and one more; 0: it is none
-	flows   []flow
-	vtime   float64
-	retries list
-	parked  list
-	room    []*request // for a walk
-	// load is the units in the flows and retries; nothing there is due before
+	id          int
+	node        *node
+	ready       []*node // that hold the shard and may be sent to
+	changed     bool    // the list that is being taken in changes something here
+	touched     bool    // what a new object would wait here has changed since cost was reckoned
+	cost        float64 // see shardIndex
+	slot        int     // its place among the quiet ones and one more; 0: it is none
+	flows       []flow
+	virtualTime float64
+	retries     fifo
+	deferred    fifo
+	walkBuffer  []*request // for a walk
+	// queuedUnits is the units in the flows and retries; nothing there is due before
 	// firstAim, nothing parked leaves before firstEnd: bounds that shed renews.
-	load     float64
-	firstAim float64
-	firstEnd float64
-	filed    int // counts what was queued,
-	aside    int // and what was parked
-	// Limits hold all of the parked that would be seen until asideTill, as long as the
+	queuedUnits    float64
+	earliestTarget float64
+	earliestExpiry float64
+	enqueueCount   int // counts what was queued,
+	deferCount     int // and what was parked
+	// Limits hold all of the parked that would be seen until deferredLimitedUntil, as long as the
 	// mark is the same.
-	asideTill float64
-	asideMark [2]int
-	walked    float64 // time of the last whole walk
-	out       []*request
-	waiting   int
-	depth     float64
-	timerAt   float64 // earliest timer that was set
-	fit       *rlsEstimator
-	got       gathered
-	took      gathered // the same of what was served alone
-	quick     bool     // what the ceiling would put there still meets the aim, one by one
-	wasFull   bool     // depth held something back in this second
-	lastY     float64
-	passed    float64 // when the last that was served was sent
+	deferredLimitedUntil float64
+	deferredSeen         [2]int
+	lastWalk             float64 // time of the last whole walk
+	outstanding          []*request
+	waiting              int
+	depth                float64
+	timerAt              float64 // earliest timer that was set
+	depthModel           *rlsEstimator
+	serviceTime          decayingMean
+	servedTime           decayingMean // the same of what was served alone
+	quick                bool         // what the ceiling would put there still meets the aim, one by one
+	depthLimited         bool         // depth held something back in this second
+	prevOutput           float64
+	lastServedSend       float64 // when the last that was served was sent
 }
 
-// mark changes with whatever comes to the parked or leaves them.
-func (sh *shard) mark() [2]int { return [2]int{sh.aside, sh.parked.len()} }
+// deferredState changes with whatever comes to the parked or leaves them.
+func (sh *shard) deferredState() [2]int { return [2]int{sh.deferCount, sh.deferred.len()} }
 
-// forgetHeld has everything looked at anew that a limit holds.
-func (sh *shard) forgetHeld() {
-	sh.asideTill = 0
+// clearLimitHolds has everything looked at anew that a limit holds.
+func (sh *shard) clearLimitHolds() {
+	sh.deferredLimitedUntil = 0
 	for i := range sh.flows {
-		sh.flows[i].heldTill = 0
+		sh.flows[i].limitedUntil = 0
 	}
 }
 
@@ -163,17 +163,17 @@
 	} else {
 		f := &sh.flows[r.flow]
 		if len(f.queue) == 0 {
-			f.finish = max(f.finish, sh.vtime)
+			f.finishTag = max(f.finishTag, sh.virtualTime)
 		}
 		i, _ := slices.BinarySearchFunc(f.queue, r, func(x, r *request) int {
-			return cmp.Or(byWorth(x, r), -1) // behind its equals
+			return cmp.Or(byValue(x, r), -1) // behind its equals
 		})
 		f.queue, f.fresh = slices.Insert(f.queue, i, r), append(f.fresh, r)
 	}
-	sh.load += r.Units
-	sh.filed++
-	sh.firstAim = min(sh.firstAim, r.aimAt)
-	p.pump(sh)
+	sh.queuedUnits += r.Units
+	sh.enqueueCount++
+	sh.earliestTarget = min(sh.earliestTarget, r.targetTime)
+	p.dispatch(sh)
 }
 
 // remove takes r out of whatever queue it is in.
@@ -183,25 +183,25 @@
 	}
 	r.queued = false
 	sh.waiting--
-	if r.list != &sh.parked {
-		sh.unload(r)
+	if r.fifo != &sh.deferred {
+		sh.subtractQueued(r)
 	}
-	if r.list != nil {
-		r.list.remove(r)
+	if r.fifo != nil {
+		r.fifo.remove(r)
 		return
 	}
 	f := &sh.flows[r.flow]
-	i, _ := slices.BinarySearchFunc(f.queue, r, byWorth)
+	i, _ := slices.BinarySearchFunc(f.queue, r, byValue)
 	for f.queue[i] != r { // equals stand together
 		i++
 	}
 	f.queue = slices.Delete(f.queue, i, i+1)
 }
 
-func (sh *shard) unload(r *request) {
-	sh.load -= r.Units
-	if sh.waiting == sh.parked.len() {
-		sh.load, sh.firstAim = 0, math.Inf(1)
+func (sh *shard) subtractQueued(r *request) {
+	sh.queuedUnits -= r.Units
+	if sh.waiting == sh.deferred.len() {
+		sh.queuedUnits, sh.earliestTarget = 0, math.Inf(1)
 	}
 }
 
@@ -211,8 +211,8 @@
 		return cmp.Compare(sh.id, id)
 	})
 	if !ok {
-		sh := &shard{id: id, firstAim: math.Inf(1), firstEnd: math.Inf(1)}
-		sh.flows = make([]flow, len(p.s.Plans))
+		sh := &shard{id: id, earliestTarget: math.Inf(1), earliestExpiry: math.Inf(1)}
+		sh.flows = make([]flow, len(p.settings.Plans))
 		p.resetDepth(sh)
 		p.shards = slices.Insert(p.shards, i, sh)
 	}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -247,8 +247,8 @@
 		s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 11, 36, 6
 		g := newRig(s)
 		g.ask("read", "low", "", 1)
-		v := g.p.vols["low"]
-		if want := 11*(bunching+late)/1000 - 6; math.Abs(v.limitFloor-want) > 1e-9 {
+		v := g.p.volumes["low"]
+		if want := 11*(arrivalSkew+late)/1000 - 6; math.Abs(v.limitFloor-want) > 1e-9 {
 			t.Errorf("late by %v: the store goes down to %v, want %v", late, v.limitFloor, want)
 		}
 	}
--- a/policy/fleetsize_test.go
+++ b/policy/fleetsize_test.go
@@ -48,7 +48,7 @@
 	f.n++
 	id := fmt.Sprint(f.n)
 	work := f.visits(Request{ID: id, Class: "read", Plan: "normal", Volume: "v", Shard: shard, Units: 2, Expires: f.now + 2000, Hosts: 1})
-	node := f.p.reqs[id].sentTo
+	node := f.p.requests[id].sentTo
 	return work + f.visits(Outcome{ID: id, Node: node.Addr, Done: true, Elapsed: 20, Result: Served})
 }
 
--- a/policy/health.go
+++ b/policy/health.go
@@ -11,8 +11,8 @@
 // age of each outstanding attempt, so that a stalled or dead node shows at once.
 func (p *scheduler) expectedServiceTime(sh *shard) float64 {
 	expected := p.meanServiceTime(sh)
-	for _, r := range sh.out {
-		if r.sentAt >= sh.passed { // if overtaken by a later one, the attempt itself is stuck, not the node
+	for _, r := range sh.outstanding {
+		if r.sentAt >= sh.lastServedSend { // if overtaken by a later one, the attempt itself is stuck, not the node
 			expected = max(expected, (p.now-r.sentAt)/2)
 		}
 	}
@@ -23,7 +23,7 @@
 // several seconds has few samples of it, so the median over all nodes counts as poolWeight further
 // samples. That also lets an outlier fade when no samples follow it.
 func (p *scheduler) meanServiceTime(sh *shard) float64 {
-	return sh.got.mean(p.median, poolWeight)
+	return sh.serviceTime.mean(p.medianTime, priorWeight)
 }
 
 // recordOutcome updates the health and service time estimates of n from an outcome. A server error
@@ -32,36 +32,36 @@
 	sh := r.shard
 	switch o.Result {
 	case Served:
-		p.addServiceTime(sh, max(o.Elapsed-p.extra(r), 0))
-		sh.took.add(o.Elapsed)
-		n.servedShort.add(p.now, easySpan)
-		n.servedLong.add(p.now, poolSpan)
-		sh.passed = max(sh.passed, r.sentAt)
-		p.giveUpOvertaken(sh)
+		p.addServiceTime(sh, max(o.Elapsed-p.extraServiceTime(r), 0))
+		sh.servedTime.add(o.Elapsed)
+		n.servedShort.add(p.now, rejectSpan)
+		n.servedLong.add(p.now, answerSpan)
+		sh.lastServedSend = max(sh.lastServedSend, r.sentAt)
+		p.cancelOvertaken(sh)
 		p.shares.recordServed(r, p.now-r.arrived)
-		if n.suspect && n.backoff > maxPause/2 {
+		if n.suspect && n.backoff > maxHold/2 {
 			n.coldSince = max(n.coldSince, p.now) // unreachable for long: assume that it restarted
 			p.withdrawStale(sh)
 		}
 		n.suspect, n.backoff = false, 0
 	case ServerError:
-		n.errorsLong.add(p.now, poolSpan)
+		n.errorsLong.add(p.now, answerSpan)
 	case NoAnswer: // the service time is at least Elapsed
 		p.addServiceTime(sh, max(o.Elapsed, p.meanServiceTime(sh)))
-		if o.Elapsed >= p.tightest() {
+		if o.Elapsed >= p.minLatencyTarget() {
 			p.backOff(n, p.backoffScale())
 		}
 	case Rejected: // the node's queue is full: count the longest service time
-		sh.got.add(stuckAims * p.tightest())
-		n.rejectedShort.add(p.now, easySpan)
+		sh.serviceTime.add(stuckTargets * p.minLatencyTarget())
+		n.rejectedShort.add(p.now, rejectSpan)
 		// No backoff if it serves many and rejects few: at thousands of requests a second, a
 		// backoff for each rejection would leave the node idle.
-		if n.servedShort.value(p.now, easySpan) < easyTimes*n.rejectedShort.value(p.now, easySpan) {
+		if n.servedShort.value(p.now, rejectSpan) < minServedPerReject*n.rejectedShort.value(p.now, rejectSpan) {
 			p.backOff(n, p.backoffScale())
 		}
 	case NoConnection, ConnectionLost:
-		n.errorsLong.add(p.now, poolSpan)
-		if o.Result == NoConnection || n.errorFraction(p.now) > lonePart { // a single lost connection is no sign of a dead process
+		n.errorsLong.add(p.now, answerSpan)
+		if o.Result == NoConnection || n.errorFraction(p.now) > maxFailedFraction { // a single lost connection is no sign of a dead process
 			n.suspect = true
 			p.backOff(n, 1)
 		}
@@ -73,34 +73,34 @@
 // second. Where a node is full or does not answer, scale therefore grows with the number of hosts;
 // the price is a needlessly long backoff if only this host met a single long pause.
 func (p *scheduler) backOff(n *node, scale float64) {
-	n.backoff = min(max(2*n.backoff, retryPause*scale), maxPause*scale)
+	n.backoff = min(max(2*n.backoff, minHold*scale), maxHold*scale)
 	n.backoffEnd = p.now + n.backoff
 }
 
 // backoffScale grows with the number of hosts, from 1 up to fewDepth of them.
 // 1.
-func (p *scheduler) backoffScale() float64 { return max(float64(p.s.Hosts)/fewDepth, 1) }
+func (p *scheduler) backoffScale() float64 { return max(float64(p.settings.Hosts)/minTotalDepth, 1) }
 
 // addServiceTime adds a sample, in ms, to the estimates of sh and of all nodes.
 func (p *scheduler) addServiceTime(sh *shard, elapsed float64) {
-	elapsed = min(elapsed, stuckAims*p.tightest()) // one slow node must not dominate the samples of all
-	sh.got.add(elapsed)
-	p.pool = append(p.pool[max(len(p.pool)-poolMost, 0):], serviceSample{p.now, elapsed})
+	elapsed = min(elapsed, stuckTargets*p.minLatencyTarget()) // one slow node must not dominate the samples of all
+	sh.serviceTime.add(elapsed)
+	p.answers = append(p.answers[max(len(p.answers)-maxNewerAnswers, 0):], serviceSample{p.now, elapsed})
 }
 
 // node is what this host knows of a disk server.
 type node struct {
 	Node
-	excluded      bool    // not eligible: draining, removed or without a valid shard
-	coldSince     float64 // last known start, from which slow start counts; -Inf: none known
-	suspect       bool    // connections fail; one attempt at a time until one is served
-	backoff       float64 // last backoff, ms
-	backoffEnd    float64 // nothing is sent before this time
-	recentSends   window  // attempts within coldWindow
-	servedShort   fading  // served attempts, decaying with easySpan
-	rejectedShort fading  // rejected attempts, decaying with easySpan
-	servedLong    fading  // served attempts, decaying with poolSpan
-	errorsLong    fading  // server errors and lost or failed connections, decaying with poolSpan
+	excluded      bool          // not eligible: draining, removed or without a valid shard
+	coldSince     float64       // last known start, from which slow start counts; -Inf: none known
+	suspect       bool          // connections fail; one attempt at a time until one is served
+	backoff       float64       // last backoff, ms
+	backoffEnd    float64       // nothing is sent before this time
+	recentSends   window        // attempts within coldWindow
+	servedShort   decayingCount // served attempts, decaying with easySpan
+	rejectedShort decayingCount // rejected attempts, decaying with easySpan
+	servedLong    decayingCount // served attempts, decaying with poolSpan
+	errorsLong    decayingCount // server errors and lost or failed connections, decaying with poolSpan
 }
 
 // errorFraction returns the fraction of recent outcomes that were errors or lost connections,
@@ -109,8 +109,8 @@
 	if n.errorsLong.n == 0 {
 		return 0
 	}
-	errorsLong := n.errorsLong.value(now, poolSpan)
-	return errorsLong / (errorsLong + n.servedLong.value(now, poolSpan) + poolWeight)
+	errorsLong := n.errorsLong.value(now, answerSpan)
+	return errorsLong / (errorsLong + n.servedLong.value(now, answerSpan) + priorWeight)
 }
 
 // serviceSample is the time that an attempt took, ms.
--- a/policy/keyorder.go
+++ b/policy/keyorder.go
@@ -4,50 +4,50 @@
 
 // Requests of one key run one at a time, in their order, where their class asks for that.
 
-// chain keeps the order of one key.
-type chain struct {
-	members []*request // the first has not left, others may have
-	live    int        // those that have not
-	restTo  float64
+// keyQueue keeps the order of one key.
+type keyQueue struct {
+	members      []*request // the first has not left, others may have
+	active       int        // those that have not
+	blockedUntil float64
 }
 
-func (p *scheduler) chainOf(r *request) *chain {
+func (p *scheduler) keyQueueOf(r *request) *keyQueue {
 	if !r.class.Ordered || r.Key == "" {
 		return nil
 	}
-	c := p.chains[r.Key]
+	c := p.keyQueues[r.Key]
 	if c == nil {
-		c = &chain{restTo: math.Inf(-1)}
-		p.chains[r.Key] = c
+		c = &keyQueue{blockedUntil: math.Inf(-1)}
+		p.keyQueues[r.Key] = c
 	}
 	return c
 }
 
-// release drops what is over from r's chain and files its next request.
-func (p *scheduler) release(r *request) {
-	c := p.chainOf(r)
+// releaseKey drops what is over from r's chain and files its next request.
+func (p *scheduler) releaseKey(r *request) {
+	c := p.keyQueueOf(r)
 	if c == nil {
 		return
 	}
-	if r.done && r.out == 0 && !r.left {
-		r.left = true
-		c.live--
+	if r.done && r.outstanding == 0 && !r.released {
+		r.released = true
+		c.active--
 	}
-	for len(c.members) > 0 && c.members[0].left {
+	for len(c.members) > 0 && c.members[0].released {
 		c.members = c.members[1:]
 	}
 	if len(c.members) == 0 {
-		if p.now >= c.restTo {
-			delete(p.chains, r.Key)
+		if p.now >= c.blockedUntil {
+			delete(p.keyQueues, r.Key)
 		}
 		return
 	}
 	h := c.members[0]
-	if h.done || h.queued || h.out > 0 || h.attempts > 0 {
+	if h.done || h.queued || h.outstanding > 0 || h.attempts > 0 {
 		return
 	}
-	if p.now < c.restTo {
-		p.setTimer(c.restTo, h, nil)
+	if p.now < c.blockedUntil {
+		p.setTimer(c.blockedUntil, h, nil)
 		return
 	}
 	p.enqueue(h)
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -11,7 +11,7 @@
 // applyNodeList applies a node list, full or incremental.
 func (p *scheduler) applyNodeList(l NodeList) {
 	if !l.Cached {
-		p.subOn = true
+		p.subscribed = true
 	}
 	if l.Full {
 		p.removeUnlisted(l.Nodes)
@@ -26,16 +26,16 @@
 	for _, e := range entries {
 		p.updateNode(e)
 	}
-	slices.SortFunc(p.listed, func(a, b *shard) int { return cmp.Compare(a.id, b.id) })
-	for _, sh := range p.listed {
+	slices.SortFunc(p.changed, func(a, b *shard) int { return cmp.Compare(a.id, b.id) })
+	for _, sh := range p.changed {
 		p.visits++
-		sh.listed = false
+		sh.changed = false
 		p.withdrawStale(sh)
 		p.assignNode(sh)
-		p.pumpWaiting(sh)
+		p.dispatchWaiting(sh)
 	}
-	clear(p.listed)
-	p.listed = p.listed[:0]
+	clear(p.changed)
+	p.changed = p.changed[:0]
 	p.reinsertIdle()
 }
 
@@ -85,7 +85,7 @@
 
 // eligible reports whether a node may be sent to: it is ready and its shard exists.
 func (p *scheduler) eligible(entry Node) bool {
-	return entry.Health == Ready && entry.Shard >= 0 && (p.s.Shards <= 0 || entry.Shard < p.s.Shards)
+	return entry.Health == Ready && entry.Shard >= 0 && (p.settings.Shards <= 0 || entry.Shard < p.settings.Shards)
 }
 
 // reapplyNodes re-evaluates all known nodes after the settings changed the number of shards. It
@@ -120,9 +120,9 @@
 
 // markChanged records that the node list being applied affects sh.
 func (p *scheduler) markChanged(sh *shard) {
-	if !sh.listed {
-		sh.listed = true
-		p.listed = append(p.listed, sh)
+	if !sh.changed {
+		sh.changed = true
+		p.changed = append(p.changed, sh)
 	}
 }
 
@@ -130,9 +130,9 @@
 // has restarted since they were sent: draining and slow start apply to the time at which bytes
 // leave.
 func (p *scheduler) withdrawStale(sh *shard) {
-	for _, r := range sh.out {
-		if r.sentTo.excluded || r.sentTo.coldSince != r.sentCold {
-			p.do(Withdraw{r.ID, r.attempts - 1})
+	for _, r := range sh.outstanding {
+		if r.sentTo.excluded || r.sentTo.coldSince != r.sentColdAt {
+			p.emit(Withdraw{r.ID, r.attempts - 1})
 		}
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -107,17 +107,17 @@
 
 func TestOverloadShedsLowestWorthFirst(t *testing.T) {
 	g := newRig(settings())
-	g.p.shards[0].got = gathered{100, 100 * 100}
+	g.p.shards[0].serviceTime = decayingMean{100, 100 * 100}
 	var low, high []string
 	for range 20 {
 		low = append(low, g.ask("read", "low", "", 2))
 		high = append(high, g.ask("write", "high", "", 2))
 	}
-	parked := g.p.shards[0].parked
-	if parked.len() == 0 {
+	deferred := g.p.shards[0].deferred
+	if deferred.len() == 0 {
 		t.Fatal("nothing was shed")
 	}
-	if parked.all[0].flow != 0 {
+	if deferred.all[0].flow != 0 {
 		t.Errorf("first shed is of the dearer plan")
 	}
 	_, _ = low, high
@@ -132,15 +132,15 @@
 	}
 	g.pass(60000)
 	p := g.p
-	if len(p.reqs)+len(p.chains)+len(p.vols)+len(p.timers) > 1 {
-		t.Errorf("left: %d requests, %d keys, %d volumes, %d timers", len(p.reqs), len(p.chains), len(p.vols), len(p.timers))
+	if len(p.requests)+len(p.keyQueues)+len(p.volumes)+len(p.timers) > 1 {
+		t.Errorf("left: %d requests, %d keys, %d volumes, %d timers", len(p.requests), len(p.keyQueues), len(p.volumes), len(p.timers))
 	}
 }
 
 // A client that leaves before its answer can come is told so at once.
 func TestShortTriesAreRefusedAtOnce(t *testing.T) {
 	g := newRig(settings())
-	g.p.shards[0].got = gathered{100, 100 * 100}
+	g.p.shards[0].serviceTime = decayingMean{100, 100 * 100}
 	ask := func(leaves float64) string {
 		g.n++
 		id := fmt.Sprintf("%016x", g.n)
@@ -162,7 +162,7 @@
 		g.list()
 		id := g.ask("read", "high", "", 2)
 		g.pass(350) // past its aim
-		g.p.shards[0].got, g.p.base = gathered{100, 100 * service}, 30
+		g.p.shards[0].serviceTime, g.p.unloadedServiceTime = decayingMean{100, 100 * service}, 30
 		g.list(Node{Addr: "n0", Health: Ready})
 		if g.sends(id) != want {
 			t.Errorf("service %v: %d sends, want %d", service, g.sends(id), want)
@@ -174,7 +174,7 @@
 func TestStuckAttemptsAreGivenUp(t *testing.T) {
 	for class, want := range map[string]float64{"read": 1450, "write": 1750, "once": 0} {
 		g := newRig(settings())
-		g.p.shards[0].got = gathered{100, 100 * 50}
+		g.p.shards[0].serviceTime = decayingMean{100, 100 * 50}
 		id := g.ask(class, "high", "", 2)
 		for _, a := range g.acts {
 			if s, ok := a.(Send); ok && s.ID == id && s.TimeoutAt != want {
@@ -189,7 +189,7 @@
 func TestSizeCounts(t *testing.T) {
 	for units, want := range map[float64]int{1: 1, 4: 0} {
 		g := newRig(settings())
-		g.p.base, g.p.shards[0].got = 60, gathered{100, 100 * 60}
+		g.p.unloadedServiceTime, g.p.shards[0].serviceTime = 60, decayingMean{100, 100 * 60}
 		g.n++
 		id := fmt.Sprintf("%016x", g.n)
 		g.do(Request{ID: id, Class: "read", Plan: "high", Volume: "v", Units: units, Expires: g.now + 55, Hosts: 1})
@@ -198,11 +198,11 @@
 		}
 	}
 	g := newRig(settings())
-	g.p.base = 20
+	g.p.unloadedServiceTime = 20
 	id := g.ask("read", "high", "", 4)
 	g.do(Outcome{ID: id, Node: "n0", Done: true, Elapsed: 40, Result: Served})
-	if got := g.p.shards[0].got; got.time != 20 {
-		t.Errorf("twice the mean size in twice the time taught %v", got.time)
+	if got := g.p.shards[0].serviceTime; got.sum != 20 {
+		t.Errorf("twice the mean size in twice the time taught %v", got.sum)
 	}
 }
 
@@ -272,14 +272,14 @@
 		g.pass(3000)
 	}
 	g := newRig(settings())
-	g.p.s.Classes[1].DedupScope = DedupZone
+	g.p.settings.Classes[1].DedupScope = DedupZone
 	g.list(Node{Addr: "n0", Health: Ready}) // its zone is not told
-	r := &request{class: &g.p.s.Classes[1], ranNode: g.p.nodes["n0"], ranAt: g.now}
-	if g.p.now = g.now; g.p.repeatable(r, &node{}) || !g.p.repeatable(r, g.p.nodes["n0"]) {
+	r := &request{class: &g.p.settings.Classes[1], mayHaveRunOn: g.p.nodes["n0"], mayHaveRunAt: g.now}
+	if g.p.now = g.now; g.p.mayRepeat(r, &node{}) || !g.p.mayRepeat(r, g.p.nodes["n0"]) {
 		t.Error("two nodes without a zone were taken to share one")
 	}
 	g.do(Request{ID: "ff", Class: "read", Plan: "high", Volume: "w", Units: 2, Expires: g.now + 900, Hosts: 1000})
-	if v := g.p.vols["w"]; v.fairRate > 0 || v.limitRate > 0 {
+	if v := g.p.volumes["w"]; v.fairRate > 0 || v.limitRate > 0 {
 		t.Errorf("a plan without a rate got %v, %v", v.fairRate, v.limitRate)
 	}
 }
--- a/policy/rate_test.go
+++ b/policy/rate_test.go
@@ -190,7 +190,7 @@
 	f.run(20000, 3000, 0)
 	sh := f.p.(*scheduler).shards[0]
 	for range 200 { // a whole queue stands before what comes now
-		sh.node.rejectedShort.add(f.now, easySpan)
+		sh.node.rejectedShort.add(f.now, rejectSpan)
 	}
 	f.handle(Request{ID: "x", Class: "read", Plan: "normal", Volume: "v", Shard: 0, Units: 1, Expires: f.now + 2000, Hosts: 3})
 	f.handle(Outcome{ID: "x", Node: sh.node.Addr, Result: Rejected})
@@ -205,12 +205,12 @@
 	n := f.run(5000, 8000, 0)
 	size := func() int {
 		p := f.p.(*scheduler)
-		all := len(p.timers) + len(p.taken.all) + len(p.resends.all) + len(p.reqs) + len(p.pool)
+		all := len(p.timers) + len(p.arrivals.all) + len(p.resends.all) + len(p.requests) + len(p.answers)
 		for _, nd := range p.nodes {
 			all += len(nd.recentSends.all)
 		}
 		for _, sh := range p.shards {
-			all += len(sh.parked.all) + len(sh.retries.all)
+			all += len(sh.deferred.all) + len(sh.retries.all)
 		}
 		return all
 	}
@@ -246,7 +246,7 @@
 			g.pass(5)
 			for k := 0; k < len(g.acts); k++ { // those of the last change too
 				if s, ok := g.acts[k].(Send); ok {
-					all = append(all, passed{g.when[k], g.p.reqs[s.ID].Units})
+					all = append(all, passed{g.when[k], g.p.requests[s.ID].Units})
 					g.do(Outcome{ID: s.ID, Node: "n0", Attempt: 0, Done: true, Elapsed: 1, Result: Served})
 				}
 			}
@@ -310,7 +310,7 @@
 			if !ok {
 				continue
 			}
-			r := g.p.reqs[send.ID]
+			r := g.p.requests[send.ID]
 			end := ending{g.now + 250, Outcome{ID: send.ID, Node: send.Node, Result: NoConnection, Attempt: r.attempts - 1, Elapsed: 250}}
 			if send.Node == "n0" {
 				level = min(36, level+17*(g.now-filled)/1000) - r.Units
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -30,27 +30,27 @@
 		"node_held", "cold", "overload", "time"}[r]
 }
 
-// why finds the reason of a request that is about to end.
-func (p *scheduler) why(r *request) Reason {
+// reasonFor finds the reason of a request that is about to end.
+func (p *scheduler) reasonFor(r *request) Reason {
 	sh, n := r.shard, r.shard.node
-	var c *chain
+	var c *keyQueue
 	if r.class.Ordered {
-		c = p.chains[r.Key]
+		c = p.keyQueues[r.Key]
 	}
 	switch {
-	case r.out > 0:
+	case r.outstanding > 0:
 		return ReasonAttemptOut
-	case r.ran && n != nil && !p.repeatable(r, n):
+	case r.mayHaveRun && n != nil && !p.mayRepeat(r, n):
 		return ReasonOutcomeUnknown
-	case r.terms.Limits.MaxAttempts > 0 && r.attempts >= r.terms.Limits.MaxAttempts:
+	case r.arrivalSettings.Limits.MaxAttempts > 0 && r.attempts >= r.arrivalSettings.Limits.MaxAttempts:
 		return ReasonAttemptsUsed
 	case n == nil || n.excluded:
 		return ReasonNoNode
-	case r.attempts == 0 && p.now-r.vol.heldAt < period:
+	case r.attempts == 0 && p.now-r.vol.heldAt < samplePeriod:
 		return ReasonLimit
-	case r.attempts > 0 && !p.inBudget():
+	case r.attempts > 0 && !p.withinBudget():
 		return ReasonBudget
-	case c != nil && len(c.members) > 0 && (c.members[0] != r || p.now < c.restTo):
+	case c != nil && len(c.members) > 0 && (c.members[0] != r || p.now < c.blockedUntil):
 		return ReasonKeyOrder
 	case p.now < n.backoffEnd || n.suspect:
 		return ReasonNodeHeld
@@ -58,7 +58,7 @@
 	if _, _, slowStart := p.slowStart(n); slowStart {
 		return ReasonCold
 	}
-	if r.list == &sh.parked || sh.waiting > 1 {
+	if r.fifo == &sh.deferred || sh.waiting > 1 {
 		return ReasonOverload
 	}
 	return ReasonTime
--- a/policy/reason_test.go
+++ b/policy/reason_test.go
@@ -56,7 +56,7 @@
 			g.do(SettingsChanged{s})
 			id := g.ask("read", "high", "", 1)
 			for range 60 {
-				if r := g.p.reqs[id]; r != nil && r.out > 0 {
+				if r := g.p.requests[id]; r != nil && r.outstanding > 0 {
 					g.answer(id, NoConnection)
 				}
 				g.pass(20)
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -2,54 +2,54 @@
 
 // Retries: when a request may be sent again, and the budget of that.
 
-// repeatable tells whether r, which may have run, may be sent to n.
-func (p *scheduler) repeatable(r *request, n *node) bool {
+// mayRepeat tells whether r, which may have run, may be sent to n.
+func (p *scheduler) mayRepeat(r *request, n *node) bool {
 	switch r.class.Effect {
 	case Idempotent:
 		return true
 	case Keyed:
-		if p.now > p.dropped(r) {
+		if p.now > p.dedupUntil(r) {
 			return false
 		}
 		switch r.class.DedupScope {
 		case DedupAll:
 			return true
 		case DedupZone:
-			return n == r.ranNode || n.Zone != "" && n.Zone == r.ranNode.Zone
+			return n == r.mayHaveRunOn || n.Zone != "" && n.Zone == r.mayHaveRunOn.Zone
 		default:
-			return n.Shard == r.ranNode.Shard
+			return n.Shard == r.mayHaveRunOn.Shard
 		}
 	}
 	return false
 }
 
-func (p *scheduler) inBudget() bool {
+func (p *scheduler) withinBudget() bool {
 	used, may := p.budget()
-	return !p.s.Rules.HasBudget || used+1 <= may
+	return !p.settings.Rules.HasBudget || used+1 <= may
 }
 
 // budget is how many attempts beyond the first there were, and may be, within its span.
 func (p *scheduler) budget() (used, may float64) {
-	ru := &p.s.Rules
+	ru := &p.settings.Rules
 	old := p.now - ru.BudgetWindow
-	resends, _ := p.resends.since(old - p.s.Tick - ru.MaxSendDelay) // they count where they pass
-	taken, _ := p.taken.since(old + p.s.Tick)
-	return float64(resends), ru.BudgetBase + ru.BudgetRatio*float64(taken)
+	resends, _ := p.resends.since(old - p.settings.Tick - ru.MaxSendDelay) // they count where they pass
+	arrivals, _ := p.arrivals.since(old + p.settings.Tick)
+	return float64(resends), ru.BudgetBase + ru.BudgetRatio*float64(arrivals)
 }
 
-// dropped is until when repeats of r, which may have run, are surely dropped.
-func (p *scheduler) dropped(r *request) float64 {
-	return r.ranAt + r.class.DedupWindow - p.s.Tick - guard
+// dedupUntil is until when repeats of r, which may have run, are surely dedupUntil.
+func (p *scheduler) dedupUntil(r *request) float64 {
+	return r.mayHaveRunAt + r.class.DedupWindow - p.settings.Tick - answerMargin
 }
 
-// giveUpOvertaken gives up what others overtook that were sent several service times later: its answer
+// cancelOvertaken gives up what others overtook that were sent several service times later: its answer
 // is lost. In a pause nothing overtakes. A cancel may leave a copy at work: only where two may.
-func (p *scheduler) giveUpOvertaken(sh *shard) {
-	for _, r := range sh.out {
-		lost := r.sentAt+stuckTimes*p.meanServiceTime(sh) < sh.passed && r.class.Effect != NonIdempotent
-		if lost && p.s.Limits.Cancel && p.s.Limits.Duplicates && !r.givenUp && !r.done && !r.class.Streamed {
+func (p *scheduler) cancelOvertaken(sh *shard) {
+	for _, r := range sh.outstanding {
+		lost := r.sentAt+stuckServiceTimes*p.meanServiceTime(sh) < sh.lastServedSend && r.class.Effect != NonIdempotent
+		if lost && p.settings.Limits.Cancel && p.settings.Limits.Duplicates && !r.givenUp && !r.done && !r.class.Streamed {
 			r.givenUp = true
-			p.do(CancelAttempt{r.ID, r.attempts - 1})
+			p.emit(CancelAttempt{r.ID, r.attempts - 1})
 		}
 	}
 }
--- a/policy/revise.go
+++ b/policy/revise.go
@@ -4,18 +4,18 @@
 
 // Other settings while the instance runs.
 
-// revise takes other settings. Flows keep their numbers: those of a plan that is gone are
+// applySettings takes other settings. Flows keep their numbers: those of a plan that is gone are
 // kept for what still waits in them, and then for a plan that is new.
-func (p *scheduler) revise(s Settings) {
-	old, next := p.s.Plans, s.filledIn()
-	shards := p.s.Shards
-	next.Plans = p.slots(old, next.Plans)
-	p.s = next
+func (p *scheduler) applySettings(settings Settings) {
+	old, next := p.settings.Plans, settings.withDefaults()
+	shards := p.settings.Shards
+	next.Plans = p.assignFlows(old, next.Plans)
+	p.settings = next
 	byPlan := make(map[*Plan]*Plan, len(old))
 	for i := range old {
 		byPlan[&old[i]] = &next.Plans[i]
 	}
-	for id, v := range p.vols {
+	for id, v := range p.volumes {
 		if plan := byPlan[v.plan]; plan != nil && plan.Name == v.plan.Name {
 			lastUsed := v.lastUsed
 			p.volumeBuckets(Request{Volume: id}, v.plan) // levels of now, filled at the old rates
@@ -26,7 +26,7 @@
 	for i, n := len(old), len(next.Plans); i < n; i++ {
 		p.shares.addFlow(next.Plans)
 		for _, sh := range p.shards {
-			sh.flows = append(sh.flows, flow{finish: sh.vtime})
+			sh.flows = append(sh.flows, flow{finishTag: sh.virtualTime})
 		}
 	}
 	if shards != next.Shards {
@@ -35,11 +35,11 @@
 	p.recheckLimited()
 }
 
-// slots gives the new plans numbers: their own where they had one, then those of plans
+// assignFlows gives the new plans numbers: their own where they had one, then those of plans
 // that nothing waits for any more, then further ones.
-func (p *scheduler) slots(old, next []Plan) []Plan {
+func (p *scheduler) assignFlows(old, next []Plan) []Plan {
 	used := make([]bool, len(old))
-	for _, r := range p.reqs {
+	for _, r := range p.requests {
 		used[r.flow] = true
 	}
 	for i := range old {
--- a/policy/revise_test.go
+++ b/policy/revise_test.go
@@ -30,9 +30,9 @@
 			next := settings()
 			next.Plans[0].Limit = 4 + float64(r.IntN(33))
 			next.Plans[0].Burst = 2 + float64(r.IntN(9))
-			if v := g.p.vols["low"]; v != nil {
+			if v := g.p.volumes["low"]; v != nil {
 				g.p.volumeBuckets(Request{Volume: "low"}, v.plan)
-				floor := min(next.Plans[0].Limit*bunching/1000-next.Plans[0].Overdraft, 0)
+				floor := min(next.Plans[0].Limit*arrivalSkew/1000-next.Plans[0].Overdraft, 0)
 				cut += max(v.limitLevel-v.limitFloor-(next.Plans[0].Burst-floor), 0)
 			}
 			g.do(SettingsChanged{next})
@@ -125,7 +125,7 @@
 	next := settings()
 	next.Plans[0].Limit, next.Plans[0].Burst, next.Plans[0].Overdraft = 2, 1, 0
 	g.do(SettingsChanged{next})
-	v := g.p.vols["low"]
+	v := g.p.volumes["low"]
 	if v.limitLevel > 1 || v.limitLevel < v.limitFloor {
 		t.Errorf("the store holds %v after the change, its floor is %v", v.limitLevel, v.limitFloor)
 	}
@@ -148,12 +148,12 @@
 		g.pass(20)
 		g.answer(id, Served)
 	}
-	share, depth, got := slices.Clone(g.p.shares.share), g.p.shards[0].depth, g.p.shards[0].got
+	share, depth, got := slices.Clone(g.p.shares.share), g.p.shards[0].depth, g.p.shards[0].serviceTime
 	theta := slices.Clone(g.p.shares.models[1].theta)
 	next := settings()
 	next.Plans = append(next.Plans, Plan{Name: "mid", Price: 1, Weight: 1})
 	g.do(SettingsChanged{next})
-	if g.p.shards[0].depth != depth || g.p.shards[0].got != got {
+	if g.p.shards[0].depth != depth || g.p.shards[0].serviceTime != got {
 		t.Error("the depth was forgotten")
 	}
 	if f := g.p.shares.models[1]; f.theta[0] != theta[0] || f.theta[2] != theta[2] || f.theta[3] != 0 || f.theta[4] != theta[3] {
@@ -181,7 +181,7 @@
 		g.answer(id, Served)
 		g.pass(1200)
 	}
-	if n := len(g.p.s.Plans); n > 5 {
+	if n := len(g.p.settings.Plans); n > 5 {
 		t.Errorf("%d plans are kept", n)
 	}
 }
@@ -213,9 +213,9 @@
 					rapid.SampledFrom([]string{"low", "high", "x", "y"}).Draw(t, "plan"), "k", 1)
 				due[id] = g.now + 1000
 			case 3:
-				ids := make([]string, 0, len(g.p.reqs))
-				for id, r := range g.p.reqs {
-					if r.out > 0 {
+				ids := make([]string, 0, len(g.p.requests))
+				for id, r := range g.p.requests {
+					if r.outstanding > 0 {
 						ids = append(ids, id)
 					}
 				}
@@ -228,7 +228,7 @@
 		}
 		g.pass(3000)
 		for id := range due {
-			if r := g.p.reqs[id]; r != nil && !r.done {
+			if r := g.p.requests[id]; r != nil && !r.done {
 				t.Fatalf("%s has no end", id)
 			}
 		}
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -35,8 +35,8 @@
 		return 0, false
 	}
 	// What a cold or busy node may take is for what must go there.
-	queued := float64(sh.waiting + len(sh.out))
-	cost := (p.waitFor(sh, queued) + p.expectedServiceTime(sh)) / max(min(p.part(sh), 1), minPart)
+	queued := float64(sh.waiting + len(sh.outstanding))
+	cost := (p.expectedWait(sh, queued) + p.expectedServiceTime(sh)) / max(min(p.admittedFraction(sh), 1), minFraction)
 	// Quick errors leave a node's queue empty: what it fails would else come there first.
 	successFraction := 1 - sh.node.errorFraction(p.now)
 	return cost / (successFraction * successFraction), true
@@ -95,7 +95,7 @@
 	heap.Init(&idx.idle)
 }
 
-func (sh *shard) busy() bool { return sh.waiting+len(sh.out) > 0 }
+func (sh *shard) busy() bool { return sh.waiting+len(sh.outstanding) > 0 }
 
 // shardHeap is a heap of shards, the least cost first; equals go by number.
 type shardHeap []*shard
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -13,98 +13,98 @@
 // start begins the sampling at a phase of this host's own, so that hosts do
 // not all move at once, and asks for the list where it must be asked.
 func (p *scheduler) start() {
-	p.started, p.born, p.ratedAt = true, p.now, p.now
-	p.median = p.tightest() * aimPart / 2
-	p.base = p.median
-	p.do(SetTimer{period * (0.5 + p.rng.Float64()/2), "second"})
+	p.started, p.startedAt, p.rateUpdatedAt = true, p.now, p.now
+	p.medianTime = p.minLatencyTarget() * targetFraction / 2
+	p.unloadedServiceTime = p.medianTime
+	p.emit(SetTimer{samplePeriod * (0.5 + p.rng.Float64()/2), "second"})
 	p.subscribe()
 }
 
 // subscribe keeps a subscription up: a host without one counts as told.
 func (p *scheduler) subscribe() {
-	if p.s.MustSubscribe && !p.subOn && (p.askedAt == 0 || p.now-p.askedAt >= askAgain) {
-		p.do(Subscribe{true})
-		p.askedAt = p.now
+	if p.settings.MustSubscribe && !p.subscribed && (p.lastSubscribe == 0 || p.now-p.lastSubscribe >= resubscribeInterval) {
+		p.emit(Subscribe{true})
+		p.lastSubscribe = p.now
 	}
 }
 
 func (p *scheduler) everySecond() {
-	p.do(SetTimer{period, "second"})
+	p.emit(SetTimer{samplePeriod, "second"})
 	p.subscribe()
 	p.updateOwnRate()
-	p.ranked = append(p.ranked[:0], p.recent...)
-	slices.SortFunc(p.ranked, func(a, b ask) int { return cmp.Compare(b.worth, a.worth) })
-	p.median = medianServiceTime(p.pool, p.tightest()*aimPart/2)
-	if len(p.pool) >= minSample {
-		p.base = min(p.base+baseGain*(p.median-p.base), p.median)
+	p.rankedDemand = append(p.rankedDemand[:0], p.recentDemand...)
+	slices.SortFunc(p.rankedDemand, func(a, b demand) int { return cmp.Compare(b.value, a.value) })
+	p.medianTime = medianServiceTime(p.answers, p.minLatencyTarget()*targetFraction/2)
+	if len(p.answers) >= minSamples {
+		p.unloadedServiceTime = min(p.unloadedServiceTime+baseGain*(p.medianTime-p.unloadedServiceTime), p.medianTime)
 	}
 	for _, sh := range p.shards {
 		p.updateDepth(sh)
-		p.pumpWaiting(sh)
+		p.dispatchWaiting(sh)
 	}
 	p.rebuildIndex()
-	p.pool = slices.DeleteFunc(p.pool, func(a serviceSample) bool { return p.now-a.recordedAt > poolSpan })
+	p.answers = slices.DeleteFunc(p.answers, func(a serviceSample) bool { return p.now-a.recordedAt > answerSpan })
 	p.shares.step()
-	p.dropIdle(idleVolume)
+	p.removeIdle(volumeIdleTime)
 }
 
 type scheduler struct {
-	s           *Settings // not altered once a request was taken under them
-	rng         *rand.Rand
-	born        float64
-	now         float64
-	started     bool
-	acts        []Action
-	nodes       map[string]*node
-	shards      []*shard // by id
-	listed      []*shard // that the list being taken in changes
-	index       shardIndex
-	visits      int // nodes and shards looked at one by one: what an event costs as a fleet grows
-	reqs        map[string]*request
-	vols        map[string]*volumeBuckets
-	chains      map[string]*chain
-	timers      timerHeap
-	staleTimers int // timers of requests that are over
-	armed       float64
-	resends     window
-	taken       window
-	turned      map[tried]turn // requests that were not served, while their clients may try again
-	largest     float64        // units of a request so far
-	heldAt      float64        // when the request just looked at may go by its limit; 0: it is not held
-	subOn       bool
-	askedAt     float64
-	shares      shareRegulator
-	pool        []serviceSample // answers of all nodes
-	median      float64         // of their times
-	base        float64         // the same when nothing waits
-	asked       float64         // units taken since ratedAt
-	ratedAt     float64
-	ownRate     float64 // units taken a second, smoothed over some ten seconds
+	settings            *Settings // not altered once a request was taken under them
+	rng                 *rand.Rand
+	startedAt           float64
+	now                 float64
+	started             bool
+	actions             []Action
+	nodes               map[string]*node
+	shards              []*shard // by id
+	changed             []*shard // that the list being taken in changes
+	index               shardIndex
+	visits              int // nodes and shards looked at one by one: what an event costs as a fleet grows
+	requests            map[string]*request
+	volumes             map[string]*volumeBuckets
+	keyQueues           map[string]*keyQueue
+	timers              timerHeap
+	staleTimers         int // timers of requests that are over
+	wakeAt              float64
+	resends             window
+	arrivals            window
+	unserved            map[retryKey]unservedRequest // requests that were not served, while their clients may try again
+	maxUnits            float64                      // units of a request so far
+	limitOpensAt        float64                      // when the request just looked at may go by its limit; 0: it is not held
+	subscribed          bool
+	lastSubscribe       float64
+	shares              shareRegulator
+	answers             []serviceSample // answers of all nodes
+	medianTime          float64         // of their times
+	unloadedServiceTime float64         // the same when nothing waits
+	unitsSinceUpdate    float64         // units taken since ratedAt
+	rateUpdatedAt       float64
+	arrivalRate         float64 // units taken a second, smoothed over some ten seconds
 	// recentUnits are the units taken, fading with burstSpan.
-	recentUnits fading
-	recent      []ask
-	ranked      []ask // recent, dearest first
+	recentUnits  decayingCount
+	recentDemand []demand
+	rankedDemand []demand // recent, dearest first
 }
 
-func (p *scheduler) do(a Action) { p.acts = append(p.acts, a) }
+func (p *scheduler) emit(a Action) { p.actions = append(p.actions, a) }
 
-// dropIdle forgets volumes unused for so long and full again, and rested keys.
-func (p *scheduler) dropIdle(after float64) {
-	for id, v := range p.vols {
+// removeIdle forgets volumes unused for so long and full again, and rested keys.
+func (p *scheduler) removeIdle(after float64) {
+	for id, v := range p.volumes {
 		full := v.limitLevel+v.limitRate*(p.now-v.refilledAt)/1000 >= v.limitCap
 		if full && v.pending == 0 && p.now-v.lastUsed > after {
-			delete(p.vols, id)
+			delete(p.volumes, id)
 		}
 	}
-	maps.DeleteFunc(p.turned, func(_ tried, t turn) bool { return p.now >= t.till })
-	for k, c := range p.chains {
-		if c.live == 0 && p.now >= c.restTo {
-			delete(p.chains, k)
+	maps.DeleteFunc(p.unserved, func(_ retryKey, t unservedRequest) bool { return p.now >= t.expires })
+	for k, c := range p.keyQueues {
+		if c.active == 0 && p.now >= c.blockedUntil {
+			delete(p.keyQueues, k)
 		}
 	}
 }
 
-func (s Settings) filledIn() *Settings {
+func (s Settings) withDefaults() *Settings {
 	if len(s.Plans) == 0 {
 		s.Plans = []Plan{{Price: 1, Weight: 1}}
 	}
@@ -115,30 +115,30 @@
 	return &s
 }
 
-func newScheduler(s Settings, seed uint64) *scheduler {
+func newScheduler(settings Settings, seed uint64) *scheduler {
 	p := &scheduler{
-		s: s.filledIn(), rng: rand.New(rand.NewPCG(seed, 0)), armed: math.Inf(1),
-		nodes: map[string]*node{}, reqs: map[string]*request{},
-		vols: map[string]*volumeBuckets{}, chains: map[string]*chain{}, turned: map[tried]turn{},
+		settings: settings.withDefaults(), rng: rand.New(rand.NewPCG(seed, 0)), wakeAt: math.Inf(1),
+		nodes: map[string]*node{}, requests: map[string]*request{},
+		volumes: map[string]*volumeBuckets{}, keyQueues: map[string]*keyQueue{}, unserved: map[retryKey]unservedRequest{},
 	}
-	p.shares.init(p.s.Plans)
+	p.shares.init(p.settings.Plans)
 	return p
 }
 
-func (p *scheduler) tightest() float64 {
+func (p *scheduler) minLatencyTarget() float64 {
 	low := math.Inf(1)
-	for i := range p.s.Classes {
-		low = min(low, p.s.Classes[i].LatencyTarget)
+	for i := range p.settings.Classes {
+		low = min(low, p.settings.Classes[i].LatencyTarget)
 	}
 	if math.IsInf(low, 1) {
-		return period
+		return samplePeriod
 	}
 	return low
 }
 
 // Handle implements Scheduler.
 func (p *scheduler) Handle(now float64, ev Event) []Action {
-	p.now, p.acts = now, p.acts[:0]
+	p.now, p.actions = now, p.actions[:0]
 	if !p.started {
 		p.start()
 	}
@@ -146,24 +146,24 @@
 	case NodeList:
 		p.applyNodeList(ev)
 	case ListFailed:
-		p.subOn = false
+		p.subscribed = false
 	case Request:
-		p.take(ev)
+		p.accept(ev)
 	case Outcome:
-		p.outcome(ev)
+		p.handleOutcome(ev)
 	case VolumeChanged:
 		p.updateDivisor(ev)
 	case SettingsChanged:
-		p.revise(ev.Settings)
+		p.applySettings(ev.Settings)
 	case DeadlineShortened:
-		p.sooner(ev)
+		p.shortenDeadline(ev)
 	case ClientGone:
-		if r := p.reqs[ev.ID]; r != nil {
+		if r := p.requests[ev.ID]; r != nil {
 			p.finish(r)
 		}
 	case Stop:
-		for _, id := range slices.Sorted(maps.Keys(p.reqs)) {
-			if r := p.reqs[id]; r != nil && !r.done {
+		for _, id := range slices.Sorted(maps.Keys(p.requests)) {
+			if r := p.requests[id]; r != nil && !r.done {
 				p.end(r)
 			}
 		}
@@ -171,9 +171,9 @@
 		if ev.Name == "second" {
 			p.everySecond()
 		} else {
-			p.armed = math.Inf(1)
+			p.wakeAt = math.Inf(1)
 		}
 	}
 	p.runTimers()
-	return p.acts
+	return p.actions
 }
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -28,7 +28,7 @@
 		if g.list(); g.sends(id) > 0 { // nothing further goes out
 			c.first(g, id)
 		}
-		g.pass(1000*waitPart - 5)
+		g.pass(1000*maxWaitFraction - 5)
 		if got := g.final(id); got != "" {
 			t.Errorf("%s: %s before its time", c.name, got)
 		}
@@ -77,7 +77,7 @@
 	if got["n0"] > 100 || got["n1"]+got["n2"] < 200 {
 		t.Errorf("sent to: %v", got)
 	}
-	if g.pass(10 * poolSpan); g.p.nodes["n0"].errorFraction(g.now) > 0.001 {
+	if g.pass(10 * answerSpan); g.p.nodes["n0"].errorFraction(g.now) > 0.001 {
 		t.Error("it is not forgotten")
 	}
 }
@@ -194,9 +194,9 @@
 		n++
 		id := fmt.Sprint(key, n)
 		g.do(Request{ID: id, Class: "read", Plan: "high", Volume: "v", Units: 2, Key: key, Expires: g.now + left, Hosts: 1})
-		return g.p.reqs[id]
+		return g.p.requests[id]
 	}
-	aim := func(r *request) float64 { return r.aimAt - g.now }
+	aim := func(r *request) float64 { return r.targetTime - g.now }
 	g.list() // nothing can be sent
 	ask("a", 900)
 	if r := ask("b", 250); aim(r) != 250 {
@@ -217,8 +217,8 @@
 		t.Errorf("when its client has given up: %.0f ms", aim(r))
 	}
 	g.pass(40000)
-	if len(g.p.turned) > 0 {
-		t.Errorf("%d are still remembered", len(g.p.turned))
+	if len(g.p.unserved) > 0 {
+		t.Errorf("%d are still remembered", len(g.p.unserved))
 	}
 }
 
--- a/policy/shares.go
+++ b/policy/shares.go
@@ -14,7 +14,7 @@
 		units += g.units[i]
 	}
 	defer g.clear()
-	if totalAnswers < minSample || n < 2 || units <= 0 {
+	if totalAnswers < minSamples || n < 2 || units <= 0 {
 		return
 	}
 	for i := range n {
@@ -28,7 +28,7 @@
 			g.output[k] = output
 		}
 	}
-	g.applyControl(g.optimalOutputs(min(totalAnswers, shareSteps)))
+	g.applyControl(g.optimalOutputs(min(totalAnswers, maxShareSteps)))
 }
 
 // flowUtility is worth got: throughput up to what was asked, by the part of its
@@ -72,8 +72,8 @@
 
 // applyControl minimises |W(y-yref)|^2 + |Q du|^2 over the next shares.
 func (g *shareRegulator) applyControl(reference []float64) {
-	gains, deviation := g.weightedSystem(reference, latencyW)
-	change := controlStep(gains, deviation, shareQ)
+	gains, deviation := g.weightedSystem(reference, latencyWeight)
+	change := controlStep(gains, deviation, sharePenalty)
 	if change == nil {
 		return
 	}
@@ -113,8 +113,8 @@
 	g.output = make([]float64, 2*n)
 	for i := range 2 * n {
 		theta := make([]float64, n+2) // own last value, shares, constant
-		theta[0], theta[1+i%n] = ownStart, shareStart
-		g.models = append(g.models, newRLS(theta, forget, maxCov))
+		theta[0], theta[1+i%n] = initialOwnGain, initialShareGain
+		g.models = append(g.models, newRLS(theta, forgettingFactor, maxCovTrace))
 	}
 	g.clear()
 }
@@ -163,8 +163,8 @@
 			g.models = append(g.models, models[half*n+i].withCoefficient(n+1))
 		}
 		theta := make([]float64, n+3)
-		theta[0], theta[1+n] = ownStart, shareStart
-		g.models = append(g.models, newRLS(theta, forget, maxCov))
+		theta[0], theta[1+n] = initialOwnGain, initialShareGain
+		g.models = append(g.models, newRLS(theta, forgettingFactor, maxCovTrace))
 	}
 	units, latencySum, answers, valueSum, targetSum := g.units, g.latencySum, g.answers, g.valueSum, g.targetSum
 	waitSum, waitCount := g.waitSum, g.waitCount
--- a/policy/shares_test.go
+++ b/policy/shares_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestPlantIsIdentifiedAndSteered(t *testing.T) {
-	f := newRLS([]float64{0, 0.1, 0}, forget, maxCov)
+	f := newRLS([]float64{0, 0.1, 0}, forgettingFactor, maxCovTrace)
 	u, y, want := 2.0, 0.0, 0.6
 	for k := range 250 {
 		last := y
@@ -30,13 +30,13 @@
 			for range 4 {
 				g.ask("read", "high", "", 2)
 			}
-			for _, r := range slices.Clone(g.p.shards[0].out) {
+			for _, r := range slices.Clone(g.p.shards[0].outstanding) {
 				g.end(r.ID, res)
 			}
 			g.pass(50)
 		}
 		d := g.p.shards[0].depth
-		if !(d >= fewDepth && d <= maxDepth) {
+		if !(d >= minTotalDepth && d <= maxDepth) {
 			t.Errorf("result %d: depth %v", res, d)
 		}
 		sum := 0.0
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -8,31 +8,31 @@
 
 // Load shedding: what cannot be served in its aim waits for an idle node or is refused.
 
-// part is how much of what this host is asked for at sh may go, dearest first: a
+// admittedFraction is how much of what this host is asked for at sh may go, dearest first: a
 // depth below 1, or what a node that warms up bears of the demand to expect.
-func (p *scheduler) part(sh *shard) float64 {
+func (p *scheduler) admittedFraction(sh *shard) float64 {
 	_, bears, _ := p.shardSlowStart(sh)
 	return min(sh.depth, bears)
 }
 
-// priceFor is the worth above which lies that part of what was asked of late.
-func (p *scheduler) priceFor(part float64) float64 {
+// minAdmittedValue is the worth above which lies that part of what was asked of late.
+func (p *scheduler) minAdmittedValue(part float64) float64 {
 	if part >= 1 {
 		return 0
 	}
-	price, _ := valueCutoff(p.ranked, part)
+	price, _ := valueCutoff(p.rankedDemand, part)
 	return price
 }
 
-// waitFor is the wait of a request with `ahead` mean requests before it.
-func (p *scheduler) waitFor(sh *shard, ahead float64) float64 {
+// expectedWait is the wait of a request with `ahead` mean requests before it.
+func (p *scheduler) expectedWait(sh *shard, ahead float64) float64 {
 	return ahead * p.expectedServiceTime(sh) / max(sh.depth, 1)
 }
 
-// byWorth orders a plan's requests, and the shedding: under overload the
+// byValue orders a plan's requests, and the shedding: under overload the
 // earliest aim first would serve old cheap reads before fresh dear ones.
-func byWorth(a, b *request) int {
-	return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(a.aimAt, b.aimAt))
+func byValue(a, b *request) int {
+	return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(a.targetTime, b.targetTime))
 }
 
 // shed parks what cannot be served within its aim, lowest worth first: the
@@ -43,36 +43,36 @@
 // after the other, still meets the earliest aim. One that is long is made once in
 // walkGap; a queue that long comes only with thousands of requests a second.
 func (p *scheduler) shed(sh *shard) {
-	service, price := p.expectedServiceTime(sh), p.priceFor(p.part(sh))
-	most := max(p.base*(p.largest/p.s.MeanUnits-1), 0)
-	calm := price == 0 && p.now+p.waitFor(sh, sh.load/p.s.MeanUnits)+service+most+guard <= sh.firstAim
-	stay := p.now+service+most+guard <= sh.firstEnd
-	if calm && stay || sh.waiting > longQueue && p.now-sh.walked < walkGap {
+	service, price := p.expectedServiceTime(sh), p.minAdmittedValue(p.admittedFraction(sh))
+	most := max(p.unloadedServiceTime*(p.maxUnits/p.settings.MeanUnits-1), 0)
+	calm := price == 0 && p.now+p.expectedWait(sh, sh.queuedUnits/p.settings.MeanUnits)+service+most+answerMargin <= sh.earliestTarget
+	stay := p.now+service+most+answerMargin <= sh.earliestExpiry
+	if calm && stay || sh.waiting > longQueue && p.now-sh.lastWalk < minWalkInterval {
 		return
 	}
-	sh.walked = p.now
+	sh.lastWalk = p.now
 	p.shedQueues(sh, service, price)
-	p.shedParked(sh, service)
+	p.shedDeferred(sh, service)
 }
 
 func (p *scheduler) shedQueues(sh *shard, service, price float64) {
 	_, bears, warming := p.shardSlowStart(sh)
-	room := sh.room
-	sh.room = nil // what is let go of may bring another walk in the midst of this one
-	all := sh.dearest(room)
+	walkBuffer := sh.walkBuffer
+	sh.walkBuffer = nil // what is let go of may bring another walk in the midst of this one
+	all := sh.queuedByValue(walkBuffer)
 	ahead, first := 0.0, math.Inf(1)
-	filed := sh.filed
+	enqueueCount := sh.enqueueCount
 	look := func(r *request) {
 		switch {
 		case r == nil || !r.queued: // ended or sent while an earlier one was let go of
 		case r.rank < price, warming && !p.inTopFraction(r, bears):
-			sh.wasFull = true
-			p.park(sh, r)
-		case p.now+ahead*service/max(sh.depth, 1)+service+p.extra(r) > r.aimAt:
-			p.park(sh, r)
+			sh.depthLimited = true
+			p.deferRequest(sh, r)
+		case p.now+ahead*service/max(sh.depth, 1)+service+p.extraServiceTime(r) > r.targetTime:
+			p.deferRequest(sh, r)
 		default:
-			ahead += r.Units / p.s.MeanUnits
-			first = min(first, r.aimAt)
+			ahead += r.Units / p.settings.MeanUnits
+			first = min(first, r.targetTime)
 		}
 	}
 	for _, r := range slices.Clone(sh.retries.all) {
@@ -82,52 +82,52 @@
 		look(r)
 	}
 	clear(all)
-	sh.room = all
-	if sh.filed == filed { // nothing came meanwhile that this walk has not seen
-		sh.firstAim = first
+	sh.walkBuffer = all
+	if sh.enqueueCount == enqueueCount { // nothing came meanwhile that this walk has not seen
+		sh.earliestTarget = first
 	}
 }
 
-// shedParked: what cannot be answered before its client leaves would be wasted
+// shedDeferred: what cannot be answered before its client leaves would be wasted
 // work, and clients with short tries come again at once: they are told to stay
 // away. It also clears queues before a stalled node; a node that recovers within
 // a request's time could still have served it late.
-func (p *scheduler) shedParked(sh *shard, service float64) {
-	first, aside := math.Inf(1), sh.aside
-	for _, r := range slices.Clone(sh.parked.all) {
+func (p *scheduler) shedDeferred(sh *shard, service float64) {
+	first, deferCount := math.Inf(1), sh.deferCount
+	for _, r := range slices.Clone(sh.deferred.all) {
 		switch {
 		case r == nil || !r.queued:
-		case p.now+service+p.extra(r) > r.Expires:
+		case p.now+service+p.extraServiceTime(r) > r.Expires:
 			p.end(r)
 		default:
 			first = min(first, r.Expires)
 		}
 	}
-	if sh.aside == aside {
-		sh.firstEnd = first
+	if sh.deferCount == deferCount {
+		sh.earliestExpiry = first
 	}
 }
 
-// park sets r aside, or refuses it at once where it blocks its key.
-func (p *scheduler) park(sh *shard, r *request) {
+// deferRequest sets r aside, or refuses it at once where it blocks its key.
+func (p *scheduler) deferRequest(sh *shard, r *request) {
 	sh.remove(r)
-	if c := p.chainOf(r); c != nil && c.live > 1 {
+	if c := p.keyQueueOf(r); c != nil && c.active > 1 {
 		p.end(r)
 		return
 	}
 	r.queued = true
 	sh.waiting++
-	sh.parked.add(r)
-	sh.aside++
-	sh.firstEnd = min(sh.firstEnd, r.Expires)
+	sh.deferred.add(r)
+	sh.deferCount++
+	sh.earliestExpiry = min(sh.earliestExpiry, r.Expires)
 }
 
-// ask is what a request asked for and would earn a unit.
-type ask struct{ worth, units float64 }
+// demand is what a request asked for and would earn a unit.
+type demand struct{ value, units float64 }
 
-// dearest returns what waits in the shard's flows by worth: the flows, each in
+// queuedByValue returns what waits in the shard's flows by worth: the flows, each in
 // that order, are merged; equals go by flow.
-func (sh *shard) dearest(buf []*request) []*request {
+func (sh *shard) queuedByValue(buf []*request) []*request {
 	heads := make([][]*request, len(sh.flows))
 	for i := range sh.flows {
 		heads[i] = sh.flows[i].queue
@@ -135,7 +135,7 @@
 	for buf = buf[:0]; ; {
 		best := -1
 		for i, h := range heads {
-			if len(h) > 0 && (best < 0 || byWorth(h[0], heads[best][0]) < 0) {
+			if len(h) > 0 && (best < 0 || byValue(h[0], heads[best][0]) < 0) {
 				best = i
 			}
 		}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -33,7 +33,7 @@
 // host's own rate times the number of hosts, spread over the shards. A host with more than the
 // average load sends a smaller fraction, so that the sum holds.
 func (p *scheduler) slowStart(n *node) (budget, fraction float64, warming bool) {
-	age, rules := p.now-n.coldSince, p.s.Rules
+	age, rules := p.now-n.coldSince, p.settings.Rules
 	if age >= rules.WarmUpTime {
 		return 0, 1, false
 	}
@@ -41,9 +41,9 @@
 	if rules.ColdCapacity > 0 && rules.WarmUpTime > 0 {
 		growth += (1 - rules.ColdCapacity) / rules.ColdCapacity * max(age-rules.OverloadWindow, 0) / rules.WarmUpTime
 	}
-	safeUnits, hosts := rules.ColdUnits*growth, float64(p.s.Hosts)
-	demand := p.demandRate() * hosts / float64(max(p.s.Shards, len(p.shards))) * rules.OverloadWindow / period
-	return safeUnits / hosts, min(maxColdMean(safeUnits/p.s.MeanUnits)*p.s.MeanUnits/demand, 1), true
+	safeUnits, hosts := rules.ColdUnits*growth, float64(p.settings.Hosts)
+	demand := p.demandRate() * hosts / float64(max(p.settings.Shards, len(p.shards))) * rules.OverloadWindow / samplePeriod
+	return safeUnits / hosts, min(maxColdMean(safeUnits/p.settings.MeanUnits)*p.settings.MeanUnits/demand, 1), true
 }
 
 // shardSlowStart is slowStart for the node that serves sh; without one, nothing is warming up.
@@ -75,23 +75,23 @@
 	if fraction >= 1 {
 		return true
 	}
-	cutoff, above := valueCutoff(p.ranked, fraction)
+	cutoff, above := valueCutoff(p.rankedDemand, fraction)
 	if fraction <= 0 || r.rank < cutoff {
 		return false
 	}
-	if r.drawn == 0 {
-		r.drawn = 1 - p.rng.Float64()
+	if r.draw == 0 {
+		r.draw = 1 - p.rng.Float64()
 	}
-	return r.drawn*above <= fraction
+	return r.draw*above <= fraction
 }
 
 // updateOwnRate updates this host's smoothed rate of units a second, once a second: the plain mean
 // since the start, until the exponentially weighted mean takes over.
 func (p *scheduler) updateOwnRate() {
-	elapsed := max(p.now-p.ratedAt, 1)
-	rate := p.asked * period / elapsed
-	p.ownRate += max(rateSmoothing, min(elapsed/max(p.now-p.born, 1), 1)) * (rate - p.ownRate)
-	p.asked, p.ratedAt = 0, p.now
+	elapsed := max(p.now-p.rateUpdatedAt, 1)
+	rate := p.unitsSinceUpdate * samplePeriod / elapsed
+	p.arrivalRate += max(rateSmoothing, min(elapsed/max(p.now-p.startedAt, 1), 1)) * (rate - p.arrivalRate)
+	p.unitsSinceUpdate, p.rateUpdatedAt = 0, p.now
 }
 
 // demandRate returns the expected demand in units a second, +Inf while nothing is known: the
@@ -101,18 +101,18 @@
 // count as its divisor: for a Poisson count k with mean m, the mean of 1/(k+1) is below 1/m, that
 // of 1/k above it.
 func (p *scheduler) demandRate() float64 {
-	knownSpan := min(p.ratedAt-p.born, rateMemory)
+	knownSpan := min(p.rateUpdatedAt-p.startedAt, rateMemory)
 	if knownSpan <= 0 {
 		return math.Inf(1)
 	}
-	recentRate := p.recentUnits.value(p.now, burstMemory) * period / burstMemory
-	recentRequests := recentRate / p.s.MeanUnits
-	stdDev := math.Sqrt(recentRequests * period / (2 * burstMemory)) // of an exponentially decaying count
-	return max(p.ownRate+p.s.MeanUnits*period/knownSpan, recentRate-p.s.MeanUnits*stdDev)
+	recentRate := p.recentUnits.value(p.now, burstMemory) * samplePeriod / burstMemory
+	recentRequests := recentRate / p.settings.MeanUnits
+	stdDev := math.Sqrt(recentRequests * samplePeriod / (2 * burstMemory)) // of an exponentially decaying count
+	return max(p.arrivalRate+p.settings.MeanUnits*samplePeriod/knownSpan, recentRate-p.settings.MeanUnits*stdDev)
 }
 
 // coldWindow is the age in ms up to which an attempt counts towards the budget of a cold node: it
 // may leave up to MaxSendDelay after it was sent.
 func (p *scheduler) coldWindow() float64 {
-	return p.s.Rules.OverloadWindow + p.s.Rules.MaxSendDelay + p.s.Tick
+	return p.settings.Rules.OverloadWindow + p.settings.Rules.MaxSendDelay + p.settings.Tick
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -15,7 +15,7 @@
 	g.acts = nil
 	for k := range 400 {
 		g.ask("read", "high", "", 2)
-		for _, r := range slices.Clone(g.p.shards[0].out) {
+		for _, r := range slices.Clone(g.p.shards[0].outstanding) {
 			g.do(Outcome{ID: r.ID, Node: "n0", Done: k%2 == 0, Elapsed: 20, Result: Result(k % 2)})
 		}
 		for _, a := range g.acts { // further attempts count too
@@ -47,7 +47,7 @@
 func TestPartLetsTheDearestGo(t *testing.T) {
 	for depth, want := range map[float64][2]bool{2: {true, true}, 0.5: {true, false}} {
 		g := newRig(settings())
-		g.p.ranked = []ask{{9, 2}, {6, 2}, {5, 2}, {1, 2}}
+		g.p.rankedDemand = []demand{{9, 2}, {6, 2}, {5, 2}, {1, 2}}
 		g.p.shards[0].depth = depth
 		dear := g.ask("write", "high", "", 2) // worth 6 a unit
 		g.end(dear, Served)
@@ -64,8 +64,8 @@
 		s := settings()
 		s.Hosts = hosts
 		g := newRig(s)
-		g.p.shards[0].depth = minPart
-		if g.pass(20 * period); hosts > 5 && g.p.shards[0].depth < 0.9 {
+		g.p.shards[0].depth = minFraction
+		if g.pass(20 * samplePeriod); hosts > 5 && g.p.shards[0].depth < 0.9 {
 			t.Errorf("%d hosts: depth %v after a long silence", hosts, g.p.shards[0].depth)
 		}
 	}
@@ -73,7 +73,7 @@
 
 // A thin stream of answers must still steer the part, within its bounds.
 func TestPartFollowsAThinStream(t *testing.T) {
-	for took, want := range map[float64][2]float64{20: {0.8, maxDepth}, 900: {minPart, 0.6}} {
+	for took, want := range map[float64][2]float64{20: {0.8, maxDepth}, 900: {minFraction, 0.6}} {
 		s := settings()
 		s.Hosts = 50
 		g := newRig(s)
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -8,16 +8,16 @@
 // Timers of requests and shards.
 
 type timer struct {
-	at float64
-	rq *request
-	sh *shard
+	at  float64
+	req *request
+	sh  *shard
 }
 
 type timerHeap []timer
 
-// manyTimers is the number below which timers of requests that are over are left
+// pruneTimersAbove is the number below which timers of requests that are over are left
 // to come due by themselves.
-const manyTimers = 8192
+const pruneTimersAbove = 8192
 
 func (h timerHeap) Len() int { return len(h) }
 
@@ -49,22 +49,22 @@
 func (p *scheduler) runTimers() {
 	for len(p.timers) > 0 && p.timers[0].at <= p.now {
 		w := heap.Pop(&p.timers).(timer)
-		if w.rq != nil {
-			if w.rq.over() {
+		if w.req != nil {
+			if w.req.over() {
 				p.staleTimers--
 			}
-			p.expire(w.rq)
+			p.expire(w.req)
 		} else if w.at == w.sh.timerAt {
-			p.pump(w.sh)
+			p.dispatch(w.sh)
 		}
 	}
-	if len(p.timers) > manyTimers && 2*p.staleTimers > len(p.timers) {
-		p.timers = slices.DeleteFunc(p.timers, func(w timer) bool { return w.rq != nil && w.rq.over() })
+	if len(p.timers) > pruneTimersAbove && 2*p.staleTimers > len(p.timers) {
+		p.timers = slices.DeleteFunc(p.timers, func(w timer) bool { return w.req != nil && w.req.over() })
 		p.staleTimers = 0
 		heap.Init(&p.timers)
 	}
-	if len(p.timers) > 0 && p.timers[0].at < p.armed {
-		p.armed = p.timers[0].at
-		p.do(SetTimer{max(p.armed-p.now, 0), "wake"})
+	if len(p.timers) > 0 && p.timers[0].at < p.wakeAt {
+		p.wakeAt = p.timers[0].at
+		p.emit(SetTimer{max(p.wakeAt-p.now, 0), "wake"})
 	}
 }
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -7,15 +7,15 @@
 // volumeBuckets returns the token buckets of q's volume at this host, refilled to the present. On
 // first use they are created, with the reserve and the fair share full.
 func (p *scheduler) volumeBuckets(q Request, plan *Plan) *volumeBuckets {
-	v := p.vols[q.Volume]
+	v := p.volumes[q.Volume]
 	if v == nil {
 		v = &volumeBuckets{plan: plan, refilledAt: p.now, heldAt: math.Inf(-1)}
-		p.vols[q.Volume] = v
+		p.volumes[q.Volume] = v
 		p.setBuckets(v, divisor(q.Hosts, q.Fraction))
 		v.fairLevel, v.reserveLevel = v.fairCap, v.reserveCap
 		// This host may have spent its part just before a restart, or other hosts before they
 		// gave it up: count only what has filled since.
-		v.limitLevel = min(v.limitFloor+v.limitRate*(p.now-max(p.born, q.FractionSince))/1000, v.limitCap)
+		v.limitLevel = min(v.limitFloor+v.limitRate*(p.now-max(p.startedAt, q.FractionSince))/1000, v.limitCap)
 	}
 	seconds := (p.now - v.refilledAt) / 1000
 	v.reserveLevel = min(v.reserveLevel+v.reserveRate*seconds, v.reserveCap)
@@ -29,10 +29,10 @@
 func (p *scheduler) setBuckets(v *volumeBuckets, parts float64) {
 	plan := v.plan
 	v.divisor = parts
-	v.reserveRate, v.limitRate, v.fairRate = plan.Reserve/parts, plan.Limit/parts, dueTimes*plan.Rate/parts
-	v.reserveCap, v.limitCap = plan.Reserve/parts+p.s.MaxUnits, plan.Burst/parts
-	v.limitFloor = min(plan.Limit*(bunching+p.s.Rules.MaxSendDelay)/1000-plan.Overdraft, 0) / parts
-	v.fairCap = max(v.fairRate*spread, 2*p.s.MaxUnits)
+	v.reserveRate, v.limitRate, v.fairRate = plan.Reserve/parts, plan.Limit/parts, fairRateFactor*plan.Rate/parts
+	v.reserveCap, v.limitCap = plan.Reserve/parts+p.settings.MaxUnits, plan.Burst/parts
+	v.limitFloor = min(plan.Limit*(arrivalSkew+p.settings.Rules.MaxSendDelay)/1000-plan.Overdraft, 0) / parts
+	v.fairCap = max(v.fairRate*fairBurstSeconds, 2*p.settings.MaxUnits)
 }
 
 // resizeBuckets gives a volume another plan or another part of it. Tokens left in the limit's
@@ -52,20 +52,20 @@
 // valueRequest sets the value of each of r's units: in full inside the volume's reserve, by
 // FairFactor inside its fair share, by SpareFactor beyond it.
 func (p *scheduler) valueRequest(r *request) {
-	plan := &p.s.Plans[r.flow]
-	factor := p.s.SpareFactor
+	plan := &p.settings.Plans[r.flow]
+	factor := p.settings.SpareFactor
 	if plan.Reserve > 0 && r.vol.reserveLevel >= r.Units {
 		r.vol.reserveLevel -= r.Units
 		factor = 1
 	} else if r.vol.fairLevel >= r.Units || plan.Rate == 0 {
 		r.vol.fairLevel -= r.Units
-		factor = p.s.FairFactor
+		factor = p.settings.FairFactor
 	}
 	r.value = r.class.Value * plan.Price * factor
-	r.rank = r.value * (1 + worthDither*p.rng.Float64())
-	p.asked += r.Units
-	p.recentUnits.addSome(r.Units, p.now, burstMemory)
-	p.recent = append(p.recent[max(len(p.recent)-recentMost, 0):], ask{r.rank, r.Units})
+	r.rank = r.value * (1 + rankJitter*p.rng.Float64())
+	p.unitsSinceUpdate += r.Units
+	p.recentUnits.addN(r.Units, p.now, burstMemory)
+	p.recentDemand = append(p.recentDemand[max(len(p.recentDemand)-maxNewerDemand, 0):], demand{r.rank, r.Units})
 }
 
 // withinLimit reports whether the limit of r's volume lets r go from this host; if not, it sets a
@@ -77,8 +77,8 @@
 	v := p.volumeBuckets(r.Request, r.vol.plan)
 	r.vol = v // the old record may have been dropped as idle
 	if deficit := v.limitFloor + r.Units - v.limitLevel; deficit > 0 {
-		p.heldAt, v.heldAt = p.now+deficit/v.limitRate*1000, p.now
-		p.setTimer(p.heldAt+guard, nil, sh)
+		p.limitOpensAt, v.heldAt = p.now+deficit/v.limitRate*1000, p.now
+		p.setTimer(p.limitOpensAt+answerMargin, nil, sh)
 		return false
 	}
 	return true
@@ -96,7 +96,7 @@
 		return
 	}
 	r.vol.limitLevel -= r.Units // just refilled by withinLimit
-	if p.s.Rules.MaxSendDelay > 0 {
+	if p.settings.Rules.MaxSendDelay > 0 {
 		r.pending = r.Units
 		r.vol.pending += r.Units
 	}
@@ -113,7 +113,7 @@
 // bucket has filled meanwhile. Its units are returned only if no connection was made; otherwise it
 // is less sure that they were not used.
 func (p *scheduler) refundLimit(r *request, o Result) {
-	if p.s.Rules.MaxSendDelay <= 0 || r.reached || !r.charged {
+	if p.settings.Rules.MaxSendDelay <= 0 || r.reachedNode || !r.charged {
 		return
 	}
 	if r.charged = false; o == NoConnection && r.vol.plan.Limit > 0 {
@@ -149,7 +149,7 @@
 // updateDivisor applies a change of the hosts that share a volume's plan, or of the fraction they
 // have.
 func (p *scheduler) updateDivisor(e VolumeChanged) {
-	v := p.vols[e.Volume]
+	v := p.volumes[e.Volume]
 	if v == nil {
 		return
 	}
@@ -161,7 +161,7 @@
 // recheckLimited pumps all shards again after a change that may let limited requests go.
 func (p *scheduler) recheckLimited() {
 	for _, sh := range p.shards {
-		sh.forgetHeld()
-		p.pumpWaiting(sh)
+		sh.clearLimitHolds()
+		p.dispatchWaiting(sh)
 	}
 }
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -12,7 +12,7 @@
 	for range 200 {
 		g.ask("read", "low", "", 2)
 		g.pass(10)
-		for _, r := range slices.Clone(g.p.shards[0].out) {
+		for _, r := range slices.Clone(g.p.shards[0].outstanding) {
 			units += r.Units
 			g.end(r.ID, Served)
 		}
@@ -39,14 +39,14 @@
 	for range 1000 {
 		g.ask("read", "low", "", 0.5)
 		g.pass(1)
-		for _, r := range slices.Clone(g.p.shards[0].out) {
+		for _, r := range slices.Clone(g.p.shards[0].outstanding) {
 			sends = append(sends, sent{g.now, r.Units})
 			g.end(r.ID, Served)
 		}
 	}
 	level, at := s.Plans[0].Burst, 0.0
 	for _, x := range sends {
-		x.at = max(x.at, sends[0].at+bunching)
+		x.at = max(x.at, sends[0].at+arrivalSkew)
 		level, at = min(level+s.Plans[0].Limit*(x.at-at)/1000, s.Plans[0].Burst)-x.units, x.at
 		if level < -s.Plans[0].Overdraft-1e-6 {
 			t.Fatalf("level %.3f at %g ms, %g is allowed", level, x.at, -s.Plans[0].Overdraft)
@@ -67,11 +67,11 @@
 		return id
 	}
 	ask("spent")
-	g.p.vols["spent"].limitLevel = -2
+	g.p.volumes["spent"].limitLevel = -2
 	held := ask("spent")
 	g.list()
 	free := ask("free")
-	g.p.vols["free"].limitLevel = 8
+	g.p.volumes["free"].limitLevel = 8
 	g.list(Node{Addr: "n0", Health: Ready, Zone: "z"})
 	if g.sends(held) != 0 || g.sends(free) != 1 {
 		t.Errorf("held %d, free %d sends", g.sends(held), g.sends(free))
--- a/policy/twins_test.go
+++ b/policy/twins_test.go
@@ -22,9 +22,9 @@
 	tw := &twins{t, newRig(s), newRig(s)}
 	tw.b.before = func() {
 		for _, sh := range tw.b.p.shards {
-			sh.asideTill = 0
+			sh.deferredLimitedUntil = 0
 			for i := range sh.flows {
-				sh.flows[i].heldTill = 0
+				sh.flows[i].limitedUntil = 0
 			}
 		}
 	}
@@ -83,8 +83,8 @@
 					plan = "high"
 				}
 				ev = Request{ID: fmt.Sprintf("%016x", k), Class: []string{"read", "write", "turns"}[rng.IntN(3)], Plan: plan, Key: fmt.Sprint(rng.IntN(4)), Volume: fmt.Sprint(plan, rng.IntN(3)), Units: 1 + float64(rng.IntN(4)), Expires: now + 1000, Hosts: 1}
-			case x < 9 && len(tw.a.p.shards) > 0 && len(tw.a.p.shards[0].out) > 0:
-				r := tw.a.p.shards[0].out[0]
+			case x < 9 && len(tw.a.p.shards) > 0 && len(tw.a.p.shards[0].outstanding) > 0:
+				r := tw.a.p.shards[0].outstanding[0]
 				sends++
 				res := []Result{Served, Served, Served, Served, ServerError, Rejected, NoAnswer, ConnectionLost}[rng.IntN(8)]
 				ev = Outcome{ID: r.ID, Node: "n0", Attempt: r.attempts - 1, Done: res == Served, Elapsed: now - r.sentAt, Result: res}
@@ -121,10 +121,10 @@
 		for k := range 1000 {
 			g.now += 0.1
 			if forget {
-				g.p.shards[0].flows[0].heldTill, g.p.shards[0].asideTill = 0, 0
+				g.p.shards[0].flows[0].limitedUntil, g.p.shards[0].deferredLimitedUntil = 0, 0
 			}
 			g.do(Request{ID: fmt.Sprintf("h%d", k), Class: "write", Plan: "high", Volume: "w", Units: 1, Expires: g.now + 1000, Hosts: 1})
-			for _, r := range slices.Clone(g.p.shards[0].out) {
+			for _, r := range slices.Clone(g.p.shards[0].outstanding) {
 				g.end(r.ID, Served)
 			}
 		}
--- a/policy/view.go
+++ b/policy/view.go
@@ -55,22 +55,22 @@
 // View implements Scheduler.
 func (p *scheduler) View(now float64) View {
 	p.now = max(p.now, now)
-	v := View{Median: p.median, Base: p.base, Budget: -1, Held: len(p.reqs)}
-	if p.s.Rules.HasBudget {
+	v := View{Median: p.medianTime, Base: p.unloadedServiceTime, Budget: -1, Held: len(p.requests)}
+	if p.settings.Rules.HasBudget {
 		used, may := p.budget()
 		v.Budget = max(may-used, 0)
 	}
 	for _, sh := range p.shards {
 		x := ShardView{
-			Shard: sh.id, Depth: sh.depth, Out: len(sh.out), Waiting: sh.waiting,
-			Parked: sh.parked.len(), Service: p.expectedServiceTime(sh),
+			Shard: sh.id, Depth: sh.depth, Out: len(sh.outstanding), Waiting: sh.waiting,
+			Parked: sh.deferred.len(), Service: p.expectedServiceTime(sh),
 		}
 		if sh.node != nil && !sh.node.excluded {
 			x.Node = sh.node.Addr
 		}
 		v.Shards = append(v.Shards, x)
 	}
-	for i, pl := range p.s.Plans {
+	for i, pl := range p.settings.Plans {
 		v.Shares = append(v.Shares, ShareView{pl.Name, p.shares.share[i]})
 	}
 	for addr, n := range p.nodes {
@@ -84,7 +84,7 @@
 		v.Nodes = append(v.Nodes, x)
 	}
 	slices.SortFunc(v.Nodes, func(a, b NodeView) int { return cmp.Compare(a.Addr, b.Addr) })
-	for id, vol := range p.vols {
+	for id, vol := range p.volumes {
 		if vol.plan.Limit > 0 {
 			level := min(vol.limitLevel+vol.limitRate*(p.now-vol.refilledAt)/1000, vol.limitCap)
 			left := max(level-vol.limitFloor, 0)
