--- a/internal/control/scheduler/back.go
+++ b/internal/control/scheduler/back.go
@@ -18,70 +18,70 @@
 
 var (
 	messageLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: 64 << 10}
-	// answerLimits: the platform's page speaks of 64 KiB, its disk servers answer with
+	// responseLimits: the platform's page speaks of 64 KiB, its disk servers answer with
 	// several times that. What all answers hold at once is bounded by the back's budget.
-	answerLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: mostAnswer}
+	responseLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: maxResponseBytes}
 )
 
 const (
-	linkBuffer   = 4 << 10
-	mostAnswer   = 1 << 20
-	messageBytes = 80 << 10
-	writeTimeout = 5 * time.Second
-	// restTime is how long a connection is listened to after an answer before it takes
+	readBufferBytes  = 4 << 10
+	maxResponseBytes = 1 << 20
+	messageBytes     = 80 << 10
+	writeTimeout     = 5 * time.Second
+	// quarantineTime is how long a connection is listened to after an answer before it takes
 	// another request: what a disk server sends behind its answer, a second copy some
 	// milliseconds later even, must not be taken for the answer to the next.
-	restTime = 8 * time.Millisecond
-	// idlePart of the time after which disk servers close idle connections is how long
+	quarantineTime = 8 * time.Millisecond
+	// idleKeepFraction of the time after which disk servers close idle connections is how long
 	// they are kept here: a request that crosses the close would be lost to a reset.
-	idlePart = 0.6
+	idleKeepFraction = 0.6
 	// What the settings leave out.
-	usualDial = time.Second
-	usualIdle = 10_000.0 // ms
+	defaultDialTimeout = time.Second
+	defaultConnIdle    = 10_000.0 // ms
 )
 
 // back keeps connections to disk servers, each for one request at a time. Its methods run
 // on the loop's goroutine; what goes on on a connection that has a request is posted there.
 type back struct {
-	world   env.Environment
-	loop    *loop
-	core    *core
-	dialIn  time.Duration
-	keep    float64      // ms that an idle connection is kept
-	most    int          // connections that are open or dialled
-	bytes   atomic.Int64 // of answers that are held at once
-	held    atomic.Int64
-	ages    staleness
-	notices notices
-	log     *eventLog
-	conns   int
-	servers map[string]*server
-	idle    list.List // of free links, the one that has been free for longest first
-	starved []*server // that something waits for, and nothing could be dialled
-	pausing bool      // a dial failed by this machine's own fault just now
-	tasks   env.WaitGroup
-	ctx     context.Context
-	stop    context.CancelFunc
-	all     env.OrderedSet[*link]
-}
-
-// server is one disk server's connections.
-type server struct {
-	host, dial string
-	free       []*link // the one last used last
-	coming     int     // dialled, or resting after an answer
-	waiting    []*attempt
-	links      int
-	gone       bool
-	starved    bool // it is among the back's starved ones
-	born       int64
-	heardAt    float64 // when it last answered or took a connection
-	dialledAt  float64 // when a connection was last dialled
-	ownFault   bool    // which failed by this machine's own fault
-}
-
-// next takes out the attempt that has waited longest for a connection, nil if none does.
-func (s *server) next() *attempt {
+	environment   env.Environment
+	loop          *loop
+	core          *core
+	dialTimeout   time.Duration
+	maxIdle       float64      // ms that an idle connection is kept
+	most          int          // connections that are open or dialled
+	maxReplyBytes atomic.Int64 // of answers that are held at once
+	replyBytes    atomic.Int64
+	reuse         reuseStats
+	serverStates  serverStates
+	log           *eventLog
+	connCount     int
+	servers       map[string]*diskServer
+	idleConns     list.List     // of free links, the one that has been free for longest first
+	dialQueued    []*diskServer // that something waits for, and nothing could be dialled
+	dialsPaused   bool          // a dial failed by this machine's own fault just now
+	tasks         env.WaitGroup
+	ctx           context.Context
+	stop          context.CancelFunc
+	open          env.OrderedSet[*serverConn]
+}
+
+// diskServer is one disk diskServer's connections.
+type diskServer struct {
+	host, dialAddr   string
+	free             []*serverConn // the one last used last
+	expected         int           // dialled, or resting after an answer
+	waiting          []*attempt
+	openConns        int
+	removed          bool
+	dialQueued       bool // it is among the back's starved ones
+	bornMS           int64
+	lastActiveAt     float64 // when it last answered or took a connection
+	lastDialAt       float64 // when a connection was last dialled
+	localSocketError bool    // which failed by this machine's own fault
+}
+
+// popWaiting takes out the attempt that has waited longest for a connection, nil if none does.
+func (s *diskServer) popWaiting() *attempt {
 	if len(s.waiting) == 0 {
 		return nil
 	}
@@ -90,32 +90,32 @@
 	return a
 }
 
-// linkState is what a connection to a disk server is at, on the loop.
-type linkState int
+// connState is what a connection to a disk server is at, on the loop.
+type connState int
 
 const (
-	linkFree    linkState = iota // nothing is owed on it, and nobody reads it
-	linkBusy                     // it has an attempt, which its goroutine serves
-	linkResting                  // after an answer; its goroutine listens still
-	linkClosed
+	connIdle        connState = iota // nothing is owed on it, and nobody reads it
+	connBusy                         // it has an attempt, which its goroutine serves
+	connQuarantined                  // after an answer; its goroutine listens still
+	connClosed
 )
 
-// link is one connection. While it is busy or resting a goroutine of its own reads it; else
+// serverConn is one connection. While it is busy or resting a goroutine of its own reads it; else
 // nobody does, so what has come on it before a request can be seen just then.
-type link struct {
-	back   *back
-	srv    *server
-	conn   net.Conn
-	in     *bufio.Reader
-	state  linkState
-	a      *attempt // while it is busy
-	freeAt float64  // 0: it has had no request
-	idle   float64  // before the request it has; 0: none
-	place  *list.Element
-}
-
-func newBack(w env.Environment, l *loop, c *Config, most int) *back {
-	b := &back{world: w, loop: l, most: most, servers: map[string]*server{}}
+type serverConn struct {
+	back        *back
+	server      *diskServer
+	conn        net.Conn
+	reader      *bufio.Reader
+	state       connState
+	a           *attempt // while it is busy
+	idleSince   float64  // 0: it has had no request
+	idleBefore  float64  // before the request it has; 0: none
+	idleElement *list.Element
+}
+
+func newConnPool(w env.Environment, l *loop, c *Config, most int) *back {
+	b := &back{environment: w, loop: l, most: most, servers: map[string]*diskServer{}}
 	b.configure(c)
 	b.ctx, b.stop = context.WithCancel(context.Background())
 	return b
@@ -123,42 +123,42 @@
 
 // configure takes what the configuration says; what is under way goes on.
 func (b *back) configure(c *Config) {
-	b.dialIn, b.keep = env.Duration(c.Bounds.DialTimeout), c.Bounds.IdleTimeout*idlePart
-	b.bytes.Store(bodyByteLimit(c))
+	b.dialTimeout, b.maxIdle = env.Duration(c.Bounds.DialTimeout), c.Bounds.IdleTimeout*idleKeepFraction
+	b.maxReplyBytes.Store(bodyByteLimit(c))
 }
 
 // serverListed notes a server's address; at another one, what is open to the old one is left.
 func (b *back) serverListed(e ServerEntry) {
 	s := b.servers[e.Host]
 	if s == nil {
-		s = &server{host: e.Host}
+		s = &diskServer{host: e.Host}
 		b.servers[e.Host] = s
 	}
-	s.gone = false
-	if s.dial != e.Address || s.born != e.StartedMS { // another process answers there
-		s.dial, s.born = e.Address, e.StartedMS
-		b.shutFree(s)
+	s.removed = false
+	if s.dialAddr != e.Address || s.bornMS != e.StartedMS { // another process answers there
+		s.dialAddr, s.bornMS = e.Address, e.StartedMS
+		b.closeIdleConns(s)
 	}
 }
 
 func (b *back) serverRemoved(host string) {
 	if s := b.servers[host]; s != nil {
-		s.gone = true
-		b.shutFree(s)
-		b.forget(s)
+		s.removed = true
+		b.closeIdleConns(s)
+		b.removeIfUnused(s)
 	}
 }
 
-// forget drops a server that is gone and has nothing open any more.
-func (b *back) forget(s *server) {
-	if s.gone && s.links == 0 && s.coming == 0 && len(s.waiting) == 0 && !s.starved && b.servers[s.host] == s {
+// removeIfUnused drops a server that is gone and has nothing open any more.
+func (b *back) removeIfUnused(s *diskServer) {
+	if s.removed && s.openConns == 0 && s.expected == 0 && len(s.waiting) == 0 && !s.dialQueued && b.servers[s.host] == s {
 		delete(b.servers, s.host)
 	}
 }
 
-func (b *back) shutFree(s *server) {
+func (b *back) closeIdleConns(s *diskServer) {
 	for _, l := range slices.Clone(s.free) {
-		b.shut(l)
+		b.discard(l)
 	}
 }
 
@@ -169,233 +169,233 @@
 		return
 	}
 	if n := len(s.free); n > 0 {
-		if idle := b.core.now - s.free[n-1].freeAt; idle > b.keep || b.ages.stale(b.core.now, idle) {
-			b.shutFree(s) // the others have been idle for longer still
+		if idleTime := b.core.now - s.free[n-1].idleSince; idleTime > b.maxIdle || b.reuse.likelyBroken(b.core.now, idleTime) {
+			b.closeIdleConns(s) // the others have been idle for longer still
 		}
 	}
 	s.waiting = append(s.waiting, a)
 	for n := len(s.free); n > 0 && len(s.waiting) > 0; n = len(s.free) {
 		l := s.free[n-1]
-		b.unfree(l)
-		b.offer(b.core.now, l)
+		b.removeIdle(l)
+		b.assign(b.core.now, l)
 	}
-	b.dialFor(s)
+	b.dialForWaiting(s)
 }
 
-// dialFor dials as long as more wait for a connection than are coming. Where this machine
+// dialForWaiting dials as long as more wait for a connection than are coming. Where this machine
 // has none to spare, the server stands in line for the next.
-func (b *back) dialFor(s *server) {
-	for len(s.waiting) > s.coming {
-		if b.pausing || !b.makeRoom() {
-			if !s.starved {
-				s.starved = true
-				b.starved = append(b.starved, s)
+func (b *back) dialForWaiting(s *diskServer) {
+	for len(s.waiting) > s.expected {
+		if b.dialsPaused || !b.makeRoom() {
+			if !s.dialQueued {
+				s.dialQueued = true
+				b.dialQueued = append(b.dialQueued, s)
 			}
 			return
 		}
-		s.coming++
-		s.dialledAt = b.core.now
-		b.conns++
-		addr, within := s.dial, b.dialIn
-		b.tasks.Go(b.world, func() { b.dial(s, addr, within) })
+		s.expected++
+		s.lastDialAt = b.core.now
+		b.connCount++
+		addr, within := s.dialAddr, b.dialTimeout
+		b.tasks.Go(b.environment, func() { b.dialAddr(s, addr, within) })
 	}
 }
 
-// feed dials for the servers that stand in line, the first one first.
-func (b *back) feed() {
-	for len(b.starved) > 0 && !b.pausing && (b.conns < b.most || b.idle.Len() > 0) {
-		s := b.starved[0]
-		b.starved = b.starved[1:]
-		s.starved = false
-		b.dialFor(s)
-		b.forget(s)
+// dialQueuedServers dials for the servers that stand in line, the first one first.
+func (b *back) dialQueuedServers() {
+	for len(b.dialQueued) > 0 && !b.dialsPaused && (b.connCount < b.most || b.idleConns.Len() > 0) {
+		s := b.dialQueued[0]
+		b.dialQueued = b.dialQueued[1:]
+		s.dialQueued = false
+		b.dialForWaiting(s)
+		b.removeIfUnused(s)
 	}
 }
 
 // makeRoom tells whether one more connection may be opened; the one that has been idle for
 // longest gives way.
 func (b *back) makeRoom() bool {
-	if b.conns >= b.most && b.idle.Len() > 0 {
-		l := b.idle.Front().Value.(*link)
-		b.closeLink(l)
-		b.forget(l.srv)
+	if b.connCount >= b.most && b.idleConns.Len() > 0 {
+		l := b.idleConns.Front().Value.(*serverConn)
+		b.closeConn(l)
+		b.removeIfUnused(l.server)
 	}
-	return b.conns < b.most
+	return b.connCount < b.most
 }
 
 // free makes a link wait for its next request.
-func (b *back) free(l *link, since float64) {
-	l.state, l.freeAt = linkFree, since
-	l.srv.free = append(l.srv.free, l)
-	l.place = b.idle.PushBack(l)
+func (b *back) free(l *serverConn, since float64) {
+	l.state, l.idleSince = connIdle, since
+	l.server.free = append(l.server.free, l)
+	l.idleElement = b.idleConns.PushBack(l)
 }
 
-// unfree takes a link out of those that wait.
-func (b *back) unfree(l *link) {
-	if l.place == nil {
+// removeIdle takes a link out of those that wait.
+func (b *back) removeIdle(l *serverConn) {
+	if l.idleElement == nil {
 		return
 	}
-	b.idle.Remove(l.place)
-	l.place = nil
-	s := l.srv
-	s.free = slices.DeleteFunc(s.free, func(x *link) bool { return x == l })
+	b.idleConns.Remove(l.idleElement)
+	l.idleElement = nil
+	s := l.server
+	s.free = slices.DeleteFunc(s.free, func(x *serverConn) bool { return x == l })
 }
 
 // dialPause is how long nothing is dialled after a dial failed by this machine's own fault:
 // what waits keeps waiting, and neither attempts nor processor time are spent on it.
 const dialPause = 20 * time.Millisecond
 
-func (b *back) pause() {
-	if b.pausing {
+func (b *back) pauseDials() {
+	if b.dialsPaused {
 		return
 	}
-	b.pausing = true
-	b.tasks.Go(b.world, func() {
-		env.Sleep(b.world, dialPause, nil)
+	b.dialsPaused = true
+	b.tasks.Go(b.environment, func() {
+		env.Sleep(b.environment, dialPause, nil)
 		b.loop.post(b.loop.now(), eventDialled, func(float64) {
-			b.pausing = false
-			b.feed()
+			b.dialsPaused = false
+			b.dialQueuedServers()
 		})
 	})
 }
 
-func (b *back) dial(s *server, addr string, within time.Duration) {
-	conn, err := b.world.Dial(b.ctx, "tcp", addr, within)
-	if !b.loop.post(b.loop.now(), eventDialled, func(at float64) { b.dialled(at, s, addr, conn, err) }) && err == nil {
+func (b *back) dialAddr(s *diskServer, addr string, within time.Duration) {
+	conn, err := b.environment.Dial(b.ctx, "tcp", addr, within)
+	if !b.loop.post(b.loop.now(), eventDialled, func(at float64) { b.dialDone(at, s, addr, conn, err) }) && err == nil {
 		conn.Close()
 	}
 }
 
-func (b *back) dialled(at float64, s *server, addr string, conn net.Conn, err error) {
-	s.coming--
+func (b *back) dialDone(at float64, s *diskServer, addr string, conn net.Conn, err error) {
+	s.expected--
 	if err != nil {
-		b.conns--
+		b.connCount--
 		b.log.dialFailed(s.host, err)
-		if s.ownFault = ownFault(err); s.ownFault {
-			b.pause()
-		} else if len(s.waiting) > s.coming { // else another connection is coming for each that waits
-			b.core.lost(at, s.next(), policy.NoConnection)
+		if s.localSocketError = localSocketError(err); s.localSocketError {
+			b.pauseDials()
+		} else if len(s.waiting) > s.expected { // else another connection is coming for each that waits
+			b.core.failAttempt(at, s.popWaiting(), policy.NoConnection)
 		}
-		b.dialFor(s)
-		b.feed()
-		b.forget(s)
+		b.dialForWaiting(s)
+		b.dialQueuedServers()
+		b.removeIfUnused(s)
 		return
 	}
-	s.heardAt, s.ownFault = at, false
-	l := &link{back: b, srv: s, conn: conn, in: bufio.NewReaderSize(conn, linkBuffer)}
-	s.links++
-	b.all.Add(l)
-	if s.dial != addr {
-		b.shut(l)
+	s.lastActiveAt, s.localSocketError = at, false
+	l := &serverConn{back: b, server: s, conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes)}
+	s.openConns++
+	b.open.Add(l)
+	if s.dialAddr != addr {
+		b.discard(l)
 		return
 	}
-	b.offer(at, l)
+	b.assign(at, l)
 }
 
-// ownFaults are the errors of socket(2) and connect(2) that tell of this machine's
+// localSocketErrors are the errors of socket(2) and connect(2) that tell of this machine's
 // shortages and settings, not of the other end.
-var ownFaults = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+var localSocketErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 	syscall.EADDRINUSE, syscall.EAGAIN, syscall.EINTR, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EACCES, syscall.EPERM}
 
-// ownFault tells whether a dial failed by this machine's own fault: that says nothing of the
+// localSocketError tells whether a dial failed by this machine's own fault: that says nothing of the
 // disk server, and may be over soon.
-func ownFault(err error) bool {
-	return slices.ContainsFunc(ownFaults, func(own error) bool { return errors.Is(err, own) })
+func localSocketError(err error) bool {
+	return slices.ContainsFunc(localSocketErrors, func(own error) bool { return errors.Is(err, own) })
 }
 
-// offer gives a connection that is free to who waited longest for one and may begin still.
-func (b *back) offer(at float64, l *link) {
-	s := l.srv
-	l.state = linkFree
-	if !l.quiet() {
-		b.shut(l)
+// assign gives a connection that is free to who waited longest for one and may begin still.
+func (b *back) assign(at float64, l *serverConn) {
+	s := l.server
+	l.state = connIdle
+	if !l.noInput() {
+		b.discard(l)
 		return
 	}
-	for a := s.next(); a != nil; a = s.next() {
+	for a := s.popWaiting(); a != nil; a = s.popWaiting() {
 		if b.core.begin(b.loop.now(), a) { // not when its connection came up: bytes leave now
-			b.put(l, a)
+			b.startExchange(l, a)
 			return
 		}
 	}
 	b.free(l, at)
-	if s.gone {
-		b.shut(l)
+	if s.removed {
+		b.discard(l)
 	}
-	b.feed()
+	b.dialQueuedServers()
 }
 
-// put sends a on l.
-func (b *back) put(l *link, a *attempt) {
-	l.state, l.a, a.link, l.idle = linkBusy, a, l, 0
-	if l.freeAt > 0 {
-		l.idle = b.core.now - l.freeAt
+// startExchange sends a on l.
+func (b *back) startExchange(l *serverConn, a *attempt) {
+	l.state, l.a, a.serverConn, l.idleBefore = connBusy, a, l, 0
+	if l.idleSince > 0 {
+		l.idleBefore = b.core.now - l.idleSince
 	}
-	born := l.srv.born
-	b.tasks.Go(b.world, func() { l.exchange(a, born) })
+	bornMS := l.server.bornMS
+	b.tasks.Go(b.environment, func() { l.exchange(a, bornMS) })
 }
 
-// permits tells whether an attempt that the loop let begin may still begin now, on the
+// mayBegin tells whether an attempt that the loop let begin may still begin now, on the
 // goroutine that is about to write it: this process may have been held up since.
-func (b *back) permits(a *attempt, now float64, born int64) bool {
-	return now <= a.by && now < a.until && !a.call.over.Load() && b.notices.admits(a.host, born)
+func (b *back) mayBegin(a *attempt, now float64, born int64) bool {
+	return now <= a.beginBy && now < a.answerBy && !a.call.noNewAttempts.Load() && b.serverStates.allows(a.host, born)
 }
 
-// drop lets go of an attempt whose outcome is known; it tells how far it had come. A connection that it is out on is closed, for that gives it up there; so are
+// abandon lets go of an attempt whose outcome is known; it tells how far it had come. A connection that it is out on is closed, for that gives it up there; so are
 // the free ones to a server that was silent all the while, which may be gone without a word.
-func (b *back) drop(a *attempt) fate {
+func (b *back) abandon(a *attempt) attemptProgress {
 	s := b.servers[a.host]
-	if a.link == nil {
+	if a.serverConn == nil {
 		if s == nil {
-			return fateNotDialled
+			return progressNotDialled
 		}
 		s.waiting = slices.DeleteFunc(s.waiting, func(x *attempt) bool { return x == a })
-		b.forget(s)
-		if s.coming == 0 && (s.dialledAt < a.sentAt || s.ownFault) {
-			return fateNotDialled
+		b.removeIfUnused(s)
+		if s.expected == 0 && (s.lastDialAt < a.issuedAt || s.localSocketError) {
+			return progressNotDialled
 		}
-		return fateNotConnected
+		return progressNotConnected
 	}
-	l := a.link
+	l := a.serverConn
 	if l.a == a {
-		b.shut(l)
+		b.discard(l)
 	}
-	if s = l.srv; s.heardAt < a.sentAt {
-		b.shutFree(s)
+	if s = l.server; s.lastActiveAt < a.issuedAt {
+		b.closeIdleConns(s)
 	}
-	return fateSent
+	return progressSent
 }
 
-// shut closes a connection, and dials for who waits.
-func (b *back) shut(l *link) {
-	if l.state == linkClosed {
+// discard closes a connection, and dials for who waits.
+func (b *back) discard(l *serverConn) {
+	if l.state == connClosed {
 		return
 	}
-	b.closeLink(l)
-	b.dialFor(l.srv)
-	b.feed()
-	b.forget(l.srv)
+	b.closeConn(l)
+	b.dialForWaiting(l.server)
+	b.dialQueuedServers()
+	b.removeIfUnused(l.server)
 }
 
-// closeLink closes a connection and takes it out of the books. While the loop runs nothing
+// closeConn closes a connection and takes it out of the books. While the loop runs nothing
 // else closes it.
-func (b *back) closeLink(l *link) {
-	s := l.srv
-	if l.state == linkResting {
-		s.coming--
+func (b *back) closeConn(l *serverConn) {
+	s := l.server
+	if l.state == connQuarantined {
+		s.expected--
 	}
-	l.state, l.a = linkClosed, nil
+	l.state, l.a = connClosed, nil
 	l.conn.Close()
-	s.links--
-	b.conns--
-	b.all.Remove(l)
-	b.unfree(l)
+	s.openConns--
+	b.connCount--
+	b.open.Remove(l)
+	b.removeIdle(l)
 }
 
 // sweep closes connections that have been idle for too long, or that their servers closed.
 func (b *back) sweep(now float64) {
-	for _, l := range b.all.All() {
-		if l.state == linkFree && (now-l.freeAt > b.keep || !l.quiet()) {
-			b.shut(l)
+	for _, l := range b.open.All() {
+		if l.state == connIdle && (now-l.idleSince > b.maxIdle || !l.noInput()) {
+			b.discard(l)
 		}
 	}
 }
@@ -403,61 +403,61 @@
 // close ends what is left; the loop runs no more.
 func (b *back) close() {
 	b.stop()
-	for _, l := range b.all.All() {
+	for _, l := range b.open.All() {
 		l.conn.Close()
 	}
-	b.tasks.Wait(b.world)
+	b.tasks.Wait(b.environment)
 }
 
 // What a connection's goroutine posts.
 
-func (b *back) answered(at float64, l *link, a *attempt, r reply, clean bool) {
-	l.srv.heardAt = at
-	if l.idle > 0 {
-		b.ages.saw(at, l.idle, false)
+func (b *back) replyReceived(at float64, l *serverConn, a *attempt, r reply, clean bool) {
+	l.server.lastActiveAt = at
+	if l.idleBefore > 0 {
+		b.reuse.record(at, l.idleBefore, false)
 	}
-	if clean && l.state == linkBusy {
-		l.state, l.a = linkResting, nil
-		l.srv.coming++
+	if clean && l.state == connBusy {
+		l.state, l.a = connQuarantined, nil
+		l.server.expected++
 	} else {
-		b.shut(l)
+		b.discard(l)
 	}
-	b.core.replied(at, a, r)
+	b.core.receiveReply(at, a, r)
 }
 
-func (b *back) rested(at float64, l *link, quiet bool) {
+func (b *back) quarantineEnded(at float64, l *serverConn, quiet bool) {
 	switch {
-	case l.state != linkResting:
+	case l.state != connQuarantined:
 	case !quiet:
-		b.shut(l)
+		b.discard(l)
 	default:
-		l.srv.coming--
-		l.state = linkFree
-		b.offer(at, l)
+		l.server.expected--
+		l.state = connIdle
+		b.assign(at, l)
 	}
 }
 
-// withheld takes back a link whose attempt did not begin after all.
-func (b *back) withheld(at float64, l *link, a *attempt) {
-	if l.state == linkBusy {
+// attemptNotBegun takes back a link whose attempt did not begin after all.
+func (b *back) attemptNotBegun(at float64, l *serverConn, a *attempt) {
+	if l.state == connBusy {
 		l.a = nil
 		l.conn.SetDeadline(time.Time{})
-		since := l.freeAt
-		b.offer(at, l)
-		if l.state == linkFree && since > 0 {
-			l.freeAt = since
+		since := l.idleSince
+		b.assign(at, l)
+		if l.state == connIdle && since > 0 {
+			l.idleSince = since
 		}
 	}
-	b.core.lost(at, a, policy.NotSent)
+	b.core.failAttempt(at, a, policy.NotSent)
 }
 
-func (b *back) broke(at float64, l *link, a *attempt, r policy.Result) {
-	b.shut(l)
-	if a.over {
+func (b *back) connBroken(at float64, l *serverConn, a *attempt, r policy.Result) {
+	b.discard(l)
+	if a.outcomeKnown {
 		return
 	}
-	if l.idle > 0 && at-a.sentAt < brokeSoon {
-		b.ages.saw(at, l.idle, true)
+	if l.idleBefore > 0 && at-a.issuedAt < staleBreakTime {
+		b.reuse.record(at, l.idleBefore, true)
 	}
-	b.core.lost(at, a, r)
+	b.core.failAttempt(at, a, r)
 }
--- a/internal/control/scheduler/client.go
+++ b/internal/control/scheduler/client.go
@@ -26,7 +26,7 @@
 	for {
 		c.setIdleDeadline()
 		if err := c.awaitFirstByte(); err != nil {
-			c.reason = closeClientEnded
+			c.reason = closeByClient
 			if env.IsTimeout(err) {
 				c.reason = closeIdle
 			}
@@ -40,7 +40,7 @@
 			return err
 		}
 		c.requests++
-		c.reason = closeAsked
+		c.reason = closeRequested
 		c.out.WaitFlushed() // a client that reads slowly gets each answer whole before the next is made
 		if !c.handle(r) {
 			return c.readAhead.err
@@ -190,7 +190,7 @@
 // has left already is not served: nothing is to begin for it.
 func (c *client) submit(call *call, at float64, closeConn bool) bool {
 	resp := &responder{client: c, closeAfter: closeConn}
-	call.owner = resp
+	call.replyTo = resp
 	c.lastRequestID = call.req.ID
 	f := c.frontend
 	// Discovery may know already what the list of the start does not: nothing goes by that
@@ -202,24 +202,24 @@
 	}
 	deadline := call.req.Expires
 	posted := f.loop.post(at, eventRequest, func(at float64) {
-		if !f.core.take(at, call) {
+		if !f.core.startCall(at, call) {
 			resp.closeAfter, resp.duplicate = true, true
 			c.reject(409)
 			resp.done.Open()
 		}
 	})
 	if !posted {
-		c.reason = closeUnanswerable
+		c.reason = closeLoopEnded
 		return false
 	}
 	for !resp.done.Opened() && !c.readAhead.full() {
 		if earlier := c.earliestPipelinedDeadline(); earlier < deadline {
 			deadline = earlier
-			f.loop.post(f.loop.now(), eventSooner, func(at float64) { f.core.sooner(at, call, earlier) })
+			f.loop.post(f.loop.now(), eventDeadlineShortened, func(at float64) { f.core.shortenDeadline(at, call, earlier) })
 		}
 		if err := c.readAhead.readMore(); err != nil && !env.IsTimeout(err) {
-			call.over.Store(true)
-			f.loop.post(f.loop.now(), eventClientGone, func(at float64) { f.core.gone(at, call) })
+			call.noNewAttempts.Store(true)
+			f.loop.post(f.loop.now(), eventClientGone, func(at float64) { f.core.clientGone(at, call) })
 			return false
 		} else if err != nil {
 			break // it is answered: only then is there a deadline
@@ -228,20 +228,20 @@
 	env.WaitAny(f.environment, &resp.done, &f.ended)
 	switch {
 	case !resp.done.Opened():
-		c.reason = closeUnanswerable
+		c.reason = closeLoopEnded
 	case resp.duplicate:
 		c.reason = closeDuplicateID
 	case resp.closeAfter && !closeConn:
-		c.reason = closeLastAnswer
+		c.reason = closeDraining
 	}
 	return resp.done.Opened() && !resp.closeAfter
 }
 
-// answer implements answerer, on the loop.
-func (r *responder) answer(outcome callOutcome, retryAfterMS float64, body []byte) {
+// deliver implements answerer, on the loop.
+func (r *responder) deliver(outcome callOutcome, retryAfterMS float64, body []byte) {
 	status, fields := 504, http1.Fields(nil)
 	switch outcome {
-	case served:
+	case callServed:
 		// Clients that don't read may hold all the room.
 		if fr := r.client.frontend; fr.answerBytes.Load()+int64(len(body)) <= fr.byteLimit.Load() {
 			status = 200
@@ -273,7 +273,7 @@
 	pending := slices.Concat(buffered, c.readAhead.buffer)
 	startOffset := c.readAhead.bytesRead - int64(len(pending))
 	unread := bytes.NewReader(pending)
-	in := bufio.NewReaderSize(unread, linkBuffer)
+	in := bufio.NewReaderSize(unread, readBufferBytes)
 	for range maxPipelinedScanned {
 		timeout, ok := readRequestTimeout(in)
 		if !ok {
--- a/internal/control/scheduler/config.go
+++ b/internal/control/scheduler/config.go
@@ -126,10 +126,10 @@
 // withDefaultBounds fills in the times of connections that the settings leave out.
 func withDefaultBounds(bounds wire.ConnTimeouts) wire.ConnTimeouts {
 	if !(bounds.DialTimeout > 0) {
-		bounds.DialTimeout = env.MS(usualDial)
+		bounds.DialTimeout = env.MS(defaultDialTimeout)
 	}
 	if !(bounds.IdleTimeout > 0) {
-		bounds.IdleTimeout = usualIdle
+		bounds.IdleTimeout = defaultConnIdle
 	}
 	return bounds
 }
--- a/internal/control/scheduler/core.go
+++ b/internal/control/scheduler/core.go
@@ -16,9 +16,9 @@
 type callOutcome int
 
 const (
-	served callOutcome = iota
+	callServed callOutcome = iota
 	refused
-	failed
+	callFailed
 )
 
 func (o callOutcome) String() string { return [...]string{"served", "refused", "failed"}[o] }
@@ -33,78 +33,78 @@
 // call is one request of a client, from its last byte to its one answer.
 type call struct {
 	message
-	req   policy.Request
-	owner answerer
-	sends int
-	last  *attempt // the one sent last
-	out   int
-	ended bool
-	// over says the same to other goroutines, and from the moment in which the client's
+	req         policy.Request
+	replyTo     recipient
+	attempts    int
+	lastAttempt *attempt // the one sent last
+	outstanding int
+	ended       bool
+	// noNewAttempts says the same to other goroutines, and from the moment in which the client's
 	// leaving was seen: nothing begins for it any more.
-	over atomic.Bool
+	noNewAttempts atomic.Bool
 }
 
-// answerer is who a call was taken for. It is told once, on the core's goroutine, unless
+// recipient is who a call was taken for. It is told once, on the core's goroutine, unless
 // the client went away first.
-type answerer interface {
-	answer(outcome callOutcome, after float64, body []byte)
+type recipient interface {
+	deliver(outcome callOutcome, after float64, body []byte)
 }
 
 // attempt is one sending of a call: it waits for its connection, has begun on it, or is
 // over. Its link is the back's.
 type attempt struct {
-	call   *call
-	n      int
-	host   string
-	sentAt float64
-	by     float64 // it has to have begun by then
-	until  float64 // its answer is awaited until then
-	begun  bool
-	over   bool
-	link   *link
-	timer  timerqueue.Timer[pending]
+	call         *call
+	number       int
+	host         string
+	issuedAt     float64
+	beginBy      float64 // it has to have begun by then
+	answerBy     float64 // its answer is awaited until then
+	begun        bool
+	outcomeKnown bool
+	serverConn   *serverConn
+	timer        timerqueue.Timer[timerEvent]
 }
 
-// pending is what comes due: an attempt's time-out, or else the module's timer.
-type pending struct {
-	a         *attempt
-	cancelled bool
-	timer     string
+// timerEvent is what comes due: an attempt's time-out, or else the module's timer.
+type timerEvent struct {
+	a           *attempt
+	cancelled   bool
+	policyTimer string
 }
 
-// fate is how far an attempt had come that is given up.
-type fate int
+// attemptProgress is how far an attempt had come that is given up.
+type attemptProgress int
 
 const (
-	fateSent         fate = iota // it may have reached its server
-	fateNotConnected             // a connection was dialled for it and did not come up
-	fateNotDialled               // nothing was dialled: this machine had no connection to spare
+	progressSent         attemptProgress = iota // it may have reached its server
+	progressNotConnected                        // a connection was dialled for it and did not come up
+	progressNotDialled                          // nothing was dialled: this machine had no connection to spare
 )
 
-// effects is what a core has done. The calls neither block nor call back.
-type effects interface {
+// effectHandler is what a core has done. The calls neither block nor call back.
+type effectHandler interface {
 	send(a *attempt)
-	drop(a *attempt) fate       // its outcome is known; tells how far it had come
-	serverListed(e ServerEntry) // the server stands at this address
-	serverRemoved(host string)  // nothing new goes there
-	note(text string)
+	abandon(a *attempt) attemptProgress // its outcome is known; tells how far it had come
+	serverListed(e ServerEntry)         // the server stands at this address
+	serverRemoved(host string)          // nothing new goes there
+	warn(text string)
 }
 
 // core owns the module's instance and all that the module was told and has said. It is
 // given times and events and does no I/O. Times are in ms on the module's clock.
 type core struct {
-	mod      policy.Scheduler
-	eff      effects
-	log      *eventLog // nil: nothing is logged
-	now      float64
-	born     int64 // Unix time, ms, of the clock's zero
-	calls    map[string]*call
-	past     ring
-	timers   timerqueue.Queue[pending]
-	hosts    map[string]heldEntry
-	heard    bool // discovery has spoken
-	shards   int  // that the settings name; 0: not known
-	counters Counters
+	scheduler     policy.Scheduler
+	effects       effectHandler
+	log           *eventLog // nil: nothing is logged
+	now           float64
+	zeroUnixMS    int64 // Unix time, ms, of the clock's zero
+	calls         map[string]*call
+	recentIDs     idHistory
+	timers        timerqueue.Queue[timerEvent]
+	servers       map[string]listedServer
+	discoverySeen bool // discovery has spoken
+	shardCount    int  // that the settings name; 0: not known
+	counters      Counters
 }
 
 // Counters count what a core did since its start.
@@ -115,45 +115,45 @@
 	Reasons                              map[string]uint64          // of refusals and failures
 }
 
-// heldEntry is a disk server as the module was told of it.
-type heldEntry struct {
+// listedServer is a disk server as the module was told of it.
+type listedServer struct {
 	ServerEntry
-	started float64 // on the module's clock; 0: long ago
+	startedAt float64 // on the module's clock; 0: long ago
 }
 
-// epoch is what the clock shows at the start, ms: disk servers that started up to so long
+// clockAtStart is what the clock shows at the start, ms: disk servers that started up to so long
 // before have a time on it. Longer ago is long ago.
-const epoch = 3_600_000
+const clockAtStart = 3_600_000
 
-func newCore(born int64, c *Config, eff effects) *core {
-	k := &core{eff: eff, now: epoch, born: born, calls: map[string]*call{}, hosts: map[string]heldEntry{}, counters: Counters{Reasons: map[string]uint64{}}, shards: c.Settings.Shards}
-	k.mod = policy.New(c.Settings, c.Seed)
+func newCore(zeroUnixMS int64, c *Config, effects effectHandler) *core {
+	k := &core{effects: effects, now: clockAtStart, zeroUnixMS: zeroUnixMS, calls: map[string]*call{}, servers: map[string]listedServer{}, counters: Counters{Reasons: map[string]uint64{}}, shardCount: c.Settings.Shards}
+	k.scheduler = policy.New(c.Settings, c.Seed)
 	return k
 }
 
 // start tells the module the list from before the start, which may be old.
 func (k *core) start(known ServerList) {
-	k.list(epoch, known, true)
+	k.updateServers(clockAtStart, known, true)
 }
 
-// at moves the clock, which never goes back.
-func (k *core) at(now float64) { k.now = max(k.now, now) }
+// advance moves the clock, which never goes back.
+func (k *core) advance(now float64) { k.now = max(k.now, now) }
 
 // notify gives the module an event and carries out what it says; doing so tells it nothing.
 func (k *core) notify(ev policy.Event) {
-	for _, a := range k.mod.Handle(k.now, ev) {
-		k.do(a)
+	for _, a := range k.scheduler.Handle(k.now, ev) {
+		k.perform(a)
 	}
 }
 
-func (k *core) do(a policy.Action) {
+func (k *core) perform(a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
 		k.send(a)
 	case policy.Refuse:
-		k.end(a.ID, refused, a.RetryAfter, a.Cause)
+		k.finishUnserved(a.ID, refused, a.RetryAfter, a.Cause)
 	case policy.Fail:
-		k.end(a.ID, failed, 0, a.Cause)
+		k.finishUnserved(a.ID, callFailed, 0, a.Cause)
 	case policy.CancelAttempt:
 		if x := k.attempt(a.ID, a.Attempt); x != nil {
 			k.cancel(x)
@@ -163,23 +163,23 @@
 			k.cancel(x)
 		}
 	case policy.SetTimer:
-		k.timers.Push(&timerqueue.Timer[pending]{Due: k.now + a.Delay, Value: pending{timer: a.Name}})
+		k.timers.Push(&timerqueue.Timer[timerEvent]{Due: k.now + a.Delay, Value: timerEvent{policyTimer: a.Name}})
 	case policy.CloseIdle:
-		k.eff.serverRemoved(a.Node)
+		k.effects.serverRemoved(a.Node)
 	case policy.Log:
-		k.eff.note(a.Text)
+		k.effects.warn(a.Text)
 	}
 }
 
-// take hands a call to the module; false if its id was used before: an id names one
+// startCall hands a call to the module; false if its id was used before: an id names one
 // request, and a second of it is not the client's.
-func (k *core) take(now float64, c *call) bool {
-	k.at(now)
-	if k.calls[c.req.ID] != nil || k.past.has(c.req.ID) {
+func (k *core) startCall(now float64, c *call) bool {
+	k.advance(now)
+	if k.calls[c.req.ID] != nil || k.recentIDs.contains(c.req.ID) {
 		return false
 	}
 	k.calls[c.req.ID] = c
-	k.past.add(c.req.ID)
+	k.recentIDs.add(c.req.ID)
 	k.counters.Taken++
 	k.notify(c.req)
 	return true
@@ -188,70 +188,70 @@
 func (k *core) send(s policy.Send) {
 	c := k.calls[s.ID]
 	if c == nil || c.ended {
-		k.eff.note("send for a request that is over: " + s.ID)
+		k.effects.warn("send for a request that is over: " + s.ID)
 		return
 	}
-	a := &attempt{call: c, n: c.sends, host: s.Node, sentAt: k.now, by: math.Inf(1), until: c.req.Expires}
+	a := &attempt{call: c, number: c.attempts, host: s.Node, issuedAt: k.now, beginBy: math.Inf(1), answerBy: c.req.Expires}
 	if s.TimeoutAt > 0 {
-		a.until = min(a.until, s.TimeoutAt)
+		a.answerBy = min(a.answerBy, s.TimeoutAt)
 	}
 	if s.StartBy > 0 {
-		a.by = s.StartBy
+		a.beginBy = s.StartBy
 	}
-	c.sends++
-	c.out++
-	c.last = a
+	c.attempts++
+	c.outstanding++
+	c.lastAttempt = a
 	k.counters.Sends++
-	if a.n > 0 {
+	if a.number > 0 {
 		k.counters.Resends++
 	}
-	a.timer = timerqueue.Timer[pending]{Due: min(a.by, a.until), Value: pending{a: a}}
+	a.timer = timerqueue.Timer[timerEvent]{Due: min(a.beginBy, a.answerBy), Value: timerEvent{a: a}}
 	k.timers.Push(&a.timer)
-	k.eff.send(a)
+	k.effects.send(a)
 }
 
 // begin tells whether an attempt may begin now that it has a connection, and takes it as
 // begun. What may not ends as never sent.
 func (k *core) begin(now float64, a *attempt) bool {
-	k.at(now)
-	if a.over || a.timer.Value.cancelled {
+	k.advance(now)
+	if a.outcomeKnown || a.timer.Value.cancelled {
 		return false
 	}
-	if k.now > a.by || k.now >= a.until {
+	if k.now > a.beginBy || k.now >= a.answerBy {
 		k.cancel(a)
 		return false
 	}
 	a.begun = true
-	k.rearm(a, a.until)
+	k.resetTimer(a, a.answerBy)
 	return true
 }
 
-func (k *core) rearm(a *attempt, at float64) {
+func (k *core) resetTimer(a *attempt, at float64) {
 	k.timers.Remove(&a.timer)
 	a.timer.Due = at
 	k.timers.Push(&a.timer)
 }
 
 // attempt is the one of that number that is out, nil if there is none.
-func (k *core) attempt(id string, n int) *attempt {
+func (k *core) attempt(id string, number int) *attempt {
 	c := k.calls[id]
-	if c == nil || c.last == nil || c.last.n != n || c.last.over {
+	if c == nil || c.lastAttempt == nil || c.lastAttempt.number != number || c.lastAttempt.outcomeKnown {
 		return nil
 	}
-	return c.last
+	return c.lastAttempt
 }
 
 // cancel stops waiting for an attempt; its outcome comes with the next tick, for the
 // module is in the midst of an event.
 func (k *core) cancel(a *attempt) {
-	if !a.over {
+	if !a.outcomeKnown {
 		a.timer.Value.cancelled = true
-		k.rearm(a, k.now)
+		k.resetTimer(a, k.now)
 	}
 }
 
-// end is a final answer by the module.
-func (k *core) end(id string, outcome callOutcome, after float64, why policy.Reason) {
+// finishUnserved is a final answer by the module.
+func (k *core) finishUnserved(id string, outcome callOutcome, after float64, why policy.Reason) {
 	c := k.calls[id]
 	if c == nil || c.ended {
 		return
@@ -268,34 +268,34 @@
 
 func (k *core) finish(c *call, outcome callOutcome, after float64, body []byte) {
 	c.ended = true
-	c.over.Store(true)
-	c.owner.answer(outcome, after, body)
-	k.tidy(c)
+	c.noNewAttempts.Store(true)
+	c.replyTo.deliver(outcome, after, body)
+	k.removeIfDone(c)
 }
 
-func (k *core) tidy(c *call) {
-	if c.ended && c.out == 0 {
+func (k *core) removeIfDone(c *call) {
+	if c.ended && c.outstanding == 0 {
 		delete(k.calls, c.req.ID)
 	}
 }
 
-// gone ends a call from the client's side. What is out of it may finish.
-func (k *core) gone(now float64, c *call) {
-	k.at(now)
+// clientGone ends a call from the client's side. What is out of it may finish.
+func (k *core) clientGone(now float64, c *call) {
+	k.advance(now)
 	if c.ended || k.calls[c.req.ID] != c {
 		return
 	}
 	c.ended = true
-	c.over.Store(true)
+	c.noNewAttempts.Store(true)
 	k.counters.Gone++
 	k.log.clientLeft(c)
 	k.notify(policy.ClientGone{ID: c.req.ID})
-	k.tidy(c)
+	k.removeIfDone(c)
 }
 
-// sooner has a call answered by a time before its own: others wait behind it.
-func (k *core) sooner(now float64, c *call, by float64) {
-	k.at(now)
+// shortenDeadline has a call answered by a time before its own: others wait behind it.
+func (k *core) shortenDeadline(now float64, c *call, by float64) {
+	k.advance(now)
 	if c.ended || k.calls[c.req.ID] != c {
 		return
 	}
@@ -305,149 +305,149 @@
 
 // stop has all that is open answered now.
 func (k *core) stop(now float64) {
-	k.at(now)
+	k.advance(now)
 	k.notify(policy.Stop{})
 }
 
 // reply is what a disk server answered.
 type reply struct {
-	result     policy.Result
-	body       []byte
-	use, other float64
-	size       int64 // reckoned with for the body
+	result          policy.Result
+	body            []byte
+	use, fromOthers float64
+	reservedBytes   int64 // reckoned with for the body
 }
 
-// replied brings an answer. Of an attempt that is over already it changes nothing.
-func (k *core) replied(now float64, a *attempt, r reply) {
-	k.at(now)
-	if a.over {
+// receiveReply brings an answer. Of an attempt that is over already it changes nothing.
+func (k *core) receiveReply(now float64, a *attempt, r reply) {
+	k.advance(now)
+	if a.outcomeKnown {
 		return
 	}
 	if r.result == policy.Served && !a.call.ended {
 		k.counters.Served++
-		k.finish(a.call, served, 0, r.body)
+		k.finish(a.call, callServed, 0, r.body)
 	}
-	k.outcome(a, policy.Outcome{Result: r.result, Use: r.use, FromOthers: r.other})
+	k.endAttempt(a, policy.Outcome{Result: r.result, Use: r.use, FromOthers: r.fromOthers})
 }
 
-// lost ends an attempt without an answer.
-func (k *core) lost(now float64, a *attempt, r policy.Result) {
-	k.at(now)
-	if !a.over {
-		k.outcome(a, policy.Outcome{Result: r})
+// failAttempt ends an attempt without an answer.
+func (k *core) failAttempt(now float64, a *attempt, r policy.Result) {
+	k.advance(now)
+	if !a.outcomeKnown {
+		k.endAttempt(a, policy.Outcome{Result: r})
 	}
 }
 
-func (k *core) outcome(a *attempt, o policy.Outcome) {
-	a.over = true
+func (k *core) endAttempt(a *attempt, o policy.Outcome) {
+	a.outcomeKnown = true
 	k.timers.Remove(&a.timer)
 	c := a.call
-	c.out--
+	c.outstanding--
 	k.counters.Outcomes[o.Result]++
-	o.ID, o.Node, o.Attempt, o.Done, o.Elapsed = c.req.ID, a.host, a.n, c.ended, k.now-a.sentAt
+	o.ID, o.Node, o.Attempt, o.Done, o.Elapsed = c.req.ID, a.host, a.number, c.ended, k.now-a.issuedAt
 	if o.Result != policy.Served {
 		k.log.attemptFailed(a, o.Result, o.Elapsed)
 	}
 	k.notify(o)
-	k.tidy(c)
+	k.removeIfDone(c)
 }
 
-// next is when tick has something to do, +Inf if never.
-func (k *core) next() float64 { return k.timers.NextDue() }
+// nextDue is when tick has something to do, +Inf if never.
+func (k *core) nextDue() float64 { return k.timers.NextDue() }
 
-// tick does what has come due.
-func (k *core) tick(now float64) {
-	k.at(now)
+// runDue does what has come due.
+func (k *core) runDue(now float64) {
+	k.advance(now)
 	for d := k.timers.PopDue(k.now); d != nil; d = k.timers.PopDue(k.now) {
 		if d.Value.a != nil {
-			k.timeOut(d.Value.a, d.Value.cancelled)
+			k.expireAttempt(d.Value.a, d.Value.cancelled)
 		} else {
-			k.notify(policy.TimerFired{Name: d.Value.timer})
+			k.notify(policy.TimerFired{Name: d.Value.policyTimer})
 		}
 	}
 }
 
-func (k *core) timeOut(a *attempt, cancelled bool) {
+func (k *core) expireAttempt(a *attempt, cancelled bool) {
 	result := policy.NotSent
-	switch came := k.eff.drop(a); {
-	case cancelled && came == fateSent:
+	switch came := k.effects.abandon(a); {
+	case cancelled && came == progressSent:
 		result = policy.Cancelled
-	case came == fateSent:
+	case came == progressSent:
 		result = policy.NoAnswer
-	case !cancelled && came == fateNotConnected:
+	case !cancelled && came == progressNotConnected:
 		result = policy.NoConnection
 	}
-	k.outcome(a, policy.Outcome{Result: result})
+	k.endAttempt(a, policy.Outcome{Result: result})
 }
 
-// revise brings other settings for the requests that are taken from now on.
-func (k *core) revise(now float64, s policy.Settings) {
-	k.at(now)
-	k.shards = s.Shards
+// updateSettings brings other settings for the requests that are taken from now on.
+func (k *core) updateSettings(now float64, s policy.Settings) {
+	k.advance(now)
+	k.shardCount = s.Shards
 	k.notify(policy.SettingsChanged{Settings: s})
 }
 
-// list brings the list of disk servers, or what changed. The module is told only what
-// differs from what it was told before; what a whole list leaves out is named as gone, so
+// updateServers brings the updateServers of disk servers, or what changed. The module is told only what
+// differs from what it was told before; what a whole updateServers leaves out is named as gone, so
 // that nothing keeps a record of it.
-func (k *core) list(now float64, l ServerList, cached bool) {
-	k.at(now)
+func (k *core) updateServers(now float64, l ServerList, cached bool) {
+	k.advance(now)
 	entries := l.Entries
-	if l.Full && len(k.hosts) > 0 {
-		entries = append(slices.Clone(entries), k.missing(entries)...)
+	if l.Full && len(k.servers) > 0 {
+		entries = append(slices.Clone(entries), k.removedEntries(entries)...)
 	}
 	var nodes []policy.Node
 	draining := 0
 	for _, e := range entries {
-		old, known := k.hosts[e.Host]
+		old, known := k.servers[e.Host]
 		if known && old.ServerEntry == e {
 			continue
 		}
-		started := old.started
-		k.look(&l, e)
+		startedAt := old.startedAt
+		k.checkEntry(&l, e)
 		if !known || old.StartedMS != e.StartedMS {
-			started = k.startOf(e)
+			startedAt = k.startTime(e)
 		}
-		n := policy.Node{Addr: e.Host, Health: policyHealth[e.Health], Shard: e.ShardIndex, Started: started, Zone: e.Site, Weight: e.Share}
+		n := policy.Node{Addr: e.Host, Health: policyHealth[e.Health], Shard: e.ShardIndex, Started: startedAt, Zone: e.Site, Weight: e.Share}
 		nodes = append(nodes, n)
 		switch n.Health {
 		case policy.Removed:
-			delete(k.hosts, e.Host)
+			delete(k.servers, e.Host)
 			continue
 		case policy.Draining:
 			draining++
 		}
-		k.hosts[e.Host] = heldEntry{e, started}
-		k.eff.serverListed(e)
+		k.servers[e.Host] = listedServer{e, startedAt}
+		k.effects.serverListed(e)
 	}
-	k.heard = k.heard || !cached
+	k.discoverySeen = k.discoverySeen || !cached
 	k.notify(policy.NodeList{Cached: cached, Nodes: nodes})
 	for _, n := range nodes {
 		if n.Health == policy.Removed {
-			k.eff.serverRemoved(n.Addr)
+			k.effects.serverRemoved(n.Addr)
 		}
 	}
-	k.log.listTaken(l, len(nodes), draining)
+	k.log.listApplied(l, len(nodes), draining)
 	k.log.entryFaults(l)
 }
 
-// look notes what an entry says that cannot be right. The module sends nothing to a server
+// checkEntry notes what an entry says that cannot be right. The module sends nothing to a server
 // whose shard the settings don't name, and a start in the future counts from now.
-func (k *core) look(l *ServerList, e ServerEntry) {
-	if e.ShardIndex < 0 || k.shards > 0 && e.ShardIndex >= k.shards {
-		l.addFault(e.Host, fmt.Sprintf("holds shard %d, the settings name %d", e.ShardIndex, k.shards))
+func (k *core) checkEntry(l *ServerList, e ServerEntry) {
+	if e.ShardIndex < 0 || k.shardCount > 0 && e.ShardIndex >= k.shardCount {
+		l.addFault(e.Host, fmt.Sprintf("holds shard %d, the settings name %d", e.ShardIndex, k.shardCount))
 	}
-	if ahead := float64(e.StartedMS-k.born) - k.now; ahead > clockSkew {
+	if ahead := float64(e.StartedMS-k.zeroUnixMS) - k.now; ahead > maxClockSkew {
 		l.addFault(e.Host, fmt.Sprintf("started %.0f s from now", ahead/1000))
 	}
 }
 
-// clockSkew is how far apart, ms, the wall clocks of two machines are without a word of it.
-const clockSkew = 5000.0
+// maxClockSkew is how far apart, ms, the wall clocks of two machines are without a word of it.
+const maxClockSkew = 5000.0
 
-// missing lists as gone what is held and not in a whole list, in an order of its own.
-func (k *core) missing(whole []ServerEntry) (gone []ServerEntry) {
-	left := maps.Clone(k.hosts)
+// removedEntries lists as gone what is held and not in a whole list, in an order of its own.
+func (k *core) removedEntries(whole []ServerEntry) (gone []ServerEntry) {
+	left := maps.Clone(k.servers)
 	for _, e := range whole {
 		delete(left, e.Host)
 	}
@@ -460,42 +460,42 @@
 	return gone
 }
 
-// startOf is when a disk server started, on the module's clock. A start that is heard of in
+// startTime is when a disk server started, on the module's clock. A start that is heard of in
 // service counts from when it was: wall clocks may be stepped, here and at the disk server,
 // and a start that is taken for an older one has its server overloaded. Of the lists at this
 // process's own start there is only the stamp; one in the future counts from now.
-func (k *core) startOf(e ServerEntry) float64 {
+func (k *core) startTime(e ServerEntry) float64 {
 	switch {
 	case e.StartedMS == 0:
 		return 0
-	case k.heard:
+	case k.discoverySeen:
 		return k.now
 	}
-	return min(max(float64(e.StartedMS-k.born), 0), k.now)
+	return min(max(float64(e.StartedMS-k.zeroUnixMS), 0), k.now)
 }
 
-// ring remembers the last ids.
-type ring struct {
-	in   map[string]struct{}
-	last []string
-	next int
+// idHistory remembers the last ids.
+type idHistory struct {
+	set    map[string]struct{}
+	ids    []string
+	oldest int
 }
 
-// ringSize is more than are taken within the longest deadlines at hundreds a second.
-const ringSize = 4096
+// idHistorySize is more than are taken within the longest deadlines at hundreds a second.
+const idHistorySize = 4096
 
-func (r *ring) has(id string) bool { _, ok := r.in[id]; return ok }
+func (r *idHistory) contains(id string) bool { _, ok := r.set[id]; return ok }
 
-func (r *ring) add(id string) {
-	if r.in == nil {
-		r.in = make(map[string]struct{}, ringSize)
+func (r *idHistory) add(id string) {
+	if r.set == nil {
+		r.set = make(map[string]struct{}, idHistorySize)
 	}
-	if len(r.last) < ringSize {
-		r.last = append(r.last, id)
+	if len(r.ids) < idHistorySize {
+		r.ids = append(r.ids, id)
 	} else {
-		delete(r.in, r.last[r.next])
-		r.last[r.next] = id
-		r.next = (r.next + 1) % ringSize
+		delete(r.set, r.ids[r.oldest])
+		r.ids[r.oldest] = id
+		r.oldest = (r.oldest + 1) % idHistorySize
 	}
-	r.in[id] = struct{}{}
+	r.set[id] = struct{}{}
 }
--- a/internal/control/scheduler/core_test.go
+++ b/internal/control/scheduler/core_test.go
@@ -18,22 +18,22 @@
 }
 
 func (p *played) send(a *attempt) { p.out = append(p.out, a) }
-func (p *played) drop(a *attempt) fate {
+func (p *played) abandon(a *attempt) attemptProgress {
 	if p.sent[a] {
-		return fateSent
+		return progressSent
 	}
-	return fateNotConnected
+	return progressNotConnected
 }
 func (p *played) serverListed(ServerEntry)  {}
 func (p *played) serverRemoved(host string) { p.retired = append(p.retired, host) }
-func (p *played) note(string)               {}
+func (p *played) warn(string)               {}
 
 type clientOf struct {
 	p  *played
 	id string
 }
 
-func (c clientOf) answer(callOutcome, float64, []byte) { c.p.answers[c.id]++ }
+func (c clientOf) deliver(callOutcome, float64, []byte) { c.p.answers[c.id]++ }
 
 func coreFor(t interface{ Fatal(...any) }) (*core, *played) {
 	c, err := ParseConfig([]byte(testConfig("a:1", "b:1", listOf(1, entry("s0", "x:1", "active", 0), entry("s1", "x:2", "active", 1)))), func(string) string { return "" })
@@ -47,7 +47,7 @@
 }
 
 func (p *played) call(k *core, id, class string, now, left float64) *call {
-	return &call{owner: clientOf{p, id}, req: policy.Request{ID: id, Class: class, Plan: "gold", Volume: "v", Shard: 0, Units: 2, Expires: now + left, Hosts: 1}}
+	return &call{replyTo: clientOf{p, id}, req: policy.Request{ID: id, Class: class, Plan: "gold", Volume: "v", Shard: 0, Units: 2, Expires: now + left, Hosts: 1}}
 }
 
 // Whatever happens to attempts, each call gets one answer and each attempt one outcome,
@@ -55,10 +55,10 @@
 func TestOneAnswerForEachCall(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k, p := coreFor(t)
-		now, asked := float64(epoch), map[string]*call{}
+		now, asked := float64(clockAtStart), map[string]*call{}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 200).Draw(t, "dt")
-			k.tick(now)
+			k.runDue(now)
 			var a *attempt
 			if n := len(p.out); n > 0 {
 				a = p.out[rapid.IntRange(0, n-1).Draw(t, "a")]
@@ -68,24 +68,24 @@
 				id := fmt.Sprint(i)
 				c := p.call(k, id, []string{"card-read", "txn-write"}[what%2], now, rapid.Float64Range(1, 3000).Draw(t, "left"))
 				asked[id] = c
-				if !k.take(now, c) || k.take(now, c) {
+				if !k.startCall(now, c) || k.startCall(now, c) {
 					t.Fatal("an id was not taken once")
 				}
 			case a == nil:
 			case what == 3:
 				p.sent[a] = true
 			case what == 4:
-				k.replied(now, a, reply{result: policy.Served})
+				k.receiveReply(now, a, reply{result: policy.Served})
 			case what == 5:
-				k.replied(now, a, reply{result: policy.Result(rapid.IntRange(1, 2).Draw(t, "result"))})
+				k.receiveReply(now, a, reply{result: policy.Result(rapid.IntRange(1, 2).Draw(t, "result"))})
 			case what == 6:
-				k.lost(now, a, policy.ConnectionLost)
+				k.failAttempt(now, a, policy.ConnectionLost)
 			case what == 7 && p.answers[a.call.req.ID] == 0:
-				k.gone(now, a.call)
+				k.clientGone(now, a.call)
 				p.answers[a.call.req.ID]++ // nobody is there to be told
 			}
 		}
-		k.tick(now + 60_000)
+		k.runDue(now + 60_000)
 		for id := range asked {
 			if p.answers[id] != 1 {
 				t.Fatalf("call %s has %d answers", id, p.answers[id])
@@ -108,12 +108,12 @@
 func TestTimeOutsSayWhatMayHaveRun(t *testing.T) {
 	for _, went := range []bool{false, true} {
 		k, p := coreFor(t)
-		k.take(epoch, p.call(k, "a", "card-read", epoch, 400))
+		k.startCall(clockAtStart, p.call(k, "a", "card-read", clockAtStart, 400))
 		if len(p.out) != 1 {
 			t.Fatal("not sent")
 		}
 		p.sent[p.out[0]] = went
-		k.tick(epoch + 460)
+		k.runDue(clockAtStart + 460)
 		want := policy.NoConnection
 		if went {
 			want = policy.NoAnswer
@@ -127,11 +127,11 @@
 // What a whole list leaves out is gone, in the module too.
 func TestAWholeListNamesWhatIsGone(t *testing.T) {
 	k, p := coreFor(t)
-	k.list(epoch+1, ServerList{Seq: 2, Full: true, Entries: []ServerEntry{{Host: "s2", Address: "x:3", ShardIndex: 0, Health: "active"}}}, false)
-	if len(k.hosts) != 1 || len(p.retired) != 2 || p.retired[0] != "s0" || p.retired[1] != "s1" {
-		t.Errorf("held %v, retired %v", k.hosts, p.retired)
+	k.updateServers(clockAtStart+1, ServerList{Seq: 2, Full: true, Entries: []ServerEntry{{Host: "s2", Address: "x:3", ShardIndex: 0, Health: "active"}}}, false)
+	if len(k.servers) != 1 || len(p.retired) != 2 || p.retired[0] != "s0" || p.retired[1] != "s1" {
+		t.Errorf("held %v, retired %v", k.servers, p.retired)
 	}
-	k.take(epoch+2, p.call(k, "a", "card-read", epoch+2, 400))
+	k.startCall(clockAtStart+2, p.call(k, "a", "card-read", clockAtStart+2, 400))
 	if len(p.out) != 1 || p.out[0].host != "s2" {
 		t.Errorf("sent %v", p.out)
 	}
@@ -140,8 +140,8 @@
 // Starts are put on the core's clock exactly, so that the same start is the same time.
 func TestStartsOnTheClock(t *testing.T) {
 	k, _ := coreFor(t)
-	for born, want := range map[int64]float64{0: 0, 1_000_000 + epoch - 250: epoch - 250, 10: 0} {
-		if got := k.startOf(ServerEntry{StartedMS: born}); got != want {
+	for born, want := range map[int64]float64{0: 0, 1_000_000 + clockAtStart - 250: clockAtStart - 250, 10: 0} {
+		if got := k.startTime(ServerEntry{StartedMS: born}); got != want {
 			t.Errorf("%d: %v, want %v", born, got, want)
 		}
 	}
@@ -152,36 +152,36 @@
 // keeps that time; at this process's own start a stamp of the future counts from now.
 func TestStartsWhereWallClocksWereStepped(t *testing.T) {
 	const hour = int64(3_600_000)
-	wall := int64(1_000_000 + epoch)
+	wall := int64(1_000_000 + clockAtStart)
 	for _, step := range []int64{-hour, -5000, 0, 5000, hour} {
 		k, _ := coreFor(t)
-		spy := &spyModule{Scheduler: k.mod}
-		k.mod = spy
+		spy := &spyModule{Scheduler: k.scheduler}
+		k.scheduler = spy
 		one := ServerEntry{Host: "s9", Address: "x:9", ShardIndex: 0, Health: "active", StartedMS: wall + step}
-		k.list(epoch+10, ServerList{Seq: 1, Entries: []ServerEntry{one}}, false)
-		if got := spy.nodes[0].Started; got > epoch+10 || step <= 0 && got != max(float64(epoch+step), 0) {
-			t.Errorf("step %d: the first list's start is %v", step, got-epoch)
+		k.updateServers(clockAtStart+10, ServerList{Seq: 1, Entries: []ServerEntry{one}}, false)
+		if got := spy.nodes[0].Started; got > clockAtStart+10 || step <= 0 && got != max(float64(clockAtStart+step), 0) {
+			t.Errorf("step %d: the first list's start is %v", step, got-clockAtStart)
 		}
 		one.StartedMS++
-		k.list(epoch+5000, ServerList{Seq: 2, Entries: []ServerEntry{one}}, false)
-		if got := spy.nodes[0].Started; got != epoch+5000 {
-			t.Errorf("step %d: a start in service is at %v", step, got-epoch)
+		k.updateServers(clockAtStart+5000, ServerList{Seq: 2, Entries: []ServerEntry{one}}, false)
+		if got := spy.nodes[0].Started; got != clockAtStart+5000 {
+			t.Errorf("step %d: a start in service is at %v", step, got-clockAtStart)
 		}
 		one.Health = "leaving"
-		k.list(epoch+9000, ServerList{Seq: 3, Entries: []ServerEntry{one}}, false)
-		if got := spy.nodes[0].Started; got != epoch+5000 {
-			t.Errorf("step %d: it has moved to %v", step, got-epoch)
+		k.updateServers(clockAtStart+9000, ServerList{Seq: 3, Entries: []ServerEntry{one}}, false)
+		if got := spy.nodes[0].Started; got != clockAtStart+5000 {
+			t.Errorf("step %d: it has moved to %v", step, got-clockAtStart)
 		}
 	}
 }
 
 // The last ids are known, and no more than that are held.
 func TestRingIsBounded(t *testing.T) {
-	var r ring
-	for i := range 3 * ringSize {
+	var r idHistory
+	for i := range 3 * idHistorySize {
 		r.add(fmt.Sprint(i))
 	}
-	if len(r.in) != ringSize || !r.has(fmt.Sprint(3*ringSize-1)) || !r.has(fmt.Sprint(2*ringSize)) || r.has(fmt.Sprint(2*ringSize-1)) {
-		t.Errorf("%d held", len(r.in))
+	if len(r.set) != idHistorySize || !r.contains(fmt.Sprint(3*idHistorySize-1)) || !r.contains(fmt.Sprint(2*idHistorySize)) || r.contains(fmt.Sprint(2*idHistorySize-1)) {
+		t.Errorf("%d held", len(r.set))
 	}
 }
--- a/internal/control/scheduler/crossing_test.go
+++ b/internal/control/scheduler/crossing_test.go
@@ -90,7 +90,7 @@
 				sc.until("it is taken back", sc.core(func(k *core) bool { return k.counters.Outcomes[policy.NotSent] > 0 }))
 				if name != "restarted" {
 					release()
-					sc.until("the dial is over", sc.core(func(k *core) bool { return len(sc.s.back.servers) == 0 || sc.s.back.servers["s0"].coming == 0 }))
+					sc.until("the dial is over", sc.core(func(k *core) bool { return len(sc.s.back.servers) == 0 || sc.s.back.servers["s0"].expected == 0 }))
 					if got := p.hear(0); got.status != 503 || len(sc.disk.Asked()) != 0 {
 						t.Errorf("%+v, %d attempts", got, len(sc.disk.Asked()))
 					}
@@ -119,7 +119,7 @@
 		io.WriteString(p.conn, strings.Replace(sc.get(), "0.480", "1.900", 1))
 		sc.until("the dial", came)
 		sc.list.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entry("s0", other.Addr, "active", 0)))
-		sc.until("the list", sc.core(func(k *core) bool { return k.hosts["s0"].Address == other.Addr }))
+		sc.until("the list", sc.core(func(k *core) bool { return k.servers["s0"].Address == other.Addr }))
 		release()
 		if got := p.hear(0); got.status != 200 || len(sc.disk.Asked()) != 0 || len(other.Asked()) != 1 {
 			t.Errorf("%+v, %d at the old address, %d at the new", got, len(sc.disk.Asked()), len(other.Asked()))
@@ -144,8 +144,8 @@
 			t.Error("a connection was not used again")
 		}
 		sc.on(func() {
-			if b := sc.s.back; b.dialIn != usualDial || b.keep != usualIdle*idlePart {
-				t.Error(b.dialIn, b.idle)
+			if b := sc.s.back; b.dialTimeout != defaultDialTimeout || b.maxIdle != defaultConnIdle*idleKeepFraction {
+				t.Error(b.dialTimeout, b.idleConns)
 			}
 		})
 	})
--- a/internal/control/scheduler/discovery.go
+++ b/internal/control/scheduler/discovery.go
@@ -135,7 +135,7 @@
 	if _, err := conn.Write(http1.AppendRequest(nil, "GET", target, http1.Fields{{Name: "Host", Value: addr}}, nil)); err != nil {
 		return err
 	}
-	in := bufio.NewReaderSize(conn, linkBuffer)
+	in := bufio.NewReaderSize(conn, readBufferBytes)
 	response, err := http1.ReadResponse(in, messageLimits)
 	if err != nil {
 		return err
--- a/internal/control/scheduler/eventlog.go
+++ b/internal/control/scheduler/eventlog.go
@@ -13,10 +13,10 @@
 	// dropped, so that a fleet in trouble costs its schedulers no more than that.
 	logBurst  = 20
 	logPeriod = 1000.0
-	// lateEvent is the delay from which the loop's lateness is logged, and slowEvent the
+	// lateEventDelay is the delay from which the loop's lateness is logged, and slowEvent the
 	// time that handling one event may take before that is, ms.
-	lateEvent = 50.0
-	slowEvent = 25.0
+	lateEventDelay = 50.0
+	slowEventTime  = 25.0
 )
 
 // eventLog writes what happens to requests, attempts, connections and lists, with the
@@ -36,12 +36,12 @@
 const (
 	eventRequest eventKind = iota
 	eventClientGone
-	eventSooner
+	eventDeadlineShortened
 	eventDialled
 	eventAnswered
-	eventRested
-	eventWithheld
-	eventBroken
+	eventQuarantineEnded
+	eventNotBegun
+	eventConnBroken
 	eventList
 	eventReload
 	eventStop
@@ -52,9 +52,9 @@
 
 func (k eventKind) String() string { return eventNames[k] }
 
-// handled notes an event that came late or took long, ms.
-func (l *eventLog) handled(kind eventKind, delay, took float64) {
-	if l == nil || delay < lateEvent && took < slowEvent {
+// eventLate notes an event that came late or took long, ms.
+func (l *eventLog) eventLate(kind eventKind, delay, took float64) {
+	if l == nil || delay < lateEventDelay && took < slowEventTime {
 		return
 	}
 	l.log.Warn("event loop late", zap.Stringer("event", kind), zap.Float64("delay_ms", delay), zap.Float64("took_ms", took))
@@ -66,7 +66,7 @@
 		return
 	}
 	l.log.Info("request not served", zap.String("request", c.req.ID), zap.Stringer("answer", outcome), zap.Stringer("reason", why),
-		zap.Int("attempts", c.sends), zap.Float64("left_ms", c.req.Expires-now))
+		zap.Int("attempts", c.attempts), zap.Float64("left_ms", c.req.Expires-now))
 }
 
 // clientLeft notes a client that went away before its answer.
@@ -74,7 +74,7 @@
 	if l == nil {
 		return
 	}
-	l.log.Info("client left", zap.String("request", c.req.ID), zap.Int("attempts", c.sends))
+	l.log.Info("client left", zap.String("request", c.req.ID), zap.Int("attempts", c.attempts))
 }
 
 // attemptFailed notes an attempt that was not served.
@@ -82,12 +82,12 @@
 	if l == nil {
 		return
 	}
-	l.log.Info("attempt failed", zap.String("request", a.call.req.ID), zap.Int("attempt", a.n), zap.String("server", a.host),
+	l.log.Info("attempt failed", zap.String("request", a.call.req.ID), zap.Int("attempt", a.number), zap.String("server", a.host),
 		zap.Stringer("result", result), zap.Float64("elapsed_ms", elapsed))
 }
 
-// listTaken notes a list of disk servers that came into force.
-func (l *eventLog) listTaken(list ServerList, changed, draining int) {
+// listApplied notes a list of disk servers that came into force.
+func (l *eventLog) listApplied(list ServerList, changed, draining int) {
 	if l == nil || changed == 0 {
 		return
 	}
@@ -125,14 +125,14 @@
 type closeReason int
 
 const (
-	closeUnreadable   closeReason = iota // what came could not be read as a request
-	closeRejected                        // the request names what this scheduler does not serve
-	closeDuplicateID                     // the id was used before
-	closeAsked                           // the client asked for it, or left
-	closeLastAnswer                      // the scheduler drains: each answer ends its connection
-	closeIdle                            // nothing came in its time, or it gave way to others
-	closeClientEnded                     // the client ended it between requests
-	closeUnanswerable                    // the loop had ended
+	closeUnreadable  closeReason = iota // what came could not be read as a request
+	closeRejected                       // the request names what this scheduler does not serve
+	closeDuplicateID                    // the id was used before
+	closeRequested                      // the client asked for it, or left
+	closeDraining                       // the scheduler drains: each answer ends its connection
+	closeIdle                           // nothing came in its time, or it gave way to others
+	closeByClient                       // the client ended it between requests
+	closeLoopEnded                      // the loop had ended
 )
 
 var closeNames = [...]string{"unreadable", "rejected", "duplicate id", "client's wish", "last answer", "idle", "client ended", "loop ended"}
@@ -141,7 +141,7 @@
 
 // connectionClosed notes a client's connection that ends, unless it rested or its client ended it.
 func (l *eventLog) connectionClosed(c *client, err error) {
-	if l == nil || c.reason == closeClientEnded || c.reason == closeIdle && c.readAhead.bytesRead == 0 {
+	if l == nil || c.reason == closeByClient || c.reason == closeIdle && c.readAhead.bytesRead == 0 {
 		return
 	}
 	l.log.Info("client connection closed", zap.Stringer("reason", c.reason), zap.String("client", c.conn.RemoteAddr().String()),
--- a/internal/control/scheduler/front.go
+++ b/internal/control/scheduler/front.go
@@ -30,7 +30,7 @@
 	evictIdleAfterMS      = 500.0 // ms
 	acceptRetryInterval   = 5 * time.Millisecond
 	maxQueuedAcceptWaitMS = 1.0 // ms that an accept waits where no connection was there already
-	clientWriteLimit      = mostAnswer + messageBytes
+	clientWriteLimit      = maxResponseBytes + messageBytes
 	clientWriteTimeout    = 3 * time.Second
 	// lingerTimeout is how long a connection that was just answered on stays open once nothing
 	// more is sent on it (RFC 9112, section 9.6), or until its client ends its side too:
@@ -148,7 +148,7 @@
 // newClient takes a connection that may have come as early as that.
 func (f *frontend) newClient(conn net.Conn, earliestArrival float64) *client {
 	c := &client{frontend: f, conn: conn, readAhead: &readAhead{conn: conn, now: f.loop.now, budget: &f.readAhead, arrivedAt: earliestArrival}, stateSince: f.loop.now()}
-	c.in = bufio.NewReaderSize(c.readAhead, linkBuffer)
+	c.in = bufio.NewReaderSize(c.readAhead, readBufferBytes)
 	c.out = writequeue.New(f.environment, conn, clientWriteLimit, clientWriteTimeout)
 	c.out.HalfClose = true
 	c.out.OnBytesChanged = func(delta int) { f.answerBytes.Add(int64(delta)) }
--- a/internal/control/scheduler/heldscene_test.go
+++ b/internal/control/scheduler/heldscene_test.go
@@ -219,10 +219,10 @@
 
 func settled(sc *scene) func() bool {
 	return sc.core(func(k *core) bool {
-		coming := 0
+		expected := 0
 		for _, s := range sc.s.back.servers {
-			coming += s.coming
+			expected += s.expected
 		}
-		return k.over() && coming == 0
+		return k.over() && expected == 0
 	})
 }
--- a/internal/control/scheduler/lifecycle.go
+++ b/internal/control/scheduler/lifecycle.go
@@ -75,17 +75,17 @@
 		return nil, err
 	}
 	sockets := max(config.Limits.Sockets, minSockets)
-	clockZeroMS := w.Deadline(0).UnixMilli() - epoch
-	s.back = newBack(w, s.loop, config, int(float64(sockets)*serverSocketFraction))
+	clockZeroMS := w.Deadline(0).UnixMilli() - clockAtStart
+	s.back = newConnPool(w, s.loop, config, int(float64(sockets)*serverSocketFraction))
 	s.core = newCore(clockZeroMS, config, s)
 	s.back.core = s.core
 	events := newEventLog(log)
 	s.core.log, s.loop.log, s.back.log = events, events, events
 	known := config.Known
 	known.Full = true
-	s.back.notices.take(known)
+	s.back.serverStates.apply(known)
 	s.core.start(known)
-	s.loop.ticked = s.sweep
+	s.loop.afterBatch = s.sweep
 	s.frontend = &frontend{environment: w, listener: listener, listenedAt: listenedAt, loop: s.loop, core: s.core, log: events, maxClients: int(float64(sockets) * clientSocketFraction), maxClosing: int(float64(sockets) * closingSocketFraction)}
 	s.applyConfig(config)
 	w.Go(func() { s.loop.run(s.core) })
@@ -101,7 +101,7 @@
 func listen(environment env.Environment, address string, log *zap.Logger) (net.Listener, error) {
 	for deadline := environment.Now() + listenTimeout; ; {
 		listener, err := environment.Listen("tcp", address)
-		if err == nil || !ownFault(err) || environment.Now() >= deadline {
+		if err == nil || !localSocketError(err) || environment.Now() >= deadline {
 			return listener, err
 		}
 		log.Warn("cannot listen yet", zap.String("address", address), zap.Error(err))
@@ -128,9 +128,9 @@
 
 // receiveList passes on what discovery told.
 func (s *Scheduler) receiveList(update ServerList) {
-	s.back.notices.take(update)
+	s.back.serverStates.apply(update)
 	s.loop.post(s.loop.now(), eventList, func(at float64) {
-		s.core.list(at, update, false)
+		s.core.updateServers(at, update, false)
 		s.listReceived.Open()
 	})
 }
@@ -151,7 +151,7 @@
 	s.discoveryClient.setAddress(config.Discovery)
 	s.loop.post(s.loop.now(), eventReload, func(at float64) {
 		s.back.configure(config)
-		s.core.revise(at, config.Settings)
+		s.core.updateSettings(at, config.Settings)
 	})
 	s.applyConfig(config)
 }
@@ -212,8 +212,8 @@
 
 // The effects of the core, on the loop.
 
-func (s *Scheduler) send(a *attempt)            { s.back.send(a) }
-func (s *Scheduler) drop(a *attempt) fate       { return s.back.drop(a) }
-func (s *Scheduler) serverListed(e ServerEntry) { s.back.serverListed(e) }
-func (s *Scheduler) serverRemoved(host string)  { s.back.serverRemoved(host) }
-func (s *Scheduler) note(text string)           { s.log.Warn(text) }
+func (s *Scheduler) send(a *attempt)                    { s.back.send(a) }
+func (s *Scheduler) abandon(a *attempt) attemptProgress { return s.back.abandon(a) }
+func (s *Scheduler) serverListed(e ServerEntry)         { s.back.serverListed(e) }
+func (s *Scheduler) serverRemoved(host string)          { s.back.serverRemoved(host) }
+func (s *Scheduler) warn(text string)                   { s.log.Warn(text) }
--- a/internal/control/scheduler/link.go
+++ b/internal/control/scheduler/link.go
@@ -28,79 +28,79 @@
 }
 
 // exchange sends a request and brings its answer, on a goroutine of its own.
-func (l *link) exchange(a *attempt, born int64) {
+func (l *serverConn) exchange(a *attempt, born int64) {
 	b := l.back
-	l.conn.SetDeadline(b.world.Deadline(writeTimeout))
+	l.conn.SetDeadline(b.environment.Deadline(writeTimeout))
 	now := b.loop.now()
-	if !b.permits(a, now, born) {
-		b.loop.post(now, eventWithheld, func(at float64) { b.withheld(at, l, a) })
+	if !b.mayBegin(a, now, born) {
+		b.loop.post(now, eventNotBegun, func(at float64) { b.attemptNotBegun(at, l, a) })
 		return
 	}
-	message := a.message(a.until - now)
+	message := a.message(a.answerBy - now)
 	if n, err := l.conn.Write(message); err != nil {
 		r := policy.ConnectionLost
 		if n < len(message) { // without its last byte it is no request
 			r = policy.NoConnection
 		}
-		b.loop.post(b.loop.now(), eventBroken, func(at float64) { b.broke(at, l, a, r) })
+		b.loop.post(b.loop.now(), eventConnBroken, func(at float64) { b.connBroken(at, l, a, r) })
 		return
 	}
 	l.conn.SetDeadline(time.Time{})
-	r, clean, err := l.answer()
+	r, clean, err := l.readReply()
 	if err != nil && !http1.IsMessageError(err) {
-		b.held.Add(-r.size)
-		b.loop.post(b.loop.now(), eventBroken, func(at float64) { b.broke(at, l, a, policy.ConnectionLost) })
+		b.replyBytes.Add(-r.reservedBytes)
+		b.loop.post(b.loop.now(), eventConnBroken, func(at float64) { b.connBroken(at, l, a, policy.ConnectionLost) })
 		return
 	}
-	clean = clean && err == nil && l.in.Buffered() == 0
+	clean = clean && err == nil && l.reader.Buffered() == 0
 	if !b.loop.post(b.loop.now(), eventAnswered, func(at float64) {
-		b.answered(at, l, a, r, clean)
-		b.held.Add(-r.size)
+		b.replyReceived(at, l, a, r, clean)
+		b.replyBytes.Add(-r.reservedBytes)
 	}) || !clean {
 		return
 	}
-	quiet := l.rest()
-	b.loop.post(b.loop.now(), eventRested, func(at float64) { b.rested(at, l, quiet) })
+	quiet := l.quarantine()
+	b.loop.post(b.loop.now(), eventQuarantineEnded, func(at float64) { b.quarantineEnded(at, l, quiet) })
 }
 
-// rest listens for a while whether anything follows the answer; false if so.
-func (l *link) rest() bool {
-	l.conn.SetReadDeadline(l.back.world.Deadline(restTime))
-	_, err := l.in.Peek(1)
+// quarantine listens for a while whether anything follows the answer; false if so.
+func (l *serverConn) quarantine() bool {
+	l.conn.SetReadDeadline(l.back.environment.Deadline(quarantineTime))
+	_, err := l.reader.Peek(1)
 	l.conn.SetReadDeadline(time.Time{})
 	return env.IsTimeout(err)
 }
 
-// answer reads one answer. One that cannot be read is a failed attempt that may have run.
-func (l *link) answer() (r reply, keep bool, err error) {
+// readReply reads one readReply. One that cannot be read is a failed attempt that may have run.
+func (l *serverConn) readReply() (r reply, keep bool, err error) {
 	r.result = policy.ServerError
-	m, err := http1.ReadResponse(l.in, answerLimits)
+	m, err := http1.ReadResponse(l.reader, responseLimits)
 	if err != nil {
 		return r, false, err
 	}
-	fr, err := m.Framing(answerLimits)
+	fr, err := m.Framing(responseLimits)
 	if err != nil {
 		return r, false, err
 	}
-	lim := answerLimits
+	lim := responseLimits
 	lim.Reserve = func(n int) bool {
-		r.size += int64(n)
-		return l.back.held.Add(int64(n)) <= l.back.bytes.Load()
+		r.reservedBytes += int64(n)
+		return l.back.replyBytes.Add(int64(n)) <= l.back.maxReplyBytes.Load()
 	}
-	if r.body, err = http1.ReadBody(l.in, fr, lim); err != nil {
+	if r.body, err = http1.ReadBody(l.reader, fr, lim); err != nil {
 		return r, false, err
 	}
-	if more, _ := l.in.Peek(l.in.Buffered()); len(more) > 0 && !startsMessage(more) {
+	if more, _ := l.reader.Peek(l.reader.Buffered()); len(more) > 0 && !startsResponse(more) {
 		// Its length may have said less than there was, and nothing tells that from
 		// noise behind it.
 		return r, false, nil
 	}
 	r.result = resultOf(m)
-	r.use, r.other = figure(m.Fields.Get("x-iops-used"), 1), figure(m.Fields.Get("x-rho"), 0)
+	r.use, r.fromOthers = headerNumber(m.Fields.Get("x-iops-used"), 1), headerNumber(m.Fields.Get("x-rho"), 0)
 	return r, !m.Close() && !fr.UntilClose, nil
 }
 
-func startsMessage(b []byte) bool {
+func startsResponse(b []byte) bool {
 	const mark = "HTTP/1.1 "
 	n := min(len(b), len(mark))
 	return string(b[:n]) == mark[:n]
@@ -116,9 +116,9 @@
 	return policy.ServerError
 }
 
-// figure is a number that a server tells beside its answer, raised by base; one that
+// headerNumber is a number that a server tells beside its answer, raised by base; one that
 // cannot be read is none.
-func figure(s string, base float64) float64 {
+func headerNumber(s string, base float64) float64 {
 	n, err := strconv.ParseUint(s, 10, 32)
 	if err != nil {
 		return 0
@@ -126,10 +126,10 @@
 	return float64(n) + base
 }
 
-// quiet tells that nothing has come on a free connection, neither bytes that nobody asked
+// noInput tells that nothing has come on a free connection, neither bytes that nobody asked
 // for nor its end.
-func (l *link) quiet() bool {
+func (l *serverConn) noInput() bool {
 	var one [1]byte
 	_, err := env.ReadAvailable(l.conn, one[:])
-	return err == env.ErrNoData && l.in.Buffered() == 0
+	return err == env.ErrNoData && l.reader.Buffered() == 0
 }
--- a/internal/control/scheduler/list_test.go
+++ b/internal/control/scheduler/list_test.go
@@ -55,13 +55,13 @@
 	k, p := coreFor(t)
 	logged, lines := observer.New(zap.InfoLevel)
 	k.log = newEventLog(zap.New(logged))
-	stamped := fmt.Sprintf(`{"host":"s3","dial":"x:5","block":0,"health":"active","born_ms":%d}`, k.born+epoch+3_600_000)
+	stamped := fmt.Sprintf(`{"host":"s3","dial":"x:5","block":0,"health":"active","born_ms":%d}`, k.zeroUnixMS+clockAtStart+3_600_000)
 	l, err := parseServerList([]byte(listOf(2, entry("s0", "x:1", stateActive, 0), entry("s0", "x:1", stateActive, 0),
 		entry("s1", "x:2", "resting", 1), entry("s2", "x:4", stateActive, 1_000_000), entry("s4", "x:6", stateActive, -3), stamped)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.list(epoch+1, l, false)
+	k.updateServers(clockAtStart+1, l, false)
 	var faults []string
 	for _, line := range lines.FilterMessage("entry of the list is wrong").All() {
 		faults = append(faults, line.ContextMap()["fault"].(string))
@@ -73,9 +73,9 @@
 		}
 	}
 	for i, shard := range []int{0, -1, -1, -1} {
-		c := p.call(k, fmt.Sprint(i), "card-read", epoch+2, 400)
+		c := p.call(k, fmt.Sprint(i), "card-read", clockAtStart+2, 400)
 		c.req.Shard = shard
-		k.take(epoch+2, c)
+		k.startCall(clockAtStart+2, c)
 	}
 	for _, a := range p.out {
 		if a.host != "s0" && a.host != "s3" {
@@ -109,7 +109,7 @@
 		p := &played{sent: map[*attempt]bool{}, answers: map[string]int{}}
 		k := newCore(1_000_000, c, p)
 		k.start(c.Known)
-		if k.take(epoch+1, p.call(k, "a", "card-read", epoch+1, 400)); len(p.out) != 1 {
+		if k.startCall(clockAtStart+1, p.call(k, "a", "card-read", clockAtStart+1, 400)); len(p.out) != 1 {
 			t.Errorf("%d: nothing was sent", number)
 		}
 	}
@@ -118,11 +118,11 @@
 // A server whose shard comes with other settings is served from then on.
 func TestAReloadNamesMoreShards(t *testing.T) {
 	k, p := coreFor(t)
-	k.list(epoch+1, ServerList{Seq: 2, Entries: []ServerEntry{{Host: "s9", Address: "x:9", ShardIndex: 9, Health: stateActive}}}, false)
+	k.updateServers(clockAtStart+1, ServerList{Seq: 2, Entries: []ServerEntry{{Host: "s9", Address: "x:9", ShardIndex: 9, Health: stateActive}}}, false)
 	ask := func(id string) {
 		c := p.call(k, id, "card-read", k.now, 400)
 		c.req.Shard = 9
-		k.take(k.now, c)
+		k.startCall(k.now, c)
 	}
 	if ask("a"); len(p.out) != 0 {
 		t.Error("sent to a server of no shard")
@@ -131,7 +131,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.revise(epoch+2, c.Settings)
+	k.updateSettings(clockAtStart+2, c.Settings)
 	if ask("b"); len(p.out) == 0 {
 		t.Error("not served after the reload")
 	}
--- a/internal/control/scheduler/listsize_test.go
+++ b/internal/control/scheduler/listsize_test.go
@@ -44,9 +44,9 @@
 	})
 	b.Run("known", func(b *testing.B) {
 		k, _ := coreFor(b)
-		k.list(k.now, l, false)
+		k.updateServers(k.now, l, false)
 		for b.Loop() {
-			k.list(k.now, l, false)
+			k.updateServers(k.now, l, false)
 		}
 	})
 }
@@ -55,30 +55,30 @@
 // form, and the last of two entries of one server.
 func TestOnlyChangesComeToTheModule(t *testing.T) {
 	k, _ := coreFor(t)
-	spy := &spyModule{Scheduler: k.mod}
-	k.mod = spy
+	spy := &spyModule{Scheduler: k.scheduler}
+	k.scheduler = spy
 	l := listOfSize(40, "active")
-	k.list(k.now, l, false)
+	k.updateServers(k.now, l, false)
 	if n := len(spy.nodes); n != 42 { // the two of before are gone
 		t.Errorf("%d of the first list", n)
 	}
-	k.list(k.now, l, false)
+	k.updateServers(k.now, l, false)
 	if n := len(spy.nodes); n != 0 {
 		t.Errorf("%d of the same list again", n)
 	}
 	drained := l.Entries[7]
 	drained.Health = "leaving"
-	k.list(k.now, ServerList{Seq: 2, Entries: []ServerEntry{drained, l.Entries[7], l.Entries[8]}}, false)
+	k.updateServers(k.now, ServerList{Seq: 2, Entries: []ServerEntry{drained, l.Entries[7], l.Entries[8]}}, false)
 	if n := len(spy.nodes); n != 2 || spy.nodes[0].Health != policy.Draining || spy.nodes[1].Health != policy.Ready {
 		t.Error(spy.nodes)
 	}
 	short := ServerList{Seq: 3, Full: true, Entries: append([]ServerEntry{l.Entries[0]}, l.Entries[:39]...)}
-	k.list(k.now, short, false)
+	k.updateServers(k.now, short, false)
 	if n := len(spy.nodes); n != 1 || spy.nodes[0].Addr != l.Entries[39].Host || spy.nodes[0].Health != policy.Removed {
 		t.Error(spy.nodes)
 	}
-	if len(k.hosts) != 39 {
-		t.Errorf("%d are held", len(k.hosts))
+	if len(k.servers) != 39 {
+		t.Errorf("%d are held", len(k.servers))
 	}
 }
 
--- a/internal/control/scheduler/loop.go
+++ b/internal/control/scheduler/loop.go
@@ -15,37 +15,37 @@
 
 // loop is the one goroutine that owns the core, and what is posted to it.
 type loop struct {
-	world  env.Environment
-	start  time.Duration // when the core's clock showed epoch
-	wake   env.Parker
-	done   env.Gate
-	ticked func()
-	log    *eventLog
-
-	mu      sync.Mutex
-	mailbox []event
-	waiting []env.Parker // who has something to post and finds no room
-	stopped bool
+	environment env.Environment
+	startedAt   time.Duration // when the core's clock showed epoch
+	wake        env.Parker
+	done        env.Gate
+	afterBatch  func()
+	log         *eventLog
+
+	mu             sync.Mutex
+	queue          []event
+	blockedPosters []env.Parker // who has something to post and finds no room
+	stopped        bool
 
 	alarm env.WakeTimer
 }
 
 // event is something to do on the loop, at the time at which it happened.
 type event struct {
-	at   float64
-	kind eventKind
-	do   func(at float64)
+	occurredAt float64
+	kind       eventKind
+	run        func(occurredAt float64)
 }
 
-// mailboxLimit bounds what waits for the loop: its posters wait once it is reached.
-const mailboxLimit = 1024
+// maxQueuedEvents bounds what waits for the loop: its posters wait once it is reached.
+const maxQueuedEvents = 1024
 
 func newLoop(w env.Environment) *loop {
-	return &loop{world: w, start: w.Now(), wake: w.NewParker()}
+	return &loop{environment: w, startedAt: w.Now(), wake: w.NewParker()}
 }
 
 // now is the present time on the core's clock, ms.
-func (l *loop) now() float64 { return epoch + env.MS(l.world.Now()-l.start) }
+func (l *loop) now() float64 { return clockAtStart + env.MS(l.environment.Now()-l.startedAt) }
 
 // post has f done on the loop. It waits while too much waits already, so the loop itself
 // never calls it. It tells whether the loop takes events still.
@@ -57,35 +57,35 @@
 			l.mu.Unlock()
 			return false
 		}
-		if len(l.mailbox) < mailboxLimit {
-			l.mailbox = append(l.mailbox, event{at, kind, f})
+		if len(l.queue) < maxQueuedEvents {
+			l.queue = append(l.queue, event{at, kind, f})
 			l.mu.Unlock()
 			l.wake.Unpark()
 			return true
 		}
 		if p == nil {
-			p = l.world.NewParker()
+			p = l.environment.NewParker()
 		}
-		l.waiting = append(l.waiting, p)
+		l.blockedPosters = append(l.blockedPosters, p)
 		l.mu.Unlock()
 		p.Park()
 	}
 }
 
-// collect takes what was posted and lets those post who waited.
-func (l *loop) collect(room []event) []event {
+// takeQueued takes what was posted and lets those post who waited.
+func (l *loop) takeQueued(room []event) []event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	events := l.mailbox
-	l.mailbox = room[:0]
-	for _, p := range l.waiting {
+	events := l.queue
+	l.queue = room[:0]
+	for _, p := range l.blockedPosters {
 		p.Unpark()
 	}
-	l.waiting = l.waiting[:0]
+	l.blockedPosters = l.blockedPosters[:0]
 	return events
 }
 
-func (l *loop) halted() bool {
+func (l *loop) isStopped() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.stopped
@@ -95,44 +95,44 @@
 func (l *loop) run(k *core) {
 	defer l.done.Open()
 	var events []event
-	for !l.halted() {
+	for !l.isStopped() {
 		l.wake.Park()
-		events = l.collect(events)
+		events = l.takeQueued(events)
 		for i := range events {
 			l.handle(&events[i])
 			events[i] = event{}
-			l.tick(k)
+			l.runDue(k)
 		}
-		l.tick(k)
-		l.ticked()
-		l.alarm.Set(l.world, l.now(), k.next(), l.wake.Unpark)
+		l.runDue(k)
+		l.afterBatch()
+		l.alarm.Set(l.environment, l.now(), k.nextDue(), l.wake.Unpark)
 	}
 	l.alarm.Stop()
 }
 
-// tick does what has come due: before new work, for it is owed by its time.
-func (l *loop) tick(k *core) {
-	if due := k.next(); due <= l.now() {
-		l.handle(&event{due, eventTick, func(float64) { k.tick(l.now()) }})
+// runDue does what has come due: before new work, for it is owed by its time.
+func (l *loop) runDue(k *core) {
+	if due := k.nextDue(); due <= l.now() {
+		l.handle(&event{due, eventTick, func(float64) { k.runDue(l.now()) }})
 	}
 }
 
 // handle does one event and logs it if it was late.
 func (l *loop) handle(e *event) {
 	began := l.now()
-	e.do(e.at)
-	l.log.handled(e.kind, began-e.at, l.now()-began)
+	e.run(e.occurredAt)
+	l.log.eventLate(e.kind, began-e.occurredAt, l.now()-began)
 }
 
 // stop ends the loop, from another goroutine.
 func (l *loop) stop() {
 	l.mu.Lock()
 	l.stopped = true
-	for _, p := range l.waiting {
+	for _, p := range l.blockedPosters {
 		p.Unpark()
 	}
-	l.waiting = nil
+	l.blockedPosters = nil
 	l.mu.Unlock()
 	l.wake.Unpark()
-	l.done.Wait(l.world)
+	l.done.Wait(l.environment)
 }
--- a/internal/control/scheduler/outcome_test.go
+++ b/internal/control/scheduler/outcome_test.go
@@ -39,7 +39,7 @@
 		"up to a reset":            {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\nhi"), Reset: true}, policy.ConnectionLost},
 		"nothing":                  {standin.HTTPAnswer{After: time.Hour}, policy.NoAnswer},
 		"a body that never ends":   {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\nhi")}, policy.NoAnswer},
-		"a body beyond the bounds": {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", mostAnswer+1))}, policy.ServerError},
+		"a body beyond the bounds": {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxResponseBytes+1))}, policy.ServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			do := c.do
@@ -116,7 +116,7 @@
 			t.Error("a class that is gone:", got)
 		}
 		var within time.Duration
-		sc.on(func() { within = sc.s.back.dialIn })
+		sc.on(func() { within = sc.s.back.dialTimeout })
 		if within != 400*time.Millisecond || sc.s.frontend.byteLimit.Load() != 4<<20 {
 			t.Errorf("dials within %s, %d bytes of bodies", within, sc.s.frontend.byteLimit.Load())
 		}
--- a/internal/control/scheduler/permit_test.go
+++ b/internal/control/scheduler/permit_test.go
@@ -27,26 +27,28 @@
 	}{
 		"nothing happened":  {func(*back, *attempt) {}, 100, true},
 		"too late to begin": {func(*back, *attempt) {}, 151, false},
-		"its time is over":  {func(_ *back, a *attempt) { a.by, a.until = 300, 120 }, 120, false},
-		"its client left":   {func(_ *back, a *attempt) { a.call.over.Store(true) }, 100, false},
+		"its time is over":  {func(_ *back, a *attempt) { a.beginBy, a.answerBy = 300, 120 }, 120, false},
+		"its client left":   {func(_ *back, a *attempt) { a.call.noNewAttempts.Store(true) }, 100, false},
 		"drains": {func(b *back, _ *attempt) {
-			b.notices.take(changed(ServerEntry{Host: "s0", Health: "leaving", StartedMS: 7}))
+			b.serverStates.apply(changed(ServerEntry{Host: "s0", Health: "leaving", StartedMS: 7}))
 		}, 100, false},
 		"gone": {func(b *back, _ *attempt) {
-			b.notices.take(changed(ServerEntry{Host: "s0", Health: "left", StartedMS: 7}))
+			b.serverStates.apply(changed(ServerEntry{Host: "s0", Health: "left", StartedMS: 7}))
 		}, 100, false},
 		"started anew": {func(b *back, _ *attempt) {
-			b.notices.take(changed(ServerEntry{Host: "s0", Health: "active", StartedMS: 9}))
+			b.serverStates.apply(changed(ServerEntry{Host: "s0", Health: "active", StartedMS: 9}))
 		}, 100, false},
-		"another one drains":   {func(b *back, _ *attempt) { b.notices.take(changed(ServerEntry{Host: "s1", Health: "leaving"})) }, 100, true},
-		"not on a whole list":  {func(b *back, _ *attempt) { b.notices.take(ServerList{Seq: 3, Full: true, Entries: two.Entries[1:]}) }, 100, false},
-		"on a whole list anew": {func(b *back, _ *attempt) { b.notices.take(two) }, 100, true},
+		"another one drains": {func(b *back, _ *attempt) { b.serverStates.apply(changed(ServerEntry{Host: "s1", Health: "leaving"})) }, 100, true},
+		"not on a whole list": {func(b *back, _ *attempt) {
+			b.serverStates.apply(ServerList{Seq: 3, Full: true, Entries: two.Entries[1:]})
+		}, 100, false},
+		"on a whole list anew": {func(b *back, _ *attempt) { b.serverStates.apply(two) }, 100, true},
 	} {
 		b := &back{}
-		b.notices.take(two)
-		a := &attempt{call: &call{}, host: "s0", by: 150, until: 200}
+		b.serverStates.apply(two)
+		a := &attempt{call: &call{}, host: "s0", beginBy: 150, answerBy: 200}
 		tt.do(b, a)
-		if got := b.permits(a, tt.now, 7); got != tt.want {
+		if got := b.mayBegin(a, tt.now, 7); got != tt.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -80,7 +82,7 @@
 // Faults of the other end count against the disk server at once.
 func TestFaultsOfTheOtherEnd(t *testing.T) {
 	for _, fault := range []error{syscall.ECONNREFUSED, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.ECONNRESET} {
-		if ownFault(&net.OpError{Op: "dial", Err: fault}) {
+		if localSocketError(&net.OpError{Op: "dial", Err: fault}) {
 			t.Errorf("%v is taken for this machine's own", fault)
 		}
 	}
@@ -175,7 +177,7 @@
 		},
 		"server drains": func(sc *scene, _ *peer) {
 			sc.list.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entry("s0", sc.disk.Addr, "leaving", 0)))
-			sc.until("the list was read", func() bool { return !sc.s.back.notices.admits("s0", 0) })
+			sc.until("the list was read", func() bool { return !sc.s.back.serverStates.allows("s0", 0) })
 		},
 		"time to begin is over": func(sc *scene, _ *peer) { env.Sleep(sc.w, 320*time.Millisecond, nil) },
 	} {
@@ -232,11 +234,11 @@
 func TestTimersGoBetweenEvents(t *testing.T) {
 	k, _ := coreFor(t)
 	l := newLoop(env.NewReal())
-	l.ticked = func() {}
+	l.afterBatch = func() {}
 	fired := false
-	k.mod = firing{k.mod, &fired}
+	k.scheduler = firing{k.scheduler, &fired}
 	due := l.now() + 2
-	k.do(policy.SetTimer{Delay: due - k.now, Name: "test"})
+	k.perform(policy.SetTimer{Delay: due - k.now, Name: "test"})
 	var order []bool
 	l.post(l.now(), eventStop, func(float64) {
 		for l.now() < due {
@@ -249,7 +251,7 @@
 		done.Open()
 	})
 	go l.run(k)
-	done.Wait(l.world)
+	done.Wait(l.environment)
 	l.stop()
 	if len(order) != 1 || !order[0] {
 		t.Error("the second event came before the timer:", order)
--- a/internal/control/scheduler/scene_test.go
+++ b/internal/control/scheduler/scene_test.go
@@ -150,7 +150,7 @@
 
 func (p *peer) hear(from time.Duration) said {
 	p.conn.SetReadDeadline(p.w.Deadline(20 * time.Second))
-	m, b, err := http1.ReadWholeResponse(p.in, answerLimits)
+	m, b, err := http1.ReadWholeResponse(p.in, responseLimits)
 	if http1.IsMessageError(err) {
 		panic(err)
 	}
@@ -420,7 +420,7 @@
 		}
 		var held []string
 		sc.s.loop.post(sc.s.loop.now(), eventStop, func(float64) {
-			for h := range sc.s.core.hosts {
+			for h := range sc.s.core.servers {
 				held = append(held, h)
 			}
 		})
@@ -455,7 +455,7 @@
 		p := sc.connect()
 		p.ask(sc.get())
 		env.Sleep(sc.w, 25*time.Second, nil)
-		if n := sc.s.back.conns; n != 0 {
+		if n := sc.s.back.connCount; n != 0 {
 			t.Errorf("%d connections are open", n)
 		}
 		if got := sc.connect().ask(sc.get()); got.status != 200 {
--- a/internal/control/scheduler/serverbytes_test.go
+++ b/internal/control/scheduler/serverbytes_test.go
@@ -42,7 +42,7 @@
 		}
 	}()
 	sc.list.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entry("s0", l.Addr().String(), "active", 0)))
-	sc.until("the list", sc.core(func(k *core) bool { return k.hosts["s0"].Address == l.Addr().String() }))
+	sc.until("the list", sc.core(func(k *core) bool { return k.servers["s0"].Address == l.Addr().String() }))
 	return d
 }
 
@@ -96,7 +96,7 @@
 					}
 					sc.until("the connection is free", sc.core(func(k *core) bool {
 						s := sc.s.back.servers["s0"]
-						return len(s.free) == 1 && s.coming == 0
+						return len(s.free) == 1 && s.expected == 0
 					}))
 					do(d.conn(i))
 				}
--- a/internal/control/scheduler/staleness_test.go
+++ b/internal/control/scheduler/staleness_test.go
@@ -10,16 +10,16 @@
 
 // Ages at which connections break are avoided, others are not, and they are tried again.
 func TestAgesThatBreakAreAvoided(t *testing.T) {
-	var w staleness
+	var w reuseStats
 	for i := range 10 {
 		now := float64(i)
-		w.saw(now, 20, false)
-		w.saw(now, 300, i%2 == 0)
+		w.record(now, 20, false)
+		w.record(now, 300, i%2 == 0)
 	}
-	if w.stale(10, 20) || !w.stale(10, 300) || w.stale(10, 100_000) || w.stale(10, 0) {
-		t.Errorf("%+v", w.ages)
+	if w.likelyBroken(10, 20) || !w.likelyBroken(10, 300) || w.likelyBroken(10, 100_000) || w.likelyBroken(10, 0) {
+		t.Errorf("%+v", w.buckets)
 	}
-	if w.stale(10+5*ageSpan, 300) {
+	if w.likelyBroken(10+5*reuseDecayTime, 300) {
 		t.Error("never tried again")
 	}
 }
@@ -61,8 +61,8 @@
 		if got.status != 200 || got.body != string(body) {
 			t.Error(got.status, len(got.body))
 		}
-		if b := sc.s.back; b.held.Load() != 0 || sc.s.frontend.answerBytes.Load() != 0 {
-			t.Errorf("%d and %d bytes are still counted", b.held.Load(), sc.s.frontend.answerBytes.Load())
+		if b := sc.s.back; b.replyBytes.Load() != 0 || sc.s.frontend.answerBytes.Load() != 0 {
+			t.Errorf("%d and %d bytes are still counted", b.replyBytes.Load(), sc.s.frontend.answerBytes.Load())
 		}
 	})
 }
