--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -22,17 +22,17 @@
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
-	hosts := make(map[int]policy.Scheduler)
+	instances := make(map[int]policy.Scheduler)
 	for {
-		b, err := r.Next()
+		batch, err := r.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		for _, ev := range b.Events {
-			if err := handleEvent(hosts, w, b.Now, ev); err != nil {
+		for _, ev := range batch.Events {
+			if err := handleEvent(instances, w, batch.Now, ev); err != nil {
 				return err
 			}
 		}
@@ -43,16 +43,16 @@
 }
 
 // handleEvent gives one event to its instance and prints what it does.
-func handleEvent(hosts map[int]policy.Scheduler, w *wire.Writer, now float64, ev wire.Event) error {
+func handleEvent(instances map[int]policy.Scheduler, w *wire.Writer, now float64, ev wire.Event) error {
 	switch {
 	case ev.Boot != nil:
-		hosts[ev.Instance] = policy.New(*ev.Boot, ev.Seed)
+		instances[ev.Instance] = policy.New(*ev.Boot, ev.Seed)
 	case ev.Stop:
-		delete(hosts, ev.Instance)
-	case hosts[ev.Instance] == nil:
+		delete(instances, ev.Instance)
+	case instances[ev.Instance] == nil:
 		return fmt.Errorf("event for instance %d, which is not running", ev.Instance)
 	default:
-		for _, a := range hosts[ev.Instance].Handle(now, ev.Event) {
+		for _, a := range instances[ev.Instance].Handle(now, ev.Event) {
 			w.Action(ev.Instance, a)
 		}
 	}
--- a/internal/protocol/http1/body.go
+++ b/internal/protocol/http1/body.go
@@ -30,7 +30,7 @@
 	return fr, err
 }
 
-func parseFraming(f Fields, most int) (fr Framing, err error) {
+func parseFraming(f Fields, maxLength int) (fr Framing, err error) {
 	lengths, codings := f.Count("content-length"), f.Count("transfer-encoding")
 	switch {
 	case codings > 0 && lengths > 0, lengths > 1, codings > 1:
@@ -41,7 +41,7 @@
 		}
 		fr.Chunked = true
 	case lengths == 1:
-		fr.Length, err = parseLength(f.Get("content-length"), most)
+		fr.Length, err = parseLength(f.Get("content-length"), maxLength)
 	}
 	return fr, err
 }
@@ -49,7 +49,7 @@
 // maxLengthDigits keeps lengths within an int.
 const maxLengthDigits = 18
 
-func parseLength(s string, most int) (int, error) {
+func parseLength(s string, maxLength int) (int, error) {
 	for i := range len(s) {
 		if s[i] < '0' || s[i] > '9' {
 			return 0, &Error{Malformed, "length"}
@@ -62,7 +62,7 @@
 		return 0, &Error{TooLarge, "body"}
 	}
 	n, _ := strconv.Atoi(s)
-	if n > most {
+	if n > maxLength {
 		return 0, &Error{TooLarge, "body"}
 	}
 	return n, nil
@@ -137,15 +137,15 @@
 
 func appendBytes(br *bufio.Reader, b []byte, n int, lim Limits) (_ []byte, err error) {
 	for n > 0 {
-		k := min(n, growStep)
-		at := len(b)
-		if b, err = lim.grow(b, k); err != nil {
+		size := min(n, growStep)
+		start := len(b)
+		if b, err = lim.grow(b, size); err != nil {
 			return nil, err
 		}
-		if _, err := io.ReadFull(br, b[at:]); err != nil {
+		if _, err := io.ReadFull(br, b[start:]); err != nil {
 			return nil, unexpectedEOF(err)
 		}
-		n -= k
+		n -= size
 	}
 	return b, nil
 }
@@ -189,30 +189,30 @@
 }
 
 // readChunkSize reads the line before a chunk, of which at most left bytes may come.
-func (h *lineReader) readChunkSize(left int) (int, error) {
+func (h *lineReader) readChunkSize(maxSize int) (int, error) {
 	line, err := h.readLine("chunk size")
 	if err != nil {
 		return 0, err
 	}
 	digits, _, _ := strings.Cut(line, ";")
-	return parseChunkSize(strings.TrimRight(digits, " \t"), left)
+	return parseChunkSize(strings.TrimRight(digits, " \t"), maxSize)
 }
 
 // readChunkEnd reads what ends a chunk's data.
 func (h *lineReader) readChunkEnd() error {
-	end, err := h.readLine("chunk")
-	if err == nil && end != "" {
+	line, err := h.readLine("chunk")
+	if err == nil && line != "" {
 		err = &Error{Malformed, "chunk"}
 	}
 	return err
 }
 
-func parseChunkSize(s string, left int) (int, error) {
+func parseChunkSize(s string, maxSize int) (int, error) {
 	if s == "" || strings.Trim(s, "0123456789abcdefABCDEF") != "" {
 		return 0, &Error{Malformed, "chunk size"}
 	}
 	n, err := strconv.ParseUint(s, 16, 31)
-	if err != nil || int(n) > left {
+	if err != nil || int(n) > maxSize {
 		return 0, &Error{TooLarge, "body"}
 	}
 	return int(n), nil
--- a/internal/protocol/http1/http1.go
+++ b/internal/protocol/http1/http1.go
@@ -154,15 +154,15 @@
 }
 
 func (r *Request) parseRequestLine(line string) error {
-	bad := &Error{Malformed, "request line"}
+	malformed := &Error{Malformed, "request line"}
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
 	if !ok || !ok2 || !isToken(method) || !isVisibleASCII(target) || target[0] != '/' {
-		return bad
+		return malformed
 	}
 	minor, ok := parseVersion(version)
 	if !ok {
-		return bad
+		return malformed
 	}
 	r.Method, r.Target, r.Minor = method, target, minor
 	return nil
@@ -200,20 +200,20 @@
 }
 
 func (r *Response) parseStatusLine(line string) error {
-	bad := &Error{Malformed, "status line"}
+	malformed := &Error{Malformed, "status line"}
 	version, rest, _ := strings.Cut(line, " ")
 	minor, ok := parseVersion(version)
 	if !ok || len(rest) < 3 || len(rest) > 3 && rest[3] != ' ' {
-		return bad
+		return malformed
 	}
 	for _, c := range []byte(rest[:3]) {
 		if c < '0' || c > '9' {
-			return bad
+			return malformed
 		}
 		r.Status = r.Status*10 + int(c-'0')
 	}
 	if r.Status < 100 || r.Status > 599 || !isFieldValue(rest[3:]) {
-		return bad
+		return malformed
 	}
 	r.Minor = minor
 	return nil
@@ -239,7 +239,7 @@
 // readLine returns the next readLine without its CRLF. A bare LF ends no readLine here: what peers
 // read differently must not be guessed at.
 func (h *lineReader) readLine(part string) (string, error) {
-	var long []byte
+	var partial []byte
 	for {
 		b, err := h.br.ReadSlice('\n')
 		h.remaining -= len(b)
@@ -250,12 +250,12 @@
 		case h.remaining < 0:
 			return "", &Error{TooLarge, part}
 		case err == nil:
-			if len(long) > 0 {
-				b = append(long, b...)
+			if len(partial) > 0 {
+				b = append(partial, b...)
 			}
 			return trimCRLF(b, part)
 		case errors.Is(err, bufio.ErrBufferFull):
-			long = append(long, b...)
+			partial = append(partial, b...)
 		case err == io.EOF && h.started:
 			return "", io.ErrUnexpectedEOF
 		default:
@@ -271,7 +271,7 @@
 	return string(b[:len(b)-2]), nil
 }
 
-func (h *lineReader) readFields(most int) (Fields, error) {
+func (h *lineReader) readFields(maxFields int) (Fields, error) {
 	var f Fields
 	for {
 		line, err := h.readLine("field")
@@ -281,7 +281,7 @@
 		if line == "" {
 			return f, nil
 		}
-		if len(f) >= most {
+		if len(f) >= maxFields {
 			return nil, &Error{TooLarge, "fields"}
 		}
 		name, value, ok := strings.Cut(line, ":")
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -11,22 +11,22 @@
 	"testing/iotest"
 )
 
-var lim = Limits{MaxHeadBytes: 512, MaxFields: 8, MaxBodyBytes: 64}
+var testLimits = Limits{MaxHeadBytes: 512, MaxFields: 8, MaxBodyBytes: 64}
 
 func smallReader(s string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(s), 16) }
 
 // readRequest reads a request with its body.
 func readRequest(s string) (*Request, []byte, error) {
 	br := smallReader(s)
-	r, err := ReadRequest(br, lim)
+	r, err := ReadRequest(br, testLimits)
 	if err != nil {
 		return nil, nil, err
 	}
-	fr, err := r.Framing(lim)
+	fr, err := r.Framing(testLimits)
 	if err != nil {
 		return nil, nil, err
 	}
-	b, err := ReadBody(br, fr, lim)
+	b, err := ReadBody(br, fr, testLimits)
 	return r, b, err
 }
 
@@ -45,7 +45,7 @@
 }
 
 func TestReadRequestRejectsInvalid(t *testing.T) {
-	long := strings.Repeat("a", 600)
+	longText := strings.Repeat("a", 600)
 	for _, c := range []struct {
 		in   string
 		kind Kind
@@ -61,8 +61,8 @@
 		{"GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", Malformed},
 		{"GET / HTTP/1.1\r\nA: b\x00\r\n\r\n", Malformed},
 		{"GET / HTTP/1.1\r\n: b\r\n\r\n", Malformed},
-		{"GET /" + long + " HTTP/1.1\r\n\r\n", TooLarge},
-		{"GET / HTTP/1.1\r\nA: " + long + "\r\n\r\n", TooLarge},
+		{"GET /" + longText + " HTTP/1.1\r\n\r\n", TooLarge},
+		{"GET / HTTP/1.1\r\nA: " + longText + "\r\n\r\n", TooLarge},
 		{"GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 9) + "\r\n", TooLarge},
 		{"PUT / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", Malformed},
 		{"PUT / HTTP/1.1\r\nContent-Length: +1\r\n\r\n", Malformed},
@@ -113,7 +113,7 @@
 		{"HTTP/1.1 204 No\r\n\r\n", 204, 0, "", 0},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", 0, 0, "", 0},
 		{"HTTP/1.1 200 OK\r\n\r\nab", 200, 0, "ab", 0}, // up to the close
-		{"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("a", lim.MaxBodyBytes+1), 0, 0, "", 0},
+		{"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("a", testLimits.MaxBodyBytes+1), 0, 0, "", 0},
 		{"HTTP/1.1 20 OK\r\n\r\n", 0, 0, "", 0},
 		{"HTTP/1.1 101 Up\r\n\r\n", 0, 0, "", 0},
 		{"HTTP/1.1 999 No\r\n\r\n", 0, 0, "", 0},
@@ -121,12 +121,12 @@
 		{strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 40), 0, 0, "", 0},
 	} {
 		br := smallReader(c.in)
-		m, err := ReadResponse(br, lim)
+		m, err := ReadResponse(br, testLimits)
 		var body []byte
 		if err == nil {
 			var fr Framing
-			if fr, err = m.Framing(lim); err == nil {
-				body, err = ReadBody(br, fr, lim)
+			if fr, err = m.Framing(testLimits); err == nil {
+				body, err = ReadBody(br, fr, testLimits)
 			}
 		}
 		if c.status == 0 {
@@ -149,25 +149,25 @@
 		"PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\nT: v\r\n\r\n",
 	} {
 		br := bufio.NewReader(iotest.OneByteReader(strings.NewReader(in)))
-		r, err := ReadRequest(br, lim)
+		r, err := ReadRequest(br, testLimits)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fr, err := r.Framing(lim)
+		fr, err := r.Framing(testLimits)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if b, err := ReadBody(br, fr, lim); err != nil || string(b) != "abc" || r.Target != "/a" {
+		if b, err := ReadBody(br, fr, testLimits); err != nil || string(b) != "abc" || r.Target != "/a" {
 			t.Errorf("%q: %+v %q %v", in, r, b, err)
 		}
 	}
 	br := bufio.NewReader(iotest.OneByteReader(strings.NewReader("HTTP/1.1 103 H\r\nA: b\r\n\r\nHTTP/1.1 200\r\n\r\nabc")))
-	m, err := ReadResponse(br, lim)
+	m, err := ReadResponse(br, testLimits)
 	if err != nil || m.InterimCount != 1 {
 		t.Fatal(m, err)
 	}
-	fr, _ := m.Framing(lim)
-	if b, err := ReadBody(br, fr, lim); err != nil || string(b) != "abc" {
+	fr, _ := m.Framing(testLimits)
+	if b, err := ReadBody(br, fr, testLimits); err != nil || string(b) != "abc" {
 		t.Errorf("%q %v", b, err)
 	}
 }
@@ -175,32 +175,32 @@
 // A body up to the close is whole only where the stream ends cleanly, and is given no more
 // room than there is.
 func TestBodyUntilClose(t *testing.T) {
-	broken := io.MultiReader(strings.NewReader("ab"), iotest.ErrReader(syscall.ECONNRESET))
-	if b, err := ReadBody(bufio.NewReader(broken), Framing{UntilClose: true}, lim); err != syscall.ECONNRESET || b != nil {
+	resetStream := io.MultiReader(strings.NewReader("ab"), iotest.ErrReader(syscall.ECONNRESET))
+	if b, err := ReadBody(bufio.NewReader(resetStream), Framing{UntilClose: true}, testLimits); err != syscall.ECONNRESET || b != nil {
 		t.Errorf("a reset: %q, %v", b, err)
 	}
-	short := lim
-	asked := 0
-	short.Reserve = func(n int) bool { asked += n; return asked <= growStep }
+	limited := testLimits
+	reserved := 0
+	limited.Reserve = func(n int) bool { reserved += n; return reserved <= growStep }
 	for _, fr := range []Framing{{UntilClose: true}, {Length: growStep + 1}, {Chunked: true}} {
-		asked = 0
-		short.MaxBodyBytes = 2 * growStep
+		reserved = 0
+		limited.MaxBodyBytes = 2 * growStep
 		in := strings.Repeat("a", growStep+1)
 		if fr.Chunked {
 			in = "800\r\n" + in[:0x800] + "\r\n801\r\n" + in[:0x801] + "\r\n0\r\n\r\n"
 		}
-		if _, err := ReadBody(smallReader(in), fr, short); !IsMessageError(err) || asked <= growStep {
-			t.Errorf("%+v: %v, %d asked for", fr, err, asked)
+		if _, err := ReadBody(smallReader(in), fr, limited); !IsMessageError(err) || reserved <= growStep {
+			t.Errorf("%+v: %v, %d asked for", fr, err, reserved)
 		}
 	}
-	asked = 0
-	if b, err := ReadBody(bufio.NewReader(iotest.OneByteReader(strings.NewReader("abcdef"))), Framing{UntilClose: true}, short); err != nil || string(b) != "abcdef" || asked != growStep {
-		t.Errorf("byte by byte: %q, %v, %d asked for", b, err, asked)
+	reserved = 0
+	if b, err := ReadBody(bufio.NewReader(iotest.OneByteReader(strings.NewReader("abcdef"))), Framing{UntilClose: true}, limited); err != nil || string(b) != "abcdef" || reserved != growStep {
+		t.Errorf("byte by byte: %q, %v, %d asked for", b, err, reserved)
 	}
 }
 
 func TestStreamReadsChunksIncrementally(t *testing.T) {
-	s := NewStream(smallReader("5\r\nab\ncd\r\n2\r\ne\n\r\n0\r\n\r\nmore"), Framing{Chunked: true}, lim)
+	s := NewStream(smallReader("5\r\nab\ncd\r\n2\r\ne\n\r\n0\r\n\r\nmore"), Framing{Chunked: true}, testLimits)
 	var got []byte
 	for {
 		b, err := s.Next()
@@ -218,7 +218,7 @@
 	if _, err := s.Next(); err != io.EOF {
 		t.Error("the end does not last:", err)
 	}
-	if _, err := NewStream(smallReader("2\r\nabc\r\n"), Framing{Chunked: true}, lim).nextTwice(); !IsMessageError(err) {
+	if _, err := NewStream(smallReader("2\r\nabc\r\n"), Framing{Chunked: true}, testLimits).nextTwice(); !IsMessageError(err) {
 		t.Error("a chunk that is longer than it says:", err)
 	}
 }
@@ -237,7 +237,7 @@
 		"GET / HTTP/1.0\r\nConnection: Keep-Alive\r\n\r\n":               false,
 		"GET / HTTP/1.1\r\nConnection: x\r\nConnection: Close,y\r\n\r\n": true,
 	} {
-		if r, err := ReadRequest(smallReader(in), lim); err != nil || r.Close() != want {
+		if r, err := ReadRequest(smallReader(in), testLimits); err != nil || r.Close() != want {
 			t.Errorf("%q: %v", in, err)
 		}
 	}
@@ -253,7 +253,7 @@
 		if err != nil {
 			return
 		}
-		if len(body) > lim.MaxBodyBytes || len(r.Fields) > lim.MaxFields {
+		if len(body) > testLimits.MaxBodyBytes || len(r.Fields) > testLimits.MaxFields {
 			t.Fatal("a bound was passed")
 		}
 		again, b, err := readRequest(string(AppendRequest(nil, r.Method, r.Target, nil, body)))
@@ -271,15 +271,15 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		br := smallReader(string(in))
-		m, err := ReadResponse(br, lim)
+		m, err := ReadResponse(br, testLimits)
 		if err != nil {
 			return
 		}
-		fr, err := m.Framing(lim)
+		fr, err := m.Framing(testLimits)
 		if err != nil {
 			return
 		}
-		if b, err := ReadBody(br, fr, lim); err == nil && (len(b) > lim.MaxBodyBytes || m.Status < 200 || m.Status > 599) {
+		if b, err := ReadBody(br, fr, testLimits); err == nil && (len(b) > testLimits.MaxBodyBytes || m.Status < 200 || m.Status > 599) {
 			t.Fatal("a bound was passed")
 		}
 	})
--- a/internal/runtime/env/env.go
+++ b/internal/runtime/env/env.go
@@ -1,7 +1,7 @@
-// Package env is the one place through which shells meet time, the network and
-// chance. Cores never import it: they are given times and bytes. An environment on real
-// sockets is made once, in main; a virtual one can take its place without any
-// change to the shells.
+// Package env abstracts the clock, the network, goroutines and random numbers. Code that
+// does I/O uses them only through an Environment, so that the same code runs on the
+// machine (Real) or in a deterministic simulation. Decision cores do not import this
+// package; they receive times and bytes as arguments.
 package env
 
 import (
@@ -13,46 +13,50 @@
 	"time"
 )
 
-// Timer is a pending call; Stop tells whether it was kept from running.
+// Timer is a pending call. Stop cancels it and reports whether it did so before the call
+// started.
 type Timer interface{ Stop() bool }
 
-// Environment is what a shell may use of the outside.
+// Environment provides the clock, the network, goroutines and random numbers.
 type Environment interface {
-	// Now is the time since the environment began. It only goes forward.
+	// Now returns the monotonic time since the environment was created.
 	Now() time.Duration
-	// Deadline is d from now in the form that net.Conn takes.
+	// Deadline returns the time d from now, for the SetDeadline methods of net.Conn.
 	Deadline(d time.Duration) time.Time
-	// AfterFunc calls f once, on a goroutine of its own, d from now.
+	// AfterFunc calls f once, in its own goroutine, d from now.
 	AfterFunc(d time.Duration, f func()) Timer
-	// Dial connects a stream; it fails when that takes longer, or when ctx ends first.
-	Dial(ctx context.Context, network, address string, within time.Duration) (net.Conn, error)
-	// Listen accepts streams at the address.
+	// Dial opens a stream connection. It fails if that takes longer than timeout or if
+	// ctx is done first.
+	Dial(ctx context.Context, network, address string, timeout time.Duration) (net.Conn, error)
+	// Listen returns a listener for stream connections at address.
 	Listen(network, address string) (net.Listener, error)
-	// RandomUint64 is a random number that no peer can guess.
+	// RandomUint64 returns a random number that peers cannot predict.
 	RandomUint64() uint64
-	// Go runs f on a goroutine of its own. A shell starts none but by this.
+	// Go runs f in a new goroutine. Code that runs in an Environment must start its
+	// goroutines this way.
 	Go(f func())
-	// NewParker is a place for one goroutine to wait at. A shell waits for other
-	// goroutines by it, or by what is built on it here; it holds no lock
-	// meanwhile.
+	// NewParker returns a Parker for one goroutine. Code that runs in an Environment
+	// waits for other goroutines with a Parker, or with the types of this package that
+	// are built on it, and holds no lock while it waits.
 	NewParker() Parker
-	// Processors is how many goroutines can run at once.
+	// Processors returns the number of goroutines that can run simultaneously.
 	Processors() int
 }
 
-// Parker is where one goroutine waits until another wakes it.
+// Parker blocks one goroutine until another wakes it.
 type Parker interface {
-	// Park returns once Unpark was called since the last return. It may return for
-	// nothing: who parks looks again at what it waits for.
+	// Park blocks until Unpark has been called since Park last returned. It may also
+	// return spuriously, so the caller must check its condition again.
 	Park()
-	// Unpark never blocks.
+	// Unpark wakes the goroutine in Park, or makes its next Park return immediately.
+	// It never blocks.
 	Unpark()
 }
 
-// Real is the environment of the machine: its monotonic clock and its sockets.
+// Real is the Environment of the machine: the monotonic clock, sockets and crypto/rand.
 type Real struct{ start time.Time }
 
-// NewReal begins an environment at the present time.
+// NewReal returns a Real whose Now counts from the present time.
 func NewReal() *Real { return &Real{start: time.Now()} }
 
 // Now implements Environment.
@@ -65,8 +69,8 @@
 func (w *Real) AfterFunc(d time.Duration, f func()) Timer { return time.AfterFunc(d, f) }
 
 // Dial implements Environment.
-func (w *Real) Dial(ctx context.Context, network, address string, within time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: within}
+func (w *Real) Dial(ctx context.Context, network, address string, timeout time.Duration) (net.Conn, error) {
+	d := net.Dialer{Timeout: timeout}
 	return d.DialContext(ctx, network, address)
 }
 
@@ -78,7 +82,7 @@
 // RandomUint64 implements Environment.
 func (w *Real) RandomUint64() uint64 {
 	var b [8]byte
-	rand.Read(b[:]) // never fails: crypto/rand aborts the process instead
+	rand.Read(b[:]) // never returns an error: crypto/rand aborts the process instead
 	return binary.BigEndian.Uint64(b[:])
 }
 
@@ -102,17 +106,17 @@
 	}
 }
 
-// MS is a duration in milliseconds, the unit of the module and of settings.
+// MS converts a duration to milliseconds, the unit of package policy and of settings.
 func MS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Duration is the inverse of MS.
+// Duration converts milliseconds to a duration. It is the inverse of MS.
 func Duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// FillRandom fills b with random bytes.
+// FillRandom fills b with random bytes from w.
 func FillRandom(w Environment, b []byte) {
 	for len(b) > 0 {
-		var word [8]byte
-		binary.BigEndian.PutUint64(word[:], w.RandomUint64())
-		b = b[copy(b, word[:]):]
+		var block [8]byte
+		binary.BigEndian.PutUint64(block[:], w.RandomUint64())
+		b = b[copy(b, block[:]):]
 	}
 }
--- a/internal/runtime/env/roster.go
+++ b/internal/runtime/env/orderedset.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// OrderedSet is a set that lists its members in the order in which they came, so that what
-// a shell does to each happens in the same order in every run. The zero value is empty.
-// Its user serialises the calls.
+// OrderedSet is a set that lists its members in insertion order, so that iterating over it
+// is deterministic, unlike over a map. The zero value is an empty set. It is not safe for
+// concurrent use.
 type OrderedSet[T comparable] struct {
 	sequence     map[T]uint64
 	lastSequence uint64
 }
 
-// Add enters a member.
+// Add inserts v. A member that is already present moves to the end.
 func (r *OrderedSet[T]) Add(v T) {
 	if r.sequence == nil {
 		r.sequence = map[T]uint64{}
@@ -23,16 +23,16 @@
 	r.sequence[v] = r.lastSequence
 }
 
-// Remove takes a member out, if it is in.
+// Remove deletes v, if present.
 func (r *OrderedSet[T]) Remove(v T) { delete(r.sequence, v) }
 
-// Has tells whether v is a member.
+// Has reports whether v is a member.
 func (r *OrderedSet[T]) Has(v T) bool { return r.sequence[v] != 0 }
 
-// Len is the number of members.
+// Len returns the number of members.
 func (r *OrderedSet[T]) Len() int { return len(r.sequence) }
 
-// All lists the members.
+// All returns the members in insertion order.
 func (r *OrderedSet[T]) All() []T {
 	return slices.SortedFunc(maps.Keys(r.sequence), func(a, b T) int { return cmp.Compare(r.sequence[a], r.sequence[b]) })
 }
--- a/internal/runtime/env/stream.go
+++ b/internal/runtime/env/stream.go
@@ -10,12 +10,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrNoData says that nothing has come on a connection that was not read already.
-var ErrNoData = errors.New("nothing has come")
+// ErrNoData means that no unread data is available on a connection.
+var ErrNoData = errors.New("no data available on connection")
 
-// ReadAvailable reads what has come on a stream and waits for nothing: ErrNothing where nothing
-// has, io.EOF where its other end has closed. Nobody else reads the stream meanwhile, and
-// its deadline for reading is not over.
+// ReadAvailable reads from a stream without blocking. It returns ErrNoData if no data is
+// available, and io.EOF if the peer has closed. Nobody else may read the stream at the
+// same time, and its read deadline must not have passed. On a connection that supports no
+// non-blocking read it returns ErrNoData.
 func ReadAvailable(c net.Conn, b []byte) (int, error) {
 	switch c := c.(type) {
 	case interface{ ReadAvailable(b []byte) (int, error) }:
@@ -26,33 +27,34 @@
 	return 0, ErrNoData
 }
 
-func readAvailable(c syscall.Conn, b []byte) (n int, fault error) {
+func readAvailable(c syscall.Conn, b []byte) (n int, readErr error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
 	err = raw.Read(func(fd uintptr) bool {
-		n, fault = syscall.Read(int(fd), b)
-		for fault == syscall.EINTR {
-			n, fault = syscall.Read(int(fd), b)
+		n, readErr = syscall.Read(int(fd), b)
+		for readErr == syscall.EINTR {
+			n, readErr = syscall.Read(int(fd), b)
 		}
-		return true // whatever it was: never wait
+		return true // never wait for the descriptor to become readable
 	})
 	switch {
 	case err != nil:
 		return 0, err
-	case fault == syscall.EAGAIN:
+	case readErr == syscall.EAGAIN:
 		return 0, ErrNoData
-	case fault != nil:
-		return 0, fault
+	case readErr != nil:
+		return 0, readErr
 	case n == 0:
 		return 0, io.EOF
 	}
 	return n, nil
 }
 
-// WaitReadable waits until bytes have come on a stream, which it leaves there: nil. The error is
-// the stream's end, io.EOF where the other end has closed, or a deadline for reading.
+// WaitReadable blocks until a stream has data to read, and consumes none of it. It returns
+// io.EOF if the peer has closed, an error of the stream, or a timeout if the read deadline
+// passes, and ErrNoData at once on a connection that cannot be watched without reading it.
 func WaitReadable(c net.Conn) error {
 	switch c := c.(type) {
 	case interface{ WaitReadable() error }:
@@ -69,26 +71,27 @@
 		return err
 	}
 	var n int
-	var fault error
+	var recvErr error
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		n, _, fault = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		return fault != syscall.EAGAIN && fault != syscall.EINTR
+		var peeked [1]byte
+		n, _, recvErr = syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		return recvErr != syscall.EAGAIN && recvErr != syscall.EINTR
 	})
 	switch {
 	case err != nil:
 		return err
-	case fault != nil:
-		return fault
+	case recvErr != nil:
+		return recvErr
 	case n == 0:
 		return io.EOF
 	}
 	return nil
 }
 
-// SinceLastReceive is how long ago the last bytes came on a stream, or the stream itself if none have:
-// what lay in a listener's queue, or with the kernel, is older than the moment in which it is
-// read. False where that can't be known.
+// SinceLastReceive returns the time since data last arrived on a TCP stream, or since the
+// connection was established if none has. It uses the kernel's TCP_INFO, so it includes
+// the time that data or the connection waited in kernel queues before being read. It
+// returns false if the connection does not provide that information.
 func SinceLastReceive(c net.Conn) (time.Duration, bool) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -99,23 +102,23 @@
 		return 0, false
 	}
 	var info *unix.TCPInfo
-	var fault error
-	err = raw.Control(func(fd uintptr) { info, fault = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
-	if err != nil || fault != nil {
+	var sockErr error
+	err = raw.Control(func(fd uintptr) { info, sockErr = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
+	if err != nil || sockErr != nil {
 		return 0, false
 	}
 	return time.Duration(info.Last_data_recv) * time.Millisecond, true
 }
 
-// CloseWrite ends what this side sends and leaves the stream open for what comes. It tells
-// whether the stream can do that.
+// CloseWrite shuts down the sending half of a stream and leaves the receiving half open. It
+// returns false if the stream does not support that or if it failed.
 func CloseWrite(c net.Conn) bool {
-	half, ok := c.(interface{ CloseWrite() error })
-	return ok && half.CloseWrite() == nil
+	closer, ok := c.(interface{ CloseWrite() error })
+	return ok && closer.CloseWrite() == nil
 }
 
-// IsTimeout tells whether an error of a connection only says that its deadline has passed.
+// IsTimeout reports whether err is a network timeout, such as a deadline that has passed.
 func IsTimeout(err error) bool {
-	e, ok := err.(net.Error)
-	return ok && e.Timeout()
+	netErr, ok := err.(net.Error)
+	return ok && netErr.Timeout()
 }
--- a/internal/runtime/env/wait.go
+++ b/internal/runtime/env/wait.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Gate is closed at first and can be opened once, for good. The zero value is a
-// closed gate. It is safe for concurrent use.
+// Gate is a one-shot event: it starts closed and, once opened, stays open. The zero value
+// is a closed gate. It is safe for concurrent use.
 type Gate struct {
 	mu      sync.Mutex
 	open    bool
@@ -17,7 +17,7 @@
 	signal  chan struct{}
 }
 
-// Open opens the gate.
+// Open opens the gate and wakes all waiters. Further calls have no effect.
 func (g *Gate) Open() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -34,17 +34,18 @@
 	}
 }
 
-// Opened tells whether the gate is open.
+// Opened reports whether the gate is open.
 func (g *Gate) Opened() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.open
 }
 
-// Wait returns once the gate is open.
+// Wait blocks until the gate is open.
 func (g *Gate) Wait(w Environment) { WaitAny(w, g) }
 
-// Chan is closed once the gate is open; for those who are no part of a virtual world.
+// Chan returns a channel that is closed when the gate opens. It is only for code that never
+// runs in the simulation, which cannot see that a goroutine waits on a channel.
 func (g *Gate) Chan() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -57,7 +58,8 @@
 	return g.signal
 }
 
-// addWaiter has p woken when the gate opens; false if it is open.
+// addWaiter registers p to be woken when the gate opens. It returns false, without
+// registering p, if the gate is already open.
 func (g *Gate) addWaiter(p Parker) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -75,7 +77,7 @@
 	}
 }
 
-// WaitAny returns once one of the gates is open.
+// WaitAny blocks until at least one of the gates is open.
 func WaitAny(w Environment, gates ...*Gate) {
 	p := w.NewParker()
 	for _, g := range gates {
@@ -89,7 +91,8 @@
 	}
 }
 
-// WaitContext returns once the gate is open, or ctx ends; it tells whether it is open.
+// WaitContext blocks until the gate is open or ctx is done, and reports whether the gate
+// is open.
 func WaitContext(ctx context.Context, w Environment, g *Gate) bool {
 	p := w.NewParker()
 	defer context.AfterFunc(ctx, p.Unpark)()
@@ -103,21 +106,22 @@
 	return g.Opened()
 }
 
-// WaitGroup counts goroutines, as sync.WaitGroup does. The zero value is empty.
+// WaitGroup is the counterpart of sync.WaitGroup for an Environment. The zero value has a
+// count of 0. It is safe for concurrent use.
 type WaitGroup struct {
 	mu      sync.Mutex
 	count   int
 	waiting []Parker
 }
 
-// Add counts n more.
+// Add adds n to the count.
 func (g *WaitGroup) Add(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.count += n
 }
 
-// Done takes one off.
+// Done decrements the count, and wakes the waiters when it reaches 0.
 func (g *WaitGroup) Done() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -130,7 +134,7 @@
 	g.waiting = nil
 }
 
-// Go runs f on a goroutine that is counted.
+// Go runs f in a new goroutine and counts it until f returns.
 func (g *WaitGroup) Go(w Environment, f func()) {
 	g.Add(1)
 	w.Go(func() {
@@ -139,7 +143,7 @@
 	})
 }
 
-// Wait returns once the count is 0.
+// Wait blocks until the count is 0.
 func (g *WaitGroup) Wait(w Environment) {
 	p := w.NewParker()
 	for !g.doneOrAddWaiter(p) {
@@ -147,6 +151,8 @@
 	}
 }
 
+// doneOrAddWaiter reports whether the count is 0; if not, it registers p to be woken when
+// it is.
 func (g *WaitGroup) doneOrAddWaiter(p Parker) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -156,8 +162,8 @@
 	return g.count <= 0
 }
 
-// Sleep waits for d, or until stop is open; it tells whether the whole of d passed.
-// Without stop it always does.
+// Sleep pauses for d or until stop opens, and reports whether d passed in full. A nil stop
+// never opens.
 func Sleep(w Environment, d time.Duration, stop *Gate) bool {
 	p := w.NewParker()
 	if stop != nil {
@@ -169,7 +175,7 @@
 	return sleep(w, p, d, func() bool { return stop != nil && stop.Opened() })
 }
 
-// SleepContext is Wait with a context in place of the gate.
+// SleepContext pauses for d or until ctx is done, and reports whether d passed in full.
 func SleepContext(ctx context.Context, w Environment, d time.Duration) bool {
 	p := w.NewParker()
 	defer context.AfterFunc(ctx, p.Unpark)()
--- a/internal/runtime/timerqueue/timerqueue.go
+++ b/internal/runtime/timerqueue/timerqueue.go
@@ -1,5 +1,5 @@
-// Package timerqueue holds what comes due at a time, from which a timer can be taken
-// out, so that it holds only what is still awaited. It knows no clock.
+// Package timerqueue implements a priority queue of timers, ordered by due time, from which
+// any timer can be removed. It reads no clock: callers pass the present time.
 package timerqueue
 
 import (
@@ -7,36 +7,37 @@
 	"math"
 )
 
-// Timer is something to do at a time, in whatever unit its owner counts. A timer is in
-// one queue at a time.
+// Timer is an entry of a Queue. Due is in the unit of the queue's user, and must not change
+// while the timer is queued. A timer may be in at most one queue.
 type Timer[T any] struct {
 	Due     float64
 	Value   T
-	seq     uint64 // equals come due in the order in which they were set
-	heapPos int    // its place in the heap and one more; 0 when it is in none
+	seq     uint64 // breaks ties: timers with equal Due come in the order of Push
+	heapPos int    // index in the heap plus one, 0 if not queued
 }
 
-// Queue orders entries by time. The zero value is empty.
+// Queue is a queue of timers ordered by Due, and by the order of Push among equal ones. The
+// zero value is empty. It is not safe for concurrent use.
 type Queue[T any] struct {
 	timers timerHeap[T]
 	seq    uint64
 }
 
-// Push enters e.
+// Push adds e, which must not be queued.
 func (h *Queue[T]) Push(e *Timer[T]) {
 	h.seq++
 	e.seq = h.seq
 	heap.Push(&h.timers, e)
 }
 
-// Remove takes e out, if it is in.
+// Remove removes e, if it is queued. If e is queued, it must be in h.
 func (h *Queue[T]) Remove(e *Timer[T]) {
 	if e.heapPos > 0 {
 		heap.Remove(&h.timers, e.heapPos-1)
 	}
 }
 
-// First is the earliest entry, nil if there is none.
+// First returns the earliest timer without removing it, or nil if the queue is empty.
 func (h *Queue[T]) First() *Timer[T] {
 	if len(h.timers) == 0 {
 		return nil
@@ -44,7 +45,7 @@
 	return h.timers[0]
 }
 
-// NextDue is when the earliest entry comes due, +Inf where there is none.
+// NextDue returns the due time of the earliest timer, or +Inf if the queue is empty.
 func (h *Queue[T]) NextDue() float64 {
 	if len(h.timers) == 0 {
 		return math.Inf(1)
@@ -52,7 +53,7 @@
 	return h.timers[0].Due
 }
 
-// PopDue takes out the earliest entry that is due by now, nil if there is none.
+// PopDue removes and returns the earliest timer if it is due at now, or returns nil.
 func (h *Queue[T]) PopDue(now float64) *Timer[T] {
 	e := h.First()
 	if e == nil || e.Due > now {
@@ -62,9 +63,11 @@
 	return e
 }
 
-// All lists the entries, in no order that means anything. It is the heap's own.
+// All returns the queued timers in unspecified order. The slice is the queue's own storage:
+// the caller must not modify it or keep it across other calls.
 func (h *Queue[T]) All() []*Timer[T] { return h.timers }
 
+// timerHeap implements heap.Interface and keeps heapPos of each timer up to date.
 type timerHeap[T any] []*Timer[T]
 
 func (h timerHeap[T]) Len() int { return len(h) }
--- a/internal/runtime/timerqueue/timerqueue_test.go
+++ b/internal/runtime/timerqueue/timerqueue_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Entries come by time and, at equal times, as they were set; those taken out don't come.
+// Timers come in order of Due, then of Push, and removed timers do not come. Removing a
+// timer twice is harmless.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h Queue[int]
@@ -30,23 +31,23 @@
 		slices.SortStableFunc(want, func(a, b *Timer[int]) int { return int(a.Due - b.Due) })
 		for _, e := range want {
 			if h.First() != e {
-				t.Fatal("wrong order")
+				t.Fatal("First is not the next timer in order of Due and Push")
 			}
 			h.Remove(e)
 		}
 		if h.First() != nil || len(h.All()) != 0 {
-			t.Fatal("something is left")
+			t.Fatal("queue not empty after all timers were removed")
 		}
 		for _, e := range want {
 			h.Push(e)
 		}
 		for _, e := range want {
 			if h.NextDue() != e.Due || h.PopDue(e.Due-1) != nil || h.PopDue(e.Due) != e {
-				t.Fatal("not taken when it is due")
+				t.Fatal("PopDue does not return the timer exactly from its due time on")
 			}
 		}
 		if !math.IsInf(h.NextDue(), 1) || h.PopDue(math.MaxFloat64) != nil {
-			t.Fatal("something is due still")
+			t.Fatal("empty queue still has a due timer")
 		}
 	})
 }
--- a/internal/runtime/writequeue/writequeue.go
+++ b/internal/runtime/writequeue/writequeue.go
@@ -1,6 +1,6 @@
-// Package writequeue writes to a connection from a goroutine of its own, so that who
-// has something to say never waits for a slow reader. What waits is bounded in
-// bytes and in time; past either bound the connection is closed.
+// Package writequeue writes to a connection from a dedicated goroutine, so that senders
+// never block on a slow reader. The buffered bytes and the duration of each write are
+// bounded; if either bound is exceeded, the connection is closed.
 package writequeue
 
 import (
@@ -11,17 +11,17 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// Queue is the writing half of a connection. It is safe for concurrent use.
+// Queue buffers and writes the outgoing data of a connection. It is safe for concurrent use.
 type Queue struct {
-	// OnBytesChanged, if set before the first Put, is told of each change of the bytes that
-	// wait or are being written.
+	// OnBytesChanged, if not nil, is called with each change of the number of bytes that are
+	// buffered or being written. It must be set before the first Enqueue or Buffer.
 	OnBytesChanged func(delta int)
-	// OnIdle, if set before the first Put, is called from the queue's goroutine each
-	// time that all was written.
+	// OnIdle, if not nil, is called from the queue's goroutine after a write that left the
+	// queue empty, unless it is finished. It must be set before the first Enqueue or Buffer.
 	OnIdle func()
-	// HalfClose, if set before the first Put, leaves a connection that was finished open
-	// for what its other end still sends: only what is sent from here ends. Who set it
-	// closes the connection after Wait.
+	// HalfClose makes Finish shut down only the sending half of the connection, so that
+	// data from the peer can still be read. The owner must close the connection after
+	// Wait. It must be set before the first Enqueue or Buffer.
 	HalfClose bool
 
 	environment  env.Environment
@@ -32,34 +32,34 @@
 	mu           sync.Mutex
 	wake         env.Parker
 	pending      []byte
-	writing      bool         // what was taken out of buf is not written yet
-	flushWaiters []env.Parker // who waits until all is written
-	closed       bool         // nothing more is taken
-	aborted      bool         // what waits is dropped
+	writing      bool         // a write of bytes taken from pending is in progress
+	flushWaiters []env.Parker // goroutines in WaitFlushed
+	closed       bool         // no more data is accepted
+	aborted      bool         // pending data is dropped
 	finished     env.Gate
 }
 
-// maxIdleBuffer bounds the memory that a queue with nothing to say keeps, in bytes.
+// maxIdleBuffer is the largest written buffer, in bytes, that is kept for reuse.
 const maxIdleBuffer = 16 << 10
 
-// New starts a queue that holds at most limit bytes and gives a write so much
-// time.
+// New starts a queue for conn that buffers at most limit bytes and allows each write to
+// take at most writeTimeout.
 func New(w env.Environment, conn net.Conn, limit int, writeTimeout time.Duration) *Queue {
 	o := &Queue{environment: w, conn: conn, limit: limit, writeTimeout: writeTimeout, wake: w.NewParker()}
 	w.Go(o.run)
 	return o
 }
 
-// Enqueue has f append bytes to what waits. It tells whether they were taken; an
-// queue over its limit closes its connection.
+// Enqueue calls f to append data to the buffer and starts writing it. It reports whether
+// the data was accepted. If the buffer then exceeds the limit, it closes the connection.
 func (o *Queue) Enqueue(f func(b []byte) []byte) bool {
 	ok := o.Buffer(f)
 	o.Flush()
 	return ok
 }
 
-// Buffer is Put without starting to write: who has more to say says it first, and
-// then calls Release.
+// Buffer is Enqueue without starting to write, so that several messages can share a write.
+// Flush must be called afterwards.
 func (o *Queue) Buffer(f func(b []byte) []byte) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -76,7 +76,7 @@
 	return true
 }
 
-// Flush starts to write what was held.
+// Flush starts writing what Buffer has appended. It does not wait for the write.
 func (o *Queue) Flush() { o.wake.Unpark() }
 
 func (o *Queue) bytesChanged(delta int) {
@@ -85,8 +85,9 @@
 	}
 }
 
-// Finish takes nothing more, writes what waits and closes the connection, or its sending
-// half. It does not wait for that; Wait does.
+// Finish stops accepting data, has the buffered data written and then closes the
+// connection, or only its sending half if HalfClose is set. It does not wait for that; Wait
+// does.
 func (o *Queue) Finish() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -95,7 +96,7 @@
 	o.wake.Unpark()
 }
 
-// Abort closes the connection at once.
+// Abort drops the buffered data and closes the connection immediately.
 func (o *Queue) Abort() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -109,10 +110,11 @@
 	o.wake.Unpark()
 }
 
-// Wait returns once the goroutine has ended and the connection, or its half, is closed.
+// Wait blocks until the queue's goroutine has ended and the connection, or its sending half,
+// is closed.
 func (o *Queue) Wait() { o.finished.Wait(o.environment) }
 
-// WaitFlushed returns once all that was put is written, or the queue takes nothing more.
+// WaitFlushed blocks until all data is written or the queue no longer accepts data.
 func (o *Queue) WaitFlushed() {
 	var p env.Parker
 	for {
@@ -130,7 +132,7 @@
 	}
 }
 
-// wakeFlushWaiters lets those go on that wait in Settle. The lock is held.
+// wakeFlushWaiters wakes the goroutines in WaitFlushed. The caller must hold the lock.
 func (o *Queue) wakeFlushWaiters() {
 	for _, p := range o.flushWaiters {
 		p.Unpark()
@@ -144,7 +146,8 @@
 	return len(o.pending) == 0 && !o.closed
 }
 
-// closeConn closes the connection, or the half of it that is this queue's.
+// closeConn closes the connection, or only its sending half if HalfClose is set, the
+// connection supports that and the queue was not aborted.
 func (o *Queue) closeConn() {
 	o.mu.Lock()
 	aborted := o.aborted
@@ -182,7 +185,7 @@
 		o.mu.Unlock()
 		if err != nil {
 			o.Abort()
-			continue // to settle what waits still
+			continue // so that OnBytesChanged is told of the dropped data
 		}
 		if cap(out) > maxIdleBuffer {
 			out = nil
--- a/internal/runtime/writequeue/writequeue_test.go
+++ b/internal/runtime/writequeue/writequeue_test.go
@@ -15,41 +15,44 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func add(s string) func([]byte) []byte { return func(b []byte) []byte { return append(b, s...) } }
+func appendString(s string) func([]byte) []byte {
+	return func(b []byte) []byte { return append(b, s...) }
+}
 
-func TestFinishWritesWhatWaits(t *testing.T) {
+func TestFinishWritesBufferedData(t *testing.T) {
 	a, b := net.Pipe()
 	o := New(env.NewReal(), a, 1<<20, time.Minute)
-	var held atomic.Int64
-	o.OnBytesChanged = func(d int) { held.Add(int64(d)) }
-	o.Buffer(add("one "))
-	o.Enqueue(add("two "))
-	o.Enqueue(add("three"))
+	var buffered atomic.Int64
+	o.OnBytesChanged = func(d int) { buffered.Add(int64(d)) }
+	o.Buffer(appendString("one "))
+	o.Enqueue(appendString("two "))
+	o.Enqueue(appendString("three"))
 	o.Finish()
-	if o.Enqueue(add("more")) {
-		t.Error("taken after Finish")
+	if o.Enqueue(appendString("more")) {
+		t.Error("Enqueue accepted data after Finish")
 	}
 	got, err := io.ReadAll(b)
 	o.Wait()
-	if string(got) != "one two three" || err != nil || held.Load() != 0 {
-		t.Errorf("%q, %v, %d held", got, err, held.Load())
+	if string(got) != "one two three" || err != nil || buffered.Load() != 0 {
+		t.Errorf("read %q, error %v, %d bytes still counted as buffered", got, err, buffered.Load())
 	}
 }
 
-// A peer that does not read costs at most the limit, and then its connection.
+// A peer that does not read cannot make the queue buffer more than its limit: the
+// connection is closed instead.
 func TestOverTheLimit(t *testing.T) {
 	a, b := net.Pipe()
 	defer b.Close()
 	o := New(env.NewReal(), a, 1000, time.Minute)
-	var held atomic.Int64
-	o.OnBytesChanged = func(d int) { held.Add(int64(d)) }
-	taken := 0
+	var buffered atomic.Int64
+	o.OnBytesChanged = func(d int) { buffered.Add(int64(d)) }
+	accepted := 0
 	for o.Enqueue(func(x []byte) []byte { return append(x, bytes.Repeat([]byte{1}, 100)...) }) {
-		taken++
+		accepted++
 	}
 	o.Wait()
-	if taken < 10 || taken > 20 || held.Load() != 0 {
-		t.Errorf("%d puts taken, %d held", taken, held.Load())
+	if accepted < 10 || accepted > 20 || buffered.Load() != 0 {
+		t.Errorf("%d calls of Enqueue accepted, want 10 to 20; %d bytes still counted as buffered", accepted, buffered.Load())
 	}
 }
 
@@ -57,9 +60,9 @@
 	a, b := net.Pipe()
 	defer b.Close()
 	o := New(env.NewReal(), a, 1<<20, time.Millisecond)
-	o.Enqueue(add("nobody reads this"))
-	o.Wait() // returns only because the write ran out of time
-	if o.Enqueue(add("x")) {
-		t.Error("taken after the cut")
+	o.Enqueue(appendString("nobody reads this"))
+	o.Wait() // returns because the write timed out
+	if o.Enqueue(appendString("x")) {
+		t.Error("Enqueue accepted data after a write timed out")
 	}
 }
--- a/internal/storage/durable/replace_test.go
+++ b/internal/storage/durable/replace_test.go
@@ -35,11 +35,11 @@
 	if err := Replace(file, 0o600, writeText("old")); err != nil {
 		t.Fatal(err)
 	}
-	half := func(f *os.File) error {
+	failingWrite := func(f *os.File) error {
 		f.WriteString("ne")
 		return syscall.ENOSPC
 	}
-	if err := Replace(file, 0o600, half); !errors.Is(err, syscall.ENOSPC) {
+	if err := Replace(file, 0o600, failingWrite); !errors.Is(err, syscall.ENOSPC) {
 		t.Error(err)
 	}
 	if b, err := os.ReadFile(file); err != nil || string(b) != "old" || len(fileNames(t, dir)) != 1 {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -93,9 +93,9 @@
 }
 
 func (r *Reader) lineError(s string, err error) error {
-	const most = 120
-	if len(s) > most {
-		s = s[:most] + "..."
+	const maxQuoted = 120
+	if len(s) > maxQuoted {
+		s = s[:maxQuoted] + "..."
 	}
 	return fmt.Errorf("line %d: %w in %q", r.line, err, s)
 }
@@ -279,22 +279,22 @@
 }
 
 func parseCall(f *lineFields) policy.Event {
-	q := policy.Request{ID: f.raw()}
+	request := policy.Request{ID: f.raw()}
 	bits := f.integer()
-	q.Repeat, q.Write = bits&2 != 0, bits&4 != 0
-	q.Class, q.Plan, q.Volume = f.text(), f.text(), f.text()
-	q.Shard = f.integer()
-	q.Units = f.number()
-	q.Key = f.text()
-	q.Expires, q.Hosts = f.number(), f.integer()
-	return q
+	request.Repeat, request.Write = bits&2 != 0, bits&4 != 0
+	request.Class, request.Plan, request.Volume = f.text(), f.text(), f.text()
+	request.Shard = f.integer()
+	request.Units = f.number()
+	request.Key = f.text()
+	request.Expires, request.Hosts = f.number(), f.integer()
+	return request
 }
 
 func parseSettled(f *lineFields) policy.Event {
-	o := policy.Outcome{ID: f.raw(), Node: f.raw(), Done: f.flag(), FromOthers: f.number()}
-	o.Elapsed, o.Attempt, o.Use = f.number(), f.integer(), f.number()
-	o.Result, o.Report = f.result(), f.readings()
-	return o
+	outcome := policy.Outcome{ID: f.raw(), Node: f.raw(), Done: f.flag(), FromOthers: f.number()}
+	outcome.Elapsed, outcome.Attempt, outcome.Use = f.number(), f.integer(), f.number()
+	outcome.Result, outcome.Report = f.result(), f.readings()
+	return outcome
 }
 
 // readPool reads the entries of a node list.
@@ -312,11 +312,11 @@
 		if f.text() != "item" {
 			return nil, fmt.Errorf("want item, got %q", s)
 		}
-		h := f.integer()
-		if h < 0 || h > 2 {
-			return nil, fmt.Errorf("unknown health %d", h)
+		health := f.integer()
+		if health < 0 || health > 2 {
+			return nil, fmt.Errorf("unknown health %d", health)
 		}
-		n := policy.Node{Health: policy.Health(h), Weight: f.number()}
+		n := policy.Node{Health: policy.Health(health), Weight: f.number()}
 		f.raw()
 		n.Shard, n.Started = f.integer(), f.number()
 		n.Addr, n.Zone = f.raw(), f.text()
@@ -409,19 +409,19 @@
 // ParseSettings decodes the settings of an instance, as the first message and the
 // configuration of a scheduler in service hold them.
 func ParseSettings(b []byte) (*policy.Settings, ConnTimeouts, error) {
-	var o settingsJSON
-	if err := json.Unmarshal(b, &o); err != nil {
+	var decoded settingsJSON
+	if err := json.Unmarshal(b, &decoded); err != nil {
 		return nil, ConnTimeouts{}, fmt.Errorf("bad settings: %w", err)
 	}
-	bounds := ConnTimeouts{o.Limits.DialTimeoutMs, o.Limits.ConnIdleMs}
-	set := &policy.Settings{
-		Hosts: o.Balancers, Self: o.Me, Zone: o.Zone, Tick: o.TickMs,
-		MustSubscribe: o.Discovery == "on_request", Shards: o.Extra.SlotsTotal,
-		MeanUnits: o.Extra.UnitMean, MaxUnits: o.Extra.Largest,
-		FairFactor: valueOrOne(o.Extra.FairWorth), SpareFactor: valueOrOne(o.Extra.SpareWorth),
-		UsePeriod: o.Extra.UsePeriodMs, CountsOthers: o.Extra.CountsOther,
+	timeouts := ConnTimeouts{decoded.Limits.DialTimeoutMs, decoded.Limits.ConnIdleMs}
+	settings := &policy.Settings{
+		Hosts: decoded.Balancers, Self: decoded.Me, Zone: decoded.Zone, Tick: decoded.TickMs,
+		MustSubscribe: decoded.Discovery == "on_request", Shards: decoded.Extra.SlotsTotal,
+		MeanUnits: decoded.Extra.UnitMean, MaxUnits: decoded.Extra.Largest,
+		FairFactor: valueOrOne(decoded.Extra.FairWorth), SpareFactor: valueOrOne(decoded.Extra.SpareWorth),
+		UsePeriod: decoded.Extra.UsePeriodMs, CountsOthers: decoded.Extra.CountsOther,
 	}
-	for _, c := range o.Classes {
+	for _, c := range decoded.Classes {
 		class := policy.Class{
 			Name: c.Name, Value: c.Worth, LateValue: c.LateValue, LatencyTarget: c.AimMs,
 			Deadline: c.GiveUpMs, DedupWindow: c.KeyTTLMs, Ordered: c.ByArrival, Streamed: c.Streamed,
@@ -438,33 +438,33 @@
 		case "zone":
 			class.DedupScope = policy.DedupZone
 		}
-		set.Classes = append(set.Classes, class)
+		settings.Classes = append(settings.Classes, class)
 	}
-	for _, g := range o.Grades {
-		set.Plans = append(set.Plans, policy.Plan{
+	for _, g := range decoded.Grades {
+		settings.Plans = append(settings.Plans, policy.Plan{
 			Name: g.Name, Price: g.Price, Weight: g.Proportion, Rate: g.Rate,
 			Reserve: g.Reserve, Limit: g.Limit, Burst: g.CapDepth, Overdraft: g.Tolerance,
 		})
 	}
-	set.Limits = policy.Limits{
-		MaxAttempts: o.Limits.AttemptsCap, Cancel: o.Limits.Cancel, Probe: o.Limits.MayProbe,
-		Peers: o.Limits.Peers, Duplicates: o.Limits.MayDuplicate,
+	settings.Limits = policy.Limits{
+		MaxAttempts: decoded.Limits.AttemptsCap, Cancel: decoded.Limits.Cancel, Probe: decoded.Limits.MayProbe,
+		Peers: decoded.Limits.Peers, Duplicates: decoded.Limits.MayDuplicate,
 	}
-	if o.Limits.RetryAfter {
-		set.Limits.RetryAfter = o.Limits.MaxRetryAfterMs
+	if decoded.Limits.RetryAfter {
+		settings.Limits.RetryAfter = decoded.Limits.MaxRetryAfterMs
 	}
-	set.Rules = policy.Rules{
-		AnswerSlack: o.Safety.AnswerSlackMs, DrainGrace: o.Safety.StopSendingWithinMs,
-		AskWithin: o.Safety.AskWithinMs, OverloadFactor: o.Safety.FallMultiple,
-		OverloadWindow: o.Safety.OverloadForMs, ColdCapacity: o.Safety.ColdFrom, WarmUpTime: o.Safety.ColdMs,
-		ColdUnits: o.Extra.ColdUnits, KeyHoldoff: o.Safety.KeyRestMs,
-		HasBudget:  o.Safety.ExtraRatio != nil || o.Safety.ResendSpanMs > 0,
-		BudgetBase: o.Safety.FreeResends, BudgetWindow: o.Safety.ResendSpanMs,
+	settings.Rules = policy.Rules{
+		AnswerSlack: decoded.Safety.AnswerSlackMs, DrainGrace: decoded.Safety.StopSendingWithinMs,
+		AskWithin: decoded.Safety.AskWithinMs, OverloadFactor: decoded.Safety.FallMultiple,
+		OverloadWindow: decoded.Safety.OverloadForMs, ColdCapacity: decoded.Safety.ColdFrom, WarmUpTime: decoded.Safety.ColdMs,
+		ColdUnits: decoded.Extra.ColdUnits, KeyHoldoff: decoded.Safety.KeyRestMs,
+		HasBudget:  decoded.Safety.ExtraRatio != nil || decoded.Safety.ResendSpanMs > 0,
+		BudgetBase: decoded.Safety.FreeResends, BudgetWindow: decoded.Safety.ResendSpanMs,
 	}
-	if o.Safety.ExtraRatio != nil {
-		set.Rules.BudgetRatio = *o.Safety.ExtraRatio
+	if decoded.Safety.ExtraRatio != nil {
+		settings.Rules.BudgetRatio = *decoded.Safety.ExtraRatio
 	}
-	return set, bounds, nil
+	return settings, timeouts, nil
 }
 
 // Writer prints replies.
@@ -489,25 +489,25 @@
 }
 
 // Action prints one action of an instance.
-func (w *Writer) Action(inst int, a policy.Action) {
-	i := strconv.Itoa(inst)
+func (w *Writer) Action(instance int, a policy.Action) {
+	instanceID := strconv.Itoa(instance)
 	switch a := a.(type) {
 	case policy.Send:
-		w.writeLine("route", i, a.ID, a.Node, formatMS(a.TimeoutAt))
+		w.writeLine("route", instanceID, a.ID, a.Node, formatMS(a.TimeoutAt))
 	case policy.Refuse:
-		w.writeLine("refuse", i, a.ID, formatMS(a.RetryAfter))
+		w.writeLine("refuse", instanceID, a.ID, formatMS(a.RetryAfter))
 	case policy.Fail:
-		w.writeLine("give_up", i, a.ID)
+		w.writeLine("give_up", instanceID, a.ID)
 	case policy.CancelAttempt:
-		w.writeLine("cancel", i, a.ID, strconv.Itoa(a.Attempt))
+		w.writeLine("cancel", instanceID, a.ID, strconv.Itoa(a.Attempt))
 	case policy.SetTimer:
-		w.writeLine("sleep", i, formatMS(a.Delay), a.Name)
+		w.writeLine("sleep", instanceID, formatMS(a.Delay), a.Name)
 	case policy.Subscribe:
-		w.writeLine("keep_informed", i, formatBool(a.On))
+		w.writeLine("keep_informed", instanceID, formatBool(a.On))
 	case policy.FetchList:
-		w.writeLine("fetch", i)
+		w.writeLine("fetch", instanceID)
 	case policy.Probe:
-		w.writeLine("sample", i, a.Node)
+		w.writeLine("sample", instanceID, a.Node)
 	case policy.SendPeerMessage:
 		to, data := "all", "-"
 		if a.To >= 0 {
@@ -516,11 +516,11 @@
 		if len(a.Data) > 0 {
 			data = hex.EncodeToString(a.Data)
 		}
-		w.writeLine("share", i, to, data)
+		w.writeLine("share", instanceID, to, data)
 	case policy.CloseIdle:
-		w.writeLine("hang_up", i, a.Node)
+		w.writeLine("hang_up", instanceID, a.Node)
 	case policy.Log:
-		w.writeLine("debug", i, strings.ReplaceAll(a.Text, "\n", " "))
+		w.writeLine("debug", instanceID, strings.ReplaceAll(a.Text, "\n", " "))
 	}
 }
 
@@ -535,6 +535,6 @@
 }
 
 // Fault prints that an instance's decision code failed.
-func (w *Writer) Fault(inst int, text string) {
-	w.writeLine("bail_out", strconv.Itoa(inst), strings.ReplaceAll(text, "\n", " "))
+func (w *Writer) Fault(instance int, text string) {
+	w.writeLine("bail_out", strconv.Itoa(instance), strings.ReplaceAll(text, "\n", " "))
 }
