--- a/policy/estimate.go
+++ b/policy/estimate.go
@@ -127,14 +127,14 @@
 
 // valueCutoff is the worth above which lies that part of the units, of asks sorted from the
 // dearest down, and the part of further such asks that is expected to lie above it.
-func valueCutoff(asks []demand, fraction float64) (cutoff, fractionAbove float64) {
+func valueCutoff(demands []demand, fraction float64) (cutoff, fractionAbove float64) {
 	remaining := 0.0
-	for _, a := range asks {
+	for _, a := range demands {
 		remaining += fraction * a.units
 	}
-	for i, a := range asks {
+	for i, a := range demands {
 		if remaining -= a.units; remaining < 0 {
-			return a.value, float64(i+1) / float64(len(asks)+1)
+			return a.value, float64(i+1) / float64(len(demands)+1)
 		}
 	}
 	return 0, 1
--- a/policy/health.go
+++ b/policy/health.go
@@ -122,8 +122,8 @@
 		return fallback
 	}
 	times := make([]float64, len(samples))
-	for i, a := range samples {
-		times[i] = a.elapsed
+	for i, sample := range samples {
+		times[i] = sample.elapsed
 	}
 	slices.Sort(times)
 	return times[len(times)/2]
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -31,7 +31,7 @@
 func (p *scheduler) everySecond() {
 	p.emit(SetTimer{samplePeriod, "second"})
 	p.subscribe()
-	p.updateOwnRate()
+	p.updateArrivalRate()
 	p.rankedDemand = append(p.rankedDemand[:0], p.recentDemand...)
 	slices.SortFunc(p.rankedDemand, func(a, b demand) int { return cmp.Compare(b.value, a.value) })
 	p.medianTime = medianServiceTime(p.answers, p.minLatencyTarget()*targetFraction/2)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -85,9 +85,9 @@
 	return r.draw*above <= fraction
 }
 
-// updateOwnRate updates this host's smoothed rate of units a second, once a second: the plain mean
+// updateArrivalRate updates this host's smoothed rate of units a second, once a second: the plain mean
 // since the start, until the exponentially weighted mean takes over.
-func (p *scheduler) updateOwnRate() {
+func (p *scheduler) updateArrivalRate() {
 	elapsed := max(p.now-p.rateUpdatedAt, 1)
 	rate := p.unitsSinceUpdate * samplePeriod / elapsed
 	p.arrivalRate += max(rateSmoothing, min(elapsed/max(p.now-p.startedAt, 1), 1)) * (rate - p.arrivalRate)
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -9,7 +9,7 @@
 func (p *scheduler) volumeBuckets(q Request, plan *Plan) *volumeBuckets {
 	v := p.volumes[q.Volume]
 	if v == nil {
-		v = &volumeBuckets{plan: plan, refilledAt: p.now, heldAt: math.Inf(-1)}
+		v = &volumeBuckets{plan: plan, refilledAt: p.now, limitedAt: math.Inf(-1)}
 		p.volumes[q.Volume] = v
 		p.setBuckets(v, divisor(q.Hosts, q.Fraction))
 		v.fairLevel, v.reserveLevel = v.fairCap, v.reserveCap
@@ -77,7 +77,7 @@
 	v := p.volumeBuckets(r.Request, r.vol.plan)
 	r.vol = v // the old record may have been dropped as idle
 	if deficit := v.limitFloor + r.Units - v.limitLevel; deficit > 0 {
-		p.limitOpensAt, v.heldAt = p.now+deficit/v.limitRate*1000, p.now
+		p.limitOpensAt, v.limitedAt = p.now+deficit/v.limitRate*1000, p.now
 		p.setTimer(p.limitOpensAt+answerMargin, nil, sh)
 		return false
 	}
@@ -135,7 +135,7 @@
 	fairLevel, fairRate      float64
 	fairCap                  float64
 	refilledAt               float64
-	heldAt                   float64 // when the limit last delayed a request
+	limitedAt                float64 // when the limit last delayed a request
 }
 
 // divisor returns the number of equal parts into which a plan is split, of which each host has one.
