--- a/policy/depth.go
+++ b/policy/depth.go
@@ -1,14 +1,18 @@
 package policy
 
-// The depth bound of each shard, reset each second by a self-tuning regulator.
+// The depth bound of each shard, updated every second by a self-tuning regulator.
 
+// minDepth is the least depth of this host at a node: its part of minTotalDepth, but not below
+// minFraction.
 func (p *scheduler) minDepth() float64 {
 	return max(minTotalDepth/float64(p.settings.Hosts), minFraction)
 }
 
-// updateDepth aims the node's service time at a part of the tightest aim, less
-// that class's wait, by the control law; it moves only when the depth held
-// something back, for otherwise depth was not what made the service time.
+// updateDepth sets the depth of sh for the next second, by a control law on the mean service time.
+// The reference is targetFraction of the tightest latency target, less the mean wait of served
+// requests; below a depth of 1 it is lowDepthTargetFraction of the target. A depth of at least 1
+// that held nothing back is kept while the service time is below targetFraction, since the depth
+// did not cause that time.
 func (p *scheduler) updateDepth(sh *shard) {
 	target := p.minLatencyTarget()
 	mean, limited := p.meanServiceTime(sh), sh.depthLimited
@@ -37,7 +41,7 @@
 	sh.depthModel.theta[1] = max(sh.depthModel.theta[1], minGain)
 	gain := sh.depthModel.theta[1] * depthScale / maxDepth
 	reference := lowDepthTargetFraction
-	if sh.depth >= 1 { // a part holds nothing back for long: what waits is let go of
+	if sh.depth >= 1 { // below 1, requests are shed rather than kept waiting
 		reference = max(targetFraction-p.shares.meanWait(target)/target, targetFraction/2)
 	}
 	change := controlStep([][]float64{{gain}}, []float64{reference - output}, depthPenalty)
@@ -46,15 +50,14 @@
 	}
 	next := sh.depth + change[0]
 	if sh.quick {
-		// What the ceiling would put there, served one by one, still meets the aim.
-		// The law's steps are sized for service times near the aim: it would take a
-		// minute to give an idle node of a millisecond enough to do.
+		// Even maxDepth requests, served one by one, meet the target. The control law's steps are
+		// sized for service times near the target, far too small to load a fast idle node soon.
 		next = sh.depth * maxDepthStep
 	}
 	sh.depth = min(max(next, p.minDepth(), sh.depth*minDepthStep), maxDepth, sh.depth*maxDepthStep)
 }
 
-// resetDepth forgets what was learnt of the shard's node.
+// resetDepth discards what was learned of the shard's node.
 func (p *scheduler) resetDepth(sh *shard) {
 	sh.depth = max(p.minDepth(), 1)
 	sh.depthModel = newRLS([]float64{0, initialDepthGain, initialDepthGain}, forgettingFactor, maxCovTrace)
--- a/policy/estimate.go
+++ b/policy/estimate.go
@@ -7,15 +7,16 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// rlsEstimator fits y = theta·x by recursive least squares with forgetting.
+// rlsEstimator fits y = theta·x by recursive least squares with exponential forgetting.
 type rlsEstimator struct {
 	theta      []float64
 	covariance [][]float64
-	// forgetting is the weight of the past at each sample, traceBound the trace of
-	// the covariance above which nothing is forgotten.
+	// forgetting is the factor by which each sample discounts the earlier ones. Above a covariance
+	// trace of traceBound nothing is discounted.
 	forgetting, traceBound float64
 }
 
+// newRLS returns an estimator that starts at theta with a unit covariance.
 func newRLS(theta []float64, forgetting, traceBound float64) *rlsEstimator {
 	f := &rlsEstimator{theta: theta, forgetting: forgetting, traceBound: traceBound}
 	for i := range theta {
@@ -25,7 +26,7 @@
 	return f
 }
 
-// withCoefficient is the fit with one more figure at that place, of which nothing is known.
+// withCoefficient returns the estimator with a further coefficient, 0 and unit variance, at index.
 func (f *rlsEstimator) withCoefficient(index int) *rlsEstimator {
 	wide := newRLS(slices.Insert(slices.Clone(f.theta), index, 0), f.forgetting, f.traceBound)
 	for i, row := range f.covariance {
@@ -38,7 +39,7 @@
 	return wide
 }
 
-// update takes one sample; one that would leave the fit non-finite is dropped.
+// update takes one sample. A sample that would make the estimate non-finite is dropped.
 func (f *rlsEstimator) update(x []float64, y float64) {
 	n := len(x)
 	covX := make([]float64, n)
@@ -59,7 +60,7 @@
 	}
 	scale := 1 / f.forgetting
 	if trace > f.traceBound {
-		scale = 1 // forgetting without excitation would let the covariance run away
+		scale = 1 // without excitation, forgetting would let the covariance grow without bound
 	}
 	for i := range n {
 		f.theta[i] += covX[i] / denominator * residual
@@ -69,8 +70,8 @@
 	}
 }
 
-// controlStep returns the change of u that minimises |miss-B du|^2 + |q du|^2,
-// nil if there is no finite one. The rows of b and miss come weighted by W.
+// controlStep returns the change that minimises |deviation - B change|^2 + |penalty change|^2,
+// where gains holds the rows of B, or nil if there is no finite one.
 func controlStep(gains [][]float64, deviation []float64, penalty float64) []float64 {
 	n := len(gains[0])
 	gainMatrix := mat.NewDense(len(gains), n, nil)
@@ -94,11 +95,14 @@
 	}
 	return change.RawVector().Data
 }
+
+// regressors returns the inputs of model i: its last output, the shares and the constant 1.
 func (g *shareRegulator) regressors(i int, share []float64) []float64 {
 	x := append([]float64{g.output[i]}, share...)
 	return append(x, 1)
 }
 
+// predict returns output i as predicted for those shares, at least 0.
 func (g *shareRegulator) predict(i int, share []float64) float64 {
 	sum := 0.0
 	for k, x := range g.regressors(i, share) {
@@ -107,8 +111,8 @@
 	return max(sum, 0)
 }
 
-// weightedSystem returns the shares' gains and the misses of ref, the latencies' rows
-// weightedSystem by latency.
+// weightedSystem returns, for each output, the gains of the shares and the deviation from the
+// reference. The rows of the latencies are multiplied by latencyWeight.
 func (g *shareRegulator) weightedSystem(reference []float64, latencyWeight float64) (gains [][]float64, deviation []float64) {
 	n := len(g.share)
 	for i := range 2 * n {
@@ -125,8 +129,9 @@
 	return gains, deviation
 }
 
-// valueCutoff is the worth above which lies that part of the units, of asks sorted from the
-// dearest down, and the part of further such asks that is expected to lie above it.
+// valueCutoff returns the value of a unit above which that fraction of the units lies, for demands
+// in descending order of value, and the fraction of further such demands that is expected to lie
+// above it.
 func valueCutoff(demands []demand, fraction float64) (cutoff, fractionAbove float64) {
 	remaining := 0.0
 	for _, a := range demands {
--- a/policy/health.go
+++ b/policy/health.go
@@ -20,7 +20,7 @@
 }
 
 // meanServiceTime returns the mean service time at sh, ms. A host that sends to a node only once in
-// several seconds has few samples of it, so the median over all nodes counts as poolWeight further
+// several seconds has few samples of it, so the median over all nodes counts as priorWeight further
 // samples. That also lets an outlier fade when no samples follow it.
 func (p *scheduler) meanServiceTime(sh *shard) float64 {
 	return sh.serviceTime.mean(p.medianTime, priorWeight)
@@ -77,8 +77,7 @@
 	n.backoffEnd = p.now + n.backoff
 }
 
-// backoffScale grows with the number of hosts, from 1 up to fewDepth of them.
-// 1.
+// backoffScale grows with the number of hosts beyond minTotalDepth, from 1.
 func (p *scheduler) backoffScale() float64 { return max(float64(p.settings.Hosts)/minTotalDepth, 1) }
 
 // addServiceTime adds a sample, in ms, to the estimates of sh and of all nodes.
@@ -97,14 +96,14 @@
 	backoff       float64       // last backoff, ms
 	backoffEnd    float64       // nothing is sent before this time
 	recentSends   window        // attempts within coldWindow
-	servedShort   decayingCount // served attempts, decaying with easySpan
-	rejectedShort decayingCount // rejected attempts, decaying with easySpan
-	servedLong    decayingCount // served attempts, decaying with poolSpan
-	errorsLong    decayingCount // server errors and lost or failed connections, decaying with poolSpan
+	servedShort   decayingCount // served attempts, decaying with rejectSpan
+	rejectedShort decayingCount // rejected attempts, decaying with rejectSpan
+	servedLong    decayingCount // served attempts, decaying with answerSpan
+	errorsLong    decayingCount // server errors and lost or failed connections, decaying with answerSpan
 }
 
 // errorFraction returns the fraction of recent outcomes that were errors or lost connections,
-// pulled towards 0 by poolWeight prior successes.
+// pulled towards 0 by priorWeight prior successes.
 func (n *node) errorFraction(now float64) float64 {
 	if n.errorsLong.n == 0 {
 		return 0
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -6,10 +6,10 @@
 	"math"
 )
 
-// Routing of new objects, which any node can take: to the shard where the wait is shortest.
+// Routing of new objects, which any node can take, to the shard with the lowest cost.
 
-// selectShard picks the queue: the shard's own, or for a new object the one where
-// the wait is shortest.
+// selectShard returns the shard with that number; for a new object, whose number is negative, the
+// one with the lowest cost.
 func (p *scheduler) selectShard(id int) *shard {
 	if id >= 0 {
 		return p.shard(id)
@@ -27,30 +27,30 @@
 	return best
 }
 
-// placementCost is what a new object would wait at sh, by the part of it that may go; false if
-// none is to go there.
+// placementCost returns the cost of a new object at sh: its expected wait and service time in ms,
+// raised where only a fraction may be sent or attempts fail. It is false if none may go there.
 func (p *scheduler) placementCost(sh *shard) (float64, bool) {
 	p.visits++
 	if sh.node == nil || sh.node.suspect {
 		return 0, false
 	}
-	// What a cold or busy node may take is for what must go there.
+	// The capacity of a cold or busy node is kept for requests that only it can serve.
 	queued := float64(sh.waiting + len(sh.outstanding))
 	cost := (p.expectedWait(sh, queued) + p.expectedServiceTime(sh)) / max(min(p.admittedFraction(sh), 1), minFraction)
-	// Quick errors leave a node's queue empty: what it fails would else come there first.
+	// A node that fails fast has a short queue, which would otherwise attract new objects.
 	successFraction := 1 - sh.node.errorFraction(p.now)
 	return cost / (successFraction * successFraction), true
 }
 
-// shardIndex finds the shard of least cost without a walk over all of them. A shard where
-// nothing waits and nothing is out keeps the cost that it had when something last happened
-// there, or at the last second; the others are looked at one by one.
+// shardIndex finds the shard with the lowest placement cost without a walk over all of them. An
+// idle shard keeps its cost from the last event there or the last second; touched shards are
+// checked one by one.
 type shardIndex struct {
 	idle    shardHeap
-	touched []*shard // something has happened there since, or is under way
+	touched []*shard // cost out of date, or requests waiting or outstanding
 }
 
-// markTouched notes that what a new object would wait at sh has changed.
+// markTouched records that the placement cost of sh may have changed.
 func (p *scheduler) markTouched(sh *shard) {
 	if !sh.touched {
 		sh.touched = true
@@ -58,7 +58,7 @@
 	}
 }
 
-// reinsertIdle takes the touched shards that are quiet again back by their costs.
+// reinsertIdle returns the touched shards that are idle again to the heap, at their present cost.
 func (p *scheduler) reinsertIdle() {
 	idx := &p.index
 	busy := idx.touched[:0]
@@ -78,7 +78,7 @@
 	idx.touched = busy
 }
 
-// rebuildIndex reckons all costs anew.
+// rebuildIndex recomputes the costs of all shards.
 func (p *scheduler) rebuildIndex() {
 	idx := &p.index
 	clear(idx.touched)
@@ -97,7 +97,7 @@
 
 func (sh *shard) busy() bool { return sh.waiting+len(sh.outstanding) > 0 }
 
-// shardHeap is a heap of shards, the least cost first; equals go by number.
+// shardHeap is a heap of shards by cost, then by number.
 type shardHeap []*shard
 
 func (c shardHeap) peek() (*shard, float64) {
--- a/policy/shares.go
+++ b/policy/shares.go
@@ -2,10 +2,12 @@
 
 import "math"
 
-// The shares of the plans, reset each second by recursive least squares, a greedy optimizer
-// and an optimal control law.
+// The shares of the plans, updated every second: models fitted by recursive least squares predict the
+// flows' throughput and latency, a greedy optimizer finds the best shares by these models, and an
+// optimal control law moves the shares towards them.
 
-// step is one sample: fit, optimize, control.
+// step ends a sample interval of one second: it updates the models with the outputs, finds the
+// outputs of the highest utility and moves the shares towards them.
 func (g *shareRegulator) step() {
 	n := len(g.share)
 	totalAnswers, units := 0.0, 0.0
@@ -31,8 +33,9 @@
 	g.applyControl(g.optimalOutputs(min(totalAnswers, maxShareSteps)))
 }
 
-// flowUtility is worth got: throughput up to what was asked, by the part of its
-// answers inside the aim, at the plan's mean worth.
+// flowUtility predicts what flow i earns at those shares: its mean value per unit, times its
+// throughput, times the ratio of latency target to latency, capped at 1. A flow without answers
+// earns nothing.
 func (g *shareRegulator) flowUtility(i int, share []float64) float64 {
 	if g.answers[i] == 0 {
 		return 0
@@ -40,14 +43,16 @@
 	return g.valueSum[i] / g.units[i] * g.predict(i, share) * min(g.predict(len(share)+i, share), 1)
 }
 
-// optimalOutputs is the greedy optimizer of the paper's figure 4.
+// optimalOutputs returns the outputs predicted for the shares of the highest utility. Greedily, it
+// gives each next part of the total to the flow that gains most from it; a flow whose utility does
+// not rise with one part is tried with several.
 func (g *shareRegulator) optimalOutputs(total float64) []float64 {
 	n := len(g.share)
 	share, utility := make([]float64, n), make([]float64, n)
 	for remaining := int(total); remaining > 0; {
 		best, increment, bestGain := 0, 1, math.Inf(-1)
 		for i := range n {
-			size, candidate := remaining, 0.0 // what nobody asked of gains nothing by any share
+			size, candidate := remaining, 0.0 // without answers, no share gains anything
 			if g.answers[i] > 0 {
 				size, candidate = 1, g.utilityWith(i, share, 1/total)
 			}
@@ -70,7 +75,8 @@
 	return reference
 }
 
-// applyControl minimises |W(y-yref)|^2 + |Q du|^2 over the next shares.
+// applyControl moves the shares by the change du that minimises |W(y - reference)|^2 + |Q du|^2 for
+// the outputs y, then scales their sum to 1 and holds each above a minimum.
 func (g *shareRegulator) applyControl(reference []float64) {
 	gains, deviation := g.weightedSystem(reference, latencyWeight)
 	change := controlStep(gains, deviation, sharePenalty)
@@ -89,9 +95,10 @@
 
 // shareRegulator sets the flows' shares.
 type shareRegulator struct {
-	share      []float64
-	output     []float64 // last throughputs, then inverse latencies
-	models     []*rlsEstimator
+	share  []float64 // of each flow
+	output []float64 // last throughputs (of all units served), then inverse latencies (target/latency)
+	models []*rlsEstimator
+	// Sums over the sample interval, the first five by flow; times in ms.
 	units      []float64
 	latencySum []float64
 	answers    []float64
@@ -101,6 +108,7 @@
 	waitSum    float64
 }
 
+// init starts with shares in proportion to the weights of the plans.
 func (g *shareRegulator) init(plans []Plan) {
 	n := len(plans)
 	weightSum := 0.0
@@ -112,13 +120,14 @@
 	}
 	g.output = make([]float64, 2*n)
 	for i := range 2 * n {
-		theta := make([]float64, n+2) // own last value, shares, constant
+		theta := make([]float64, n+2) // coefficients of the last output, the shares and the constant
 		theta[0], theta[1+i%n] = initialOwnGain, initialShareGain
 		g.models = append(g.models, newRLS(theta, forgettingFactor, maxCovTrace))
 	}
 	g.clear()
 }
 
+// clear starts a sample interval.
 func (g *shareRegulator) clear() {
 	n := len(g.share)
 	g.units, g.latencySum, g.answers = make([]float64, n), make([]float64, n), make([]float64, n)
@@ -126,7 +135,7 @@
 	g.waitSum, g.waitCount = 0, 0
 }
 
-// recordServed counts an answer towards this second.
+// recordServed adds an answer, with its latency in ms, to the sample interval.
 func (g *shareRegulator) recordServed(r *request, latency float64) {
 	i := r.flow
 	g.units[i] += r.Units
@@ -138,12 +147,13 @@
 	g.waitCount++
 }
 
-// meanWait is the mean wait in the queues, at most the aim.
+// meanWait is the mean time in ms that served requests waited until they were sent, at most limit.
 func (g *shareRegulator) meanWait(limit float64) float64 {
 	return min(g.waitSum/max(g.waitCount, 1), limit)
 }
 
-// addFlow makes room for one more flow; what was learnt of the others stays.
+// addFlow adds a flow for the first of the plans that has none, at the share that its weight has
+// among them. The models of the other flows are kept.
 func (g *shareRegulator) addFlow(plans []Plan) {
 	n := len(g.share)
 	weightSum := 0.0
@@ -177,7 +187,7 @@
 	g.waitSum, g.waitCount = waitSum, waitCount
 }
 
-// utilityWith is the utility of flow i utilityWith so much more share.
+// utilityWith is flowUtility after an increase of the share of flow i.
 func (g *shareRegulator) utilityWith(i int, share []float64, increase float64) float64 {
 	old := share[i]
 	share[i] += increase
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -158,7 +158,7 @@
 	p.recheckLimited()
 }
 
-// recheckLimited pumps all shards again after a change that may let limited requests go.
+// recheckLimited dispatches from all shards again after a change that may let limited requests go.
 func (p *scheduler) recheckLimited() {
 	for _, sh := range p.shards {
 		sh.clearLimitHolds()
