--- a/internal/control/scheduler/back.go
+++ b/internal/control/scheduler/back.go
@@ -40,15 +40,15 @@
 	defaultConnIdle    = 10_000.0 // ms
 )
 
-// back keeps connections to disk servers, each for one request at a time. Its methods run
+// connPool keeps connections to disk servers, each for one request at a time. Its methods run
 // on the loop's goroutine; what goes on on a connection that has a request is posted there.
-type back struct {
+type connPool struct {
 	environment   env.Environment
 	loop          *loop
 	core          *core
 	dialTimeout   time.Duration
 	maxIdle       float64      // ms that an idle connection is kept
-	most          int          // connections that are open or dialled
+	maxConns      int          // connections that are open or dialled
 	maxReplyBytes atomic.Int64 // of answers that are held at once
 	replyBytes    atomic.Int64
 	reuse         reuseStats
@@ -68,7 +68,7 @@
 // diskServer is one disk diskServer's connections.
 type diskServer struct {
 	host, dialAddr   string
-	free             []*serverConn // the one last used last
+	idle             []*serverConn // the one last used last
 	expected         int           // dialled, or resting after an answer
 	waiting          []*attempt
 	openConns        int
@@ -103,32 +103,32 @@
 // serverConn is one connection. While it is busy or resting a goroutine of its own reads it; else
 // nobody does, so what has come on it before a request can be seen just then.
 type serverConn struct {
-	back        *back
+	pool        *connPool
 	server      *diskServer
 	conn        net.Conn
 	reader      *bufio.Reader
 	state       connState
-	a           *attempt // while it is busy
+	attempt     *attempt // while it is busy
 	idleSince   float64  // 0: it has had no request
 	idleBefore  float64  // before the request it has; 0: none
 	idleElement *list.Element
 }
 
-func newConnPool(w env.Environment, l *loop, c *Config, most int) *back {
-	b := &back{environment: w, loop: l, most: most, servers: map[string]*diskServer{}}
+func newConnPool(w env.Environment, l *loop, c *Config, maxConns int) *connPool {
+	b := &connPool{environment: w, loop: l, maxConns: maxConns, servers: map[string]*diskServer{}}
 	b.configure(c)
 	b.ctx, b.stop = context.WithCancel(context.Background())
 	return b
 }
 
 // configure takes what the configuration says; what is under way goes on.
-func (b *back) configure(c *Config) {
+func (b *connPool) configure(c *Config) {
 	b.dialTimeout, b.maxIdle = env.Duration(c.Bounds.DialTimeout), c.Bounds.IdleTimeout*idleKeepFraction
 	b.maxReplyBytes.Store(bodyByteLimit(c))
 }
 
 // serverListed notes a server's address; at another one, what is open to the old one is left.
-func (b *back) serverListed(e ServerEntry) {
+func (b *connPool) serverListed(e ServerEntry) {
 	s := b.servers[e.Host]
 	if s == nil {
 		s = &diskServer{host: e.Host}
@@ -141,7 +141,7 @@
 	}
 }
 
-func (b *back) serverRemoved(host string) {
+func (b *connPool) serverRemoved(host string) {
 	if s := b.servers[host]; s != nil {
 		s.removed = true
 		b.closeIdleConns(s)
@@ -150,32 +150,32 @@
 }
 
 // removeIfUnused drops a server that is gone and has nothing open any more.
-func (b *back) removeIfUnused(s *diskServer) {
+func (b *connPool) removeIfUnused(s *diskServer) {
 	if s.removed && s.openConns == 0 && s.expected == 0 && len(s.waiting) == 0 && !s.dialQueued && b.servers[s.host] == s {
 		delete(b.servers, s.host)
 	}
 }
 
-func (b *back) closeIdleConns(s *diskServer) {
-	for _, l := range slices.Clone(s.free) {
+func (b *connPool) closeIdleConns(s *diskServer) {
+	for _, l := range slices.Clone(s.idle) {
 		b.discard(l)
 	}
 }
 
-func (b *back) send(a *attempt) {
+func (b *connPool) send(a *attempt) {
 	s := b.servers[a.host]
 	if s == nil { // of no list: nothing leaves this machine
 		b.core.cancel(a)
 		return
 	}
-	if n := len(s.free); n > 0 {
-		if idleTime := b.core.now - s.free[n-1].idleSince; idleTime > b.maxIdle || b.reuse.likelyBroken(b.core.now, idleTime) {
+	if n := len(s.idle); n > 0 {
+		if idleTime := b.core.now - s.idle[n-1].idleSince; idleTime > b.maxIdle || b.reuse.likelyBroken(b.core.now, idleTime) {
 			b.closeIdleConns(s) // the others have been idle for longer still
 		}
 	}
 	s.waiting = append(s.waiting, a)
-	for n := len(s.free); n > 0 && len(s.waiting) > 0; n = len(s.free) {
-		l := s.free[n-1]
+	for n := len(s.idle); n > 0 && len(s.waiting) > 0; n = len(s.idle) {
+		l := s.idle[n-1]
 		b.removeIdle(l)
 		b.assign(b.core.now, l)
 	}
@@ -184,7 +184,7 @@
 
 // dialForWaiting dials as long as more wait for a connection than are coming. Where this machine
 // has none to spare, the server stands in line for the next.
-func (b *back) dialForWaiting(s *diskServer) {
+func (b *connPool) dialForWaiting(s *diskServer) {
 	for len(s.waiting) > s.expected {
 		if b.dialsPaused || !b.makeRoom() {
 			if !s.dialQueued {
@@ -202,8 +202,8 @@
 }
 
 // dialQueuedServers dials for the servers that stand in line, the first one first.
-func (b *back) dialQueuedServers() {
-	for len(b.dialQueued) > 0 && !b.dialsPaused && (b.connCount < b.most || b.idleConns.Len() > 0) {
+func (b *connPool) dialQueuedServers() {
+	for len(b.dialQueued) > 0 && !b.dialsPaused && (b.connCount < b.maxConns || b.idleConns.Len() > 0) {
 		s := b.dialQueued[0]
 		b.dialQueued = b.dialQueued[1:]
 		s.dialQueued = false
@@ -214,38 +214,38 @@
 
 // makeRoom tells whether one more connection may be opened; the one that has been idle for
 // longest gives way.
-func (b *back) makeRoom() bool {
-	if b.connCount >= b.most && b.idleConns.Len() > 0 {
+func (b *connPool) makeRoom() bool {
+	if b.connCount >= b.maxConns && b.idleConns.Len() > 0 {
 		l := b.idleConns.Front().Value.(*serverConn)
 		b.closeConn(l)
 		b.removeIfUnused(l.server)
 	}
-	return b.connCount < b.most
+	return b.connCount < b.maxConns
 }
 
-// free makes a link wait for its next request.
-func (b *back) free(l *serverConn, since float64) {
+// addIdle makes a link wait for its next request.
+func (b *connPool) addIdle(l *serverConn, since float64) {
 	l.state, l.idleSince = connIdle, since
-	l.server.free = append(l.server.free, l)
+	l.server.idle = append(l.server.idle, l)
 	l.idleElement = b.idleConns.PushBack(l)
 }
 
 // removeIdle takes a link out of those that wait.
-func (b *back) removeIdle(l *serverConn) {
+func (b *connPool) removeIdle(l *serverConn) {
 	if l.idleElement == nil {
 		return
 	}
 	b.idleConns.Remove(l.idleElement)
 	l.idleElement = nil
 	s := l.server
-	s.free = slices.DeleteFunc(s.free, func(x *serverConn) bool { return x == l })
+	s.idle = slices.DeleteFunc(s.idle, func(x *serverConn) bool { return x == l })
 }
 
 // dialPause is how long nothing is dialled after a dial failed by this machine's own fault:
 // what waits keeps waiting, and neither attempts nor processor time are spent on it.
 const dialPause = 20 * time.Millisecond
 
-func (b *back) pauseDials() {
+func (b *connPool) pauseDials() {
 	if b.dialsPaused {
 		return
 	}
@@ -259,14 +259,14 @@
 	})
 }
 
-func (b *back) dialAddr(s *diskServer, addr string, within time.Duration) {
+func (b *connPool) dialAddr(s *diskServer, addr string, within time.Duration) {
 	conn, err := b.environment.Dial(b.ctx, "tcp", addr, within)
 	if !b.loop.post(b.loop.now(), eventDialled, func(at float64) { b.dialDone(at, s, addr, conn, err) }) && err == nil {
 		conn.Close()
 	}
 }
 
-func (b *back) dialDone(at float64, s *diskServer, addr string, conn net.Conn, err error) {
+func (b *connPool) dialDone(at float64, s *diskServer, addr string, conn net.Conn, err error) {
 	s.expected--
 	if err != nil {
 		b.connCount--
@@ -282,7 +282,7 @@
 		return
 	}
 	s.lastActiveAt, s.localSocketError = at, false
-	l := &serverConn{back: b, server: s, conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes)}
+	l := &serverConn{pool: b, server: s, conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes)}
 	s.openConns++
 	b.open.Add(l)
 	if s.dialAddr != addr {
@@ -304,7 +304,7 @@
 }
 
 // assign gives a connection that is free to who waited longest for one and may begin still.
-func (b *back) assign(at float64, l *serverConn) {
+func (b *connPool) assign(at float64, l *serverConn) {
 	s := l.server
 	l.state = connIdle
 	if !l.noInput() {
@@ -317,7 +317,7 @@
 			return
 		}
 	}
-	b.free(l, at)
+	b.addIdle(l, at)
 	if s.removed {
 		b.discard(l)
 	}
@@ -325,8 +325,8 @@
 }
 
 // startExchange sends a on l.
-func (b *back) startExchange(l *serverConn, a *attempt) {
-	l.state, l.a, a.serverConn, l.idleBefore = connBusy, a, l, 0
+func (b *connPool) startExchange(l *serverConn, a *attempt) {
+	l.state, l.attempt, a.serverConn, l.idleBefore = connBusy, a, l, 0
 	if l.idleSince > 0 {
 		l.idleBefore = b.core.now - l.idleSince
 	}
@@ -336,13 +336,13 @@
 
 // mayBegin tells whether an attempt that the loop let begin may still begin now, on the
 // goroutine that is about to write it: this process may have been held up since.
-func (b *back) mayBegin(a *attempt, now float64, born int64) bool {
+func (b *connPool) mayBegin(a *attempt, now float64, born int64) bool {
 	return now <= a.beginBy && now < a.answerBy && !a.call.noNewAttempts.Load() && b.serverStates.allows(a.host, born)
 }
 
 // abandon lets go of an attempt whose outcome is known; it tells how far it had come. A connection that it is out on is closed, for that gives it up there; so are
 // the free ones to a server that was silent all the while, which may be gone without a word.
-func (b *back) abandon(a *attempt) attemptProgress {
+func (b *connPool) abandon(a *attempt) attemptProgress {
 	s := b.servers[a.host]
 	if a.serverConn == nil {
 		if s == nil {
@@ -356,7 +356,7 @@
 		return progressNotConnected
 	}
 	l := a.serverConn
-	if l.a == a {
+	if l.attempt == a {
 		b.discard(l)
 	}
 	if s = l.server; s.lastActiveAt < a.issuedAt {
@@ -366,7 +366,7 @@
 }
 
 // discard closes a connection, and dials for who waits.
-func (b *back) discard(l *serverConn) {
+func (b *connPool) discard(l *serverConn) {
 	if l.state == connClosed {
 		return
 	}
@@ -378,12 +378,12 @@
 
 // closeConn closes a connection and takes it out of the books. While the loop runs nothing
 // else closes it.
-func (b *back) closeConn(l *serverConn) {
+func (b *connPool) closeConn(l *serverConn) {
 	s := l.server
 	if l.state == connQuarantined {
 		s.expected--
 	}
-	l.state, l.a = connClosed, nil
+	l.state, l.attempt = connClosed, nil
 	l.conn.Close()
 	s.openConns--
 	b.connCount--
@@ -392,7 +392,7 @@
 }
 
 // sweep closes connections that have been idle for too long, or that their servers closed.
-func (b *back) sweep(now float64) {
+func (b *connPool) sweep(now float64) {
 	for _, l := range b.open.All() {
 		if l.state == connIdle && (now-l.idleSince > b.maxIdle || !l.noInput()) {
 			b.discard(l)
@@ -401,7 +401,7 @@
 }
 
 // close ends what is left; the loop runs no more.
-func (b *back) close() {
+func (b *connPool) close() {
 	b.stop()
 	for _, l := range b.open.All() {
 		l.conn.Close()
@@ -411,13 +411,13 @@
 
 // What a connection's goroutine posts.
 
-func (b *back) replyReceived(at float64, l *serverConn, a *attempt, r reply, clean bool) {
+func (b *connPool) replyReceived(at float64, l *serverConn, a *attempt, r reply, clean bool) {
 	l.server.lastActiveAt = at
 	if l.idleBefore > 0 {
 		b.reuse.record(at, l.idleBefore, false)
 	}
 	if clean && l.state == connBusy {
-		l.state, l.a = connQuarantined, nil
+		l.state, l.attempt = connQuarantined, nil
 		l.server.expected++
 	} else {
 		b.discard(l)
@@ -425,7 +425,7 @@
 	b.core.receiveReply(at, a, r)
 }
 
-func (b *back) quarantineEnded(at float64, l *serverConn, quiet bool) {
+func (b *connPool) quarantineEnded(at float64, l *serverConn, quiet bool) {
 	switch {
 	case l.state != connQuarantined:
 	case !quiet:
@@ -438,9 +438,9 @@
 }
 
 // attemptNotBegun takes back a link whose attempt did not begin after all.
-func (b *back) attemptNotBegun(at float64, l *serverConn, a *attempt) {
+func (b *connPool) attemptNotBegun(at float64, l *serverConn, a *attempt) {
 	if l.state == connBusy {
-		l.a = nil
+		l.attempt = nil
 		l.conn.SetDeadline(time.Time{})
 		since := l.idleSince
 		b.assign(at, l)
@@ -451,7 +451,7 @@
 	b.core.failAttempt(at, a, policy.NotSent)
 }
 
-func (b *back) connBroken(at float64, l *serverConn, a *attempt, r policy.Result) {
+func (b *connPool) connBroken(at float64, l *serverConn, a *attempt, r policy.Result) {
 	b.discard(l)
 	if a.outcomeKnown {
 		return
--- a/internal/control/scheduler/checker.go
+++ b/internal/control/scheduler/checker.go
@@ -62,7 +62,7 @@
 			return nil, 400
 		}
 	}
-	parsed := &call{message: message{method: r.Method, target: r.Target, key: fields.Get("idempotency-key"), body: r.body}}
+	parsed := &call{forwardedRequest: forwardedRequest{method: r.Method, target: r.Target, key: fields.Get("idempotency-key"), body: r.body}}
 	policyRequest := policy.Request{ID: fields.Get("request-id"), Class: class.Name, Plan: fields.Get("x-qos-policy"), Volume: parts[2], Key: parts[3],
 		Write: write, Repeat: fields.Get("client-retry") == "1"}
 	seconds, err := strconv.ParseFloat(fields.Get("request-timeout"), 64)
--- a/internal/control/scheduler/client.go
+++ b/internal/control/scheduler/client.go
@@ -248,7 +248,7 @@
 		} else {
 			body = nil
 		}
-	case refused:
+	case callRefused:
 		status = 503
 		if retryAfterMS > 0 {
 			fields = http1.Fields{{Name: "Retry-After", Value: strconv.FormatFloat(retryAfterMS/1000, 'f', 3, 64)}}
--- a/internal/control/scheduler/core.go
+++ b/internal/control/scheduler/core.go
@@ -17,14 +17,14 @@
 
 const (
 	callServed callOutcome = iota
-	refused
+	callRefused
 	callFailed
 )
 
 func (o callOutcome) String() string { return [...]string{"served", "refused", "failed"}[o] }
 
-// message is what a client sent, as it goes on to disk servers.
-type message struct {
+// forwardedRequest is what a client sent, as it goes on to disk servers.
+type forwardedRequest struct {
 	method, target string
 	key            string // Idempotency-Key
 	body           []byte
@@ -32,7 +32,7 @@
 
 // call is one request of a client, from its last byte to its one answer.
 type call struct {
-	message
+	forwardedRequest
 	req         policy.Request
 	replyTo     recipient
 	attempts    int
@@ -67,7 +67,7 @@
 
 // timerEvent is what comes due: an attempt's time-out, or else the module's timer.
 type timerEvent struct {
-	a           *attempt
+	attempt     *attempt
 	cancelled   bool
 	policyTimer string
 }
@@ -151,7 +151,7 @@
 	case policy.Send:
 		k.send(a)
 	case policy.Refuse:
-		k.finishUnserved(a.ID, refused, a.RetryAfter, a.Cause)
+		k.finishUnserved(a.ID, callRefused, a.RetryAfter, a.Cause)
 	case policy.Fail:
 		k.finishUnserved(a.ID, callFailed, 0, a.Cause)
 	case policy.CancelAttempt:
@@ -205,7 +205,7 @@
 	if a.number > 0 {
 		k.counters.Resends++
 	}
-	a.timer = timerqueue.Timer[timerEvent]{Due: min(a.beginBy, a.answerBy), Value: timerEvent{a: a}}
+	a.timer = timerqueue.Timer[timerEvent]{Due: min(a.beginBy, a.answerBy), Value: timerEvent{attempt: a}}
 	k.timers.Push(&a.timer)
 	k.effects.send(a)
 }
@@ -257,12 +257,12 @@
 		return
 	}
 	k.counters.Reasons[why.String()]++
-	if outcome == refused {
+	if outcome == callRefused {
 		k.counters.Refused++
 	} else {
 		k.counters.Failed++
 	}
-	k.log.refused(c, k.now, outcome, why)
+	k.log.requestNotServed(c, k.now, outcome, why)
 	k.finish(c, outcome, after, nil)
 }
 
@@ -359,8 +359,8 @@
 func (k *core) runDue(now float64) {
 	k.advance(now)
 	for d := k.timers.PopDue(k.now); d != nil; d = k.timers.PopDue(k.now) {
-		if d.Value.a != nil {
-			k.expireAttempt(d.Value.a, d.Value.cancelled)
+		if d.Value.attempt != nil {
+			k.expireAttempt(d.Value.attempt, d.Value.cancelled)
 		} else {
 			k.notify(policy.TimerFired{Name: d.Value.policyTimer})
 		}
--- a/internal/control/scheduler/crossing_test.go
+++ b/internal/control/scheduler/crossing_test.go
@@ -138,7 +138,7 @@
 			if got := p.ask(sc.get()); got.status != 200 {
 				t.Error(got)
 			}
-			sc.until("the connection is free", sc.core(func(*core) bool { return len(sc.s.back.servers["s0"].free) == 1 }))
+			sc.until("the connection is free", sc.core(func(*core) bool { return len(sc.s.back.servers["s0"].idle) == 1 }))
 		}
 		if asked := sc.disk.Asked(); asked[len(asked)-1].Conn != 0 {
 			t.Error("a connection was not used again")
--- a/internal/control/scheduler/eventlog.go
+++ b/internal/control/scheduler/eventlog.go
@@ -60,8 +60,8 @@
 	l.log.Warn("event loop late", zap.Stringer("event", kind), zap.Float64("delay_ms", delay), zap.Float64("took_ms", took))
 }
 
-// refused notes a final answer that is not a disk server's.
-func (l *eventLog) refused(c *call, now float64, outcome callOutcome, why policy.Reason) {
+// requestNotServed notes a final answer that is not a disk server's.
+func (l *eventLog) requestNotServed(c *call, now float64, outcome callOutcome, why policy.Reason) {
 	if l == nil {
 		return
 	}
--- a/internal/control/scheduler/lifecycle.go
+++ b/internal/control/scheduler/lifecycle.go
@@ -57,7 +57,7 @@
 	log             *zap.Logger
 	loop            *loop
 	core            *core
-	back            *back
+	back            *connPool
 	frontend        *frontend
 	discoveryClient *discoveryClient
 	listReceived    env.Gate // discovery has spoken
--- a/internal/control/scheduler/link.go
+++ b/internal/control/scheduler/link.go
@@ -15,9 +15,9 @@
 
 const serviceHost = "api.internal"
 
-// message is an attempt as it goes to its disk server with so much time left, ms. The server
+// encodeRequest is an attempt as it goes to its disk server with so much time left, ms. The server
 // is told whole milliseconds, rounded down: never more than its client has left.
-func (a *attempt) message(left float64) []byte {
+func (a *attempt) encodeRequest(left float64) []byte {
 	c := a.call
 	f := http1.Fields{{Name: "Host", Value: serviceHost}, {Name: "Request-Id", Value: c.req.ID}}
 	if c.key != "" {
@@ -29,14 +29,14 @@
 
 // exchange sends a request and brings its answer, on a goroutine of its own.
 func (l *serverConn) exchange(a *attempt, born int64) {
-	b := l.back
+	b := l.pool
 	l.conn.SetDeadline(b.environment.Deadline(writeTimeout))
 	now := b.loop.now()
 	if !b.mayBegin(a, now, born) {
 		b.loop.post(now, eventNotBegun, func(at float64) { b.attemptNotBegun(at, l, a) })
 		return
 	}
-	message := a.message(a.answerBy - now)
+	message := a.encodeRequest(a.answerBy - now)
 	if n, err := l.conn.Write(message); err != nil {
 		r := policy.ConnectionLost
 		if n < len(message) { // without its last byte it is no request
@@ -65,7 +65,7 @@
 
 // quarantine listens for a while whether anything follows the answer; false if so.
 func (l *serverConn) quarantine() bool {
-	l.conn.SetReadDeadline(l.back.environment.Deadline(quarantineTime))
+	l.conn.SetReadDeadline(l.pool.environment.Deadline(quarantineTime))
 	_, err := l.reader.Peek(1)
 	l.conn.SetReadDeadline(time.Time{})
 	return env.IsTimeout(err)
@@ -85,7 +85,7 @@
 	lim := responseLimits
 	lim.Reserve = func(n int) bool {
 		r.reservedBytes += int64(n)
-		return l.back.replyBytes.Add(int64(n)) <= l.back.maxReplyBytes.Load()
+		return l.pool.replyBytes.Add(int64(n)) <= l.pool.maxReplyBytes.Load()
 	}
 	if r.body, err = http1.ReadBody(l.reader, fr, lim); err != nil {
 		return r, false, err
--- a/internal/control/scheduler/permit_test.go
+++ b/internal/control/scheduler/permit_test.go
@@ -21,30 +21,32 @@
 	two := ServerList{Seq: 1, Full: true, Entries: []ServerEntry{{Host: "s0", Health: "active", StartedMS: 7}, {Host: "s1", Health: "active"}}}
 	changed := func(e ServerEntry) ServerList { return ServerList{Seq: 2, Entries: []ServerEntry{e}} }
 	for name, tt := range map[string]struct {
-		do   func(b *back, a *attempt)
+		do   func(b *connPool, a *attempt)
 		now  float64
 		want bool
 	}{
-		"nothing happened":  {func(*back, *attempt) {}, 100, true},
-		"too late to begin": {func(*back, *attempt) {}, 151, false},
-		"its time is over":  {func(_ *back, a *attempt) { a.beginBy, a.answerBy = 300, 120 }, 120, false},
-		"its client left":   {func(_ *back, a *attempt) { a.call.noNewAttempts.Store(true) }, 100, false},
-		"drains": {func(b *back, _ *attempt) {
+		"nothing happened":  {func(*connPool, *attempt) {}, 100, true},
+		"too late to begin": {func(*connPool, *attempt) {}, 151, false},
+		"its time is over":  {func(_ *connPool, a *attempt) { a.beginBy, a.answerBy = 300, 120 }, 120, false},
+		"its client left":   {func(_ *connPool, a *attempt) { a.call.noNewAttempts.Store(true) }, 100, false},
+		"drains": {func(b *connPool, _ *attempt) {
 			b.serverStates.apply(changed(ServerEntry{Host: "s0", Health: "leaving", StartedMS: 7}))
 		}, 100, false},
-		"gone": {func(b *back, _ *attempt) {
+		"gone": {func(b *connPool, _ *attempt) {
 			b.serverStates.apply(changed(ServerEntry{Host: "s0", Health: "left", StartedMS: 7}))
 		}, 100, false},
-		"started anew": {func(b *back, _ *attempt) {
+		"started anew": {func(b *connPool, _ *attempt) {
 			b.serverStates.apply(changed(ServerEntry{Host: "s0", Health: "active", StartedMS: 9}))
 		}, 100, false},
-		"another one drains": {func(b *back, _ *attempt) { b.serverStates.apply(changed(ServerEntry{Host: "s1", Health: "leaving"})) }, 100, true},
-		"not on a whole list": {func(b *back, _ *attempt) {
+		"another one drains": {func(b *connPool, _ *attempt) {
+			b.serverStates.apply(changed(ServerEntry{Host: "s1", Health: "leaving"}))
+		}, 100, true},
+		"not on a whole list": {func(b *connPool, _ *attempt) {
 			b.serverStates.apply(ServerList{Seq: 3, Full: true, Entries: two.Entries[1:]})
 		}, 100, false},
-		"on a whole list anew": {func(b *back, _ *attempt) { b.serverStates.apply(two) }, 100, true},
+		"on a whole list anew": {func(b *connPool, _ *attempt) { b.serverStates.apply(two) }, 100, true},
 	} {
-		b := &back{}
+		b := &connPool{}
 		b.serverStates.apply(two)
 		a := &attempt{call: &call{}, host: "s0", beginBy: 150, answerBy: 200}
 		tt.do(b, a)
@@ -112,7 +114,7 @@
 			panic(err)
 		}
 		sc.s.Reload(c)
-		sc.s.loop.post(sc.s.loop.now(), eventReload, func(float64) { sc.s.back.most = most })
+		sc.s.loop.post(sc.s.loop.now(), eventReload, func(float64) { sc.s.back.maxConns = most })
 		sc.list.Say(fmt.Sprintf(`{"seq":8,"whole":true,"hosts":[%s]}`, strings.Join(entries, ",")))
 		env.Sleep(sc.w, 20*time.Millisecond, nil)
 		status := make([]int, len(work))
@@ -205,8 +207,8 @@
 // A disk server is told no more time than its client has left, by not even half a millisecond.
 func TestTheTimeToldIsRoundedDown(t *testing.T) {
 	for left, want := range map[float64]string{8849.9: "8.849", 8850: "8.850", 1.9: "0.001", 0.2: "0.001"} {
-		a := &attempt{call: &call{message: message{method: "GET", target: "/"}}}
-		if got := string(a.message(left)); !strings.Contains(got, "Request-Timeout: "+want+"\r\n") {
+		a := &attempt{call: &call{forwardedRequest: forwardedRequest{method: "GET", target: "/"}}}
+		if got := string(a.encodeRequest(left)); !strings.Contains(got, "Request-Timeout: "+want+"\r\n") {
 			t.Errorf("%v ms: %q", left, got)
 		}
 	}
