--- a/policy/counting.go
+++ b/policy/counting.go
@@ -50,7 +50,7 @@
 
 func (g *decayingMean) add(t float64) { g.n, g.sum = g.n+1, g.sum+t }
 
-func (g *decayingMean) decay(keep float64) { g.n, g.sum = g.n*keep, g.sum*keep }
+func (g *decayingMean) decay(factor float64) { g.n, g.sum = g.n*factor, g.sum*factor }
 
 // mean fills the sum up with so many answers that took the prior.
 func (g *decayingMean) mean(prior, weight float64) float64 {
--- a/policy/depth.go
+++ b/policy/depth.go
@@ -18,7 +18,7 @@
 	mean, limited := p.meanServiceTime(sh), sh.depthLimited
 	output := mean / target
 	sh.depthLimited = false
-	sh.quick = sh.servedTime.n >= minSamples && sh.servedTime.mean(p.medianTime, priorWeight)*maxDepth <= targetFraction*target
+	sh.meetsTargetAtMaxDepth = sh.servedTime.n >= minSamples && sh.servedTime.mean(p.medianTime, priorWeight)*maxDepth <= targetFraction*target
 	sh.servedTime.decay(sampleDecay)
 	if sh.serviceTime.n < minSamples {
 		sh.serviceTime.decay(sparseSampleDecay)
@@ -49,7 +49,7 @@
 		return
 	}
 	next := sh.depth + change[0]
-	if sh.quick {
+	if sh.meetsTargetAtMaxDepth {
 		// Even maxDepth requests, served one by one, meet the target. The control law's steps are
 		// sized for service times near the target, far too small to load a fast idle node soon.
 		next = sh.depth * maxDepthStep
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -72,7 +72,7 @@
 	// as quickly as it does unloaded: a late answer earns little and would delay
 	// what is due through other hosts. A node first met under load looks idle.
 	// A quick one with room to spare is as good as idle.
-	idle := sh.quick || len(sh.outstanding) == 0 && p.meanServiceTime(sh) <= idleFactor*p.unloadedServiceTime
+	idle := sh.meetsTargetAtMaxDepth || len(sh.outstanding) == 0 && p.meanServiceTime(sh) <= idleFactor*p.unloadedServiceTime
 	if !idle || p.admittedFraction(sh) < 1 {
 		return nil
 	}
@@ -80,23 +80,23 @@
 		p.setTimer(sh.deferredLimitedUntil+answerMargin, nil, sh)
 		return nil
 	}
-	seen, held, till := 0, 0, math.Inf(1)
+	examined, limited, opensAt := 0, 0, math.Inf(1)
 	for _, r := range sh.deferred.all {
 		if r == nil {
 			continue
 		}
-		if seen++; seen > longQueue {
+		if examined++; examined > longQueue {
 			break
 		}
 		better := pick == nil || (r.targetTime > p.now) && (pick.targetTime <= p.now) || r.value > pick.value
 		if p.limitOpensAt = 0; better && p.maySend(r, sh) {
 			pick = r
 		} else if p.limitOpensAt > 0 {
-			held, till = held+1, min(till, p.limitOpensAt)
+			limited, opensAt = limited+1, min(opensAt, p.limitOpensAt)
 		}
 	}
-	if sh.deferredSeen, sh.deferredLimitedUntil = sh.deferredState(), 0; held > 0 && held == min(seen, longQueue) {
-		sh.deferredLimitedUntil = till
+	if sh.deferredSeen, sh.deferredLimitedUntil = sh.deferredState(), 0; limited > 0 && limited == min(examined, longQueue) {
+		sh.deferredLimitedUntil = opensAt
 	}
 	return pick
 }
@@ -107,7 +107,7 @@
 	if r.done || n == nil || n.excluded {
 		return false
 	}
-	if most := r.arrivalSettings.Limits.MaxAttempts; most > 0 && r.attempts >= most {
+	if maxAttempts := r.arrivalSettings.Limits.MaxAttempts; maxAttempts > 0 && r.attempts >= maxAttempts {
 		return false
 	}
 	if r.outstanding > 0 || r.mayHaveRun && !p.mayRepeat(r, n) {
@@ -123,12 +123,12 @@
 	if !p.withinLimit(r, sh) {
 		return false
 	}
-	budget, part, slowStart := p.slowStart(n)
+	budget, fraction, slowStart := p.slowStart(n)
 	if !slowStart {
 		return true
 	}
-	if rest := p.startedAt + p.coldWindow(); n.coldSince < p.startedAt && p.now < rest { // this host may have been restarted
-		p.setTimer(rest, nil, sh)
+	if allowedFrom := p.startedAt + p.coldWindow(); n.coldSince < p.startedAt && p.now < allowedFrom { // this host may have been restarted
+		p.setTimer(allowedFrom, nil, sh)
 		return false
 	}
 	recentSends, units := n.recentSends.since(p.now - p.coldWindow())
@@ -139,7 +139,7 @@
 		p.setTimer(n.recentSends.oldest()+p.coldWindow()+p.settings.Tick, nil, sh)
 		return false
 	}
-	return r.attempts == 0 && p.inTopFraction(r, part)
+	return r.attempts == 0 && p.inTopFraction(r, fraction)
 }
 
 func (p *scheduler) send(sh *shard, r *request) {
@@ -162,8 +162,8 @@
 // as sent now is not to pass much later, and no repeat goes when none is dropped any more.
 func (p *scheduler) startBy(r *request) float64 {
 	startBy := math.Inf(1)
-	if late := p.settings.Rules.MaxSendDelay; late > 0 {
-		startBy = p.now + late
+	if maxDelay := p.settings.Rules.MaxSendDelay; maxDelay > 0 {
+		startBy = p.now + maxDelay
 	}
 	if r.mayHaveRun && r.class.Effect == Keyed {
 		startBy = min(startBy, p.dedupUntil(r))
--- a/policy/fairqueue.go
+++ b/policy/fairqueue.go
@@ -63,18 +63,18 @@
 	}
 	clear(f.fresh)
 	f.fresh, f.limitedUntil = f.fresh[:0], 0
-	held, till := 0, math.Inf(1)
+	limited, opensAt := 0, math.Inf(1)
 	for _, r := range f.queue {
 		p.limitOpensAt = 0
 		if p.maySend(r, sh) {
 			return r
 		}
 		if p.limitOpensAt > 0 {
-			held, till = held+1, min(till, p.limitOpensAt)
+			limited, opensAt = limited+1, min(opensAt, p.limitOpensAt)
 		}
 	}
-	if held == len(f.queue) && held > 0 {
-		f.limitedUntil = till
+	if limited == len(f.queue) && limited > 0 {
+		f.limitedUntil = opensAt
 	}
 	return nil
 }
@@ -125,20 +125,20 @@
 	deferCount     int // and what was parked
 	// Limits hold all of the parked that would be seen until deferredLimitedUntil, as long as the
 	// mark is the same.
-	deferredLimitedUntil float64
-	deferredSeen         [2]int
-	lastWalk             float64 // time of the last whole walk
-	outstanding          []*request
-	waiting              int
-	depth                float64
-	timerAt              float64 // earliest timer that was set
-	depthModel           *rlsEstimator
-	serviceTime          decayingMean
-	servedTime           decayingMean // the same of what was served alone
-	quick                bool         // what the ceiling would put there still meets the aim, one by one
-	depthLimited         bool         // depth held something back in this second
-	prevOutput           float64
-	lastServedSend       float64 // when the last that was served was sent
+	deferredLimitedUntil  float64
+	deferredSeen          [2]int
+	lastWalk              float64 // time of the last whole walk
+	outstanding           []*request
+	waiting               int
+	depth                 float64
+	timerAt               float64 // earliest timer that was set
+	depthModel            *rlsEstimator
+	serviceTime           decayingMean
+	servedTime            decayingMean // the same of what was served alone
+	meetsTargetAtMaxDepth bool         // what the ceiling would put there still meets the aim, one by one
+	depthLimited          bool         // depth held something back in this second
+	prevOutput            float64
+	lastServedSend        float64 // when the last that was served was sent
 }
 
 // deferredState changes with whatever comes to the parked or leaves them.
--- a/policy/keyorder.go
+++ b/policy/keyorder.go
@@ -42,13 +42,13 @@
 		}
 		return
 	}
-	h := c.members[0]
-	if h.done || h.queued || h.outstanding > 0 || h.attempts > 0 {
+	head := c.members[0]
+	if head.done || head.queued || head.outstanding > 0 || head.attempts > 0 {
 		return
 	}
 	if p.now < c.blockedUntil {
-		p.setTimer(c.blockedUntil, h, nil)
+		p.setTimer(c.blockedUntil, head, nil)
 		return
 	}
-	p.enqueue(h)
+	p.enqueue(head)
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -15,8 +15,8 @@
 	r.firstTriedAt = p.firstTryTime(q) // a client's further try counts its aim from its first
 	r.targetTime = min(r.firstTriedAt+r.class.LatencyTarget, q.Expires)
 	r.vol = p.volumeBuckets(q, &p.settings.Plans[r.flow])
-	if h := divisor(q.Hosts, q.Fraction); r.vol.divisor != h || r.vol.plan != &p.settings.Plans[r.flow] {
-		p.resizeBuckets(r.vol, &p.settings.Plans[r.flow], h)
+	if hostDivisor := divisor(q.Hosts, q.Fraction); r.vol.divisor != hostDivisor || r.vol.plan != &p.settings.Plans[r.flow] {
+		p.resizeBuckets(r.vol, &p.settings.Plans[r.flow], hostDivisor)
 	}
 	if p.settings.Rules.HasBudget {
 		p.arrivals.add(p.now, 1)
@@ -24,8 +24,8 @@
 	}
 	p.maxUnits = max(p.maxUnits, q.Units)
 	r.shard = p.selectShard(q.Shard)
-	most := max(p.now+maxWaitFraction*(q.Expires-p.now), r.targetTime+minWaitTargets*r.class.LatencyTarget)
-	r.waitDeadline = min(most, q.Expires-p.settings.Tick-answerMargin)
+	latest := max(p.now+maxWaitFraction*(q.Expires-p.now), r.targetTime+minWaitTargets*r.class.LatencyTarget)
+	r.waitDeadline = min(latest, q.Expires-p.settings.Tick-answerMargin)
 	p.setTimer(r.waitDeadline, r, nil)
 	p.valueRequest(r)
 	if c := p.keyQueueOf(r); c != nil {
@@ -84,9 +84,9 @@
 
 // requeueOrEnd files r for a further attempt, or ends it if there can be none.
 func (p *scheduler) requeueOrEnd(r *request) {
-	last := p.now >= r.Expires-p.settings.Tick-answerMargin || !r.reachedNode && p.now >= r.waitDeadline
-	used := r.arrivalSettings.Limits.MaxAttempts > 0 && r.attempts >= r.arrivalSettings.Limits.MaxAttempts
-	if last || used || r.mayHaveRun && r.class.Effect == NonIdempotent {
+	tooLate := p.now >= r.Expires-p.settings.Tick-answerMargin || !r.reachedNode && p.now >= r.waitDeadline
+	attemptsUsed := r.arrivalSettings.Limits.MaxAttempts > 0 && r.attempts >= r.arrivalSettings.Limits.MaxAttempts
+	if tooLate || attemptsUsed || r.mayHaveRun && r.class.Effect == NonIdempotent {
 		p.end(r)
 		return
 	}
@@ -100,24 +100,24 @@
 		return
 	}
 	r.Expires = e.Deadline
-	last := r.Expires - p.settings.Tick - answerMargin
-	r.waitDeadline = min(r.waitDeadline, last)
+	lastAnswer := r.Expires - p.settings.Tick - answerMargin
+	r.waitDeadline = min(r.waitDeadline, lastAnswer)
 	r.shard.earliestExpiry = min(r.shard.earliestExpiry, r.Expires)
-	p.setTimer(last, r, nil)
+	p.setTimer(lastAnswer, r, nil)
 }
 
-// expire ends what is held when its client is about to leave, what no node had before that.
-func (p *scheduler) expire(r *request) {
+// checkDeadlines ends what is held when its client is about to leave, what no node had before that.
+func (p *scheduler) checkDeadlines(r *request) {
 	if r.done {
 		return
 	}
-	if last := r.Expires - p.settings.Tick - answerMargin; p.now < last {
+	if lastAnswer := r.Expires - p.settings.Tick - answerMargin; p.now < lastAnswer {
 		p.releaseKey(r) // its key may have rested
-		if half := p.now >= r.waitDeadline-rounding; half && !r.reachedNode && r.outstanding == 0 {
+		if waitOver := p.now >= r.waitDeadline-rounding; waitOver && !r.reachedNode && r.outstanding == 0 {
 			p.end(r)
-		} else if half && !r.waitExpired {
+		} else if waitOver && !r.waitExpired {
 			r.waitExpired = true
-			p.setTimer(last, r, nil)
+			p.setTimer(lastAnswer, r, nil)
 		}
 		return
 	}
@@ -125,9 +125,9 @@
 		p.end(r)
 		return
 	}
-	late := r.Expires + r.arrivalSettings.Rules.AnswerSlack/2
-	if p.now < late { // the attempt's own time-out comes first
-		p.setTimer(late, r, nil)
+	lastOutcome := r.Expires + r.arrivalSettings.Rules.AnswerSlack/2
+	if p.now < lastOutcome { // the attempt's own time-out comes first
+		p.setTimer(lastOutcome, r, nil)
 		return
 	}
 	p.end(r)
@@ -135,8 +135,8 @@
 
 // end gives r its final answer: a refusal where its class allows that.
 func (p *scheduler) end(r *request) {
-	safe := r.class.Effect == Idempotent || r.class.Effect == Keyed && r.class.DedupScope == DedupAll
-	if safe || !r.mayHaveRun && r.outstanding == 0 {
+	refusable := r.class.Effect == Idempotent || r.class.Effect == Keyed && r.class.DedupScope == DedupAll
+	if refusable || !r.mayHaveRun && r.outstanding == 0 {
 		p.emit(Refuse{r.ID, r.arrivalSettings.Limits.RetryAfter, p.reasonFor(r)})
 	} else {
 		p.emit(Fail{r.ID, p.reasonFor(r)})
@@ -193,12 +193,12 @@
 // one further try at the most.
 func (p *scheduler) firstTryTime(q Request) float64 {
 	k := retryKey{q.Class, q.Volume, q.Key}
-	t, ok := p.unserved[k]
+	earlier, ok := p.unserved[k]
 	delete(p.unserved, k)
-	if !ok || p.now >= t.expires {
+	if !ok || p.now >= earlier.expires {
 		return p.now
 	}
-	return t.firstTriedAt
+	return earlier.firstTriedAt
 }
 
 // recordUnserved notes that r ends without having been served.
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -24,17 +24,17 @@
 }
 
 func (p *scheduler) withinBudget() bool {
-	used, may := p.budget()
-	return !p.settings.Rules.HasBudget || used+1 <= may
+	used, allowed := p.budget()
+	return !p.settings.Rules.HasBudget || used+1 <= allowed
 }
 
 // budget is how many attempts beyond the first there were, and may be, within its span.
-func (p *scheduler) budget() (used, may float64) {
-	ru := &p.settings.Rules
-	old := p.now - ru.BudgetWindow
-	resends, _ := p.resends.since(old - p.settings.Tick - ru.MaxSendDelay) // they count where they pass
-	arrivals, _ := p.arrivals.since(old + p.settings.Tick)
-	return float64(resends), ru.BudgetBase + ru.BudgetRatio*float64(arrivals)
+func (p *scheduler) budget() (used, allowed float64) {
+	rules := &p.settings.Rules
+	windowStart := p.now - rules.BudgetWindow
+	resends, _ := p.resends.since(windowStart - p.settings.Tick - rules.MaxSendDelay) // they count where they pass
+	arrivals, _ := p.arrivals.since(windowStart + p.settings.Tick)
+	return float64(resends), rules.BudgetBase + rules.BudgetRatio*float64(arrivals)
 }
 
 // dedupUntil is until when repeats of r, which may have run, are surely dedupUntil.
--- a/policy/revise.go
+++ b/policy/revise.go
@@ -38,24 +38,24 @@
 // assignFlows gives the new plans numbers: their own where they had one, then those of plans
 // that nothing waits for any more, then further ones.
 func (p *scheduler) assignFlows(old, next []Plan) []Plan {
-	used := make([]bool, len(old))
+	inUse := make([]bool, len(old))
 	for _, r := range p.requests {
-		used[r.flow] = true
+		inUse[r.flow] = true
 	}
 	for i := range old {
-		used[i] = used[i] || slices.ContainsFunc(next, func(n Plan) bool { return n.Name == old[i].Name })
+		inUse[i] = inUse[i] || slices.ContainsFunc(next, func(n Plan) bool { return n.Name == old[i].Name })
 	}
-	out := slices.Clone(old)
+	assigned := slices.Clone(old)
 	for _, n := range next {
 		i := slices.IndexFunc(old, func(o Plan) bool { return o.Name == n.Name })
 		if i < 0 {
-			i = slices.Index(used, false)
+			i = slices.Index(inUse, false)
 		}
 		if i < 0 {
-			out = append(out, n)
+			assigned = append(assigned, n)
 			continue
 		}
-		out[i], used[i] = n, true
+		assigned[i], inUse[i] = n, true
 	}
-	return out
+	return assigned
 }
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -89,10 +89,10 @@
 func (p *scheduler) emit(a Action) { p.actions = append(p.actions, a) }
 
 // removeIdle forgets volumes unused for so long and full again, and rested keys.
-func (p *scheduler) removeIdle(after float64) {
+func (p *scheduler) removeIdle(idleFor float64) {
 	for id, v := range p.volumes {
 		full := v.limitLevel+v.limitRate*(p.now-v.refilledAt)/1000 >= v.limitCap
-		if full && v.pending == 0 && p.now-v.lastUsed > after {
+		if full && v.pending == 0 && p.now-v.lastUsed > idleFor {
 			delete(p.volumes, id)
 		}
 	}
@@ -126,14 +126,14 @@
 }
 
 func (p *scheduler) minLatencyTarget() float64 {
-	low := math.Inf(1)
+	lowest := math.Inf(1)
 	for i := range p.settings.Classes {
-		low = min(low, p.settings.Classes[i].LatencyTarget)
+		lowest = min(lowest, p.settings.Classes[i].LatencyTarget)
 	}
-	if math.IsInf(low, 1) {
+	if math.IsInf(lowest, 1) {
 		return samplePeriod
 	}
-	return low
+	return lowest
 }
 
 // Handle implements Scheduler.
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -11,17 +11,17 @@
 // admittedFraction is how much of what this host is asked for at sh may go, dearest first: a
 // depth below 1, or what a node that warms up bears of the demand to expect.
 func (p *scheduler) admittedFraction(sh *shard) float64 {
-	_, bears, _ := p.shardSlowStart(sh)
-	return min(sh.depth, bears)
+	_, coldFraction, _ := p.shardSlowStart(sh)
+	return min(sh.depth, coldFraction)
 }
 
 // minAdmittedValue is the worth above which lies that part of what was asked of late.
-func (p *scheduler) minAdmittedValue(part float64) float64 {
-	if part >= 1 {
+func (p *scheduler) minAdmittedValue(fraction float64) float64 {
+	if fraction >= 1 {
 		return 0
 	}
-	price, _ := valueCutoff(p.rankedDemand, part)
-	return price
+	cutoff, _ := valueCutoff(p.rankedDemand, fraction)
+	return cutoff
 }
 
 // expectedWait is the wait of a request with `ahead` mean requests before it.
@@ -43,48 +43,48 @@
 // after the other, still meets the earliest aim. One that is long is made once in
 // walkGap; a queue that long comes only with thousands of requests a second.
 func (p *scheduler) shed(sh *shard) {
-	service, price := p.expectedServiceTime(sh), p.minAdmittedValue(p.admittedFraction(sh))
-	most := max(p.unloadedServiceTime*(p.maxUnits/p.settings.MeanUnits-1), 0)
-	calm := price == 0 && p.now+p.expectedWait(sh, sh.queuedUnits/p.settings.MeanUnits)+service+most+answerMargin <= sh.earliestTarget
-	stay := p.now+service+most+answerMargin <= sh.earliestExpiry
-	if calm && stay || sh.waiting > longQueue && p.now-sh.lastWalk < minWalkInterval {
+	serviceTime, minValue := p.expectedServiceTime(sh), p.minAdmittedValue(p.admittedFraction(sh))
+	maxExtra := max(p.unloadedServiceTime*(p.maxUnits/p.settings.MeanUnits-1), 0)
+	allInTime := minValue == 0 && p.now+p.expectedWait(sh, sh.queuedUnits/p.settings.MeanUnits)+serviceTime+maxExtra+answerMargin <= sh.earliestTarget
+	noneExpire := p.now+serviceTime+maxExtra+answerMargin <= sh.earliestExpiry
+	if allInTime && noneExpire || sh.waiting > longQueue && p.now-sh.lastWalk < minWalkInterval {
 		return
 	}
 	sh.lastWalk = p.now
-	p.shedQueues(sh, service, price)
-	p.shedDeferred(sh, service)
+	p.shedQueues(sh, serviceTime, minValue)
+	p.shedDeferred(sh, serviceTime)
 }
 
-func (p *scheduler) shedQueues(sh *shard, service, price float64) {
-	_, bears, warming := p.shardSlowStart(sh)
+func (p *scheduler) shedQueues(sh *shard, serviceTime, minValue float64) {
+	_, coldFraction, warming := p.shardSlowStart(sh)
 	walkBuffer := sh.walkBuffer
 	sh.walkBuffer = nil // what is let go of may bring another walk in the midst of this one
 	all := sh.queuedByValue(walkBuffer)
-	ahead, first := 0.0, math.Inf(1)
+	ahead, earliest := 0.0, math.Inf(1)
 	enqueueCount := sh.enqueueCount
-	look := func(r *request) {
+	check := func(r *request) {
 		switch {
 		case r == nil || !r.queued: // ended or sent while an earlier one was let go of
-		case r.rank < price, warming && !p.inTopFraction(r, bears):
+		case r.rank < minValue, warming && !p.inTopFraction(r, coldFraction):
 			sh.depthLimited = true
 			p.deferRequest(sh, r)
-		case p.now+ahead*service/max(sh.depth, 1)+service+p.extraServiceTime(r) > r.targetTime:
+		case p.now+ahead*serviceTime/max(sh.depth, 1)+serviceTime+p.extraServiceTime(r) > r.targetTime:
 			p.deferRequest(sh, r)
 		default:
 			ahead += r.Units / p.settings.MeanUnits
-			first = min(first, r.targetTime)
+			earliest = min(earliest, r.targetTime)
 		}
 	}
 	for _, r := range slices.Clone(sh.retries.all) {
-		look(r)
+		check(r)
 	}
 	for _, r := range all {
-		look(r)
+		check(r)
 	}
 	clear(all)
 	sh.walkBuffer = all
 	if sh.enqueueCount == enqueueCount { // nothing came meanwhile that this walk has not seen
-		sh.earliestTarget = first
+		sh.earliestTarget = earliest
 	}
 }
 
@@ -92,19 +92,19 @@
 // work, and clients with short tries come again at once: they are told to stay
 // away. It also clears queues before a stalled node; a node that recovers within
 // a request's time could still have served it late.
-func (p *scheduler) shedDeferred(sh *shard, service float64) {
-	first, deferCount := math.Inf(1), sh.deferCount
+func (p *scheduler) shedDeferred(sh *shard, serviceTime float64) {
+	earliest, deferCount := math.Inf(1), sh.deferCount
 	for _, r := range slices.Clone(sh.deferred.all) {
 		switch {
 		case r == nil || !r.queued:
-		case p.now+service+p.extraServiceTime(r) > r.Expires:
+		case p.now+serviceTime+p.extraServiceTime(r) > r.Expires:
 			p.end(r)
 		default:
-			first = min(first, r.Expires)
+			earliest = min(earliest, r.Expires)
 		}
 	}
 	if sh.deferCount == deferCount {
-		sh.earliestExpiry = first
+		sh.earliestExpiry = earliest
 	}
 }
 
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -48,18 +48,18 @@
 // runTimers runs what has come due and arms the timer for what comes next.
 func (p *scheduler) runTimers() {
 	for len(p.timers) > 0 && p.timers[0].at <= p.now {
-		w := heap.Pop(&p.timers).(timer)
-		if w.req != nil {
-			if w.req.over() {
+		t := heap.Pop(&p.timers).(timer)
+		if t.req != nil {
+			if t.req.over() {
 				p.staleTimers--
 			}
-			p.expire(w.req)
-		} else if w.at == w.sh.timerAt {
-			p.dispatch(w.sh)
+			p.checkDeadlines(t.req)
+		} else if t.at == t.sh.timerAt {
+			p.dispatch(t.sh)
 		}
 	}
 	if len(p.timers) > pruneTimersAbove && 2*p.staleTimers > len(p.timers) {
-		p.timers = slices.DeleteFunc(p.timers, func(w timer) bool { return w.req != nil && w.req.over() })
+		p.timers = slices.DeleteFunc(p.timers, func(t timer) bool { return t.req != nil && t.req.over() })
 		p.staleTimers = 0
 		heap.Init(&p.timers)
 	}
--- a/policy/view.go
+++ b/policy/view.go
@@ -57,31 +57,31 @@
 	p.now = max(p.now, now)
 	v := View{Median: p.medianTime, Base: p.unloadedServiceTime, Budget: -1, Held: len(p.requests)}
 	if p.settings.Rules.HasBudget {
-		used, may := p.budget()
-		v.Budget = max(may-used, 0)
+		used, allowed := p.budget()
+		v.Budget = max(allowed-used, 0)
 	}
 	for _, sh := range p.shards {
-		x := ShardView{
+		entry := ShardView{
 			Shard: sh.id, Depth: sh.depth, Out: len(sh.outstanding), Waiting: sh.waiting,
 			Parked: sh.deferred.len(), Service: p.expectedServiceTime(sh),
 		}
 		if sh.node != nil && !sh.node.excluded {
-			x.Node = sh.node.Addr
+			entry.Node = sh.node.Addr
 		}
-		v.Shards = append(v.Shards, x)
+		v.Shards = append(v.Shards, entry)
 	}
 	for i, pl := range p.settings.Plans {
 		v.Shares = append(v.Shares, ShareView{pl.Name, p.shares.share[i]})
 	}
 	for addr, n := range p.nodes {
-		x := NodeView{
+		entry := NodeView{
 			Addr: addr, Shard: n.Shard, Off: n.excluded, Suspect: n.suspect,
 			HeldFor: max(n.backoffEnd-p.now, 0), Cold: 1,
 		}
-		if _, part, slowStart := p.slowStart(n); slowStart {
-			x.Cold = part
+		if _, fraction, slowStart := p.slowStart(n); slowStart {
+			entry.Cold = fraction
 		}
-		v.Nodes = append(v.Nodes, x)
+		v.Nodes = append(v.Nodes, entry)
 	}
 	slices.SortFunc(v.Nodes, func(a, b NodeView) int { return cmp.Compare(a.Addr, b.Addr) })
 	for id, vol := range p.volumes {
