--- a/internal/control/scheduler/checker.go
+++ b/internal/control/scheduler/checker.go
@@ -9,9 +9,7 @@
 	"merlinhitch/policy"
 )
 
-// Which requests can be served.
-
-// requestParser tells requests that can be served from those that cannot.
+// requestParser validates requests of clients against the settings and turns them into calls.
 type requestParser struct {
 	classes    map[string]policy.Class
 	plans      map[string]bool
@@ -21,7 +19,7 @@
 
 func newRequestParser(settings *policy.Settings) *requestParser {
 	shardCount := settings.Shards
-	if shardCount <= 0 { // not known
+	if shardCount <= 0 { // unknown
 		shardCount = maxShards
 	}
 	parser := &requestParser{classes: map[string]policy.Class{}, plans: map[string]bool{}, shardCount: shardCount, maxUnits: settings.MaxUnits}
@@ -41,7 +39,7 @@
 	maxTimeoutMS           = 600_000
 )
 
-// parse makes a call of a request, or says what to answer.
+// parse returns the call for a request, or else the HTTP status to reject it with.
 func (p *requestParser) parse(r *request) (*call, int) {
 	path, _, _ := strings.Cut(r.Target, "?")
 	parts := strings.Split(path, "/")
@@ -79,7 +77,8 @@
 	return parsed, 0
 }
 
-// parsePlacement reads units, shard and hosts.
+// parsePlacement parses units, shard and hosts from the X-Placement header into req. It returns
+// false if one is missing, malformed or out of range.
 func (p *requestParser) parsePlacement(placement string, req *policy.Request) bool {
 	req.Units, req.Shard, req.Hosts = math.NaN(), math.MinInt, 0
 	for part := range strings.SplitSeq(placement, ",") {
@@ -105,7 +104,8 @@
 	return len(s) == hexLength && strings.Trim(s, "0123456789abcdefABCDEF") == ""
 }
 
-// isRequestID takes what can be an id: it goes on to disk servers as it is.
+// isRequestID reports whether id is a valid request id. Only characters that are safe in a header
+// are allowed, since the id is forwarded to disk servers unchanged.
 func isRequestID(id string) bool {
 	return id != "" && len(id) <= maxIDBytes && !slices.ContainsFunc([]byte(id), func(b byte) bool {
 		return !(b >= '0' && b <= '9' || b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || b == '-' || b == '_')
--- a/internal/control/scheduler/config.go
+++ b/internal/control/scheduler/config.go
@@ -12,27 +12,28 @@
 	"merlinhitch/policy"
 )
 
-// Config is what a scheduler is told at its start, and again at a reload.
+// Config configures a scheduler, at its start and again at a reload.
 type Config struct {
 	Name      string
-	Listen    string // address for clients
-	Discovery string // address of discovery
+	Listen    string // listen address for clients, host:port
+	Discovery string // address of the discovery service, host:port
 	Seed      uint64
 	Limits    Limits
-	Known     ServerList // the disk servers as this scheduler last held them
+	Known     ServerList // disk servers known before the start; may be out of date
 	Settings  policy.Settings
 	Bounds    wire.ConnTimeouts
-	Ignored   []error // faults of the settings that were put right, each a *ConfigError
+	Ignored   []error // invalid settings that were replaced by a default, each a *ConfigError
 }
 
-// Limits are the machine's.
+// Limits are the machine's resources that the scheduler may use.
 type Limits struct {
 	Cores    float64
 	MemoryMB int
 	Sockets  int // file descriptors
 }
 
-// ConfigError names a fault of the configuration by its path.
+// ConfigError is an invalid or missing field of the configuration file. Path is the field's
+// JSON path, or "file" if the file as a whole cannot be decoded.
 type ConfigError struct {
 	Path string
 	Err  error
@@ -40,16 +41,16 @@
 
 func (e *ConfigError) Error() string { return "configuration: " + e.Path + ": " + e.Err.Error() }
 
-// Unwrap returns the fault without its path.
+// Unwrap returns the underlying error, without the path.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// The variables that a scheduler is started with. What the file says goes before them:
-// a reload brings another file, never another environment.
+// Environment variables of a scheduler. The file's fields take precedence, since a reload can
+// change the file but not the environment.
 const (
 	envName      = "ROUTER_NAME"
 	envListen    = "ROUTER_LISTEN"
 	envDiscovery = "ROUTER_DISCOVERY"
-	// EnvConfig names the file.
+	// EnvConfig is the variable that holds the path of the configuration file.
 	EnvConfig = "ROUTER_CONFIG"
 )
 
@@ -67,10 +68,11 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-var errMissing = errors.New("is missing")
+var errMissing = errors.New("required field is missing")
 
-// ParseConfig reads the configuration file's JSON and, for what it leaves out, the
-// environment.
+// ParseConfig decodes and validates the JSON of a configuration file. Names and addresses that
+// it omits are looked up with getenv. An invalid shard count is reset to unknown and reported in
+// Config.Ignored.
 func ParseConfig(data []byte, getenv func(string) string) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(data, &file); err != nil {
@@ -103,27 +105,29 @@
 		return nil, configErrorAt("settings", err)
 	}
 	config.Settings, config.Bounds = *set, withDefaultBounds(bounds)
-	config.Settings.Rules.MaxSendDelay = config.Bounds.DialTimeout + sendLateMarginMS
+	config.Settings.Rules.MaxSendDelay = config.Bounds.DialTimeout + sendDelayMarginMS
 	config.resetInvalidShardCount()
 	return config, config.validate()
 }
 
-// maxShards bounds the number of shards: each that a request names is kept in memory.
+// maxShards bounds the number of shards, since state is kept for each shard that a request names.
 const maxShards = 100_000
 
-// resetInvalidShardCount takes a number of shards that cannot be one as not known.
+// resetInvalidShardCount sets a shard count that is out of range to 0 (unknown) and reports it in
+// Ignored.
 func (c *Config) resetInvalidShardCount() {
 	if shards := c.Settings.Shards; shards < 1 || shards > maxShards {
-		err := fmt.Errorf("is %d, from 1 to %d can be served: taken as not known", shards, maxShards)
+		err := fmt.Errorf("got %d, want 1 to %d; treated as unknown", shards, maxShards)
 		c.Ignored = append(c.Ignored, &ConfigError{"settings.extra.slots_total", err})
 		c.Settings.Shards = 0
 	}
 }
 
-// sendLateMarginMS is how much later than its connection may be up, ms, an attempt may begin.
-const sendLateMarginMS = 50.0
+// sendDelayMarginMS is added to the dial timeout to get the longest time, ms, that an attempt may
+// wait before it is written.
+const sendDelayMarginMS = 50.0
 
-// withDefaultBounds fills in the times of connections that the settings leave out.
+// withDefaultBounds fills in the connection timeouts that the settings omit.
 func withDefaultBounds(bounds wire.ConnTimeouts) wire.ConnTimeouts {
 	if !(bounds.DialTimeout > 0) {
 		bounds.DialTimeout = env.MS(defaultDialTimeout)
@@ -141,14 +145,15 @@
 	return value
 }
 
-// configErrorAt names the field that JSON of the wrong type stands at.
+// configErrorAt returns a ConfigError for err at path. For a JSON value of the wrong type the
+// path is extended to the field that holds it.
 func configErrorAt(path string, err error) error {
 	var typeErr *json.UnmarshalTypeError
 	if errors.As(err, &typeErr) && typeErr.Field != "" {
 		if path != "" {
 			path += "."
 		}
-		return &ConfigError{path + typeErr.Field, fmt.Errorf("holds a %s", typeErr.Value)}
+		return &ConfigError{path + typeErr.Field, fmt.Errorf("wrong JSON type: got %s", typeErr.Value)}
 	}
 	return &ConfigError{valueOr(path, "file"), err}
 }
@@ -164,7 +169,7 @@
 	}
 	for i, class := range c.Settings.Classes {
 		if !(class.LatencyTarget > 0) || math.IsInf(class.LatencyTarget, 0) {
-			return &ConfigError{fmt.Sprintf("settings.request_classes[%d].aim_ms", i), fmt.Errorf("is %v", class.LatencyTarget)}
+			return &ConfigError{fmt.Sprintf("settings.request_classes[%d].aim_ms", i), fmt.Errorf("must be positive and finite, got %v", class.LatencyTarget)}
 		}
 	}
 	if len(c.Settings.Plans) == 0 {
--- a/internal/control/scheduler/lifecycle.go
+++ b/internal/control/scheduler/lifecycle.go
@@ -13,40 +13,40 @@
 )
 
 const (
-	// readyTimeout is how long a start waits for discovery's first word: the list it was
-	// started with may be old.
+	// readyTimeout bounds how long a start waits for the first message of discovery before it
+	// serves with the configured list, which may be out of date.
 	readyTimeout = 1500 * time.Millisecond
-	// After SIGTERM the platform kills no sooner than killExtra after the longest deadline,
-	// which it counts as maxCountedDeadlineMS at the most. New connections come for a while, for
-	// clients hear of a planned stop late; those that they have they use as long as they
-	// are open. So these stay open until the last answers have just time enough.
-	maxCountedDeadlineMS = 3000.0 // ms
+	// After SIGTERM the platform kills the process no sooner than killDelayMS after the longest
+	// deadline of a class, of which it counts maxCountedDeadlineMS at most. Clients learn late of
+	// a planned stop, so new connections are accepted for drainAcceptPeriod, and open ones are
+	// kept until the last answers have just enough time.
+	maxCountedDeadlineMS = 3000.0
 	killDelayMS          = 700.0
 	drainAcceptPeriod    = 600 * time.Millisecond
-	finishLeadMS         = 400.0 // before the kill nothing new is taken,
-	answerLeadMS         = 300.0 // so long before it all has been answered: a process may be held up for 150,
-	exitLeadMS           = 80.0  // and so long before it the program ends, whoever lingers
+	finishLeadMS         = 400.0 // before the kill, idle connections close and each answer ends its connection
+	answerLeadMS         = 300.0 // before the kill, all is answered: the process may be held up for 150 ms
+	exitLeadMS           = 80.0  // before the kill, the program ends even if clients are still connected
 	sweepInterval        = time.Second
-	// A start waits for its address for so long, and asks for it that often: the platform
-	// gives a scheduler 30 s to be ready.
+	// A listen address that cannot be used yet is tried again every listenRetryInterval for
+	// listenTimeout: the platform gives a scheduler 30 s to be ready.
 	listenTimeout       = 10 * time.Second
 	listenRetryInterval = 20 * time.Millisecond
 	drainPollInterval   = 20 * time.Millisecond
 )
 
-// Parts of the descriptors that clients' connections, those of them that are ending, and
-// disk servers' may take; the rest is the process's own.
+// Fractions of the file descriptors for connections of clients, for client connections that are
+// closing, and for connections to disk servers; the rest is for the process itself.
 const (
 	clientSocketFraction  = 0.60
 	closingSocketFraction = 0.05
 	serverSocketFraction  = 0.30
-	minSockets            = 64 // reckoned with where the configuration does not say
-	minMemoryMB           = 32
-	bodyMemoryDivisor     = 8 // one part of so many of the memory
+	minSockets            = 64 // lower bound of the configured number of descriptors
+	minMemoryMB           = 32 // lower bound of the configured memory, MiB
+	bodyMemoryDivisor     = 8  // bodies of one kind may hold this part of the memory
 )
 
-// bodyByteLimit is what bodies on one of their ways may hold at once: of requests, of disk
-// servers' answers, of answers to clients.
+// bodyByteLimit returns the bytes that bodies of one kind may hold at once: bodies of requests, of
+// answers from disk servers, of answers to clients, and data read ahead from clients.
 func bodyByteLimit(config *Config) int64 {
 	return int64(max(config.Limits.MemoryMB, minMemoryMB)) << 20 / bodyMemoryDivisor
 }
@@ -60,17 +60,18 @@
 	back            *connPool
 	frontend        *frontend
 	discoveryClient *discoveryClient
-	listReceived    env.Gate // discovery has spoken
+	listReceived    env.Gate // opened by the first message of discovery
 	ended           env.Gate
 	lastSweepAt     float64
-	grace           atomic.Uint64 // bits of the ms from SIGTERM to the kill
+	grace           atomic.Uint64 // float64 bits of the time from SIGTERM to the kill, ms
 }
 
-// Start listens and serves until Drain or Close.
+// Start opens the listener and returns a scheduler that serves until Drain or Close. A listen
+// address that cannot be used yet is retried for up to 10 s.
 func Start(w env.Environment, config *Config, log *zap.Logger) (*Scheduler, error) {
 	s := &Scheduler{environment: w, log: log, loop: newLoop(w)}
 	listenedAt := s.loop.now()
-	listener, err := listen(w, config.Listen, log) // first of all: clients may come already
+	listener, err := listen(w, config.Listen, log) // first, since clients may already connect
 	if err != nil {
 		return nil, err
 	}
@@ -96,8 +97,8 @@
 	return s, nil
 }
 
-// listen listens for clients. A fault that may be over soon (an address that the process of
-// before still holds, a machine short of memory) is waited out for a while.
+// listen opens the listener for clients. Faults of this machine that may pass (an address still
+// held by the previous process, lack of memory) are retried until listenTimeout.
 func listen(environment env.Environment, address string, log *zap.Logger) (net.Listener, error) {
 	for deadline := environment.Now() + listenTimeout; ; {
 		listener, err := environment.Listen("tcp", address)
@@ -109,7 +110,7 @@
 	}
 }
 
-// applyConfig takes what the front and a stop need of the configuration.
+// applyConfig applies the parts of the configuration that the frontend and a drain use.
 func (s *Scheduler) applyConfig(config *Config) {
 	for _, err := range config.Ignored {
 		s.log.Warn("setting ignored", zap.Error(err))
@@ -120,13 +121,16 @@
 	s.grace.Store(math.Float64bits(gracePeriod(config)))
 }
 
+// awaitFirstList opens the frontend's ready gate once discovery has sent a list, or after
+// readyTimeout.
 func (s *Scheduler) awaitFirstList() {
 	env.Sleep(s.environment, readyTimeout, &s.listReceived)
 	s.frontend.ready.Open()
 	s.log.Info("ready", zap.Bool("discovery", s.listReceived.Opened()))
 }
 
-// receiveList passes on what discovery told.
+// receiveList takes a list from discovery. Notices are updated at once, on the caller's goroutine,
+// so that a drain or restart binds attempts that the loop has already let begin.
 func (s *Scheduler) receiveList(update ServerList) {
 	s.back.serverStates.apply(update)
 	s.loop.post(s.loop.now(), eventList, func(at float64) {
@@ -135,7 +139,7 @@
 	})
 }
 
-// sweep runs on the loop after each batch.
+// sweep closes idle connections every sweepInterval. It runs on the loop after each batch.
 func (s *Scheduler) sweep() {
 	if now := s.loop.now(); now-s.lastSweepAt > env.MS(sweepInterval) {
 		s.lastSweepAt = now
@@ -144,8 +148,9 @@
 	}
 }
 
-// Reload takes another configuration: where discovery is, and the settings. The module has
-// them before a request that was read under them can come to it.
+// Reload applies the settings, connection timeouts, memory limit and discovery address of config.
+// The new settings are posted to the core before the frontend uses them, so no request parsed
+// under them can reach the core first.
 func (s *Scheduler) Reload(config *Config) {
 	s.log.Info("configuration read again", zap.String("discovery", config.Discovery))
 	s.discoveryClient.setAddress(config.Discovery)
@@ -156,7 +161,8 @@
 	s.applyConfig(config)
 }
 
-// Drain ends the scheduler once all it has taken is answered.
+// Drain stops the scheduler within the grace period: it accepts connections for a while, answers
+// open requests, refuses what is left before the platform kills the process, and closes.
 func (s *Scheduler) Drain() {
 	grace := math.Float64frombits(s.grace.Load())
 	s.log.Info("draining", zap.Float64("grace_ms", grace))
@@ -168,26 +174,26 @@
 	env.Sleep(s.environment, env.Duration(startedAt+grace-finishLeadMS-s.loop.now()), &s.ended)
 	s.frontend.finish()
 	s.awaitClientsClosed(startedAt + grace - answerLeadMS)
-	// What was taken before the signal may have longer than there is.
+	// Requests taken before the signal may have deadlines beyond the grace period.
 	var answered env.Gate
 	if s.loop.post(s.loop.now(), eventStop, func(at float64) {
 		s.core.stop(at)
 		answered.Open()
 	}) {
-		env.WaitAny(s.environment, &answered, &s.ended) // an answer made after Close began would not be written
+		env.WaitAny(s.environment, &answered, &s.ended) // answers made once Close has begun would not be written
 	}
 	s.awaitClientsClosed(startedAt + grace - exitLeadMS)
 	s.Close()
 }
 
-// awaitClientsClosed waits until clients have no connections any more, or until a time.
+// awaitClientsClosed waits until no client connection is open, or until deadline (ms, loop's clock).
 func (s *Scheduler) awaitClientsClosed(deadline float64) {
 	for s.frontend.clientCount() > 0 && s.loop.now() < deadline {
 		env.Sleep(s.environment, drainPollInterval, nil)
 	}
 }
 
-// gracePeriod is how long a scheduler has after SIGTERM, ms.
+// gracePeriod returns the time from SIGTERM until the platform kills the process, ms.
 func gracePeriod(config *Config) float64 {
 	longest := 0.0
 	for _, class := range config.Settings.Classes {
@@ -196,7 +202,8 @@
 	return min(longest, maxCountedDeadlineMS) + killDelayMS
 }
 
-// Close ends everything at once and waits for it.
+// Close stops the scheduler at once, without waiting for open requests, and returns when all its
+// goroutines have ended.
 func (s *Scheduler) Close() {
 	s.discoveryClient.close()
 	s.frontend.close()
@@ -207,10 +214,10 @@
 	s.ended.Open()
 }
 
-// Wait returns once the scheduler has ended.
+// Wait blocks until the scheduler has closed.
 func (s *Scheduler) Wait() { s.ended.Wait(s.environment) }
 
-// The effects of the core, on the loop.
+// The core's effects, called on the loop.
 
 func (s *Scheduler) send(a *attempt)                    { s.back.send(a) }
 func (s *Scheduler) abandon(a *attempt) attemptProgress { return s.back.abandon(a) }
--- a/internal/control/scheduler/list.go
+++ b/internal/control/scheduler/list.go
@@ -8,28 +8,28 @@
 	"merlinhitch/policy"
 )
 
-// ServerList is the list of disk servers, or what changed of it.
+// ServerList is a message of discovery: the full list of disk servers, or the entries that changed.
 type ServerList struct {
 	Seq     uint64        `json:"seq"`
 	Full    bool          `json:"whole"`
 	Entries []ServerEntry `json:"hosts"`
 
-	faults    []entryFault // entries that cannot be right
-	malformed bool         // one could not be read: a whole list may say what it was to be
+	faults    []entryFault // invalid entries
+	malformed bool         // an entry has no name or an unknown state; a full list may correct it
 }
 
-// ServerEntry is a disk server in discovery's words.
+// ServerEntry describes a disk server in a ServerList.
 type ServerEntry struct {
 	Host       string  `json:"host"`
 	Address    string  `json:"dial"`
 	Site       string  `json:"site"`
-	ShardIndex int     `json:"block"` // the shard that it holds
+	ShardIndex int     `json:"block"` // shard that the server holds
 	Health     string  `json:"health"`
 	Share      float64 `json:"share"`
-	StartedMS  int64   `json:"born_ms"` // Unix time of its last start; 0: long ago
+	StartedMS  int64   `json:"born_ms"` // Unix time of the server's last start, ms; 0: long ago
 }
 
-// The states of a disk server in discovery's words.
+// States of a disk server in messages of discovery.
 const (
 	stateActive  = "active"
 	stateLeaving = "leaving"
@@ -38,15 +38,15 @@
 
 var policyHealth = map[string]policy.Health{stateActive: policy.Ready, stateLeaving: policy.Draining, stateLeft: policy.Removed}
 
-// severity orders the states by what they forbid.
+// severity orders the states by how much they forbid.
 var severity = map[string]int{stateActive: 0, stateLeaving: 1, stateLeft: 2}
 
-// entryFault is a fault of one entry of a list; the others are taken as they are.
+// entryFault reports an invalid entry of a list; the list's other entries are unaffected.
 type entryFault struct{ host, reason string }
 
-// parseServerList reads a message of discovery. An entry that cannot be right costs only itself:
-// one without a name is left out, one of an unknown state gets nothing new, and of a server
-// that is named twice the entry that forbids more counts, else the later one.
+// parseServerList decodes a message of discovery. An invalid entry does not affect the others: one
+// without a name is dropped, one with an unknown state is taken as leaving, and of duplicate
+// entries the one with the more restrictive state counts, the later one if they are equal.
 func parseServerList(data []byte) (ServerList, error) {
 	var list ServerList
 	if err := json.Unmarshal(data, &list); err != nil {
--- a/internal/control/scheduler/messages.go
+++ b/internal/control/scheduler/messages.go
@@ -6,28 +6,28 @@
 	"merlinhitch/internal/protocol/http1"
 )
 
-// objectReader cuts a stream of JSON objects into one after the other. Discovery sends one a
-// line and an empty line as a sign of life; an object may be indented, and then stands on
-// several lines.
+// objectReader splits a stream into JSON objects. Discovery sends one object per line, and empty
+// lines as keep-alives; an indented object spans several lines.
 type objectReader struct {
-	object   []byte // of an object, from its first byte on
-	nesting  int    // of the brackets that are open
-	inString bool   // within a string,
-	escaped  bool   // behind a backslash in it
+	object   []byte // bytes of the current object so far
+	nesting  int    // number of open braces and brackets
+	inString bool   // within a string
+	escaped  bool   // after a backslash in a string
 }
 
-// streamItem is what a part of a stream brought.
+// streamItem is what a read from the stream ended with.
 type streamItem int
 
 const (
-	itemPartial streamItem = iota // nothing that is whole
-	itemNewline                   // the end of a line between objects
-	itemObject                    // a whole object, to be taken
+	itemPartial streamItem = iota // an incomplete object, or nothing
+	itemNewline                   // a newline between objects
+	itemObject                    // a complete object, returned by bytes
 )
 
-var errNotObject = &unreadableError{errors.New("no JSON object")}
+var errNotObject = &unreadableError{errors.New("expected a JSON object")}
 
-// next reads on in b up to the next thing that is whole; it tells how many bytes it took.
+// next scans data up to the next newline between objects or end of an object, and returns the
+// number of bytes consumed.
 func (m *objectReader) next(data []byte) (int, streamItem, error) {
 	for i, c := range data {
 		switch {
@@ -49,8 +49,8 @@
 	return len(data), itemPartial, nil
 }
 
-// forEach has do called for each thing in a stream, until it wants no more or the stream ends;
-// then the error says how.
+// forEach calls handle for each item of the stream until handle returns false or an error, or the
+// stream ends; then it returns the stream's error.
 func (m *objectReader) forEach(stream *http1.Stream, handle func(item streamItem) (more bool, err error)) error {
 	for {
 		chunk, err := stream.Next()
@@ -70,6 +70,7 @@
 	}
 }
 
+// scanByte updates the nesting for a byte within an object.
 func (m *objectReader) scanByte(c byte) {
 	switch {
 	case m.escaped:
@@ -85,5 +86,5 @@
 	}
 }
 
-// bytes returns the object that is whole, valid until the next call of next.
+// bytes returns the last complete object; it is valid until the next call of next.
 func (m *objectReader) bytes() []byte { return m.object }
