--- a/internal/control/scheduler/back.go
+++ b/internal/control/scheduler/back.go
@@ -123,7 +123,7 @@
 
 // configure takes what the configuration says; what is under way goes on.
 func (b *connPool) configure(c *Config) {
-	b.dialTimeout, b.maxIdle = env.Duration(c.Bounds.DialTimeout), c.Bounds.IdleTimeout*idleKeepFraction
+	b.dialTimeout, b.maxIdle = env.Duration(c.Timeouts.DialTimeout), c.Timeouts.IdleTimeout*idleKeepFraction
 	b.maxReplyBytes.Store(bodyByteLimit(c))
 }
 
--- a/internal/control/scheduler/config.go
+++ b/internal/control/scheduler/config.go
@@ -21,7 +21,7 @@
 	Limits    Limits
 	Known     ServerList // disk servers known before the start; may be out of date
 	Settings  policy.Settings
-	Bounds    wire.ConnTimeouts
+	Timeouts  wire.ConnTimeouts
 	Ignored   []error // invalid settings that were replaced by a default, each a *ConfigError
 }
 
@@ -100,12 +100,12 @@
 	if len(file.Settings) == 0 {
 		return nil, &ConfigError{"settings", errMissing}
 	}
-	set, bounds, err := wire.ParseSettings(file.Settings)
+	set, timeouts, err := wire.ParseSettings(file.Settings)
 	if err != nil {
 		return nil, configErrorAt("settings", err)
 	}
-	config.Settings, config.Bounds = *set, withDefaultBounds(bounds)
-	config.Settings.Rules.MaxSendDelay = config.Bounds.DialTimeout + sendDelayMarginMS
+	config.Settings, config.Timeouts = *set, withDefaultTimeouts(timeouts)
+	config.Settings.Rules.MaxSendDelay = config.Timeouts.DialTimeout + sendDelayMarginMS
 	config.resetInvalidShardCount()
 	return config, config.validate()
 }
@@ -127,15 +127,15 @@
 // wait before it is written.
 const sendDelayMarginMS = 50.0
 
-// withDefaultBounds fills in the connection timeouts that the settings omit.
-func withDefaultBounds(bounds wire.ConnTimeouts) wire.ConnTimeouts {
-	if !(bounds.DialTimeout > 0) {
-		bounds.DialTimeout = env.MS(defaultDialTimeout)
+// withDefaultTimeouts fills in the connection timeouts that the settings omit.
+func withDefaultTimeouts(timeouts wire.ConnTimeouts) wire.ConnTimeouts {
+	if !(timeouts.DialTimeout > 0) {
+		timeouts.DialTimeout = env.MS(defaultDialTimeout)
 	}
-	if !(bounds.IdleTimeout > 0) {
-		bounds.IdleTimeout = defaultConnIdle
+	if !(timeouts.IdleTimeout > 0) {
+		timeouts.IdleTimeout = defaultConnIdle
 	}
-	return bounds
+	return timeouts
 }
 
 func valueOr(value, fallback string) string {
--- a/internal/control/scheduler/scene_test.go
+++ b/internal/control/scheduler/scene_test.go
@@ -467,7 +467,7 @@
 func TestFaultsOfTheConfigurationAreNamedByPath(t *testing.T) {
 	good := testConfig("127.0.0.1:5000", "127.0.0.1:8500", listOf(1, entry("s0", "x:1", "active", 0)))
 	env := func(string) string { return "" }
-	if c, err := ParseConfig([]byte(good), env); err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 64 || c.Bounds.DialTimeout != 250 || len(c.Known.Entries) != 1 {
+	if c, err := ParseConfig([]byte(good), env); err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 64 || c.Timeouts.DialTimeout != 250 || len(c.Known.Entries) != 1 {
 		t.Fatalf("%+v %v", c, err)
 	}
 	for path, change := range map[string][2]string{
