--- a/policy/health.go
+++ b/policy/health.go
@@ -61,7 +61,8 @@
 		}
 	case NoConnection, ConnectionLost:
 		n.errorsLong.add(p.now, answerSpan)
-		if o.Result == NoConnection || n.errorFraction(p.now) > maxFailedFraction { // a single lost connection is no sign of a dead process
+		// A single lost connection is no sign of a dead process.
+		if o.Result == NoConnection || n.errorFraction(p.now) > maxFailedFraction {
 			n.suspect = true
 			p.backOff(n, 1)
 		}
@@ -82,7 +83,8 @@
 
 // addServiceTime adds a sample, in ms, to the estimates of sh and of all nodes.
 func (p *scheduler) addServiceTime(sh *shard, elapsed float64) {
-	elapsed = min(elapsed, stuckTargets*p.minLatencyTarget()) // one slow node must not dominate the samples of all
+	// One slow node must not dominate the samples of all nodes.
+	elapsed = min(elapsed, stuckTargets*p.minLatencyTarget())
 	sh.serviceTime.add(elapsed)
 	p.answers = append(p.answers[max(len(p.answers)-maxNewerAnswers, 0):], serviceSample{p.now, elapsed})
 }
--- a/policy/shares_test.go
+++ b/policy/shares_test.go
@@ -7,22 +7,25 @@
 	"testing"
 )
 
-func TestPlantIsIdentifiedAndSteered(t *testing.T) {
-	f := newRLS([]float64{0, 0.1, 0}, forgettingFactor, maxCovTrace)
+// The estimator must find the gain of a first-order plant with input u and output y, and the
+// control law must bring its output to the reference.
+func TestPlantIsIdentifiedAndControlled(t *testing.T) {
+	model := newRLS([]float64{0, 0.1, 0}, forgettingFactor, maxCovTrace)
 	u, y, want := 2.0, 0.0, 0.6
 	for k := range 250 {
 		last := y
 		y = 0.2*last + 0.1*u + 0.05
-		f.update([]float64{last, u, 1}, y)
-		pred := f.theta[0]*y + f.theta[1]*u + f.theta[2]
-		u += controlStep([][]float64{{f.theta[1]}}, []float64{want - pred}, 0.05)[0]
+		model.update([]float64{last, u, 1}, y)
+		predicted := model.theta[0]*y + model.theta[1]*u + model.theta[2]
+		u += controlStep([][]float64{{model.theta[1]}}, []float64{want - predicted}, 0.05)[0]
 		u += 0.2 * float64(k%3-1) // excitation
 	}
-	if math.Abs(f.theta[1]-0.1) > 0.02 || math.Abs(y-want) > 0.05 {
-		t.Errorf("gain %v, output %v", f.theta[1], y)
+	if math.Abs(model.theta[1]-0.1) > 0.02 || math.Abs(y-want) > 0.05 {
+		t.Errorf("gain %v, want 0.1; output %v, want 0.6", model.theta[1], y)
 	}
 }
 
+// Depth and shares must stay within their bounds, whatever the outcomes.
 func TestRegulatorsStayInBounds(t *testing.T) {
 	for _, res := range []Result{Served, ServerError, NoConnection, NoAnswer} {
 		g := newRig(settings())
@@ -37,22 +40,22 @@
 		}
 		d := g.p.shards[0].depth
 		if !(d >= minTotalDepth && d <= maxDepth) {
-			t.Errorf("result %d: depth %v", res, d)
+			t.Errorf("result %d: depth %v is out of bounds", res, d)
 		}
 		sum := 0.0
 		for _, share := range g.p.shares.share {
 			if !(share > 0) {
-				t.Errorf("result %d: share %v", res, share)
+				t.Errorf("result %d: share %v, want more than 0", res, share)
 			}
 			sum += share
 		}
 		if math.Abs(sum-1) > 0.1 {
-			t.Errorf("result %d: shares add up to %v", res, sum)
+			t.Errorf("result %d: shares add up to %v, want 1", res, sum)
 		}
 	}
 }
 
-// BenchmarkSecond plays one second of traffic; its cost must not grow with hosts.
+// BenchmarkSecond runs one second of traffic; its cost must not grow with the number of hosts.
 func BenchmarkSecond(b *testing.B) {
 	for _, hosts := range []int{5, 230} {
 		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,74 +6,74 @@
 	"testing"
 )
 
-func TestColdBudgetInEveryWindow(t *testing.T) {
+// A host's units to a cold node must stay within its budget in every overload window.
+func TestColdBudgetHoldsInEveryWindow(t *testing.T) {
 	s := settings()
 	s.Hosts = 2
 	g := newRig(s)
 	g.list(Node{Addr: "n0", Health: Ready, Started: 999})
-	var sent []float64
+	var sendTimes []float64
 	g.acts = nil
 	for k := range 400 {
 		g.ask("read", "high", "", 2)
 		for _, r := range slices.Clone(g.p.shards[0].outstanding) {
 			g.do(Outcome{ID: r.ID, Node: "n0", Done: k%2 == 0, Elapsed: 20, Result: Result(k % 2)})
 		}
-		for _, a := range g.acts { // further attempts count too
+		for _, a := range g.acts { // retries count too
 			if _, ok := a.(Send); ok {
-				sent = append(sent, g.now)
+				sendTimes = append(sendTimes, g.now)
 			}
 		}
 		g.acts = nil
 		g.pass(5)
 	}
-	for _, from := range sent {
+	for _, windowStart := range sendTimes {
 		units := 0.0
-		for _, at := range sent {
-			if at >= from && at < from+1000 {
+		for _, at := range sendTimes {
+			if at >= windowStart && at < windowStart+1000 {
 				units += 2
 			}
 		}
-		if grown := 1 + 4*(from-999)/10000; units > 20*grown/2 {
-			t.Fatalf("%v units in the window from %v", units, from)
+		if growth := 1 + 4*(windowStart-999)/10000; units > 20*growth/2 {
+			t.Fatalf("sent %v units in the window from %v ms, more than the budget", units, windowStart)
 		}
 	}
-	if len(sent) < 5 {
-		t.Fatalf("only %d sends to the cold node", len(sent))
+	if len(sendTimes) < 5 {
+		t.Fatalf("only %d sends to the cold node, want at least 5", len(sendTimes))
 	}
 }
 
-// Below a depth of 1 that part of what is asked goes, the dearest first, however
-// many hosts there are.
-func TestPartLetsTheDearestGo(t *testing.T) {
+// Below a depth of 1, that fraction of the requests is sent, the most valuable ones first.
+func TestLowDepthSendsMostValuable(t *testing.T) {
 	for depth, want := range map[float64][2]bool{2: {true, true}, 0.5: {true, false}} {
 		g := newRig(settings())
 		g.p.rankedDemand = []demand{{9, 2}, {6, 2}, {5, 2}, {1, 2}}
 		g.p.shards[0].depth = depth
-		dear := g.ask("write", "high", "", 2) // worth 6 a unit
-		g.end(dear, Served)
+		valuable := g.ask("write", "high", "", 2) // value 6 per unit
+		g.end(valuable, Served)
 		cheap := g.ask("turns", "high", "", 2)
-		if got := [2]bool{g.sends(dear) == 1, g.sends(cheap) == 1}; got != want {
+		if got := [2]bool{g.sends(valuable) == 1, g.sends(cheap) == 1}; got != want {
 			t.Errorf("depth %v: sent %v, want %v", depth, got, want)
 		}
 	}
 }
 
-// A host that falls silent learns nothing: its part must come back by itself.
-func TestPartComesBackWhileBlind(t *testing.T) {
+// A depth below 1 must recover by itself on a host that sends nothing and so gets no samples.
+func TestLowDepthRecoversWithoutSamples(t *testing.T) {
 	for _, hosts := range []int{1, 5, 50, 230} {
 		s := settings()
 		s.Hosts = hosts
 		g := newRig(s)
 		g.p.shards[0].depth = minFraction
 		if g.pass(20 * samplePeriod); hosts > 5 && g.p.shards[0].depth < 0.9 {
-			t.Errorf("%d hosts: depth %v after a long silence", hosts, g.p.shards[0].depth)
+			t.Errorf("%d hosts: depth %v after 20 s without samples, want at least 0.9", hosts, g.p.shards[0].depth)
 		}
 	}
 }
 
-// A thin stream of answers must still steer the part, within its bounds.
-func TestPartFollowsAThinStream(t *testing.T) {
-	for took, want := range map[float64][2]float64{20: {0.8, maxDepth}, 900: {minFraction, 0.6}} {
+// Few samples must still move a depth below 1, within its bounds.
+func TestLowDepthFollowsSparseSamples(t *testing.T) {
+	for serviceTime, want := range map[float64][2]float64{20: {0.8, maxDepth}, 900: {minFraction, 0.6}} {
 		s := settings()
 		s.Hosts = 50
 		g := newRig(s)
@@ -81,18 +81,18 @@
 		for k := range 30 {
 			id := g.ask("write", "high", "", 2)
 			if g.sends(id) > 0 {
-				g.do(Outcome{ID: id, Node: "n0", Done: true, Elapsed: took * (0.8 + 0.1*float64(k%5)), Result: Served})
+				g.do(Outcome{ID: id, Node: "n0", Done: true, Elapsed: serviceTime * (0.8 + 0.1*float64(k%5)), Result: Served})
 			}
 			g.pass(700)
 		}
 		if d := g.p.shards[0].depth; d < want[0] || d > want[1] {
-			t.Errorf("answers of %v: depth %v, want within %v", took, d, want)
+			t.Errorf("service time %v ms: depth %v, want within %v", serviceTime, d, want)
 		}
 	}
 }
 
-// However many hosts there are, all of them together send a cold node about what
-// it surely bears, and not nothing.
+// Whatever their number, all hosts together must send a cold node about as much as it can take, and
+// some.
 func TestColdNodeAcrossHosts(t *testing.T) {
 	for _, hosts := range []int{1, 5, 50, 230} {
 		s := settings()
@@ -100,12 +100,12 @@
 		units := 0.0
 		for h := range hosts {
 			g := &rig{p: newScheduler(s, uint64(h)), now: 1000, at: map[string]float64{}}
-			var ns []Node
+			var nodes []Node
 			for k := range 10 {
-				ns = append(ns, Node{Addr: fmt.Sprint("n", k), Health: Ready, Shard: k})
+				nodes = append(nodes, Node{Addr: fmt.Sprint("n", k), Health: Ready, Shard: k})
 			}
-			g.list(ns...)
-			ask := func(n int) { // a fleet's 400 units a second, spread over the shards
+			g.list(nodes...)
+			submit := func(n int) { // 400 units a second from all hosts, spread over the shards
 				for range n {
 					g.n++
 					id := fmt.Sprintf("%016x", g.n)
@@ -119,18 +119,18 @@
 					g.pass(float64(hosts) * 5)
 				}
 			}
-			ask(6000 / (5 * hosts))
-			g.list(append(slices.Clone(ns[1:]), Node{Addr: "n0", Health: Ready, Started: g.now})...)
+			submit(6000 / (5 * hosts))
+			g.list(append(slices.Clone(nodes[1:]), Node{Addr: "n0", Health: Ready, Started: g.now})...)
 			g.acts = nil
-			ask(max(1000/(5*hosts), 1)) // one fall time
+			submit(max(1000/(5*hosts), 1)) // one overload window
 			for _, a := range g.acts {
-				if snd, ok := a.(Send); ok && snd.Node == "n0" {
+				if send, ok := a.(Send); ok && send.Node == "n0" {
 					units += 2
 				}
 			}
 		}
 		if units < 4 || units > 1.5*20 {
-			t.Errorf("%d hosts sent %v units, 20 are surely borne", hosts, units)
+			t.Errorf("%d hosts sent %v units to the cold node, want 4 to 30", hosts, units)
 		}
 	}
 }
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -6,110 +6,111 @@
 	"testing"
 )
 
-func TestLimitIsSplitAndSurvivesRestart(t *testing.T) {
+// A limit's bucket starts empty on a host that has just started, since the host may have spent its
+// tokens before a restart.
+func TestNewLimitBucketStartsEmpty(t *testing.T) {
 	g := newRig(settings())
-	units, start := 0.0, g.now
+	sentUnits, start := 0.0, g.now
 	for range 200 {
 		g.ask("read", "low", "", 2)
 		g.pass(10)
 		for _, r := range slices.Clone(g.p.shards[0].outstanding) {
-			units += r.Units
+			sentUnits += r.Units
 			g.end(r.ID, Served)
 		}
-		// A store that was at its floor when this host was born.
-		if most := 10 * (g.now - start) / 1000; units > most+1e-6 {
-			t.Fatalf("%v units after %v ms", units, g.now-start)
+		// The bucket was at its floor when this host started.
+		if maxUnits := 10 * (g.now - start) / 1000; sentUnits > maxUnits+1e-6 {
+			t.Fatalf("sent %v units after %v ms, more than the limit allows", sentUnits, g.now-start)
 		}
 	}
-	if units < 10 {
-		t.Errorf("only %v units were let go", units)
+	if sentUnits < 10 {
+		t.Errorf("only %v units were sent, want at least 10", sentUnits)
 	}
 }
 
-// Found by busy days on sockets: while the first sends after a rest are on their way, the
-// store where they arrive is full and fills no further; later ones that come faster
-// must find that missing part left over.
+// The limit must hold where sends arrive: while the first ones after a pause are on their way, the
+// bucket there is full and does not fill, and later ones may arrive up to arrivalSkew sooner.
 func TestLimitHoldsWhereSendsArrive(t *testing.T) {
 	s := settings()
 	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 100, 8, 4
 	g := newRig(s)
-	g.pass(1000) // long enough alive to count on a full store
-	type sent struct{ at, units float64 }
-	var sends []sent
+	g.pass(1000) // until the bucket has filled
+	type sendEvent struct{ time, units float64 }
+	var sends []sendEvent
 	for range 1000 {
 		g.ask("read", "low", "", 0.5)
 		g.pass(1)
 		for _, r := range slices.Clone(g.p.shards[0].outstanding) {
-			sends = append(sends, sent{g.now, r.Units})
+			sends = append(sends, sendEvent{g.now, r.Units})
 			g.end(r.ID, Served)
 		}
 	}
-	level, at := s.Plans[0].Burst, 0.0
-	for _, x := range sends {
-		x.at = max(x.at, sends[0].at+arrivalSkew)
-		level, at = min(level+s.Plans[0].Limit*(x.at-at)/1000, s.Plans[0].Burst)-x.units, x.at
+	level, time := s.Plans[0].Burst, 0.0
+	for _, send := range sends {
+		send.time = max(send.time, sends[0].time+arrivalSkew)
+		level, time = min(level+s.Plans[0].Limit*(send.time-time)/1000, s.Plans[0].Burst)-send.units, send.time
 		if level < -s.Plans[0].Overdraft-1e-6 {
-			t.Fatalf("level %.3f at %g ms, %g is allowed", level, x.at, -s.Plans[0].Overdraft)
+			t.Fatalf("bucket level %.3f at %g ms, want at least %g", level, send.time, -s.Plans[0].Overdraft)
 		}
 	}
 	if len(sends) < 100 {
-		t.Errorf("only %d sends", len(sends))
+		t.Errorf("only %d sends, want at least 100", len(sends))
 	}
 }
 
-// A volume that its limit holds back must not hold up the others of its plan.
-func TestALimitedVolumeBlocksNoOther(t *testing.T) {
+// A volume held back by its limit must not delay other volumes of its plan.
+func TestLimitedVolumeDoesNotBlockOthers(t *testing.T) {
 	g := newRig(settings())
-	ask := func(vol string) string {
+	submit := func(volume string) string {
 		g.n++
 		id := fmt.Sprintf("%016x", g.n)
-		g.do(Request{ID: id, Class: "write", Plan: "low", Volume: vol, Units: 2, Expires: g.now + 1000, Hosts: 1})
+		g.do(Request{ID: id, Class: "write", Plan: "low", Volume: volume, Units: 2, Expires: g.now + 1000, Hosts: 1})
 		return id
 	}
-	ask("spent")
+	submit("spent")
 	g.p.volumes["spent"].limitLevel = -2
-	held := ask("spent")
+	limited := submit("spent")
 	g.list()
-	free := ask("free")
+	other := submit("free")
 	g.p.volumes["free"].limitLevel = 8
 	g.list(Node{Addr: "n0", Health: Ready, Zone: "z"})
-	if g.sends(held) != 0 || g.sends(free) != 1 {
-		t.Errorf("held %d, free %d sends", g.sends(held), g.sends(free))
+	if g.sends(limited) != 0 || g.sends(other) != 1 {
+		t.Errorf("limited volume: %d sends, want 0; other volume: %d sends, want 1", g.sends(limited), g.sends(other))
 	}
 }
 
-// All hosts of a volume together keep its limit, and each its budget of further
-// attempts, however many there are.
+// All hosts of a volume together keep its limit, and each keeps its retry budget, whatever the
+// number of hosts.
 func TestLimitAndBudgetAcrossHosts(t *testing.T) {
 	for _, hosts := range []int{1, 5, 50, 230} {
 		s := settings()
 		s.Hosts = hosts
 		s.Rules.HasBudget, s.Rules.BudgetBase, s.Rules.BudgetRatio, s.Rules.BudgetWindow = true, 1, 0.25, 5000
 		s.Plans[0].Burst = 2 * s.MaxUnits * float64(hosts)
-		units, asked, start, end := 0.0, 0, 0.0, 0.0
+		sentUnits, requests, start, end := 0.0, 0, 0.0, 0.0
 		for h := range hosts {
 			g := &rig{p: newScheduler(s, uint64(h)), now: 1000, at: map[string]float64{}}
 			g.list(Node{Addr: "n0", Health: Ready})
-			again := 0
+			retries := 0
 			for k := range 40 {
 				g.n++
 				id := fmt.Sprintf("%016x", g.n)
 				g.do(Request{ID: id, Class: "write", Plan: "low", Volume: "v", Units: 2, Expires: g.now + 1000, Hosts: hosts})
 				if g.sends(id) > 0 {
-					units += 2
-					g.end(id, Result(k%2)) // served, or an error that asks for another attempt
-					again += g.sends(id) - 1
+					sentUnits += 2
+					g.end(id, Result(k%2)) // served, or a server error that is retried
+					retries += g.sends(id) - 1
 				}
-				asked++
+				requests++
 				g.pass(50)
 			}
-			if again > 1+40/4 {
-				t.Errorf("%d hosts: %d further attempts of one", hosts, again)
+			if retries > 1+40/4 {
+				t.Errorf("%d hosts: %d retries by one of them, want at most 11", hosts, retries)
 			}
 			start, end = 1000, g.now
 		}
-		if most := s.Plans[0].Limit*(end-start)/1000 + s.Plans[0].Burst + s.Plans[0].Overdraft; units > most {
-			t.Errorf("%d hosts sent %v units of one volume, limit %v", hosts, units, most)
+		if maxUnits := s.Plans[0].Limit*(end-start)/1000 + s.Plans[0].Burst + s.Plans[0].Overdraft; sentUnits > maxUnits {
+			t.Errorf("%d hosts sent %v units of one volume, want at most %v", hosts, sentUnits, maxUnits)
 		}
 	}
 }
