--- a/internal/control/scheduler/back.go
+++ b/internal/control/scheduler/back.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	readBufferBytes  = 4 << 10
-	maxResponseBytes = 1 << 20
-	messageBytes     = 80 << 10
-	writeTimeout     = 5 * time.Second
+	readBufferBytes     = 4 << 10
+	maxResponseBytes    = 1 << 20
+	maxHTTPMessageBytes = 80 << 10
+	writeTimeout        = 5 * time.Second
 	// quarantineTime is how long a connection is listened to after an answer before it takes
 	// another request: what a disk server sends behind its answer, a second copy some
 	// milliseconds later even, must not be taken for the answer to the next.
@@ -74,7 +74,7 @@
 	openConns        int
 	removed          bool
 	dialQueued       bool // it is among the back's starved ones
-	bornMS           int64
+	startedMS        int64
 	lastActiveAt     float64 // when it last answered or took a connection
 	lastDialAt       float64 // when a connection was last dialled
 	localSocketError bool    // which failed by this machine's own fault
@@ -115,181 +115,181 @@
 }
 
 func newConnPool(w env.Environment, l *loop, c *Config, maxConns int) *connPool {
-	b := &connPool{environment: w, loop: l, maxConns: maxConns, servers: map[string]*diskServer{}}
-	b.configure(c)
-	b.ctx, b.stop = context.WithCancel(context.Background())
-	return b
+	p := &connPool{environment: w, loop: l, maxConns: maxConns, servers: map[string]*diskServer{}}
+	p.configure(c)
+	p.ctx, p.stop = context.WithCancel(context.Background())
+	return p
 }
 
 // configure takes what the configuration says; what is under way goes on.
-func (b *connPool) configure(c *Config) {
-	b.dialTimeout, b.maxIdle = env.Duration(c.Timeouts.DialTimeout), c.Timeouts.IdleTimeout*idleKeepFraction
-	b.maxReplyBytes.Store(bodyByteLimit(c))
+func (p *connPool) configure(c *Config) {
+	p.dialTimeout, p.maxIdle = env.Duration(c.Timeouts.DialTimeout), c.Timeouts.IdleTimeout*idleKeepFraction
+	p.maxReplyBytes.Store(bodyByteLimit(c))
 }
 
 // serverListed notes a server's address; at another one, what is open to the old one is left.
-func (b *connPool) serverListed(e ServerEntry) {
-	s := b.servers[e.Host]
+func (p *connPool) serverListed(e ServerEntry) {
+	s := p.servers[e.Host]
 	if s == nil {
 		s = &diskServer{host: e.Host}
-		b.servers[e.Host] = s
+		p.servers[e.Host] = s
 	}
 	s.removed = false
-	if s.dialAddr != e.Address || s.bornMS != e.StartedMS { // another process answers there
-		s.dialAddr, s.bornMS = e.Address, e.StartedMS
-		b.closeIdleConns(s)
+	if s.dialAddr != e.Address || s.startedMS != e.StartedMS { // another process answers there
+		s.dialAddr, s.startedMS = e.Address, e.StartedMS
+		p.closeIdleConns(s)
 	}
 }
 
-func (b *connPool) serverRemoved(host string) {
-	if s := b.servers[host]; s != nil {
+func (p *connPool) serverRemoved(host string) {
+	if s := p.servers[host]; s != nil {
 		s.removed = true
-		b.closeIdleConns(s)
-		b.removeIfUnused(s)
+		p.closeIdleConns(s)
+		p.removeIfUnused(s)
 	}
 }
 
 // removeIfUnused drops a server that is gone and has nothing open any more.
-func (b *connPool) removeIfUnused(s *diskServer) {
-	if s.removed && s.openConns == 0 && s.expected == 0 && len(s.waiting) == 0 && !s.dialQueued && b.servers[s.host] == s {
-		delete(b.servers, s.host)
+func (p *connPool) removeIfUnused(s *diskServer) {
+	if s.removed && s.openConns == 0 && s.expected == 0 && len(s.waiting) == 0 && !s.dialQueued && p.servers[s.host] == s {
+		delete(p.servers, s.host)
 	}
 }
 
-func (b *connPool) closeIdleConns(s *diskServer) {
-	for _, l := range slices.Clone(s.idle) {
-		b.discard(l)
+func (p *connPool) closeIdleConns(s *diskServer) {
+	for _, sc := range slices.Clone(s.idle) {
+		p.discard(sc)
 	}
 }
 
-func (b *connPool) send(a *attempt) {
-	s := b.servers[a.host]
+func (p *connPool) send(a *attempt) {
+	s := p.servers[a.host]
 	if s == nil { // of no list: nothing leaves this machine
-		b.core.cancel(a)
+		p.core.cancel(a)
 		return
 	}
 	if n := len(s.idle); n > 0 {
-		if idleTime := b.core.now - s.idle[n-1].idleSince; idleTime > b.maxIdle || b.reuse.likelyBroken(b.core.now, idleTime) {
-			b.closeIdleConns(s) // the others have been idle for longer still
+		if idleTime := p.core.now - s.idle[n-1].idleSince; idleTime > p.maxIdle || p.reuse.likelyBroken(p.core.now, idleTime) {
+			p.closeIdleConns(s) // the others have been idle for longer still
 		}
 	}
 	s.waiting = append(s.waiting, a)
 	for n := len(s.idle); n > 0 && len(s.waiting) > 0; n = len(s.idle) {
-		l := s.idle[n-1]
-		b.removeIdle(l)
-		b.assign(b.core.now, l)
+		sc := s.idle[n-1]
+		p.removeIdle(sc)
+		p.assign(p.core.now, sc)
 	}
-	b.dialForWaiting(s)
+	p.dialForWaiting(s)
 }
 
 // dialForWaiting dials as long as more wait for a connection than are coming. Where this machine
 // has none to spare, the server stands in line for the next.
-func (b *connPool) dialForWaiting(s *diskServer) {
+func (p *connPool) dialForWaiting(s *diskServer) {
 	for len(s.waiting) > s.expected {
-		if b.dialsPaused || !b.makeRoom() {
+		if p.dialsPaused || !p.makeRoom() {
 			if !s.dialQueued {
 				s.dialQueued = true
-				b.dialQueued = append(b.dialQueued, s)
+				p.dialQueued = append(p.dialQueued, s)
 			}
 			return
 		}
 		s.expected++
-		s.lastDialAt = b.core.now
-		b.connCount++
-		addr, within := s.dialAddr, b.dialTimeout
-		b.tasks.Go(b.environment, func() { b.dialAddr(s, addr, within) })
+		s.lastDialAt = p.core.now
+		p.connCount++
+		addr, timeout := s.dialAddr, p.dialTimeout
+		p.tasks.Go(p.environment, func() { p.dialAddr(s, addr, timeout) })
 	}
 }
 
 // dialQueuedServers dials for the servers that stand in line, the first one first.
-func (b *connPool) dialQueuedServers() {
-	for len(b.dialQueued) > 0 && !b.dialsPaused && (b.connCount < b.maxConns || b.idleConns.Len() > 0) {
-		s := b.dialQueued[0]
-		b.dialQueued = b.dialQueued[1:]
+func (p *connPool) dialQueuedServers() {
+	for len(p.dialQueued) > 0 && !p.dialsPaused && (p.connCount < p.maxConns || p.idleConns.Len() > 0) {
+		s := p.dialQueued[0]
+		p.dialQueued = p.dialQueued[1:]
 		s.dialQueued = false
-		b.dialForWaiting(s)
-		b.removeIfUnused(s)
+		p.dialForWaiting(s)
+		p.removeIfUnused(s)
 	}
 }
 
 // makeRoom tells whether one more connection may be opened; the one that has been idle for
 // longest gives way.
-func (b *connPool) makeRoom() bool {
-	if b.connCount >= b.maxConns && b.idleConns.Len() > 0 {
-		l := b.idleConns.Front().Value.(*serverConn)
-		b.closeConn(l)
-		b.removeIfUnused(l.server)
+func (p *connPool) makeRoom() bool {
+	if p.connCount >= p.maxConns && p.idleConns.Len() > 0 {
+		sc := p.idleConns.Front().Value.(*serverConn)
+		p.closeConn(sc)
+		p.removeIfUnused(sc.server)
 	}
-	return b.connCount < b.maxConns
+	return p.connCount < p.maxConns
 }
 
 // addIdle makes a link wait for its next request.
-func (b *connPool) addIdle(l *serverConn, since float64) {
-	l.state, l.idleSince = connIdle, since
-	l.server.idle = append(l.server.idle, l)
-	l.idleElement = b.idleConns.PushBack(l)
+func (p *connPool) addIdle(sc *serverConn, since float64) {
+	sc.state, sc.idleSince = connIdle, since
+	sc.server.idle = append(sc.server.idle, sc)
+	sc.idleElement = p.idleConns.PushBack(sc)
 }
 
 // removeIdle takes a link out of those that wait.
-func (b *connPool) removeIdle(l *serverConn) {
-	if l.idleElement == nil {
+func (p *connPool) removeIdle(sc *serverConn) {
+	if sc.idleElement == nil {
 		return
 	}
-	b.idleConns.Remove(l.idleElement)
-	l.idleElement = nil
-	s := l.server
-	s.idle = slices.DeleteFunc(s.idle, func(x *serverConn) bool { return x == l })
+	p.idleConns.Remove(sc.idleElement)
+	sc.idleElement = nil
+	s := sc.server
+	s.idle = slices.DeleteFunc(s.idle, func(x *serverConn) bool { return x == sc })
 }
 
 // dialPause is how long nothing is dialled after a dial failed by this machine's own fault:
 // what waits keeps waiting, and neither attempts nor processor time are spent on it.
 const dialPause = 20 * time.Millisecond
 
-func (b *connPool) pauseDials() {
-	if b.dialsPaused {
+func (p *connPool) pauseDials() {
+	if p.dialsPaused {
 		return
 	}
-	b.dialsPaused = true
-	b.tasks.Go(b.environment, func() {
-		env.Sleep(b.environment, dialPause, nil)
-		b.loop.post(b.loop.now(), eventDialled, func(float64) {
-			b.dialsPaused = false
-			b.dialQueuedServers()
+	p.dialsPaused = true
+	p.tasks.Go(p.environment, func() {
+		env.Sleep(p.environment, dialPause, nil)
+		p.loop.post(p.loop.now(), eventDialled, func(float64) {
+			p.dialsPaused = false
+			p.dialQueuedServers()
 		})
 	})
 }
 
-func (b *connPool) dialAddr(s *diskServer, addr string, within time.Duration) {
-	conn, err := b.environment.Dial(b.ctx, "tcp", addr, within)
-	if !b.loop.post(b.loop.now(), eventDialled, func(at float64) { b.dialDone(at, s, addr, conn, err) }) && err == nil {
+func (p *connPool) dialAddr(s *diskServer, addr string, timeout time.Duration) {
+	conn, err := p.environment.Dial(p.ctx, "tcp", addr, timeout)
+	if !p.loop.post(p.loop.now(), eventDialled, func(at float64) { p.dialDone(at, s, addr, conn, err) }) && err == nil {
 		conn.Close()
 	}
 }
 
-func (b *connPool) dialDone(at float64, s *diskServer, addr string, conn net.Conn, err error) {
+func (p *connPool) dialDone(at float64, s *diskServer, addr string, conn net.Conn, err error) {
 	s.expected--
 	if err != nil {
-		b.connCount--
-		b.log.dialFailed(s.host, err)
+		p.connCount--
+		p.log.dialFailed(s.host, err)
 		if s.localSocketError = localSocketError(err); s.localSocketError {
-			b.pauseDials()
+			p.pauseDials()
 		} else if len(s.waiting) > s.expected { // else another connection is coming for each that waits
-			b.core.failAttempt(at, s.popWaiting(), policy.NoConnection)
+			p.core.failAttempt(at, s.popWaiting(), policy.NoConnection)
 		}
-		b.dialForWaiting(s)
-		b.dialQueuedServers()
-		b.removeIfUnused(s)
+		p.dialForWaiting(s)
+		p.dialQueuedServers()
+		p.removeIfUnused(s)
 		return
 	}
 	s.lastActiveAt, s.localSocketError = at, false
-	l := &serverConn{pool: b, server: s, conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes)}
+	sc := &serverConn{pool: p, server: s, conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes)}
 	s.openConns++
-	b.open.Add(l)
+	p.open.Add(sc)
 	if s.dialAddr != addr {
-		b.discard(l)
+		p.discard(sc)
 		return
 	}
-	b.assign(at, l)
+	p.assign(at, sc)
 }
 
 // localSocketErrors are the errors of socket(2) and connect(2) that tell of this machine's
@@ -300,164 +300,164 @@
 // localSocketError tells whether a dial failed by this machine's own fault: that says nothing of the
 // disk server, and may be over soon.
 func localSocketError(err error) bool {
-	return slices.ContainsFunc(localSocketErrors, func(own error) bool { return errors.Is(err, own) })
+	return slices.ContainsFunc(localSocketErrors, func(target error) bool { return errors.Is(err, target) })
 }
 
 // assign gives a connection that is free to who waited longest for one and may begin still.
-func (b *connPool) assign(at float64, l *serverConn) {
-	s := l.server
-	l.state = connIdle
-	if !l.noInput() {
-		b.discard(l)
+func (p *connPool) assign(at float64, sc *serverConn) {
+	s := sc.server
+	sc.state = connIdle
+	if !sc.noInput() {
+		p.discard(sc)
 		return
 	}
 	for a := s.popWaiting(); a != nil; a = s.popWaiting() {
-		if b.core.begin(b.loop.now(), a) { // not when its connection came up: bytes leave now
-			b.startExchange(l, a)
+		if p.core.begin(p.loop.now(), a) { // not when its connection came up: bytes leave now
+			p.startExchange(sc, a)
 			return
 		}
 	}
-	b.addIdle(l, at)
+	p.addIdle(sc, at)
 	if s.removed {
-		b.discard(l)
+		p.discard(sc)
 	}
-	b.dialQueuedServers()
+	p.dialQueuedServers()
 }
 
 // startExchange sends a on l.
-func (b *connPool) startExchange(l *serverConn, a *attempt) {
-	l.state, l.attempt, a.serverConn, l.idleBefore = connBusy, a, l, 0
-	if l.idleSince > 0 {
-		l.idleBefore = b.core.now - l.idleSince
+func (p *connPool) startExchange(sc *serverConn, a *attempt) {
+	sc.state, sc.attempt, a.serverConn, sc.idleBefore = connBusy, a, sc, 0
+	if sc.idleSince > 0 {
+		sc.idleBefore = p.core.now - sc.idleSince
 	}
-	bornMS := l.server.bornMS
-	b.tasks.Go(b.environment, func() { l.exchange(a, bornMS) })
+	startedMS := sc.server.startedMS
+	p.tasks.Go(p.environment, func() { sc.exchange(a, startedMS) })
 }
 
 // mayBegin tells whether an attempt that the loop let begin may still begin now, on the
 // goroutine that is about to write it: this process may have been held up since.
-func (b *connPool) mayBegin(a *attempt, now float64, born int64) bool {
-	return now <= a.beginBy && now < a.answerBy && !a.call.noNewAttempts.Load() && b.serverStates.allows(a.host, born)
+func (p *connPool) mayBegin(a *attempt, now float64, startedMS int64) bool {
+	return now <= a.beginBy && now < a.answerBy && !a.call.noNewAttempts.Load() && p.serverStates.allows(a.host, startedMS)
 }
 
 // abandon lets go of an attempt whose outcome is known; it tells how far it had come. A connection that it is out on is closed, for that gives it up there; so are
 // the free ones to a server that was silent all the while, which may be gone without a word.
-func (b *connPool) abandon(a *attempt) attemptProgress {
-	s := b.servers[a.host]
+func (p *connPool) abandon(a *attempt) attemptProgress {
+	s := p.servers[a.host]
 	if a.serverConn == nil {
 		if s == nil {
 			return progressNotDialled
 		}
 		s.waiting = slices.DeleteFunc(s.waiting, func(x *attempt) bool { return x == a })
-		b.removeIfUnused(s)
+		p.removeIfUnused(s)
 		if s.expected == 0 && (s.lastDialAt < a.issuedAt || s.localSocketError) {
 			return progressNotDialled
 		}
 		return progressNotConnected
 	}
-	l := a.serverConn
-	if l.attempt == a {
-		b.discard(l)
+	sc := a.serverConn
+	if sc.attempt == a {
+		p.discard(sc)
 	}
-	if s = l.server; s.lastActiveAt < a.issuedAt {
-		b.closeIdleConns(s)
+	if s = sc.server; s.lastActiveAt < a.issuedAt {
+		p.closeIdleConns(s)
 	}
 	return progressSent
 }
 
 // discard closes a connection, and dials for who waits.
-func (b *connPool) discard(l *serverConn) {
-	if l.state == connClosed {
+func (p *connPool) discard(sc *serverConn) {
+	if sc.state == connClosed {
 		return
 	}
-	b.closeConn(l)
-	b.dialForWaiting(l.server)
-	b.dialQueuedServers()
-	b.removeIfUnused(l.server)
+	p.closeConn(sc)
+	p.dialForWaiting(sc.server)
+	p.dialQueuedServers()
+	p.removeIfUnused(sc.server)
 }
 
 // closeConn closes a connection and takes it out of the books. While the loop runs nothing
 // else closes it.
-func (b *connPool) closeConn(l *serverConn) {
-	s := l.server
-	if l.state == connQuarantined {
+func (p *connPool) closeConn(sc *serverConn) {
+	s := sc.server
+	if sc.state == connQuarantined {
 		s.expected--
 	}
-	l.state, l.attempt = connClosed, nil
-	l.conn.Close()
+	sc.state, sc.attempt = connClosed, nil
+	sc.conn.Close()
 	s.openConns--
-	b.connCount--
-	b.open.Remove(l)
-	b.removeIdle(l)
+	p.connCount--
+	p.open.Remove(sc)
+	p.removeIdle(sc)
 }
 
 // sweep closes connections that have been idle for too long, or that their servers closed.
-func (b *connPool) sweep(now float64) {
-	for _, l := range b.open.All() {
-		if l.state == connIdle && (now-l.idleSince > b.maxIdle || !l.noInput()) {
-			b.discard(l)
+func (p *connPool) sweep(now float64) {
+	for _, sc := range p.open.All() {
+		if sc.state == connIdle && (now-sc.idleSince > p.maxIdle || !sc.noInput()) {
+			p.discard(sc)
 		}
 	}
 }
 
 // close ends what is left; the loop runs no more.
-func (b *connPool) close() {
-	b.stop()
-	for _, l := range b.open.All() {
-		l.conn.Close()
+func (p *connPool) close() {
+	p.stop()
+	for _, sc := range p.open.All() {
+		sc.conn.Close()
 	}
-	b.tasks.Wait(b.environment)
+	p.tasks.Wait(p.environment)
 }
 
 // What a connection's goroutine posts.
 
-func (b *connPool) replyReceived(at float64, l *serverConn, a *attempt, r reply, clean bool) {
-	l.server.lastActiveAt = at
-	if l.idleBefore > 0 {
-		b.reuse.record(at, l.idleBefore, false)
+func (p *connPool) replyReceived(at float64, sc *serverConn, a *attempt, r reply, reusable bool) {
+	sc.server.lastActiveAt = at
+	if sc.idleBefore > 0 {
+		p.reuse.record(at, sc.idleBefore, false)
 	}
-	if clean && l.state == connBusy {
-		l.state, l.attempt = connQuarantined, nil
-		l.server.expected++
+	if reusable && sc.state == connBusy {
+		sc.state, sc.attempt = connQuarantined, nil
+		sc.server.expected++
 	} else {
-		b.discard(l)
+		p.discard(sc)
 	}
-	b.core.receiveReply(at, a, r)
+	p.core.receiveReply(at, a, r)
 }
 
-func (b *connPool) quarantineEnded(at float64, l *serverConn, quiet bool) {
+func (p *connPool) quarantineEnded(at float64, sc *serverConn, noInput bool) {
 	switch {
-	case l.state != connQuarantined:
-	case !quiet:
-		b.discard(l)
+	case sc.state != connQuarantined:
+	case !noInput:
+		p.discard(sc)
 	default:
-		l.server.expected--
-		l.state = connIdle
-		b.assign(at, l)
+		sc.server.expected--
+		sc.state = connIdle
+		p.assign(at, sc)
 	}
 }
 
 // attemptNotBegun takes back a link whose attempt did not begin after all.
-func (b *connPool) attemptNotBegun(at float64, l *serverConn, a *attempt) {
-	if l.state == connBusy {
-		l.attempt = nil
-		l.conn.SetDeadline(time.Time{})
-		since := l.idleSince
-		b.assign(at, l)
-		if l.state == connIdle && since > 0 {
-			l.idleSince = since
+func (p *connPool) attemptNotBegun(at float64, sc *serverConn, a *attempt) {
+	if sc.state == connBusy {
+		sc.attempt = nil
+		sc.conn.SetDeadline(time.Time{})
+		since := sc.idleSince
+		p.assign(at, sc)
+		if sc.state == connIdle && since > 0 {
+			sc.idleSince = since
 		}
 	}
-	b.core.failAttempt(at, a, policy.NotSent)
+	p.core.failAttempt(at, a, policy.NotSent)
 }
 
-func (b *connPool) connBroken(at float64, l *serverConn, a *attempt, r policy.Result) {
-	b.discard(l)
+func (p *connPool) connBroken(at float64, sc *serverConn, a *attempt, r policy.Result) {
+	p.discard(sc)
 	if a.outcomeKnown {
 		return
 	}
-	if l.idleBefore > 0 && at-a.issuedAt < staleBreakTime {
-		b.reuse.record(at, l.idleBefore, true)
+	if sc.idleBefore > 0 && at-a.issuedAt < staleBreakTime {
+		p.reuse.record(at, sc.idleBefore, true)
 	}
-	b.core.failAttempt(at, a, r)
+	p.core.failAttempt(at, a, r)
 }
--- a/internal/control/scheduler/core.go
+++ b/internal/control/scheduler/core.go
@@ -358,23 +358,23 @@
 // runDue does what has come due.
 func (k *core) runDue(now float64) {
 	k.advance(now)
-	for d := k.timers.PopDue(k.now); d != nil; d = k.timers.PopDue(k.now) {
-		if d.Value.attempt != nil {
-			k.expireAttempt(d.Value.attempt, d.Value.cancelled)
+	for due := k.timers.PopDue(k.now); due != nil; due = k.timers.PopDue(k.now) {
+		if due.Value.attempt != nil {
+			k.expireAttempt(due.Value.attempt, due.Value.cancelled)
 		} else {
-			k.notify(policy.TimerFired{Name: d.Value.policyTimer})
+			k.notify(policy.TimerFired{Name: due.Value.policyTimer})
 		}
 	}
 }
 
 func (k *core) expireAttempt(a *attempt, cancelled bool) {
 	result := policy.NotSent
-	switch came := k.effects.abandon(a); {
-	case cancelled && came == progressSent:
+	switch progress := k.effects.abandon(a); {
+	case cancelled && progress == progressSent:
 		result = policy.Cancelled
-	case came == progressSent:
+	case progress == progressSent:
 		result = policy.NoAnswer
-	case !cancelled && came == progressNotConnected:
+	case !cancelled && progress == progressNotConnected:
 		result = policy.NoConnection
 	}
 	k.endAttempt(a, policy.Outcome{Result: result})
@@ -399,13 +399,13 @@
 	var nodes []policy.Node
 	draining := 0
 	for _, e := range entries {
-		old, known := k.servers[e.Host]
-		if known && old.ServerEntry == e {
+		previous, known := k.servers[e.Host]
+		if known && previous.ServerEntry == e {
 			continue
 		}
-		startedAt := old.startedAt
+		startedAt := previous.startedAt
 		k.checkEntry(&l, e)
-		if !known || old.StartedMS != e.StartedMS {
+		if !known || previous.StartedMS != e.StartedMS {
 			startedAt = k.startTime(e)
 		}
 		n := policy.Node{Addr: e.Host, Health: policyHealth[e.Health], Shard: e.ShardIndex, Started: startedAt, Zone: e.Site, Weight: e.Share}
@@ -437,8 +437,8 @@
 	if e.ShardIndex < 0 || k.shardCount > 0 && e.ShardIndex >= k.shardCount {
 		l.addFault(e.Host, fmt.Sprintf("holds shard %d, the settings name %d", e.ShardIndex, k.shardCount))
 	}
-	if ahead := float64(e.StartedMS-k.zeroUnixMS) - k.now; ahead > maxClockSkew {
-		l.addFault(e.Host, fmt.Sprintf("started %.0f s from now", ahead/1000))
+	if skew := float64(e.StartedMS-k.zeroUnixMS) - k.now; skew > maxClockSkew {
+		l.addFault(e.Host, fmt.Sprintf("started %.0f s from now", skew/1000))
 	}
 }
 
@@ -446,18 +446,18 @@
 const maxClockSkew = 5000.0
 
 // removedEntries lists as gone what is held and not in a whole list, in an order of its own.
-func (k *core) removedEntries(whole []ServerEntry) (gone []ServerEntry) {
-	left := maps.Clone(k.servers)
-	for _, e := range whole {
-		delete(left, e.Host)
+func (k *core) removedEntries(listed []ServerEntry) (removed []ServerEntry) {
+	unlisted := maps.Clone(k.servers)
+	for _, e := range listed {
+		delete(unlisted, e.Host)
 	}
-	for _, held := range left {
-		e := held.ServerEntry
+	for _, server := range unlisted {
+		e := server.ServerEntry
 		e.Health = stateLeft
-		gone = append(gone, e)
+		removed = append(removed, e)
 	}
-	slices.SortFunc(gone, func(a, b ServerEntry) int { return cmp.Compare(a.Host, b.Host) })
-	return gone
+	slices.SortFunc(removed, func(a, b ServerEntry) int { return cmp.Compare(a.Host, b.Host) })
+	return removed
 }
 
 // startTime is when a disk server started, on the module's clock. A start that is heard of in
--- a/internal/control/scheduler/eventlog.go
+++ b/internal/control/scheduler/eventlog.go
@@ -24,10 +24,10 @@
 type eventLog struct{ log *zap.Logger }
 
 func newEventLog(log *zap.Logger) *eventLog {
-	bounded := zap.WrapCore(func(c zapcore.Core) zapcore.Core {
+	sampled := zap.WrapCore(func(c zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(c, env.Duration(logPeriod), logBurst, 0)
 	})
-	return &eventLog{log.WithOptions(bounded)}
+	return &eventLog{log.WithOptions(sampled)}
 }
 
 // eventKind says what an event of the loop is about.
@@ -53,11 +53,11 @@
 func (k eventKind) String() string { return eventNames[k] }
 
 // eventLate notes an event that came late or took long, ms.
-func (l *eventLog) eventLate(kind eventKind, delay, took float64) {
-	if l == nil || delay < lateEventDelay && took < slowEventTime {
+func (l *eventLog) eventLate(kind eventKind, delay, elapsed float64) {
+	if l == nil || delay < lateEventDelay && elapsed < slowEventTime {
 		return
 	}
-	l.log.Warn("event loop late", zap.Stringer("event", kind), zap.Float64("delay_ms", delay), zap.Float64("took_ms", took))
+	l.log.Warn("event loop late", zap.Stringer("event", kind), zap.Float64("delay_ms", delay), zap.Float64("took_ms", elapsed))
 }
 
 // requestNotServed notes a final answer that is not a disk server's.
--- a/internal/control/scheduler/front.go
+++ b/internal/control/scheduler/front.go
@@ -30,7 +30,7 @@
 	evictIdleAfterMS      = 500.0 // ms
 	acceptRetryInterval   = 5 * time.Millisecond
 	maxQueuedAcceptWaitMS = 1.0 // ms that an accept waits where no connection was there already
-	clientWriteLimit      = maxResponseBytes + messageBytes
+	clientWriteLimit      = maxResponseBytes + maxHTTPMessageBytes
 	clientWriteTimeout    = 3 * time.Second
 	// lingerTimeout is how long a connection that was just answered on stays open once nothing
 	// more is sent on it (RFC 9112, section 9.6), or until its client ends its side too:
--- a/internal/control/scheduler/link.go
+++ b/internal/control/scheduler/link.go
@@ -28,89 +28,89 @@
 }
 
 // exchange sends a request and brings its answer, on a goroutine of its own.
-func (l *serverConn) exchange(a *attempt, born int64) {
-	b := l.pool
-	l.conn.SetDeadline(b.environment.Deadline(writeTimeout))
-	now := b.loop.now()
-	if !b.mayBegin(a, now, born) {
-		b.loop.post(now, eventNotBegun, func(at float64) { b.attemptNotBegun(at, l, a) })
+func (sc *serverConn) exchange(a *attempt, startedMS int64) {
+	p := sc.pool
+	sc.conn.SetDeadline(p.environment.Deadline(writeTimeout))
+	now := p.loop.now()
+	if !p.mayBegin(a, now, startedMS) {
+		p.loop.post(now, eventNotBegun, func(at float64) { p.attemptNotBegun(at, sc, a) })
 		return
 	}
-	message := a.encodeRequest(a.answerBy - now)
-	if n, err := l.conn.Write(message); err != nil {
+	request := a.encodeRequest(a.answerBy - now)
+	if n, err := sc.conn.Write(request); err != nil {
 		r := policy.ConnectionLost
-		if n < len(message) { // without its last byte it is no request
+		if n < len(request) { // without its last byte it is no request
 			r = policy.NoConnection
 		}
-		b.loop.post(b.loop.now(), eventConnBroken, func(at float64) { b.connBroken(at, l, a, r) })
+		p.loop.post(p.loop.now(), eventConnBroken, func(at float64) { p.connBroken(at, sc, a, r) })
 		return
 	}
-	l.conn.SetDeadline(time.Time{})
-	r, clean, err := l.readReply()
+	sc.conn.SetDeadline(time.Time{})
+	r, reusable, err := sc.readReply()
 	if err != nil && !http1.IsMessageError(err) {
-		b.replyBytes.Add(-r.reservedBytes)
-		b.loop.post(b.loop.now(), eventConnBroken, func(at float64) { b.connBroken(at, l, a, policy.ConnectionLost) })
+		p.replyBytes.Add(-r.reservedBytes)
+		p.loop.post(p.loop.now(), eventConnBroken, func(at float64) { p.connBroken(at, sc, a, policy.ConnectionLost) })
 		return
 	}
-	clean = clean && err == nil && l.reader.Buffered() == 0
-	if !b.loop.post(b.loop.now(), eventAnswered, func(at float64) {
-		b.replyReceived(at, l, a, r, clean)
-		b.replyBytes.Add(-r.reservedBytes)
-	}) || !clean {
+	reusable = reusable && err == nil && sc.reader.Buffered() == 0
+	if !p.loop.post(p.loop.now(), eventAnswered, func(at float64) {
+		p.replyReceived(at, sc, a, r, reusable)
+		p.replyBytes.Add(-r.reservedBytes)
+	}) || !reusable {
 		return
 	}
-	quiet := l.quarantine()
-	b.loop.post(b.loop.now(), eventQuarantineEnded, func(at float64) { b.quarantineEnded(at, l, quiet) })
+	noInput := sc.quarantine()
+	p.loop.post(p.loop.now(), eventQuarantineEnded, func(at float64) { p.quarantineEnded(at, sc, noInput) })
 }
 
 // quarantine listens for a while whether anything follows the answer; false if so.
-func (l *serverConn) quarantine() bool {
-	l.conn.SetReadDeadline(l.pool.environment.Deadline(quarantineTime))
-	_, err := l.reader.Peek(1)
-	l.conn.SetReadDeadline(time.Time{})
+func (sc *serverConn) quarantine() bool {
+	sc.conn.SetReadDeadline(sc.pool.environment.Deadline(quarantineTime))
+	_, err := sc.reader.Peek(1)
+	sc.conn.SetReadDeadline(time.Time{})
 	return env.IsTimeout(err)
 }
 
 // readReply reads one readReply. One that cannot be read is a failed attempt that may have run.
-func (l *serverConn) readReply() (r reply, keep bool, err error) {
+func (sc *serverConn) readReply() (r reply, reusable bool, err error) {
 	r.result = policy.ServerError
-	m, err := http1.ReadResponse(l.reader, responseLimits)
+	response, err := http1.ReadResponse(sc.reader, responseLimits)
 	if err != nil {
 		return r, false, err
 	}
-	fr, err := m.Framing(responseLimits)
+	framing, err := response.Framing(responseLimits)
 	if err != nil {
 		return r, false, err
 	}
-	lim := responseLimits
-	lim.Reserve = func(n int) bool {
+	limits := responseLimits
+	limits.Reserve = func(n int) bool {
 		r.reservedBytes += int64(n)
-		return l.pool.replyBytes.Add(int64(n)) <= l.pool.maxReplyBytes.Load()
+		return sc.pool.replyBytes.Add(int64(n)) <= sc.pool.maxReplyBytes.Load()
 	}
-	if r.body, err = http1.ReadBody(l.reader, fr, lim); err != nil {
+	if r.body, err = http1.ReadBody(sc.reader, framing, limits); err != nil {
 		return r, false, err
 	}
-	if more, _ := l.reader.Peek(l.reader.Buffered()); len(more) > 0 && !startsResponse(more) {
+	if surplus, _ := sc.reader.Peek(sc.reader.Buffered()); len(surplus) > 0 && !startsResponse(surplus) {
 		// Its length may have said less than there was, and nothing tells that from
 		// noise behind it.
 		return r, false, nil
 	}
-	r.result = resultOf(m)
-	r.use, r.fromOthers = headerNumber(m.Fields.Get("x-iops-used"), 1), headerNumber(m.Fields.Get("x-rho"), 0)
-	return r, !m.Close() && !fr.UntilClose, nil
+	r.result = resultOf(response)
+	r.use, r.fromOthers = headerNumber(response.Fields.Get("x-iops-used"), 1), headerNumber(response.Fields.Get("x-rho"), 0)
+	return r, !response.Close() && !framing.UntilClose, nil
 }
 
 func startsResponse(b []byte) bool {
-	const mark = "HTTP/1.1 "
-	n := min(len(b), len(mark))
-	return string(b[:n]) == mark[:n]
+	const prefix = "HTTP/1.1 "
+	n := min(len(b), len(prefix))
+	return string(b[:n]) == prefix[:n]
 }
 
-func resultOf(m *http1.Response) policy.Result {
+func resultOf(response *http1.Response) policy.Result {
 	switch {
-	case m.Status == 200:
+	case response.Status == 200:
 		return policy.Served
-	case (m.Status == 503 || m.Status == 504) && m.Fields.Get("not-started") == "1":
+	case (response.Status == 503 || response.Status == 504) && response.Fields.Get("not-started") == "1":
 		return policy.Rejected
 	}
 	return policy.ServerError
@@ -118,18 +118,18 @@
 
 // headerNumber is a number that a server tells beside its answer, raised by base; one that
 // cannot be read is none.
-func headerNumber(s string, base float64) float64 {
+func headerNumber(s string, offset float64) float64 {
 	n, err := strconv.ParseUint(s, 10, 32)
 	if err != nil {
 		return 0
 	}
-	return float64(n) + base
+	return float64(n) + offset
 }
 
 // noInput tells that nothing has come on a free connection, neither bytes that nobody asked
 // for nor its end.
-func (l *serverConn) noInput() bool {
+func (sc *serverConn) noInput() bool {
 	var one [1]byte
-	_, err := env.ReadAvailable(l.conn, one[:])
-	return err == env.ErrNoData && l.reader.Buffered() == 0
+	_, err := env.ReadAvailable(sc.conn, one[:])
+	return err == env.ErrNoData && sc.reader.Buffered() == 0
 }
--- a/internal/control/scheduler/loop.go
+++ b/internal/control/scheduler/loop.go
@@ -73,11 +73,11 @@
 }
 
 // takeQueued takes what was posted and lets those post who waited.
-func (l *loop) takeQueued(room []event) []event {
+func (l *loop) takeQueued(buffer []event) []event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	events := l.queue
-	l.queue = room[:0]
+	l.queue = buffer[:0]
 	for _, p := range l.blockedPosters {
 		p.Unpark()
 	}
@@ -119,9 +119,9 @@
 
 // handle does one event and logs it if it was late.
 func (l *loop) handle(e *event) {
-	began := l.now()
+	start := l.now()
 	e.run(e.occurredAt)
-	l.log.eventLate(e.kind, began-e.occurredAt, l.now()-began)
+	l.log.eventLate(e.kind, start-e.occurredAt, l.now()-start)
 }
 
 // stop ends the loop, from another goroutine.
--- a/internal/control/scheduler/notices.go
+++ b/internal/control/scheduler/notices.go
@@ -12,8 +12,8 @@
 }
 
 type serverState struct {
-	active bool
-	bornMS int64
+	active    bool
+	startedMS int64
 }
 
 // apply notes a list, or what changed.
@@ -33,9 +33,9 @@
 }
 
 // allows tells whether the process of a disk server that started then may be sent to.
-func (n *serverStates) allows(host string, bornMS int64) bool {
+func (n *serverStates) allows(host string, startedMS int64) bool {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	last, listed := n.byHost[host]
-	return listed && last.active && last.bornMS == bornMS
+	state, listed := n.byHost[host]
+	return listed && state.active && state.startedMS == startedMS
 }
--- a/internal/control/scheduler/staleness.go
+++ b/internal/control/scheduler/staleness.go
@@ -31,8 +31,8 @@
 }
 
 func (t *reuseCount) decay(now float64) {
-	keep := math.Exp((t.updatedAt - now) / reuseDecayTime)
-	t.broken, t.intact, t.updatedAt = t.broken*keep, t.intact*keep, now
+	factor := math.Exp((t.updatedAt - now) / reuseDecayTime)
+	t.broken, t.intact, t.updatedAt = t.broken*factor, t.intact*factor, now
 }
 
 // record notes how a connection did that had been idle for so long.
