--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,6 @@
-// Command drill hosts scheduler instances on the line format of package wire,
-// from standard input to standard output.
+// Command drill runs scheduler instances for a simulator: it reads batches of events in the
+// protocol of package wire from standard input and writes the instances' actions to
+// standard output.
 package main
 
 import (
@@ -19,7 +20,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run replies to batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
 	instances := make(map[int]policy.Scheduler)
@@ -42,7 +43,7 @@
 	}
 }
 
-// handleEvent gives one event to its instance and prints what it does.
+// handleEvent starts or stops an instance, or passes it an event and prints its actions.
 func handleEvent(instances map[int]policy.Scheduler, w *wire.Writer, now float64, ev wire.Event) error {
 	switch {
 	case ev.Boot != nil:
--- a/internal/protocol/http1/body.go
+++ b/internal/protocol/http1/body.go
@@ -7,20 +7,22 @@
 	"strings"
 )
 
-// Framing is how the end of a body is told (RFC 9112, section 6).
+// Framing determines where a body ends (RFC 9112, section 6).
 type Framing struct {
 	Chunked    bool
-	Length     int  // where it is not chunked
-	UntilClose bool // of a response: neither length nor chunks say
+	Length     int  // in bytes, if neither Chunked nor UntilClose
+	UntilClose bool // a response body that lasts until the connection closes
 }
 
-// Framing of a request; one that carries both a length and a transfer coding may hide
-// another in its body (section 11.2) and is refused.
+// Framing returns the framing of the request's body. A request with both a length and a
+// transfer coding is rejected as Ambiguous, since it allows request smuggling (RFC 9112,
+// section 11.2).
 func (r *Request) Framing(lim Limits) (Framing, error) {
 	return parseFraming(r.Fields, lim.MaxBodyBytes)
 }
 
-// Framing of a response.
+// Framing returns the framing of the response's body, with the same checks as for a request.
+// It does not know the request's method, so it must not be used for a response to HEAD.
 func (r *Response) Framing(lim Limits) (Framing, error) {
 	if r.Status == 204 || r.Status == 304 {
 		return Framing{}, nil
@@ -46,7 +48,8 @@
 	return fr, err
 }
 
-// maxLengthDigits keeps lengths within an int.
+// maxLengthDigits is the maximum number of digits of a length, so that it fits into a 64-bit
+// int.
 const maxLengthDigits = 18
 
 func parseLength(s string, maxLength int) (int, error) {
@@ -68,8 +71,8 @@
 	return n, nil
 }
 
-// ReadWholeRequest reads a request with its body, within the limits. Errors are those of
-// ReadRequest, Framing and ReadBody.
+// ReadWholeRequest reads a request with its body. Its errors are those of ReadRequest,
+// Request.Framing and ReadBody.
 func ReadWholeRequest(br *bufio.Reader, lim Limits) (*Request, []byte, error) {
 	r, err := ReadRequest(br, lim)
 	if err != nil {
@@ -79,8 +82,8 @@
 	return r, body, err
 }
 
-// ReadWholeResponse reads a response with its body, within the limits. Errors are those of
-// ReadResponse, Framing and ReadBody.
+// ReadWholeResponse reads a response with its body. Its errors are those of ReadResponse,
+// Response.Framing and ReadBody.
 func ReadWholeResponse(br *bufio.Reader, lim Limits) (*Response, []byte, error) {
 	r, err := ReadResponse(br, lim)
 	if err != nil {
@@ -98,8 +101,9 @@
 	return ReadBody(br, fr, lim)
 }
 
-// ReadBody reads a body that fr frames. One that lasts to the close of the connection is
-// whole where the stream ends cleanly (RFC 9112, section 6.3): a reset is no end.
+// ReadBody reads a body with framing fr. A body that lasts until the connection closes is
+// complete only if the stream ends with io.EOF (RFC 9112, section 6.3); any other error,
+// such as a reset, is returned.
 func ReadBody(br *bufio.Reader, fr Framing, lim Limits) ([]byte, error) {
 	switch {
 	case fr.UntilClose:
@@ -132,9 +136,12 @@
 	}
 }
 
-// growStep is how much room is made at a time: what a peer only promises takes none.
+// growStep is the size, in bytes, by which a body buffer grows. Memory is allocated as data
+// is read rather than for the announced length, so that a peer cannot make the receiver
+// allocate memory merely by announcing a large body.
 const growStep = 4 << 10
 
+// appendBytes reads n bytes and appends them to b.
 func appendBytes(br *bufio.Reader, b []byte, n int, lim Limits) (_ []byte, err error) {
 	for n > 0 {
 		size := min(n, growStep)
@@ -150,15 +157,15 @@
 	return b, nil
 }
 
-// grow makes room for n more bytes of a body.
+// grow extends b by n zero bytes after reserving them.
 func (lim Limits) grow(b []byte, n int) ([]byte, error) {
 	if lim.Reserve != nil && !lim.Reserve(n) {
-		return nil, &Error{TooLarge, "bodies held"}
+		return nil, &Error{TooLarge, "buffered bodies"}
 	}
 	return append(b, make([]byte, n)...), nil
 }
 
-// unexpectedEOF is err within a message.
+// unexpectedEOF turns io.EOF into io.ErrUnexpectedEOF, for an error within a message.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -166,7 +173,8 @@
 	return err
 }
 
-// readChunks reads a chunked body (section 7.1). Extensions and trailers are passed over.
+// readChunks reads a chunked body (RFC 9112, section 7.1). Chunk extensions and trailer
+// fields are ignored.
 func readChunks(br *bufio.Reader, lim Limits) ([]byte, error) {
 	var b []byte
 	h := lineReader{br: br, remaining: lim.MaxHeadBytes, started: true}
@@ -188,7 +196,8 @@
 	}
 }
 
-// readChunkSize reads the line before a chunk, of which at most left bytes may come.
+// readChunkSize reads the line before a chunk and returns the chunk's size, which must not
+// exceed maxSize bytes.
 func (h *lineReader) readChunkSize(maxSize int) (int, error) {
 	line, err := h.readLine("chunk size")
 	if err != nil {
@@ -198,7 +207,7 @@
 	return parseChunkSize(strings.TrimRight(digits, " \t"), maxSize)
 }
 
-// readChunkEnd reads what ends a chunk's data.
+// readChunkEnd reads the CRLF after a chunk's data.
 func (h *lineReader) readChunkEnd() error {
 	line, err := h.readLine("chunk")
 	if err == nil && line != "" {
@@ -218,24 +227,27 @@
 	return int(n), nil
 }
 
-// Stream reads a chunked body that goes on, piece by piece as it comes. It holds one
-// piece at a time.
+// Stream reads a long-lived body incrementally, as its data arrives. It buffers at most
+// growStep bytes.
 type Stream struct {
 	br             *bufio.Reader
 	framing        Framing
 	lim            Limits
-	remaining      int // of the present chunk
+	remaining      int // unread bytes of the current chunk
 	buf            [growStep]byte
-	firstChunkRead bool
-	finished       bool
+	firstChunkRead bool // the size of a chunk has been read, so that a CRLF follows its data
+	finished       bool // the last chunk and the trailer have been read
 }
 
-// NewStream reads the body that fr frames. Limits bound the lines between chunks.
+// NewStream returns a Stream for a body with framing fr. Of lim it applies MaxHeadBytes and
+// MaxFields, to the lines between each two chunks and to the trailer. A body that is not
+// chunked is read until the connection closes, whatever its length.
 func NewStream(br *bufio.Reader, fr Framing, lim Limits) *Stream {
 	return &Stream{br: br, framing: fr, lim: lim}
 }
 
-// Next returns what has come, valid until the next call, and io.EOF at the body's end.
+// Next blocks until data is available and returns it. The slice is valid until the next
+// call. At the end of the body it returns io.EOF.
 func (s *Stream) Next() ([]byte, error) {
 	if !s.framing.Chunked {
 		n, err := s.br.Read(s.buf[:])
@@ -251,6 +263,8 @@
 	return s.buf[:n], unexpectedEOF(err)
 }
 
+// nextChunk reads up to the data of the next chunk. At the last chunk it also reads the
+// trailer, and returns io.EOF.
 func (s *Stream) nextChunk() error {
 	if s.finished {
 		return io.EOF
@@ -276,5 +290,6 @@
 	return nil
 }
 
-// maxStreamChunk bounds one chunk of a stream, which is never held whole.
+// maxStreamChunk is the maximum size, in bytes, of one chunk of a Stream. It may be large
+// because chunks are not buffered whole.
 const maxStreamChunk = 1 << 30
--- a/internal/protocol/http1/http1.go
+++ b/internal/protocol/http1/http1.go
@@ -1,7 +1,7 @@
-// Package http1 reads and writes HTTP/1.1 messages (RFC 9112) over a bufio.Reader:
-// request and status lines, fields, bodies by length or in chunks, interim answers.
-// Every length is held to a bound before room is made for it. It is a core: it opens
-// nothing, knows no clock, follows no route and keeps no connection.
+// Package http1 parses and formats HTTP/1.1 messages (RFC 9112): request and status lines,
+// fields, bodies with a length or in chunks, and interim responses. Every length is checked
+// against a limit before memory is allocated for it. The package reads from a bufio.Reader
+// and appends to byte slices; it opens no connections, sets no deadlines and routes nothing.
 package http1
 
 import (
@@ -12,29 +12,30 @@
 	"strings"
 )
 
-// Kind says what is wrong with a message.
+// Kind classifies why a message was rejected.
 type Kind int
 
-// The kinds of fault.
+// Kinds of Error.
 const (
-	Malformed   Kind = iota // not a message of RFC 9112
-	TooLarge                // passes a bound of Limits
-	Ambiguous               // its length can be read in two ways (RFC 9112, section 6.3)
-	Unsupported             // a form that this package does not read
+	Malformed   Kind = iota // violates the syntax of RFC 9112
+	TooLarge                // exceeds one of the Limits
+	Ambiguous               // its body length can be interpreted in two ways (RFC 9112, section 6.3)
+	Unsupported             // valid, but not implemented by this package
 )
 
 var kindNames = [...]string{"malformed", "too large", "ambiguous", "unsupported"}
 
-// Error is a message that cannot be read. Faults of the stream itself come as they are;
-// one that ends within a message is io.ErrUnexpectedEOF.
+// Error reports a message that was rejected. Errors of the underlying stream are returned
+// unchanged, except that a stream that ends within a message gives io.ErrUnexpectedEOF.
 type Error struct {
 	Kind Kind
-	Part string // of the message: "request line", "field", "length", ...
+	Part string // the part of the message at fault: "request line", "field", "length", ...
 }
 
 func (e *Error) Error() string { return "http1: " + e.Part + " " + kindNames[e.Kind] }
 
-// Status is what a server answers to such a request (RFC 9110, section 15.5).
+// Status returns the status code with which a server rejects such a request (RFC 9110,
+// sections 15.5 and 15.6).
 func (e *Error) Status() int {
 	switch {
 	case e.Kind == TooLarge && e.Part == "body":
@@ -47,28 +48,30 @@
 	return 400
 }
 
-// IsMessageError tells whether the message was at fault, not the stream.
+// IsMessageError reports whether err is an Error, as opposed to an error of the stream.
 func IsMessageError(err error) bool {
 	var e *Error
 	return errors.As(err, &e)
 }
 
-// Limits bound a message, in bytes and fields.
+// Limits bound the size of a message.
 type Limits struct {
-	MaxHeadBytes int // start line and fields
-	MaxFields    int
+	MaxHeadBytes int // start line and fields; the lines between a body's chunks have the same bound again
+	MaxFields    int // number of field lines
 	MaxBodyBytes int
-	// Reserve, if set, is asked before that many more bytes of a body are held.
+	// Reserve, if not nil, is called before n more bytes are allocated for a body. If it
+	// returns false, the message is rejected as TooLarge.
 	Reserve func(n int) bool
 }
 
-// Field is one field line; Name is in lower case.
+// Field is a field line of a message. Name is in lower case in messages that were read.
 type Field struct{ Name, Value string }
 
-// Fields are in the order of the message.
+// Fields is a list of field lines in the order of the message.
 type Fields []Field
 
-// Get returns the value of the first field of that name, which is in lower case.
+// Get returns the value of the first field with that name, which must be in lower case, or
+// "" if there is none.
 func (f Fields) Get(name string) string {
 	for _, x := range f {
 		if x.Name == name {
@@ -78,7 +81,7 @@
 	return ""
 }
 
-// Count is how many fields have that name.
+// Count returns the number of fields with that name, which must be in lower case.
 func (f Fields) Count(name string) (n int) {
 	for _, x := range f {
 		if x.Name == name {
@@ -88,7 +91,8 @@
 	return n
 }
 
-// hasToken tells whether a list field holds the token, in whatever case.
+// hasToken reports whether the comma-separated list in the fields of that name contains
+// token, ignoring case.
 func (f Fields) hasToken(name, token string) bool {
 	for _, x := range f {
 		if x.Name != name {
@@ -103,15 +107,16 @@
 	return false
 }
 
-// Request is a request's head.
+// Request is the head of a request.
 type Request struct {
 	Method string
 	Target string
-	Minor  int // of HTTP/1.x
+	Minor  int // minor version: 0 or 1
 	Fields Fields
 }
 
-// Response is a response's head; Interim counts the 1xx that came before it.
+// Response is the head of a final response. InterimCount is the number of 1xx responses
+// that preceded it.
 type Response struct {
 	Status       int
 	Minor        int
@@ -123,23 +128,25 @@
 	return f.hasToken("connection", "close") || minor == 0 && !f.hasToken("connection", "keep-alive")
 }
 
-// Close tells whether the connection ends after this message (RFC 9112, section 9.3).
+// Close reports whether the connection is closed after this message (RFC 9112, section 9.3).
 func (r *Request) Close() bool { return closesConnection(r.Minor, r.Fields) }
 
-// Close tells whether the connection ends after this message.
+// Close reports whether the connection is closed after this message (RFC 9112, section 9.3).
+// It does not consider a body that lasts until the connection closes.
 func (r *Response) Close() bool { return closesConnection(r.Minor, r.Fields) }
 
-// ExpectsContinue tells whether the sender waits for a 100 (RFC 9110, section 10.1.1).
+// ExpectsContinue reports whether the client asks for a 100 response before it sends the
+// body (RFC 9110, section 10.1.1).
 func (r *Request) ExpectsContinue() bool {
 	return r.Minor > 0 && r.Fields.hasToken("expect", "100-continue")
 }
 
-// ReadRequest reads the head of a request. At the end of the stream between messages it
-// returns io.EOF.
+// ReadRequest reads the head of a request. It returns io.EOF if the stream ends before the
+// first byte of the message.
 func ReadRequest(br *bufio.Reader, lim Limits) (*Request, error) {
 	h := lineReader{br: br, remaining: lim.MaxHeadBytes}
 	line, err := h.readLine("request line")
-	if err == nil && line == "" { // section 2.2: an empty line before it is passed over
+	if err == nil && line == "" { // RFC 9112, section 2.2: ignore one empty line before it
 		line, err = h.readLine("request line")
 	}
 	if err != nil {
@@ -168,10 +175,11 @@
 	return nil
 }
 
-// maxInterim bounds the 1xx before an answer.
+// maxInterim is the maximum number of 1xx responses before a final one.
 const maxInterim = 16
 
-// ReadResponse reads the head of a final response and passes over interim ones.
+// ReadResponse reads the head of a final response and skips interim (1xx) ones before it.
+// It rejects 101, since it supports no protocol upgrade.
 func ReadResponse(br *bufio.Reader, lim Limits) (*Response, error) {
 	h := lineReader{br: br, remaining: lim.MaxHeadBytes}
 	for n := 0; n <= maxInterim; n++ {
@@ -196,7 +204,7 @@
 			return r, nil
 		}
 	}
-	return nil, &Error{TooLarge, "interim answers"}
+	return nil, &Error{TooLarge, "interim responses"}
 }
 
 func (r *Response) parseStatusLine(line string) error {
@@ -229,15 +237,17 @@
 	return 0, false
 }
 
-// lineReader reads the lines of a message's lineReader within what is left of its bound.
+// lineReader reads the lines of a head, or those between the chunks of a body, within a
+// bound on their total size.
 type lineReader struct {
 	br        *bufio.Reader
-	remaining int
-	started   bool
+	remaining int  // bytes that may still be read
+	started   bool // the message has begun, so that io.EOF is unexpected
 }
 
-// readLine returns the next readLine without its CRLF. A bare LF ends no readLine here: what peers
-// read differently must not be guessed at.
+// readLine returns the next line without its CRLF. It rejects a line that ends in a bare LF,
+// since peers that disagree on where a line ends allow request smuggling. part names the
+// line in errors.
 func (h *lineReader) readLine(part string) (string, error) {
 	var partial []byte
 	for {
@@ -313,7 +323,8 @@
 	return s != ""
 }
 
-// isFieldValue tells whether s may stand in a field's value (RFC 9110, section 5.5).
+// isFieldValue reports whether s contains only characters allowed in a field value (RFC
+// 9110, section 5.5). The same set is accepted in a reason phrase.
 func isFieldValue(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' && s[i] != '\t' || s[i] == 0x7f {
@@ -323,7 +334,8 @@
 	return true
 }
 
-// AppendRequest appends a whole request; a body is framed by its length.
+// AppendRequest appends a request with its body to b and returns the result. It adds
+// Content-Length, except to a GET without a body.
 func AppendRequest(b []byte, method, target string, f Fields, body []byte) []byte {
 	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\n", method, target)
 	b = appendFields(b, f)
@@ -341,7 +353,8 @@
 	503: "Service Unavailable", 504: "Gateway Timeout",
 }
 
-// AppendResponse appends a whole response, framed by its length.
+// AppendResponse appends a response with its body to b and returns the result. It adds
+// Content-Length.
 func AppendResponse(b []byte, status int, f Fields, body []byte) []byte {
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\n", status, reasonPhrases[status])
 	b = appendFields(b, f)
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -15,7 +15,7 @@
 
 func smallReader(s string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(s), 16) }
 
-// readRequest reads a request with its body.
+// readRequest reads a request with its body through a small buffer.
 func readRequest(s string) (*Request, []byte, error) {
 	br := smallReader(s)
 	r, err := ReadRequest(br, testLimits)
@@ -82,18 +82,18 @@
 		_, _, err := readRequest(c.in)
 		var e *Error
 		if !errors.As(err, &e) || e.Kind != c.kind || e.Status() < 400 || e.Status() > 599 {
-			t.Errorf("%.60q: %v, want %s", c.in, err, kindNames[c.kind])
+			t.Errorf("%.60q: error %v, want kind %s", c.in, err, kindNames[c.kind])
 		}
 	}
 }
 
-// A message that ends in its midst is no clean end, wherever it is cut.
+// A request truncated at any byte gives io.ErrUnexpectedEOF, never io.EOF or success.
 func TestTruncatedRequestIsUnexpectedEOF(t *testing.T) {
 	const msg = "PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	for n := range len(msg) {
 		_, _, err := readRequest(msg[:n])
 		if n == 0 && err != io.EOF || n > 0 && err != io.ErrUnexpectedEOF {
-			t.Errorf("cut at %d: %v", n, err)
+			t.Errorf("truncated to %d bytes: got error %v", n, err)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabHTTP/1.1 200 OK\r\n", 200, 0, "ab", 17},
 		{"HTTP/1.1 204 No\r\n\r\n", 204, 0, "", 0},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", 0, 0, "", 0},
-		{"HTTP/1.1 200 OK\r\n\r\nab", 200, 0, "ab", 0}, // up to the close
+		{"HTTP/1.1 200 OK\r\n\r\nab", 200, 0, "ab", 0}, // until close
 		{"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("a", testLimits.MaxBodyBytes+1), 0, 0, "", 0},
 		{"HTTP/1.1 20 OK\r\n\r\n", 0, 0, "", 0},
 		{"HTTP/1.1 101 Up\r\n\r\n", 0, 0, "", 0},
@@ -131,18 +131,18 @@
 		}
 		if c.status == 0 {
 			if !IsMessageError(err) {
-				t.Errorf("%.40q was read: %v", c.in, err)
+				t.Errorf("%.40q: got error %v, want an Error", c.in, err)
 			}
 			continue
 		}
 		rest, _ := io.ReadAll(br)
 		if err != nil || m.Status != c.status || m.InterimCount != c.interim || string(body) != c.body || len(rest) != c.rest {
-			t.Errorf("%.40q: %+v %q %v, %d behind", c.in, m, body, err, len(rest))
+			t.Errorf("%.40q: %+v, body %q, error %v, %d bytes left unread", c.in, m, body, err, len(rest))
 		}
 	}
 }
 
-// Messages that come a byte at a time are the same messages.
+// Messages that arrive one byte at a time are parsed correctly.
 func TestByteByByte(t *testing.T) {
 	for _, in := range []string{
 		"PUT /a HTTP/1.1\r\nContent-Length: 3\r\nX: y\r\n\r\nabc",
@@ -172,12 +172,12 @@
 	}
 }
 
-// A body up to the close is whole only where the stream ends cleanly, and is given no more
-// room than there is.
+// A body that lasts until the connection closes is complete only if the stream ends with
+// io.EOF, and no kind of body may grow beyond what Reserve grants.
 func TestBodyUntilClose(t *testing.T) {
 	resetStream := io.MultiReader(strings.NewReader("ab"), iotest.ErrReader(syscall.ECONNRESET))
 	if b, err := ReadBody(bufio.NewReader(resetStream), Framing{UntilClose: true}, testLimits); err != syscall.ECONNRESET || b != nil {
-		t.Errorf("a reset: %q, %v", b, err)
+		t.Errorf("body ended by a reset: got %q, error %v", b, err)
 	}
 	limited := testLimits
 	reserved := 0
@@ -190,12 +190,12 @@
 			in = "800\r\n" + in[:0x800] + "\r\n801\r\n" + in[:0x801] + "\r\n0\r\n\r\n"
 		}
 		if _, err := ReadBody(smallReader(in), fr, limited); !IsMessageError(err) || reserved <= growStep {
-			t.Errorf("%+v: %v, %d asked for", fr, err, reserved)
+			t.Errorf("%+v: error %v, %d bytes reserved", fr, err, reserved)
 		}
 	}
 	reserved = 0
 	if b, err := ReadBody(bufio.NewReader(iotest.OneByteReader(strings.NewReader("abcdef"))), Framing{UntilClose: true}, limited); err != nil || string(b) != "abcdef" || reserved != growStep {
-		t.Errorf("byte by byte: %q, %v, %d asked for", b, err, reserved)
+		t.Errorf("byte by byte: %q, error %v, %d bytes reserved", b, err, reserved)
 	}
 }
 
@@ -216,10 +216,10 @@
 		t.Errorf("%q", got)
 	}
 	if _, err := s.Next(); err != io.EOF {
-		t.Error("the end does not last:", err)
+		t.Error("Next after the end of the body: want io.EOF, got", err)
 	}
 	if _, err := NewStream(smallReader("2\r\nabc\r\n"), Framing{Chunked: true}, testLimits).nextTwice(); !IsMessageError(err) {
-		t.Error("a chunk that is longer than it says:", err)
+		t.Error("chunk data longer than the chunk size: want an Error, got", err)
 	}
 }
 
@@ -243,7 +243,8 @@
 	}
 }
 
-// What is read without fault is written and read again as the same.
+// A request that is accepted stays within the limits, and is the same after it has been
+// formatted and read again.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("PUT /a HTTP/1.1\r\nContent-Length: 3\r\nX: y\r\n\r\nabc"))
 	f.Add([]byte("PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
@@ -254,7 +255,7 @@
 			return
 		}
 		if len(body) > testLimits.MaxBodyBytes || len(r.Fields) > testLimits.MaxFields {
-			t.Fatal("a bound was passed")
+			t.Fatal("accepted message exceeds a limit")
 		}
 		again, b, err := readRequest(string(AppendRequest(nil, r.Method, r.Target, nil, body)))
 		if r.Method == "GET" && len(body) == 0 {
@@ -280,7 +281,7 @@
 			return
 		}
 		if b, err := ReadBody(br, fr, testLimits); err == nil && (len(b) > testLimits.MaxBodyBytes || m.Status < 200 || m.Status > 599) {
-			t.Fatal("a bound was passed")
+			t.Fatal("accepted message exceeds a limit")
 		}
 	})
 }
--- a/internal/runtime/writequeue/writequeue.go
+++ b/internal/runtime/writequeue/writequeue.go
@@ -14,7 +14,9 @@
 // Queue buffers and writes the outgoing data of a connection. It is safe for concurrent use.
 type Queue struct {
 	// OnBytesChanged, if not nil, is called with each change of the number of bytes that are
-	// buffered or being written. It must be set before the first Enqueue or Buffer.
+	// buffered or being written. It may be called from several goroutines and with the
+	// queue locked, so it must not call the queue. It must be set before the first Enqueue
+	// or Buffer.
 	OnBytesChanged func(delta int)
 	// OnIdle, if not nil, is called from the queue's goroutine after a write that left the
 	// queue empty, unless it is finished. It must be set before the first Enqueue or Buffer.
--- a/internal/simulation/faultinject/faultinject.go
+++ b/internal/simulation/faultinject/faultinject.go
@@ -1,32 +1,33 @@
-// Package faultinject holds the switch of faults that are planted on purpose, to show that
-// the exploration finds them. In an ordinary build no fault can be switched on and
-// none of their code is there; with the build tag "planted" one can, for the whole
-// program. It never decides anything of itself.
+// Package faultinject activates deliberate bugs in the product code, to show that the
+// exploration in simulation finds them. In an ordinary build no fault can be activated:
+// Active is constantly false, so that the compiler can drop the faulty code. With the build
+// tag "planted", one fault at a time can be activated for the whole process.
 package faultinject
 
-// The faults. Each stands where the product would have the bug.
+// Names of the faults. The code that implements a fault is at the place of the bug that it
+// imitates.
 const (
-	DrainOverlooked  = "drain-overlooked"    // a draining server counts as ready
-	RepeatUnsafe     = "repeat-unsafe"       // what must run once is repeated like what is dropped when repeated
-	LimitMisread     = "limit-misread"       // a limit is taken for one of a quarter of the time
-	TagReused        = "tag-reused"          // a late answer is taken for that of another attempt
-	WakeupLost       = "wakeup-lost"         // the host's timer is not set again once it has rung
-	AbortAtOnce      = "abort-at-once"       // an abort is answered while a write can still land
-	KeyForgotten     = "key-forgotten"       // the module isn't told which requests share a key
-	StartUnheard     = "start-unheard"       // the module isn't told that a server is cold
-	LossTakenForGood = "loss-taken-for-good" // a write whose connection went is called done
-	DeadlineUnsaid   = "deadline-unsaid"     // disk servers aren't told until when an attempt may begin
-	BusyAfterSend    = "busy-after-send"     // a write that may have run is called refused
-	ExtentMissed     = "extent-missed"       // a part past an extent's border is written one block off
-	// Of a service over two regions.
-	FenceMissing = "fence-missing"          // disk servers refuse no older generation, and do not hear when a lease ends
-	LeaseNoDrift = "lease-without-drift"    // neither who grants nor who holds reckons with clocks that differ
-	ShareEarly   = "share-taken-back-early" // what a source takes back is given on at once
+	DrainOverlooked  = "drain-overlooked"    // a draining disk server is treated as ready
+	RepeatUnsafe     = "repeat-unsafe"       // requests that are unsafe to retry are retried as if disk servers dropped duplicates
+	LimitMisread     = "limit-misread"       // the limits of plans are taken to be four times as high
+	TagReused        = "tag-reused"          // tags of attempts repeat after four, so that a late answer is matched to another attempt
+	WakeupLost       = "wakeup-lost"         // the host's timer is not set to a time at or after the last one for which it was set
+	AbortAtOnce      = "abort-at-once"       // an abort is answered while a write can still take effect
+	KeyForgotten     = "key-forgotten"       // requests for the same key are given different keys
+	StartUnheard     = "start-unheard"       // the start time of a disk server is not passed on, so that slow start is not applied
+	LossTakenForGood = "loss-taken-for-good" // a failed write is reported as successful
+	DeadlineUnsaid   = "deadline-unsaid"     // disk servers are given a deadline for starting an attempt that is 60 s too late
+	BusyAfterSend    = "busy-after-send"     // a failed command, which may have taken effect, is reported as refused (BUSY)
+	ExtentMissed     = "extent-missed"       // all but the first part of a write across extents start one block too low
+	// Faults of a service over two regions.
+	FenceMissing = "fence-missing"          // disk servers do not refuse an older generation, and attempts are not limited by the lease
+	LeaseNoDrift = "lease-without-drift"    // neither the granter nor the holder of a lease allows for clock drift
+	ShareEarly   = "share-taken-back-early" // a source grants again at once the shares that it has taken back
 )
 
-// HostFaults lists the faults.
+// HostFaults lists the faults that need only a single region.
 var HostFaults = []string{DrainOverlooked, RepeatUnsafe, LimitMisread, TagReused, WakeupLost, AbortAtOnce, KeyForgotten, StartUnheard,
 	LossTakenForGood, DeadlineUnsaid, BusyAfterSend, ExtentMissed}
 
-// RegionFaults lists those of a service over two regions.
+// RegionFaults lists the faults of a service over two regions.
 var RegionFaults = []string{FenceMissing, LeaseNoDrift, ShareEarly}
--- a/internal/simulation/faultinject/off.go
+++ b/internal/simulation/faultinject/off.go
@@ -2,11 +2,11 @@
 
 package faultinject
 
-// Enabled tells whether faults can be planted in this build.
+// Enabled reports whether faults can be activated in this build.
 const Enabled = false
 
 // Activate has no effect in this build.
 func Activate(string) {}
 
-// Active tells whether that fault is planted.
+// Active reports whether the named fault is active: never in this build.
 func Active(string) bool { return false }
--- a/internal/simulation/faultinject/on.go
+++ b/internal/simulation/faultinject/on.go
@@ -2,13 +2,14 @@
 
 package faultinject
 
-// Enabled tells whether faults can be planted in this build.
+// Enabled reports whether faults can be activated in this build.
 const Enabled = true
 
-var planted string
+var active string
 
-// Activate plants a fault, "" for none; before anything runs.
-func Activate(name string) { planted = name }
+// Activate activates the named fault in place of any other; "" activates none. It must be
+// called before any other goroutine calls Active.
+func Activate(name string) { active = name }
 
-// Active tells whether that fault is planted.
-func Active(name string) bool { return planted == name }
+// Active reports whether the named fault is active.
+func Active(name string) bool { return active == name }
--- a/internal/storage/durable/replace.go
+++ b/internal/storage/durable/replace.go
@@ -1,5 +1,5 @@
-// Package durable replaces files so that a reader, or a start after a crash at any point,
-// finds the old one or the new one, whole.
+// Package durable replaces files atomically: a reader, or a restart after a crash at any
+// point, finds either the complete old file or the complete new one.
 package durable
 
 import (
@@ -9,21 +9,21 @@
 	"strings"
 )
 
-// TempSuffix is how the names of files end that are not whole yet. One that a crash leaves
-// behind has taken the place of nothing.
+// TempSuffix is the suffix of the temporary files that Replace writes. After a crash, one that
+// is left over can be deleted: it has not replaced any file.
 const TempSuffix = ".half"
 
-// Replace writes a file with the mode anew: beside the old one first, synced, then renamed
-// to its name, and the folder synced. After an error of write, or of the file's sync, the
-// old file is as it was; where the folder's sync fails the new one is there, and may not
-// outlast a power cut.
+// Replace replaces the contents and mode of a file: it writes a temporary file in the same
+// directory, syncs it, renames it to the file's name and syncs the directory. If write or
+// the sync of the file fails, the old file is unchanged. If the sync of the directory fails,
+// the new file is in place but may not survive a power failure.
 func Replace(file string, mode fs.FileMode, write func(*os.File) error) error {
 	dir := filepath.Dir(file)
 	f, err := os.CreateTemp(dir, filepath.Base(file)+"-*"+TempSuffix)
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name()) // gone already where the rename was reached
+	defer os.Remove(f.Name()) // has no effect after the rename
 	if err := writeAndSync(f, mode, write); err != nil {
 		return err
 	}
@@ -33,16 +33,17 @@
 	return syncDir(dir)
 }
 
-// RemoveTemp removes what a crash in the midst of Replace left of a file. Nobody else may be
-// replacing it meanwhile.
+// RemoveTemp deletes the temporary files that a crash during Replace of the same file left
+// behind. No Replace of the file may be running.
 func RemoveTemp(file string) error {
 	dir, name := filepath.Split(file)
 	return removeTempFiles(filepath.Clean(dir), name+"-")
 }
 
-// RemoveTempDir is Clean for all files of a folder.
+// RemoveTempDir does the same as RemoveTemp for all files of a directory.
 func RemoveTempDir(dir string) error { return removeTempFiles(dir, "") }
 
+// removeTempFiles deletes the temporary files in dir whose names start with prefix.
 func removeTempFiles(dir, prefix string) error {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// writeAndSync writes and closes f.
+// writeAndSync sets the mode of f, writes and syncs it, and closes it in any case.
 func writeAndSync(f *os.File, mode fs.FileMode, write func(*os.File) error) error {
 	err := f.Chmod(mode)
 	if err == nil {
--- a/internal/storage/durable/replace_test.go
+++ b/internal/storage/durable/replace_test.go
@@ -28,7 +28,7 @@
 	return out
 }
 
-// A write that fails leaves the old file, and nothing beside it.
+// A write that fails leaves the old file unchanged and no temporary file.
 func TestFailedReplaceKeepsOldFile(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "state")
@@ -54,7 +54,7 @@
 	}
 }
 
-// What a kill leaves of a file is removed, and nothing of another.
+// RemoveTemp deletes the temporary files of the given file, and no other files.
 func TestRemoveTempRemovesOnlyOwnTempFiles(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"state", "state-1.half", "state-22.half", "state.audit", "state-1", "other-1.half"} {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,7 @@
-// Package wire reads event batches and prints action replies in the line
-// format that drives scheduler instances. It decides nothing.
+// Package wire implements the line-based text protocol by which a simulator drives
+// scheduler instances: a Reader parses batches of events, a Writer prints the actions with
+// which the instances reply. It also decodes the instances' settings. Times and durations
+// are in ms.
 package wire
 
 import (
@@ -16,14 +18,14 @@
 	"merlinhitch/policy"
 )
 
-// Batch is what happened at one time.
+// Batch is the events that happen at one time, Now (ms).
 type Batch struct {
 	Now    float64
 	Events []Event
 }
 
-// Event is an event of one instance. Boot and Kill are the instance's own
-// start and end; otherwise Event is set.
+// Event is an event for one instance. If Boot is not nil, the instance starts with those
+// settings and Seed; if Stop is true, it ends; otherwise Event is the event to handle.
 type Event struct {
 	Instance int
 	Boot     *policy.Settings
@@ -32,19 +34,20 @@
 	Event    policy.Event
 }
 
-// Reader parses batches.
+// Reader parses batches of events. It keeps the node lists ("pools") that it has read, by
+// number, for the membership events that refer to them.
 type Reader struct {
 	in    *bufio.Reader
 	line  int
 	pools [16][]policy.Node
 }
 
-// NewReader returns a Reader on r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(r, 1<<20)}
 }
 
-// readLine returns the coming line without its end.
+// readLine returns the next line without its newline.
 func (r *Reader) readLine() (string, error) {
 	s, err := r.in.ReadString('\n')
 	if err != nil && (s == "" || err != io.EOF) {
@@ -54,7 +57,8 @@
 	return strings.TrimSuffix(s, "\n"), nil
 }
 
-// Next returns the next batch, or io.EOF at the end of input.
+// Next returns the next batch, or io.EOF at the end of input. It skips empty lines between
+// batches.
 func (r *Reader) Next() (*Batch, error) {
 	s, err := r.readLine()
 	for err == nil && s == "" {
@@ -92,6 +96,7 @@
 	}
 }
 
+// lineError adds the line number and the beginning of line s to err.
 func (r *Reader) lineError(s string, err error) error {
 	const maxQuoted = 120
 	if len(s) > maxQuoted {
@@ -100,7 +105,9 @@
 	return fmt.Errorf("line %d: %w in %q", r.line, err, s)
 }
 
-// lineFields hands out the parts of a line and keeps the first error.
+// lineFields parses the space-separated fields of a line from left to right. It keeps the
+// first error in err, so that callers can check once after several fields. In all methods
+// but raw and rest, "-" stands for an empty or zero value.
 type lineFields struct {
 	parts []string
 	err   error
@@ -160,12 +167,12 @@
 func (f *lineFields) hex() []byte {
 	b, err := hex.DecodeString(f.text())
 	if err != nil && f.err == nil {
-		f.err = errors.New("bad hex digits")
+		f.err = errors.New("bad hexadecimal data")
 	}
 	return b
 }
 
-// readings parses name:value pairs set apart by commas.
+// readings parses comma-separated name:value pairs.
 func (f *lineFields) readings() []policy.Reading {
 	s := f.text()
 	if s == "" {
@@ -210,7 +217,8 @@
 	return n
 }
 
-// parseEvent parses one line; ok is false for a line that is no instance's parseEvent.
+// parseEvent parses one line of a batch. ok is false for a pool, which is stored but is not
+// an event of an instance.
 func (r *Reader) parseEvent(s string) (ev Event, ok bool, err error) {
 	f := &lineFields{parts: strings.Split(s, " ")}
 	name := f.text()
@@ -297,7 +305,7 @@
 	return outcome
 }
 
-// readPool reads the entries of a node list.
+// readPool reads the item lines of a node list.
 func (r *Reader) readPool(count int) ([]policy.Node, error) {
 	if count < 0 {
 		return nil, fmt.Errorf("negative pool size %d", count)
@@ -328,7 +336,8 @@
 	return nodes, nil
 }
 
-// settingsJSON mirrors the keys of the first message that are used here.
+// settingsJSON has the keys of the settings object that are used; others are ignored. Fields
+// without a tag are matched with their keys by name, ignoring case.
 type settingsJSON struct {
 	Balancers int
 	Me        int
@@ -400,14 +409,15 @@
 	return *p
 }
 
-// ConnTimeouts are what the settings say of connections, which the module has no part in.
+// ConnTimeouts is the part of the settings about connections, which package policy does not
+// use.
 type ConnTimeouts struct {
-	DialTimeout float64 // ms within which a connection must be up
-	IdleTimeout float64 // ms after which a disk server closes an idle connection at the latest
+	DialTimeout float64 // ms within which a connection must be established
+	IdleTimeout float64 // ms after which, at the latest, a disk server closes an idle connection
 }
 
-// ParseSettings decodes the settings of an instance, as the first message and the
-// configuration of a scheduler in service hold them.
+// ParseSettings decodes the JSON settings of an instance, as they stand in the boot event and
+// in the configuration file of the scheduler process.
 func ParseSettings(b []byte) (*policy.Settings, ConnTimeouts, error) {
 	var decoded settingsJSON
 	if err := json.Unmarshal(b, &decoded); err != nil {
@@ -467,13 +477,13 @@
 	return settings, timeouts, nil
 }
 
-// Writer prints replies.
+// Writer prints the replies to batches: one line for each action, then "yield".
 type Writer struct{ out *bufio.Writer }
 
-// NewWriter returns a Writer on w.
+// NewWriter returns a Writer that writes to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(w, 1<<16)} }
 
-// End closes the reply and flushes it.
+// End ends the reply to a batch and flushes it.
 func (w *Writer) End() error {
 	w.out.WriteString("yield\n")
 	return w.out.Flush()
@@ -488,7 +498,8 @@
 	return "0"
 }
 
-// Action prints one action of an instance.
+// Action prints an action of an instance. Action types without a line in the protocol are
+// ignored.
 func (w *Writer) Action(instance int, a policy.Action) {
 	instanceID := strconv.Itoa(instance)
 	switch a := a.(type) {
@@ -534,7 +545,7 @@
 	w.out.WriteByte('\n')
 }
 
-// Fault prints that an instance's decision code failed.
+// Fault reports that an instance's decision code failed, with the reason in text.
 func (w *Writer) Fault(instance int, text string) {
 	w.writeLine("bail_out", strconv.Itoa(instance), strings.ReplaceAll(text, "\n", " "))
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -111,5 +111,5 @@
 func FuzzReader(f *testing.F) {
 	f.Add("begin_batch 1\npool 0 1\nitem 1 1 k 0 - a:1 z\nmembership 0 4 1 0\nend\n")
 	f.Add("begin_batch 1\nboot 0 1 {}\ncall 3 aa 0 r p v 0 1 - 9 1\nend\n")
-	f.Fuzz(func(t *testing.T, s string) { _, _ = readEvents(s) }) // a panic fails it
+	f.Fuzz(func(t *testing.T, s string) { _, _ = readEvents(s) }) // must not panic
 }
