--- a/policy/health.go
+++ b/policy/health.go
@@ -28,12 +28,12 @@
 
 // recordOutcome updates the health and service time estimates of n from an outcome. A server error
 // gives no service time sample: errors return quickly from slow nodes too.
-func (p *scheduler) recordOutcome(r *request, n *node, o Outcome) {
+func (p *scheduler) recordOutcome(r *request, n *node, outcome Outcome) {
 	sh := r.shard
-	switch o.Result {
+	switch outcome.Result {
 	case Served:
-		p.addServiceTime(sh, max(o.Elapsed-p.extraServiceTime(r), 0))
-		sh.servedTime.add(o.Elapsed)
+		p.addServiceTime(sh, max(outcome.Elapsed-p.extraServiceTime(r), 0))
+		sh.servedTime.add(outcome.Elapsed)
 		n.servedShort.add(p.now, rejectSpan)
 		n.servedLong.add(p.now, answerSpan)
 		sh.lastServedSend = max(sh.lastServedSend, r.sentAt)
@@ -47,8 +47,8 @@
 	case ServerError:
 		n.errorsLong.add(p.now, answerSpan)
 	case NoAnswer: // the service time is at least Elapsed
-		p.addServiceTime(sh, max(o.Elapsed, p.meanServiceTime(sh)))
-		if o.Elapsed >= p.minLatencyTarget() {
+		p.addServiceTime(sh, max(outcome.Elapsed, p.meanServiceTime(sh)))
+		if outcome.Elapsed >= p.minLatencyTarget() {
 			p.backOff(n, p.backoffScale())
 		}
 	case Rejected: // the node's queue is full: count the longest service time
@@ -62,7 +62,7 @@
 	case NoConnection, ConnectionLost:
 		n.errorsLong.add(p.now, answerSpan)
 		// A single lost connection is no sign of a dead process.
-		if o.Result == NoConnection || n.errorFraction(p.now) > maxFailedFraction {
+		if outcome.Result == NoConnection || n.errorFraction(p.now) > maxFailedFraction {
 			n.suspect = true
 			p.backOff(n, 1)
 		}
@@ -131,8 +131,8 @@
 }
 
 // newNode returns the record of a node before its list entry is applied.
-func newNode(e Node) *node {
+func newNode(entry Node) *node {
 	n := &node{coldSince: math.Inf(-1), excluded: true}
-	n.Addr, n.Shard = e.Addr, e.Shard
+	n.Addr, n.Shard = entry.Addr, entry.Shard
 	return n
 }
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -9,14 +9,14 @@
 // takes time in proportion to its entries, whatever the number of nodes; a full one walks them all.
 
 // applyNodeList applies a node list, full or incremental.
-func (p *scheduler) applyNodeList(l NodeList) {
-	if !l.Cached {
+func (p *scheduler) applyNodeList(list NodeList) {
+	if !list.Cached {
 		p.subscribed = true
 	}
-	if l.Full {
-		p.removeUnlisted(l.Nodes)
+	if list.Full {
+		p.removeUnlisted(list.Nodes)
 	}
-	p.updateNodes(l.Nodes)
+	p.updateNodes(list.Nodes)
 }
 
 // updateNodes applies the entries and then updates the shards that they affect, by shard number:
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -6,47 +6,47 @@
 
 // volumeBuckets returns the token buckets of q's volume at this host, refilled to the present. On
 // first use they are created, with the reserve and the fair share full.
-func (p *scheduler) volumeBuckets(q Request, plan *Plan) *volumeBuckets {
-	v := p.volumes[q.Volume]
-	if v == nil {
-		v = &volumeBuckets{plan: plan, refilledAt: p.now, limitedAt: math.Inf(-1)}
-		p.volumes[q.Volume] = v
-		p.setBuckets(v, divisor(q.Hosts, q.Fraction))
-		v.fairLevel, v.reserveLevel = v.fairCap, v.reserveCap
+func (p *scheduler) volumeBuckets(req Request, plan *Plan) *volumeBuckets {
+	buckets := p.volumes[req.Volume]
+	if buckets == nil {
+		buckets = &volumeBuckets{plan: plan, refilledAt: p.now, limitedAt: math.Inf(-1)}
+		p.volumes[req.Volume] = buckets
+		p.setBuckets(buckets, divisor(req.Hosts, req.Fraction))
+		buckets.fairLevel, buckets.reserveLevel = buckets.fairCap, buckets.reserveCap
 		// This host may have spent its part just before a restart, or other hosts before they
 		// gave it up: count only what has filled since.
-		v.limitLevel = min(v.limitFloor+v.limitRate*(p.now-max(p.startedAt, q.FractionSince))/1000, v.limitCap)
+		buckets.limitLevel = min(buckets.limitFloor+buckets.limitRate*(p.now-max(p.startedAt, req.FractionSince))/1000, buckets.limitCap)
 	}
-	seconds := (p.now - v.refilledAt) / 1000
-	v.reserveLevel = min(v.reserveLevel+v.reserveRate*seconds, v.reserveCap)
-	v.limitLevel = max(v.limitLevel, min(v.limitLevel+v.limitRate*seconds, v.limitCap-v.pending))
-	v.fairLevel = min(v.fairLevel+v.fairRate*seconds, v.fairCap)
-	v.refilledAt, v.lastUsed = p.now, p.now
-	return v
+	seconds := (p.now - buckets.refilledAt) / 1000
+	buckets.reserveLevel = min(buckets.reserveLevel+buckets.reserveRate*seconds, buckets.reserveCap)
+	buckets.limitLevel = max(buckets.limitLevel, min(buckets.limitLevel+buckets.limitRate*seconds, buckets.limitCap-buckets.pending))
+	buckets.fairLevel = min(buckets.fairLevel+buckets.fairRate*seconds, buckets.fairCap)
+	buckets.refilledAt, buckets.lastUsed = p.now, p.now
+	return buckets
 }
 
 // setBuckets sets the fill rates and capacities for one of that many equal parts of the plan.
-func (p *scheduler) setBuckets(v *volumeBuckets, parts float64) {
-	plan := v.plan
-	v.divisor = parts
-	v.reserveRate, v.limitRate, v.fairRate = plan.Reserve/parts, plan.Limit/parts, fairRateFactor*plan.Rate/parts
-	v.reserveCap, v.limitCap = plan.Reserve/parts+p.settings.MaxUnits, plan.Burst/parts
-	v.limitFloor = min(plan.Limit*(arrivalSkew+p.settings.Rules.MaxSendDelay)/1000-plan.Overdraft, 0) / parts
-	v.fairCap = max(v.fairRate*fairBurstSeconds, 2*p.settings.MaxUnits)
+func (p *scheduler) setBuckets(buckets *volumeBuckets, parts float64) {
+	plan := buckets.plan
+	buckets.divisor = parts
+	buckets.reserveRate, buckets.limitRate, buckets.fairRate = plan.Reserve/parts, plan.Limit/parts, fairRateFactor*plan.Rate/parts
+	buckets.reserveCap, buckets.limitCap = plan.Reserve/parts+p.settings.MaxUnits, plan.Burst/parts
+	buckets.limitFloor = min(plan.Limit*(arrivalSkew+p.settings.Rules.MaxSendDelay)/1000-plan.Overdraft, 0) / parts
+	buckets.fairCap = max(buckets.fairRate*fairBurstSeconds, 2*p.settings.MaxUnits)
 }
 
 // resizeBuckets gives a volume another plan or another part of it. Tokens left in the limit's
 // bucket are kept up to the new capacity; none are added, since a larger part may have been spent
 // at other hosts. Without a limit before, none are left. Pending units count as left, since they
 // may be refunded, and are then taken from the new bucket.
-func (p *scheduler) resizeBuckets(v *volumeBuckets, plan *Plan, parts float64) {
-	remaining := v.limitLevel + v.pending - v.limitFloor
-	if v.plan.Limit <= 0 {
+func (p *scheduler) resizeBuckets(buckets *volumeBuckets, plan *Plan, parts float64) {
+	remaining := buckets.limitLevel + buckets.pending - buckets.limitFloor
+	if buckets.plan.Limit <= 0 {
 		remaining = 0
 	}
-	v.plan = plan
-	p.setBuckets(v, parts)
-	v.limitLevel = v.limitFloor + min(remaining, v.limitCap-v.limitFloor) - v.pending
+	buckets.plan = plan
+	p.setBuckets(buckets, parts)
+	buckets.limitLevel = buckets.limitFloor + min(remaining, buckets.limitCap-buckets.limitFloor) - buckets.pending
 }
 
 // valueRequest sets the value of each of r's units: in full inside the volume's reserve, by
@@ -74,10 +74,10 @@
 	if r.vol.plan.Limit <= 0 || r.charged {
 		return true
 	}
-	v := p.volumeBuckets(r.Request, r.vol.plan)
-	r.vol = v // the old record may have been dropped as idle
-	if deficit := v.limitFloor + r.Units - v.limitLevel; deficit > 0 {
-		p.limitOpensAt, v.limitedAt = p.now+deficit/v.limitRate*1000, p.now
+	buckets := p.volumeBuckets(r.Request, r.vol.plan)
+	r.vol = buckets // the old record may have been dropped as idle
+	if deficit := buckets.limitFloor + r.Units - buckets.limitLevel; deficit > 0 {
+		p.limitOpensAt, buckets.limitedAt = p.now+deficit/buckets.limitRate*1000, p.now
 		p.setTimer(p.limitOpensAt+answerMargin, nil, sh)
 		return false
 	}
@@ -112,11 +112,11 @@
 // refundLimit has a request that reached no node charged again at its next attempt, since the
 // bucket has filled meanwhile. Its units are returned only if no connection was made; otherwise it
 // is less sure that they were not used.
-func (p *scheduler) refundLimit(r *request, o Result) {
+func (p *scheduler) refundLimit(r *request, result Result) {
 	if p.settings.Rules.MaxSendDelay <= 0 || r.reachedNode || !r.charged {
 		return
 	}
-	if r.charged = false; o == NoConnection && r.vol.plan.Limit > 0 {
+	if r.charged = false; result == NoConnection && r.vol.plan.Limit > 0 {
 		r.vol.limitLevel = min(r.vol.limitLevel+r.Units, r.vol.limitCap)
 	}
 }
@@ -148,13 +148,13 @@
 
 // updateDivisor applies a change of the hosts that share a volume's plan, or of the fraction they
 // have.
-func (p *scheduler) updateDivisor(e VolumeChanged) {
-	v := p.volumes[e.Volume]
-	if v == nil {
+func (p *scheduler) updateDivisor(change VolumeChanged) {
+	buckets := p.volumes[change.Volume]
+	if buckets == nil {
 		return
 	}
-	p.volumeBuckets(Request{Volume: e.Volume}, v.plan) // refill at the old rates
-	p.resizeBuckets(v, v.plan, divisor(e.Hosts, e.Fraction))
+	p.volumeBuckets(Request{Volume: change.Volume}, buckets.plan) // refill at the old rates
+	p.resizeBuckets(buckets, buckets.plan, divisor(change.Hosts, change.Fraction))
 	p.recheckLimited()
 }
 
