--- a/policy/api.go
+++ b/policy/api.go
@@ -1,18 +1,19 @@
-// Package policy decides, for one host, which storage request goes to which
+// Package policy decides, for one host, which storage request is sent to which
 // node and when. It does no input or output: its caller feeds it events and
 // carries out the actions that it returns.
 package policy
 
 // All times and durations are in milliseconds. Times are read from the host's
-// own clock, which only goes forward; its zero has no meaning.
+// own monotonic clock, whose zero has no meaning. The size of a request is
+// measured in units.
 
 // Scheduler is one host's instance. It is not safe for concurrent use, and
-// instances share nothing.
+// instances share no state.
 type Scheduler interface {
-	// Handle takes one event that happened at time now and returns the actions
+	// Handle processes an event that happened at time now and returns the actions
 	// to carry out, in order. The slice is valid until the next call.
 	Handle(now float64, ev Event) []Action
-	// View tells what the instance holds at a time that is not before the last event's.
+	// View returns a snapshot of the instance at now, which must not be before the last event.
 	View(now float64) View
 }
 
@@ -25,99 +26,99 @@
 // The kinds of effect.
 const (
 	NonIdempotent Effect = iota // every further attempt takes effect once more
-	Keyed                       // nodes of one Group drop repeats for a while
+	Keyed                       // the nodes of a DedupScope drop repeats of one key for a while
 	Idempotent                  // repeating does no harm
 )
 
-// DedupScope names the nodes among which a keyed request's repeats are dropped.
+// DedupScope is the set of nodes among which repeats of a keyed request are dropped.
 type DedupScope int
 
-// The kinds of group.
+// The scopes of deduplication.
 const (
-	DedupShard DedupScope = iota // the nodes holding one shard
-	DedupZone
-	DedupAll
+	DedupShard DedupScope = iota // the nodes that hold one shard
+	DedupZone                    // the nodes of one zone
+	DedupAll                     // all nodes
 )
 
-// Settings is what a host knows at start. Zero values mean "not present".
+// Settings is the configuration of a host's instance. Zero values mean "not present".
 type Settings struct {
 	Hosts   int // schedulers in this tier, this one included
-	Self    int // this host's number among them
+	Self    int // this host's number among them; this policy does not read it
 	Zone    string
-	Tick    float64 // events come at most this often
+	Tick    float64 // least time between two events
 	Classes []Class
 	Plans   []Plan
 	Limits  Limits
 	Rules   Rules
 
-	MustSubscribe bool    // the node list must be subscribed to
+	MustSubscribe bool    // the node list is sent only to subscribers
 	Shards        int     // number of shards
-	MeanUnits     float64 // mean units of a request
-	MaxUnits      float64 // largest units of a request
-	FairFactor    float64 // worth factor within a volume's weighted share
-	SpareFactor   float64 // worth factor beyond it
-	// Told for policies to come; this one does not read them.
-	UsePeriod    float64 // period of Outcome.Use
+	MeanUnits     float64 // mean size of a request
+	MaxUnits      float64 // largest size of a request
+	FairFactor    float64 // factor on a request's value within its volume's fair share
+	SpareFactor   float64 // factor beyond the fair share
+	// This policy does not read the following.
+	UsePeriod    float64 // period that Outcome.Use covers
 	CountsOthers bool    // Outcome.FromOthers is filled in
 }
 
 // Class is a kind of request.
 type Class struct {
 	Name          string
-	Value         float64
-	LateValue     float64
-	LatencyTarget float64 // full worth inside this time
-	Deadline      float64
+	Value         float64 // value of a unit answered within LatencyTarget
+	LateValue     float64 // value of a later answer; this policy does not read it
+	LatencyTarget float64 // time within which an answer has its full value
+	Deadline      float64 // time for which a client keeps trying
 	Effect        Effect
 	DedupScope    DedupScope // for Keyed
 	DedupWindow   float64    // for Keyed: how long repeats are dropped
 	Ordered       bool       // requests of one key run one at a time, in order
-	Streamed      bool
+	Streamed      bool       // the answer is a stream, whose attempts have no time-out
 }
 
-// Plan is what a volume has bought. Rates are units a second over all hosts.
+// Plan is a service level that volumes are assigned to. Rates are units per second over all hosts.
 type Plan struct {
 	Name      string
-	Price     float64
-	Weight    float64
-	Rate      float64
-	Reserve   float64
-	Limit     float64 // 0: none
-	Burst     float64 // depth of the limit's store
-	Overdraft float64 // how far that store may go below zero
+	Price     float64 // factor on the value of each request
+	Weight    float64 // initial share of a node, relative to the other plans
+	Rate      float64 // fair share; 0: unbounded
+	Reserve   float64 // rate at which requests have their full value
+	Limit     float64 // rate limit; 0: none
+	Burst     float64 // capacity of the limit's token bucket, units
+	Overdraft float64 // units by which that bucket may go below zero
 }
 
 // Limits says what the site lets a host do.
 type Limits struct {
-	MaxAttempts int
-	Cancel      bool
-	Probe       bool
-	Peers       bool
-	Duplicates  bool // two attempts of a request may be out at once
-	RetryAfter  float64
+	MaxAttempts int     // attempts per request; 0: unlimited
+	Cancel      bool    // attempts may be cancelled
+	Probe       bool    // nodes may be probed; this policy does not read it
+	Peers       bool    // hosts may send messages to each other; this policy does not read it
+	Duplicates  bool    // two attempts of a request may be outstanding at once
+	RetryAfter  float64 // delay that a refused client is told to wait
 }
 
-// Rules holds the figures of the safety rules.
+// Rules holds the parameters of the safety rules.
 type Rules struct {
-	AnswerSlack    float64
-	DrainGrace     float64
-	AskWithin      float64
-	OverloadFactor float64
-	OverloadWindow float64
-	ColdCapacity   float64
-	WarmUpTime     float64
-	ColdUnits      float64
-	KeyHoldoff     float64
-	HasBudget      bool
-	BudgetBase     float64
-	BudgetRatio    float64
+	AnswerSlack    float64 // time after a request's expiry by which it must have its final answer
+	DrainGrace     float64 // time within which sending to a draining node must stop; not read here
+	AskWithin      float64 // not read by this policy
+	OverloadFactor float64 // multiple of a node's capacity at which it becomes overloaded; not read here
+	OverloadWindow float64 // time over which the load on a cold node is summed
+	ColdCapacity   float64 // capacity of a node that has just started, as a fraction of its full one
+	WarmUpTime     float64 // time from a node's start to its full capacity
+	ColdUnits      float64 // units that all hosts together may send to a just started node in an OverloadWindow
+	KeyHoldoff     float64 // delay of a key's next request after an attempt whose outcome is unknown
+	HasBudget      bool    // the number of retries is bounded, by the next three
+	BudgetBase     float64 // retries allowed per BudgetWindow in any case
+	BudgetRatio    float64 // further retries allowed per request that arrived in the window
 	BudgetWindow   float64
-	// MaxSendDelay is how long an attempt may wait at this host once it was decided, ms: for
-	// its connection. 0: it goes at once, or whoever carries it out holds no By.
+	// MaxSendDelay is how long an attempt may wait at this host for its connection after the
+	// Send. 0: attempts start at once, or the caller does not enforce StartBy.
 	MaxSendDelay float64
 }
 
-// Health is what the node list says of a node.
+// Health is the state of a node in the node list.
 type Health int
 
 // The states of a node.
@@ -134,18 +135,18 @@
 	Shard   int
 	Started float64 // last start; 0: long ago
 	Zone    string
-	Weight  float64
+	Weight  float64 // not read by this policy
 }
 
 // Result says how an attempt ended.
 type Result int
 
-// The results. Rejected, NoConnection and NotSent prove that it never ran.
+// The results. Rejected, NoConnection and NotSent prove that the attempt never ran.
 const (
 	Served Result = iota
 	ServerError
-	Rejected
-	NoAnswer
+	Rejected // the node refused to queue it
+	NoAnswer // it timed out
 	NoConnection
 	ConnectionLost
 	Cancelled
@@ -162,42 +163,42 @@
 
 // NodeList brings the node list, or the entries of it that changed.
 type NodeList struct {
-	Full   bool // entries left out are gone
-	Cached bool // the list from before the start, maybe old
+	Full   bool // nodes that are not listed have been removed
+	Cached bool // the list was stored before this host's start and may be outdated
 	Nodes  []Node
 }
 
-// ListFailed says that a Subscribe or FetchList failed or a subscription broke.
+// ListFailed reports that a Subscribe or FetchList failed or a subscription broke.
 type ListFailed struct{}
 
-// Request asks for a read or write; the host now owes one final answer.
+// Request asks for a read or write. Unless its client leaves, it gets exactly one final answer.
 type Request struct {
 	ID      string
 	Class   string
 	Plan    string
 	Volume  string
-	Shard   int // -1: a new object that any node can take
+	Shard   int // -1: a new object, which any node can store
 	Units   float64
-	Key     string
+	Key     string  // idempotency or ordering key
 	Expires float64 // the client gives up at this time
 	Hosts   int     // hosts that the volume's requests come through
-	Repeat  bool
-	Write   bool
-	// Fraction is what those hosts have of the plan's figures, 0: all; FractionSince is since when
-	// they had no less, 0: always.
+	Repeat  bool    // not read by this policy
+	Write   bool    // not read by this policy
+	// Fraction is the part of the plan's rates that those hosts have together; 0: all.
+	// FractionSince is the time since which it has not been smaller; 0: always.
 	Fraction, FractionSince float64
 }
 
-// VolumeChanged says what a volume's hosts have of its plan's figures now.
+// VolumeChanged sets the number of hosts of a volume and their fraction of the plan's rates.
 type VolumeChanged struct {
 	Volume   string
 	Hosts    int
 	Fraction float64
 }
 
-// SettingsChanged brings other settings. Requests taken before end under the classes, attempts and
-// times that they were taken under; what is counted over all requests (limits, budget,
-// cold nodes) is held to those in force. What was learnt stays.
+// SettingsChanged replaces the settings. Requests that arrived before keep their class, number of
+// attempts and times; what is counted over all requests (limits, budget, cold nodes) follows the
+// new settings. Learnt state is kept.
 type SettingsChanged struct{ Settings Settings }
 
 // Outcome ends an attempt. Done is set if the request is over with it.
@@ -208,9 +209,9 @@
 	Done       bool
 	Elapsed    float64
 	Result     Result
-	FromOthers float64
-	Use        float64
-	Report     []Reading
+	FromOthers float64   // the node's figure for the load from other hosts; not read by this policy
+	Use        float64   // the node's figure for its utilization; not read by this policy
+	Report     []Reading // not read by this policy
 }
 
 // Reading is a figure of a node's load report.
@@ -219,30 +220,30 @@
 	Value float64
 }
 
-// TimerFired answers SetTimer.
+// TimerFired reports that the delay of a SetTimer is over.
 type TimerFired struct{ Name string }
 
-// ClientGone ends a request from the client's side.
+// ClientGone reports that a request's client left. The request needs no answer any more.
 type ClientGone struct{ ID string }
 
-// DeadlineShortened brings a request's end forward: its final answer is wanted by a time before its own,
-// for others wait behind it that have less time. A later time than its own changes nothing.
+// DeadlineShortened brings a request's expiry forward, since other requests that expire earlier
+// wait behind its answer. A Deadline after the request's own expiry has no effect.
 type DeadlineShortened struct {
 	ID       string
 	Deadline float64
 }
 
-// Stop says that this host ends: what it holds gets its final answer now.
+// Stop reports that this host shuts down: every open request gets its final answer now.
 type Stop struct{}
 
-// StreamStarted says that the answer to an attempt has begun.
+// StreamStarted reports that the answer to an attempt has begun. This policy ignores it.
 type StreamStarted struct {
 	ID      string
 	Attempt int
 	Node    string
 }
 
-// ProbeResult answers Probe. This policy sends no Probe and passes ProbeResult over.
+// ProbeResult answers a Probe. This policy sends no Probe and ignores ProbeResult.
 type ProbeResult struct {
 	Node    string
 	Elapsed float64
@@ -250,8 +251,8 @@
 	Report  []Reading
 }
 
-// PeerMessage is a message from another host. This policy sends none and passes
-// all over, whatever their kind or length.
+// PeerMessage is a message from another host. This policy sends none and ignores
+// any that it receives, whatever their kind or length.
 type PeerMessage struct {
 	From int
 	Data []byte
@@ -274,28 +275,28 @@
 // Action is one of the types below that have an action method.
 type Action interface{ action() }
 
-// Send starts an attempt; Until 0 leaves its time-out to the deadline. One that waits for
-// its connection has to begin by By; if it has not, it ends as never sent.
+// Send starts an attempt. TimeoutAt 0 leaves the time-out to the request's expiry. An attempt that
+// waits for its connection has to start by StartBy; otherwise it ends as NotSent.
 type Send struct {
 	ID, Node           string
 	TimeoutAt, StartBy float64
 }
 
-// Withdraw takes an attempt back that has not begun, for it waits for its connection still;
-// it ends as never sent. One that has begun goes on.
+// Withdraw takes back an attempt that still waits for its connection; it ends as NotSent.
+// An attempt that has started goes on.
 type Withdraw struct {
 	ID      string
-	Attempt int
+	Attempt int // counted from 0
 }
 
-// Refuse is a final answer that promises that trying again is harmless.
+// Refuse is a final answer that promises that trying again does no harm.
 type Refuse struct {
 	ID         string
-	RetryAfter float64 // advice to the client; 0: none
+	RetryAfter float64 // delay that the client should wait; 0: unspecified
 	Cause      Reason
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer without that promise.
 type Fail struct {
 	ID    string
 	Cause Reason
@@ -304,7 +305,7 @@
 // CancelAttempt stops waiting for an attempt.
 type CancelAttempt struct {
 	ID      string
-	Attempt int
+	Attempt int // counted from 0
 }
 
 // SetTimer asks for a TimerFired after Delay.
@@ -313,7 +314,7 @@
 	Name  string
 }
 
-// Subscribe asks for changes of the node list from now on, or no longer.
+// Subscribe starts or ends a subscription to changes of the node list.
 type Subscribe struct{ On bool }
 
 // FetchList asks for the node list once.
@@ -331,7 +332,7 @@
 // CloseIdle closes idle connections to a node.
 type CloseIdle struct{ Node string }
 
-// Log is a line for the operators.
+// Log is a message for the operators.
 type Log struct{ Text string }
 
 func (Send) action()            {}
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -2,21 +2,21 @@
 
 import "math"
 
-// Dispatch: what goes next to a shard's node, and the one gate before every send.
+// Dispatch: which request is sent next to a shard's node, and the checks before every send.
 
-// hasCapacity tells whether the depth bound lets one more go.
+// hasCapacity reports whether the depth bound admits another attempt.
 func (p *scheduler) hasCapacity(sh *shard) bool {
 	return float64(len(sh.outstanding)+1) <= max(math.Round(sh.depth), 1)
 }
 
-// dispatchWaiting is pump where something waits.
+// dispatchWaiting dispatches sh if requests wait there.
 func (p *scheduler) dispatchWaiting(sh *shard) {
 	if sh.waiting > 0 {
 		p.dispatch(sh)
 	}
 }
 
-// dispatch sends what may go to sh's node.
+// dispatch sheds excess load at sh and sends to its node what the depth bound and the rules admit.
 func (p *scheduler) dispatch(sh *shard) {
 	p.visits++
 	p.shed(sh)
@@ -44,8 +44,8 @@
 	}
 }
 
-// selectNext picks the next request that the rules let go: further attempts, then
-// smallest start tag, then the parked.
+// selectNext returns the next request that may be sent, nil if there is none: retries first, then
+// the flow with the smallest start tag, then deferred requests.
 func (p *scheduler) selectNext(sh *shard) *request {
 	for _, r := range sh.retries.all {
 		if r != nil && p.maySend(r, sh) {
@@ -64,19 +64,19 @@
 		}
 	}
 	if best != nil {
-		sh.virtualTime = best.finishTag // the start tag of what goes
+		sh.virtualTime = best.finishTag // the start tag of pick
 		best.finishTag += pick.Units / p.shares.share[pick.flow]
 		return pick
 	}
-	// The parked go only to a node with nothing of ours that also answers nearly
-	// as quickly as it does unloaded: a late answer earns little and would delay
-	// what is due through other hosts. A node first met under load looks idle.
-	// A quick one with room to spare is as good as idle.
+	// Deferred requests are sent only to a node that has nothing outstanding from this host and
+	// answers nearly as fast as an unloaded one: a late answer has little value and would delay
+	// requests of other hosts that are still in time. A node that meets the target even at
+	// maxDepth also counts as idle. A node that was loaded from the start is mistaken for idle.
 	idle := sh.meetsTargetAtMaxDepth || len(sh.outstanding) == 0 && p.meanServiceTime(sh) <= idleFactor*p.unloadedServiceTime
 	if !idle || p.admittedFraction(sh) < 1 {
 		return nil
 	}
-	if p.now < sh.deferredLimitedUntil-rounding && sh.deferredSeen == sh.deferredState() { // limits hold all that would be seen
+	if p.now < sh.deferredLimitedUntil-rounding && sh.deferredSeen == sh.deferredState() { // limits still hold all those that would be examined
 		p.setTimer(sh.deferredLimitedUntil+answerMargin, nil, sh)
 		return nil
 	}
@@ -101,7 +101,8 @@
 	return pick
 }
 
-// maySend is the one gate before every send: it holds each rule.
+// maySend reports whether all rules admit sending r to sh's node now. Every send passes it. If r's
+// volume limit holds r, limitOpensAt is set.
 func (p *scheduler) maySend(r *request, sh *shard) bool {
 	n := sh.node
 	if r.done || n == nil || n.excluded {
@@ -127,7 +128,7 @@
 	if !slowStart {
 		return true
 	}
-	if allowedFrom := p.startedAt + p.coldWindow(); n.coldSince < p.startedAt && p.now < allowedFrom { // this host may have been restarted
+	if allowedFrom := p.startedAt + p.coldWindow(); n.coldSince < p.startedAt && p.now < allowedFrom { // sends from before a restart of this host are not counted
 		p.setTimer(allowedFrom, nil, sh)
 		return false
 	}
@@ -142,6 +143,7 @@
 	return r.attempts == 0 && p.inTopFraction(r, fraction)
 }
 
+// send starts an attempt of r at sh's node and records it.
 func (p *scheduler) send(sh *shard, r *request) {
 	n := sh.node
 	p.markTouched(sh)
@@ -158,8 +160,9 @@
 	p.emit(Send{ID: r.ID, Node: n.Addr, TimeoutAt: p.timeoutAt(r, sh), StartBy: p.startBy(r)})
 }
 
-// startBy is when an attempt has to have begun that may wait for its connection: what was counted
-// as sent now is not to pass much later, and no repeat goes when none is dropped any more.
+// startBy returns the latest time at which an attempt that waits for its connection may start. It
+// is counted as sent now, so it must not start much later, and a repeat must start while the nodes
+// still drop repeats.
 func (p *scheduler) startBy(r *request) float64 {
 	startBy := math.Inf(1)
 	if maxDelay := p.settings.Rules.MaxSendDelay; maxDelay > 0 {
@@ -171,9 +174,9 @@
 	return startBy
 }
 
-// timeoutAt is when to give an attempt up that may be repeated: an answer lost on its
-// way, or a process that hangs, would else hold depth timeoutAt the client leaves,
-// and make the node look as slow. Where only this node is slow it costs work.
+// timeoutAt returns when to give up an attempt that may be repeated; 0: at the request's expiry.
+// Without it a lost answer or a hung process would occupy depth until the client leaves, and make
+// the node look slow. If only this node is slow, its work on the attempt is lost.
 func (p *scheduler) timeoutAt(r *request, sh *shard) float64 {
 	if r.class.Effect == NonIdempotent || r.class.Streamed {
 		return 0
--- a/policy/request.go
+++ b/policy/request.go
@@ -2,17 +2,19 @@
 
 import "slices"
 
-// A request from its arrival to its one final answer.
+// The life of a request, from its arrival to its final answer.
 
+// accept registers a request, values it and queues it, unless an earlier request of its key has to
+// end first.
 func (p *scheduler) accept(q Request) {
 	r := &request{Request: q, arrived: p.now, arrivalSettings: p.settings}
 	p.requests[q.ID] = r
 	r.flow = max(slices.IndexFunc(p.settings.Plans, func(pl Plan) bool { return pl.Name == q.Plan }), 0)
-	r.class = &Class{Value: 1, LatencyTarget: q.Expires - p.now} // if never announced: the most careful kind
+	r.class = &Class{Value: 1, LatencyTarget: q.Expires - p.now} // an unknown class is not idempotent
 	if i := slices.IndexFunc(p.settings.Classes, func(c Class) bool { return c.Name == q.Class }); i >= 0 {
 		r.class = &p.settings.Classes[i]
 	}
-	r.firstTriedAt = p.firstTryTime(q) // a client's further try counts its aim from its first
+	r.firstTriedAt = p.firstTryTime(q) // the latency of a client's retry counts from its first try
 	r.targetTime = min(r.firstTriedAt+r.class.LatencyTarget, q.Expires)
 	r.vol = p.volumeBuckets(q, &p.settings.Plans[r.flow])
 	if hostDivisor := divisor(q.Hosts, q.Fraction); r.vol.divisor != hostDivisor || r.vol.plan != &p.settings.Plans[r.flow] {
@@ -38,12 +40,13 @@
 	p.enqueue(r)
 }
 
+// handleOutcome processes the end of an attempt and ends or requeues its request.
 func (p *scheduler) handleOutcome(o Outcome) {
 	r := p.requests[o.ID]
 	if r == nil || r.outstanding == 0 {
 		return
 	}
-	sh, n := r.shard, r.sentTo // the list may have dropped the node since
+	sh, n := r.shard, r.sentTo // the node list may have removed sentTo in the meantime
 	r.outstanding--
 	sh.outstanding = slices.DeleteFunc(sh.outstanding, func(x *request) bool { return x == r })
 	p.markTouched(sh)
@@ -77,12 +80,13 @@
 	p.dispatch(sh)
 }
 
-// extraServiceTime is what r's size adds to the service time of a mean request, or takes off.
+// extraServiceTime returns how much longer r takes than a request of mean size; negative if r is
+// smaller.
 func (p *scheduler) extraServiceTime(r *request) float64 {
 	return p.unloadedServiceTime * (r.Units/p.settings.MeanUnits - 1)
 }
 
-// requeueOrEnd files r for a further attempt, or ends it if there can be none.
+// requeueOrEnd queues r for a further attempt, or ends it if no further attempt is allowed.
 func (p *scheduler) requeueOrEnd(r *request) {
 	tooLate := p.now >= r.Expires-p.settings.Tick-answerMargin || !r.reachedNode && p.now >= r.waitDeadline
 	attemptsUsed := r.arrivalSettings.Limits.MaxAttempts > 0 && r.attempts >= r.arrivalSettings.Limits.MaxAttempts
@@ -93,7 +97,8 @@
 	p.enqueue(r)
 }
 
-// shortenDeadline brings r's end forward. What waits keeps its place; what is out is awaited no longer.
+// shortenDeadline moves a request's expiry forward. It keeps its place in the queue; an attempt
+// that is outstanding is given up at the new expiry.
 func (p *scheduler) shortenDeadline(e DeadlineShortened) {
 	r := p.requests[e.ID]
 	if r == nil || r.done || e.Deadline >= r.Expires {
@@ -106,13 +111,15 @@
 	p.setTimer(lastAnswer, r, nil)
 }
 
-// checkDeadlines ends what is held when its client is about to leave, what no node had before that.
+// checkDeadlines ends r if its time is over: shortly before its expiry if no attempt is
+// outstanding, already at its waitDeadline if no node has received it, and half of AnswerSlack
+// after its expiry if an attempt is outstanding.
 func (p *scheduler) checkDeadlines(r *request) {
 	if r.done {
 		return
 	}
 	if lastAnswer := r.Expires - p.settings.Tick - answerMargin; p.now < lastAnswer {
-		p.releaseKey(r) // its key may have rested
+		p.releaseKey(r) // its key's hold-off may be over
 		if waitOver := p.now >= r.waitDeadline-rounding; waitOver && !r.reachedNode && r.outstanding == 0 {
 			p.end(r)
 		} else if waitOver && !r.waitExpired {
@@ -126,14 +133,14 @@
 		return
 	}
 	lastOutcome := r.Expires + r.arrivalSettings.Rules.AnswerSlack/2
-	if p.now < lastOutcome { // the attempt's own time-out comes first
+	if p.now < lastOutcome { // leaves time for the outcome of an attempt that times out at the expiry
 		p.setTimer(lastOutcome, r, nil)
 		return
 	}
 	p.end(r)
 }
 
-// end gives r its final answer: a refusal where its class allows that.
+// end gives r its final answer: a refusal if the client may safely try again, otherwise a failure.
 func (p *scheduler) end(r *request) {
 	refusable := r.class.Effect == Idempotent || r.class.Effect == Keyed && r.class.DedupScope == DedupAll
 	if refusable || !r.mayHaveRun && r.outstanding == 0 {
@@ -147,50 +154,50 @@
 
 type request struct {
 	Request
-	arrivalSettings *Settings // that it was taken under
+	arrivalSettings *Settings // in force when it arrived
 	class           *Class
 	flow            int
 	shard           *shard
 	vol             *volumeBuckets
 	arrived         float64
 	firstTriedAt    float64 // when its client first tried it
-	targetTime      float64
-	value           float64 // worth for each unit, as far as due
-	rank            float64 // value, with equals spread
+	targetTime      float64 // until then an answer has its full value
+	value           float64 // value per unit
+	rank            float64 // value with random jitter, which separates equal values
 	attempts        int
 	outstanding     int
 	sentAt          float64
 	sentTo          *node
-	sentColdAt      float64 // the node's coldAt then
-	mayHaveRun      bool    // an attempt may have run, first sent at ranAt to ranNode
-	mayHaveRunAt    float64
-	mayHaveRunOn    *node
-	queued          bool // in the shard's main queue, retries or parked
-	fifo            *fifo
-	slot            int     // its place in list, where it is in one
-	waitDeadline    float64 // until then it may wait without a node having had it
-	waitExpired     bool    // that time is over
-	givenUp         bool    // its attempt was given up as lost
-	reachedNode     bool    // a node has had it, or may have
-	pending         float64 // units of its volume's limit that may come back
-	charged         bool    // its volume's limit has given the units for it
-	draw            float64 // its lot among requests of its worth, see amongDearest; 0: none yet
-	released        bool    // its chain counts it no more
+	sentColdAt      float64 // sentTo's coldSince at sentAt
+	mayHaveRun      bool    // an attempt may have run
+	mayHaveRunAt    float64 // when the first such attempt was sent
+	mayHaveRunOn    *node   // and to which node
+	queued          bool    // in its flow, the shard's retries or its deferred requests
+	fifo            *fifo   // the list that it is in; nil if it is in a flow or not queued
+	slot            int     // its index in fifo
+	waitDeadline    float64 // time by which a node must have received it
+	waitExpired     bool    // waitDeadline has passed
+	givenUp         bool    // its outstanding attempt was cancelled as lost
+	reachedNode     bool    // a node has received it, or may have
+	pending         float64 // units charged to its volume's limit that may be refunded
+	charged         bool    // its units are charged to its volume's limit
+	draw            float64 // random number in (0, 1], see inTopFraction; 0: not drawn yet
+	released        bool    // its key queue does not count it any more
 	done            bool
 }
 
-// over tells whether nothing can come of r any more.
+// over reports whether r has ended and has no attempt outstanding.
 func (r *request) over() bool { return r.done && r.outstanding == 0 }
 
-// retryKey tells a client's further try, which has an id of its own, by what it asks for.
+// retryKey identifies a client's retry of an unserved request, since the retry has another ID.
 type retryKey struct{ class, volume, key string }
 
-// unservedRequest is when a request that was not served was first tried, and until when its client
-// may try it again.
+// unservedRequest holds when an unserved request was first tried and until when its client may
+// retry it.
 type unservedRequest struct{ firstTriedAt, expires float64 }
 
-// firstTryTime is when the client first tried what q asks for; each that was not served has
-// one further try at the most.
+// firstTryTime returns when the client first tried q. An unserved request is matched with one
+// retry at most.
 func (p *scheduler) firstTryTime(q Request) float64 {
 	k := retryKey{q.Class, q.Volume, q.Key}
 	earlier, ok := p.unserved[k]
@@ -201,14 +208,14 @@
 	return earlier.firstTriedAt
 }
 
-// recordUnserved notes that r ends without having been served.
+// recordUnserved remembers r as unserved, to recognize its client's retry.
 func (p *scheduler) recordUnserved(r *request) {
 	if r.Key != "" && r.class.Deadline > 0 {
 		p.unserved[retryKey{r.Class, r.Volume, r.Key}] = unservedRequest{r.firstTriedAt, r.firstTriedAt + r.class.Deadline}
 	}
 }
 
-// finish lets go of what r holds; attempts still out keep only its record.
+// finish removes r from its queues. Its record is kept while an attempt is outstanding.
 func (p *scheduler) finish(r *request) {
 	r.done = true
 	r.shard.remove(r)
@@ -216,7 +223,7 @@
 		delete(p.requests, r.ID)
 		p.staleTimers++
 	} else {
-		p.emit(Withdraw{r.ID, r.attempts - 1}) // nothing begins for what is over
+		p.emit(Withdraw{r.ID, r.attempts - 1}) // must not start any more if it still waits for its connection
 	}
 	p.releaseKey(r)
 }
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -8,10 +8,10 @@
 	"slices"
 )
 
-// The instance: its state, the events that come to it and what it does each second.
+// The scheduler's state, its event handler and its periodic work.
 
-// start begins the sampling at a phase of this host's own, so that hosts do
-// not all move at once, and asks for the list where it must be asked.
+// start arms the periodic timer with a random phase, so that hosts do not all
+// adjust at the same moment, and subscribes to the node list if necessary.
 func (p *scheduler) start() {
 	p.started, p.startedAt, p.rateUpdatedAt = true, p.now, p.now
 	p.medianTime = p.minLatencyTarget() * targetFraction / 2
@@ -20,7 +20,8 @@
 	p.subscribe()
 }
 
-// subscribe keeps a subscription up: a host without one counts as told.
+// subscribe asks for a subscription if the node list needs one and none is
+// active, at most once per resubscribeInterval.
 func (p *scheduler) subscribe() {
 	if p.settings.MustSubscribe && !p.subscribed && (p.lastSubscribe == 0 || p.now-p.lastSubscribe >= resubscribeInterval) {
 		p.emit(Subscribe{true})
@@ -28,6 +29,8 @@
 	}
 }
 
+// everySecond updates the rates, depths, routing costs and plan shares, and
+// removes what is out of date.
 func (p *scheduler) everySecond() {
 	p.emit(SetTimer{samplePeriod, "second"})
 	p.subscribe()
@@ -49,46 +52,48 @@
 }
 
 type scheduler struct {
-	settings            *Settings // not altered once a request was taken under them
+	settings            *Settings // replaced, never modified: requests keep a reference
 	rng                 *rand.Rand
 	startedAt           float64
 	now                 float64
 	started             bool
 	actions             []Action
 	nodes               map[string]*node
-	shards              []*shard // by id
-	changed             []*shard // that the list being taken in changes
+	shards              []*shard // sorted by id
+	changed             []*shard // shards that the node list being applied affects
 	index               shardIndex
-	visits              int // nodes and shards looked at one by one: what an event costs as a fleet grows
+	visits              int // nodes and shards examined so far; tests bound the cost of an event by it
 	requests            map[string]*request
 	volumes             map[string]*volumeBuckets
 	keyQueues           map[string]*keyQueue
 	timers              timerHeap
-	staleTimers         int // timers of requests that are over
-	wakeAt              float64
-	resends             window
+	staleTimers         int     // timers of requests that are over
+	wakeAt              float64 // time of the earliest "wake" timer that is set
+	resends             window  // attempts beyond the first
 	arrivals            window
-	unserved            map[retryKey]unservedRequest // requests that were not served, while their clients may try again
-	maxUnits            float64                      // units of a request so far
-	limitOpensAt        float64                      // when the request just looked at may go by its limit; 0: it is not held
+	unserved            map[retryKey]unservedRequest // unserved requests that their clients may still retry
+	maxUnits            float64                      // largest request so far
+	limitOpensAt        float64                      // set by maySend: when the volume's limit admits the request; 0: it does not hold it
 	subscribed          bool
 	lastSubscribe       float64
 	shares              shareRegulator
-	answers             []serviceSample // answers of all nodes
-	medianTime          float64         // of their times
-	unloadedServiceTime float64         // the same when nothing waits
-	unitsSinceUpdate    float64         // units taken since ratedAt
+	answers             []serviceSample // recent answers of all nodes
+	medianTime          float64         // median service time of answers
+	unloadedServiceTime float64         // estimate of medianTime without queueing
+	unitsSinceUpdate    float64         // units that arrived since rateUpdatedAt
 	rateUpdatedAt       float64
-	arrivalRate         float64 // units taken a second, smoothed over some ten seconds
-	// recentUnits are the units taken, fading with burstSpan.
+	arrivalRate         float64 // units per second, exponentially smoothed
+	// recentUnits counts arrived units, decaying with time constant burstMemory.
 	recentUnits  decayingCount
 	recentDemand []demand
-	rankedDemand []demand // recent, dearest first
+	rankedDemand []demand // recentDemand as of the last second, highest value first
 }
 
 func (p *scheduler) emit(a Action) { p.actions = append(p.actions, a) }
 
-// removeIdle forgets volumes unused for so long and full again, and rested keys.
+// removeIdle removes volumes that have been unused for longer than idleFor and whose limit's bucket
+// is full, unserved requests that can't be retried any more, and key queues without requests whose
+// hold-off is over.
 func (p *scheduler) removeIdle(idleFor float64) {
 	for id, v := range p.volumes {
 		full := v.limitLevel+v.limitRate*(p.now-v.refilledAt)/1000 >= v.limitCap
@@ -104,6 +109,7 @@
 	}
 }
 
+// withDefaults returns a copy of s with at least one plan and one host, and a positive MeanUnits.
 func (s Settings) withDefaults() *Settings {
 	if len(s.Plans) == 0 {
 		s.Plans = []Plan{{Price: 1, Weight: 1}}
@@ -125,6 +131,7 @@
 	return p
 }
 
+// minLatencyTarget returns the least latency target of all classes.
 func (p *scheduler) minLatencyTarget() float64 {
 	lowest := math.Inf(1)
 	for i := range p.settings.Classes {
