--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -76,7 +76,7 @@
 	if !idle || p.admittedFraction(sh) < 1 {
 		return nil
 	}
-	if p.now < sh.deferredLimitedUntil-rounding && sh.deferredSeen == sh.deferredState() { // limits still hold all those that would be examined
+	if p.now < sh.deferredLimitedUntil-timeEpsilon && sh.deferredSeen == sh.deferredState() { // limits still hold all those that would be examined
 		p.setTimer(sh.deferredLimitedUntil+answerMargin, nil, sh)
 		return nil
 	}
@@ -114,7 +114,7 @@
 	if r.outstanding > 0 || r.mayHaveRun && !p.mayRepeat(r, n) {
 		return false
 	}
-	if r.attempts > 0 && !p.withinBudget() {
+	if r.attempts > 0 && !p.withinRetryBudget() {
 		return false
 	}
 	if c := p.keyQueueOf(r); c != nil && (c.members[0] != r || p.now < c.blockedUntil) {
@@ -124,7 +124,7 @@
 	if !p.withinLimit(r, sh) {
 		return false
 	}
-	budget, fraction, slowStart := p.slowStart(n)
+	coldBudget, fraction, slowStart := p.slowStart(n)
 	if !slowStart {
 		return true
 	}
@@ -133,7 +133,7 @@
 		return false
 	}
 	recentSends, units := n.recentSends.since(p.now - p.coldWindow())
-	if units+r.Units <= budget {
+	if units+r.Units <= coldBudget {
 		return true
 	}
 	if recentSends > 0 {
@@ -155,7 +155,7 @@
 	n.recentSends.since(p.now - p.coldWindow())
 	r.attempts++
 	r.outstanding++
-	r.sentAt, r.sentTo, r.sentColdAt, r.givenUp = p.now, n, n.coldSince, false
+	r.sentAt, r.sentTo, r.sentColdSince, r.givenUp = p.now, n, n.coldSince, false
 	sh.outstanding = append(sh.outstanding, r)
 	p.emit(Send{ID: r.ID, Node: n.Addr, TimeoutAt: p.timeoutAt(r, sh), StartBy: p.startBy(r)})
 }
--- a/policy/fairqueue.go
+++ b/policy/fairqueue.go
@@ -46,15 +46,15 @@
 	fresh        []*request // that came since
 }
 
-// rounding is more, in ms, than the same moment differs by when it is reckoned from two
+// timeEpsilon is more, in ms, than the same moment differs by when it is reckoned from two
 // others.
-const rounding = 1e-6
+const timeEpsilon = 1e-6
 
 // next is the dearest of the queue that may go; one that its limit holds is passed over.
 // Where limits hold all of it, only what comes is looked at until the first of them lets
 // one go: a long queue of limited volumes costs its shard nothing.
 func (f *flow) next(p *scheduler, sh *shard) *request {
-	if p.now < f.limitedUntil-rounding && len(f.fresh) <= len(f.queue)+maxNewerAnswers {
+	if p.now < f.limitedUntil-timeEpsilon && len(f.fresh) <= len(f.queue)+maxNewerAnswers {
 		if r := f.nextFresh(p, sh); r != nil {
 			return r
 		}
@@ -110,7 +110,7 @@
 	changed     bool    // the list that is being taken in changes something here
 	touched     bool    // what a new object would wait here has changed since cost was reckoned
 	cost        float64 // see shardIndex
-	slot        int     // its place among the quiet ones and one more; 0: it is none
+	heapSlot    int     // its place among the quiet ones and one more; 0: it is none
 	flows       []flow
 	virtualTime float64
 	retries     fifo
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -131,7 +131,7 @@
 // leave.
 func (p *scheduler) withdrawStale(sh *shard) {
 	for _, r := range sh.outstanding {
-		if r.sentTo.excluded || r.sentTo.coldSince != r.sentColdAt {
+		if r.sentTo.excluded || r.sentTo.coldSince != r.sentColdSince {
 			p.emit(Withdraw{r.ID, r.attempts - 1})
 		}
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -120,7 +120,7 @@
 	}
 	if lastAnswer := r.Expires - p.settings.Tick - answerMargin; p.now < lastAnswer {
 		p.releaseKey(r) // its key's hold-off may be over
-		if waitOver := p.now >= r.waitDeadline-rounding; waitOver && !r.reachedNode && r.outstanding == 0 {
+		if waitOver := p.now >= r.waitDeadline-timeEpsilon; waitOver && !r.reachedNode && r.outstanding == 0 {
 			p.end(r)
 		} else if waitOver && !r.waitExpired {
 			r.waitExpired = true
@@ -168,7 +168,7 @@
 	outstanding     int
 	sentAt          float64
 	sentTo          *node
-	sentColdAt      float64 // sentTo's coldSince at sentAt
+	sentColdSince   float64 // sentTo's coldSince at sentAt
 	mayHaveRun      bool    // an attempt may have run
 	mayHaveRunAt    float64 // when the first such attempt was sent
 	mayHaveRunOn    *node   // and to which node
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -23,13 +23,13 @@
 	return false
 }
 
-func (p *scheduler) withinBudget() bool {
-	used, allowed := p.budget()
+func (p *scheduler) withinRetryBudget() bool {
+	used, allowed := p.retryBudget()
 	return !p.settings.Rules.HasBudget || used+1 <= allowed
 }
 
-// budget is how many attempts beyond the first there were, and may be, within its span.
-func (p *scheduler) budget() (used, allowed float64) {
+// retryBudget is how many attempts beyond the first there were, and may be, within its span.
+func (p *scheduler) retryBudget() (used, allowed float64) {
 	rules := &p.settings.Rules
 	windowStart := p.now - rules.BudgetWindow
 	resends, _ := p.resends.since(windowStart - p.settings.Tick - rules.MaxSendDelay) // they count where they pass
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -84,7 +84,7 @@
 	clear(idx.touched)
 	idx.touched, idx.idle = idx.touched[:0], idx.idle[:0]
 	for _, sh := range p.shards {
-		sh.touched, sh.slot = false, 0
+		sh.touched, sh.heapSlot = false, 0
 		if sh.busy() {
 			p.markTouched(sh)
 		} else if cost, ok := p.placementCost(sh); ok {
@@ -108,8 +108,8 @@
 }
 
 func (c *shardHeap) remove(sh *shard) {
-	if sh.slot > 0 {
-		heap.Remove(c, sh.slot-1)
+	if sh.heapSlot > 0 {
+		heap.Remove(c, sh.heapSlot-1)
 	}
 }
 
@@ -121,13 +121,13 @@
 
 func (c shardHeap) Swap(i, j int) {
 	c[i], c[j] = c[j], c[i]
-	c[i].slot, c[j].slot = i+1, j+1
+	c[i].heapSlot, c[j].heapSlot = i+1, j+1
 }
 
 func (c *shardHeap) Push(x any) {
 	sh := x.(*shard)
 	*c = append(*c, sh)
-	sh.slot = len(*c)
+	sh.heapSlot = len(*c)
 }
 
 func (c *shardHeap) Pop() any {
@@ -135,6 +135,6 @@
 	sh := (*c)[last]
 	(*c)[last] = nil
 	*c = (*c)[:last]
-	sh.slot = 0
+	sh.heapSlot = 0
 	return sh
 }
--- a/policy/view.go
+++ b/policy/view.go
@@ -57,7 +57,7 @@
 	p.now = max(p.now, now)
 	v := View{Median: p.medianTime, Base: p.unloadedServiceTime, Budget: -1, Held: len(p.requests)}
 	if p.settings.Rules.HasBudget {
-		used, allowed := p.budget()
+		used, allowed := p.retryBudget()
 		v.Budget = max(allowed-used, 0)
 	}
 	for _, sh := range p.shards {
