--- a/internal/control/scheduler/eventlog.go
+++ b/internal/control/scheduler/eventlog.go
@@ -13,8 +13,8 @@
 	// are dropped, to bound the cost of logging while many requests fail.
 	logBurst  = 20
 	logPeriod = 1000.0
-	// lateEventDelay is the delay from which the loop's lateness is logged, and slowEvent the
-	// time that handling one event may take before that is, ms.
+	// lateEventDelay and slowEventTime are the delay before an event is handled and the time to
+	// handle it, in ms, from which an event is logged.
 	lateEventDelay = 50.0
 	slowEventTime  = 25.0
 )
--- a/internal/control/scheduler/loop.go
+++ b/internal/control/scheduler/loop.go
@@ -19,7 +19,7 @@
 	startedAt   time.Duration // environment time at which the core's clock showed clockAtStart
 	wake        env.Parker
 	done        env.Gate
-	afterBatch  func()
+	afterBatch  func() // called on the loop after each batch of events
 	log         *eventLog
 
 	mu             sync.Mutex
