--- a/internal/control/scheduler/discovery.go
+++ b/internal/control/scheduler/discovery.go
@@ -15,21 +15,22 @@
 
 const (
 	discoveryPath = "/discovery/hosts"
-	// Discovery sends a message or an empty line on an open watch every 2 s. A watch that is
-	// silent for watchSilenceTimeout is reopened. Discovery takes a change as delivered 6 s after
-	// the silence began, which leaves time for a second watch to fall silent. Requests are
-	// answered at once or not at all.
+	// An open watch says something every 2 s: a message, or an empty line. One that has
+	// said neither for so long has fallen silent and is opened anew; what is missed counts
+	// as told 6 s after the silence began, so that one more may fall silent. Discovery
+	// answers at once, if at all.
 	watchSilenceTimeout  = 2700 * time.Millisecond
 	watchResponseTimeout = 400 * time.Millisecond
-	// Backoff between watches: it doubles with each watch that brings nothing.
+	// A watch that ended is followed by the next after a pause, twice as long each time
+	// that nothing came of it.
 	minWatchBackoff = 50 * time.Millisecond
 	maxWatchBackoff = 200 * time.Millisecond
-	// maxMessageBytes bounds a message: the full list of several thousand disk servers, indented.
+	// maxMessageBytes bounds one message, bytes: a whole list of some thousand disk servers, indented.
 	maxMessageBytes = 4 << 20
 )
 
-// discoveryClient follows the changes of the disk server list. It holds one watch at a time, which
-// starts at the last version received. After an unreadable message it fetches the full list first.
+// discoveryClient follows discovery: one connection at a time, each from the version held on. After
+// a message that could not be read it fetches the whole list first.
 type discoveryClient struct {
 	environment env.Environment
 	onList      func(ServerList)
@@ -38,12 +39,12 @@
 	mu            sync.Mutex
 	addr          string
 	conn          net.Conn
-	seq           uint64 // version of the last list; used by its goroutine only, as is needsFullList
-	needsFullList bool   // changes may have been missed
+	seq           uint64 // its goroutine's, as whole is
+	needsFullList bool   // what is held may lack something
 	backoff       time.Duration
 	tasks         env.WaitGroup
 	ended         env.Gate
-	ctx           context.Context // for dials
+	ctx           context.Context // of its dials
 	cancelDial    context.CancelFunc
 }
 
@@ -54,7 +55,7 @@
 	return d
 }
 
-// setAddress changes the address of discovery; an open watch at the old one is closed.
+// setAddress goes on at another address.
 func (d *discoveryClient) setAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -94,13 +95,13 @@
 			return
 		}
 		d.needsFullList = d.needsFullList || isUnreadable(err)
-		d.onError("discovery watch ended", err)
+		d.onError("watch ended", err)
 		env.Sleep(d.environment, d.backoff, &d.ended)
 		d.backoff = min(2*d.backoff, maxWatchBackoff)
 	}
 }
 
-// unreadableError reports a message of discovery that cannot be applied.
+// unreadableError is a message of discovery that says nothing that can be taken.
 type unreadableError struct{ err error }
 
 func (e *unreadableError) Error() string { return "discovery: " + e.err.Error() }
@@ -111,8 +112,7 @@
 	return errors.As(err, &e)
 }
 
-// setConn records conn so that setAddress and close can close it. It returns false if the address
-// has changed meanwhile or the client has ended.
+// setConn keeps conn to be closed by a move; false if there was one already.
 func (d *discoveryClient) setConn(addr string, conn net.Conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,8 +120,8 @@
 	return d.addr == addr && !d.ended.Opened()
 }
 
-// get sends a GET request, reads the head of the response and passes the body to handle as a stream.
-// The connection is closed when handle returns.
+// get sends a request and reads the head of its answer; what comes of it is read from the
+// stream, until use returns.
 func (d *discoveryClient) get(addr, target string, handle func(net.Conn, *http1.Stream) error) error {
 	conn, err := d.environment.Dial(d.ctx, "tcp", addr, watchResponseTimeout)
 	if err != nil {
@@ -141,7 +141,7 @@
 		return err
 	}
 	if response.Status != 200 {
-		return fmt.Errorf("discovery returned status %d, want 200", response.Status)
+		return fmt.Errorf("discovery answered %d", response.Status)
 	}
 	framing, err := response.Framing(http1.Limits{MaxBodyBytes: maxMessageBytes})
 	if err != nil {
@@ -151,7 +151,7 @@
 	return handle(conn, http1.NewStream(in, framing, messageLimits))
 }
 
-// fetchFullList requests the full list and applies it.
+// fetchFullList brings the whole list.
 func (d *discoveryClient) fetchFullList(addr string) error {
 	return d.get(addr, discoveryPath, func(_ net.Conn, stream *http1.Stream) error {
 		var objects objectReader
@@ -164,7 +164,7 @@
 	})
 }
 
-// watch opens a watch and applies its messages until it ends.
+// watch holds one watch until it ends.
 func (d *discoveryClient) watch(addr string) error {
 	target := fmt.Sprintf("%s?stream=1&index=%d", discoveryPath, d.seq)
 	return d.get(addr, target, func(conn net.Conn, stream *http1.Stream) error {
@@ -172,13 +172,13 @@
 		received := false
 		return objects.forEach(stream, func(item streamItem) (more bool, err error) {
 			if item == itemPartial {
-				return true, nil // an incomplete message does not count as a sign of life
+				return true, nil // half a message is no sign of life
 			}
 			conn.SetReadDeadline(d.environment.Deadline(watchSilenceTimeout))
 			if item == itemObject {
 				err = d.handleMessage(objects.bytes(), false)
 			} else if !received {
-				d.onList(ServerList{Seq: d.seq}) // an empty line first: nothing has changed since seq
+				d.onList(ServerList{Seq: d.seq}) // nothing has changed
 			}
 			if err == nil {
 				received, d.backoff = true, minWatchBackoff
@@ -188,21 +188,20 @@
 	})
 }
 
-// handleMessage decodes and applies a message. A partial list with an older version is rejected,
-// since changes would be missing.
+// handleMessage takes a handleMessage. One that goes back in the versions leaves open what is missing.
 func (d *discoveryClient) handleMessage(data []byte, fetched bool) error {
 	list, err := parseServerList(data)
 	if err != nil {
 		return &unreadableError{err}
 	}
 	if fetched && !list.Full {
-		return &unreadableError{errors.New("got a partial list, want the full list")}
+		return &unreadableError{errors.New("the list is not whole")}
 	}
 	if !list.Full && list.Seq < d.seq {
-		return &unreadableError{fmt.Errorf("list version went back: got %d after %d", list.Seq, d.seq)}
+		return &unreadableError{fmt.Errorf("version %d after %d", list.Seq, d.seq)}
 	}
 	if !list.Full && list.malformed {
-		return &unreadableError{fmt.Errorf("invalid entries in list version %d: %v", list.Seq, list.faults)}
+		return &unreadableError{fmt.Errorf("version %d: %v", list.Seq, list.faults)}
 	}
 	d.seq, d.needsFullList = list.Seq, d.needsFullList && !list.Full
 	d.onList(list)
--- a/internal/control/scheduler/heldscene_test.go
+++ b/internal/control/scheduler/heldscene_test.go
@@ -220,7 +220,7 @@
 func settled(sc *scene) func() bool {
 	return sc.core(func(k *core) bool {
 		expected := 0
-		for _, s := range sc.s.pool.servers {
+		for _, s := range sc.s.back.servers {
 			expected += s.expected
 		}
 		return k.over() && expected == 0
--- a/internal/control/scheduler/messages.go
+++ b/internal/control/scheduler/messages.go
@@ -28,18 +28,18 @@
 
 // next scans data up to the next newline between objects or end of an object, and returns the
 // number of bytes consumed.
-func (r *objectReader) next(data []byte) (int, streamItem, error) {
+func (m *objectReader) next(data []byte) (int, streamItem, error) {
 	for i, c := range data {
 		switch {
-		case r.nesting > 0:
-			if r.object = append(r.object, c); len(r.object) > maxMessageBytes {
+		case m.nesting > 0:
+			if m.object = append(m.object, c); len(m.object) > maxMessageBytes {
 				return 0, itemPartial, &unreadableError{&http1.Error{Kind: http1.TooLarge, Part: "message"}}
 			}
-			if r.scanByte(c); r.nesting == 0 {
+			if m.scanByte(c); m.nesting == 0 {
 				return i + 1, itemObject, nil
 			}
 		case c == '{':
-			r.object, r.nesting = append(r.object[:0], c), 1
+			m.object, m.nesting = append(m.object[:0], c), 1
 		case c == '\n':
 			return i + 1, itemNewline, nil
 		case c != ' ' && c != '\t' && c != '\r':
@@ -51,14 +51,14 @@
 
 // forEach calls handle for each item of the stream until handle returns false or an error, or the
 // stream ends; then it returns the stream's error.
-func (r *objectReader) forEach(stream *http1.Stream, handle func(item streamItem) (more bool, err error)) error {
+func (m *objectReader) forEach(stream *http1.Stream, handle func(item streamItem) (more bool, err error)) error {
 	for {
 		chunk, err := stream.Next()
 		if err != nil {
 			return err
 		}
 		for len(chunk) > 0 {
-			n, item, err := r.next(chunk)
+			n, item, err := m.next(chunk)
 			if err != nil {
 				return err
 			}
@@ -71,20 +71,20 @@
 }
 
 // scanByte updates the nesting for a byte within an object.
-func (r *objectReader) scanByte(c byte) {
+func (m *objectReader) scanByte(c byte) {
 	switch {
-	case r.escaped:
-		r.escaped = false
-	case r.inString:
-		r.escaped, r.inString = c == '\\', c != '"'
+	case m.escaped:
+		m.escaped = false
+	case m.inString:
+		m.escaped, m.inString = c == '\\', c != '"'
 	case c == '"':
-		r.inString = true
+		m.inString = true
 	case c == '{' || c == '[':
-		r.nesting++
+		m.nesting++
 	case c == '}' || c == ']':
-		r.nesting--
+		m.nesting--
 	}
 }
 
 // bytes returns the last complete object; it is valid until the next call of next.
-func (r *objectReader) bytes() []byte { return r.object }
+func (m *objectReader) bytes() []byte { return m.object }
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -1,59 +1,59 @@
 package policy
 
-// The module's constants, with their units and reasons.
+// Constants of the policy. Times are in milliseconds.
 
 const (
-	samplePeriod = 1000.0 // sample interval of the regulators, as in the paper
-	maxDepth     = 32.0   // the design's ceiling for a host's depth at one node
-	// minTotalDepth is the design's "few", as floor, for all hosts together: a node of a
-	// core or two stays busy over a round trip. Below 1 a host's depth is a part.
+	samplePeriod = 1000.0 // sample interval of the regulators, ms
+	maxDepth     = 32.0   // upper bound of a host's depth at one node
+	// minTotalDepth is the least depth at a node of all hosts together. It keeps a node with one or
+	// two cores busy during a round trip.
 	minTotalDepth     = 6.0
-	sampleDecay       = 0.6    // of a second's answers kept for the next: a memory of some two seconds
-	sparseSampleDecay = 0.9    // the same while they are fewer than minSample: of some ten
-	answerSpan        = 3000.0 // age at which an answer leaves the pool of all nodes
-	maxNewerAnswers   = 31     // and how many newer ones push it out
-	priorWeight       = 2.0    // answers that the mean over all nodes counts for in a node's own
-	rankJitter        = 0.1    // spread of equal worths, so that a part can be cut between them
-	minFraction       = 0.2    // of what is asked, that goes at the least: who sends nothing learns nothing
-	depthRecovery     = 0.2    // a second's pull of a part back to the whole while nothing is learnt
-	maxNewerDemand    = 63     // requests before the newest whose worths tell what is asked
-	// targetFraction of the tightest aim is what wait and mean service may take
-	// together; the rest is for the spread of service times and for pauses.
+	sampleDecay       = 0.6    // part of the weight of a node's samples that is left after a second
+	sparseSampleDecay = 0.9    // the same while they are fewer than minSamples
+	answerSpan        = 3000.0 // age, ms, above which an answer is removed from the samples of all nodes
+	maxNewerAnswers   = 31     // number of newer answers that push one out of these samples
+	priorWeight       = 2.0    // samples that the median of all nodes counts as in the mean of one
+	rankJitter        = 0.1    // relative spread given to equal values, so that a cutoff can separate them
+	minFraction       = 0.2    // lower bound of a depth below 1; without any sends, nothing would be learnt about a node
+	depthRecovery     = 0.2    // gain per second that raises a depth below 1 towards 1 while samples are few
+	maxNewerDemand    = 63     // number of newer requests that push one out of recentDemand
+	// targetFraction is the part of the least latency target that queueing and mean service may
+	// take together. The rest is for the variance of service times and for pauses.
 	targetFraction         = 0.3
-	lowDepthTargetFraction = 0.5    // the same below a depth of 1: only a queue of others' takes so long
-	depthScale             = 10.0   // depths are fitted in tenths of the ceiling, for numbers near 1
-	minDepthStep           = 0.7    // a second's largest fall of a depth, and
-	maxDepthStep           = 2.0    // its largest rise: thin samples err either way
-	initialOwnGain         = 0.3    // starting figures of the shares' model: a flow's own last value
-	initialShareGain       = 0.7    // and its share
-	depthPenalty           = 0.15   // penalty on depth changes; larger, against its gain, than shareQ
-	initialDepthGain       = 0.10   // starting figure: service time in aims that one more request out adds
-	minGain                = 0.02   // known sign: fitted gains never fall below this
-	sharePenalty           = 0.3    // penalty on share changes: a full step takes some three seconds
-	minShare               = 0.04   // no flow is ever shut out
-	latencyWeight          = 0.5    // inverse latency misses weigh half of throughput misses
-	forgettingFactor       = 0.97   // RLS forgetting: a memory of about half a minute
-	maxCovTrace            = 100.0  // trace above which nothing is forgotten: bounded without excitation
-	maxShareSteps          = 1000.0 // request-shares that are given out at most; finer ones change nothing
-	minSamples             = 3      // answers, of a node's own and of the pool, below which nothing is taught
+	lowDepthTargetFraction = 0.5    // the same below a depth of 1, where service times include other hosts' queueing
+	depthScale             = 10.0   // value of maxDepth in the units of the depth model, which keeps its inputs near 1
+	minDepthStep           = 0.7    // least factor by which a depth changes in a second
+	maxDepthStep           = 2.0    // largest factor by which a depth changes in a second
+	initialOwnGain         = 0.3    // initial gain of a flow's previous output in the share model
+	initialShareGain       = 0.7    // initial gain of a flow's own share in the share model
+	depthPenalty           = 0.15   // weight of depth changes in the control law
+	initialDepthGain       = 0.10   // initial gain and constant of the depth model, in latency targets
+	minGain                = 0.02   // lower bound of fitted gains, whose sign is known
+	sharePenalty           = 0.3    // weight of share changes in the control law; a full step takes about 3 s
+	minShare               = 0.04   // least share of a flow before normalization, so that none starves
+	latencyWeight          = 0.5    // weight of inverse latency errors, relative to throughput errors
+	forgettingFactor       = 0.97   // RLS forgetting factor: a memory of about 30 samples
+	maxCovTrace            = 100.0  // trace of the covariance above which RLS does not forget, which bounds it
+	maxShareSteps          = 1000.0 // upper bound of the steps in which the optimizer hands out the shares
+	minSamples             = 3      // number of answers below which nothing is learnt from them
 
-	stuckTargets        = 1.5               // an attempt out for so many of its aims is given up,
-	stuckServiceTimes   = 5                 // but not before so many service times: the node may be slow
-	longQueue           = 256               // waiting requests at a shard above which
-	minWalkInterval     = 2.0               // they are looked through no more often than this
-	rejectSpan          = minHold           // memory of what a node served and turned away
-	minServedPerReject  = 8.0               // served so many times what it turns away, it is not full
-	idleFactor          = 1.3               // a node this near its own unloaded service time has nothing waiting
-	baseGain            = 0.05              // a second's pull on the unloaded service time from above
-	maxFailedFraction   = 0.3               // of a node's answers failed, up to which it is well but for that
-	minHold             = 60.0              // wait after a refused connection or a full node, doubled each time
-	maxHold             = 1000              // and at most this
-	resubscribeInterval = 700.0             // wait before asking again for the node list
-	answerMargin        = 1.0               // final answers of held requests leave this much (plus a tick) early
-	fairBurstSeconds    = 0.5               // seconds of its rate that a volume may save up as due
-	volumeIdleTime      = 30 * samplePeriod // a volume unseen for so long is forgotten
-	maxWaitFraction     = 0.45              // of its time that a request may wait which no node has had: see expire
-	minWaitTargets      = 0.5               // but that long beyond its aim in any case: short tries can be in time
-	fairRateFactor      = 4.0               // of its rate that a volume is taken to be due, see volume
-	arrivalSkew         = 20.0              // by which sends may come closer on their way: limits hold where they arrive
+	stuckTargets        = 1.5               // an attempt is given up after so many latency targets,
+	stuckServiceTimes   = 5                 // and not before so many service times, since the node may be slow
+	longQueue           = 256               // number of waiting requests above which a shard is walked at most
+	minWalkInterval     = 2.0               // once per this interval, ms
+	rejectSpan          = minBackoff        // time constant, ms, of the counts of a node's served and rejected attempts
+	minServedPerReject  = 8.0               // ratio of these counts from which rejections do not cause a backoff
+	idleFactor          = 1.3               // ratio to the unloaded service time up to which a node counts as idle
+	unloadedGain        = 0.05              // gain per second by which the unloaded service time follows a larger median
+	maxFailedFraction   = 0.3               // error fraction of a node up to which a lost connection does not make it suspect
+	minBackoff          = 60.0              // first backoff from a node, ms; doubled each time
+	maxBackoff          = 1000              // upper bound of the backoff, ms
+	resubscribeInterval = 700.0             // delay before another attempt to subscribe to the node list, ms
+	answerMargin        = 1.0               // a request ends this long, ms, plus a tick before it expires
+	fairBurstSeconds    = 0.5               // capacity of the fair share bucket, in seconds of its rate
+	volumeIdleTime      = 30 * samplePeriod // time, ms, after which an unused volume is removed
+	maxWaitFraction     = 0.45              // part of its time that a request may wait without reaching a node,
+	lateGraceTargets    = 0.5               // extended to so many latency targets after its target time
+	fairRateFactor      = 4.0               // ratio of a volume's fair rate to the rate of its plan
+	arrivalSkew         = 20.0              // time, ms, by which sends may arrive closer together; limits apply to arrivals
 )
--- a/policy/counting.go
+++ b/policy/counting.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// Counts over a window of time, and such that fade.
+// Counts over a sliding window of time, and decaying counts and means.
 
 type windowEntry struct{ at, units float64 }
 
-// window holds what was noted within a time, oldest first, and its sum. Each
-// entry is added and dropped once, whatever the rate.
+// window is a sliding window of entries, oldest first, and the sum of their units. Each entry is
+// added and dropped once.
 type window struct {
 	all  []windowEntry
 	head int
@@ -19,7 +19,7 @@
 	w.sum += units
 }
 
-// since drops what is older than t and returns the number and sum of the rest.
+// since drops the entries before t and returns the number and the sum of the rest.
 func (w *window) since(t float64) (n int, sum float64) {
 	for w.head < len(w.all) && w.all[w.head].at < t {
 		w.sum -= w.all[w.head].units
@@ -34,9 +34,10 @@
 	return len(w.all) - w.head, w.sum
 }
 
+// oldest returns the time of the first entry. There must be one.
 func (w *window) oldest() float64 { return w.all[w.head].at }
 
-// decayingCount is a count that halves and halves again with time.
+// decayingCount is a count that decays exponentially. Its methods take the time constant as span.
 type decayingCount struct{ n, at float64 }
 
 func (c *decayingCount) add(now, span float64) { c.addN(1, now, span) }
@@ -45,14 +46,14 @@
 
 func (c *decayingCount) value(now, span float64) float64 { return c.n * math.Exp((c.at-now)/span) }
 
-// decayingMean is a fading sum of answers' times.
+// decayingMean is a mean of durations whose earlier samples lose weight with each decay.
 type decayingMean struct{ n, sum float64 }
 
 func (g *decayingMean) add(t float64) { g.n, g.sum = g.n+1, g.sum+t }
 
 func (g *decayingMean) decay(factor float64) { g.n, g.sum = g.n*factor, g.sum*factor }
 
-// mean fills the sum up with so many answers that took the prior.
+// mean returns the mean, with prior counted as weight further samples.
 func (g *decayingMean) mean(prior, weight float64) float64 {
 	return (g.sum + weight*prior) / (g.n + weight)
 }
--- a/policy/fairqueue.go
+++ b/policy/fairqueue.go
@@ -8,8 +8,8 @@
 
 // Start-time fair queueing of plans at a shard.
 
-// fifo keeps requests in the order in which they came; each can be taken out at
-// once by its slot, and the gaps are closed when they are half of all.
+// fifo is a list of requests in order of arrival. Removal by slot takes constant amortized time: it
+// leaves a gap, and the list is compacted when more than half of it is gaps.
 type fifo struct {
 	all  []*request // nil: a gap
 	gaps int
@@ -38,21 +38,20 @@
 
 func (l *fifo) len() int { return len(l.all) - l.gaps }
 
-// flow is a plan at a shard.
+// flow is the queue of one plan at a shard.
 type flow struct {
-	finishTag    float64
-	queue        []*request // by worth
-	limitedUntil float64    // limits hold all of the queue but the fresh until then
-	fresh        []*request // that came since
+	finishTag    float64    // finish tag of the last request sent, start tag of the next
+	queue        []*request // by value, see byValue
+	limitedUntil float64    // until then volume limits hold all of queue except fresh
+	fresh        []*request // requests queued since limitedUntil was set
 }
 
-// timeEpsilon is more, in ms, than the same moment differs by when it is reckoned from two
-// others.
+// timeEpsilon is a tolerance for rounding errors in times, ms.
 const timeEpsilon = 1e-6
 
-// next is the dearest of the queue that may go; one that its limit holds is passed over.
-// Where limits hold all of it, only what comes is looked at until the first of them lets
-// one go: a long queue of limited volumes costs its shard nothing.
+// next returns the request of highest value that may be sent, nil if there is none. While volume
+// limits hold the whole queue, only newly queued requests are examined until the first limit
+// admits a request, so that a long queue of limited volumes isn't scanned at each dispatch.
 func (f *flow) next(p *scheduler, sh *shard) *request {
 	if p.now < f.limitedUntil-timeEpsilon && len(f.fresh) <= len(f.queue)+maxNewerAnswers {
 		if r := f.nextFresh(p, sh); r != nil {
@@ -79,12 +78,13 @@
 	return nil
 }
 
-// nextFresh is the dearest of the fresh that may go. Those that limits hold join the rest.
+// nextFresh returns the request of highest value among the fresh ones that may be sent. Those that
+// limits hold stop being fresh and bring limitedUntil forward if necessary.
 func (f *flow) nextFresh(p *scheduler, sh *shard) (best *request) {
 	kept := f.fresh[:0]
 	for _, r := range f.fresh {
 		if !r.queued || r.fifo != nil {
-			continue // sent, parked or over
+			continue // sent, deferred or ended
 		}
 		p.limitOpensAt = 0
 		if p.maySend(r, sh) {
@@ -102,49 +102,50 @@
 	return best
 }
 
-// shard holds the queue of the node that has the shard.
+// shard is the queue in front of the node that serves one shard.
 type shard struct {
 	id          int
-	node        *node
-	ready       []*node // that hold the shard and may be sent to
-	changed     bool    // the list that is being taken in changes something here
-	touched     bool    // what a new object would wait here has changed since cost was reckoned
+	node        *node   // serves the shard now; nil: no node does
+	ready       []*node // nodes that hold the shard and may be sent to
+	changed     bool    // the node list being applied affects it
+	touched     bool    // cost may be out of date
 	cost        float64 // see shardIndex
-	heapSlot    int     // its place among the quiet ones and one more; 0: it is none
-	flows       []flow
-	virtualTime float64
-	retries     fifo
-	deferred    fifo
-	walkBuffer  []*request // for a walk
-	// queuedUnits is the units in the flows and retries; nothing there is due before
-	// firstAim, nothing parked leaves before firstEnd: bounds that shed renews.
+	heapSlot    int     // its position in the index's heap plus one; 0: not in it
+	flows       []flow  // by number of the plan
+	virtualTime float64 // start tag of the last request sent from a flow
+	retries     fifo    // requests that had an attempt before
+	deferred    fifo    // requests that can't be served in time, see shed
+	walkBuffer  []*request
+	// queuedUnits is the sum of units in flows and retries. earliestTarget is a lower bound of
+	// the target times there, earliestExpiry one of the expiry of deferred requests; each walk by
+	// shed renews them.
 	queuedUnits    float64
 	earliestTarget float64
 	earliestExpiry float64
-	enqueueCount   int // counts what was queued,
-	deferCount     int // and what was parked
-	// Limits hold all of the parked that would be seen until deferredLimitedUntil, as long as the
-	// mark is the same.
+	enqueueCount   int // calls of enqueue so far
+	deferCount     int // requests deferred so far
+	// Volume limits hold all deferred requests that would be examined until
+	// deferredLimitedUntil, as long as deferredState equals deferredSeen.
 	deferredLimitedUntil  float64
 	deferredSeen          [2]int
-	lastWalk              float64 // time of the last whole walk
-	outstanding           []*request
-	waiting               int
-	depth                 float64
-	timerAt               float64 // earliest timer that was set
+	lastWalk              float64    // time of the last walk by shed
+	outstanding           []*request // requests with an attempt at the node
+	waiting               int        // requests in flows, retries and deferred
+	depth                 float64    // bound on outstanding; below 1: fraction of requests that may be sent
+	timerAt               float64    // earliest timer that is set
 	depthModel            *rlsEstimator
-	serviceTime           decayingMean
-	servedTime            decayingMean // the same of what was served alone
-	meetsTargetAtMaxDepth bool         // what the ceiling would put there still meets the aim, one by one
-	depthLimited          bool         // depth held something back in this second
-	prevOutput            float64
-	lastServedSend        float64 // when the last that was served was sent
+	serviceTime           decayingMean // for a request of mean size
+	servedTime            decayingMean // of served attempts only, whatever their size
+	meetsTargetAtMaxDepth bool         // maxDepth requests served one after the other would be in time
+	depthLimited          bool         // the depth bound held a request back since the last second
+	prevOutput            float64      // output of depthModel at the last sample
+	lastServedSend        float64      // latest send time among served attempts
 }
 
-// deferredState changes with whatever comes to the parked or leaves them.
+// deferredState returns a value that changes whenever a request is deferred or a deferred one leaves.
 func (sh *shard) deferredState() [2]int { return [2]int{sh.deferCount, sh.deferred.len()} }
 
-// clearLimitHolds has everything looked at anew that a limit holds.
+// clearLimitHolds makes the next dispatch examine all requests that limits held.
 func (sh *shard) clearLimitHolds() {
 	sh.deferredLimitedUntil = 0
 	for i := range sh.flows {
@@ -152,7 +153,7 @@
 	}
 }
 
-// enqueue files r at its shard; further attempts go first.
+// enqueue queues r at its shard, as a retry or in its flow, and dispatches.
 func (p *scheduler) enqueue(r *request) {
 	sh := r.shard
 	r.queued = true
@@ -166,7 +167,7 @@
 			f.finishTag = max(f.finishTag, sh.virtualTime)
 		}
 		i, _ := slices.BinarySearchFunc(f.queue, r, func(x, r *request) int {
-			return cmp.Or(byValue(x, r), -1) // behind its equals
+			return cmp.Or(byValue(x, r), -1) // after equal requests
 		})
 		f.queue, f.fresh = slices.Insert(f.queue, i, r), append(f.fresh, r)
 	}
@@ -176,7 +177,7 @@
 	p.dispatch(sh)
 }
 
-// remove takes r out of whatever queue it is in.
+// remove removes r from the queue that it is in, if any.
 func (sh *shard) remove(r *request) {
 	if !r.queued {
 		return
@@ -192,12 +193,14 @@
 	}
 	f := &sh.flows[r.flow]
 	i, _ := slices.BinarySearchFunc(f.queue, r, byValue)
-	for f.queue[i] != r { // equals stand together
+	for f.queue[i] != r { // equal requests are adjacent
 		i++
 	}
 	f.queue = slices.Delete(f.queue, i, i+1)
 }
 
+// subtractQueued subtracts r from queuedUnits. If only deferred requests are left, it resets
+// queuedUnits and earliestTarget, so that rounding errors do not add up.
 func (sh *shard) subtractQueued(r *request) {
 	sh.queuedUnits -= r.Units
 	if sh.waiting == sh.deferred.len() {
@@ -205,7 +208,7 @@
 	}
 }
 
-// shard returns the queue of shard id, made if need be.
+// shard returns the shard with that id and creates it if necessary.
 func (p *scheduler) shard(id int) *shard {
 	i, ok := slices.BinarySearchFunc(p.shards, id, func(sh *shard, id int) int {
 		return cmp.Compare(sh.id, id)
--- a/policy/health.go
+++ b/policy/health.go
@@ -39,7 +39,7 @@
 		sh.lastServedSend = max(sh.lastServedSend, r.sentAt)
 		p.cancelOvertaken(sh)
 		p.shares.recordServed(r, p.now-r.arrived)
-		if n.suspect && n.backoff > maxHold/2 {
+		if n.suspect && n.backoff > maxBackoff/2 {
 			n.coldSince = max(n.coldSince, p.now) // unreachable for long: assume that it restarted
 			p.withdrawStale(sh)
 		}
@@ -74,7 +74,7 @@
 // second. Where a node is full or does not answer, scale therefore grows with the number of hosts;
 // the price is a needlessly long backoff if only this host met a single long pause.
 func (p *scheduler) backOff(n *node, scale float64) {
-	n.backoff = min(max(2*n.backoff, minHold*scale), maxHold*scale)
+	n.backoff = min(max(2*n.backoff, minBackoff*scale), maxBackoff*scale)
 	n.backoffEnd = p.now + n.backoff
 }
 
--- a/policy/keyorder.go
+++ b/policy/keyorder.go
@@ -2,15 +2,17 @@
 
 import "math"
 
-// Requests of one key run one at a time, in their order, where their class asks for that.
+// Key order: requests with the same key run one at a time, in order of arrival, if their class is
+// Ordered.
 
-// keyQueue keeps the order of one key.
+// keyQueue holds the requests of one key.
 type keyQueue struct {
-	members      []*request // the first has not left, others may have
-	active       int        // those that have not
-	blockedUntil float64
+	members      []*request // the first is not released, others may be
+	active       int        // number of members that are not released
+	blockedUntil float64    // end of the hold-off after an attempt whose outcome is unknown
 }
 
+// keyQueueOf returns the queue of r's key, created if necessary; nil if r needs no order.
 func (p *scheduler) keyQueueOf(r *request) *keyQueue {
 	if !r.class.Ordered || r.Key == "" {
 		return nil
@@ -23,7 +25,8 @@
 	return c
 }
 
-// releaseKey drops what is over from r's chain and files its next request.
+// releaseKey removes r from its key's queue if r is over, and queues the key's next request at its
+// shard.
 func (p *scheduler) releaseKey(r *request) {
 	c := p.keyQueueOf(r)
 	if c == nil {
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -1,23 +1,23 @@
 package policy
 
-// Reason is why a request was given its final answer by the module. It says what stood in
-// its way at the end, and decides nothing.
+// Reason is why the policy gave a request its final answer: what prevented its service at that
+// time. It is for reports only.
 type Reason int
 
-// The reasonEnd, the first that holds.
+// The reasons, in order of precedence.
 const (
 	ReasonNone           Reason = iota
-	ReasonAttemptOut            // an attempt of it was still without an answer
-	ReasonOutcomeUnknown        // it may have run, and its class does not let it run twice
-	ReasonAttemptsUsed          // its attempts are used up
-	ReasonNoNode                // its shard had no node that it might be sent to
-	ReasonLimit                 // its volume's limit held it
-	ReasonBudget                // the budget of further attempts was spent
-	ReasonKeyOrder              // an earlier request of its key stood before it, or the key rested
-	ReasonNodeHeld              // its node had just refused, failed or not answered others
+	ReasonAttemptOut            // an attempt was outstanding
+	ReasonOutcomeUnknown        // it may have run and must not be repeated at its node
+	ReasonAttemptsUsed          // its attempts were used up
+	ReasonNoNode                // no node of its shard accepted requests
+	ReasonLimit                 // its volume's limit held requests within the last second
+	ReasonBudget                // the retry budget was spent
+	ReasonKeyOrder              // an earlier request of its key was active, or the key's hold-off lasted
+	ReasonNodeHeld              // its node was backed off from after rejections, failures or time-outs
 	ReasonCold                  // its node was warming up
-	ReasonOverload              // dearer requests stood before it, for longer than it had
-	ReasonTime                  // there was no time left for it
+	ReasonOverload              // it was deferred, or other requests waited at its shard
+	ReasonTime                  // no other reason: its time was over
 	reasonEnd
 )
 
@@ -30,7 +30,7 @@
 		"node_held", "cold", "overload", "time"}[r]
 }
 
-// reasonFor finds the reason of a request that is about to end.
+// reasonFor returns the reason for ending r now.
 func (p *scheduler) reasonFor(r *request) Reason {
 	sh, n := r.shard, r.shard.node
 	var c *keyQueue
--- a/policy/request.go
+++ b/policy/request.go
@@ -26,7 +26,7 @@
 	}
 	p.maxUnits = max(p.maxUnits, q.Units)
 	r.shard = p.selectShard(q.Shard)
-	latest := max(p.now+maxWaitFraction*(q.Expires-p.now), r.targetTime+minWaitTargets*r.class.LatencyTarget)
+	latest := max(p.now+maxWaitFraction*(q.Expires-p.now), r.targetTime+lateGraceTargets*r.class.LatencyTarget)
 	r.waitDeadline = min(latest, q.Expires-p.settings.Tick-answerMargin)
 	p.setTimer(r.waitDeadline, r, nil)
 	p.valueRequest(r)
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -1,8 +1,8 @@
 package policy
 
-// Retries: when a request may be sent again, and the budget of that.
+// Retries: when a request may be sent again, and the retry budget.
 
-// mayRepeat tells whether r, which may have run, may be sent to n.
+// mayRepeat reports whether r, which may have run, may be sent to n.
 func (p *scheduler) mayRepeat(r *request, n *node) bool {
 	switch r.class.Effect {
 	case Idempotent:
@@ -23,27 +23,30 @@
 	return false
 }
 
+// withinRetryBudget reports whether the budget admits one more retry.
 func (p *scheduler) withinRetryBudget() bool {
 	used, allowed := p.retryBudget()
 	return !p.settings.Rules.HasBudget || used+1 <= allowed
 }
 
-// retryBudget is how many attempts beyond the first there were, and may be, within its span.
+// retryBudget returns the number of retries sent within BudgetWindow and the number allowed. Both
+// err on the safe side by a tick.
 func (p *scheduler) retryBudget() (used, allowed float64) {
 	rules := &p.settings.Rules
 	windowStart := p.now - rules.BudgetWindow
-	resends, _ := p.resends.since(windowStart - p.settings.Tick - rules.MaxSendDelay) // they count where they pass
+	resends, _ := p.resends.since(windowStart - p.settings.Tick - rules.MaxSendDelay) // an attempt may start that much after its Send
 	arrivals, _ := p.arrivals.since(windowStart + p.settings.Tick)
 	return float64(resends), rules.BudgetBase + rules.BudgetRatio*float64(arrivals)
 }
 
-// dedupUntil is until when repeats of r, which may have run, are surely dedupUntil.
+// dedupUntil returns until when the nodes surely drop repeats of r, which may have run.
 func (p *scheduler) dedupUntil(r *request) float64 {
 	return r.mayHaveRunAt + r.class.DedupWindow - p.settings.Tick - answerMargin
 }
 
-// cancelOvertaken gives up what others overtook that were sent several service times later: its answer
-// is lost. In a pause nothing overtakes. A cancel may leave a copy at work: only where two may.
+// cancelOvertaken cancels attempts overtaken by one that was sent several service times later, since
+// their answers are lost. During a pause of the node nothing is overtaken. A cancelled attempt may
+// still be running, so this needs Limits.Duplicates.
 func (p *scheduler) cancelOvertaken(sh *shard) {
 	for _, r := range sh.outstanding {
 		lost := r.sentAt+stuckServiceTimes*p.meanServiceTime(sh) < sh.lastServedSend && r.class.Effect != NonIdempotent
--- a/policy/revise.go
+++ b/policy/revise.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Other settings while the instance runs.
+// Change of settings at run time.
 
-// applySettings takes other settings. Flows keep their numbers: those of a plan that is gone are
-// kept for what still waits in them, and then for a plan that is new.
+// applySettings replaces the settings. Flows keep their numbers. The number of a plan that was
+// removed stays while a request uses it and is then given to a new plan.
 func (p *scheduler) applySettings(settings Settings) {
 	old, next := p.settings.Plans, settings.withDefaults()
 	shards := p.settings.Shards
@@ -18,7 +18,7 @@
 	for id, v := range p.volumes {
 		if plan := byPlan[v.plan]; plan != nil && plan.Name == v.plan.Name {
 			lastUsed := v.lastUsed
-			p.volumeBuckets(Request{Volume: id}, v.plan) // levels of now, filled at the old rates
+			p.volumeBuckets(Request{Volume: id}, v.plan) // refills its buckets at the old rates
 			p.resizeBuckets(v, plan, v.divisor)
 			v.lastUsed = lastUsed
 		}
@@ -35,8 +35,8 @@
 	p.recheckLimited()
 }
 
-// assignFlows gives the new plans numbers: their own where they had one, then those of plans
-// that nothing waits for any more, then further ones.
+// assignFlows returns the plans by flow number: a plan that existed before keeps its number, and a
+// new one gets that of a removed plan without requests, else a further one.
 func (p *scheduler) assignFlows(old, next []Plan) []Plan {
 	inUse := make([]bool, len(old))
 	for _, r := range p.requests {
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -39,7 +39,7 @@
 	slices.SortFunc(p.rankedDemand, func(a, b demand) int { return cmp.Compare(b.value, a.value) })
 	p.medianTime = medianServiceTime(p.answers, p.minLatencyTarget()*targetFraction/2)
 	if len(p.answers) >= minSamples {
-		p.unloadedServiceTime = min(p.unloadedServiceTime+baseGain*(p.medianTime-p.unloadedServiceTime), p.medianTime)
+		p.unloadedServiceTime = min(p.unloadedServiceTime+unloadedGain*(p.medianTime-p.unloadedServiceTime), p.medianTime)
 	}
 	for _, sh := range p.shards {
 		p.updateDepth(sh)
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -6,16 +6,17 @@
 	"slices"
 )
 
-// Load shedding: what cannot be served in its aim waits for an idle node or is refused.
+// Load shedding: requests that can't be served within their latency target wait for an idle node
+// or are refused.
 
-// admittedFraction is how much of what this host is asked for at sh may go, dearest first: a
-// depth below 1, or what a node that warms up bears of the demand to expect.
+// admittedFraction returns the fraction of its requests that this host may send to sh, highest
+// value first; 1 or more: all. It is limited by a depth below 1 and by slow start.
 func (p *scheduler) admittedFraction(sh *shard) float64 {
 	_, coldFraction, _ := p.shardSlowStart(sh)
 	return min(sh.depth, coldFraction)
 }
 
-// minAdmittedValue is the worth above which lies that part of what was asked of late.
+// minAdmittedValue returns the rank above which that fraction of the recent demand lies.
 func (p *scheduler) minAdmittedValue(fraction float64) float64 {
 	if fraction >= 1 {
 		return 0
@@ -24,24 +25,24 @@
 	return cutoff
 }
 
-// expectedWait is the wait of a request with `ahead` mean requests before it.
+// expectedWait returns the queueing delay behind ahead requests of mean size.
 func (p *scheduler) expectedWait(sh *shard, ahead float64) float64 {
 	return ahead * p.expectedServiceTime(sh) / max(sh.depth, 1)
 }
 
-// byValue orders a plan's requests, and the shedding: under overload the
-// earliest aim first would serve old cheap reads before fresh dear ones.
+// byValue orders requests by falling value, equal ones by target time. Earliest target first would,
+// under overload, serve old requests of low value before new ones of high value.
 func byValue(a, b *request) int {
 	return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(a.targetTime, b.targetTime))
 }
 
-// shed parks what cannot be served within its aim, lowest worth first: the
-// queue is walked from the highest worth down, and who finds too much before it
-// is parked. The parked go only when nothing else waits.
+// shed defers requests that can't be served within their latency target. It walks the retries and
+// then the flows from the highest value down and defers each request that has too much work ahead
+// of it. Deferred requests are sent only if no other request may be. It then ends deferred requests
+// that can't be answered before they expire.
 //
-// The walk is left out where its outcome is known: where all that waits, one
-// after the other, still meets the earliest aim. One that is long is made once in
-// walkGap; a queue that long comes only with thousands of requests a second.
+// The walk is skipped if the bounds show that it would change nothing. A queue longer than
+// longQueue is walked at most once per minWalkInterval.
 func (p *scheduler) shed(sh *shard) {
 	serviceTime, minValue := p.expectedServiceTime(sh), p.minAdmittedValue(p.admittedFraction(sh))
 	maxExtra := max(p.unloadedServiceTime*(p.maxUnits/p.settings.MeanUnits-1), 0)
@@ -55,16 +56,18 @@
 	p.shedDeferred(sh, serviceTime)
 }
 
+// shedQueues defers requests in sh's retries and flows that rank below minValue, exceed the slow
+// start of its node or would miss their target time.
 func (p *scheduler) shedQueues(sh *shard, serviceTime, minValue float64) {
 	_, coldFraction, warming := p.shardSlowStart(sh)
 	walkBuffer := sh.walkBuffer
-	sh.walkBuffer = nil // what is let go of may bring another walk in the midst of this one
+	sh.walkBuffer = nil // ending a request may start a nested walk
 	all := sh.queuedByValue(walkBuffer)
 	ahead, earliest := 0.0, math.Inf(1)
 	enqueueCount := sh.enqueueCount
 	check := func(r *request) {
 		switch {
-		case r == nil || !r.queued: // ended or sent while an earlier one was let go of
+		case r == nil || !r.queued: // ended or sent by a nested call
 		case r.rank < minValue, warming && !p.inTopFraction(r, coldFraction):
 			sh.depthLimited = true
 			p.deferRequest(sh, r)
@@ -83,15 +86,14 @@
 	}
 	clear(all)
 	sh.walkBuffer = all
-	if sh.enqueueCount == enqueueCount { // nothing came meanwhile that this walk has not seen
+	if sh.enqueueCount == enqueueCount { // no request was queued that this walk has not seen
 		sh.earliestTarget = earliest
 	}
 }
 
-// shedDeferred: what cannot be answered before its client leaves would be wasted
-// work, and clients with short tries come again at once: they are told to stay
-// away. It also clears queues before a stalled node; a node that recovers within
-// a request's time could still have served it late.
+// shedDeferred ends deferred requests that can't be answered before they expire. Serving them would
+// be wasted work, and a refusal keeps clients with short time-outs from retrying at once. It also
+// clears the queue of a stalled node, at the cost of requests that it could still have served late.
 func (p *scheduler) shedDeferred(sh *shard, serviceTime float64) {
 	earliest, deferCount := math.Inf(1), sh.deferCount
 	for _, r := range slices.Clone(sh.deferred.all) {
@@ -108,7 +110,8 @@
 	}
 }
 
-// deferRequest sets r aside, or refuses it at once where it blocks its key.
+// deferRequest moves r to the deferred requests. If r blocks other requests of its key, it ends r
+// instead.
 func (p *scheduler) deferRequest(sh *shard, r *request) {
 	sh.remove(r)
 	if c := p.keyQueueOf(r); c != nil && c.active > 1 {
@@ -122,11 +125,11 @@
 	sh.earliestExpiry = min(sh.earliestExpiry, r.Expires)
 }
 
-// demand is what a request asked for and would earn a unit.
+// demand is the rank and size of a request that arrived.
 type demand struct{ value, units float64 }
 
-// queuedByValue returns what waits in the shard's flows by worth: the flows, each in
-// that order, are merged; equals go by flow.
+// queuedByValue merges the queues of the shard's flows into one in the order of byValue; equal
+// requests are ordered by flow. It reuses buf.
 func (sh *shard) queuedByValue(buf []*request) []*request {
 	heads := make([][]*request, len(sh.flows))
 	for i := range sh.flows {
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -15,8 +15,7 @@
 
 type timerHeap []timer
 
-// pruneTimersAbove is the number below which timers of requests that are over are left
-// to come due by themselves.
+// pruneTimersAbove is the number of timers up to which timers of ended requests are left to expire.
 const pruneTimersAbove = 8192
 
 func (h timerHeap) Len() int { return len(h) }
@@ -34,7 +33,8 @@
 	return x
 }
 
-// setTimer has r looked at, or sh pumped, at that time; a shard keeps one timer.
+// setTimer schedules a check of r's deadlines or a dispatch of sh. A shard has one timer, the
+// earliest; later ones are dropped.
 func (p *scheduler) setTimer(at float64, r *request, sh *shard) {
 	if sh != nil {
 		if sh.timerAt > p.now && sh.timerAt <= at {
@@ -45,7 +45,8 @@
 	heap.Push(&p.timers, timer{at, r, sh})
 }
 
-// runTimers runs what has come due and arms the timer for what comes next.
+// runTimers runs the timers that are due, removes those of ended requests if they are more than
+// half of many, and sets the caller's timer for the next.
 func (p *scheduler) runTimers() {
 	for len(p.timers) > 0 && p.timers[0].at <= p.now {
 		t := heap.Pop(&p.timers).(timer)
--- a/policy/view.go
+++ b/policy/view.go
@@ -5,51 +5,51 @@
 	"slices"
 )
 
-// View is what an instance holds and knows at a moment, for operators. Reading it decides
-// nothing and changes nothing. Times are in milliseconds.
+// View is a snapshot of an instance's state for operators. Taking it does not affect later
+// decisions. The names of fields are part of the state that the admin API reports.
 type View struct {
-	Median, Base float64 // answers' times over all nodes; the same with nothing waiting
-	// Budget is how many attempts beyond the first may still go now; -1: there is no bound.
+	Median, Base float64 // median service time over all nodes; estimate of the same without queueing
+	// Budget is the number of retries that may still be sent now; -1: unlimited.
 	Budget  float64
-	Held    int // requests without an end, or with an attempt out
+	Held    int // requests without a final answer or with an attempt outstanding
 	Shards  []ShardView
 	Shares  []ShareView
 	Nodes   []NodeView
 	Limited []LimitView
 }
 
-// ShardView is the queue of one shard.
+// ShardView is the state of one shard's queue.
 type ShardView struct {
 	Shard   int
-	Node    string  // that has it; "": none may be sent to
-	Depth   float64 // attempts that may be out, a part below 1
-	Out     int
-	Waiting int // parked ones included
-	Parked  int
-	Service float64 // service time to expect
+	Node    string  // address of the node that serves it; "": none
+	Depth   float64 // bound on outstanding attempts; below 1: fraction of requests that may be sent
+	Out     int     // outstanding attempts
+	Waiting int     // queued requests, deferred ones included
+	Parked  int     // deferred requests
+	Service float64 // expected service time
 }
 
-// ShareView is a plan's share in force.
+// ShareView is a plan's current share.
 type ShareView struct {
 	Plan  string
 	Share float64
 }
 
-// NodeView is what is known of a node.
+// NodeView is the state of a node.
 type NodeView struct {
 	Addr    string
 	Shard   int
-	Off     bool    // draining or gone
-	Suspect bool    // its last attempt found no process
-	HeldFor float64 // nothing goes there for so long
-	Cold    float64 // part of what is asked that may go there while it warms up; 1: all
+	Off     bool    // excluded: draining, removed or without a valid shard
+	Suspect bool    // no connection, or several lost; one attempt at a time until one is served
+	HeldFor float64 // remaining back-off, during which nothing is sent
+	Cold    float64 // fraction of requests that may be sent while it warms up; 1: all
 }
 
-// LimitView is what is left of a limited volume's part here.
+// LimitView is this host's token bucket for the limit of one volume.
 type LimitView struct {
 	Volume, Plan string
-	Left         float64 // units that may go at once
-	Rate         float64 // units a second at which it fills
+	Left         float64 // units that may be sent at once
+	Rate         float64 // fill rate, units per second
 }
 
 // View implements Scheduler.
