--- a/internal/control/scheduler/back.go
+++ b/internal/control/scheduler/back.go
@@ -62,14 +62,14 @@
 	tasks         env.WaitGroup
 	ctx           context.Context
 	stop          context.CancelFunc
-	open          env.OrderedSet[*serverConn]
+	conns         env.OrderedSet[*serverConn]
 }
 
 // diskServer is one disk diskServer's connections.
 type diskServer struct {
 	host, dialAddr   string
 	idle             []*serverConn // the one last used last
-	expected         int           // dialled, or resting after an answer
+	expectedConns    int           // dialled, or resting after an answer
 	waiting          []*attempt
 	openConns        int
 	removed          bool
@@ -151,7 +151,7 @@
 
 // removeIfUnused drops a server that is gone and has nothing open any more.
 func (p *connPool) removeIfUnused(s *diskServer) {
-	if s.removed && s.openConns == 0 && s.expected == 0 && len(s.waiting) == 0 && !s.dialQueued && p.servers[s.host] == s {
+	if s.removed && s.openConns == 0 && s.expectedConns == 0 && len(s.waiting) == 0 && !s.dialQueued && p.servers[s.host] == s {
 		delete(p.servers, s.host)
 	}
 }
@@ -185,7 +185,7 @@
 // dialForWaiting dials as long as more wait for a connection than are coming. Where this machine
 // has none to spare, the server stands in line for the next.
 func (p *connPool) dialForWaiting(s *diskServer) {
-	for len(s.waiting) > s.expected {
+	for len(s.waiting) > s.expectedConns {
 		if p.dialsPaused || !p.makeRoom() {
 			if !s.dialQueued {
 				s.dialQueued = true
@@ -193,7 +193,7 @@
 			}
 			return
 		}
-		s.expected++
+		s.expectedConns++
 		s.lastDialAt = p.core.now
 		p.connCount++
 		addr, timeout := s.dialAddr, p.dialTimeout
@@ -267,13 +267,13 @@
 }
 
 func (p *connPool) dialDone(at float64, s *diskServer, addr string, conn net.Conn, err error) {
-	s.expected--
+	s.expectedConns--
 	if err != nil {
 		p.connCount--
 		p.log.dialFailed(s.host, err)
 		if s.localSocketError = localSocketError(err); s.localSocketError {
 			p.pauseDials()
-		} else if len(s.waiting) > s.expected { // else another connection is coming for each that waits
+		} else if len(s.waiting) > s.expectedConns { // else another connection is coming for each that waits
 			p.core.failAttempt(at, s.popWaiting(), policy.NoConnection)
 		}
 		p.dialForWaiting(s)
@@ -284,7 +284,7 @@
 	s.lastActiveAt, s.localSocketError = at, false
 	sc := &serverConn{pool: p, server: s, conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes)}
 	s.openConns++
-	p.open.Add(sc)
+	p.conns.Add(sc)
 	if s.dialAddr != addr {
 		p.discard(sc)
 		return
@@ -350,7 +350,7 @@
 		}
 		s.waiting = slices.DeleteFunc(s.waiting, func(x *attempt) bool { return x == a })
 		p.removeIfUnused(s)
-		if s.expected == 0 && (s.lastDialAt < a.issuedAt || s.localSocketError) {
+		if s.expectedConns == 0 && (s.lastDialAt < a.issuedAt || s.localSocketError) {
 			return progressNotDialled
 		}
 		return progressNotConnected
@@ -381,19 +381,19 @@
 func (p *connPool) closeConn(sc *serverConn) {
 	s := sc.server
 	if sc.state == connQuarantined {
-		s.expected--
+		s.expectedConns--
 	}
 	sc.state, sc.attempt = connClosed, nil
 	sc.conn.Close()
 	s.openConns--
 	p.connCount--
-	p.open.Remove(sc)
+	p.conns.Remove(sc)
 	p.removeIdle(sc)
 }
 
 // sweep closes connections that have been idle for too long, or that their servers closed.
 func (p *connPool) sweep(now float64) {
-	for _, sc := range p.open.All() {
+	for _, sc := range p.conns.All() {
 		if sc.state == connIdle && (now-sc.idleSince > p.maxIdle || !sc.noInput()) {
 			p.discard(sc)
 		}
@@ -403,7 +403,7 @@
 // close ends what is left; the loop runs no more.
 func (p *connPool) close() {
 	p.stop()
-	for _, sc := range p.open.All() {
+	for _, sc := range p.conns.All() {
 		sc.conn.Close()
 	}
 	p.tasks.Wait(p.environment)
@@ -418,7 +418,7 @@
 	}
 	if reusable && sc.state == connBusy {
 		sc.state, sc.attempt = connQuarantined, nil
-		sc.server.expected++
+		sc.server.expectedConns++
 	} else {
 		p.discard(sc)
 	}
@@ -431,7 +431,7 @@
 	case !noInput:
 		p.discard(sc)
 	default:
-		sc.server.expected--
+		sc.server.expectedConns--
 		sc.state = connIdle
 		p.assign(at, sc)
 	}
--- a/internal/control/scheduler/core.go
+++ b/internal/control/scheduler/core.go
@@ -47,7 +47,7 @@
 // recipient is who a call was taken for. It is told once, on the core's goroutine, unless
 // the client went away first.
 type recipient interface {
-	deliver(outcome callOutcome, after float64, body []byte)
+	deliver(outcome callOutcome, retryAfter float64, body []byte)
 }
 
 // attempt is one sending of a call: it waits for its connection, has begun on it, or is
@@ -251,25 +251,25 @@
 }
 
 // finishUnserved is a final answer by the module.
-func (k *core) finishUnserved(id string, outcome callOutcome, after float64, why policy.Reason) {
+func (k *core) finishUnserved(id string, outcome callOutcome, retryAfter float64, cause policy.Reason) {
 	c := k.calls[id]
 	if c == nil || c.ended {
 		return
 	}
-	k.counters.Reasons[why.String()]++
+	k.counters.Reasons[cause.String()]++
 	if outcome == callRefused {
 		k.counters.Refused++
 	} else {
 		k.counters.Failed++
 	}
-	k.log.requestNotServed(c, k.now, outcome, why)
-	k.finish(c, outcome, after, nil)
+	k.log.requestNotServed(c, k.now, outcome, cause)
+	k.finish(c, outcome, retryAfter, nil)
 }
 
-func (k *core) finish(c *call, outcome callOutcome, after float64, body []byte) {
+func (k *core) finish(c *call, outcome callOutcome, retryAfter float64, body []byte) {
 	c.ended = true
 	c.noNewAttempts.Store(true)
-	c.replyTo.deliver(outcome, after, body)
+	c.replyTo.deliver(outcome, retryAfter, body)
 	k.removeIfDone(c)
 }
 
@@ -294,13 +294,13 @@
 }
 
 // shortenDeadline has a call answered by a time before its own: others wait behind it.
-func (k *core) shortenDeadline(now float64, c *call, by float64) {
+func (k *core) shortenDeadline(now float64, c *call, deadline float64) {
 	k.advance(now)
 	if c.ended || k.calls[c.req.ID] != c {
 		return
 	}
-	c.req.Expires = min(c.req.Expires, by)
-	k.notify(policy.DeadlineShortened{ID: c.req.ID, Deadline: by})
+	c.req.Expires = min(c.req.Expires, deadline)
+	k.notify(policy.DeadlineShortened{ID: c.req.ID, Deadline: deadline})
 }
 
 // stop has all that is open answered now.
--- a/internal/control/scheduler/crossing_test.go
+++ b/internal/control/scheduler/crossing_test.go
@@ -90,7 +90,7 @@
 				sc.until("it is taken back", sc.core(func(k *core) bool { return k.counters.Outcomes[policy.NotSent] > 0 }))
 				if name != "restarted" {
 					release()
-					sc.until("the dial is over", sc.core(func(k *core) bool { return len(sc.s.back.servers) == 0 || sc.s.back.servers["s0"].expected == 0 }))
+					sc.until("the dial is over", sc.core(func(k *core) bool { return len(sc.s.back.servers) == 0 || sc.s.back.servers["s0"].expectedConns == 0 }))
 					if got := p.hear(0); got.status != 503 || len(sc.disk.Asked()) != 0 {
 						t.Errorf("%+v, %d attempts", got, len(sc.disk.Asked()))
 					}
--- a/internal/control/scheduler/eventlog.go
+++ b/internal/control/scheduler/eventlog.go
@@ -61,11 +61,11 @@
 }
 
 // requestNotServed notes a final answer that is not a disk server's.
-func (l *eventLog) requestNotServed(c *call, now float64, outcome callOutcome, why policy.Reason) {
+func (l *eventLog) requestNotServed(c *call, now float64, outcome callOutcome, cause policy.Reason) {
 	if l == nil {
 		return
 	}
-	l.log.Info("request not served", zap.String("request", c.req.ID), zap.Stringer("answer", outcome), zap.Stringer("reason", why),
+	l.log.Info("request not served", zap.String("request", c.req.ID), zap.Stringer("answer", outcome), zap.Stringer("reason", cause),
 		zap.Int("attempts", c.attempts), zap.Float64("left_ms", c.req.Expires-now))
 }
 
--- a/internal/control/scheduler/heldscene_test.go
+++ b/internal/control/scheduler/heldscene_test.go
@@ -219,10 +219,10 @@
 
 func settled(sc *scene) func() bool {
 	return sc.core(func(k *core) bool {
-		expected := 0
+		expectedConns := 0
 		for _, s := range sc.s.back.servers {
-			expected += s.expected
+			expectedConns += s.expectedConns
 		}
-		return k.over() && expected == 0
+		return k.over() && expectedConns == 0
 	})
 }
--- a/internal/control/scheduler/serverbytes_test.go
+++ b/internal/control/scheduler/serverbytes_test.go
@@ -96,7 +96,7 @@
 					}
 					sc.until("the connection is free", sc.core(func(k *core) bool {
 						s := sc.s.back.servers["s0"]
-						return len(s.idle) == 1 && s.expected == 0
+						return len(s.idle) == 1 && s.expectedConns == 0
 					}))
 					do(d.conn(i))
 				}
--- a/internal/control/scheduler/staleness.go
+++ b/internal/control/scheduler/staleness.go
@@ -26,8 +26,8 @@
 	staleBreakTime = 10.0
 )
 
-func idleBucket(idle float64) int {
-	return min(max(int(math.Log2(max(idle, 1))), 0), idleBuckets-1)
+func idleBucket(idleTime float64) int {
+	return min(max(int(math.Log2(max(idleTime, 1))), 0), idleBuckets-1)
 }
 
 func (t *reuseCount) decay(now float64) {
@@ -36,8 +36,8 @@
 }
 
 // record notes how a connection did that had been idle for so long.
-func (x *reuseStats) record(now, idle float64, broken bool) {
-	t := &x.buckets[idleBucket(idle)]
+func (s *reuseStats) record(now, idleTime float64, broken bool) {
+	t := &s.buckets[idleBucket(idleTime)]
 	t.decay(now)
 	if broken {
 		t.broken++
@@ -47,8 +47,8 @@
 }
 
 // likelyBroken tells whether a connection that has been idle for so long had better be replaced.
-func (x *reuseStats) likelyBroken(now, idle float64) bool {
-	t := &x.buckets[idleBucket(idle)]
+func (s *reuseStats) likelyBroken(now, idleTime float64) bool {
+	t := &s.buckets[idleBucket(idleTime)]
 	t.decay(now)
 	return t.broken > maxBrokenFraction*(t.broken+t.intact+reusePriorIntact)
 }
