--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -8,92 +8,92 @@
 	"testing"
 )
 
-// fleet is many instances that don't talk, before one node that has just started.
-type fleet struct {
-	s       Settings
-	rng     *rand.Rand
-	now     float64
-	hosts   []*rig
-	done    []outcomeAt
-	arrived []float64 // requests of mean work at the node
-	sent    int
-	shards  int // of which the node has the first; nobody has the others
+// coldNodeSim is many instances that don't talk, before one node that has just started.
+type coldNodeSim struct {
+	settings     Settings
+	rng          *rand.Rand
+	now          float64
+	hosts        []*harness
+	outcomes     []hostOutcome
+	arrivalTimes []float64 // requests of mean work at the node
+	hostsCreated int
+	shards       int // of which the node has the first; nobody has the others
 }
 
-type outcomeAt struct {
-	at   float64
-	host *rig
-	o    Outcome
+type hostOutcome struct {
+	deliverAt float64
+	host      *harness
+	outcome   Outcome
 }
 
-const coldStart = 999.0
+const nodeStartedAt = 999.0
 
-func (f *fleet) host() *rig {
-	f.sent++
-	g := &rig{p: newScheduler(f.s, uint64(f.sent)), now: f.now, at: map[string]float64{}}
-	g.list(Node{Addr: "n0", Health: Ready, Shard: 0, Started: coldStart})
+func (f *coldNodeSim) newHost() *harness {
+	f.hostsCreated++
+	g := &harness{scheduler: newScheduler(f.settings, uint64(f.hostsCreated)), now: f.now, timers: map[string]float64{}}
+	g.setNodes(Node{Addr: "n0", Health: Ready, Shard: 0, Started: nodeStartedAt})
 	return g
 }
 
 // step has time go by at one host and its sends arrive, some of them late: they wait for
 // their connection.
-func (f *fleet) step(g *rig, ask bool) {
-	g.pass(f.now - g.now)
+func (f *coldNodeSim) step(g *harness, ask bool) {
+	g.advance(f.now - g.now)
 	if ask && f.shards > 1 {
-		g.n++
-		g.do(Request{ID: fmt.Sprint("many", g.n), Class: "read", Plan: "high", Volume: "v", Shard: f.rng.IntN(f.shards), Units: f.s.MeanUnits, Expires: f.now + 2000, Hosts: 1})
+		g.requestCount++
+		g.handle(Request{ID: fmt.Sprint("many", g.requestCount), Class: "read", Plan: "high", Volume: "v", Shard: f.rng.IntN(f.shards), Units: f.settings.MeanUnits, Expires: f.now + 2000, Hosts: 1})
 	} else if ask {
-		g.ask("read", "high", "", f.s.MeanUnits)
+		g.submit("read", "high", "", f.settings.MeanUnits)
 	}
-	for _, a := range g.acts {
+	for _, a := range g.actions {
 		s, ok := a.(Send)
 		if !ok {
 			continue
 		}
 		at := f.now
 		if f.rng.IntN(3) == 0 {
-			at += f.rng.Float64() * f.s.Rules.MaxSendDelay
+			at += f.rng.Float64() * f.settings.Rules.MaxSendDelay
 		}
 		if at > s.StartBy {
-			f.done = append(f.done, outcomeAt{at, g, Outcome{ID: s.ID, Node: s.Node, Result: NotSent}})
+			f.outcomes = append(f.outcomes, hostOutcome{at, g, Outcome{ID: s.ID, Node: s.Node, Result: NotSent}})
 			continue
 		}
-		f.arrived = append(f.arrived, at)
-		f.done = append(f.done, outcomeAt{at + 30, g, Outcome{ID: s.ID, Node: s.Node, Done: true, Elapsed: at + 30 - f.now}})
+		f.arrivalTimes = append(f.arrivalTimes, at)
+		f.outcomes = append(f.outcomes, hostOutcome{at + 30, g, Outcome{ID: s.ID, Node: s.Node, Done: true, Elapsed: at + 30 - f.now}})
 	}
-	g.acts = g.acts[:0]
+	g.actions = g.actions[:0]
 }
 
-func (f *fleet) run(span, rate float64, restart func(now float64, i int) bool) {
+func (f *coldNodeSim) run(span, rate float64, restart func(now float64, i int) bool) {
 	const dt = 5.0
 	for end := f.now + span; f.now < end; f.now += dt {
 		for i := range f.hosts {
 			if restart(f.now, i) {
-				f.hosts[i] = f.host()
+				f.hosts[i] = f.newHost()
 			}
 			f.step(f.hosts[i], f.rng.Float64() < rate*dt/1000/float64(len(f.hosts)))
 		}
-		f.done = slices.DeleteFunc(f.done, func(d outcomeAt) bool {
-			if d.at > f.now {
+		f.outcomes = slices.DeleteFunc(f.outcomes, func(d hostOutcome) bool {
+			if d.deliverAt > f.now {
 				return false
 			}
 			d.host.now = max(d.host.now, f.now)
-			d.host.do(d.o)
+			d.host.handle(d.outcome)
 			return true
 		})
 	}
 }
 
-// worst is by how many requests a window of the fall's length passed what may be put down
+// worstExcess is by how many requests a window of the fall's length passed what may be put down
 // to chance.
-func (f *fleet) worst() (over float64) {
+func (f *coldNodeSim) worstExcess() (over float64) {
 	over = math.Inf(-1)
-	slices.Sort(f.arrived)
-	r := f.s.Rules
-	for i, from := range f.arrived {
-		j, _ := slices.BinarySearch(f.arrived, from+r.OverloadWindow)
-		grown := 1 + (1-r.ColdCapacity)/r.ColdCapacity*(from-coldStart)/r.WarmUpTime
-		n := r.ColdUnits * grown / f.s.MeanUnits
+	slices.Sort(f.arrivalTimes)
+	r := f.settings.Rules
+	for i, from := range f.arrivalTimes {
+		j, _ := slices.BinarySearch(f.arrivalTimes, from+r.OverloadWindow)
+		grown := 1 + (1-r.ColdCapacity)/r.ColdCapacity*(from-nodeStartedAt)/r.WarmUpTime
+		n := r.ColdUnits * grown / f.settings.MeanUnits
 		over = max(over, float64(j-i)-(n+2*math.Sqrt(n)+2))
 	}
 	return over
@@ -102,7 +102,7 @@
 // What all hosts together send to a node that has just started stays within what it bears
 // and chance, however many they are, where attempts wait for connections, and through
 // restarts that forget what was sent.
-func TestAFleetAtAColdNode(t *testing.T) {
+func TestHostsTogetherKeepColdBudget(t *testing.T) {
 	for _, hosts := range []int{3, 25, 120} {
 		for name, restart := range map[string]func(now float64, i int) bool{
 			"calm":        func(float64, int) bool { return false },
@@ -112,19 +112,19 @@
 		} {
 			t.Run(fmt.Sprint(hosts, name), func(t *testing.T) {
 				for seed := range uint64(20) {
-					s := settings()
+					s := testSettings()
 					s.Hosts, s.Shards, s.MeanUnits = hosts, 1, 1
 					s.Rules.OverloadWindow, s.Rules.ColdUnits, s.Rules.MaxSendDelay = 1000, 60, 300
-					f := &fleet{s: s, rng: rand.New(rand.NewPCG(seed, 7)), now: 1000}
+					f := &coldNodeSim{settings: s, rng: rand.New(rand.NewPCG(seed, 7)), now: 1000}
 					for range hosts {
-						f.hosts = append(f.hosts, f.host())
+						f.hosts = append(f.hosts, f.newHost())
 					}
 					f.run(4000, 600, restart)
-					if over := f.worst(); over > 0 {
-						t.Errorf("seed %d: %.1f requests over, of %d", seed, over, len(f.arrived))
+					if over := f.worstExcess(); over > 0 {
+						t.Errorf("seed %d: %.1f requests over, of %d", seed, over, len(f.arrivalTimes))
 					}
-					if len(f.arrived) < 40 {
-						t.Errorf("seed %d: only %d sends to the cold node", seed, len(f.arrived))
+					if len(f.arrivalTimes) < 40 {
+						t.Errorf("seed %d: only %d sends to the cold node", seed, len(f.arrivalTimes))
 					}
 				}
 			})
@@ -155,19 +155,19 @@
 		t.Run(name, func(t *testing.T) {
 			sends := 0
 			for seed := range uint64(seeds) {
-				s := settings()
+				s := testSettings()
 				s.Hosts, s.Shards, s.MeanUnits = hosts, tt.shards, 1
 				s.Rules.OverloadWindow, s.Rules.ColdUnits, s.Rules.MaxSendDelay = 1000, tt.units, 300
-				f := &fleet{s: s, rng: rand.New(rand.NewPCG(seed, 11)), now: 1000, shards: tt.shards}
+				f := &coldNodeSim{settings: s, rng: rand.New(rand.NewPCG(seed, 11)), now: 1000, shards: tt.shards}
 				for range hosts {
-					f.hosts = append(f.hosts, f.host())
+					f.hosts = append(f.hosts, f.newHost())
 				}
 				f.run(2000, tt.rate*float64(tt.shards), tt.restart)
 				f.run(2000, tt.burst*float64(tt.shards), tt.restart)
-				if over := f.worst(); over > 0 {
-					t.Errorf("seed %d: %.1f requests over, of %d", seed, over, len(f.arrived))
+				if over := f.worstExcess(); over > 0 {
+					t.Errorf("seed %d: %.1f requests over, of %d", seed, over, len(f.arrivalTimes))
 				}
-				sends += len(f.arrived)
+				sends += len(f.arrivalTimes)
 			}
 			if sends < tt.least {
 				t.Errorf("only %d sends to the cold node", sends)
@@ -180,39 +180,39 @@
 // A limited volume's units are taken when they pass. A request that found no connection
 // takes them when it is sent in earnest: while it waited the store has filled again, and
 // what it was let go by then would pass beside what the store lets go now.
-func TestUnitsAreTakenWhenTheyPass(t *testing.T) {
+func TestRetryIsChargedToLimitAgain(t *testing.T) {
 	const shards = 8
-	s := settings()
+	s := testSettings()
 	s.Rules.MaxSendDelay, s.Limits.MaxAttempts = 300, 10
 	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 11, 36, 6
-	g := newRig(s)
+	g := newHarness(s)
 	var nodes []Node
 	for n := range shards {
 		nodes = append(nodes, Node{Addr: fmt.Sprint("n", n), Health: Ready, Shard: n})
 	}
-	g.list(nodes...)
+	g.setNodes(nodes...)
 	ask := func(shard int) {
-		g.n++
-		g.do(Request{ID: fmt.Sprint(g.n), Class: "read", Plan: "low", Volume: "v", Shard: shard, Units: 6, Expires: g.now + 9000, Hosts: 1})
+		g.requestCount++
+		g.handle(Request{ID: fmt.Sprint(g.requestCount), Class: "read", Plan: "low", Volume: "v", Shard: shard, Units: 6, Expires: g.now + 9000, Hosts: 1})
 	}
 	ask(1) // the volume is known from now on, and its store fills
-	g.pass(5000)
+	g.advance(5000)
 	for range 4 {
 		ask(0)
 	}
 	tried := 0
 	for range 8 { // nothing comes up at n0 for two seconds
 		var lost []Outcome
-		for _, a := range g.acts {
+		for _, a := range g.actions {
 			if s, ok := a.(Send); ok && s.Node == "n0" {
-				lost = append(lost, Outcome{ID: s.ID, Node: "n0", Attempt: g.sends(s.ID) - 1, Result: NoConnection, Elapsed: 250})
+				lost = append(lost, Outcome{ID: s.ID, Node: "n0", Attempt: g.sendCount(s.ID) - 1, Result: NoConnection, Elapsed: 250})
 			}
 		}
-		g.acts = nil
+		g.actions = nil
 		tried += len(lost)
-		g.pass(250)
+		g.advance(250)
 		for _, o := range lost {
-			g.do(o)
+			g.handle(o)
 		}
 	}
 	if tried < 3 {
@@ -224,14 +224,14 @@
 	}
 	sent := 0.0
 	for range 100 { // n0 works again, and so do the others
-		for _, a := range g.acts {
+		for _, a := range g.actions {
 			if s, ok := a.(Send); ok {
 				sent += 6
-				g.do(Outcome{ID: s.ID, Node: s.Node, Done: true, Elapsed: 5})
+				g.handle(Outcome{ID: s.ID, Node: s.Node, Done: true, Elapsed: 5})
 			}
 		}
-		g.acts = nil
-		g.pass(10)
+		g.actions = nil
+		g.advance(10)
 	}
 	if most := 36 + 6 + 11*1.0; sent > most || sent < 36 {
 		t.Errorf("%v units within a second, of %v that may pass", sent, most)
@@ -240,14 +240,14 @@
 
 // Sends of a limited volume that wait for their connections come together where they
 // arrive: the store goes that much less below zero.
-func TestALimitKeepsRoomForTheWait(t *testing.T) {
+func TestLimitFloorAllowsForSendDelay(t *testing.T) {
 	for _, late := range []float64{0, 300} {
-		s := settings()
+		s := testSettings()
 		s.Rules.MaxSendDelay = late
 		s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 11, 36, 6
-		g := newRig(s)
-		g.ask("read", "low", "", 1)
-		v := g.p.volumes["low"]
+		g := newHarness(s)
+		g.submit("read", "low", "", 1)
+		v := g.scheduler.volumes["low"]
 		if want := 11*(arrivalSkew+late)/1000 - 6; math.Abs(v.limitFloor-want) > 1e-9 {
 			t.Errorf("late by %v: the store goes down to %v, want %v", late, v.limitFloor, want)
 		}
--- a/policy/fleetsize_test.go
+++ b/policy/fleetsize_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// sized is one host's module before a fleet of some size, a shard for each node.
-type sized struct {
-	p     *scheduler
-	now   float64
-	nodes []Node
-	n     int
+// costMeter is one host's module before a fleet of some size, a shard for each node.
+type costMeter struct {
+	scheduler    *scheduler
+	now          float64
+	nodes        []Node
+	requestCount int
 }
 
-func newSized(nodes int) *sized {
-	s := rateSettings()
+func newCostMeter(nodes int) *costMeter {
+	s := gatewaySettings()
 	s.Hosts, s.Shards = 30, nodes
-	f := &sized{p: newScheduler(s, 1), now: 1000}
+	f := &costMeter{scheduler: newScheduler(s, 1), now: 1000}
 	for i := range nodes {
 		f.nodes = append(f.nodes, Node{Addr: fmt.Sprintf("n%d", i), Health: Ready, Shard: i})
 	}
@@ -24,16 +24,16 @@
 }
 
 // visits is how many nodes and shards the module looks at while it takes an event.
-func (f *sized) visits(ev Event) int {
-	before := f.p.visits
-	f.p.Handle(f.now, ev)
-	return f.p.visits - before
+func (f *costMeter) visits(ev Event) int {
+	before := f.scheduler.visits
+	f.scheduler.Handle(f.now, ev)
+	return f.scheduler.visits - before
 }
 
-func (f *sized) whole() Event { return NodeList{Full: true, Nodes: f.nodes} }
+func (f *costMeter) fullList() Event { return NodeList{Full: true, Nodes: f.nodes} }
 
-// change has every so many-th node drain, or come back.
-func (f *sized) change(from, many int, h Health) Event {
+// healthChange has every so many-th node drain, or come back.
+func (f *costMeter) healthChange(from, many int, h Health) Event {
 	var changed []Node
 	for i := range many {
 		n := f.nodes[(from+i*len(f.nodes)/many)%len(f.nodes)]
@@ -43,31 +43,31 @@
 	return NodeList{Nodes: changed}
 }
 
-// request asks for a shard, or with -1 for a new object, and is served at once.
-func (f *sized) request(shard int) int {
-	f.n++
-	id := fmt.Sprint(f.n)
+// serveRequest asks for a shard, or with -1 for a new object, and is served at once.
+func (f *costMeter) serveRequest(shard int) int {
+	f.requestCount++
+	id := fmt.Sprint(f.requestCount)
 	work := f.visits(Request{ID: id, Class: "read", Plan: "normal", Volume: "v", Shard: shard, Units: 2, Expires: f.now + 2000, Hosts: 1})
-	node := f.p.requests[id].sentTo
+	node := f.scheduler.requests[id].sentTo
 	return work + f.visits(Outcome{ID: id, Node: node.Addr, Done: true, Elapsed: 20, Result: Served})
 }
 
-// costs is what each kind of event costs before a fleet of that size, in visits.
-func costs(nodes int) map[string]int {
-	f := newSized(nodes)
-	got := map[string]int{"first whole list": f.visits(f.whole())}
-	f.request(-1)
+// eventCosts is what each kind of event eventCosts before a fleet of that size, in visits.
+func eventCosts(nodes int) map[string]int {
+	f := newCostMeter(nodes)
+	got := map[string]int{"first whole list": f.visits(f.fullList())}
+	f.serveRequest(-1)
 	f.now += 100
-	got["whole list again"] = f.visits(f.whole())
-	got["twelve drain"] = f.visits(f.change(0, 12, Draining))
-	got["twelve are back"] = f.visits(f.change(0, 12, Ready))
+	got["whole list again"] = f.visits(f.fullList())
+	got["twelve drain"] = f.visits(f.healthChange(0, 12, Draining))
+	got["twelve are back"] = f.visits(f.healthChange(0, 12, Ready))
 	f.now += 1000
 	got["second"] = f.visits(TimerFired{"second"})
-	got["request"] = f.request(nodes / 2)
-	got["new object"] = f.request(-1)
+	got["request"] = f.serveRequest(nodes / 2)
+	got["new object"] = f.serveRequest(-1)
 	f.now += 100
-	got["tenth drains"] = f.visits(f.change(0, nodes/10, Draining))
-	got["new object then"] = f.request(-1)
+	got["tenth drains"] = f.visits(f.healthChange(0, nodes/10, Draining))
+	got["new object then"] = f.serveRequest(-1)
 	return got
 }
 
@@ -76,7 +76,7 @@
 func TestCostByFleetSize(t *testing.T) {
 	const few, many = 200, 3200
 	most := map[string]float64{"first whole list": 24, "whole list again": 24, "tenth drains": 24, "second": 24}
-	small, large := costs(few), costs(many)
+	small, large := eventCosts(few), eventCosts(many)
 	for kind, was := range small {
 		bound := most[kind]
 		if bound == 0 {
@@ -97,23 +97,23 @@
 	for _, nodes := range []int{200, 800, 3200} {
 		b.Run(fmt.Sprintf("whole/%d", nodes), func(b *testing.B) {
 			for b.Loop() {
-				f := newSized(nodes)
-				f.visits(f.whole())
+				f := newCostMeter(nodes)
+				f.visits(f.fullList())
 			}
 		})
-		run := func(name string, do func(f *sized, i int)) {
+		run := func(name string, do func(f *costMeter, i int)) {
 			b.Run(fmt.Sprintf("%s/%d", name, nodes), func(b *testing.B) {
-				f := newSized(nodes)
-				f.visits(f.whole())
+				f := newCostMeter(nodes)
+				f.visits(f.fullList())
 				for i := 0; b.Loop(); i++ {
 					f.now += 0.5
 					do(f, i)
 				}
 			})
 		}
-		run("twelve", func(f *sized, i int) { f.visits(f.change(i/2*37, 12, []Health{Draining, Ready}[i%2])) })
-		run("request", func(f *sized, i int) { f.request(i * 7 % nodes) })
-		run("new", func(f *sized, i int) { f.request(-1) })
-		run("second", func(f *sized, i int) { f.visits(TimerFired{"second"}) })
+		run("twelve", func(f *costMeter, i int) { f.visits(f.healthChange(i/2*37, 12, []Health{Draining, Ready}[i%2])) })
+		run("request", func(f *costMeter, i int) { f.serveRequest(i * 7 % nodes) })
+		run("new", func(f *costMeter, i int) { f.serveRequest(-1) })
+		run("second", func(f *costMeter, i int) { f.visits(TimerFired{"second"}) })
 	}
 }
--- a/policy/twins_test.go
+++ b/policy/limitcache_test.go
@@ -9,40 +9,40 @@
 	"time"
 )
 
-// twins are two schedulers of one seed; the second looks through every queue at every
+// schedulerPair are two schedulers of one seed; the second looks through every queue at every
 // send, as if nothing were remembered of limits.
-type twins struct {
-	t    *testing.T
-	a, b *rig
+type schedulerPair struct {
+	t                *testing.T
+	cached, uncached *harness
 }
 
-func newTwins(t *testing.T) *twins {
-	s := settings()
+func newSchedulerPair(t *testing.T) *schedulerPair {
+	s := testSettings()
 	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 40, 8, 4
-	tw := &twins{t, newRig(s), newRig(s)}
-	tw.b.before = func() {
-		for _, sh := range tw.b.p.shards {
+	tw := &schedulerPair{t, newHarness(s), newHarness(s)}
+	tw.uncached.beforeEvent = func() {
+		for _, sh := range tw.uncached.scheduler.shards {
 			sh.deferredLimitedUntil = 0
 			for i := range sh.flows {
 				sh.flows[i].limitedUntil = 0
 			}
 		}
 	}
-	tw.both(func(g *rig) { g.list(Node{Addr: "n0", Health: Ready}) })
+	tw.applyToBoth(func(g *harness) { g.setNodes(Node{Addr: "n0", Health: Ready}) })
 	return tw
 }
 
-// both does the same to the two, whose timers are their own, and compares what they
+// applyToBoth does the same to the two, whose timers are their own, and compares what they
 // decided and when. Timers are left out: without memory some are set for times that
 // nothing comes of.
-func (tw *twins) both(f func(g *rig)) {
+func (tw *schedulerPair) applyToBoth(f func(g *harness)) {
 	tw.t.Helper()
 	var acts [2][]Action
 	var when [2][]float64
-	for k, g := range []*rig{tw.a, tw.b} {
-		g.acts, g.when = nil, nil
+	for k, g := range []*harness{tw.cached, tw.uncached} {
+		g.actions, g.actionTimes = nil, nil
 		f(g)
-		for i, a := range g.acts {
+		for i, a := range g.actions {
 			if _, timer := a.(SetTimer); !timer {
 				switch s := a.(type) {
 				case Send: // its end is reckoned from the moment of sending
@@ -55,7 +55,7 @@
 					s.Cause = ReasonNone
 					a = s
 				}
-				acts[k], when[k] = append(acts[k], a), append(when[k], g.when[i])
+				acts[k], when[k] = append(acts[k], a), append(when[k], g.actionTimes[i])
 			}
 		}
 	}
@@ -65,16 +65,16 @@
 }
 
 // What is remembered of limits changes no decision.
-func TestHeldQueuesDecideAlike(t *testing.T) {
+func TestLimitCacheChangesNoDecision(t *testing.T) {
 	total := 0
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		tw := newTwins(t)
+		tw := newSchedulerPair(t)
 		sends := 0
 		for k := range 1500 {
 			wait := rng.Float64() * 8
-			tw.both(func(g *rig) { g.pass(wait) })
-			now := tw.a.now
+			tw.applyToBoth(func(g *harness) { g.advance(wait) })
+			now := tw.cached.now
 			var ev Event
 			switch x := rng.IntN(10); {
 			case x < 6:
@@ -83,8 +83,8 @@
 					plan = "high"
 				}
 				ev = Request{ID: fmt.Sprintf("%016x", k), Class: []string{"read", "write", "turns"}[rng.IntN(3)], Plan: plan, Key: fmt.Sprint(rng.IntN(4)), Volume: fmt.Sprint(plan, rng.IntN(3)), Units: 1 + float64(rng.IntN(4)), Expires: now + 1000, Hosts: 1}
-			case x < 9 && len(tw.a.p.shards) > 0 && len(tw.a.p.shards[0].outstanding) > 0:
-				r := tw.a.p.shards[0].outstanding[0]
+			case x < 9 && len(tw.cached.scheduler.shards) > 0 && len(tw.cached.scheduler.shards[0].outstanding) > 0:
+				r := tw.cached.scheduler.shards[0].outstanding[0]
 				sends++
 				res := []Result{Served, Served, Served, Served, ServerError, Rejected, NoAnswer, ConnectionLost}[rng.IntN(8)]
 				ev = Outcome{ID: r.ID, Node: "n0", Attempt: r.attempts - 1, Done: res == Served, Elapsed: now - r.sentAt, Result: res}
@@ -97,7 +97,7 @@
 			default:
 				continue
 			}
-			tw.both(func(g *rig) { g.do(ev) })
+			tw.applyToBoth(func(g *harness) { g.handle(ev) })
 		}
 		total += sends
 	}
@@ -106,26 +106,26 @@
 	}
 }
 
-// BenchmarkHeldQueue is the cost of an event while a limit holds thousands of requests:
+// BenchmarkLimitedQueue is the cost of an event while a limit holds thousands of requests:
 // the time with what is remembered over the time without.
-func BenchmarkHeldQueue(b *testing.B) {
+func BenchmarkLimitedQueue(b *testing.B) {
 	run := func(forget bool) time.Duration {
-		s := settings()
+		s := testSettings()
 		s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 0.001, 8, 4
-		g := newRig(s)
-		g.list(Node{Addr: "n0", Health: Ready})
+		g := newHarness(s)
+		g.setNodes(Node{Addr: "n0", Health: Ready})
 		for k := range 5000 {
-			g.do(Request{ID: fmt.Sprintf("l%d", k), Class: "read", Plan: "low", Volume: "v", Units: 4, Expires: g.now + 1e9, Hosts: 1})
+			g.handle(Request{ID: fmt.Sprintf("l%d", k), Class: "read", Plan: "low", Volume: "v", Units: 4, Expires: g.now + 1e9, Hosts: 1})
 		}
 		begin := time.Now()
 		for k := range 1000 {
 			g.now += 0.1
 			if forget {
-				g.p.shards[0].flows[0].limitedUntil, g.p.shards[0].deferredLimitedUntil = 0, 0
+				g.scheduler.shards[0].flows[0].limitedUntil, g.scheduler.shards[0].deferredLimitedUntil = 0, 0
 			}
-			g.do(Request{ID: fmt.Sprintf("h%d", k), Class: "write", Plan: "high", Volume: "w", Units: 1, Expires: g.now + 1000, Hosts: 1})
-			for _, r := range slices.Clone(g.p.shards[0].outstanding) {
-				g.end(r.ID, Served)
+			g.handle(Request{ID: fmt.Sprintf("h%d", k), Class: "write", Plan: "high", Volume: "w", Units: 1, Expires: g.now + 1000, Hosts: 1})
+			for _, r := range slices.Clone(g.scheduler.shards[0].outstanding) {
+				g.endAttempt(r.ID, Served)
 			}
 		}
 		return time.Since(begin)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -9,38 +9,38 @@
 func TestOneFinalAnswerInTime(t *testing.T) {
 	tests := []struct {
 		name, class, want string
-		do                func(g *rig, id func() string) string
+		do                func(g *harness, id func() string) string
 	}{
-		{"no node listed", "read", "refuse", func(g *rig, id func() string) string { g.list(); return id() }},
-		{"other shard only", "write", "refuse", func(g *rig, id func() string) string {
-			g.list(Node{Addr: "n9", Health: Ready, Shard: 9})
+		{"no node listed", "read", "refuse", func(g *harness, id func() string) string { g.setNodes(); return id() }},
+		{"other shard only", "write", "refuse", func(g *harness, id func() string) string {
+			g.setNodes(Node{Addr: "n9", Health: Ready, Shard: 9})
 			return id()
 		}},
-		{"no answer at the deadline, read", "read", "refuse", func(g *rig, id func() string) string {
+		{"no answer at the deadline, read", "read", "refuse", func(g *harness, id func() string) string {
 			r := id()
-			g.pass(1000)
-			g.end(r, NoAnswer)
+			g.advance(1000)
+			g.endAttempt(r, NoAnswer)
 			return r
 		}},
-		{"no answer at the deadline, unsafe", "once", "fail", func(g *rig, id func() string) string {
+		{"no answer at the deadline, unsafe", "once", "fail", func(g *harness, id func() string) string {
 			r := id()
-			g.pass(1000)
-			g.end(r, NoAnswer)
+			g.advance(1000)
+			g.endAttempt(r, NoAnswer)
 			return r
 		}},
-		{"outcome never comes", "write", "fail", func(g *rig, id func() string) string { return id() }},
+		{"outcome never comes", "write", "fail", func(g *harness, id func() string) string { return id() }},
 	}
 	for _, tt := range tests {
-		g := newRig(settings())
-		id := tt.do(g, func() string { return g.ask(tt.class, "high", "", 2) })
-		g.pass(1000 + 8)
-		if got := g.final(id); got != tt.want {
+		g := newHarness(testSettings())
+		id := tt.do(g, func() string { return g.submit(tt.class, "high", "", 2) })
+		g.advance(1000 + 8)
+		if got := g.finalAnswers(id); got != tt.want {
 			t.Errorf("%s: final answers %q, want %q", tt.name, got, tt.want)
 		}
 	}
 }
 
-func TestRepeats(t *testing.T) {
+func TestRetriesByEffect(t *testing.T) {
 	tests := []struct {
 		class string
 		res   Result
@@ -55,65 +55,65 @@
 		{"once", Rejected, 10, 2, ""},
 	}
 	for _, tt := range tests {
-		g := newRig(settings())
-		id := g.ask(tt.class, "high", "", 2)
-		g.pass(tt.after)
-		g.end(id, tt.res)
-		g.pass(80)
+		g := newHarness(testSettings())
+		id := g.submit(tt.class, "high", "", 2)
+		g.advance(tt.after)
+		g.endAttempt(id, tt.res)
+		g.advance(80)
 		if tt.after > 800 {
-			g.pass(30)
+			g.advance(30)
 		}
-		if g.sends(id) != tt.sends || g.final(id) != tt.final {
-			t.Errorf("%+v: %d sends, final %q", tt, g.sends(id), g.final(id))
+		if g.sendCount(id) != tt.sends || g.finalAnswers(id) != tt.final {
+			t.Errorf("%+v: %d sends, final %q", tt, g.sendCount(id), g.finalAnswers(id))
 		}
 	}
 }
 
-func TestOrderByKey(t *testing.T) {
-	g := newRig(settings())
-	a, b := g.ask("turns", "high", "k", 2), g.ask("turns", "high", "k", 2)
-	c := g.ask("turns", "high", "other", 2)
-	if g.sends(a) != 1 || g.sends(b) != 0 || g.sends(c) != 1 {
+func TestKeyOrder(t *testing.T) {
+	g := newHarness(testSettings())
+	a, b := g.submit("turns", "high", "k", 2), g.submit("turns", "high", "k", 2)
+	c := g.submit("turns", "high", "other", 2)
+	if g.sendCount(a) != 1 || g.sendCount(b) != 0 || g.sendCount(c) != 1 {
 		t.Fatal("only the first of a key may be out")
 	}
-	g.end(a, NoAnswer) // goes again, after the rest
-	if g.pass(150); g.sends(a) != 1 || g.sends(b) != 0 {
+	g.endAttempt(a, NoAnswer) // goes again, after the rest
+	if g.advance(150); g.sendCount(a) != 1 || g.sendCount(b) != 0 {
 		t.Fatal("the key did not rest")
 	}
-	if g.pass(100); g.sends(a) != 2 {
+	if g.advance(100); g.sendCount(a) != 2 {
 		t.Fatal("the first was not sent again")
 	}
-	g.end(a, Served)
-	if g.sends(b) != 1 {
+	g.endAttempt(a, Served)
+	if g.sendCount(b) != 1 {
 		t.Fatal("the second did not follow")
 	}
 }
 
-func TestResendBudget(t *testing.T) {
-	s := settings()
+func TestRetryBudget(t *testing.T) {
+	s := testSettings()
 	s.Rules.HasBudget, s.Rules.BudgetBase, s.Rules.BudgetRatio, s.Rules.BudgetWindow = true, 1, 0.25, 5000
-	g := newRig(s)
+	g := newHarness(s)
 	again := 0
 	for range 8 {
-		id := g.ask("read", "high", "", 2)
-		g.end(id, ServerError)
-		again += g.sends(id) - 1
-		g.pass(20)
+		id := g.submit("read", "high", "", 2)
+		g.endAttempt(id, ServerError)
+		again += g.sendCount(id) - 1
+		g.advance(20)
 	}
 	if again < 1 || again > 1+8/4 {
 		t.Errorf("%d further attempts", again)
 	}
 }
 
-func TestOverloadShedsLowestWorthFirst(t *testing.T) {
-	g := newRig(settings())
-	g.p.shards[0].serviceTime = decayingMean{100, 100 * 100}
+func TestOverloadShedsLowestValueFirst(t *testing.T) {
+	g := newHarness(testSettings())
+	g.scheduler.shards[0].serviceTime = decayingMean{100, 100 * 100}
 	var low, high []string
 	for range 20 {
-		low = append(low, g.ask("read", "low", "", 2))
-		high = append(high, g.ask("write", "high", "", 2))
+		low = append(low, g.submit("read", "low", "", 2))
+		high = append(high, g.submit("write", "high", "", 2))
 	}
-	deferred := g.p.shards[0].deferred
+	deferred := g.scheduler.shards[0].deferred
 	if deferred.len() == 0 {
 		t.Fatal("nothing was shed")
 	}
@@ -124,59 +124,59 @@
 }
 
 func TestStateIsReleased(t *testing.T) {
-	g := newRig(settings())
+	g := newHarness(testSettings())
 	for range 50 {
-		id := g.ask("turns", "high", fmt.Sprint(g.n), 2)
-		g.end(id, Served)
-		g.pass(10)
+		id := g.submit("turns", "high", fmt.Sprint(g.requestCount), 2)
+		g.endAttempt(id, Served)
+		g.advance(10)
 	}
-	g.pass(60000)
-	p := g.p
+	g.advance(60000)
+	p := g.scheduler
 	if len(p.requests)+len(p.keyQueues)+len(p.volumes)+len(p.timers) > 1 {
 		t.Errorf("left: %d requests, %d keys, %d volumes, %d timers", len(p.requests), len(p.keyQueues), len(p.volumes), len(p.timers))
 	}
 }
 
 // A client that leaves before its answer can come is told so at once.
-func TestShortTriesAreRefusedAtOnce(t *testing.T) {
-	g := newRig(settings())
-	g.p.shards[0].serviceTime = decayingMean{100, 100 * 100}
+func TestUnservableRequestIsRefusedAtOnce(t *testing.T) {
+	g := newHarness(testSettings())
+	g.scheduler.shards[0].serviceTime = decayingMean{100, 100 * 100}
 	ask := func(leaves float64) string {
-		g.n++
-		id := fmt.Sprintf("%016x", g.n)
-		g.do(Request{ID: id, Class: "read", Plan: "high", Volume: "v", Units: 2, Expires: g.now + leaves, Hosts: 1})
+		g.requestCount++
+		id := fmt.Sprintf("%016x", g.requestCount)
+		g.handle(Request{ID: id, Class: "read", Plan: "high", Volume: "v", Units: 2, Expires: g.now + leaves, Hosts: 1})
 		return id
 	}
 	for leaves, want := range map[float64]string{50: "refuse", 150: ""} {
 		id := ask(leaves)
-		if got := g.final(id); got != want || (g.sends(id) == 0) != (want == "refuse") {
-			t.Errorf("client leaves in %v: final %q, %d sends", leaves, got, g.sends(id))
+		if got := g.finalAnswers(id); got != want || (g.sendCount(id) == 0) != (want == "refuse") {
+			t.Errorf("client leaves in %v: final %q, %d sends", leaves, got, g.sendCount(id))
 		}
 	}
 }
 
 // A late answer must not delay what other hosts have due at a busy node.
-func TestParkedGoOnlyToAQuietNode(t *testing.T) {
+func TestDeferredSentOnlyToIdleNode(t *testing.T) {
 	for service, want := range map[float64]int{20: 1, 200: 0} {
-		g := newRig(settings())
-		g.list()
-		id := g.ask("read", "high", "", 2)
-		g.pass(350) // past its aim
-		g.p.shards[0].serviceTime, g.p.unloadedServiceTime = decayingMean{100, 100 * service}, 30
-		g.list(Node{Addr: "n0", Health: Ready})
-		if g.sends(id) != want {
-			t.Errorf("service %v: %d sends, want %d", service, g.sends(id), want)
+		g := newHarness(testSettings())
+		g.setNodes()
+		id := g.submit("read", "high", "", 2)
+		g.advance(350) // past its aim
+		g.scheduler.shards[0].serviceTime, g.scheduler.unloadedServiceTime = decayingMean{100, 100 * service}, 30
+		g.setNodes(Node{Addr: "n0", Health: Ready})
+		if g.sendCount(id) != want {
+			t.Errorf("service %v: %d sends, want %d", service, g.sendCount(id), want)
 		}
 	}
 }
 
 // An attempt whose answer never comes must not hold depth until its client leaves.
-func TestStuckAttemptsAreGivenUp(t *testing.T) {
+func TestStuckAttemptsTimeOut(t *testing.T) {
 	for class, want := range map[string]float64{"read": 1450, "write": 1750, "once": 0} {
-		g := newRig(settings())
-		g.p.shards[0].serviceTime = decayingMean{100, 100 * 50}
-		id := g.ask(class, "high", "", 2)
-		for _, a := range g.acts {
+		g := newHarness(testSettings())
+		g.scheduler.shards[0].serviceTime = decayingMean{100, 100 * 50}
+		id := g.submit(class, "high", "", 2)
+		for _, a := range g.actions {
 			if s, ok := a.(Send); ok && s.ID == id && s.TimeoutAt != want {
 				t.Errorf("%s: given up at %v, want %v", class, s.TimeoutAt, want)
 			}
@@ -186,44 +186,44 @@
 
 // A small request is answered sooner than the mean tells: clients with little
 // time left get theirs, and a large answer does not count as a slow node.
-func TestSizeCounts(t *testing.T) {
+func TestServiceTimeScalesWithSize(t *testing.T) {
 	for units, want := range map[float64]int{1: 1, 4: 0} {
-		g := newRig(settings())
-		g.p.unloadedServiceTime, g.p.shards[0].serviceTime = 60, decayingMean{100, 100 * 60}
-		g.n++
-		id := fmt.Sprintf("%016x", g.n)
-		g.do(Request{ID: id, Class: "read", Plan: "high", Volume: "v", Units: units, Expires: g.now + 55, Hosts: 1})
-		if g.sends(id) != want {
-			t.Errorf("%v units: %d sends, want %d", units, g.sends(id), want)
+		g := newHarness(testSettings())
+		g.scheduler.unloadedServiceTime, g.scheduler.shards[0].serviceTime = 60, decayingMean{100, 100 * 60}
+		g.requestCount++
+		id := fmt.Sprintf("%016x", g.requestCount)
+		g.handle(Request{ID: id, Class: "read", Plan: "high", Volume: "v", Units: units, Expires: g.now + 55, Hosts: 1})
+		if g.sendCount(id) != want {
+			t.Errorf("%v units: %d sends, want %d", units, g.sendCount(id), want)
 		}
 	}
-	g := newRig(settings())
-	g.p.unloadedServiceTime = 20
-	id := g.ask("read", "high", "", 4)
-	g.do(Outcome{ID: id, Node: "n0", Done: true, Elapsed: 40, Result: Served})
-	if got := g.p.shards[0].serviceTime; got.sum != 20 {
+	g := newHarness(testSettings())
+	g.scheduler.unloadedServiceTime = 20
+	id := g.submit("read", "high", "", 4)
+	g.handle(Outcome{ID: id, Node: "n0", Done: true, Elapsed: 40, Result: Served})
+	if got := g.scheduler.shards[0].serviceTime; got.sum != 20 {
 		t.Errorf("twice the mean size in twice the time taught %v", got.sum)
 	}
 }
 
 // Requests that count no units must not reach the fit or the optimizer.
-func TestZeroUnitsTeachNothing(t *testing.T) {
-	g := newRig(settings())
+func TestZeroUnitsKeepSharesFinite(t *testing.T) {
+	g := newHarness(testSettings())
 	for range 200 {
-		id := g.ask("read", "high", "", 0)
-		g.end(id, Served)
-		g.pass(20)
+		id := g.submit("read", "high", "", 0)
+		g.endAttempt(id, Served)
+		g.advance(20)
 	}
-	for _, share := range append(g.p.shares.share, g.p.shares.output...) {
+	for _, share := range append(g.scheduler.shares.share, g.scheduler.shares.output...) {
 		if math.IsNaN(share) || math.IsInf(share, 0) {
-			t.Fatalf("shares %v, last sample %v", g.p.shares.share, g.p.shares.output)
+			t.Fatalf("shares %v, last sample %v", g.scheduler.shares.share, g.scheduler.shares.output)
 		}
 	}
 }
 
 // Before a node that is full or does not answer, many hosts must not each try
 // once a second: it would never drain. A dead node is tried as often as ever.
-func TestHoldsGrowWithTheHosts(t *testing.T) {
+func TestBackoffGrowsWithHosts(t *testing.T) {
 	for _, tt := range []struct {
 		hosts int
 		res   Result
@@ -232,12 +232,12 @@
 		{1, Rejected, 1000}, {5, Rejected, 1000}, {50, Rejected, 50.0 / 6 * 1000},
 		{230, Rejected, 230.0 / 6 * 1000}, {230, NoAnswer, 230.0 / 6 * 1000}, {230, NoConnection, 1000},
 	} {
-		s := settings()
+		s := testSettings()
 		s.Hosts = tt.hosts
-		g := newRig(s)
-		n := g.p.nodes["n0"]
+		g := newHarness(s)
+		n := g.scheduler.nodes["n0"]
 		for range 20 {
-			g.p.recordOutcome(&request{shard: g.p.shards[0]}, n, Outcome{Result: tt.res, Elapsed: 400})
+			g.scheduler.recordOutcome(&request{shard: g.scheduler.shards[0]}, n, Outcome{Result: tt.res, Elapsed: 400})
 		}
 		if math.Abs(n.backoff-tt.most) > 1 {
 			t.Errorf("%+v: held for %v", tt, n.backoff)
@@ -246,7 +246,7 @@
 }
 
 // Contradicting settings get the careful reading, and no panic.
-func TestBadSettings(t *testing.T) {
+func TestContradictorySettings(t *testing.T) {
 	cold := Node{Addr: "n0", Health: Ready, Started: 1001} // after this host's own start
 	tests := []struct {
 		name  string
@@ -261,42 +261,42 @@
 		{"no units", func(s *Settings) { s.MeanUnits, s.MaxUnits = 0, 0 }, 1},
 	}
 	for _, tt := range tests {
-		s := settings()
+		s := testSettings()
 		tt.set(&s)
-		g := newRig(s)
-		g.list(cold)
-		id := g.ask("read", "high", "", 2)
-		if got := g.sends(id); got != tt.sends {
+		g := newHarness(s)
+		g.setNodes(cold)
+		id := g.submit("read", "high", "", 2)
+		if got := g.sendCount(id); got != tt.sends {
 			t.Errorf("%s: %d sends, want %d", tt.name, got, tt.sends)
 		}
-		g.pass(3000)
+		g.advance(3000)
 	}
-	g := newRig(settings())
-	g.p.settings.Classes[1].DedupScope = DedupZone
-	g.list(Node{Addr: "n0", Health: Ready}) // its zone is not told
-	r := &request{class: &g.p.settings.Classes[1], mayHaveRunOn: g.p.nodes["n0"], mayHaveRunAt: g.now}
-	if g.p.now = g.now; g.p.mayRepeat(r, &node{}) || !g.p.mayRepeat(r, g.p.nodes["n0"]) {
+	g := newHarness(testSettings())
+	g.scheduler.settings.Classes[1].DedupScope = DedupZone
+	g.setNodes(Node{Addr: "n0", Health: Ready}) // its zone is not told
+	r := &request{class: &g.scheduler.settings.Classes[1], mayHaveRunOn: g.scheduler.nodes["n0"], mayHaveRunAt: g.now}
+	if g.scheduler.now = g.now; g.scheduler.mayRepeat(r, &node{}) || !g.scheduler.mayRepeat(r, g.scheduler.nodes["n0"]) {
 		t.Error("two nodes without a zone were taken to share one")
 	}
-	g.do(Request{ID: "ff", Class: "read", Plan: "high", Volume: "w", Units: 2, Expires: g.now + 900, Hosts: 1000})
-	if v := g.p.volumes["w"]; v.fairRate > 0 || v.limitRate > 0 {
+	g.handle(Request{ID: "ff", Class: "read", Plan: "high", Volume: "w", Units: 2, Expires: g.now + 900, Hosts: 1000})
+	if v := g.scheduler.volumes["w"]; v.fairRate > 0 || v.limitRate > 0 {
 		t.Errorf("a plan without a rate got %v, %v", v.fairRate, v.limitRate)
 	}
 }
 
 // Messages, probes and figures that the module does not use change nothing.
-func TestUnusedEventsAreSkipped(t *testing.T) {
-	g := newRig(settings())
+func TestUnusedEventsAreIgnored(t *testing.T) {
+	g := newHarness(testSettings())
 	for _, ev := range []Event{PeerMessage{From: -1}, PeerMessage{Data: make([]byte, 1<<16)},
 		PeerMessage{From: 9, Data: []byte{255, 255, 0}}, ProbeResult{}, ProbeResult{Node: "nowhere", Report: []Reading{{"cpu", 9}}},
 		StreamStarted{ID: "none"}, ClientGone{ID: "none"}, Outcome{ID: "none"}, TimerFired{"none"}} {
-		if got := g.do(ev); len(got) > 0 {
+		if got := g.handle(ev); len(got) > 0 {
 			if _, ok := got[0].(SetTimer); !ok {
 				t.Errorf("%#v: %v", ev, got)
 			}
 		}
 	}
-	if id := g.ask("read", "high", "", 2); g.sends(id) != 1 {
+	if id := g.submit("read", "high", "", 2); g.sendCount(id) != 1 {
 		t.Error("the next request did not go")
 	}
 }
--- a/policy/rate_test.go
+++ b/policy/rate_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// rateSettings are those of one gateway of three before nine disk servers.
-func rateSettings() Settings {
+// gatewaySettings are those of one gateway of three before nine disk servers.
+func gatewaySettings() Settings {
 	return Settings{Hosts: 3, Tick: 1, Shards: 9, MeanUnits: 2, MaxUnits: 6, FairFactor: 1, SpareFactor: 0.05,
 		Classes: []Class{
 			{Name: "read", Value: 2, LateValue: 0.1, LatencyTarget: 300, Deadline: 2000, Effect: Idempotent},
@@ -24,71 +24,71 @@
 			HasBudget: true, BudgetBase: 3, BudgetRatio: 0.25, BudgetWindow: 5000}}
 }
 
-// reply is an outcome on its way.
-type reply struct {
-	at float64
-	o  Outcome
+// timedOutcome is an outcome on its way.
+type timedOutcome struct {
+	at      float64
+	outcome Outcome
 }
 
-type replies []reply
+type outcomeHeap []timedOutcome
 
-func (r replies) Len() int           { return len(r) }
-func (r replies) Less(i, j int) bool { return r[i].at < r[j].at }
-func (r replies) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
-func (r *replies) Push(x any)        { *r = append(*r, x.(reply)) }
-func (r *replies) Pop() any {
+func (r outcomeHeap) Len() int           { return len(r) }
+func (r outcomeHeap) Less(i, j int) bool { return r[i].at < r[j].at }
+func (r outcomeHeap) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
+func (r *outcomeHeap) Push(x any)        { *r = append(*r, x.(timedOutcome)) }
+func (r *outcomeHeap) Pop() any {
 	old := *r
 	x := old[len(old)-1]
 	*r = old[:len(old)-1]
 	return x
 }
 
-// idleFleet answers every attempt after 1 ms, but turns 2% of the first ones away.
-type idleFleet struct {
-	p      Scheduler
-	rng    *rand.Rand
-	now    float64
-	out    replies
-	timers replies // Outcome.ID is the timer's name
-	tries  map[string]int
-	from   int // requests from this number on are counted
-	turned int // of them, refused or failed
+// idleFleetSim answers every attempt after 1 ms, but turns 2% of the first ones away.
+type idleFleetSim struct {
+	scheduler Scheduler
+	rng       *rand.Rand
+	now       float64
+	outcomes  outcomeHeap
+	timers    outcomeHeap // Outcome.ID is the timer's name
+	attempts  map[string]int
+	countFrom int // requests from this number on are counted
+	unserved  int // of them, refused or failed
 }
 
-func (f *idleFleet) handle(ev Event) {
-	for _, a := range f.p.Handle(f.now, ev) {
+func (f *idleFleetSim) handle(ev Event) {
+	for _, a := range f.scheduler.Handle(f.now, ev) {
 		switch a := a.(type) {
 		case Send:
-			n := f.tries[a.ID]
-			f.tries[a.ID]++
+			n := f.attempts[a.ID]
+			f.attempts[a.ID]++
 			o := Outcome{ID: a.ID, Node: a.Node, Attempt: n, Done: true, Elapsed: 1, Result: Served}
 			if n == 0 && f.rng.Float64() < 0.02 {
 				o.Done, o.Result = false, Rejected
 			}
-			heap.Push(&f.out, reply{f.now + 1, o})
+			heap.Push(&f.outcomes, timedOutcome{f.now + 1, o})
 		case Refuse:
-			f.end(a.ID)
+			f.countUnserved(a.ID)
 		case Fail:
-			f.end(a.ID)
+			f.countUnserved(a.ID)
 		case SetTimer:
-			heap.Push(&f.timers, reply{f.now + max(a.Delay, 0.001), Outcome{ID: a.Name}})
+			heap.Push(&f.timers, timedOutcome{f.now + max(a.Delay, 0.001), Outcome{ID: a.Name}})
 		}
 	}
 }
 
-func (f *idleFleet) end(id string) {
-	delete(f.tries, id)
-	if n, err := strconv.Atoi(id); err == nil && n >= f.from {
-		f.turned++
+func (f *idleFleetSim) countUnserved(id string) {
+	delete(f.attempts, id)
+	if n, err := strconv.Atoi(id); err == nil && n >= f.countFrom {
+		f.unserved++
 	}
 }
 
-// until plays everything that comes due before t.
-func (f *idleFleet) until(t float64) {
+// runUntil plays everything that comes due before t.
+func (f *idleFleetSim) runUntil(t float64) {
 	for {
 		nextOut, nextTimer := t, t
-		if len(f.out) > 0 {
-			nextOut = f.out[0].at
+		if len(f.outcomes) > 0 {
+			nextOut = f.outcomes[0].at
 		}
 		if len(f.timers) > 0 {
 			nextTimer = f.timers[0].at
@@ -98,31 +98,31 @@
 			f.now = t
 			return
 		case nextOut <= nextTimer:
-			r := heap.Pop(&f.out).(reply)
+			r := heap.Pop(&f.outcomes).(timedOutcome)
 			f.now = r.at
-			if r.o.Result == Served {
-				delete(f.tries, r.o.ID)
+			if r.outcome.Result == Served {
+				delete(f.attempts, r.outcome.ID)
 			}
-			f.handle(r.o)
+			f.handle(r.outcome)
 		default:
-			r := heap.Pop(&f.timers).(reply)
+			r := heap.Pop(&f.timers).(timedOutcome)
 			f.now = r.at
-			f.handle(TimerFired{Name: r.o.ID})
+			f.handle(TimerFired{Name: r.outcome.ID})
 		}
 	}
 }
 
-// run asks for that rate a second for so many ms and returns the requests asked.
-func (f *idleFleet) run(rate, span float64, from int) int {
+// offerLoad asks for that rate a second for so many ms and returns the requests asked.
+func (f *idleFleetSim) offerLoad(rate, span float64, from int) int {
 	end := f.now + span
 	n := from
 	for {
 		next := f.now + f.rng.ExpFloat64()*1000/rate
 		if next >= end {
-			f.until(end)
+			f.runUntil(end)
 			return n - from
 		}
-		f.until(next)
+		f.runUntil(next)
 		n++
 		v := f.rng.IntN(40)
 		class, plan := "read", "normal"
@@ -137,8 +137,8 @@
 	}
 }
 
-func newIdleFleet() *idleFleet {
-	f := &idleFleet{p: New(rateSettings(), 1), rng: rand.New(rand.NewPCG(1, 2)), now: 1000, tries: map[string]int{}}
+func newIdleFleetSim() *idleFleetSim {
+	f := &idleFleetSim{scheduler: New(gatewaySettings(), 1), rng: rand.New(rand.NewPCG(1, 2)), now: 1000, attempts: map[string]int{}}
 	var nodes []Node
 	for i := range 9 {
 		nodes = append(nodes, Node{Addr: fmt.Sprintf("n%d", i), Health: Ready, Shard: i, Weight: 1})
@@ -155,14 +155,14 @@
 			var asked, turned int
 			var took time.Duration
 			for b.Loop() {
-				f := newIdleFleet()
-				n := f.run(rate, 2000, 0)
-				f.from = n + 1
+				f := newIdleFleetSim()
+				n := f.offerLoad(rate, 2000, 0)
+				f.countFrom = n + 1
 				begin := time.Now()
-				asked += f.run(rate, 3000, n)
+				asked += f.offerLoad(rate, 3000, n)
 				took += time.Since(begin)
-				f.until(f.now + 5000) // to the end of all that was asked
-				turned += f.turned
+				f.runUntil(f.now + 5000) // to the end of all that was asked
+				turned += f.unserved
 			}
 			b.ReportMetric(float64(took.Microseconds())/float64(asked), "us/request")
 			b.ReportMetric(100*float64(turned)/float64(asked), "%refused")
@@ -173,22 +173,22 @@
 // At thousands of requests a second a node that turns a few away is not full: a
 // pause for each of them would keep an idle fleet from work, and a depth that
 // rises by the law's small steps would take a minute to give it enough.
-func TestIdleFleetAtAGatewaysRate(t *testing.T) {
-	f := newIdleFleet()
-	n := f.run(20000, 3000, 0)
-	f.from = n + 1
-	asked := f.run(20000, 1000, n)
-	f.until(f.now + 5000)
-	if f.turned*100 > asked {
-		t.Errorf("%d of %d refused by an idle fleet", f.turned, asked)
+func TestIdleFleetAtHighRate(t *testing.T) {
+	f := newIdleFleetSim()
+	n := f.offerLoad(20000, 3000, 0)
+	f.countFrom = n + 1
+	asked := f.offerLoad(20000, 1000, n)
+	f.runUntil(f.now + 5000)
+	if f.unserved*100 > asked {
+		t.Errorf("%d of %d refused by an idle fleet", f.unserved, asked)
 	}
 }
 
 // A node that turns most away is left alone, at any rate.
-func TestAFullNodeIsLeftAlone(t *testing.T) {
-	f := newIdleFleet()
-	f.run(20000, 3000, 0)
-	sh := f.p.(*scheduler).shards[0]
+func TestBackoffFromFullNode(t *testing.T) {
+	f := newIdleFleetSim()
+	f.offerLoad(20000, 3000, 0)
+	sh := f.scheduler.(*scheduler).shards[0]
 	for range 200 { // a whole queue stands before what comes now
 		sh.node.rejectedShort.add(f.now, rejectSpan)
 	}
@@ -201,10 +201,10 @@
 
 // What the module remembers of the past does not grow with the time that it runs.
 func TestMemoryIsBounded(t *testing.T) {
-	f := newIdleFleet()
-	n := f.run(5000, 8000, 0)
+	f := newIdleFleetSim()
+	n := f.offerLoad(5000, 8000, 0)
 	size := func() int {
-		p := f.p.(*scheduler)
+		p := f.scheduler.(*scheduler)
 		all := len(p.timers) + len(p.arrivals.all) + len(p.resends.all) + len(p.requests) + len(p.answers)
 		for _, nd := range p.nodes {
 			all += len(nd.recentSends.all)
@@ -215,7 +215,7 @@
 		return all
 	}
 	before := size()
-	f.run(5000, 8000, n)
+	f.offerLoad(5000, 8000, n)
 	if after := size(); after > before+before/2 {
 		t.Errorf("%d records after 8 s, %d after 16 s", before, after)
 	}
@@ -224,12 +224,12 @@
 // A limit's parts pass between two hosts again and again: whatever is asked of both, they
 // never pass it together, what is given back is spent, and nothing that a large part held
 // waits for a small one's pace for ever.
-func TestPartsOfALimitMove(t *testing.T) {
-	s := settings()
+func TestLimitHoldsWhileFractionsMove(t *testing.T) {
+	s := testSettings()
 	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 40, 8, 4
-	var rigs [2]*rig
+	var rigs [2]*harness
 	for i := range rigs {
-		rigs[i] = newRig(s)
+		rigs[i] = newHarness(s)
 		rigs[i].now = 100
 	}
 	const none = 1e-9
@@ -240,17 +240,17 @@
 	rng := rand.New(rand.NewPCG(5, 5))
 	for step := range 4000 {
 		for i, g := range rigs {
-			g.n++
-			id := fmt.Sprint(i, "-", g.n)
-			g.do(Request{ID: id, Class: "read", Plan: "low", Volume: "v", Units: 1 + float64(rng.IntN(3)), Expires: g.now + 400, Hosts: 1, Fraction: parts[i], FractionSince: since[i]})
-			g.pass(5)
-			for k := 0; k < len(g.acts); k++ { // those of the last change too
-				if s, ok := g.acts[k].(Send); ok {
-					all = append(all, passed{g.when[k], g.p.requests[s.ID].Units})
-					g.do(Outcome{ID: s.ID, Node: "n0", Attempt: 0, Done: true, Elapsed: 1, Result: Served})
+			g.requestCount++
+			id := fmt.Sprint(i, "-", g.requestCount)
+			g.handle(Request{ID: id, Class: "read", Plan: "low", Volume: "v", Units: 1 + float64(rng.IntN(3)), Expires: g.now + 400, Hosts: 1, Fraction: parts[i], FractionSince: since[i]})
+			g.advance(5)
+			for k := 0; k < len(g.actions); k++ { // those of the last change too
+				if s, ok := g.actions[k].(Send); ok {
+					all = append(all, passed{g.actionTimes[k], g.scheduler.requests[s.ID].Units})
+					g.handle(Outcome{ID: s.ID, Node: "n0", Attempt: 0, Done: true, Elapsed: 1, Result: Served})
 				}
 			}
-			g.acts, g.when = g.acts[:0], g.when[:0]
+			g.actions, g.actionTimes = g.actions[:0], g.actionTimes[:0]
 		}
 		if step%300 != 299 {
 			continue
@@ -259,12 +259,12 @@
 		next := [][2]float64{{0.5, 0.5}, {1, none}, {none, 1}, {0.25, 0.5}}[rng.IntN(4)]
 		for i, g := range rigs {
 			parts[i] = min(parts[i], next[i])
-			g.do(VolumeChanged{"v", 1, parts[i]})
+			g.handle(VolumeChanged{"v", 1, parts[i]})
 		}
 		for i, g := range rigs {
 			if next[i] > parts[i] {
 				parts[i], since[i] = next[i], g.now
-				g.do(VolumeChanged{"v", 1, parts[i]})
+				g.handle(VolumeChanged{"v", 1, parts[i]})
 			}
 		}
 	}
@@ -284,18 +284,18 @@
 // Units that attempts hold which find no connection come back, but not what the bucket would
 // have lost to its cap meanwhile: what passes keeps to the limit in every window.
 func TestUnitsThatComeBackFillNothing(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Rules.MaxSendDelay, s.Limits.MaxAttempts = 300, 4
 	s.Plans[0] = Plan{Name: "low", Price: 1, Weight: 1, Limit: 17, Burst: 36, Overdraft: 6}
-	g := newRig(s)
+	g := newHarness(s)
 	nodes := []Node{{Addr: "n0", Health: Ready, Shard: 0, Zone: "z"}}
 	for shard := 1; shard <= 60; shard++ { // none of them can be reached
 		nodes = append(nodes, Node{Addr: fmt.Sprint("cut", shard), Health: Ready, Shard: shard, Zone: "z"})
 	}
-	g.list(nodes...)
+	g.setNodes(nodes...)
 	ask := func(shard int, units float64) {
-		g.n++
-		g.do(Request{ID: fmt.Sprint("r", g.n), Class: "read", Plan: "low", Volume: "v", Shard: shard, Units: units, Expires: g.now + 1000, Hosts: 1})
+		g.requestCount++
+		g.handle(Request{ID: fmt.Sprint("r", g.requestCount), Class: "read", Plan: "low", Volume: "v", Shard: shard, Units: units, Expires: g.now + 1000, Hosts: 1})
 	}
 	type ending struct {
 		at float64
@@ -303,14 +303,14 @@
 	}
 	var out []ending
 	level, filled, lowest, passed := 36.0, g.now, 0.0, 0
-	seen := len(g.acts)
+	seen := len(g.actions)
 	take := func() {
-		for ; seen < len(g.acts); seen++ {
-			send, ok := g.acts[seen].(Send)
+		for ; seen < len(g.actions); seen++ {
+			send, ok := g.actions[seen].(Send)
 			if !ok {
 				continue
 			}
-			r := g.p.requests[send.ID]
+			r := g.scheduler.requests[send.ID]
 			end := ending{g.now + 250, Outcome{ID: send.ID, Node: send.Node, Result: NoConnection, Attempt: r.attempts - 1, Elapsed: 250}}
 			if send.Node == "n0" {
 				level = min(36, level+17*(g.now-filled)/1000) - r.Units
@@ -321,14 +321,14 @@
 		}
 	}
 	for step := range 9000 {
-		g.pass(1)
+		g.advance(1)
 		take()
 		for i := 0; i < len(out); i++ {
 			if out[i].at <= g.now {
 				end := out[i]
 				out = slices.Delete(out, i, i+1)
 				i--
-				g.do(end.o)
+				g.handle(end.o)
 				take()
 			}
 		}
@@ -346,21 +346,21 @@
 }
 
 // Units that were taken under a larger part of the limit and come back find the smaller one.
-func TestUnitsThatComeBackToASmallerPart(t *testing.T) {
-	s := settings()
+func TestRefundUnderSmallerFraction(t *testing.T) {
+	s := testSettings()
 	s.Rules.MaxSendDelay, s.Limits.MaxAttempts = 300, 4
 	s.Plans[0] = Plan{Name: "low", Price: 1, Weight: 1, Limit: 17, Burst: 36, Overdraft: 6}
 	nodes := []Node{{Addr: "n0", Health: Ready, Shard: 0, Zone: "z"}}
 	for shard := 1; shard <= 5; shard++ {
 		nodes = append(nodes, Node{Addr: fmt.Sprint("cut", shard), Health: Ready, Shard: shard, Zone: "z"})
 	}
-	g := newRig(s)
-	g.list(nodes...)
-	g.pass(5000)
+	g := newHarness(s)
+	g.setNodes(nodes...)
+	g.advance(5000)
 	ask := func(shard int, units float64, hosts int) string {
-		g.n++
-		id := fmt.Sprint("r", g.n)
-		g.do(Request{ID: id, Class: "read", Plan: "low", Volume: "v", Shard: shard, Units: units, Expires: g.now + 1000, Hosts: hosts})
+		g.requestCount++
+		id := fmt.Sprint("r", g.requestCount)
+		g.handle(Request{ID: id, Class: "read", Plan: "low", Volume: "v", Shard: shard, Units: units, Expires: g.now + 1000, Hosts: hosts})
 		return id
 	}
 	var cut []string
@@ -371,15 +371,15 @@
 	flood := func() {
 		for range 40 {
 			id := ask(0, 1, 3)
-			if g.sends(id) > 0 {
+			if g.sendCount(id) > 0 {
 				passed++
-				g.end(id, Served)
+				g.endAttempt(id, Served)
 			}
 		}
 	}
 	flood() // what the smaller part has
 	for i, id := range cut {
-		g.do(Outcome{ID: id, Node: fmt.Sprint("cut", i+1), Result: NoConnection, Done: true, Elapsed: 250})
+		g.handle(Outcome{ID: id, Node: fmt.Sprint("cut", i+1), Result: NoConnection, Done: true, Elapsed: 250})
 	}
 	flood() // and what came back
 	if part := 36.0/3 + 6.0/3; passed > part {
--- a/policy/reason_test.go
+++ b/policy/reason_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// why returns the reason of a request's end, ReasonNone where it has none.
-func (g *rig) why(id string) Reason {
-	for _, a := range g.acts {
+// endReason returns the reason of a request's end, ReasonNone where it has none.
+func (g *harness) endReason(id string) Reason {
+	for _, a := range g.actions {
 		switch a := a.(type) {
 		case Refuse:
 			if a.ID == id {
@@ -21,53 +21,53 @@
 
 // Each reason by a request that meets just that.
 func TestReasons(t *testing.T) {
-	for want, play := range map[Reason]func(g *rig) string{
-		ReasonNoNode: func(g *rig) string {
-			g.list(Node{Addr: "n0", Health: Draining})
-			return g.ask("read", "high", "", 1)
+	for want, play := range map[Reason]func(g *harness) string{
+		ReasonNoNode: func(g *harness) string {
+			g.setNodes(Node{Addr: "n0", Health: Draining})
+			return g.submit("read", "high", "", 1)
 		},
-		ReasonLimit: func(g *rig) string {
+		ReasonLimit: func(g *harness) string {
 			var last string
 			for range 60 {
-				last = g.ask("read", "low", "", 1)
+				last = g.submit("read", "low", "", 1)
 			}
 			return last
 		},
-		ReasonAttemptOut: func(g *rig) string { return g.ask("once", "high", "", 1) },
-		ReasonOutcomeUnknown: func(g *rig) string {
-			id := g.ask("once", "high", "", 1)
-			g.answer(id, ConnectionLost)
+		ReasonAttemptOut: func(g *harness) string { return g.submit("once", "high", "", 1) },
+		ReasonOutcomeUnknown: func(g *harness) string {
+			id := g.submit("once", "high", "", 1)
+			g.endAttemptFast(id, ConnectionLost)
 			return id
 		},
-		ReasonAttemptsUsed: func(g *rig) string {
-			id := g.ask("read", "high", "", 1)
+		ReasonAttemptsUsed: func(g *harness) string {
+			id := g.submit("read", "high", "", 1)
 			for range 3 {
-				g.answer(id, ServerError)
+				g.endAttemptFast(id, ServerError)
 			}
 			return id
 		},
-		ReasonKeyOrder: func(g *rig) string {
-			g.ask("turns", "high", "k", 1)
-			return g.ask("turns", "high", "k", 1)
+		ReasonKeyOrder: func(g *harness) string {
+			g.submit("turns", "high", "k", 1)
+			return g.submit("turns", "high", "k", 1)
 		},
-		ReasonNodeHeld: func(g *rig) string {
-			s := settings()
+		ReasonNodeHeld: func(g *harness) string {
+			s := testSettings()
 			s.Limits.MaxAttempts = 0
-			g.do(SettingsChanged{s})
-			id := g.ask("read", "high", "", 1)
+			g.handle(SettingsChanged{s})
+			id := g.submit("read", "high", "", 1)
 			for range 60 {
-				if r := g.p.requests[id]; r != nil && r.outstanding > 0 {
-					g.answer(id, NoConnection)
+				if r := g.scheduler.requests[id]; r != nil && r.outstanding > 0 {
+					g.endAttemptFast(id, NoConnection)
 				}
-				g.pass(20)
+				g.advance(20)
 			}
 			return id
 		},
 	} {
-		g := newRig(settings())
+		g := newHarness(testSettings())
 		id := play(g)
-		g.pass(1200)
-		if got := g.why(id); got != want {
+		g.advance(1200)
+		if got := g.endReason(id); got != want {
 			t.Errorf("%v, want %v", got, want)
 		}
 	}
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -9,44 +9,44 @@
 
 // What no node has had is refused while its client can still do something else; what one
 // has had, or may have, is kept to its deadline.
-func TestWhatNoNodeHadEndsBeforeHalfOfItsTime(t *testing.T) {
+func TestUnreceivedRequestEndsAtWaitDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		first func(g *rig, id string)
+		first func(g *harness, id string)
 		ends  bool
 	}{
-		{"no node", func(g *rig, id string) {}, true},
-		{"never reached", func(g *rig, id string) { g.end(id, NoConnection) }, true},
-		{"turned away", func(g *rig, id string) { g.end(id, Rejected) }, false},
-		{"failed", func(g *rig, id string) { g.end(id, ServerError) }, false},
+		{"no node", func(g *harness, id string) {}, true},
+		{"never reached", func(g *harness, id string) { g.endAttempt(id, NoConnection) }, true},
+		{"turned away", func(g *harness, id string) { g.endAttempt(id, Rejected) }, false},
+		{"failed", func(g *harness, id string) { g.endAttempt(id, ServerError) }, false},
 	} {
-		g := newRig(settings())
+		g := newHarness(testSettings())
 		if c.name == "no node" {
-			g.list()
+			g.setNodes()
 		}
-		id := g.ask("read", "high", "k", 2)
-		if g.list(); g.sends(id) > 0 { // nothing further goes out
+		id := g.submit("read", "high", "k", 2)
+		if g.setNodes(); g.sendCount(id) > 0 { // nothing further goes out
 			c.first(g, id)
 		}
-		g.pass(1000*maxWaitFraction - 5)
-		if got := g.final(id); got != "" {
+		g.advance(1000*maxWaitFraction - 5)
+		if got := g.finalAnswers(id); got != "" {
 			t.Errorf("%s: %s before its time", c.name, got)
 		}
-		g.pass(10)
-		if got := g.final(id); (got != "") != c.ends {
+		g.advance(10)
+		if got := g.finalAnswers(id); (got != "") != c.ends {
 			t.Errorf("%s: %q at half of its time", c.name, got)
 		}
-		g.pass(1000)
-		if got := g.final(id); got == "" {
+		g.advance(1000)
+		if got := g.finalAnswers(id); got == "" {
 			t.Errorf("%s: no answer", c.name)
 		}
 	}
 }
 
 // A node that fails quickly has an empty queue; new objects don't follow that.
-func TestNewObjectsKeepAwayFromANodeThatFails(t *testing.T) {
-	g := newRig(settings())
-	g.list(Node{Addr: "n0", Health: Ready, Shard: 0, Zone: "z"}, Node{Addr: "n1", Health: Ready, Shard: 1, Zone: "z"}, Node{Addr: "n2", Health: Ready, Shard: 2, Zone: "z"})
+func TestNewObjectsAvoidFailingNode(t *testing.T) {
+	g := newHarness(testSettings())
+	g.setNodes(Node{Addr: "n0", Health: Ready, Shard: 0, Zone: "z"}, Node{Addr: "n1", Health: Ready, Shard: 1, Zone: "z"}, Node{Addr: "n2", Health: Ready, Shard: 2, Zone: "z"})
 	type out struct {
 		Send
 		at float64
@@ -54,14 +54,14 @@
 	got, open, seen := map[string]int{}, []out{}, 0
 	for i := range 500 {
 		id := fmt.Sprintf("w%d", i)
-		g.do(Request{ID: id, Class: "write", Plan: "high", Volume: "v", Shard: -1, Units: 2, Key: id, Expires: g.now + 2000, Hosts: 1})
-		g.pass(4)
+		g.handle(Request{ID: id, Class: "write", Plan: "high", Volume: "v", Shard: -1, Units: 2, Key: id, Expires: g.now + 2000, Hosts: 1})
+		g.advance(4)
 		for len(open) > 0 && g.now-open[0].at >= 40 {
-			g.do(Outcome{ID: open[0].ID, Node: open[0].Node, Elapsed: 40, Result: Served, Done: true})
+			g.handle(Outcome{ID: open[0].ID, Node: open[0].Node, Elapsed: 40, Result: Served, Done: true})
 			open = open[1:]
 		}
-		for ; seen < len(g.acts); seen++ {
-			s, ok := g.acts[seen].(Send)
+		for ; seen < len(g.actions); seen++ {
+			s, ok := g.actions[seen].(Send)
 			if !ok {
 				continue
 			}
@@ -70,35 +70,35 @@
 				open = append(open, out{s, g.now})
 				continue
 			}
-			g.do(Outcome{ID: s.ID, Node: s.Node, Elapsed: 1, Result: ServerError})
-			g.do(ClientGone{ID: s.ID})
+			g.handle(Outcome{ID: s.ID, Node: s.Node, Elapsed: 1, Result: ServerError})
+			g.handle(ClientGone{ID: s.ID})
 		}
 	}
 	if got["n0"] > 100 || got["n1"]+got["n2"] < 200 {
 		t.Errorf("sent to: %v", got)
 	}
-	if g.pass(10 * answerSpan); g.p.nodes["n0"].errorFraction(g.now) > 0.001 {
+	if g.advance(10 * answerSpan); g.scheduler.nodes["n0"].errorFraction(g.now) > 0.001 {
 		t.Error("it is not forgotten")
 	}
 }
 
 // A connection that breaks alone costs its attempt and no more; one that can't be had, or
 // breaks again and again, keeps the host away for a while.
-func TestALoneBreakKeepsNobodyFromItsNode(t *testing.T) {
+func TestSingleLostConnectionCausesNoBackoff(t *testing.T) {
 	sendsAfter := func(results ...Result) int {
-		g := newRig(settings())
+		g := newHarness(testSettings())
 		for i := range 20 {
-			id := g.ask("read", "high", fmt.Sprint(i), 2)
-			g.pass(20)
-			g.end(id, Served)
+			id := g.submit("read", "high", fmt.Sprint(i), 2)
+			g.advance(20)
+			g.endAttempt(id, Served)
 		}
 		for i, res := range results {
-			id := g.ask("read", "high", fmt.Sprint("x", i), 2)
-			g.pass(1)
-			g.end(id, res)
-			g.do(ClientGone{ID: id})
+			id := g.submit("read", "high", fmt.Sprint("x", i), 2)
+			g.advance(1)
+			g.endAttempt(id, res)
+			g.handle(ClientGone{ID: id})
 		}
-		return g.sends(g.ask("read", "high", "y", 2))
+		return g.sendCount(g.submit("read", "high", "y", 2))
 	}
 	if n := sendsAfter(ConnectionLost); n != 1 {
 		t.Error("held after a lone break")
@@ -113,71 +113,71 @@
 
 // An attempt that later ones have overtaken is stuck by itself: what waits behind is not
 // shed for it. One that nothing has overtaken tells of a pause at once.
-func TestAnOvertakenAttemptTellsNoServiceTime(t *testing.T) {
-	g := newRig(settings())
-	stuck := g.ask("read", "high", "a", 2)
-	if g.pass(5); g.sends(stuck) != 1 {
+func TestServiceTimeIgnoresOvertakenAttempt(t *testing.T) {
+	g := newHarness(testSettings())
+	stuck := g.submit("read", "high", "a", 2)
+	if g.advance(5); g.sendCount(stuck) != 1 {
 		t.Fatal("not sent")
 	}
-	g.pass(250)
-	g.do(TimerFired{Name: "wake"})
-	sh := g.p.shards[0]
-	if s := g.p.expectedServiceTime(sh); s < 120 {
+	g.advance(250)
+	g.handle(TimerFired{Name: "wake"})
+	sh := g.scheduler.shards[0]
+	if s := g.scheduler.expectedServiceTime(sh); s < 120 {
 		t.Errorf("a pause shows as %.0f ms", s)
 	}
-	id := g.ask("read", "high", "b", 2)
-	g.pass(20)
-	if g.sends(id) == 0 {
+	id := g.submit("read", "high", "b", 2)
+	g.advance(20)
+	if g.sendCount(id) == 0 {
 		t.Fatal("there is no room for a second one")
 	}
-	g.do(Outcome{ID: id, Node: "n0", Elapsed: 20, Result: Served, Done: true})
-	if s := g.p.expectedServiceTime(sh); s > 100 {
+	g.handle(Outcome{ID: id, Node: "n0", Elapsed: 20, Result: Served, Done: true})
+	if s := g.scheduler.expectedServiceTime(sh); s > 100 {
 		t.Errorf("overtaken, it shows as %.0f ms", s)
 	}
 }
 
 // What others have overtaken that were sent well after it is given up, once, and sent
 // again; not where it must not run twice, nor where the site forbids it.
-func TestStraysAreGivenUp(t *testing.T) {
+func TestOvertakenAttemptsAreCancelled(t *testing.T) {
 	for _, c := range []struct {
 		class  string
 		cancel bool
 		copies bool
 		want   int
 	}{{"read", true, true, 1}, {"write", true, true, 1}, {"once", true, true, 0}, {"read", false, true, 0}, {"read", true, false, 0}} {
-		set := settings()
+		set := testSettings()
 		set.Limits.Cancel, set.Limits.Duplicates = c.cancel, c.copies
 		set.Classes[0].LatencyTarget, set.Classes[1].LatencyTarget = 1000, 1000
-		g := newRig(set)
+		g := newHarness(set)
 		for i := range 20 { // it is known to answer in 10 ms
-			id := g.ask("read", "high", fmt.Sprint(i), 2)
-			g.pass(10)
-			g.do(Outcome{ID: id, Node: "n0", Elapsed: 10, Result: Served, Done: true})
+			id := g.submit("read", "high", fmt.Sprint(i), 2)
+			g.advance(10)
+			g.handle(Outcome{ID: id, Node: "n0", Elapsed: 10, Result: Served, Done: true})
 		}
 		given := func(id string) (n int) {
-			for _, a := range g.acts {
+			for _, a := range g.actions {
 				if x, ok := a.(CancelAttempt); ok && x.ID == id && x.Attempt == 0 {
 					n++
 				}
 			}
 			return n
 		}
-		slow := g.ask(c.class, "high", "s", 2)
-		mean := g.p.meanServiceTime(g.p.shards[0])
+		slow := g.submit(c.class, "high", "s", 2)
+		mean := g.scheduler.meanServiceTime(g.scheduler.shards[0])
 		for i := range 12 {
 			if before := given(slow); i < 3 && before > 0 {
 				t.Errorf("%s: given up at once", c.class)
 			}
-			id := g.ask("read", "high", fmt.Sprint("x", i), 2)
-			g.pass(mean)
-			g.do(Outcome{ID: id, Node: "n0", Elapsed: mean, Result: Served, Done: true})
+			id := g.submit("read", "high", fmt.Sprint("x", i), 2)
+			g.advance(mean)
+			g.handle(Outcome{ID: id, Node: "n0", Elapsed: mean, Result: Served, Done: true})
 		}
 		if n := given(slow); n != c.want {
 			t.Errorf("%s, cancel %v, copies %v: given up %d times", c.class, c.cancel, c.copies, n)
 		}
 		if c.want == 1 {
-			g.do(Outcome{ID: slow, Node: "n0", Elapsed: 12 * mean, Result: Cancelled})
-			if g.sends(slow) != 2 {
+			g.handle(Outcome{ID: slow, Node: "n0", Elapsed: 12 * mean, Result: Cancelled})
+			if g.sendCount(slow) != 2 {
 				t.Errorf("%s: not sent again", c.class)
 			}
 		}
@@ -187,22 +187,22 @@
 // A client's further try of what was refused counts its aim from the first try; it goes
 // after those that can still be in time. Another request for the same piece, or one that
 // comes when the first client has long given up, is fresh; so is one with little time.
-func TestFurtherTriesCountFromTheFirst(t *testing.T) {
-	g := newRig(settings())
+func TestClientRetryCountsFromFirstTry(t *testing.T) {
+	g := newHarness(testSettings())
 	n := 0
 	ask := func(key string, left float64) *request {
 		n++
 		id := fmt.Sprint(key, n)
-		g.do(Request{ID: id, Class: "read", Plan: "high", Volume: "v", Units: 2, Key: key, Expires: g.now + left, Hosts: 1})
-		return g.p.requests[id]
+		g.handle(Request{ID: id, Class: "read", Plan: "high", Volume: "v", Units: 2, Key: key, Expires: g.now + left, Hosts: 1})
+		return g.scheduler.requests[id]
 	}
 	aim := func(r *request) float64 { return r.targetTime - g.now }
-	g.list() // nothing can be sent
+	g.setNodes() // nothing can be sent
 	ask("a", 900)
 	if r := ask("b", 250); aim(r) != 250 {
 		t.Errorf("a short try has %.0f ms", aim(r))
 	}
-	g.pass(500) // a is refused at 0.45 of its time
+	g.advance(500) // a is refused at 0.45 of its time
 	r := ask("a", 400)
 	if math.Abs(aim(r)+200) > 1 {
 		t.Errorf("a further try has %.0f ms", aim(r))
@@ -210,53 +210,53 @@
 	if r := ask("a", 400); aim(r) != 300 {
 		t.Errorf("the next for that piece has %.0f ms", aim(r))
 	}
-	g.do(ClientGone{ID: r.ID})
+	g.handle(ClientGone{ID: r.ID})
 	ask("c", 900)
-	g.pass(1100)
+	g.advance(1100)
 	if r := ask("c", 900); aim(r) != 300 {
 		t.Errorf("when its client has given up: %.0f ms", aim(r))
 	}
-	g.pass(40000)
-	if len(g.p.unserved) > 0 {
-		t.Errorf("%d are still remembered", len(g.p.unserved))
+	g.advance(40000)
+	if len(g.scheduler.unserved) > 0 {
+		t.Errorf("%d are still remembered", len(g.scheduler.unserved))
 	}
 }
 
 // A short try that can be in time to its end is not refused before that.
-func TestShortTriesAreKeptWhileTheyCanBeInTime(t *testing.T) {
-	g := newRig(settings())
-	g.list()
-	g.do(Request{ID: "s", Class: "read", Plan: "high", Volume: "v", Units: 2, Key: "k", Expires: g.now + 280, Hosts: 1})
-	g.pass(270)
-	if got := g.final("s"); got != "" {
+func TestShortRequestWaitsUntilItsExpiry(t *testing.T) {
+	g := newHarness(testSettings())
+	g.setNodes()
+	g.handle(Request{ID: "s", Class: "read", Plan: "high", Volume: "v", Units: 2, Key: "k", Expires: g.now + 280, Hosts: 1})
+	g.advance(270)
+	if got := g.finalAnswers("s"); got != "" {
 		t.Error(got, "before its end")
 	}
-	g.pass(20)
-	if got := g.final("s"); got != "refuse" {
+	g.advance(20)
+	if got := g.finalAnswers("s"); got != "refuse" {
 		t.Errorf("%q at its end", got)
 	}
 }
 
 // An end that is brought forward is kept, whether the request waits or is out; a later one
 // changes nothing.
-func TestAnEndBroughtForward(t *testing.T) {
+func TestShortenedDeadline(t *testing.T) {
 	for _, out := range []bool{false, true} {
-		g := newRig(settings())
+		g := newHarness(testSettings())
 		if !out {
-			g.list(Node{Addr: "n0", Health: Draining, Shard: 0})
+			g.setNodes(Node{Addr: "n0", Health: Draining, Shard: 0})
 		}
-		id := g.ask("write", "high", "k", 1)
-		if got := g.sends(id); (got == 1) != out {
+		id := g.submit("write", "high", "k", 1)
+		if got := g.sendCount(id); (got == 1) != out {
 			t.Fatalf("%d sends", got)
 		}
-		g.do(DeadlineShortened{ID: id, Deadline: g.now + 1e6})
-		g.do(DeadlineShortened{ID: id, Deadline: g.now + 100})
-		g.pass(90)
-		if g.final(id) != "" {
+		g.handle(DeadlineShortened{ID: id, Deadline: g.now + 1e6})
+		g.handle(DeadlineShortened{ID: id, Deadline: g.now + 100})
+		g.advance(90)
+		if g.finalAnswers(id) != "" {
 			t.Errorf("out %v: it ended before its time", out)
 		}
-		g.pass(30)
-		if g.final(id) == "" {
+		g.advance(30)
+		if g.finalAnswers(id) == "" {
 			t.Errorf("out %v: it has no final answer", out)
 		}
 	}
--- a/policy/shares_test.go
+++ b/policy/shares_test.go
@@ -28,22 +28,22 @@
 // Depth and shares must stay within their bounds, whatever the outcomes.
 func TestRegulatorsStayInBounds(t *testing.T) {
 	for _, res := range []Result{Served, ServerError, NoConnection, NoAnswer} {
-		g := newRig(settings())
+		g := newHarness(testSettings())
 		for range 300 {
 			for range 4 {
-				g.ask("read", "high", "", 2)
+				g.submit("read", "high", "", 2)
 			}
-			for _, r := range slices.Clone(g.p.shards[0].outstanding) {
-				g.end(r.ID, res)
+			for _, r := range slices.Clone(g.scheduler.shards[0].outstanding) {
+				g.endAttempt(r.ID, res)
 			}
-			g.pass(50)
+			g.advance(50)
 		}
-		d := g.p.shards[0].depth
+		d := g.scheduler.shards[0].depth
 		if !(d >= minTotalDepth && d <= maxDepth) {
 			t.Errorf("result %d: depth %v is out of bounds", res, d)
 		}
 		sum := 0.0
-		for _, share := range g.p.shares.share {
+		for _, share := range g.scheduler.shares.share {
 			if !(share > 0) {
 				t.Errorf("result %d: share %v, want more than 0", res, share)
 			}
@@ -59,17 +59,17 @@
 func BenchmarkSecond(b *testing.B) {
 	for _, hosts := range []int{5, 230} {
 		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
-			s := settings()
+			s := testSettings()
 			s.Hosts = hosts
-			g := newRig(s)
+			g := newHarness(s)
 			for range b.N {
 				for range 20 {
-					id := g.ask("read", "high", "", 2)
-					if g.sends(id) > 0 {
-						g.end(id, Served)
+					id := g.submit("read", "high", "", 2)
+					if g.sendCount(id) > 0 {
+						g.endAttempt(id, Served)
 					}
-					g.acts = g.acts[:0]
-					g.pass(50)
+					g.actions = g.actions[:0]
+					g.advance(50)
 				}
 			}
 		})
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -8,24 +8,24 @@
 
 // A host's units to a cold node must stay within its budget in every overload window.
 func TestColdBudgetHoldsInEveryWindow(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Hosts = 2
-	g := newRig(s)
-	g.list(Node{Addr: "n0", Health: Ready, Started: 999})
+	g := newHarness(s)
+	g.setNodes(Node{Addr: "n0", Health: Ready, Started: 999})
 	var sendTimes []float64
-	g.acts = nil
+	g.actions = nil
 	for k := range 400 {
-		g.ask("read", "high", "", 2)
-		for _, r := range slices.Clone(g.p.shards[0].outstanding) {
-			g.do(Outcome{ID: r.ID, Node: "n0", Done: k%2 == 0, Elapsed: 20, Result: Result(k % 2)})
+		g.submit("read", "high", "", 2)
+		for _, r := range slices.Clone(g.scheduler.shards[0].outstanding) {
+			g.handle(Outcome{ID: r.ID, Node: "n0", Done: k%2 == 0, Elapsed: 20, Result: Result(k % 2)})
 		}
-		for _, a := range g.acts { // retries count too
+		for _, a := range g.actions { // retries count too
 			if _, ok := a.(Send); ok {
 				sendTimes = append(sendTimes, g.now)
 			}
 		}
-		g.acts = nil
-		g.pass(5)
+		g.actions = nil
+		g.advance(5)
 	}
 	for _, windowStart := range sendTimes {
 		units := 0.0
@@ -46,13 +46,13 @@
 // Below a depth of 1, that fraction of the requests is sent, the most valuable ones first.
 func TestLowDepthSendsMostValuable(t *testing.T) {
 	for depth, want := range map[float64][2]bool{2: {true, true}, 0.5: {true, false}} {
-		g := newRig(settings())
-		g.p.rankedDemand = []demand{{9, 2}, {6, 2}, {5, 2}, {1, 2}}
-		g.p.shards[0].depth = depth
-		valuable := g.ask("write", "high", "", 2) // value 6 per unit
-		g.end(valuable, Served)
-		cheap := g.ask("turns", "high", "", 2)
-		if got := [2]bool{g.sends(valuable) == 1, g.sends(cheap) == 1}; got != want {
+		g := newHarness(testSettings())
+		g.scheduler.rankedDemand = []demand{{9, 2}, {6, 2}, {5, 2}, {1, 2}}
+		g.scheduler.shards[0].depth = depth
+		valuable := g.submit("write", "high", "", 2) // value 6 per unit
+		g.endAttempt(valuable, Served)
+		cheap := g.submit("turns", "high", "", 2)
+		if got := [2]bool{g.sendCount(valuable) == 1, g.sendCount(cheap) == 1}; got != want {
 			t.Errorf("depth %v: sent %v, want %v", depth, got, want)
 		}
 	}
@@ -61,12 +61,12 @@
 // A depth below 1 must recover by itself on a host that sends nothing and so gets no samples.
 func TestLowDepthRecoversWithoutSamples(t *testing.T) {
 	for _, hosts := range []int{1, 5, 50, 230} {
-		s := settings()
+		s := testSettings()
 		s.Hosts = hosts
-		g := newRig(s)
-		g.p.shards[0].depth = minFraction
-		if g.pass(20 * samplePeriod); hosts > 5 && g.p.shards[0].depth < 0.9 {
-			t.Errorf("%d hosts: depth %v after 20 s without samples, want at least 0.9", hosts, g.p.shards[0].depth)
+		g := newHarness(s)
+		g.scheduler.shards[0].depth = minFraction
+		if g.advance(20 * samplePeriod); hosts > 5 && g.scheduler.shards[0].depth < 0.9 {
+			t.Errorf("%d hosts: depth %v after 20 s without samples, want at least 0.9", hosts, g.scheduler.shards[0].depth)
 		}
 	}
 }
@@ -74,18 +74,18 @@
 // Few samples must still move a depth below 1, within its bounds.
 func TestLowDepthFollowsSparseSamples(t *testing.T) {
 	for serviceTime, want := range map[float64][2]float64{20: {0.8, maxDepth}, 900: {minFraction, 0.6}} {
-		s := settings()
+		s := testSettings()
 		s.Hosts = 50
-		g := newRig(s)
-		g.p.shards[0].depth = 0.7
+		g := newHarness(s)
+		g.scheduler.shards[0].depth = 0.7
 		for k := range 30 {
-			id := g.ask("write", "high", "", 2)
-			if g.sends(id) > 0 {
-				g.do(Outcome{ID: id, Node: "n0", Done: true, Elapsed: serviceTime * (0.8 + 0.1*float64(k%5)), Result: Served})
+			id := g.submit("write", "high", "", 2)
+			if g.sendCount(id) > 0 {
+				g.handle(Outcome{ID: id, Node: "n0", Done: true, Elapsed: serviceTime * (0.8 + 0.1*float64(k%5)), Result: Served})
 			}
-			g.pass(700)
+			g.advance(700)
 		}
-		if d := g.p.shards[0].depth; d < want[0] || d > want[1] {
+		if d := g.scheduler.shards[0].depth; d < want[0] || d > want[1] {
 			t.Errorf("service time %v ms: depth %v, want within %v", serviceTime, d, want)
 		}
 	}
@@ -95,35 +95,35 @@
 // some.
 func TestColdNodeAcrossHosts(t *testing.T) {
 	for _, hosts := range []int{1, 5, 50, 230} {
-		s := settings()
+		s := testSettings()
 		s.Hosts, s.Shards = hosts, 10
 		units := 0.0
 		for h := range hosts {
-			g := &rig{p: newScheduler(s, uint64(h)), now: 1000, at: map[string]float64{}}
+			g := &harness{scheduler: newScheduler(s, uint64(h)), now: 1000, timers: map[string]float64{}}
 			var nodes []Node
 			for k := range 10 {
 				nodes = append(nodes, Node{Addr: fmt.Sprint("n", k), Health: Ready, Shard: k})
 			}
-			g.list(nodes...)
+			g.setNodes(nodes...)
 			submit := func(n int) { // 400 units a second from all hosts, spread over the shards
 				for range n {
-					g.n++
-					id := fmt.Sprintf("%016x", g.n)
-					sh := int(g.p.rng.IntN(10))
-					class := []string{"read", "write"}[g.p.rng.IntN(2)]
-					g.do(Request{ID: id, Class: class, Plan: "high", Volume: fmt.Sprint("v", sh), Shard: sh,
+					g.requestCount++
+					id := fmt.Sprintf("%016x", g.requestCount)
+					sh := int(g.scheduler.rng.IntN(10))
+					class := []string{"read", "write"}[g.scheduler.rng.IntN(2)]
+					g.handle(Request{ID: id, Class: class, Plan: "high", Volume: fmt.Sprint("v", sh), Shard: sh,
 						Units: 2, Expires: g.now + 1000, Hosts: 1})
-					if g.sends(id) > 0 {
-						g.do(Outcome{ID: id, Node: fmt.Sprint("n", sh), Done: true, Elapsed: 20, Result: Served})
+					if g.sendCount(id) > 0 {
+						g.handle(Outcome{ID: id, Node: fmt.Sprint("n", sh), Done: true, Elapsed: 20, Result: Served})
 					}
-					g.pass(float64(hosts) * 5)
+					g.advance(float64(hosts) * 5)
 				}
 			}
 			submit(6000 / (5 * hosts))
-			g.list(append(slices.Clone(nodes[1:]), Node{Addr: "n0", Health: Ready, Started: g.now})...)
-			g.acts = nil
+			g.setNodes(append(slices.Clone(nodes[1:]), Node{Addr: "n0", Health: Ready, Started: g.now})...)
+			g.actions = nil
 			submit(max(1000/(5*hosts), 1)) // one overload window
-			for _, a := range g.acts {
+			for _, a := range g.actions {
 				if send, ok := a.(Send); ok && send.Node == "n0" {
 					units += 2
 				}
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -9,14 +9,14 @@
 // A limit's bucket starts empty on a host that has just started, since the host may have spent its
 // tokens before a restart.
 func TestNewLimitBucketStartsEmpty(t *testing.T) {
-	g := newRig(settings())
+	g := newHarness(testSettings())
 	sentUnits, start := 0.0, g.now
 	for range 200 {
-		g.ask("read", "low", "", 2)
-		g.pass(10)
-		for _, r := range slices.Clone(g.p.shards[0].outstanding) {
+		g.submit("read", "low", "", 2)
+		g.advance(10)
+		for _, r := range slices.Clone(g.scheduler.shards[0].outstanding) {
 			sentUnits += r.Units
-			g.end(r.ID, Served)
+			g.endAttempt(r.ID, Served)
 		}
 		// The bucket was at its floor when this host started.
 		if maxUnits := 10 * (g.now - start) / 1000; sentUnits > maxUnits+1e-6 {
@@ -31,18 +31,18 @@
 // The limit must hold where sends arrive: while the first ones after a pause are on their way, the
 // bucket there is full and does not fill, and later ones may arrive up to arrivalSkew sooner.
 func TestLimitHoldsWhereSendsArrive(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 100, 8, 4
-	g := newRig(s)
-	g.pass(1000) // until the bucket has filled
+	g := newHarness(s)
+	g.advance(1000) // until the bucket has filled
 	type sendEvent struct{ time, units float64 }
 	var sends []sendEvent
 	for range 1000 {
-		g.ask("read", "low", "", 0.5)
-		g.pass(1)
-		for _, r := range slices.Clone(g.p.shards[0].outstanding) {
+		g.submit("read", "low", "", 0.5)
+		g.advance(1)
+		for _, r := range slices.Clone(g.scheduler.shards[0].outstanding) {
 			sends = append(sends, sendEvent{g.now, r.Units})
-			g.end(r.ID, Served)
+			g.endAttempt(r.ID, Served)
 		}
 	}
 	level, time := s.Plans[0].Burst, 0.0
@@ -60,22 +60,22 @@
 
 // A volume held back by its limit must not delay other volumes of its plan.
 func TestLimitedVolumeDoesNotBlockOthers(t *testing.T) {
-	g := newRig(settings())
+	g := newHarness(testSettings())
 	submit := func(volume string) string {
-		g.n++
-		id := fmt.Sprintf("%016x", g.n)
-		g.do(Request{ID: id, Class: "write", Plan: "low", Volume: volume, Units: 2, Expires: g.now + 1000, Hosts: 1})
+		g.requestCount++
+		id := fmt.Sprintf("%016x", g.requestCount)
+		g.handle(Request{ID: id, Class: "write", Plan: "low", Volume: volume, Units: 2, Expires: g.now + 1000, Hosts: 1})
 		return id
 	}
 	submit("spent")
-	g.p.volumes["spent"].limitLevel = -2
+	g.scheduler.volumes["spent"].limitLevel = -2
 	limited := submit("spent")
-	g.list()
+	g.setNodes()
 	other := submit("free")
-	g.p.volumes["free"].limitLevel = 8
-	g.list(Node{Addr: "n0", Health: Ready, Zone: "z"})
-	if g.sends(limited) != 0 || g.sends(other) != 1 {
-		t.Errorf("limited volume: %d sends, want 0; other volume: %d sends, want 1", g.sends(limited), g.sends(other))
+	g.scheduler.volumes["free"].limitLevel = 8
+	g.setNodes(Node{Addr: "n0", Health: Ready, Zone: "z"})
+	if g.sendCount(limited) != 0 || g.sendCount(other) != 1 {
+		t.Errorf("limited volume: %d sends, want 0; other volume: %d sends, want 1", g.sendCount(limited), g.sendCount(other))
 	}
 }
 
@@ -83,26 +83,26 @@
 // number of hosts.
 func TestLimitAndBudgetAcrossHosts(t *testing.T) {
 	for _, hosts := range []int{1, 5, 50, 230} {
-		s := settings()
+		s := testSettings()
 		s.Hosts = hosts
 		s.Rules.HasBudget, s.Rules.BudgetBase, s.Rules.BudgetRatio, s.Rules.BudgetWindow = true, 1, 0.25, 5000
 		s.Plans[0].Burst = 2 * s.MaxUnits * float64(hosts)
 		sentUnits, requests, start, end := 0.0, 0, 0.0, 0.0
 		for h := range hosts {
-			g := &rig{p: newScheduler(s, uint64(h)), now: 1000, at: map[string]float64{}}
-			g.list(Node{Addr: "n0", Health: Ready})
+			g := &harness{scheduler: newScheduler(s, uint64(h)), now: 1000, timers: map[string]float64{}}
+			g.setNodes(Node{Addr: "n0", Health: Ready})
 			retries := 0
 			for k := range 40 {
-				g.n++
-				id := fmt.Sprintf("%016x", g.n)
-				g.do(Request{ID: id, Class: "write", Plan: "low", Volume: "v", Units: 2, Expires: g.now + 1000, Hosts: hosts})
-				if g.sends(id) > 0 {
+				g.requestCount++
+				id := fmt.Sprintf("%016x", g.requestCount)
+				g.handle(Request{ID: id, Class: "write", Plan: "low", Volume: "v", Units: 2, Expires: g.now + 1000, Hosts: hosts})
+				if g.sendCount(id) > 0 {
 					sentUnits += 2
-					g.end(id, Result(k%2)) // served, or a server error that is retried
-					retries += g.sends(id) - 1
+					g.endAttempt(id, Result(k%2)) // served, or a server error that is retried
+					retries += g.sendCount(id) - 1
 				}
 				requests++
-				g.pass(50)
+				g.advance(50)
 			}
 			if retries > 1+40/4 {
 				t.Errorf("%d hosts: %d retries by one of them, want at most 11", hosts, retries)
