--- a/internal/control/scheduler/client.go
+++ b/internal/control/scheduler/client.go
@@ -13,15 +13,13 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// One connection of a client, from its first request to its close.
-
-// serve reads requests until the connection ends.
+// serve handles requests on the connection until it ends, and closes it.
 func (c *client) serve() {
 	c.close(c.serveRequests())
 }
 
-// serveRequests reads and answers until the connection is to end; it leaves the reason in
-// the client and returns the error that ended the stream, if one did.
+// serveRequests reads and answers requests until the connection is to be closed. It sets c.reason
+// and returns the read error that ended the stream, if any.
 func (c *client) serveRequests() error {
 	for {
 		c.setIdleDeadline()
@@ -41,15 +39,16 @@
 		}
 		c.requests++
 		c.reason = closeRequested
-		c.out.WaitFlushed() // a client that reads slowly gets each answer whole before the next is made
+		c.out.WaitFlushed() // wait for slow readers, so that at most one answer is queued
 		if !c.handle(r) {
 			return c.readAhead.err
 		}
 	}
 }
 
-// close ends the connection so that no answer is lost to a reset. What comes once nothing
-// more is sent is left unread: a client may send that again elsewhere.
+// close writes what is queued and closes the connection, after a linger so that a reset does not
+// overtake the last answer. Requests that arrive meanwhile stay unread, so the client may safely
+// send them elsewhere.
 func (c *client) close(cause error) {
 	f := c.frontend
 	c.out.Finish()
@@ -65,25 +64,26 @@
 	f.log.connectionClosed(c, cause)
 }
 
+// linger waits for the client to close its side, for up to lingerTimeout.
 func (c *client) linger() {
 	w := c.frontend.environment
 	deadline := w.Now() + lingerTimeout
 	c.conn.SetReadDeadline(w.Deadline(lingerTimeout))
-	if env.WaitReadable(c.conn) == nil { // it will be reset, but not before its answer is there
+	if env.WaitReadable(c.conn) == nil { // unread data turns the close into a reset: give the answer time to arrive
 		env.Sleep(w, deadline-w.Now(), &c.frontend.ended)
 	}
 }
 
-// answeredSince tells whether an answer may still be on its way, and the client still there.
+// answeredSince reports whether the last answer is newer than since and the client has not closed
+// its side, so that the answer may still be in flight.
 func (c *client) answeredSince(since float64) bool {
 	c.frontend.mu.Lock()
 	defer c.frontend.mu.Unlock()
 	return c.readAhead.err == nil && c.lastAnswerAt > since
 }
 
-// awaitFirstByte waits for a request's first byte. When the time for it is over it looks once more:
-// on a machine that stands still now and then a request may have lain there for long, and
-// it was taken as it came in.
+// awaitFirstByte waits for a request's first byte. After a timeout it checks the socket once more:
+// if the process was held up, a request may have arrived in time without being read.
 func (c *client) awaitFirstByte() error {
 	_, err := c.in.Peek(1)
 	if env.IsTimeout(err) {
@@ -96,11 +96,11 @@
 	return err
 }
 
-// request is a request as read.
+// request is an HTTP request with its body.
 type request struct {
 	*http1.Request
 	body       []byte
-	receivedAt float64 // of its last byte
+	receivedAt float64 // arrival time of its last byte, ms on the loop's clock
 }
 
 func (c *client) readRequest() (*request, error) {
@@ -119,7 +119,8 @@
 	return &request{Request: head, body: body, receivedAt: c.readAhead.consumedArrivalTime(c.in.Buffered())}, err
 }
 
-// readErrorStatus is the answer to what could not be read; 0: none, for the stream is at fault.
+// readErrorStatus returns the HTTP status for a request that could not be read, or 0 if the
+// connection failed and no answer can be sent.
 func readErrorStatus(err error) int {
 	if protocolErr, ok := err.(*http1.Error); ok {
 		return protocolErr.Status()
@@ -133,15 +134,15 @@
 	return 0
 }
 
-// reject answers what is no request that can be served, and ends the connection: who
-// sends such is not listened to further. Status 0 says nothing.
+// reject answers an invalid request with status and ends the connection; status 0 sends nothing.
 func (c *client) reject(status int) {
 	if status != 0 {
 		c.respond(status, true, nil, nil)
 	}
 }
 
-// respond answers and makes the connection idle, or ends it: it tells whether it goes on.
+// respond queues an answer, then makes the connection idle or ends it. It returns false if the
+// connection ends.
 func (c *client) respond(status int, closeConn bool, fields http1.Fields, body []byte) bool {
 	closeConn = closeConn || c.frontend.isFinishing()
 	if closeConn {
@@ -157,7 +158,7 @@
 
 const readyPath = "/up"
 
-// handle answers a request; false if the connection ends with it.
+// handle answers a request. It returns false if the connection is to be closed.
 func (c *client) handle(r *request) bool {
 	f := c.frontend
 	closeConn := r.Close()
@@ -186,15 +187,16 @@
 	return c.submit(call, r.receivedAt, closeConn)
 }
 
-// submit has the core take the call and waits for its answer, or for the client to leave. Who
-// has left already is not served: nothing is to begin for it.
+// submit hands the call to the core and waits until it is answered or the client leaves; at is the
+// arrival time of the request. A client that has already left is not served. It returns false if
+// the connection is to be closed.
 func (c *client) submit(call *call, at float64, closeConn bool) bool {
 	resp := &responder{client: c, closeAfter: closeConn}
 	call.replyTo = resp
 	c.lastRequestID = call.req.ID
 	f := c.frontend
-	// Discovery may know already what the list of the start does not: nothing goes by that
-	// list until discovery was heard, or has had the time for it.
+	// The configured server list may be out of date, so nothing is sent until discovery has
+	// answered or its time to do so is over.
 	env.WaitAny(f.environment, &f.ready, &f.ended)
 	c.conn.SetReadDeadline(time.Time{})
 	if c.readAhead.readAvailable() != nil {
@@ -222,7 +224,7 @@
 			f.loop.post(f.loop.now(), eventClientGone, func(at float64) { f.core.clientGone(at, call) })
 			return false
 		} else if err != nil {
-			break // it is answered: only then is there a deadline
+			break // answered: only becomeIdle sets a read deadline here
 		}
 	}
 	env.WaitAny(f.environment, &resp.done, &f.ended)
@@ -242,7 +244,7 @@
 	status, fields := 504, http1.Fields(nil)
 	switch outcome {
 	case callServed:
-		// Clients that don't read may hold all the room.
+		// Without room for the body, held by clients that do not read, the answer is a 504.
 		if fr := r.client.frontend; fr.answerBytes.Load()+int64(len(body)) <= fr.byteLimit.Load() {
 			status = 200
 		} else {
@@ -258,12 +260,12 @@
 	r.done.Open()
 }
 
-// maxPipelinedScanned bounds how many requests that came ahead are looked at for their ends.
+// maxPipelinedScanned bounds how many pipelined requests are scanned for their deadlines.
 const maxPipelinedScanned = 64
 
-// earliestPipelinedDeadline is when the time of the first of those requests ends that have come whole behind
-// the one that is open, on the loop's clock; +Inf where there are none. Answers go in order:
-// each of them waits for the one before it.
+// earliestPipelinedDeadline returns the earliest deadline of the requests that have fully arrived
+// behind the open one, ms on the loop's clock; +Inf if there are none. Answers are sent in order, so
+// the open request must be answered by then too.
 func (c *client) earliestPipelinedDeadline() float64 {
 	earliest := math.Inf(1)
 	buffered, _ := c.in.Peek(c.in.Buffered())
@@ -285,8 +287,8 @@
 	return earliest
 }
 
-// readRequestTimeout reads a whole request and tells the time that its client waits, ms, +Inf where it
-// does not say.
+// readRequestTimeout reads a request with its body and returns its Request-Timeout in ms, +Inf if
+// that is missing or invalid. It returns false if the request is incomplete or malformed.
 func readRequestTimeout(in *bufio.Reader) (float64, bool) {
 	head, _, err := http1.ReadWholeRequest(in, messageLimits)
 	if err != nil {
--- a/internal/control/scheduler/config.go
+++ b/internal/control/scheduler/config.go
@@ -100,11 +100,11 @@
 	if len(file.Settings) == 0 {
 		return nil, &ConfigError{"settings", errMissing}
 	}
-	set, timeouts, err := wire.ParseSettings(file.Settings)
+	settings, timeouts, err := wire.ParseSettings(file.Settings)
 	if err != nil {
 		return nil, configErrorAt("settings", err)
 	}
-	config.Settings, config.Timeouts = *set, withDefaultTimeouts(timeouts)
+	config.Settings, config.Timeouts = *settings, withDefaultTimeouts(timeouts)
 	config.Settings.Rules.MaxSendDelay = config.Timeouts.DialTimeout + sendDelayMarginMS
 	config.resetInvalidShardCount()
 	return config, config.validate()
--- a/internal/control/scheduler/connpool.go
+++ b/internal/control/scheduler/connpool.go
@@ -18,8 +18,8 @@
 
 var (
 	messageLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: 64 << 10}
-	// responseLimits: the platform's page speaks of 64 KiB, its disk servers answer with
-	// several times that. What all answers hold at once is bounded by the back's budget.
+	// responseLimits allows bodies larger than requests may have, since disk servers send
+	// them. connPool.maxReplyBytes bounds the bytes of all responses in memory together.
 	responseLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: maxResponseBytes}
 )
 
@@ -28,59 +28,60 @@
 	maxResponseBytes    = 1 << 20
 	maxHTTPMessageBytes = 80 << 10
 	writeTimeout        = 5 * time.Second
-	// quarantineTime is how long a connection is listened to after an answer before it takes
-	// another request: what a disk server sends behind its answer, a second copy some
-	// milliseconds later even, must not be taken for the answer to the next.
+	// quarantineTime is how long a connection is read after a response before it is reused:
+	// surplus bytes, such as a duplicate of the response a few milliseconds later, must not
+	// be taken for the response to the next request.
 	quarantineTime = 8 * time.Millisecond
-	// idleKeepFraction of the time after which disk servers close idle connections is how long
-	// they are kept here: a request that crosses the close would be lost to a reset.
+	// idleKeepFraction is the part of the disk servers' idle timeout for which a connection
+	// is kept here. A request sent while the server closes the connection would end in a reset.
 	idleKeepFraction = 0.6
-	// What the settings leave out.
+	// Defaults for times that the settings leave out.
 	defaultDialTimeout = time.Second
 	defaultConnIdle    = 10_000.0 // ms
 )
 
-// connPool keeps connections to disk servers, each for one request at a time. Its methods run
-// on the loop's goroutine; what goes on on a connection that has a request is posted there.
+// connPool holds the connections to disk servers, each of which carries one request at a time.
+// Its methods run on the loop's goroutine, except dialAddr and mayBegin, which goroutines of
+// dials and exchanges call, and close. Those goroutines post their results to the loop.
 type connPool struct {
 	environment   env.Environment
 	loop          *loop
 	core          *core
 	dialTimeout   time.Duration
-	maxIdle       float64      // ms that an idle connection is kept
-	maxConns      int          // connections that are open or dialled
-	maxReplyBytes atomic.Int64 // of answers that are held at once
-	replyBytes    atomic.Int64
+	maxIdle       float64      // ms for which an idle connection is kept
+	maxConns      int          // bound of connCount
+	maxReplyBytes atomic.Int64 // bound of replyBytes
+	replyBytes    atomic.Int64 // bytes of response bodies in memory
 	reuse         reuseStats
 	serverStates  serverStates
 	log           *eventLog
-	connCount     int
+	connCount     int // connections open or being dialled
 	servers       map[string]*diskServer
-	idleConns     list.List     // of free links, the one that has been free for longest first
-	dialQueued    []*diskServer // that something waits for, and nothing could be dialled
-	dialsPaused   bool          // a dial failed by this machine's own fault just now
+	idleConns     list.List     // idle connections, longest idle first
+	dialQueued    []*diskServer // servers with waiting attempts for which no connection could be dialled, in FIFO order
+	dialsPaused   bool          // a dial failed with a local socket error less than dialPause ago
 	tasks         env.WaitGroup
-	ctx           context.Context
+	ctx           context.Context // of dials
 	stop          context.CancelFunc
 	conns         env.OrderedSet[*serverConn]
 }
 
-// diskServer is one disk diskServer's connections.
+// diskServer holds the connections to one disk server and the attempts that wait for one.
 type diskServer struct {
 	host, dialAddr   string
-	idle             []*serverConn // the one last used last
-	expectedConns    int           // dialled, or resting after an answer
+	idle             []*serverConn // most recently used last
+	expectedConns    int           // connections being dialled or in quarantine
 	waiting          []*attempt
 	openConns        int
 	removed          bool
-	dialQueued       bool // it is among the back's starved ones
-	startedMS        int64
-	lastActiveAt     float64 // when it last answered or took a connection
-	lastDialAt       float64 // when a connection was last dialled
-	localSocketError bool    // which failed by this machine's own fault
+	dialQueued       bool    // it is in connPool.dialQueued
+	startedMS        int64   // Unix time, ms, of the server's last start
+	lastActiveAt     float64 // time of the last response or accepted connection
+	lastDialAt       float64 // time of the last dial
+	localSocketError bool    // the last dial that ended failed with a local socket error
 }
 
-// popWaiting takes out the attempt that has waited longest for a connection, nil if none does.
+// popWaiting removes and returns the attempt that has waited longest, nil if none waits.
 func (s *diskServer) popWaiting() *attempt {
 	if len(s.waiting) == 0 {
 		return nil
@@ -90,27 +91,27 @@
 	return a
 }
 
-// connState is what a connection to a disk server is at, on the loop.
+// connState is the state of a connection to a disk server as the loop sees it.
 type connState int
 
 const (
-	connIdle        connState = iota // nothing is owed on it, and nobody reads it
-	connBusy                         // it has an attempt, which its goroutine serves
-	connQuarantined                  // after an answer; its goroutine listens still
+	connIdle        connState = iota // no response is outstanding, and no goroutine reads it
+	connBusy                         // it carries an attempt, and a goroutine runs the exchange
+	connQuarantined                  // after a response; the goroutine still reads for surplus bytes
 	connClosed
 )
 
-// serverConn is one connection. While it is busy or resting a goroutine of its own reads it; else
-// nobody does, so what has come on it before a request can be seen just then.
+// serverConn is one connection to a disk server. A goroutine reads it only while it is busy or
+// quarantined, so that assign can check an idle one for unexpected input just before a request.
 type serverConn struct {
 	pool        *connPool
 	server      *diskServer
 	conn        net.Conn
 	reader      *bufio.Reader
 	state       connState
-	attempt     *attempt // while it is busy
-	idleSince   float64  // 0: it has had no request
-	idleBefore  float64  // before the request it has; 0: none
+	attempt     *attempt // set while the state is connBusy
+	idleSince   float64  // when it last became idle; 0: never
+	idleBefore  float64  // ms from idleSince to the start of the current attempt; 0: it was never idle
 	idleElement *list.Element
 }
 
@@ -121,13 +122,14 @@
 	return p
 }
 
-// configure takes what the configuration says; what is under way goes on.
+// configure applies the timeouts and memory bound of c; dials and exchanges under way keep theirs.
 func (p *connPool) configure(c *Config) {
 	p.dialTimeout, p.maxIdle = env.Duration(c.Timeouts.DialTimeout), c.Timeouts.IdleTimeout*idleKeepFraction
 	p.maxReplyBytes.Store(bodyByteLimit(c))
 }
 
-// serverListed notes a server's address; at another one, what is open to the old one is left.
+// serverListed adds a server or updates its address. If the address or start time changed, idle
+// connections to the old process are closed.
 func (p *connPool) serverListed(e ServerEntry) {
 	s := p.servers[e.Host]
 	if s == nil {
@@ -135,7 +137,7 @@
 		p.servers[e.Host] = s
 	}
 	s.removed = false
-	if s.dialAddr != e.Address || s.startedMS != e.StartedMS { // another process answers there
+	if s.dialAddr != e.Address || s.startedMS != e.StartedMS { // another process
 		s.dialAddr, s.startedMS = e.Address, e.StartedMS
 		p.closeIdleConns(s)
 	}
@@ -149,7 +151,7 @@
 	}
 }
 
-// removeIfUnused drops a server that is gone and has nothing open any more.
+// removeIfUnused deletes a removed server once it has no connections, dials or waiting attempts.
 func (p *connPool) removeIfUnused(s *diskServer) {
 	if s.removed && s.openConns == 0 && s.expectedConns == 0 && len(s.waiting) == 0 && !s.dialQueued && p.servers[s.host] == s {
 		delete(p.servers, s.host)
@@ -164,13 +166,13 @@
 
 func (p *connPool) send(a *attempt) {
 	s := p.servers[a.host]
-	if s == nil { // of no list: nothing leaves this machine
+	if s == nil { // not in the server list: nothing is sent
 		p.core.cancel(a)
 		return
 	}
 	if n := len(s.idle); n > 0 {
 		if idleTime := p.core.now - s.idle[n-1].idleSince; idleTime > p.maxIdle || p.reuse.likelyBroken(p.core.now, idleTime) {
-			p.closeIdleConns(s) // the others have been idle for longer still
+			p.closeIdleConns(s) // the others have been idle for longer
 		}
 	}
 	s.waiting = append(s.waiting, a)
@@ -182,8 +184,8 @@
 	p.dialForWaiting(s)
 }
 
-// dialForWaiting dials as long as more wait for a connection than are coming. Where this machine
-// has none to spare, the server stands in line for the next.
+// dialForWaiting dials until there is an expected connection for each waiting attempt. At the
+// connection limit or while dials are paused, the server is queued for a later dial.
 func (p *connPool) dialForWaiting(s *diskServer) {
 	for len(s.waiting) > s.expectedConns {
 		if p.dialsPaused || !p.makeRoom() {
@@ -201,7 +203,7 @@
 	}
 }
 
-// dialQueuedServers dials for the servers that stand in line, the first one first.
+// dialQueuedServers dials for the queued servers in FIFO order while connections are available.
 func (p *connPool) dialQueuedServers() {
 	for len(p.dialQueued) > 0 && !p.dialsPaused && (p.connCount < p.maxConns || p.idleConns.Len() > 0) {
 		s := p.dialQueued[0]
@@ -212,8 +214,8 @@
 	}
 }
 
-// makeRoom tells whether one more connection may be opened; the one that has been idle for
-// longest gives way.
+// makeRoom reports whether one more connection may be dialled. At the limit it first closes the
+// connection that has been idle for longest.
 func (p *connPool) makeRoom() bool {
 	if p.connCount >= p.maxConns && p.idleConns.Len() > 0 {
 		sc := p.idleConns.Front().Value.(*serverConn)
@@ -223,14 +225,14 @@
 	return p.connCount < p.maxConns
 }
 
-// addIdle makes a link wait for its next request.
+// addIdle marks a connection as idle since the given time.
 func (p *connPool) addIdle(sc *serverConn, since float64) {
 	sc.state, sc.idleSince = connIdle, since
 	sc.server.idle = append(sc.server.idle, sc)
 	sc.idleElement = p.idleConns.PushBack(sc)
 }
 
-// removeIdle takes a link out of those that wait.
+// removeIdle removes a connection from the idle ones, if it is among them.
 func (p *connPool) removeIdle(sc *serverConn) {
 	if sc.idleElement == nil {
 		return
@@ -241,8 +243,8 @@
 	s.idle = slices.DeleteFunc(s.idle, func(x *serverConn) bool { return x == sc })
 }
 
-// dialPause is how long nothing is dialled after a dial failed by this machine's own fault:
-// what waits keeps waiting, and neither attempts nor processor time are spent on it.
+// dialPause is how long no connection is dialled after a local socket error. Waiting attempts
+// stay queued, so that neither attempts nor processor time are spent on dials bound to fail.
 const dialPause = 20 * time.Millisecond
 
 func (p *connPool) pauseDials() {
@@ -292,18 +294,19 @@
 	p.assign(at, sc)
 }
 
-// localSocketErrors are the errors of socket(2) and connect(2) that tell of this machine's
-// shortages and settings, not of the other end.
+// localSocketErrors are the errors of socket(2), bind(2) and connect(2) that are caused by this
+// host's resources or configuration and not by the remote end.
 var localSocketErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 	syscall.EADDRINUSE, syscall.EAGAIN, syscall.EINTR, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EACCES, syscall.EPERM}
 
-// localSocketError tells whether a dial failed by this machine's own fault: that says nothing of the
-// disk server, and may be over soon.
+// localSocketError reports whether a dial or listen failed for a reason local to this host, which
+// says nothing about the disk server and may pass soon.
 func localSocketError(err error) bool {
 	return slices.ContainsFunc(localSocketErrors, func(target error) bool { return errors.Is(err, target) })
 }
 
-// assign gives a connection that is free to who waited longest for one and may begin still.
+// assign gives a free connection to the attempt that has waited longest and may still begin, or
+// makes it idle if there is none. One with unexpected input or an end of stream is closed.
 func (p *connPool) assign(at float64, sc *serverConn) {
 	s := sc.server
 	sc.state = connIdle
@@ -312,7 +315,7 @@
 		return
 	}
 	for a := s.popWaiting(); a != nil; a = s.popWaiting() {
-		if p.core.begin(p.loop.now(), a) { // not when its connection came up: bytes leave now
+		if p.core.begin(p.loop.now(), a) { // the current time, not the event's: the request is written now
 			p.startExchange(sc, a)
 			return
 		}
@@ -324,7 +327,7 @@
 	p.dialQueuedServers()
 }
 
-// startExchange sends a on l.
+// startExchange sends an attempt on a connection, in a new goroutine.
 func (p *connPool) startExchange(sc *serverConn, a *attempt) {
 	sc.state, sc.attempt, a.serverConn, sc.idleBefore = connBusy, a, sc, 0
 	if sc.idleSince > 0 {
@@ -334,14 +337,16 @@
 	p.tasks.Go(p.environment, func() { sc.exchange(a, startedMS) })
 }
 
-// mayBegin tells whether an attempt that the loop let begin may still begin now, on the
-// goroutine that is about to write it: this process may have been held up since.
+// mayBegin reports whether an attempt that the loop let begin may still be written at time now.
+// The exchange's goroutine calls it just before the write: the process may have been descheduled
+// since the loop's decision, and the client, the deadline or the server's state may have changed.
 func (p *connPool) mayBegin(a *attempt, now float64, startedMS int64) bool {
 	return now <= a.beginBy && now < a.answerBy && !a.call.noNewAttempts.Load() && p.serverStates.allows(a.host, startedMS)
 }
 
-// abandon lets go of an attempt whose outcome is known; it tells how far it had come. A connection that it is out on is closed, for that gives it up there; so are
-// the free ones to a server that was silent all the while, which may be gone without a word.
+// abandon gives up an attempt and returns how far it had come. The connection that carries it is
+// closed, which cancels it at the disk server. Idle connections to a server that has been silent
+// since the attempt was issued are closed too: the server may have failed without closing them.
 func (p *connPool) abandon(a *attempt) attemptProgress {
 	s := p.servers[a.host]
 	if a.serverConn == nil {
@@ -365,7 +370,7 @@
 	return progressSent
 }
 
-// discard closes a connection, and dials for who waits.
+// discard closes a connection and dials for waiting attempts.
 func (p *connPool) discard(sc *serverConn) {
 	if sc.state == connClosed {
 		return
@@ -376,8 +381,8 @@
 	p.removeIfUnused(sc.server)
 }
 
-// closeConn closes a connection and takes it out of the books. While the loop runs nothing
-// else closes it.
+// closeConn closes a connection and removes it from the pool's counts and lists. While the loop
+// runs, pooled connections are closed only here.
 func (p *connPool) closeConn(sc *serverConn) {
 	s := sc.server
 	if sc.state == connQuarantined {
@@ -391,7 +396,8 @@
 	p.removeIdle(sc)
 }
 
-// sweep closes connections that have been idle for too long, or that their servers closed.
+// sweep closes connections that have been idle for too long, have unexpected input or were closed
+// by their servers.
 func (p *connPool) sweep(now float64) {
 	for _, sc := range p.conns.All() {
 		if sc.state == connIdle && (now-sc.idleSince > p.maxIdle || !sc.noInput()) {
@@ -400,7 +406,7 @@
 	}
 }
 
-// close ends what is left; the loop runs no more.
+// close cancels dials, closes all connections and waits for their goroutines. The loop has ended.
 func (p *connPool) close() {
 	p.stop()
 	for _, sc := range p.conns.All() {
@@ -409,7 +415,7 @@
 	p.tasks.Wait(p.environment)
 }
 
-// What a connection's goroutine posts.
+// The methods below handle the events that an exchange's goroutine posts to the loop.
 
 func (p *connPool) replyReceived(at float64, sc *serverConn, a *attempt, r reply, reusable bool) {
 	sc.server.lastActiveAt = at
@@ -437,7 +443,8 @@
 	}
 }
 
-// attemptNotBegun takes back a link whose attempt did not begin after all.
+// attemptNotBegun returns a connection whose attempt was refused by mayBegin, and ends the attempt
+// as not sent.
 func (p *connPool) attemptNotBegun(at float64, sc *serverConn, a *attempt) {
 	if sc.state == connBusy {
 		sc.attempt = nil
--- a/internal/control/scheduler/core.go
+++ b/internal/control/scheduler/core.go
@@ -12,7 +12,7 @@
 	"merlinhitch/policy"
 )
 
-// callOutcome says how a call ended.
+// callOutcome is the final result of a call.
 type callOutcome int
 
 const (
@@ -23,75 +23,76 @@
 
 func (o callOutcome) String() string { return [...]string{"served", "refused", "failed"}[o] }
 
-// forwardedRequest is what a client sent, as it goes on to disk servers.
+// forwardedRequest holds the parts of a client's request that are forwarded to disk servers.
 type forwardedRequest struct {
 	method, target string
 	key            string // Idempotency-Key
 	body           []byte
 }
 
-// call is one request of a client, from its last byte to its one answer.
+// call is one request of a client, from its last byte to its response.
 type call struct {
 	forwardedRequest
 	req         policy.Request
 	replyTo     recipient
-	attempts    int
-	lastAttempt *attempt // the one sent last
-	outstanding int
-	ended       bool
-	// noNewAttempts says the same to other goroutines, and from the moment in which the client's
-	// leaving was seen: nothing begins for it any more.
+	attempts    int // issued so far
+	lastAttempt *attempt
+	outstanding int  // attempts without an outcome
+	ended       bool // it has its final result, or the client left
+	// noNewAttempts tells other goroutines that no attempt may begin. It is set with ended, and
+	// earlier where the client's goroutine sees the disconnect before the loop does.
 	noNewAttempts atomic.Bool
 }
 
-// recipient is who a call was taken for. It is told once, on the core's goroutine, unless
-// the client went away first.
+// recipient receives a call's result. deliver is called at most once, on the core's goroutine; it
+// is not called if the client left first. retryAfter is in ms, 0 for none.
 type recipient interface {
 	deliver(outcome callOutcome, retryAfter float64, body []byte)
 }
 
-// attempt is one sending of a call: it waits for its connection, has begun on it, or is
-// over. Its link is the back's.
+// attempt is one attempt of a call at a disk server. It waits for a connection, then begins on
+// it, and ends with its outcome. The connection pool sets serverConn.
 type attempt struct {
 	call         *call
 	number       int
 	host         string
 	issuedAt     float64
-	beginBy      float64 // it has to have begun by then
-	answerBy     float64 // its answer is awaited until then
+	beginBy      float64 // deadline for the start of the write; +Inf: none
+	answerBy     float64 // deadline for the response
 	begun        bool
 	outcomeKnown bool
 	serverConn   *serverConn
 	timer        timerqueue.Timer[timerEvent]
 }
 
-// timerEvent is what comes due: an attempt's time-out, or else the module's timer.
+// timerEvent is the value of a timer: the timeout or cancellation of an attempt, or, where attempt
+// is nil, a timer that the policy set.
 type timerEvent struct {
 	attempt     *attempt
 	cancelled   bool
 	policyTimer string
 }
 
-// attemptProgress is how far an attempt had come that is given up.
+// attemptProgress is how far an abandoned attempt had come.
 type attemptProgress int
 
 const (
-	progressSent         attemptProgress = iota // it may have reached its server
-	progressNotConnected                        // a connection was dialled for it and did not come up
-	progressNotDialled                          // nothing was dialled: this machine had no connection to spare
+	progressSent         attemptProgress = iota // it may have reached the disk server
+	progressNotConnected                        // a connection was dialled but not established in time
+	progressNotDialled                          // no connection was dialled, for lack of local resources
 )
 
-// effectHandler is what a core has done. The calls neither block nor call back.
+// effectHandler carries out the core's effects. Its methods must not block or call notify.
 type effectHandler interface {
 	send(a *attempt)
-	abandon(a *attempt) attemptProgress // its outcome is known; tells how far it had come
-	serverListed(e ServerEntry)         // the server stands at this address
-	serverRemoved(host string)          // nothing new goes there
+	abandon(a *attempt) attemptProgress // the caller then ends the attempt
+	serverListed(e ServerEntry)         // adds a server or updates its address
+	serverRemoved(host string)          // no new attempts go there
 	warn(text string)
 }
 
-// core owns the module's instance and all that the module was told and has said. It is
-// given times and events and does no I/O. Times are in ms on the module's clock.
+// core owns the policy's instance, the open calls, their attempts and the server list. It gets
+// times and events as arguments and does no I/O. Times are in ms on the core's own clock.
 type core struct {
 	scheduler     policy.Scheduler
 	effects       effectHandler
@@ -101,13 +102,13 @@
 	calls         map[string]*call
 	recentIDs     idHistory
 	timers        timerqueue.Queue[timerEvent]
-	servers       map[string]listedServer
-	discoverySeen bool // discovery has spoken
-	shardCount    int  // that the settings name; 0: not known
+	servers       map[string]listedServer // by host
+	discoverySeen bool                    // a list came from discovery
+	shardCount    int                     // as the settings have it; 0: not known
 	counters      Counters
 }
 
-// Counters count what a core did since its start.
+// Counters holds event counts since the start of a core. The log prints its field names.
 type Counters struct {
 	Taken, Served, Refused, Failed, Gone uint64
 	Sends, Resends                       uint64
@@ -115,14 +116,14 @@
 	Reasons                              map[string]uint64          // of refusals and failures
 }
 
-// listedServer is a disk server as the module was told of it.
+// listedServer is a disk server as last reported to the policy.
 type listedServer struct {
 	ServerEntry
-	startedAt float64 // on the module's clock; 0: long ago
+	startedAt float64 // on the core's clock; 0: long ago
 }
 
-// clockAtStart is what the clock shows at the start, ms: disk servers that started up to so long
-// before have a time on it. Longer ago is long ago.
+// clockAtStart is the core's clock at the process's start, ms. Start times of disk servers up to
+// one hour earlier can be represented; older ones count as long ago (0).
 const clockAtStart = 3_600_000
 
 func newCore(zeroUnixMS int64, c *Config, effects effectHandler) *core {
@@ -131,15 +132,16 @@
 	return k
 }
 
-// start tells the module the list from before the start, which may be old.
+// start loads the configured server list, which may be out of date.
 func (k *core) start(known ServerList) {
 	k.updateServers(clockAtStart, known, true)
 }
 
-// advance moves the clock, which never goes back.
+// advance moves the clock forward; an earlier time leaves it as it is.
 func (k *core) advance(now float64) { k.now = max(k.now, now) }
 
-// notify gives the module an event and carries out what it says; doing so tells it nothing.
+// notify passes an event to the policy and performs the actions that it returns. It must not be
+// called while an action is performed: the slice of actions is valid until the next event only.
 func (k *core) notify(ev policy.Event) {
 	for _, a := range k.scheduler.Handle(k.now, ev) {
 		k.perform(a)
@@ -171,8 +173,8 @@
 	}
 }
 
-// startCall hands a call to the module; false if its id was used before: an id names one
-// request, and a second of it is not the client's.
+// startCall passes a new call to the policy. It returns false, and does nothing, if the request's
+// ID was used before.
 func (k *core) startCall(now float64, c *call) bool {
 	k.advance(now)
 	if k.calls[c.req.ID] != nil || k.recentIDs.contains(c.req.ID) {
@@ -188,7 +190,7 @@
 func (k *core) send(s policy.Send) {
 	c := k.calls[s.ID]
 	if c == nil || c.ended {
-		k.effects.warn("send for a request that is over: " + s.ID)
+		k.effects.warn("policy sent an attempt for a request that has ended: " + s.ID)
 		return
 	}
 	a := &attempt{call: c, number: c.attempts, host: s.Node, issuedAt: k.now, beginBy: math.Inf(1), answerBy: c.req.Expires}
@@ -210,8 +212,8 @@
 	k.effects.send(a)
 }
 
-// begin tells whether an attempt may begin now that it has a connection, and takes it as
-// begun. What may not ends as never sent.
+// begin reports whether an attempt that got a connection may begin, and marks it as begun. One
+// past its deadline is cancelled and ends as not sent.
 func (k *core) begin(now float64, a *attempt) bool {
 	k.advance(now)
 	if a.outcomeKnown || a.timer.Value.cancelled {
@@ -232,7 +234,7 @@
 	k.timers.Push(&a.timer)
 }
 
-// attempt is the one of that number that is out, nil if there is none.
+// attempt returns the call's outstanding attempt with that number, nil if there is none.
 func (k *core) attempt(id string, number int) *attempt {
 	c := k.calls[id]
 	if c == nil || c.lastAttempt == nil || c.lastAttempt.number != number || c.lastAttempt.outcomeKnown {
@@ -241,8 +243,8 @@
 	return c.lastAttempt
 }
 
-// cancel stops waiting for an attempt; its outcome comes with the next tick, for the
-// module is in the midst of an event.
+// cancel marks an attempt as cancelled. Its outcome is reported by the next runDue, since the
+// policy may be handling an event now.
 func (k *core) cancel(a *attempt) {
 	if !a.outcomeKnown {
 		a.timer.Value.cancelled = true
@@ -250,7 +252,7 @@
 	}
 }
 
-// finishUnserved is a final answer by the module.
+// finishUnserved ends a call that the policy refused or failed.
 func (k *core) finishUnserved(id string, outcome callOutcome, retryAfter float64, cause policy.Reason) {
 	c := k.calls[id]
 	if c == nil || c.ended {
@@ -279,7 +281,7 @@
 	}
 }
 
-// clientGone ends a call from the client's side. What is out of it may finish.
+// clientGone ends a call whose client left. Outstanding attempts may complete.
 func (k *core) clientGone(now float64, c *call) {
 	k.advance(now)
 	if c.ended || k.calls[c.req.ID] != c {
@@ -293,7 +295,8 @@
 	k.removeIfDone(c)
 }
 
-// shortenDeadline has a call answered by a time before its own: others wait behind it.
+// shortenDeadline brings a call's deadline forward, because pipelined requests with earlier
+// deadlines wait for its response.
 func (k *core) shortenDeadline(now float64, c *call, deadline float64) {
 	k.advance(now)
 	if c.ended || k.calls[c.req.ID] != c {
@@ -303,21 +306,22 @@
 	k.notify(policy.DeadlineShortened{ID: c.req.ID, Deadline: deadline})
 }
 
-// stop has all that is open answered now.
+// stop makes the policy give all open calls their final results.
 func (k *core) stop(now float64) {
 	k.advance(now)
 	k.notify(policy.Stop{})
 }
 
-// reply is what a disk server answered.
+// reply is the result of a disk server's response.
 type reply struct {
 	result          policy.Result
 	body            []byte
 	use, fromOthers float64
-	reservedBytes   int64 // reckoned with for the body
+	reservedBytes   int64 // counted in connPool.replyBytes for the body
 }
 
-// receiveReply brings an answer. Of an attempt that is over already it changes nothing.
+// receiveReply ends an attempt with a response. A response to an attempt that has ended already is
+// ignored.
 func (k *core) receiveReply(now float64, a *attempt, r reply) {
 	k.advance(now)
 	if a.outcomeKnown {
@@ -330,7 +334,7 @@
 	k.endAttempt(a, policy.Outcome{Result: r.result, Use: r.use, FromOthers: r.fromOthers})
 }
 
-// failAttempt ends an attempt without an answer.
+// failAttempt ends an attempt without a response, unless it has ended already.
 func (k *core) failAttempt(now float64, a *attempt, r policy.Result) {
 	k.advance(now)
 	if !a.outcomeKnown {
@@ -352,10 +356,10 @@
 	k.removeIfDone(c)
 }
 
-// nextDue is when tick has something to do, +Inf if never.
+// nextDue returns the time of the earliest timer, +Inf if there is none.
 func (k *core) nextDue() float64 { return k.timers.NextDue() }
 
-// runDue does what has come due.
+// runDue handles the timers that are due.
 func (k *core) runDue(now float64) {
 	k.advance(now)
 	for due := k.timers.PopDue(k.now); due != nil; due = k.timers.PopDue(k.now) {
@@ -380,16 +384,16 @@
 	k.endAttempt(a, policy.Outcome{Result: result})
 }
 
-// updateSettings brings other settings for the requests that are taken from now on.
+// updateSettings passes new settings to the policy; they apply to requests submitted from now on.
 func (k *core) updateSettings(now float64, s policy.Settings) {
 	k.advance(now)
 	k.shardCount = s.Shards
 	k.notify(policy.SettingsChanged{Settings: s})
 }
 
-// updateServers brings the updateServers of disk servers, or what changed. The module is told only what
-// differs from what it was told before; what a whole updateServers leaves out is named as gone, so
-// that nothing keeps a record of it.
+// updateServers applies a list of disk servers, full or of changes. Only entries that differ from
+// the last report are passed to the policy. Servers that a full list leaves out are reported as
+// removed, so that no state of theirs is kept.
 func (k *core) updateServers(now float64, l ServerList, cached bool) {
 	k.advance(now)
 	entries := l.Entries
@@ -431,21 +435,22 @@
 	k.log.entryFaults(l)
 }
 
-// checkEntry notes what an entry says that cannot be right. The module sends nothing to a server
-// whose shard the settings don't name, and a start in the future counts from now.
+// checkEntry records the faults of an entry: a shard outside the settings' range, to which the
+// policy sends nothing, or a start time in the future.
 func (k *core) checkEntry(l *ServerList, e ServerEntry) {
 	if e.ShardIndex < 0 || k.shardCount > 0 && e.ShardIndex >= k.shardCount {
-		l.addFault(e.Host, fmt.Sprintf("holds shard %d, the settings name %d", e.ShardIndex, k.shardCount))
+		l.addFault(e.Host, fmt.Sprintf("holds shard %d, outside the %d shards of the settings", e.ShardIndex, k.shardCount))
 	}
 	if skew := float64(e.StartedMS-k.zeroUnixMS) - k.now; skew > maxClockSkew {
-		l.addFault(e.Host, fmt.Sprintf("started %.0f s from now", skew/1000))
+		l.addFault(e.Host, fmt.Sprintf("start time is %.0f s in the future", skew/1000))
 	}
 }
 
-// maxClockSkew is how far apart, ms, the wall clocks of two machines are without a word of it.
+// maxClockSkew is the difference of two hosts' wall clocks, ms, above which an entry is at fault.
 const maxClockSkew = 5000.0
 
-// removedEntries lists as gone what is held and not in a whole list, in an order of its own.
+// removedEntries returns the known servers missing from a full list, as removed, sorted by host so
+// that the order is deterministic.
 func (k *core) removedEntries(listed []ServerEntry) (removed []ServerEntry) {
 	unlisted := maps.Clone(k.servers)
 	for _, e := range listed {
@@ -460,10 +465,10 @@
 	return removed
 }
 
-// startTime is when a disk server started, on the module's clock. A start that is heard of in
-// service counts from when it was: wall clocks may be stepped, here and at the disk server,
-// and a start that is taken for an older one has its server overloaded. Of the lists at this
-// process's own start there is only the stamp; one in the future counts from now.
+// startTime returns a disk server's start on the core's clock. Once discovery has been heard, a new
+// start counts from now: wall clocks may be stepped on either host, and a start taken for an older
+// one would overload a cold server. Before that only the timestamp is known; one in the future
+// counts from now.
 func (k *core) startTime(e ServerEntry) float64 {
 	switch {
 	case e.StartedMS == 0:
@@ -474,14 +479,15 @@
 	return min(max(float64(e.StartedMS-k.zeroUnixMS), 0), k.now)
 }
 
-// idHistory remembers the last ids.
+// idHistory is the set of the last idHistorySize request IDs, a ring buffer with an index.
 type idHistory struct {
 	set    map[string]struct{}
 	ids    []string
 	oldest int
 }
 
-// idHistorySize is more than are taken within the longest deadlines at hundreds a second.
+// idHistorySize exceeds the requests received within the longest deadline at several hundred a
+// second.
 const idHistorySize = 4096
 
 func (r *idHistory) contains(id string) bool { _, ok := r.set[id]; return ok }
--- a/internal/control/scheduler/crossing_test.go
+++ b/internal/control/scheduler/crossing_test.go
@@ -90,7 +90,7 @@
 				sc.until("it is taken back", sc.core(func(k *core) bool { return k.counters.Outcomes[policy.NotSent] > 0 }))
 				if name != "restarted" {
 					release()
-					sc.until("the dial is over", sc.core(func(k *core) bool { return len(sc.s.back.servers) == 0 || sc.s.back.servers["s0"].expectedConns == 0 }))
+					sc.until("the dial is over", sc.core(func(k *core) bool { return len(sc.s.pool.servers) == 0 || sc.s.pool.servers["s0"].expectedConns == 0 }))
 					if got := p.hear(0); got.status != 503 || len(sc.disk.Asked()) != 0 {
 						t.Errorf("%+v, %d attempts", got, len(sc.disk.Asked()))
 					}
@@ -138,13 +138,13 @@
 			if got := p.ask(sc.get()); got.status != 200 {
 				t.Error(got)
 			}
-			sc.until("the connection is free", sc.core(func(*core) bool { return len(sc.s.back.servers["s0"].idle) == 1 }))
+			sc.until("the connection is free", sc.core(func(*core) bool { return len(sc.s.pool.servers["s0"].idle) == 1 }))
 		}
 		if asked := sc.disk.Asked(); asked[len(asked)-1].Conn != 0 {
 			t.Error("a connection was not used again")
 		}
 		sc.on(func() {
-			if b := sc.s.back; b.dialTimeout != defaultDialTimeout || b.maxIdle != defaultConnIdle*idleKeepFraction {
+			if b := sc.s.pool; b.dialTimeout != defaultDialTimeout || b.maxIdle != defaultConnIdle*idleKeepFraction {
 				t.Error(b.dialTimeout, b.idleConns)
 			}
 		})
@@ -188,7 +188,7 @@
 // An attempt for a host that no list names is over at once: nothing left this machine.
 func TestAnAttemptForAHostThatIsUnknown(t *testing.T) {
 	playReal(t, nil, answering(ok200), func(sc *scene, h *held) {
-		sc.on(func() { delete(sc.s.back.servers, "s0") })
+		sc.on(func() { delete(sc.s.pool.servers, "s0") })
 		got := sc.connect().ask(sc.get())
 		if got.status != 503 || sc.counters().Outcomes[policy.NotSent] == 0 || sc.counters().Outcomes[policy.NoConnection] > 0 {
 			t.Errorf("%+v, %+v", got, sc.counters())
--- a/internal/control/scheduler/discovery.go
+++ b/internal/control/scheduler/discovery.go
@@ -15,22 +15,21 @@
 
 const (
 	discoveryPath = "/discovery/hosts"
-	// An open watch says something every 2 s: a message, or an empty line. One that has
-	// said neither for so long has fallen silent and is opened anew; what is missed counts
-	// as told 6 s after the silence began, so that one more may fall silent. Discovery
-	// answers at once, if at all.
+	// Discovery sends a message or an empty line on an open watch every 2 s. A watch that is
+	// silent for watchSilenceTimeout is reopened. Discovery takes a change as delivered 6 s after
+	// the silence began, which leaves time for a second watch to fall silent. Requests are
+	// answered at once or not at all.
 	watchSilenceTimeout  = 2700 * time.Millisecond
 	watchResponseTimeout = 400 * time.Millisecond
-	// A watch that ended is followed by the next after a pause, twice as long each time
-	// that nothing came of it.
+	// Backoff between watches: it doubles with each watch that brings nothing.
 	minWatchBackoff = 50 * time.Millisecond
 	maxWatchBackoff = 200 * time.Millisecond
-	// maxMessageBytes bounds one message, bytes: a whole list of some thousand disk servers, indented.
+	// maxMessageBytes bounds a message: the full list of several thousand disk servers, indented.
 	maxMessageBytes = 4 << 20
 )
 
-// discoveryClient follows discovery: one connection at a time, each from the version held on. After
-// a message that could not be read it fetches the whole list first.
+// discoveryClient follows the changes of the disk server list. It holds one watch at a time, which
+// starts at the last version received. After an unreadable message it fetches the full list first.
 type discoveryClient struct {
 	environment env.Environment
 	onList      func(ServerList)
@@ -39,12 +38,12 @@
 	mu            sync.Mutex
 	addr          string
 	conn          net.Conn
-	seq           uint64 // its goroutine's, as whole is
-	needsFullList bool   // what is held may lack something
+	seq           uint64 // version of the last list; used by its goroutine only, as is needsFullList
+	needsFullList bool   // changes may have been missed
 	backoff       time.Duration
 	tasks         env.WaitGroup
 	ended         env.Gate
-	ctx           context.Context // of its dials
+	ctx           context.Context // for dials
 	cancelDial    context.CancelFunc
 }
 
@@ -55,7 +54,7 @@
 	return d
 }
 
-// setAddress goes on at another address.
+// setAddress changes the address of discovery; an open watch at the old one is closed.
 func (d *discoveryClient) setAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,13 +94,13 @@
 			return
 		}
 		d.needsFullList = d.needsFullList || isUnreadable(err)
-		d.onError("watch ended", err)
+		d.onError("discovery watch ended", err)
 		env.Sleep(d.environment, d.backoff, &d.ended)
 		d.backoff = min(2*d.backoff, maxWatchBackoff)
 	}
 }
 
-// unreadableError is a message of discovery that says nothing that can be taken.
+// unreadableError reports a message of discovery that cannot be applied.
 type unreadableError struct{ err error }
 
 func (e *unreadableError) Error() string { return "discovery: " + e.err.Error() }
@@ -112,7 +111,8 @@
 	return errors.As(err, &e)
 }
 
-// setConn keeps conn to be closed by a move; false if there was one already.
+// setConn records conn so that setAddress and close can close it. It returns false if the address
+// has changed meanwhile or the client has ended.
 func (d *discoveryClient) setConn(addr string, conn net.Conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,8 +120,8 @@
 	return d.addr == addr && !d.ended.Opened()
 }
 
-// get sends a request and reads the head of its answer; what comes of it is read from the
-// stream, until use returns.
+// get sends a GET request, reads the head of the response and passes the body to handle as a stream.
+// The connection is closed when handle returns.
 func (d *discoveryClient) get(addr, target string, handle func(net.Conn, *http1.Stream) error) error {
 	conn, err := d.environment.Dial(d.ctx, "tcp", addr, watchResponseTimeout)
 	if err != nil {
@@ -141,7 +141,7 @@
 		return err
 	}
 	if response.Status != 200 {
-		return fmt.Errorf("discovery answered %d", response.Status)
+		return fmt.Errorf("discovery returned status %d, want 200", response.Status)
 	}
 	framing, err := response.Framing(http1.Limits{MaxBodyBytes: maxMessageBytes})
 	if err != nil {
@@ -151,7 +151,7 @@
 	return handle(conn, http1.NewStream(in, framing, messageLimits))
 }
 
-// fetchFullList brings the whole list.
+// fetchFullList requests the full list and applies it.
 func (d *discoveryClient) fetchFullList(addr string) error {
 	return d.get(addr, discoveryPath, func(_ net.Conn, stream *http1.Stream) error {
 		var objects objectReader
@@ -164,7 +164,7 @@
 	})
 }
 
-// watch holds one watch until it ends.
+// watch opens a watch and applies its messages until it ends.
 func (d *discoveryClient) watch(addr string) error {
 	target := fmt.Sprintf("%s?stream=1&index=%d", discoveryPath, d.seq)
 	return d.get(addr, target, func(conn net.Conn, stream *http1.Stream) error {
@@ -172,13 +172,13 @@
 		received := false
 		return objects.forEach(stream, func(item streamItem) (more bool, err error) {
 			if item == itemPartial {
-				return true, nil // half a message is no sign of life
+				return true, nil // an incomplete message does not count as a sign of life
 			}
 			conn.SetReadDeadline(d.environment.Deadline(watchSilenceTimeout))
 			if item == itemObject {
 				err = d.handleMessage(objects.bytes(), false)
 			} else if !received {
-				d.onList(ServerList{Seq: d.seq}) // nothing has changed
+				d.onList(ServerList{Seq: d.seq}) // an empty line first: nothing has changed since seq
 			}
 			if err == nil {
 				received, d.backoff = true, minWatchBackoff
@@ -188,20 +188,21 @@
 	})
 }
 
-// handleMessage takes a handleMessage. One that goes back in the versions leaves open what is missing.
+// handleMessage decodes and applies a message. A partial list with an older version is rejected,
+// since changes would be missing.
 func (d *discoveryClient) handleMessage(data []byte, fetched bool) error {
 	list, err := parseServerList(data)
 	if err != nil {
 		return &unreadableError{err}
 	}
 	if fetched && !list.Full {
-		return &unreadableError{errors.New("the list is not whole")}
+		return &unreadableError{errors.New("got a partial list, want the full list")}
 	}
 	if !list.Full && list.Seq < d.seq {
-		return &unreadableError{fmt.Errorf("version %d after %d", list.Seq, d.seq)}
+		return &unreadableError{fmt.Errorf("list version went back: got %d after %d", list.Seq, d.seq)}
 	}
 	if !list.Full && list.malformed {
-		return &unreadableError{fmt.Errorf("version %d: %v", list.Seq, list.faults)}
+		return &unreadableError{fmt.Errorf("invalid entries in list version %d: %v", list.Seq, list.faults)}
 	}
 	d.seq, d.needsFullList = list.Seq, d.needsFullList && !list.Full
 	d.onList(list)
--- a/internal/control/scheduler/eventlog.go
+++ b/internal/control/scheduler/eventlog.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// logBurst is how many lines of one message are written in a logPeriod, ms; the others are
-	// dropped, so that a fleet in trouble costs its schedulers no more than that.
+	// logBurst is how many lines with the same message are written per logPeriod, ms. The rest
+	// are dropped, to bound the cost of logging while many requests fail.
 	logBurst  = 20
 	logPeriod = 1000.0
-	// lateEventDelay is the delay from which the loop's lateness is logged, and slowEvent the
-	// time that handling one event may take before that is, ms.
+	// lateEventDelay and slowEventTime are the delay before an event is handled and the time to
+	// handle it, in ms, from which an event is logged.
 	lateEventDelay = 50.0
 	slowEventTime  = 25.0
 )
 
-// eventLog writes what happens to requests, attempts, connections and lists, with the
-// request's id and the reason, at a bounded rate. The nil log writes nothing.
+// eventLog logs the ends of requests, attempts and connections and the changes of the server
+// list at a bounded rate. A nil *eventLog logs nothing.
 type eventLog struct{ log *zap.Logger }
 
 func newEventLog(log *zap.Logger) *eventLog {
@@ -30,7 +30,7 @@
 	return &eventLog{log.WithOptions(sampled)}
 }
 
-// eventKind says what an event of the loop is about.
+// eventKind is the kind of an event of the loop, for the log.
 type eventKind int
 
 const (
@@ -52,7 +52,7 @@
 
 func (k eventKind) String() string { return eventNames[k] }
 
-// eventLate notes an event that came late or took long, ms.
+// eventLate logs an event whose delay or handling time, in ms, reaches its threshold.
 func (l *eventLog) eventLate(kind eventKind, delay, elapsed float64) {
 	if l == nil || delay < lateEventDelay && elapsed < slowEventTime {
 		return
@@ -60,7 +60,7 @@
 	l.log.Warn("event loop late", zap.Stringer("event", kind), zap.Float64("delay_ms", delay), zap.Float64("took_ms", elapsed))
 }
 
-// requestNotServed notes a final answer that is not a disk server's.
+// requestNotServed logs a request that the policy refused or failed.
 func (l *eventLog) requestNotServed(c *call, now float64, outcome callOutcome, cause policy.Reason) {
 	if l == nil {
 		return
@@ -69,7 +69,7 @@
 		zap.Int("attempts", c.attempts), zap.Float64("left_ms", c.req.Expires-now))
 }
 
-// clientLeft notes a client that went away before its answer.
+// clientLeft logs a client that disconnected before its response.
 func (l *eventLog) clientLeft(c *call) {
 	if l == nil {
 		return
@@ -77,7 +77,7 @@
 	l.log.Info("client left", zap.String("request", c.req.ID), zap.Int("attempts", c.attempts))
 }
 
-// attemptFailed notes an attempt that was not served.
+// attemptFailed logs an attempt with a result other than served.
 func (l *eventLog) attemptFailed(a *attempt, result policy.Result, elapsed float64) {
 	if l == nil {
 		return
@@ -86,7 +86,7 @@
 		zap.Stringer("result", result), zap.Float64("elapsed_ms", elapsed))
 }
 
-// listApplied notes a list of disk servers that came into force.
+// listApplied logs a list of disk servers that changed something.
 func (l *eventLog) listApplied(list ServerList, changed, draining int) {
 	if l == nil || changed == 0 {
 		return
@@ -95,7 +95,7 @@
 		zap.Int("changed", changed), zap.Int("leaving", draining))
 }
 
-// entryFaults notes entries of a list that cannot be right.
+// entryFaults logs the invalid entries of a list.
 func (l *eventLog) entryFaults(list ServerList) {
 	if l == nil {
 		return
@@ -105,7 +105,7 @@
 	}
 }
 
-// acceptFailed notes a connection that this machine could not take.
+// acceptFailed logs an error of the listener's Accept.
 func (l *eventLog) acceptFailed(err error) {
 	if l == nil {
 		return
@@ -113,7 +113,7 @@
 	l.log.Warn("accept failed", zap.Error(err))
 }
 
-// dialFailed notes a connection to a disk server that did not come up.
+// dialFailed logs a failed dial to a disk server.
 func (l *eventLog) dialFailed(host string, err error) {
 	if l == nil {
 		return
@@ -121,25 +121,26 @@
 	l.log.Info("dial failed", zap.String("server", host), zap.Error(err))
 }
 
-// closeReason says why the scheduler ended a client's connection.
+// closeReason is the reason for which a client's connection ended.
 type closeReason int
 
 const (
-	closeUnreadable  closeReason = iota // what came could not be read as a request
-	closeRejected                       // the request names what this scheduler does not serve
-	closeDuplicateID                    // the id was used before
-	closeRequested                      // the client asked for it, or left
-	closeDraining                       // the scheduler drains: each answer ends its connection
-	closeIdle                           // nothing came in its time, or it gave way to others
-	closeByClient                       // the client ended it between requests
-	closeLoopEnded                      // the loop had ended
+	closeUnreadable  closeReason = iota // the input could not be parsed as a request
+	closeRejected                       // the request is invalid or not servable here
+	closeDuplicateID                    // the request ID was used before
+	closeRequested                      // the client requested the close or disconnected
+	closeDraining                       // the scheduler drains and closes after each response
+	closeIdle                           // idle timeout, or closed to make room for others
+	closeByClient                       // the client closed it between requests
+	closeLoopEnded                      // the loop had stopped
 )
 
 var closeNames = [...]string{"unreadable", "rejected", "duplicate id", "client's wish", "last answer", "idle", "client ended", "loop ended"}
 
 func (r closeReason) String() string { return closeNames[r] }
 
-// connectionClosed notes a client's connection that ends, unless it rested or its client ended it.
+// connectionClosed logs the end of a client's connection. It omits those that the client closed
+// between requests and those that ended by idle timeout without having sent anything.
 func (l *eventLog) connectionClosed(c *client, err error) {
 	if l == nil || c.reason == closeByClient || c.reason == closeIdle && c.readAhead.bytesRead == 0 {
 		return
--- a/internal/control/scheduler/frontend.go
+++ b/internal/control/scheduler/frontend.go
@@ -13,99 +13,101 @@
 )
 
 const (
-	// firstByteTimeout is how long a client may say nothing after it has connected, and newTime how
-	// long its first request may take from then: who opens connections by hundreds and says
-	// nothing, or never ends its head, is turned away within the platform's 3 s. Who had an
-	// answer may write slowly: slowTime from a request's first byte to its last.
+	// firstByteTimeout bounds the time from a connection's accept to its first byte, and
+	// firstRequestTimeout the time to the end of its first request: clients that open many
+	// connections and send nothing, or never end a head, are rejected within the platform's
+	// limit of 3 s. Later requests may take requestReadTimeout from first byte to last.
 	firstByteTimeout    = time.Second
 	firstRequestTimeout = 2700 * time.Millisecond
 	requestReadTimeout  = 4 * time.Second
-	// keepAliveTimeout is how long a connection without a request is kept, and idleTime where many
-	// are open: clients that ask once and stay would else hold all the descriptors there are.
+	// keepAliveTimeout bounds how long an idle connection is kept, and reducedKeepAliveTimeout
+	// the same while more than half of the connections are in use, so that idle clients do not
+	// hold all file descriptors.
 	keepAliveTimeout        = 20 * time.Second
 	reducedKeepAliveTimeout = 2200 * time.Millisecond
-	// At the bound of connections those give way that have said nothing for evictNewAfterMS or
-	// have had no request for spareTime; until there is one, nothing new is accepted.
-	evictNewAfterMS       = 100.0 // ms
-	evictIdleAfterMS      = 500.0 // ms
+	// At the connection limit a connection may be closed for a new one if it has sent nothing for
+	// evictNewAfterMS or been idle for evictIdleAfterMS; until there is one, none is accepted.
+	evictNewAfterMS       = 100.0
+	evictIdleAfterMS      = 500.0
 	acceptRetryInterval   = 5 * time.Millisecond
-	maxQueuedAcceptWaitMS = 1.0 // ms that an accept waits where no connection was there already
+	maxQueuedAcceptWaitMS = 1.0 // an accept that returns sooner took a connection that was already queued
 	clientWriteLimit      = maxResponseBytes + maxHTTPMessageBytes
 	clientWriteTimeout    = 3 * time.Second
-	// lingerTimeout is how long a connection that was just answered on stays open once nothing
-	// more is sent on it (RFC 9112, section 9.6), or until its client ends its side too:
-	// what lies there unread turns a close into a reset, which overtakes the answer.
+	// lingerTimeout bounds how long a connection stays half-closed after its last answer, until
+	// the client closes its side (RFC 9112, section 9.6): closing it with unread data would send
+	// a reset, which can overtake the answer.
 	lingerTimeout = 200 * time.Millisecond
 )
 
-// frontend is the listener and the clients' connections.
+// frontend owns the listener and the connections of clients.
 type frontend struct {
 	environment       env.Environment
 	loop              *loop
 	core              *core
 	log               *eventLog
 	parser            atomic.Pointer[requestParser]
-	maxClients        int // connections that stay,
-	maxClosing        int // and that are ending beside them
-	byteLimit         atomic.Int64
-	requestBytes      atomic.Int64    // of requests, of which there may be so many bytes
-	answerBytes       atomic.Int64    // of answers on their way out, likewise
-	readAhead         readAheadBudget // of what clients send ahead of their answers
-	ready             env.Gate        // discovery has spoken, or was waited for
-	drainDeadlineBits atomic.Uint64   // bits of the time by which all must be answered; 0: none
-	stopAccepting     env.Gate        // nothing more is accepted
-	ended             env.Gate        // nothing is waited for any more
+	maxClients        int             // limit of open connections that are not closing
+	maxClosing        int             // limit of closing connections beyond maxClients
+	byteLimit         atomic.Int64    // limit of requestBytes and of answerBytes
+	requestBytes      atomic.Int64    // bytes of bodies of open requests
+	answerBytes       atomic.Int64    // bytes of answers that are not yet written
+	readAhead         readAheadBudget // budget for data that clients send while a request is open
+	ready             env.Gate        // opened by the first message of discovery or after readyTimeout
+	drainDeadlineBits atomic.Uint64   // float64 bits of the time by which all requests must be answered; 0: none
+	stopAccepting     env.Gate        // opened when no more connections are accepted
+	ended             env.Gate        // opened at the end: clients' goroutines stop waiting
 	tasks             env.WaitGroup
 	listener          net.Listener
 
-	listenedAt float64 // when it began to listen at the earliest
+	listenedAt float64 // time just before the listener was opened, ms
 
 	mu        sync.Mutex
 	clients   env.OrderedSet[*client]
-	finishing bool // each answer ends its connection, and there are no idle ones
+	finishing bool // each answer ends its connection; idle connections are closed
 }
 
-// clientState is what a client's connection is at, under the front's lock.
+// clientState is the state of a client's connection, guarded by the frontend's mutex.
 type clientState int
 
 const (
-	clientNew     clientState = iota // it has said nothing
-	clientIdle                       // it has had its answer
+	clientNew     clientState = iota // no request yet
+	clientIdle                       // answered, no further request yet
 	clientActive                     // a request is being read or is open
-	clientClosing                    // it was told to end while it was idle
+	clientClosing                    // being closed while it had no request
 )
 
-// client is one connection. Its goroutine reads it, and alone closes it; its write queue writes.
+// client is a connection of a client. Its goroutine reads from it and closes it; the write queue
+// writes to it.
 type client struct {
 	frontend  *frontend
 	conn      net.Conn
 	readAhead *readAhead
 	in        *bufio.Reader
 	out       *writequeue.Queue
-	// Under the front's lock.
+	// Guarded by the frontend's mutex.
 	state        clientState
-	stateSince   float64 // when it came to that state, ms
-	lastAnswerAt float64 // when it last was answered
+	stateSince   float64 // time of the last change of state, ms
+	lastAnswerAt float64 // time of the last answer, ms; 0: none
 
-	answers int // that were written, under the front's lock
+	answers int // number of answers, guarded by the frontend's mutex
 
-	// Its goroutine's own.
+	// Used by its goroutine only.
 	reason        closeReason
-	requests      int    // that were read whole
-	lastRequestID string // of the last of them
+	requests      int    // number of requests read completely
+	lastRequestID string // id of the last request that was submitted
 }
 
-// responder is a call's answer on its way to the client.
+// responder writes the answer of a call to its client.
 type responder struct {
 	client     *client
-	closeAfter bool // the client's wish
+	closeAfter bool // the answer is the connection's last
 	done       env.Gate
 
-	duplicate bool // its id was used before
+	duplicate bool // the request's id was already used
 }
 
-// accept takes connections. Those that lay in the listener's queue while this process was
-// still starting may have come at any time since it listened, and count from then.
+// accept serves new connections. Those queued by the listener while the process was starting may
+// have arrived at any time since listenedAt, so their arrival counts from then.
 func (f *frontend) accept() {
 	fromBacklog := true
 	for {
@@ -117,7 +119,7 @@
 		waitStart := f.loop.now()
 		conn, err := f.listener.Accept()
 		fromBacklog = fromBacklog && f.loop.now()-waitStart < maxQueuedAcceptWaitMS
-		if err != nil { // where there are no descriptors left, there may be again
+		if err != nil { // may be temporary, such as a lack of file descriptors
 			f.log.acceptFailed(err)
 			if f.stopAccepting.Opened() || !env.Sleep(f.environment, acceptRetryInterval, &f.stopAccepting) {
 				return
@@ -132,11 +134,12 @@
 	}
 }
 
-// maxListenQueueMS bounds how long a connection is taken to have lain in the listener's queue, ms.
+// maxListenQueueMS is the longest time in the listener's queue that is believed, ms.
 const maxListenQueueMS = 60_000.0
 
-// arrivalTime is when the first bytes came on a connection that was just accepted, as far as the
-// kernel tells: it may have lain in the listener's queue, behind others.
+// arrivalTime returns when data last arrived on a connection that was just accepted, or else when it
+// was opened, ms: it may have waited in the listener's queue. It is the present where that is
+// unknown or implausibly long ago.
 func (f *frontend) arrivalTime(conn net.Conn) float64 {
 	elapsed, known := env.SinceLastReceive(conn)
 	if !known || env.MS(elapsed) > maxListenQueueMS {
@@ -145,7 +148,8 @@
 	return f.loop.now() - env.MS(elapsed)
 }
 
-// newClient takes a connection that may have come as early as that.
+// newClient registers a connection. earliestArrival is the time, ms, since when its first bytes may
+// have been waiting.
 func (f *frontend) newClient(conn net.Conn, earliestArrival float64) *client {
 	c := &client{frontend: f, conn: conn, readAhead: &readAhead{conn: conn, now: f.loop.now, budget: &f.readAhead, arrivedAt: earliestArrival}, stateSince: f.loop.now()}
 	c.in = bufio.NewReaderSize(c.readAhead, readBufferBytes)
@@ -161,8 +165,8 @@
 	return c
 }
 
-// hasCapacity tells whether one more connection may be accepted. At the bound the one that can
-// be spared best is told to end; while many are ending still, nothing is accepted.
+// hasCapacity reports whether another connection may be accepted. At the limit it starts to close
+// the connection that is evicted first; if too many are still closing, none is accepted.
 func (f *frontend) hasCapacity() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -188,11 +192,12 @@
 	return open < f.maxClients && f.clients.Len() < f.maxClients+f.maxClosing
 }
 
-// evictable tells whether a connection may be ended for another's sake.
+// evictable reports whether the connection may be closed to make room for a new one.
 func (c *client) evictable(now float64) bool {
 	return c.state == clientNew && now-c.stateSince > evictNewAfterMS || c.state == clientIdle && now-c.stateSince > evictIdleAfterMS
 }
 
+// evictedBefore orders evictable connections: those without a request first, then the longest idle.
 func (c *client) evictedBefore(other *client) bool {
 	if c.state != other.state {
 		return c.state == clientNew
@@ -200,14 +205,14 @@
 	return c.stateSince < other.stateSince
 }
 
-// beginClose has an idle connection closed, but for a request that has come already: its goroutine
-// looks for one. The front's lock is held.
+// beginClose makes an idle connection's goroutine close it, unless a request has already arrived.
+// The frontend's mutex is held.
 func (c *client) beginClose(now float64) {
 	c.state, c.stateSince = clientClosing, now
 	c.conn.SetReadDeadline(c.frontend.environment.Deadline(0))
 }
 
-// beginRequest takes a request's first byte.
+// beginRequest marks the client active and sets the read deadline for the request that has begun.
 func (c *client) beginRequest() {
 	f := c.frontend
 	f.mu.Lock()
@@ -220,9 +225,10 @@
 	c.conn.SetReadDeadline(f.environment.Deadline(timeout))
 }
 
-// becomeIdle makes an answered connection idle; false where it ends. Then nothing is read on it
-// any more: what a client sends now is unread, and so the client's to send elsewhere. Either
-// way its goroutine stops waiting for bytes: the next request may have come long ago.
+// becomeIdle records an answer and makes the connection idle. It returns false if the connection
+// ends instead; nothing more is read from it then, so the client may safely send later requests
+// elsewhere. In both cases an expired read deadline stops the goroutine's wait in readMore, since
+// the next request may already have been read ahead.
 func (c *client) becomeIdle(closeConn bool) bool {
 	f := c.frontend
 	f.mu.Lock()
@@ -237,7 +243,7 @@
 	return true
 }
 
-// setIdleDeadline lets an idle connection wait for its next request, unless it was told to end.
+// setIdleDeadline sets the read deadline of an idle connection, unless it is closing.
 func (c *client) setIdleDeadline() {
 	f := c.frontend
 	f.mu.Lock()
@@ -247,14 +253,14 @@
 	}
 }
 
-// clientCount is how many connections clients have, one at least for each call without an answer.
+// clientCount returns the number of client connections; each unanswered call has one.
 func (f *frontend) clientCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.clients.Len()
 }
 
-// forEachIdle does something to the connections without a request. The lock is held.
+// forEachIdle calls visit for each connection without a request. The mutex is held.
 func (f *frontend) forEachIdle(visit func(c *client)) {
 	for _, c := range f.clients.All() {
 		if c.state == clientNew || c.state == clientIdle {
@@ -263,8 +269,8 @@
 	}
 }
 
-// trimIdle ends what has been idle for long while more than half of the connections that there
-// may be are open.
+// trimIdle closes connections that have been idle for reducedKeepAliveTimeout, as long as more than
+// half of maxClients are open. It does nothing during a drain.
 func (f *frontend) trimIdle() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -281,11 +287,11 @@
 	})
 }
 
-// drainDeadline is the time by which all must be answered, 0 while the scheduler stays.
+// drainDeadline returns the time by which all requests must be answered, ms; 0 without a drain.
 func (f *frontend) drainDeadline() float64 { return math.Float64frombits(f.drainDeadlineBits.Load()) }
 
-// beginDrain has all answered by that time, and keeps until then the connections that clients
-// have: they can't open others here.
+// beginDrain sets the time by which all requests must be answered. Idle connections are kept until
+// then, since clients cannot open new ones here.
 func (f *frontend) beginDrain(deadline float64) {
 	f.drainDeadlineBits.Store(math.Float64bits(deadline))
 	f.mu.Lock()
@@ -297,7 +303,7 @@
 	})
 }
 
-// finish has each answer from now on end its connection, and ends the idle ones.
+// finish closes idle connections and makes each later answer the last one of its connection.
 func (f *frontend) finish() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -312,7 +318,7 @@
 	return f.finishing
 }
 
-// idleDeadline is when a connection that is idle from now on is closed.
+// idleDeadline returns when a connection that becomes idle now is closed.
 func (f *frontend) idleDeadline() time.Time {
 	timeout := keepAliveTimeout
 	if deadline := f.drainDeadline(); deadline > 0 {
@@ -321,7 +327,7 @@
 	return f.environment.Deadline(timeout)
 }
 
-// close ends the listener and all connections at once; what was said is still written.
+// close closes the listener and all connections; answers that are queued are still written.
 func (f *frontend) close() {
 	f.stopAccepting.Open()
 	f.listener.Close()
--- a/internal/control/scheduler/heldscene_test.go
+++ b/internal/control/scheduler/heldscene_test.go
@@ -220,7 +220,7 @@
 func settled(sc *scene) func() bool {
 	return sc.core(func(k *core) bool {
 		expectedConns := 0
-		for _, s := range sc.s.back.servers {
+		for _, s := range sc.s.pool.servers {
 			expectedConns += s.expectedConns
 		}
 		return k.over() && expectedConns == 0
--- a/internal/control/scheduler/lifecycle.go
+++ b/internal/control/scheduler/lifecycle.go
@@ -57,7 +57,7 @@
 	log             *zap.Logger
 	loop            *loop
 	core            *core
-	back            *connPool
+	pool            *connPool
 	frontend        *frontend
 	discoveryClient *discoveryClient
 	listReceived    env.Gate // opened by the first message of discovery
@@ -77,14 +77,14 @@
 	}
 	sockets := max(config.Limits.Sockets, minSockets)
 	clockZeroMS := w.Deadline(0).UnixMilli() - clockAtStart
-	s.back = newConnPool(w, s.loop, config, int(float64(sockets)*serverSocketFraction))
+	s.pool = newConnPool(w, s.loop, config, int(float64(sockets)*serverSocketFraction))
 	s.core = newCore(clockZeroMS, config, s)
-	s.back.core = s.core
+	s.pool.core = s.core
 	events := newEventLog(log)
-	s.core.log, s.loop.log, s.back.log = events, events, events
+	s.core.log, s.loop.log, s.pool.log = events, events, events
 	known := config.Known
 	known.Full = true
-	s.back.serverStates.apply(known)
+	s.pool.serverStates.apply(known)
 	s.core.start(known)
 	s.loop.afterBatch = s.sweep
 	s.frontend = &frontend{environment: w, listener: listener, listenedAt: listenedAt, loop: s.loop, core: s.core, log: events, maxClients: int(float64(sockets) * clientSocketFraction), maxClosing: int(float64(sockets) * closingSocketFraction)}
@@ -132,7 +132,7 @@
 // receiveList takes a list from discovery. Notices are updated at once, on the caller's goroutine,
 // so that a drain or restart binds attempts that the loop has already let begin.
 func (s *Scheduler) receiveList(update ServerList) {
-	s.back.serverStates.apply(update)
+	s.pool.serverStates.apply(update)
 	s.loop.post(s.loop.now(), eventList, func(at float64) {
 		s.core.updateServers(at, update, false)
 		s.listReceived.Open()
@@ -143,7 +143,7 @@
 func (s *Scheduler) sweep() {
 	if now := s.loop.now(); now-s.lastSweepAt > env.MS(sweepInterval) {
 		s.lastSweepAt = now
-		s.back.sweep(now)
+		s.pool.sweep(now)
 		s.frontend.trimIdle()
 	}
 }
@@ -155,7 +155,7 @@
 	s.log.Info("configuration read again", zap.String("discovery", config.Discovery))
 	s.discoveryClient.setAddress(config.Discovery)
 	s.loop.post(s.loop.now(), eventReload, func(at float64) {
-		s.back.configure(config)
+		s.pool.configure(config)
 		s.core.updateSettings(at, config.Settings)
 	})
 	s.applyConfig(config)
@@ -207,9 +207,9 @@
 func (s *Scheduler) Close() {
 	s.discoveryClient.close()
 	s.frontend.close()
-	s.back.stop()
+	s.pool.stop()
 	s.loop.stop()
-	s.back.close()
+	s.pool.close()
 	s.log.Info("ended", zap.String("counters", fmt.Sprintf("%+v", s.core.counters)))
 	s.ended.Open()
 }
@@ -219,8 +219,8 @@
 
 // The core's effects, called on the loop.
 
-func (s *Scheduler) send(a *attempt)                    { s.back.send(a) }
-func (s *Scheduler) abandon(a *attempt) attemptProgress { return s.back.abandon(a) }
-func (s *Scheduler) serverListed(e ServerEntry)         { s.back.serverListed(e) }
-func (s *Scheduler) serverRemoved(host string)          { s.back.serverRemoved(host) }
+func (s *Scheduler) send(a *attempt)                    { s.pool.send(a) }
+func (s *Scheduler) abandon(a *attempt) attemptProgress { return s.pool.abandon(a) }
+func (s *Scheduler) serverListed(e ServerEntry)         { s.pool.serverListed(e) }
+func (s *Scheduler) serverRemoved(host string)          { s.pool.serverRemoved(host) }
 func (s *Scheduler) warn(text string)                   { s.log.Warn(text) }
--- a/internal/control/scheduler/list_test.go
+++ b/internal/control/scheduler/list_test.go
@@ -66,8 +66,8 @@
 	for _, line := range lines.FilterMessage("entry of the list is wrong").All() {
 		faults = append(faults, line.ContextMap()["fault"].(string))
 	}
-	for _, want := range []string{"is named twice", `has the unknown state "resting"`, "holds shard 1000000, the settings name 2",
-		"holds shard -3, the settings name 2", "started 3600 s from now"} {
+	for _, want := range []string{"is named twice", `has the unknown state "resting"`, "holds shard 1000000, outside the 2 shards of the settings",
+		"holds shard -3, outside the 2 shards of the settings", "start time is 3600 s in the future"} {
 		if !slices.Contains(faults, want) {
 			t.Errorf("no line %q among %q", want, faults)
 		}
--- a/internal/control/scheduler/loop.go
+++ b/internal/control/scheduler/loop.go
@@ -1,9 +1,9 @@
-// Package scheduler is the scheduler in service on a platform whose clients, disk servers
-// and discovery speak HTTP/1.1: the configuration, the core that owns the module's
-// instance, and the shells around it. Every decision on order, depth, sending, repeats,
-// refusals, health, drains, cold disk servers and limits is the module's (package
-// policy); what stands here tells it what happened and carries out what it says, and
-// bounds descriptors, bytes and the time that a peer has to finish what it began.
+// Package scheduler runs a storage scheduler on a platform whose clients, disk servers and
+// discovery service speak HTTP/1.1. It holds the configuration, the core that owns the
+// instance of policy.Scheduler, and the network code around it. All decisions on order,
+// depth, sending, retries, refusals, health, drains, cold disk servers and limits are made by
+// package policy. This package reports events to the policy and carries out its actions; it
+// bounds file descriptors, memory and the time that a peer has to complete a message.
 package scheduler
 
 import (
@@ -13,42 +13,42 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// loop is the one goroutine that owns the core, and what is posted to it.
+// loop is the event loop: the goroutine that owns the core, and the queue of events posted to it.
 type loop struct {
 	environment env.Environment
-	startedAt   time.Duration // when the core's clock showed epoch
+	startedAt   time.Duration // environment time at which the core's clock showed clockAtStart
 	wake        env.Parker
 	done        env.Gate
-	afterBatch  func()
+	afterBatch  func() // called on the loop after each batch of events
 	log         *eventLog
 
 	mu             sync.Mutex
 	queue          []event
-	blockedPosters []env.Parker // who has something to post and finds no room
+	blockedPosters []env.Parker // goroutines that wait in post for room in the queue
 	stopped        bool
 
 	alarm env.WakeTimer
 }
 
-// event is something to do on the loop, at the time at which it happened.
+// event is a function to run on the loop, with the time at which its cause occurred.
 type event struct {
 	occurredAt float64
 	kind       eventKind
 	run        func(occurredAt float64)
 }
 
-// maxQueuedEvents bounds what waits for the loop: its posters wait once it is reached.
+// maxQueuedEvents bounds the queue; post blocks while it is full.
 const maxQueuedEvents = 1024
 
 func newLoop(w env.Environment) *loop {
 	return &loop{environment: w, startedAt: w.Now(), wake: w.NewParker()}
 }
 
-// now is the present time on the core's clock, ms.
+// now returns the current time on the core's clock, ms.
 func (l *loop) now() float64 { return clockAtStart + env.MS(l.environment.Now()-l.startedAt) }
 
-// post has f done on the loop. It waits while too much waits already, so the loop itself
-// never calls it. It tells whether the loop takes events still.
+// post queues f to run on the loop. It blocks while the queue is full, so the loop itself must
+// not call it. It returns false if the loop has stopped.
 func (l *loop) post(at float64, kind eventKind, f func(at float64)) bool {
 	var p env.Parker
 	for {
@@ -72,7 +72,7 @@
 	}
 }
 
-// takeQueued takes what was posted and lets those post who waited.
+// takeQueued returns the queued events, reuses buffer for the next ones and wakes blocked posters.
 func (l *loop) takeQueued(buffer []event) []event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,7 +91,7 @@
 	return l.stopped
 }
 
-// run serves the core until stop.
+// run handles events and due timers until stop is called.
 func (l *loop) run(k *core) {
 	defer l.done.Open()
 	var events []event
@@ -110,21 +110,22 @@
 	l.alarm.Stop()
 }
 
-// runDue does what has come due: before new work, for it is owed by its time.
+// runDue runs the core's due timers. It is called between events, so that a long batch does not
+// delay timers.
 func (l *loop) runDue(k *core) {
 	if due := k.nextDue(); due <= l.now() {
 		l.handle(&event{due, eventTick, func(float64) { k.runDue(l.now()) }})
 	}
 }
 
-// handle does one event and logs it if it was late.
+// handle runs one event and logs it if it started late or took long.
 func (l *loop) handle(e *event) {
 	start := l.now()
 	e.run(e.occurredAt)
 	l.log.eventLate(e.kind, start-e.occurredAt, l.now()-start)
 }
 
-// stop ends the loop, from another goroutine.
+// stop ends the loop and waits for it. It must be called from another goroutine.
 func (l *loop) stop() {
 	l.mu.Lock()
 	l.stopped = true
--- a/internal/control/scheduler/objectreader.go
+++ b/internal/control/scheduler/objectreader.go
@@ -28,18 +28,18 @@
 
 // next scans data up to the next newline between objects or end of an object, and returns the
 // number of bytes consumed.
-func (m *objectReader) next(data []byte) (int, streamItem, error) {
+func (r *objectReader) next(data []byte) (int, streamItem, error) {
 	for i, c := range data {
 		switch {
-		case m.nesting > 0:
-			if m.object = append(m.object, c); len(m.object) > maxMessageBytes {
+		case r.nesting > 0:
+			if r.object = append(r.object, c); len(r.object) > maxMessageBytes {
 				return 0, itemPartial, &unreadableError{&http1.Error{Kind: http1.TooLarge, Part: "message"}}
 			}
-			if m.scanByte(c); m.nesting == 0 {
+			if r.scanByte(c); r.nesting == 0 {
 				return i + 1, itemObject, nil
 			}
 		case c == '{':
-			m.object, m.nesting = append(m.object[:0], c), 1
+			r.object, r.nesting = append(r.object[:0], c), 1
 		case c == '\n':
 			return i + 1, itemNewline, nil
 		case c != ' ' && c != '\t' && c != '\r':
@@ -51,14 +51,14 @@
 
 // forEach calls handle for each item of the stream until handle returns false or an error, or the
 // stream ends; then it returns the stream's error.
-func (m *objectReader) forEach(stream *http1.Stream, handle func(item streamItem) (more bool, err error)) error {
+func (r *objectReader) forEach(stream *http1.Stream, handle func(item streamItem) (more bool, err error)) error {
 	for {
 		chunk, err := stream.Next()
 		if err != nil {
 			return err
 		}
 		for len(chunk) > 0 {
-			n, item, err := m.next(chunk)
+			n, item, err := r.next(chunk)
 			if err != nil {
 				return err
 			}
@@ -71,20 +71,20 @@
 }
 
 // scanByte updates the nesting for a byte within an object.
-func (m *objectReader) scanByte(c byte) {
+func (r *objectReader) scanByte(c byte) {
 	switch {
-	case m.escaped:
-		m.escaped = false
-	case m.inString:
-		m.escaped, m.inString = c == '\\', c != '"'
+	case r.escaped:
+		r.escaped = false
+	case r.inString:
+		r.escaped, r.inString = c == '\\', c != '"'
 	case c == '"':
-		m.inString = true
+		r.inString = true
 	case c == '{' || c == '[':
-		m.nesting++
+		r.nesting++
 	case c == '}' || c == ']':
-		m.nesting--
+		r.nesting--
 	}
 }
 
 // bytes returns the last complete object; it is valid until the next call of next.
-func (m *objectReader) bytes() []byte { return m.object }
+func (r *objectReader) bytes() []byte { return r.object }
--- a/internal/control/scheduler/outcome_test.go
+++ b/internal/control/scheduler/outcome_test.go
@@ -116,7 +116,7 @@
 			t.Error("a class that is gone:", got)
 		}
 		var within time.Duration
-		sc.on(func() { within = sc.s.back.dialTimeout })
+		sc.on(func() { within = sc.s.pool.dialTimeout })
 		if within != 400*time.Millisecond || sc.s.frontend.byteLimit.Load() != 4<<20 {
 			t.Errorf("dials within %s, %d bytes of bodies", within, sc.s.frontend.byteLimit.Load())
 		}
--- a/internal/control/scheduler/permit_test.go
+++ b/internal/control/scheduler/permit_test.go
@@ -114,7 +114,7 @@
 			panic(err)
 		}
 		sc.s.Reload(c)
-		sc.s.loop.post(sc.s.loop.now(), eventReload, func(float64) { sc.s.back.maxConns = most })
+		sc.s.loop.post(sc.s.loop.now(), eventReload, func(float64) { sc.s.pool.maxConns = most })
 		sc.list.Say(fmt.Sprintf(`{"seq":8,"whole":true,"hosts":[%s]}`, strings.Join(entries, ",")))
 		env.Sleep(sc.w, 20*time.Millisecond, nil)
 		status := make([]int, len(work))
@@ -179,7 +179,7 @@
 		},
 		"server drains": func(sc *scene, _ *peer) {
 			sc.list.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entry("s0", sc.disk.Addr, "leaving", 0)))
-			sc.until("the list was read", func() bool { return !sc.s.back.serverStates.allows("s0", 0) })
+			sc.until("the list was read", func() bool { return !sc.s.pool.serverStates.allows("s0", 0) })
 		},
 		"time to begin is over": func(sc *scene, _ *peer) { env.Sleep(sc.w, 320*time.Millisecond, nil) },
 	} {
--- a/internal/control/scheduler/readahead.go
+++ b/internal/control/scheduler/readahead.go
@@ -8,45 +8,45 @@
 )
 
 const (
-	// maxReadAhead bounds what a client may send ahead of its answers; what is beyond that
-	// stays with the kernel, and the client's end behind it unseen. Where all clients together
-	// have sent more than their budget, one may have sureAhead still.
+	// maxReadAhead bounds the bytes read from a client while its request is open; the rest stays in
+	// the kernel, where the close of the connection behind it is not seen. Each client may
+	// have reservedReadAhead even when the budget of all clients is exhausted.
 	maxReadAhead      = 256 << 10
 	reservedReadAhead = 16 << 10
 	readAheadChunk    = 2 << 10
-	// markIntervalMS is how exactly times are known, ms: it bounds the marks of a request that
-	// comes byte by byte.
+	// markIntervalMS is the resolution of arrival times: it bounds the number of marks of a
+	// request that arrives byte by byte.
 	markIntervalMS = 1.0
 )
 
-// readAhead is the reading half of a client's connection. While a request is open it reads on,
-// so that the client's leaving is seen behind what the client sent readAhead, and it knows when
-// what was read came. One goroutine uses it.
+// readAhead reads from a client's connection and records when bytes arrived. While a request is
+// open it buffers what the client pipelines behind it, so that a close behind that data is seen.
+// It is used by one goroutine.
 type readAhead struct {
 	conn      net.Conn
 	now       func() float64
 	budget    *readAheadBudget
-	arrivedAt float64 // since when the first bytes may have lain unread
+	arrivedAt float64 // earliest time at which the first bytes may have arrived, ms
 	buffer    []byte
-	bytesRead int64 // bytes of the stream so far
+	bytesRead int64 // total bytes read from the stream
 	marks     []arrivalMark
-	err       error // the stream's end
+	err       error // end of the stream, not a timeout
 }
 
-// readAheadBudget bounds what all clients together may have sent ahead, in bytes.
+// readAheadBudget bounds the bytes buffered for all clients together.
 type readAheadBudget struct{ used, limit atomic.Int64 }
 
 func (b *readAheadBudget) add(n int) { b.used.Add(int64(n)) }
 
 func (b *readAheadBudget) exhausted() bool { return b.used.Load() >= b.limit.Load() }
 
-// arrivalMark says when the stream had come up to a byte.
+// arrivalMark records the time, ms, at which the stream was read up to offset.
 type arrivalMark struct {
 	offset int64
 	time   float64
 }
 
-// Read implements io.Reader: first what was kept.
+// Read implements io.Reader; buffered data comes first.
 func (a *readAhead) Read(b []byte) (int, error) {
 	if len(a.buffer) > 0 {
 		n := copy(b, a.buffer)
@@ -64,7 +64,7 @@
 	return n, err
 }
 
-// recordRead notes bytes and the end of the stream.
+// recordRead records the arrival of n bytes, or the end of the stream.
 func (a *readAhead) recordRead(n int, err error) {
 	if n > 0 {
 		now := a.now()
@@ -83,20 +83,21 @@
 	}
 }
 
+// full reports whether no more may be read ahead.
 func (a *readAhead) full() bool {
 	return len(a.buffer) >= maxReadAhead || len(a.buffer) >= reservedReadAhead && a.budget.exhausted()
 }
 
-// discard forgets what was kept.
+// discard drops the buffered data and returns its bytes to the budget.
 func (a *readAhead) discard() {
 	a.budget.add(-len(a.buffer))
 	a.buffer = nil
 }
 
-// readMore waits until readMore has come and keeps it.
+// readMore waits for data and buffers it.
 func (a *readAhead) readMore() error { return a.fill(a.conn.Read) }
 
-// readAvailable keeps what has come already; the error is the stream's end.
+// readAvailable buffers data that has already arrived. It returns an error if the stream has ended.
 func (a *readAhead) readAvailable() error {
 	for a.err == nil && !a.full() {
 		if a.fill(func(b []byte) (int, error) { return env.ReadAvailable(a.conn, b) }) != nil {
@@ -106,6 +107,7 @@
 	return a.err
 }
 
+// fill appends the result of one read to the buffer.
 func (a *readAhead) fill(read func([]byte) (int, error)) error {
 	if a.err != nil {
 		return a.err
@@ -118,7 +120,7 @@
 	return err
 }
 
-// arrivalTime is when the stream had come up to a byte, as far as that is known still.
+// arrivalTime returns when the stream had arrived up to offset, or the present if no mark tells.
 func (a *readAhead) arrivalTime(offset int64) float64 {
 	for _, m := range a.marks {
 		if m.offset >= offset {
@@ -128,8 +130,8 @@
 	return a.now()
 }
 
-// consumedArrivalTime is when the stream had come up to all but the last so many bytes of what was read
-// from here. Earlier times are forgotten.
+// consumedArrivalTime returns when the bytes handed out by Read had arrived, without the last unread
+// ones, which the reader on top still buffers. It drops the marks before that.
 func (a *readAhead) consumedArrivalTime(unread int) float64 {
 	offset := a.bytesRead - int64(len(a.buffer)) - int64(unread)
 	for len(a.marks) > 1 && a.marks[0].offset < offset {
--- a/internal/control/scheduler/requestparser.go
+++ b/internal/control/scheduler/requestparser.go
@@ -33,7 +33,7 @@
 }
 
 const (
-	hexLength              = 16
+	hexIDDigits            = 16
 	maxIDBytes             = 64
 	maxIdempotencyKeyBytes = 256
 	maxTimeoutMS           = 600_000
@@ -47,7 +47,7 @@
 		return nil, 404
 	}
 	class, known := p.classes[parts[1]]
-	if !known || !isHex(parts[2]) || !isHex(parts[3]) {
+	if !known || !isHexID(parts[2]) || !isHexID(parts[3]) {
 		return nil, 404
 	}
 	write := r.Method == "PUT"
@@ -81,8 +81,8 @@
 // false if one is missing, malformed or out of range.
 func (p *requestParser) parsePlacement(placement string, req *policy.Request) bool {
 	req.Units, req.Shard, req.Hosts = math.NaN(), math.MinInt, 0
-	for part := range strings.SplitSeq(placement, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+	for field := range strings.SplitSeq(placement, ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		var err error
 		switch name {
 		case "units":
@@ -100,8 +100,8 @@
 		req.Shard >= -1 && req.Shard < p.shardCount && req.Hosts >= 1
 }
 
-func isHex(s string) bool {
-	return len(s) == hexLength && strings.Trim(s, "0123456789abcdefABCDEF") == ""
+func isHexID(s string) bool {
+	return len(s) == hexIDDigits && strings.Trim(s, "0123456789abcdefABCDEF") == ""
 }
 
 // isRequestID reports whether id is a valid request id. Only characters that are safe in a header
--- a/internal/control/scheduler/reusestats.go
+++ b/internal/control/scheduler/reusestats.go
@@ -2,30 +2,33 @@
 
 import "math"
 
-// reuseStats knows how long a connection may be idle and still take a request. Disk servers
-// and what stands before them drop idle connections earlier than they say, some of them
-// without a word; a request written to one of those ends as a reset. What was seen is kept
-// by idle time, in powers of two of a millisecond.
+// reuseStats estimates how often connections break when they are reused, by the time for which
+// they were idle. Disk servers and middleboxes drop idle connections earlier than documented,
+// some without closing them, and a request on such a connection ends in a reset. Idle times are
+// grouped in powers of two of a millisecond.
 type reuseStats struct {
 	buckets [idleBuckets]reuseCount
 }
 
-// reuseCount counts requests on reused connections, fading with time.
+// reuseCount counts requests on reused connections, with exponential decay.
 type reuseCount struct{ broken, intact, updatedAt float64 }
 
 const (
 	idleBuckets = 16
-	// reuseDecayTime is the memory of what was seen, ms: an age that is avoided is tried again.
+	// reuseDecayTime is the time constant of the decay, ms. It lets an avoided idle time be tried
+	// again later.
 	reuseDecayTime = 20_000.0
-	// reusePriorIntact is how many unbroken ones are taken to have been seen of each age, and
-	// mostBroke the part above which an age is avoided: a new connection costs a round trip
-	// or a few, a broken one costs that and an attempt.
+	// reusePriorIntact is the number of intact connections that each bucket starts with, and
+	// maxBrokenFraction the broken part above which a bucket's connections are replaced. A new
+	// connection costs a few round trips, a broken one costs an attempt in addition.
 	reusePriorIntact  = 4.0
 	maxBrokenFraction = 0.15
-	// staleBreakTime is how soon after its request a connection breaks that was broken before, ms.
+	// staleBreakTime is the time, ms, after an attempt was issued within which a break is taken
+	// to mean that the connection was broken while idle.
 	staleBreakTime = 10.0
 )
 
+// idleBucket returns the bucket of an idle time in ms.
 func idleBucket(idleTime float64) int {
 	return min(max(int(math.Log2(max(idleTime, 1))), 0), idleBuckets-1)
 }
@@ -35,7 +38,7 @@
 	t.broken, t.intact, t.updatedAt = t.broken*factor, t.intact*factor, now
 }
 
-// record notes how a connection did that had been idle for so long.
+// record counts a request on a connection that had been idle for the given time, ms.
 func (s *reuseStats) record(now, idleTime float64, broken bool) {
 	t := &s.buckets[idleBucket(idleTime)]
 	t.decay(now)
@@ -46,7 +49,8 @@
 	}
 }
 
-// likelyBroken tells whether a connection that has been idle for so long had better be replaced.
+// likelyBroken reports whether a connection that has been idle for the given time, ms, should be
+// replaced and not reused.
 func (s *reuseStats) likelyBroken(now, idleTime float64) bool {
 	t := &s.buckets[idleBucket(idleTime)]
 	t.decay(now)
--- a/internal/control/scheduler/scene_test.go
+++ b/internal/control/scheduler/scene_test.go
@@ -455,7 +455,7 @@
 		p := sc.connect()
 		p.ask(sc.get())
 		env.Sleep(sc.w, 25*time.Second, nil)
-		if n := sc.s.back.connCount; n != 0 {
+		if n := sc.s.pool.connCount; n != 0 {
 			t.Errorf("%d connections are open", n)
 		}
 		if got := sc.connect().ask(sc.get()); got.status != 200 {
--- a/internal/control/scheduler/serverbytes_test.go
+++ b/internal/control/scheduler/serverbytes_test.go
@@ -95,7 +95,7 @@
 						t.Fatalf("request %d: %+v, want %s", i, got, want)
 					}
 					sc.until("the connection is free", sc.core(func(k *core) bool {
-						s := sc.s.back.servers["s0"]
+						s := sc.s.pool.servers["s0"]
 						return len(s.idle) == 1 && s.expectedConns == 0
 					}))
 					do(d.conn(i))
--- a/internal/control/scheduler/serverconn.go
+++ b/internal/control/scheduler/serverconn.go
@@ -10,13 +10,13 @@
 	"merlinhitch/policy"
 )
 
-// One connection to a disk server while it has an attempt: the request that goes out on it and
-// the answer that comes.
+// This file holds the exchange of one request and its response on a connection to a disk server.
 
+// serviceHost is the Host field of requests to disk servers.
 const serviceHost = "api.internal"
 
-// encodeRequest is an attempt as it goes to its disk server with so much time left, ms. The server
-// is told whole milliseconds, rounded down: never more than its client has left.
+// encodeRequest returns the attempt's HTTP request. Request-Timeout is the time left, in ms,
+// rounded down to whole milliseconds so that the server never assumes more than the client has.
 func (a *attempt) encodeRequest(left float64) []byte {
 	c := a.call
 	f := http1.Fields{{Name: "Host", Value: serviceHost}, {Name: "Request-Id", Value: c.req.ID}}
@@ -27,7 +27,8 @@
 	return http1.AppendRequest(nil, c.method, c.target, f, c.body)
 }
 
-// exchange sends a request and brings its answer, on a goroutine of its own.
+// exchange sends a request and posts its response, or its failure, to the loop. It runs in a
+// goroutine of its own.
 func (sc *serverConn) exchange(a *attempt, startedMS int64) {
 	p := sc.pool
 	sc.conn.SetDeadline(p.environment.Deadline(writeTimeout))
@@ -39,7 +40,7 @@
 	request := a.encodeRequest(a.answerBy - now)
 	if n, err := sc.conn.Write(request); err != nil {
 		r := policy.ConnectionLost
-		if n < len(request) { // without its last byte it is no request
+		if n < len(request) { // an incomplete request cannot have been executed
 			r = policy.NoConnection
 		}
 		p.loop.post(p.loop.now(), eventConnBroken, func(at float64) { p.connBroken(at, sc, a, r) })
@@ -63,7 +64,7 @@
 	p.loop.post(p.loop.now(), eventQuarantineEnded, func(at float64) { p.quarantineEnded(at, sc, noInput) })
 }
 
-// quarantine listens for a while whether anything follows the answer; false if so.
+// quarantine reads for quarantineTime after a response and reports whether nothing followed it.
 func (sc *serverConn) quarantine() bool {
 	sc.conn.SetReadDeadline(sc.pool.environment.Deadline(quarantineTime))
 	_, err := sc.reader.Peek(1)
@@ -71,7 +72,8 @@
 	return env.IsTimeout(err)
 }
 
-// readReply reads one readReply. One that cannot be read is a failed attempt that may have run.
+// readReply reads one response and reports whether the connection can be reused. A response that
+// cannot be parsed yields policy.ServerError, since the request may have been executed.
 func (sc *serverConn) readReply() (r reply, reusable bool, err error) {
 	r.result = policy.ServerError
 	response, err := http1.ReadResponse(sc.reader, responseLimits)
@@ -91,8 +93,8 @@
 		return r, false, err
 	}
 	if surplus, _ := sc.reader.Peek(sc.reader.Buffered()); len(surplus) > 0 && !startsResponse(surplus) {
-		// Its length may have said less than there was, and nothing tells that from
-		// noise behind it.
+		// The surplus may be the rest of a body longer than its Content-Length, so the
+		// response cannot be trusted.
 		return r, false, nil
 	}
 	r.result = resultOf(response)
@@ -116,8 +118,8 @@
 	return policy.ServerError
 }
 
-// headerNumber is a number that a server tells beside its answer, raised by base; one that
-// cannot be read is none.
+// headerNumber parses an unsigned number of a response's header field and adds offset; it returns
+// 0 if the field is missing or malformed.
 func headerNumber(s string, offset float64) float64 {
 	n, err := strconv.ParseUint(s, 10, 32)
 	if err != nil {
@@ -126,8 +128,8 @@
 	return float64(n) + offset
 }
 
-// noInput tells that nothing has come on a free connection, neither bytes that nobody asked
-// for nor its end.
+// noInput reports whether an idle connection has neither unexpected bytes nor an end of stream to
+// read.
 func (sc *serverConn) noInput() bool {
 	var one [1]byte
 	_, err := env.ReadAvailable(sc.conn, one[:])
--- a/internal/control/scheduler/serverstates.go
+++ b/internal/control/scheduler/serverstates.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// serverStates is what discovery last said of each disk server. The goroutine that reads
-// discovery keeps it; whoever is about to send looks at it, so that a drain, a departure or
-// a restart binds from the moment in which it was read, though the loop has not come to it
-// yet. It is safe for concurrent use.
+// serverStates holds the last state of each disk server that discovery reported. The goroutine
+// that reads discovery updates it, and exchanges check it just before they write, so that a
+// drain, removal or restart takes effect at once even if the loop has not handled the list yet.
+// It is safe for concurrent use.
 type serverStates struct {
 	mu     sync.RWMutex
 	byHost map[string]serverState
@@ -16,7 +16,7 @@
 	startedMS int64
 }
 
-// apply notes a list, or what changed.
+// apply records a full list or the changes to one.
 func (n *serverStates) apply(l ServerList) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -32,7 +32,8 @@
 	}
 }
 
-// allows tells whether the process of a disk server that started then may be sent to.
+// allows reports whether requests may be sent to the disk server's process that started at
+// startedMS, Unix time in ms: it is listed, active and has not restarted since.
 func (n *serverStates) allows(host string, startedMS int64) bool {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
--- a/internal/control/scheduler/staleness_test.go
+++ b/internal/control/scheduler/staleness_test.go
@@ -61,7 +61,7 @@
 		if got.status != 200 || got.body != string(body) {
 			t.Error(got.status, len(got.body))
 		}
-		if b := sc.s.back; b.replyBytes.Load() != 0 || sc.s.frontend.answerBytes.Load() != 0 {
+		if b := sc.s.pool; b.replyBytes.Load() != 0 || sc.s.frontend.answerBytes.Load() != 0 {
 			t.Errorf("%d and %d bytes are still counted", b.replyBytes.Load(), sc.s.frontend.answerBytes.Load())
 		}
 	})
--- a/internal/runtime/env/waketimer.go
+++ b/internal/runtime/env/waketimer.go
@@ -6,8 +6,8 @@
 )
 
 // WakeTimer wakes the goroutine that runs a core when the core's next timer is due. Times
-// are in ms on the core's clock. It is not safe for concurrent use: only that goroutine may
-// call it. The zero value is a timer that is not set.
+// are in ms on the core's clock. It is not safe for concurrent use: while that goroutine
+// runs, only it may call the methods. The zero value is a timer that is not set.
 type WakeTimer struct {
 	due   float64
 	timer Timer
