--- a/internal/control/scheduler/config.go
+++ b/internal/control/scheduler/config.go
@@ -21,8 +21,8 @@
 	Limits    Limits
 	Known     ServerList // disk servers known before the start; may be out of date
 	Settings  policy.Settings
-	Timeouts  wire.ConnTimeouts
-	Ignored   []error // invalid settings that were replaced by a default, each a *ConfigError
+	Timeouts  wire.ConnTimeouts // of connections to disk servers
+	Ignored   []error           // invalid settings that were replaced by a default, each a *ConfigError
 }
 
 // Limits are the machine's resources that the scheduler may use.
@@ -54,6 +54,7 @@
 	EnvConfig = "ROUTER_CONFIG"
 )
 
+// configFile is the JSON layout of the configuration file.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -158,6 +159,7 @@
 	return &ConfigError{valueOr(path, "file"), err}
 }
 
+// validate reports the first required field that is missing or out of range.
 func (c *Config) validate() error {
 	for _, required := range []struct{ path, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if required.value == "" {
--- a/internal/control/scheduler/frontend.go
+++ b/internal/control/scheduler/frontend.go
@@ -166,7 +166,7 @@
 }
 
 // hasCapacity reports whether another connection may be accepted. At the limit it starts to close
-// the connection that is evicted first; if too many are still closing, none is accepted.
+// one evictable connection; with maxClosing closing beside maxClients, none is accepted.
 func (f *frontend) hasCapacity() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -253,7 +253,7 @@
 	}
 }
 
-// clientCount returns the number of client connections; each unanswered call has one.
+// clientCount returns the number of client connections, at least one for each unanswered call.
 func (f *frontend) clientCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/control/scheduler/lifecycle.go
+++ b/internal/control/scheduler/lifecycle.go
@@ -24,7 +24,7 @@
 	killDelayMS          = 700.0
 	drainAcceptPeriod    = 600 * time.Millisecond
 	finishLeadMS         = 400.0 // before the kill, idle connections close and each answer ends its connection
-	answerLeadMS         = 300.0 // before the kill, all is answered: the process may be held up for 150 ms
+	answerLeadMS         = 300.0 // before the kill, all requests are answered; allows for a pause of the process of 150 ms
 	exitLeadMS           = 80.0  // before the kill, the program ends even if clients are still connected
 	sweepInterval        = time.Second
 	// A listen address that cannot be used yet is tried again every listenRetryInterval for
@@ -129,8 +129,9 @@
 	s.log.Info("ready", zap.Bool("discovery", s.listReceived.Opened()))
 }
 
-// receiveList takes a list from discovery. Notices are updated at once, on the caller's goroutine,
-// so that a drain or restart binds attempts that the loop has already let begin.
+// receiveList applies a list from discovery. The pool's server states are updated at once, on the
+// caller's goroutine, so that a drain or restart of a server also stops attempts that the loop has
+// permitted but that are not yet written.
 func (s *Scheduler) receiveList(update ServerList) {
 	s.pool.serverStates.apply(update)
 	s.loop.post(s.loop.now(), eventList, func(at float64) {
@@ -150,7 +151,7 @@
 
 // Reload applies the settings, connection timeouts, memory limit and discovery address of config.
 // The new settings are posted to the core before the frontend uses them, so no request parsed
-// under them can reach the core first.
+// under them can reach the core before them.
 func (s *Scheduler) Reload(config *Config) {
 	s.log.Info("configuration read again", zap.String("discovery", config.Discovery))
 	s.discoveryClient.setAddress(config.Discovery)
--- a/internal/control/scheduler/list.go
+++ b/internal/control/scheduler/list.go
@@ -10,8 +10,8 @@
 
 // ServerList is a message of discovery: the full list of disk servers, or the entries that changed.
 type ServerList struct {
-	Seq     uint64        `json:"seq"`
-	Full    bool          `json:"whole"`
+	Seq     uint64        `json:"seq"`   // version
+	Full    bool          `json:"whole"` // all servers, not only those that changed
 	Entries []ServerEntry `json:"hosts"`
 
 	faults    []entryFault // invalid entries
--- a/internal/control/scheduler/readahead.go
+++ b/internal/control/scheduler/readahead.go
@@ -30,7 +30,7 @@
 	buffer    []byte
 	bytesRead int64 // total bytes read from the stream
 	marks     []arrivalMark
-	err       error // end of the stream, not a timeout
+	err       error // what ended the stream; timeouts are not recorded
 }
 
 // readAheadBudget bounds the bytes buffered for all clients together.
@@ -130,8 +130,8 @@
 	return a.now()
 }
 
-// consumedArrivalTime returns when the bytes handed out by Read had arrived, without the last unread
-// ones, which the reader on top still buffers. It drops the marks before that.
+// consumedArrivalTime returns when the bytes handed out by Read had arrived, except for the last
+// unread ones, which the caller still buffers. It drops the marks before that.
 func (a *readAhead) consumedArrivalTime(unread int) float64 {
 	offset := a.bytesRead - int64(len(a.buffer)) - int64(unread)
 	for len(a.marks) > 1 && a.marks[0].offset < offset {
--- a/internal/control/scheduler/requestparser.go
+++ b/internal/control/scheduler/requestparser.go
@@ -33,13 +33,14 @@
 }
 
 const (
-	hexIDDigits            = 16
+	hexIDDigits            = 16 // length of the volume and key in the path /CLASS/VOLUME/KEY
 	maxIDBytes             = 64
 	maxIdempotencyKeyBytes = 256
 	maxTimeoutMS           = 600_000
 )
 
-// parse returns the call for a request, or else the HTTP status to reject it with.
+// parse returns the call for a request, or else the HTTP status to reject it with. The call expires
+// Request-Timeout seconds after the request's last byte arrived.
 func (p *requestParser) parse(r *request) (*call, int) {
 	path, _, _ := strings.Cut(r.Target, "?")
 	parts := strings.Split(path, "/")
