--- a/internal/control/scheduler/connpool.go
+++ b/internal/control/scheduler/connpool.go
@@ -17,6 +17,7 @@
 )
 
 var (
+	// messageLimits bounds requests of clients and response heads of discovery.
 	messageLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: 64 << 10}
 	// responseLimits allows bodies larger than requests may have, since disk servers send
 	// them. connPool.maxReplyBytes bounds the bytes of all responses in memory together.
@@ -26,7 +27,7 @@
 const (
 	readBufferBytes     = 4 << 10
 	maxResponseBytes    = 1 << 20
-	maxHTTPMessageBytes = 80 << 10
+	maxHTTPMessageBytes = 80 << 10 // head and body within messageLimits
 	writeTimeout        = 5 * time.Second
 	// quarantineTime is how long a connection is read after a response before it is reused:
 	// surplus bytes, such as a duplicate of the response a few milliseconds later, must not
@@ -275,7 +276,7 @@
 		p.log.dialFailed(s.host, err)
 		if s.localSocketError = localSocketError(err); s.localSocketError {
 			p.pauseDials()
-		} else if len(s.waiting) > s.expectedConns { // else another connection is coming for each that waits
+		} else if len(s.waiting) > s.expectedConns { // otherwise each waiting attempt still has an expected connection
 			p.core.failAttempt(at, s.popWaiting(), policy.NoConnection)
 		}
 		p.dialForWaiting(s)
--- a/internal/control/scheduler/core.go
+++ b/internal/control/scheduler/core.go
@@ -56,11 +56,11 @@
 	call         *call
 	number       int
 	host         string
-	issuedAt     float64
+	issuedAt     float64 // when the policy sent it
 	beginBy      float64 // deadline for the start of the write; +Inf: none
 	answerBy     float64 // deadline for the response
 	begun        bool
-	outcomeKnown bool
+	outcomeKnown bool // it has ended
 	serverConn   *serverConn
 	timer        timerqueue.Timer[timerEvent]
 }
@@ -79,7 +79,7 @@
 const (
 	progressSent         attemptProgress = iota // it may have reached the disk server
 	progressNotConnected                        // a connection was dialled but not established in time
-	progressNotDialled                          // no connection was dialled, for lack of local resources
+	progressNotDialled                          // no connection was dialled for it, for lack of local resources or of a listed server
 )
 
 // effectHandler carries out the core's effects. Its methods must not block or call notify.
