--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -36,82 +36,84 @@
 	beforeEvent func()
 }
 
-func newHarness(s Settings) *harness {
-	g := &harness{scheduler: newScheduler(s, 1), now: 1000, timers: map[string]float64{}}
-	g.setNodes(Node{Addr: "n0", Health: Ready, Shard: 0, Zone: "z"})
-	return g
+func newHarness(settings Settings) *harness {
+	h := &harness{scheduler: newScheduler(settings, 1), now: 1000, timers: map[string]float64{}}
+	h.setNodes(Node{Addr: "n0", Health: Ready, Shard: 0, Zone: "z"})
+	return h
 }
 
-func (g *harness) handle(ev Event) []Action {
-	if g.beforeEvent != nil {
-		g.beforeEvent()
+func (h *harness) handle(ev Event) []Action {
+	if h.beforeEvent != nil {
+		h.beforeEvent()
 	}
-	got := slices.Clone(g.scheduler.Handle(g.now, ev))
-	for _, a := range got {
-		g.actionTimes = append(g.actionTimes, g.now)
+	emitted := slices.Clone(h.scheduler.Handle(h.now, ev))
+	for _, a := range emitted {
+		h.actionTimes = append(h.actionTimes, h.now)
 		if t, ok := a.(SetTimer); ok {
-			g.timers[t.Name] = g.now + t.Delay
+			h.timers[t.Name] = h.now + t.Delay
 		}
 	}
-	g.actions = append(g.actions, got...)
-	return got
+	h.actions = append(h.actions, emitted...)
+	return emitted
 }
 
-func (g *harness) setNodes(n ...Node) []Action { return g.handle(NodeList{Full: true, Nodes: n}) }
+func (h *harness) setNodes(nodes ...Node) []Action {
+	return h.handle(NodeList{Full: true, Nodes: nodes})
+}
 
-func (g *harness) submit(class, plan, key string, units float64) string {
-	g.requestCount++
-	id := fmt.Sprintf("%016x", g.requestCount)
-	g.handle(Request{ID: id, Class: class, Plan: plan, Volume: plan, Units: units, Key: key,
-		Expires: g.now + 1000, Hosts: 1})
+func (h *harness) submit(class, plan, key string, units float64) string {
+	h.requestCount++
+	id := fmt.Sprintf("%016x", h.requestCount)
+	h.handle(Request{ID: id, Class: class, Plan: plan, Volume: plan, Units: units, Key: key,
+		Expires: h.now + 1000, Hosts: 1})
 	return id
 }
 
 // advance lets time go by, firing timers.
-func (g *harness) advance(d float64) {
-	for end := g.now + d; ; {
-		name, at := "", end
-		for _, n := range []string{"second", "wake"} {
-			if t, ok := g.timers[n]; ok && t <= at {
-				name, at = n, t
+func (h *harness) advance(duration float64) {
+	for end := h.now + duration; ; {
+		nextTimer, nextTime := "", end
+		for _, timer := range []string{"second", "wake"} {
+			if fireTime, ok := h.timers[timer]; ok && fireTime <= nextTime {
+				nextTimer, nextTime = timer, fireTime
 			}
 		}
-		g.now = at
-		if name == "" {
+		h.now = nextTime
+		if nextTimer == "" {
 			return
 		}
-		delete(g.timers, name)
-		g.handle(TimerFired{name})
+		delete(h.timers, nextTimer)
+		h.handle(TimerFired{nextTimer})
 	}
 }
 
-func (g *harness) endAttempt(id string, res Result) {
-	n := g.sendCount(id)
-	g.handle(Outcome{ID: id, Node: "n0", Attempt: n - 1, Done: res == Served, Elapsed: 20, Result: res})
+func (h *harness) endAttempt(id string, result Result) {
+	attempts := h.sendCount(id)
+	h.handle(Outcome{ID: id, Node: "n0", Attempt: attempts - 1, Done: result == Served, Elapsed: 20, Result: result})
 }
 
-func (g *harness) sendCount(id string) (n int) {
-	for _, a := range g.actions {
-		if s, ok := a.(Send); ok && s.ID == id {
+func (h *harness) sendCount(id string) (n int) {
+	for _, a := range h.actions {
+		if send, ok := a.(Send); ok && send.ID == id {
 			n++
 		}
 	}
 	return n
 }
 
-func (g *harness) finalAnswers(id string) string {
-	got := ""
-	for _, a := range g.actions {
+func (h *harness) finalAnswers(id string) string {
+	answers := ""
+	for _, a := range h.actions {
 		switch a := a.(type) {
 		case Refuse:
 			if a.ID == id {
-				got += "refuse"
+				answers += "refuse"
 			}
 		case Fail:
 			if a.ID == id {
-				got += "fail"
+				answers += "fail"
 			}
 		}
 	}
-	return got
+	return answers
 }
--- a/policy/limitcache_test.go
+++ b/policy/limitcache_test.go
@@ -19,30 +19,30 @@
 func newSchedulerPair(t *testing.T) *schedulerPair {
 	s := testSettings()
 	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 40, 8, 4
-	tw := &schedulerPair{t, newHarness(s), newHarness(s)}
-	tw.uncached.beforeEvent = func() {
-		for _, sh := range tw.uncached.scheduler.shards {
+	pair := &schedulerPair{t, newHarness(s), newHarness(s)}
+	pair.uncached.beforeEvent = func() {
+		for _, sh := range pair.uncached.scheduler.shards {
 			sh.deferredLimitedUntil = 0
 			for i := range sh.flows {
 				sh.flows[i].limitedUntil = 0
 			}
 		}
 	}
-	tw.applyToBoth(func(g *harness) { g.setNodes(Node{Addr: "n0", Health: Ready}) })
-	return tw
+	pair.applyToBoth(func(h *harness) { h.setNodes(Node{Addr: "n0", Health: Ready}) })
+	return pair
 }
 
 // applyToBoth does the same to the two, whose timers are their own, and compares what they
 // decided and when. Timers are left out: without memory some are set for times that
 // nothing comes of.
-func (tw *schedulerPair) applyToBoth(f func(g *harness)) {
-	tw.t.Helper()
-	var acts [2][]Action
-	var when [2][]float64
-	for k, g := range []*harness{tw.cached, tw.uncached} {
-		g.actions, g.actionTimes = nil, nil
-		f(g)
-		for i, a := range g.actions {
+func (pair *schedulerPair) applyToBoth(apply func(h *harness)) {
+	pair.t.Helper()
+	var actions [2][]Action
+	var times [2][]float64
+	for k, h := range []*harness{pair.cached, pair.uncached} {
+		h.actions, h.actionTimes = nil, nil
+		apply(h)
+		for i, a := range h.actions {
 			if _, timer := a.(SetTimer); !timer {
 				switch s := a.(type) {
 				case Send: // its end is reckoned from the moment of sending
@@ -55,12 +55,12 @@
 					s.Cause = ReasonNone
 					a = s
 				}
-				acts[k], when[k] = append(acts[k], a), append(when[k], g.actionTimes[i])
+				actions[k], times[k] = append(actions[k], a), append(times[k], h.actionTimes[i])
 			}
 		}
 	}
-	if !slices.Equal(acts[0], acts[1]) || !slices.EqualFunc(when[0], when[1], func(x, y float64) bool { return math.Abs(x-y) < 1e-3 }) {
-		tw.t.Fatalf("%v at %v\n%v at %v without memory", acts[0], when[0], acts[1], when[1])
+	if !slices.Equal(actions[0], actions[1]) || !slices.EqualFunc(times[0], times[1], func(x, y float64) bool { return math.Abs(x-y) < 1e-3 }) {
+		pair.t.Fatalf("%v at %v\n%v at %v without memory", actions[0], times[0], actions[1], times[1])
 	}
 }
 
@@ -69,25 +69,25 @@
 	total := 0
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		tw := newSchedulerPair(t)
+		pair := newSchedulerPair(t)
 		sends := 0
 		for k := range 1500 {
-			wait := rng.Float64() * 8
-			tw.applyToBoth(func(g *harness) { g.advance(wait) })
-			now := tw.cached.now
+			elapsed := rng.Float64() * 8
+			pair.applyToBoth(func(h *harness) { h.advance(elapsed) })
+			now := pair.cached.now
 			var ev Event
-			switch x := rng.IntN(10); {
-			case x < 6:
+			switch draw := rng.IntN(10); {
+			case draw < 6:
 				plan := "low"
 				if rng.IntN(4) == 0 {
 					plan = "high"
 				}
 				ev = Request{ID: fmt.Sprintf("%016x", k), Class: []string{"read", "write", "turns"}[rng.IntN(3)], Plan: plan, Key: fmt.Sprint(rng.IntN(4)), Volume: fmt.Sprint(plan, rng.IntN(3)), Units: 1 + float64(rng.IntN(4)), Expires: now + 1000, Hosts: 1}
-			case x < 9 && len(tw.cached.scheduler.shards) > 0 && len(tw.cached.scheduler.shards[0].outstanding) > 0:
-				r := tw.cached.scheduler.shards[0].outstanding[0]
+			case draw < 9 && len(pair.cached.scheduler.shards) > 0 && len(pair.cached.scheduler.shards[0].outstanding) > 0:
+				r := pair.cached.scheduler.shards[0].outstanding[0]
 				sends++
-				res := []Result{Served, Served, Served, Served, ServerError, Rejected, NoAnswer, ConnectionLost}[rng.IntN(8)]
-				ev = Outcome{ID: r.ID, Node: "n0", Attempt: r.attempts - 1, Done: res == Served, Elapsed: now - r.sentAt, Result: res}
+				result := []Result{Served, Served, Served, Served, ServerError, Rejected, NoAnswer, ConnectionLost}[rng.IntN(8)]
+				ev = Outcome{ID: r.ID, Node: "n0", Attempt: r.attempts - 1, Done: result == Served, Elapsed: now - r.sentAt, Result: result}
 			case rng.IntN(20) == 0:
 				started := 0.0
 				if rng.IntN(2) == 0 {
@@ -97,7 +97,7 @@
 			default:
 				continue
 			}
-			tw.applyToBoth(func(g *harness) { g.handle(ev) })
+			pair.applyToBoth(func(h *harness) { h.handle(ev) })
 		}
 		total += sends
 	}
@@ -109,26 +109,26 @@
 // BenchmarkLimitedQueue is the cost of an event while a limit holds thousands of requests:
 // the time with what is remembered over the time without.
 func BenchmarkLimitedQueue(b *testing.B) {
-	run := func(forget bool) time.Duration {
+	run := func(uncached bool) time.Duration {
 		s := testSettings()
 		s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 0.001, 8, 4
-		g := newHarness(s)
-		g.setNodes(Node{Addr: "n0", Health: Ready})
+		h := newHarness(s)
+		h.setNodes(Node{Addr: "n0", Health: Ready})
 		for k := range 5000 {
-			g.handle(Request{ID: fmt.Sprintf("l%d", k), Class: "read", Plan: "low", Volume: "v", Units: 4, Expires: g.now + 1e9, Hosts: 1})
+			h.handle(Request{ID: fmt.Sprintf("l%d", k), Class: "read", Plan: "low", Volume: "v", Units: 4, Expires: h.now + 1e9, Hosts: 1})
 		}
-		begin := time.Now()
+		start := time.Now()
 		for k := range 1000 {
-			g.now += 0.1
-			if forget {
-				g.scheduler.shards[0].flows[0].limitedUntil, g.scheduler.shards[0].deferredLimitedUntil = 0, 0
+			h.now += 0.1
+			if uncached {
+				h.scheduler.shards[0].flows[0].limitedUntil, h.scheduler.shards[0].deferredLimitedUntil = 0, 0
 			}
-			g.handle(Request{ID: fmt.Sprintf("h%d", k), Class: "write", Plan: "high", Volume: "w", Units: 1, Expires: g.now + 1000, Hosts: 1})
-			for _, r := range slices.Clone(g.scheduler.shards[0].outstanding) {
-				g.endAttempt(r.ID, Served)
+			h.handle(Request{ID: fmt.Sprintf("h%d", k), Class: "write", Plan: "high", Volume: "w", Units: 1, Expires: h.now + 1000, Hosts: 1})
+			for _, r := range slices.Clone(h.scheduler.shards[0].outstanding) {
+				h.endAttempt(r.ID, Served)
 			}
 		}
-		return time.Since(begin)
+		return time.Since(start)
 	}
 	for b.Loop() {
 		b.ReportMetric(float64(run(false))/float64(run(true)), "remembered/forgotten")
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -9,32 +9,32 @@
 func TestOneFinalAnswerInTime(t *testing.T) {
 	tests := []struct {
 		name, class, want string
-		do                func(g *harness, id func() string) string
+		run               func(h *harness, submit func() string) string
 	}{
-		{"no node listed", "read", "refuse", func(g *harness, id func() string) string { g.setNodes(); return id() }},
-		{"other shard only", "write", "refuse", func(g *harness, id func() string) string {
-			g.setNodes(Node{Addr: "n9", Health: Ready, Shard: 9})
-			return id()
+		{"no node listed", "read", "refuse", func(h *harness, submit func() string) string { h.setNodes(); return submit() }},
+		{"other shard only", "write", "refuse", func(h *harness, submit func() string) string {
+			h.setNodes(Node{Addr: "n9", Health: Ready, Shard: 9})
+			return submit()
 		}},
-		{"no answer at the deadline, read", "read", "refuse", func(g *harness, id func() string) string {
-			r := id()
-			g.advance(1000)
-			g.endAttempt(r, NoAnswer)
-			return r
+		{"no answer at the deadline, read", "read", "refuse", func(h *harness, submit func() string) string {
+			id := submit()
+			h.advance(1000)
+			h.endAttempt(id, NoAnswer)
+			return id
 		}},
-		{"no answer at the deadline, unsafe", "once", "fail", func(g *harness, id func() string) string {
-			r := id()
-			g.advance(1000)
-			g.endAttempt(r, NoAnswer)
-			return r
+		{"no answer at the deadline, unsafe", "once", "fail", func(h *harness, submit func() string) string {
+			id := submit()
+			h.advance(1000)
+			h.endAttempt(id, NoAnswer)
+			return id
 		}},
-		{"outcome never comes", "write", "fail", func(g *harness, id func() string) string { return id() }},
+		{"outcome never comes", "write", "fail", func(h *harness, submit func() string) string { return submit() }},
 	}
 	for _, tt := range tests {
-		g := newHarness(testSettings())
-		id := tt.do(g, func() string { return g.submit(tt.class, "high", "", 2) })
-		g.advance(1000 + 8)
-		if got := g.finalAnswers(id); got != tt.want {
+		h := newHarness(testSettings())
+		id := tt.run(h, func() string { return h.submit(tt.class, "high", "", 2) })
+		h.advance(1000 + 8)
+		if got := h.finalAnswers(id); got != tt.want {
 			t.Errorf("%s: final answers %q, want %q", tt.name, got, tt.want)
 		}
 	}
@@ -42,11 +42,11 @@
 
 func TestRetriesByEffect(t *testing.T) {
 	tests := []struct {
-		class string
-		res   Result
-		after float64
-		sends int
-		final string
+		class     string
+		result    Result
+		delay     float64
+		wantSends int
+		wantFinal string
 	}{
 		{"read", ServerError, 10, 2, ""},
 		{"write", ServerError, 10, 2, ""},
@@ -55,36 +55,36 @@
 		{"once", Rejected, 10, 2, ""},
 	}
 	for _, tt := range tests {
-		g := newHarness(testSettings())
-		id := g.submit(tt.class, "high", "", 2)
-		g.advance(tt.after)
-		g.endAttempt(id, tt.res)
-		g.advance(80)
-		if tt.after > 800 {
-			g.advance(30)
+		h := newHarness(testSettings())
+		id := h.submit(tt.class, "high", "", 2)
+		h.advance(tt.delay)
+		h.endAttempt(id, tt.result)
+		h.advance(80)
+		if tt.delay > 800 {
+			h.advance(30)
 		}
-		if g.sendCount(id) != tt.sends || g.finalAnswers(id) != tt.final {
-			t.Errorf("%+v: %d sends, final %q", tt, g.sendCount(id), g.finalAnswers(id))
+		if h.sendCount(id) != tt.wantSends || h.finalAnswers(id) != tt.wantFinal {
+			t.Errorf("%+v: %d sends, final %q", tt, h.sendCount(id), h.finalAnswers(id))
 		}
 	}
 }
 
 func TestKeyOrder(t *testing.T) {
-	g := newHarness(testSettings())
-	a, b := g.submit("turns", "high", "k", 2), g.submit("turns", "high", "k", 2)
-	c := g.submit("turns", "high", "other", 2)
-	if g.sendCount(a) != 1 || g.sendCount(b) != 0 || g.sendCount(c) != 1 {
+	h := newHarness(testSettings())
+	first, second := h.submit("turns", "high", "k", 2), h.submit("turns", "high", "k", 2)
+	other := h.submit("turns", "high", "other", 2)
+	if h.sendCount(first) != 1 || h.sendCount(second) != 0 || h.sendCount(other) != 1 {
 		t.Fatal("only the first of a key may be out")
 	}
-	g.endAttempt(a, NoAnswer) // goes again, after the rest
-	if g.advance(150); g.sendCount(a) != 1 || g.sendCount(b) != 0 {
+	h.endAttempt(first, NoAnswer) // goes again, after the rest
+	if h.advance(150); h.sendCount(first) != 1 || h.sendCount(second) != 0 {
 		t.Fatal("the key did not rest")
 	}
-	if g.advance(100); g.sendCount(a) != 2 {
+	if h.advance(100); h.sendCount(first) != 2 {
 		t.Fatal("the first was not sent again")
 	}
-	g.endAttempt(a, Served)
-	if g.sendCount(b) != 1 {
+	h.endAttempt(first, Served)
+	if h.sendCount(second) != 1 {
 		t.Fatal("the second did not follow")
 	}
 }
@@ -92,28 +92,28 @@
 func TestRetryBudget(t *testing.T) {
 	s := testSettings()
 	s.Rules.HasBudget, s.Rules.BudgetBase, s.Rules.BudgetRatio, s.Rules.BudgetWindow = true, 1, 0.25, 5000
-	g := newHarness(s)
-	again := 0
+	h := newHarness(s)
+	retries := 0
 	for range 8 {
-		id := g.submit("read", "high", "", 2)
-		g.endAttempt(id, ServerError)
-		again += g.sendCount(id) - 1
-		g.advance(20)
+		id := h.submit("read", "high", "", 2)
+		h.endAttempt(id, ServerError)
+		retries += h.sendCount(id) - 1
+		h.advance(20)
 	}
-	if again < 1 || again > 1+8/4 {
-		t.Errorf("%d further attempts", again)
+	if retries < 1 || retries > 1+8/4 {
+		t.Errorf("%d further attempts", retries)
 	}
 }
 
 func TestOverloadShedsLowestValueFirst(t *testing.T) {
-	g := newHarness(testSettings())
-	g.scheduler.shards[0].serviceTime = decayingMean{100, 100 * 100}
+	h := newHarness(testSettings())
+	h.scheduler.shards[0].serviceTime = decayingMean{100, 100 * 100}
 	var low, high []string
 	for range 20 {
-		low = append(low, g.submit("read", "low", "", 2))
-		high = append(high, g.submit("write", "high", "", 2))
+		low = append(low, h.submit("read", "low", "", 2))
+		high = append(high, h.submit("write", "high", "", 2))
 	}
-	deferred := g.scheduler.shards[0].deferred
+	deferred := h.scheduler.shards[0].deferred
 	if deferred.len() == 0 {
 		t.Fatal("nothing was shed")
 	}
@@ -124,14 +124,14 @@
 }
 
 func TestStateIsReleased(t *testing.T) {
-	g := newHarness(testSettings())
+	h := newHarness(testSettings())
 	for range 50 {
-		id := g.submit("turns", "high", fmt.Sprint(g.requestCount), 2)
-		g.endAttempt(id, Served)
-		g.advance(10)
+		id := h.submit("turns", "high", fmt.Sprint(h.requestCount), 2)
+		h.endAttempt(id, Served)
+		h.advance(10)
 	}
-	g.advance(60000)
-	p := g.scheduler
+	h.advance(60000)
+	p := h.scheduler
 	if len(p.requests)+len(p.keyQueues)+len(p.volumes)+len(p.timers) > 1 {
 		t.Errorf("left: %d requests, %d keys, %d volumes, %d timers", len(p.requests), len(p.keyQueues), len(p.volumes), len(p.timers))
 	}
@@ -139,33 +139,33 @@
 
 // A client that leaves before its answer can come is told so at once.
 func TestUnservableRequestIsRefusedAtOnce(t *testing.T) {
-	g := newHarness(testSettings())
-	g.scheduler.shards[0].serviceTime = decayingMean{100, 100 * 100}
-	ask := func(leaves float64) string {
-		g.requestCount++
-		id := fmt.Sprintf("%016x", g.requestCount)
-		g.handle(Request{ID: id, Class: "read", Plan: "high", Volume: "v", Units: 2, Expires: g.now + leaves, Hosts: 1})
+	h := newHarness(testSettings())
+	h.scheduler.shards[0].serviceTime = decayingMean{100, 100 * 100}
+	submit := func(timeLeft float64) string {
+		h.requestCount++
+		id := fmt.Sprintf("%016x", h.requestCount)
+		h.handle(Request{ID: id, Class: "read", Plan: "high", Volume: "v", Units: 2, Expires: h.now + timeLeft, Hosts: 1})
 		return id
 	}
-	for leaves, want := range map[float64]string{50: "refuse", 150: ""} {
-		id := ask(leaves)
-		if got := g.finalAnswers(id); got != want || (g.sendCount(id) == 0) != (want == "refuse") {
-			t.Errorf("client leaves in %v: final %q, %d sends", leaves, got, g.sendCount(id))
+	for timeLeft, want := range map[float64]string{50: "refuse", 150: ""} {
+		id := submit(timeLeft)
+		if got := h.finalAnswers(id); got != want || (h.sendCount(id) == 0) != (want == "refuse") {
+			t.Errorf("client leaves in %v: final %q, %d sends", timeLeft, got, h.sendCount(id))
 		}
 	}
 }
 
 // A late answer must not delay what other hosts have due at a busy node.
 func TestDeferredSentOnlyToIdleNode(t *testing.T) {
-	for service, want := range map[float64]int{20: 1, 200: 0} {
-		g := newHarness(testSettings())
-		g.setNodes()
-		id := g.submit("read", "high", "", 2)
-		g.advance(350) // past its aim
-		g.scheduler.shards[0].serviceTime, g.scheduler.unloadedServiceTime = decayingMean{100, 100 * service}, 30
-		g.setNodes(Node{Addr: "n0", Health: Ready})
-		if g.sendCount(id) != want {
-			t.Errorf("service %v: %d sends, want %d", service, g.sendCount(id), want)
+	for serviceTime, want := range map[float64]int{20: 1, 200: 0} {
+		h := newHarness(testSettings())
+		h.setNodes()
+		id := h.submit("read", "high", "", 2)
+		h.advance(350) // past its aim
+		h.scheduler.shards[0].serviceTime, h.scheduler.unloadedServiceTime = decayingMean{100, 100 * serviceTime}, 30
+		h.setNodes(Node{Addr: "n0", Health: Ready})
+		if h.sendCount(id) != want {
+			t.Errorf("service %v: %d sends, want %d", serviceTime, h.sendCount(id), want)
 		}
 	}
 }
@@ -173,12 +173,12 @@
 // An attempt whose answer never comes must not hold depth until its client leaves.
 func TestStuckAttemptsTimeOut(t *testing.T) {
 	for class, want := range map[string]float64{"read": 1450, "write": 1750, "once": 0} {
-		g := newHarness(testSettings())
-		g.scheduler.shards[0].serviceTime = decayingMean{100, 100 * 50}
-		id := g.submit(class, "high", "", 2)
-		for _, a := range g.actions {
-			if s, ok := a.(Send); ok && s.ID == id && s.TimeoutAt != want {
-				t.Errorf("%s: given up at %v, want %v", class, s.TimeoutAt, want)
+		h := newHarness(testSettings())
+		h.scheduler.shards[0].serviceTime = decayingMean{100, 100 * 50}
+		id := h.submit(class, "high", "", 2)
+		for _, a := range h.actions {
+			if send, ok := a.(Send); ok && send.ID == id && send.TimeoutAt != want {
+				t.Errorf("%s: given up at %v, want %v", class, send.TimeoutAt, want)
 			}
 		}
 	}
@@ -188,35 +188,35 @@
 // time left get theirs, and a large answer does not count as a slow node.
 func TestServiceTimeScalesWithSize(t *testing.T) {
 	for units, want := range map[float64]int{1: 1, 4: 0} {
-		g := newHarness(testSettings())
-		g.scheduler.unloadedServiceTime, g.scheduler.shards[0].serviceTime = 60, decayingMean{100, 100 * 60}
-		g.requestCount++
-		id := fmt.Sprintf("%016x", g.requestCount)
-		g.handle(Request{ID: id, Class: "read", Plan: "high", Volume: "v", Units: units, Expires: g.now + 55, Hosts: 1})
-		if g.sendCount(id) != want {
-			t.Errorf("%v units: %d sends, want %d", units, g.sendCount(id), want)
+		h := newHarness(testSettings())
+		h.scheduler.unloadedServiceTime, h.scheduler.shards[0].serviceTime = 60, decayingMean{100, 100 * 60}
+		h.requestCount++
+		id := fmt.Sprintf("%016x", h.requestCount)
+		h.handle(Request{ID: id, Class: "read", Plan: "high", Volume: "v", Units: units, Expires: h.now + 55, Hosts: 1})
+		if h.sendCount(id) != want {
+			t.Errorf("%v units: %d sends, want %d", units, h.sendCount(id), want)
 		}
 	}
-	g := newHarness(testSettings())
-	g.scheduler.unloadedServiceTime = 20
-	id := g.submit("read", "high", "", 4)
-	g.handle(Outcome{ID: id, Node: "n0", Done: true, Elapsed: 40, Result: Served})
-	if got := g.scheduler.shards[0].serviceTime; got.sum != 20 {
+	h := newHarness(testSettings())
+	h.scheduler.unloadedServiceTime = 20
+	id := h.submit("read", "high", "", 4)
+	h.handle(Outcome{ID: id, Node: "n0", Done: true, Elapsed: 40, Result: Served})
+	if got := h.scheduler.shards[0].serviceTime; got.sum != 20 {
 		t.Errorf("twice the mean size in twice the time taught %v", got.sum)
 	}
 }
 
 // Requests that count no units must not reach the fit or the optimizer.
 func TestZeroUnitsKeepSharesFinite(t *testing.T) {
-	g := newHarness(testSettings())
+	h := newHarness(testSettings())
 	for range 200 {
-		id := g.submit("read", "high", "", 0)
-		g.endAttempt(id, Served)
-		g.advance(20)
+		id := h.submit("read", "high", "", 0)
+		h.endAttempt(id, Served)
+		h.advance(20)
 	}
-	for _, share := range append(g.scheduler.shares.share, g.scheduler.shares.output...) {
+	for _, share := range append(h.scheduler.shares.share, h.scheduler.shares.output...) {
 		if math.IsNaN(share) || math.IsInf(share, 0) {
-			t.Fatalf("shares %v, last sample %v", g.scheduler.shares.share, g.scheduler.shares.output)
+			t.Fatalf("shares %v, last sample %v", h.scheduler.shares.share, h.scheduler.shares.output)
 		}
 	}
 }
@@ -225,21 +225,21 @@
 // once a second: it would never drain. A dead node is tried as often as ever.
 func TestBackoffGrowsWithHosts(t *testing.T) {
 	for _, tt := range []struct {
-		hosts int
-		res   Result
-		most  float64
+		hosts       int
+		result      Result
+		wantBackoff float64
 	}{
 		{1, Rejected, 1000}, {5, Rejected, 1000}, {50, Rejected, 50.0 / 6 * 1000},
 		{230, Rejected, 230.0 / 6 * 1000}, {230, NoAnswer, 230.0 / 6 * 1000}, {230, NoConnection, 1000},
 	} {
 		s := testSettings()
 		s.Hosts = tt.hosts
-		g := newHarness(s)
-		n := g.scheduler.nodes["n0"]
+		h := newHarness(s)
+		n := h.scheduler.nodes["n0"]
 		for range 20 {
-			g.scheduler.recordOutcome(&request{shard: g.scheduler.shards[0]}, n, Outcome{Result: tt.res, Elapsed: 400})
+			h.scheduler.recordOutcome(&request{shard: h.scheduler.shards[0]}, n, Outcome{Result: tt.result, Elapsed: 400})
 		}
-		if math.Abs(n.backoff-tt.most) > 1 {
+		if math.Abs(n.backoff-tt.wantBackoff) > 1 {
 			t.Errorf("%+v: held for %v", tt, n.backoff)
 		}
 	}
@@ -247,11 +247,11 @@
 
 // Contradicting settings get the careful reading, and no panic.
 func TestContradictorySettings(t *testing.T) {
-	cold := Node{Addr: "n0", Health: Ready, Started: 1001} // after this host's own start
+	coldNode := Node{Addr: "n0", Health: Ready, Started: 1001} // after this host's own start
 	tests := []struct {
-		name  string
-		set   func(s *Settings)
-		sends int
+		name      string
+		modify    func(s *Settings)
+		wantSends int
 	}{
 		{"no hosts", func(s *Settings) { s.Hosts = 0 }, 1},
 		{"no cold units", func(s *Settings) { s.Rules.ColdUnits = 0 }, 0},
@@ -262,41 +262,41 @@
 	}
 	for _, tt := range tests {
 		s := testSettings()
-		tt.set(&s)
-		g := newHarness(s)
-		g.setNodes(cold)
-		id := g.submit("read", "high", "", 2)
-		if got := g.sendCount(id); got != tt.sends {
-			t.Errorf("%s: %d sends, want %d", tt.name, got, tt.sends)
+		tt.modify(&s)
+		h := newHarness(s)
+		h.setNodes(coldNode)
+		id := h.submit("read", "high", "", 2)
+		if got := h.sendCount(id); got != tt.wantSends {
+			t.Errorf("%s: %d sends, want %d", tt.name, got, tt.wantSends)
 		}
-		g.advance(3000)
+		h.advance(3000)
 	}
-	g := newHarness(testSettings())
-	g.scheduler.settings.Classes[1].DedupScope = DedupZone
-	g.setNodes(Node{Addr: "n0", Health: Ready}) // its zone is not told
-	r := &request{class: &g.scheduler.settings.Classes[1], mayHaveRunOn: g.scheduler.nodes["n0"], mayHaveRunAt: g.now}
-	if g.scheduler.now = g.now; g.scheduler.mayRepeat(r, &node{}) || !g.scheduler.mayRepeat(r, g.scheduler.nodes["n0"]) {
+	h := newHarness(testSettings())
+	h.scheduler.settings.Classes[1].DedupScope = DedupZone
+	h.setNodes(Node{Addr: "n0", Health: Ready}) // its zone is not told
+	r := &request{class: &h.scheduler.settings.Classes[1], mayHaveRunOn: h.scheduler.nodes["n0"], mayHaveRunAt: h.now}
+	if h.scheduler.now = h.now; h.scheduler.mayRepeat(r, &node{}) || !h.scheduler.mayRepeat(r, h.scheduler.nodes["n0"]) {
 		t.Error("two nodes without a zone were taken to share one")
 	}
-	g.handle(Request{ID: "ff", Class: "read", Plan: "high", Volume: "w", Units: 2, Expires: g.now + 900, Hosts: 1000})
-	if v := g.scheduler.volumes["w"]; v.fairRate > 0 || v.limitRate > 0 {
+	h.handle(Request{ID: "ff", Class: "read", Plan: "high", Volume: "w", Units: 2, Expires: h.now + 900, Hosts: 1000})
+	if v := h.scheduler.volumes["w"]; v.fairRate > 0 || v.limitRate > 0 {
 		t.Errorf("a plan without a rate got %v, %v", v.fairRate, v.limitRate)
 	}
 }
 
 // Messages, probes and figures that the module does not use change nothing.
 func TestUnusedEventsAreIgnored(t *testing.T) {
-	g := newHarness(testSettings())
+	h := newHarness(testSettings())
 	for _, ev := range []Event{PeerMessage{From: -1}, PeerMessage{Data: make([]byte, 1<<16)},
 		PeerMessage{From: 9, Data: []byte{255, 255, 0}}, ProbeResult{}, ProbeResult{Node: "nowhere", Report: []Reading{{"cpu", 9}}},
 		StreamStarted{ID: "none"}, ClientGone{ID: "none"}, Outcome{ID: "none"}, TimerFired{"none"}} {
-		if got := g.handle(ev); len(got) > 0 {
+		if got := h.handle(ev); len(got) > 0 {
 			if _, ok := got[0].(SetTimer); !ok {
 				t.Errorf("%#v: %v", ev, got)
 			}
 		}
 	}
-	if id := g.submit("read", "high", "", 2); g.sendCount(id) != 1 {
+	if id := h.submit("read", "high", "", 2); h.sendCount(id) != 1 {
 		t.Error("the next request did not go")
 	}
 }
--- a/policy/rate_test.go
+++ b/policy/rate_test.go
@@ -26,20 +26,20 @@
 
 // timedOutcome is an outcome on its way.
 type timedOutcome struct {
-	at      float64
+	dueAt   float64
 	outcome Outcome
 }
 
 type outcomeHeap []timedOutcome
 
-func (r outcomeHeap) Len() int           { return len(r) }
-func (r outcomeHeap) Less(i, j int) bool { return r[i].at < r[j].at }
-func (r outcomeHeap) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
-func (r *outcomeHeap) Push(x any)        { *r = append(*r, x.(timedOutcome)) }
-func (r *outcomeHeap) Pop() any {
-	old := *r
+func (h outcomeHeap) Len() int           { return len(h) }
+func (h outcomeHeap) Less(i, j int) bool { return h[i].dueAt < h[j].dueAt }
+func (h outcomeHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *outcomeHeap) Push(x any)        { *h = append(*h, x.(timedOutcome)) }
+func (h *outcomeHeap) Pop() any {
+	old := *h
 	x := old[len(old)-1]
-	*r = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return x
 }
 
@@ -55,96 +55,96 @@
 	unserved  int // of them, refused or failed
 }
 
-func (f *idleFleetSim) handle(ev Event) {
-	for _, a := range f.scheduler.Handle(f.now, ev) {
+func (sim *idleFleetSim) handle(ev Event) {
+	for _, a := range sim.scheduler.Handle(sim.now, ev) {
 		switch a := a.(type) {
 		case Send:
-			n := f.attempts[a.ID]
-			f.attempts[a.ID]++
-			o := Outcome{ID: a.ID, Node: a.Node, Attempt: n, Done: true, Elapsed: 1, Result: Served}
-			if n == 0 && f.rng.Float64() < 0.02 {
-				o.Done, o.Result = false, Rejected
+			attempt := sim.attempts[a.ID]
+			sim.attempts[a.ID]++
+			outcome := Outcome{ID: a.ID, Node: a.Node, Attempt: attempt, Done: true, Elapsed: 1, Result: Served}
+			if attempt == 0 && sim.rng.Float64() < 0.02 {
+				outcome.Done, outcome.Result = false, Rejected
 			}
-			heap.Push(&f.outcomes, timedOutcome{f.now + 1, o})
+			heap.Push(&sim.outcomes, timedOutcome{sim.now + 1, outcome})
 		case Refuse:
-			f.countUnserved(a.ID)
+			sim.countUnserved(a.ID)
 		case Fail:
-			f.countUnserved(a.ID)
+			sim.countUnserved(a.ID)
 		case SetTimer:
-			heap.Push(&f.timers, timedOutcome{f.now + max(a.Delay, 0.001), Outcome{ID: a.Name}})
+			heap.Push(&sim.timers, timedOutcome{sim.now + max(a.Delay, 0.001), Outcome{ID: a.Name}})
 		}
 	}
 }
 
-func (f *idleFleetSim) countUnserved(id string) {
-	delete(f.attempts, id)
-	if n, err := strconv.Atoi(id); err == nil && n >= f.countFrom {
-		f.unserved++
+func (sim *idleFleetSim) countUnserved(id string) {
+	delete(sim.attempts, id)
+	if n, err := strconv.Atoi(id); err == nil && n >= sim.countFrom {
+		sim.unserved++
 	}
 }
 
 // runUntil plays everything that comes due before t.
-func (f *idleFleetSim) runUntil(t float64) {
+func (sim *idleFleetSim) runUntil(end float64) {
 	for {
-		nextOut, nextTimer := t, t
-		if len(f.outcomes) > 0 {
-			nextOut = f.outcomes[0].at
+		nextOutcome, nextTimer := end, end
+		if len(sim.outcomes) > 0 {
+			nextOutcome = sim.outcomes[0].dueAt
 		}
-		if len(f.timers) > 0 {
-			nextTimer = f.timers[0].at
+		if len(sim.timers) > 0 {
+			nextTimer = sim.timers[0].dueAt
 		}
 		switch {
-		case nextOut >= t && nextTimer >= t:
-			f.now = t
+		case nextOutcome >= end && nextTimer >= end:
+			sim.now = end
 			return
-		case nextOut <= nextTimer:
-			r := heap.Pop(&f.outcomes).(timedOutcome)
-			f.now = r.at
-			if r.outcome.Result == Served {
-				delete(f.attempts, r.outcome.ID)
+		case nextOutcome <= nextTimer:
+			due := heap.Pop(&sim.outcomes).(timedOutcome)
+			sim.now = due.dueAt
+			if due.outcome.Result == Served {
+				delete(sim.attempts, due.outcome.ID)
 			}
-			f.handle(r.outcome)
+			sim.handle(due.outcome)
 		default:
-			r := heap.Pop(&f.timers).(timedOutcome)
-			f.now = r.at
-			f.handle(TimerFired{Name: r.outcome.ID})
+			due := heap.Pop(&sim.timers).(timedOutcome)
+			sim.now = due.dueAt
+			sim.handle(TimerFired{Name: due.outcome.ID})
 		}
 	}
 }
 
 // offerLoad asks for that rate a second for so many ms and returns the requests asked.
-func (f *idleFleetSim) offerLoad(rate, span float64, from int) int {
-	end := f.now + span
-	n := from
+func (sim *idleFleetSim) offerLoad(rate, duration float64, lastID int) int {
+	end := sim.now + duration
+	id := lastID
 	for {
-		next := f.now + f.rng.ExpFloat64()*1000/rate
+		next := sim.now + sim.rng.ExpFloat64()*1000/rate
 		if next >= end {
-			f.runUntil(end)
-			return n - from
+			sim.runUntil(end)
+			return id - lastID
 		}
-		f.runUntil(next)
-		n++
-		v := f.rng.IntN(40)
+		sim.runUntil(next)
+		id++
+		volume := sim.rng.IntN(40)
 		class, plan := "read", "normal"
-		if f.rng.Float64() < 0.3 {
+		if sim.rng.Float64() < 0.3 {
 			class = "write"
 		}
-		if v%2 == 1 {
+		if volume%2 == 1 {
 			plan = "prioritario"
 		}
-		f.handle(Request{ID: strconv.Itoa(n), Class: class, Plan: plan, Volume: "v" + strconv.Itoa(v), Shard: f.rng.IntN(9),
-			Units: float64(1 + f.rng.IntN(3)), Expires: f.now + 2000, Hosts: 3, Write: class == "write"})
+		sim.handle(Request{ID: strconv.Itoa(id), Class: class, Plan: plan, Volume: "v" + strconv.Itoa(volume), Shard: sim.rng.IntN(9),
+			Units: float64(1 + sim.rng.IntN(3)), Expires: sim.now + 2000, Hosts: 3, Write: class == "write"})
 	}
 }
 
 func newIdleFleetSim() *idleFleetSim {
-	f := &idleFleetSim{scheduler: New(gatewaySettings(), 1), rng: rand.New(rand.NewPCG(1, 2)), now: 1000, attempts: map[string]int{}}
+	sim := &idleFleetSim{scheduler: New(gatewaySettings(), 1), rng: rand.New(rand.NewPCG(1, 2)), now: 1000, attempts: map[string]int{}}
 	var nodes []Node
 	for i := range 9 {
 		nodes = append(nodes, Node{Addr: fmt.Sprintf("n%d", i), Health: Ready, Shard: i, Weight: 1})
 	}
-	f.handle(NodeList{Full: true, Nodes: nodes})
-	return f
+	sim.handle(NodeList{Full: true, Nodes: nodes})
+	return sim
 }
 
 // BenchmarkRate measures the module at a gateway's rates: its cost for a request
@@ -152,20 +152,20 @@
 func BenchmarkRate(b *testing.B) {
 	for _, rate := range []float64{500, 5000, 50000} {
 		b.Run(fmt.Sprintf("rate=%.0f", rate), func(b *testing.B) {
-			var asked, turned int
-			var took time.Duration
+			var requests, unserved int
+			var elapsed time.Duration
 			for b.Loop() {
-				f := newIdleFleetSim()
-				n := f.offerLoad(rate, 2000, 0)
-				f.countFrom = n + 1
-				begin := time.Now()
-				asked += f.offerLoad(rate, 3000, n)
-				took += time.Since(begin)
-				f.runUntil(f.now + 5000) // to the end of all that was asked
-				turned += f.unserved
+				sim := newIdleFleetSim()
+				warmUp := sim.offerLoad(rate, 2000, 0)
+				sim.countFrom = warmUp + 1
+				start := time.Now()
+				requests += sim.offerLoad(rate, 3000, warmUp)
+				elapsed += time.Since(start)
+				sim.runUntil(sim.now + 5000) // to the end of all that was asked
+				unserved += sim.unserved
 			}
-			b.ReportMetric(float64(took.Microseconds())/float64(asked), "us/request")
-			b.ReportMetric(100*float64(turned)/float64(asked), "%refused")
+			b.ReportMetric(float64(elapsed.Microseconds())/float64(requests), "us/request")
+			b.ReportMetric(100*float64(unserved)/float64(requests), "%refused")
 		})
 	}
 }
@@ -174,49 +174,49 @@
 // pause for each of them would keep an idle fleet from work, and a depth that
 // rises by the law's small steps would take a minute to give it enough.
 func TestIdleFleetAtHighRate(t *testing.T) {
-	f := newIdleFleetSim()
-	n := f.offerLoad(20000, 3000, 0)
-	f.countFrom = n + 1
-	asked := f.offerLoad(20000, 1000, n)
-	f.runUntil(f.now + 5000)
-	if f.unserved*100 > asked {
-		t.Errorf("%d of %d refused by an idle fleet", f.unserved, asked)
+	sim := newIdleFleetSim()
+	warmUp := sim.offerLoad(20000, 3000, 0)
+	sim.countFrom = warmUp + 1
+	requests := sim.offerLoad(20000, 1000, warmUp)
+	sim.runUntil(sim.now + 5000)
+	if sim.unserved*100 > requests {
+		t.Errorf("%d of %d refused by an idle fleet", sim.unserved, requests)
 	}
 }
 
 // A node that turns most away is left alone, at any rate.
 func TestBackoffFromFullNode(t *testing.T) {
-	f := newIdleFleetSim()
-	f.offerLoad(20000, 3000, 0)
-	sh := f.scheduler.(*scheduler).shards[0]
+	sim := newIdleFleetSim()
+	sim.offerLoad(20000, 3000, 0)
+	sh := sim.scheduler.(*scheduler).shards[0]
 	for range 200 { // a whole queue stands before what comes now
-		sh.node.rejectedShort.add(f.now, rejectSpan)
+		sh.node.rejectedShort.add(sim.now, rejectSpan)
 	}
-	f.handle(Request{ID: "x", Class: "read", Plan: "normal", Volume: "v", Shard: 0, Units: 1, Expires: f.now + 2000, Hosts: 3})
-	f.handle(Outcome{ID: "x", Node: sh.node.Addr, Result: Rejected})
-	if sh.node.backoffEnd <= f.now {
+	sim.handle(Request{ID: "x", Class: "read", Plan: "normal", Volume: "v", Shard: 0, Units: 1, Expires: sim.now + 2000, Hosts: 3})
+	sim.handle(Outcome{ID: "x", Node: sh.node.Addr, Result: Rejected})
+	if sh.node.backoffEnd <= sim.now {
 		t.Error("not left alone")
 	}
 }
 
 // What the module remembers of the past does not grow with the time that it runs.
 func TestMemoryIsBounded(t *testing.T) {
-	f := newIdleFleetSim()
-	n := f.offerLoad(5000, 8000, 0)
-	size := func() int {
-		p := f.scheduler.(*scheduler)
-		all := len(p.timers) + len(p.arrivals.all) + len(p.resends.all) + len(p.requests) + len(p.answers)
-		for _, nd := range p.nodes {
-			all += len(nd.recentSends.all)
+	sim := newIdleFleetSim()
+	lastID := sim.offerLoad(5000, 8000, 0)
+	recordCount := func() int {
+		p := sim.scheduler.(*scheduler)
+		total := len(p.timers) + len(p.arrivals.all) + len(p.resends.all) + len(p.requests) + len(p.answers)
+		for _, n := range p.nodes {
+			total += len(n.recentSends.all)
 		}
 		for _, sh := range p.shards {
-			all += len(sh.deferred.all) + len(sh.retries.all)
+			total += len(sh.deferred.all) + len(sh.retries.all)
 		}
-		return all
+		return total
 	}
-	before := size()
-	f.offerLoad(5000, 8000, n)
-	if after := size(); after > before+before/2 {
+	before := recordCount()
+	sim.offerLoad(5000, 8000, lastID)
+	if after := recordCount(); after > before+before/2 {
 		t.Errorf("%d records after 8 s, %d after 16 s", before, after)
 	}
 }
@@ -227,57 +227,57 @@
 func TestLimitHoldsWhileFractionsMove(t *testing.T) {
 	s := testSettings()
 	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 40, 8, 4
-	var rigs [2]*harness
-	for i := range rigs {
-		rigs[i] = newHarness(s)
-		rigs[i].now = 100
+	var hosts [2]*harness
+	for i := range hosts {
+		hosts[i] = newHarness(s)
+		hosts[i].now = 100
 	}
-	const none = 1e-9
-	parts := [2]float64{0.5, 0.5}
+	const negligible = 1e-9
+	fractions := [2]float64{0.5, 0.5}
 	since := [2]float64{}
-	type passed struct{ at, units float64 }
-	var all []passed
+	type limitedSend struct{ sentAt, units float64 }
+	var sends []limitedSend
 	rng := rand.New(rand.NewPCG(5, 5))
 	for step := range 4000 {
-		for i, g := range rigs {
-			g.requestCount++
-			id := fmt.Sprint(i, "-", g.requestCount)
-			g.handle(Request{ID: id, Class: "read", Plan: "low", Volume: "v", Units: 1 + float64(rng.IntN(3)), Expires: g.now + 400, Hosts: 1, Fraction: parts[i], FractionSince: since[i]})
-			g.advance(5)
-			for k := 0; k < len(g.actions); k++ { // those of the last change too
-				if s, ok := g.actions[k].(Send); ok {
-					all = append(all, passed{g.actionTimes[k], g.scheduler.requests[s.ID].Units})
-					g.handle(Outcome{ID: s.ID, Node: "n0", Attempt: 0, Done: true, Elapsed: 1, Result: Served})
+		for i, h := range hosts {
+			h.requestCount++
+			id := fmt.Sprint(i, "-", h.requestCount)
+			h.handle(Request{ID: id, Class: "read", Plan: "low", Volume: "v", Units: 1 + float64(rng.IntN(3)), Expires: h.now + 400, Hosts: 1, Fraction: fractions[i], FractionSince: since[i]})
+			h.advance(5)
+			for k := 0; k < len(h.actions); k++ { // those of the last change too
+				if send, ok := h.actions[k].(Send); ok {
+					sends = append(sends, limitedSend{h.actionTimes[k], h.scheduler.requests[send.ID].Units})
+					h.handle(Outcome{ID: send.ID, Node: "n0", Attempt: 0, Done: true, Elapsed: 1, Result: Served})
 				}
 			}
-			g.actions, g.actionTimes = g.actions[:0], g.actionTimes[:0]
+			h.actions, h.actionTimes = h.actions[:0], h.actionTimes[:0]
 		}
 		if step%300 != 299 {
 			continue
 		}
 		// First everyone gives up what it is to have no more, then others get it.
-		next := [][2]float64{{0.5, 0.5}, {1, none}, {none, 1}, {0.25, 0.5}}[rng.IntN(4)]
-		for i, g := range rigs {
-			parts[i] = min(parts[i], next[i])
-			g.handle(VolumeChanged{"v", 1, parts[i]})
+		next := [][2]float64{{0.5, 0.5}, {1, negligible}, {negligible, 1}, {0.25, 0.5}}[rng.IntN(4)]
+		for i, h := range hosts {
+			fractions[i] = min(fractions[i], next[i])
+			h.handle(VolumeChanged{"v", 1, fractions[i]})
 		}
-		for i, g := range rigs {
-			if next[i] > parts[i] {
-				parts[i], since[i] = next[i], g.now
-				g.handle(VolumeChanged{"v", 1, parts[i]})
+		for i, h := range hosts {
+			if next[i] > fractions[i] {
+				fractions[i], since[i] = next[i], h.now
+				h.handle(VolumeChanged{"v", 1, fractions[i]})
 			}
 		}
 	}
-	slices.SortStableFunc(all, func(a, b passed) int { return cmp.Compare(a.at, b.at) })
-	level, at, total := s.Plans[0].Burst, 0.0, 0.0
-	for _, x := range all {
-		level, at = min(level+s.Plans[0].Limit*(x.at-at)/1000, s.Plans[0].Burst)-x.units, x.at
-		if total += x.units; level < -s.Plans[0].Overdraft-1e-9 {
-			t.Fatalf("%.2f units below the limit at %.0f", -level, x.at)
+	slices.SortStableFunc(sends, func(a, b limitedSend) int { return cmp.Compare(a.sentAt, b.sentAt) })
+	level, levelAt, total := s.Plans[0].Burst, 0.0, 0.0
+	for _, send := range sends {
+		level, levelAt = min(level+s.Plans[0].Limit*(send.sentAt-levelAt)/1000, s.Plans[0].Burst)-send.units, send.sentAt
+		if total += send.units; level < -s.Plans[0].Overdraft-1e-9 {
+			t.Fatalf("%.2f units below the limit at %.0f", -level, send.sentAt)
 		}
 	}
-	if asked := s.Plans[0].Limit * rigs[0].now / 1000; total < 0.6*asked {
-		t.Errorf("%.0f units passed, the limit bears %.0f", total, asked)
+	if allowed := s.Plans[0].Limit * hosts[0].now / 1000; total < 0.6*allowed {
+		t.Errorf("%.0f units passed, the limit bears %.0f", total, allowed)
 	}
 }
 
@@ -287,61 +287,61 @@
 	s := testSettings()
 	s.Rules.MaxSendDelay, s.Limits.MaxAttempts = 300, 4
 	s.Plans[0] = Plan{Name: "low", Price: 1, Weight: 1, Limit: 17, Burst: 36, Overdraft: 6}
-	g := newHarness(s)
+	h := newHarness(s)
 	nodes := []Node{{Addr: "n0", Health: Ready, Shard: 0, Zone: "z"}}
 	for shard := 1; shard <= 60; shard++ { // none of them can be reached
 		nodes = append(nodes, Node{Addr: fmt.Sprint("cut", shard), Health: Ready, Shard: shard, Zone: "z"})
 	}
-	g.setNodes(nodes...)
-	ask := func(shard int, units float64) {
-		g.requestCount++
-		g.handle(Request{ID: fmt.Sprint("r", g.requestCount), Class: "read", Plan: "low", Volume: "v", Shard: shard, Units: units, Expires: g.now + 1000, Hosts: 1})
+	h.setNodes(nodes...)
+	submit := func(shard int, units float64) {
+		h.requestCount++
+		h.handle(Request{ID: fmt.Sprint("r", h.requestCount), Class: "read", Plan: "low", Volume: "v", Shard: shard, Units: units, Expires: h.now + 1000, Hosts: 1})
 	}
-	type ending struct {
-		at float64
-		o  Outcome
+	type pendingOutcome struct {
+		deliverAt float64
+		outcome   Outcome
 	}
-	var out []ending
-	level, filled, lowest, passed := 36.0, g.now, 0.0, 0
-	seen := len(g.actions)
-	take := func() {
-		for ; seen < len(g.actions); seen++ {
-			send, ok := g.actions[seen].(Send)
+	var pending []pendingOutcome
+	level, refilledAt, minLevel, passedCount := 36.0, h.now, 0.0, 0
+	examined := len(h.actions)
+	collectSends := func() {
+		for ; examined < len(h.actions); examined++ {
+			send, ok := h.actions[examined].(Send)
 			if !ok {
 				continue
 			}
-			r := g.scheduler.requests[send.ID]
-			end := ending{g.now + 250, Outcome{ID: send.ID, Node: send.Node, Result: NoConnection, Attempt: r.attempts - 1, Elapsed: 250}}
+			r := h.scheduler.requests[send.ID]
+			end := pendingOutcome{h.now + 250, Outcome{ID: send.ID, Node: send.Node, Result: NoConnection, Attempt: r.attempts - 1, Elapsed: 250}}
 			if send.Node == "n0" {
-				level = min(36, level+17*(g.now-filled)/1000) - r.Units
-				filled, lowest, passed = g.now, min(lowest, level), passed+1
-				end = ending{g.now + 20, Outcome{ID: send.ID, Node: send.Node, Result: Served, Done: true, Attempt: r.attempts - 1, Elapsed: 20}}
+				level = min(36, level+17*(h.now-refilledAt)/1000) - r.Units
+				refilledAt, minLevel, passedCount = h.now, min(minLevel, level), passedCount+1
+				end = pendingOutcome{h.now + 20, Outcome{ID: send.ID, Node: send.Node, Result: Served, Done: true, Attempt: r.attempts - 1, Elapsed: 20}}
 			}
-			out = append(out, end)
+			pending = append(pending, end)
 		}
 	}
 	for step := range 9000 {
-		g.advance(1)
-		take()
-		for i := 0; i < len(out); i++ {
-			if out[i].at <= g.now {
-				end := out[i]
-				out = slices.Delete(out, i, i+1)
+		h.advance(1)
+		collectSends()
+		for i := 0; i < len(pending); i++ {
+			if pending[i].deliverAt <= h.now {
+				due := pending[i]
+				pending = slices.Delete(pending, i, i+1)
 				i--
-				g.handle(end.o)
-				take()
+				h.handle(due.outcome)
+				collectSends()
 			}
 		}
 		if step > 1000 && step%80 == 0 {
-			ask(1+step/80%60, 4)
+			submit(1+step/80%60, 4)
 		}
 		if step > 3000 && step%20 == 0 {
-			ask(0, 1)
+			submit(0, 1)
 		}
-		take()
+		collectSends()
 	}
-	if lowest < -6 || passed < 100 {
-		t.Errorf("%d passed, the bucket fell to %.1f, -6 is allowed", passed, lowest)
+	if minLevel < -6 || passedCount < 100 {
+		t.Errorf("%d passed, the bucket fell to %.1f, -6 is allowed", passedCount, minLevel)
 	}
 }
 
@@ -354,35 +354,35 @@
 	for shard := 1; shard <= 5; shard++ {
 		nodes = append(nodes, Node{Addr: fmt.Sprint("cut", shard), Health: Ready, Shard: shard, Zone: "z"})
 	}
-	g := newHarness(s)
-	g.setNodes(nodes...)
-	g.advance(5000)
-	ask := func(shard int, units float64, hosts int) string {
-		g.requestCount++
-		id := fmt.Sprint("r", g.requestCount)
-		g.handle(Request{ID: id, Class: "read", Plan: "low", Volume: "v", Shard: shard, Units: units, Expires: g.now + 1000, Hosts: hosts})
+	h := newHarness(s)
+	h.setNodes(nodes...)
+	h.advance(5000)
+	submit := func(shard int, units float64, hosts int) string {
+		h.requestCount++
+		id := fmt.Sprint("r", h.requestCount)
+		h.handle(Request{ID: id, Class: "read", Plan: "low", Volume: "v", Shard: shard, Units: units, Expires: h.now + 1000, Hosts: hosts})
 		return id
 	}
-	var cut []string
+	var unreachable []string
 	for shard := 1; shard <= 5; shard++ {
-		cut = append(cut, ask(shard, 4, 1))
+		unreachable = append(unreachable, submit(shard, 4, 1))
 	}
-	passed := 0.0
-	flood := func() {
+	passedUnits := 0.0
+	submitMany := func() {
 		for range 40 {
-			id := ask(0, 1, 3)
-			if g.sendCount(id) > 0 {
-				passed++
-				g.endAttempt(id, Served)
+			id := submit(0, 1, 3)
+			if h.sendCount(id) > 0 {
+				passedUnits++
+				h.endAttempt(id, Served)
 			}
 		}
 	}
-	flood() // what the smaller part has
-	for i, id := range cut {
-		g.handle(Outcome{ID: id, Node: fmt.Sprint("cut", i+1), Result: NoConnection, Done: true, Elapsed: 250})
+	submitMany() // what the smaller part has
+	for i, id := range unreachable {
+		h.handle(Outcome{ID: id, Node: fmt.Sprint("cut", i+1), Result: NoConnection, Done: true, Elapsed: 250})
 	}
-	flood() // and what came back
-	if part := 36.0/3 + 6.0/3; passed > part {
-		t.Errorf("%v units passed at once, its part is %v", passed, part)
+	submitMany() // and what came back
+	if allowed := 36.0/3 + 6.0/3; passedUnits > allowed {
+		t.Errorf("%v units passed at once, its part is %v", passedUnits, allowed)
 	}
 }
--- a/policy/reason_test.go
+++ b/policy/reason_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // endReason returns the reason of a request's end, ReasonNone where it has none.
-func (g *harness) endReason(id string) Reason {
-	for _, a := range g.actions {
+func (h *harness) endReason(id string) Reason {
+	for _, a := range h.actions {
 		switch a := a.(type) {
 		case Refuse:
 			if a.ID == id {
@@ -21,53 +21,53 @@
 
 // Each reason by a request that meets just that.
 func TestReasons(t *testing.T) {
-	for want, play := range map[Reason]func(g *harness) string{
-		ReasonNoNode: func(g *harness) string {
-			g.setNodes(Node{Addr: "n0", Health: Draining})
-			return g.submit("read", "high", "", 1)
+	for want, scenario := range map[Reason]func(h *harness) string{
+		ReasonNoNode: func(h *harness) string {
+			h.setNodes(Node{Addr: "n0", Health: Draining})
+			return h.submit("read", "high", "", 1)
 		},
-		ReasonLimit: func(g *harness) string {
+		ReasonLimit: func(h *harness) string {
 			var last string
 			for range 60 {
-				last = g.submit("read", "low", "", 1)
+				last = h.submit("read", "low", "", 1)
 			}
 			return last
 		},
-		ReasonAttemptOut: func(g *harness) string { return g.submit("once", "high", "", 1) },
-		ReasonOutcomeUnknown: func(g *harness) string {
-			id := g.submit("once", "high", "", 1)
-			g.endAttemptFast(id, ConnectionLost)
+		ReasonAttemptOut: func(h *harness) string { return h.submit("once", "high", "", 1) },
+		ReasonOutcomeUnknown: func(h *harness) string {
+			id := h.submit("once", "high", "", 1)
+			h.endAttemptFast(id, ConnectionLost)
 			return id
 		},
-		ReasonAttemptsUsed: func(g *harness) string {
-			id := g.submit("read", "high", "", 1)
+		ReasonAttemptsUsed: func(h *harness) string {
+			id := h.submit("read", "high", "", 1)
 			for range 3 {
-				g.endAttemptFast(id, ServerError)
+				h.endAttemptFast(id, ServerError)
 			}
 			return id
 		},
-		ReasonKeyOrder: func(g *harness) string {
-			g.submit("turns", "high", "k", 1)
-			return g.submit("turns", "high", "k", 1)
+		ReasonKeyOrder: func(h *harness) string {
+			h.submit("turns", "high", "k", 1)
+			return h.submit("turns", "high", "k", 1)
 		},
-		ReasonNodeHeld: func(g *harness) string {
+		ReasonNodeHeld: func(h *harness) string {
 			s := testSettings()
 			s.Limits.MaxAttempts = 0
-			g.handle(SettingsChanged{s})
-			id := g.submit("read", "high", "", 1)
+			h.handle(SettingsChanged{s})
+			id := h.submit("read", "high", "", 1)
 			for range 60 {
-				if r := g.scheduler.requests[id]; r != nil && r.outstanding > 0 {
-					g.endAttemptFast(id, NoConnection)
+				if r := h.scheduler.requests[id]; r != nil && r.outstanding > 0 {
+					h.endAttemptFast(id, NoConnection)
 				}
-				g.advance(20)
+				h.advance(20)
 			}
 			return id
 		},
 	} {
-		g := newHarness(testSettings())
-		id := play(g)
-		g.advance(1200)
-		if got := g.endReason(id); got != want {
+		h := newHarness(testSettings())
+		id := scenario(h)
+		h.advance(1200)
+		if got := h.endReason(id); got != want {
 			t.Errorf("%v, want %v", got, want)
 		}
 	}
--- a/policy/revise_test.go
+++ b/policy/revise_test.go
@@ -11,8 +11,8 @@
 )
 
 // endAttemptFast ends an attempt of a request that is out.
-func (g *harness) endAttemptFast(id string, r Result) {
-	g.handle(Outcome{ID: id, Node: "n0", Done: r == Served, Elapsed: 5, Result: r})
+func (h *harness) endAttemptFast(id string, result Result) {
+	h.handle(Outcome{ID: id, Node: "n0", Done: result == Served, Elapsed: 5, Result: result})
 }
 
 // A limit changed ten times a second, at eight times its rate: what passes stays under
@@ -22,78 +22,78 @@
 	for seed := range uint64(5) {
 		s := testSettings()
 		s.Classes[0].Deadline = 1000
-		g := newHarness(s)
-		r := rand.New(rand.NewPCG(seed, 3))
-		units, passed, integral, cut := map[string]float64{}, 0.0, 0.0, 0.0
-		begin, from := s.Plans[0], 0
+		h := newHarness(s)
+		rng := rand.New(rand.NewPCG(seed, 3))
+		unitsByID, sentUnits, limitIntegral, discarded := map[string]float64{}, 0.0, 0.0, 0.0
+		initialPlan, examined := s.Plans[0], 0
 		for range 600 { // a minute
 			next := testSettings()
-			next.Plans[0].Limit = 4 + float64(r.IntN(33))
-			next.Plans[0].Burst = 2 + float64(r.IntN(9))
-			if v := g.scheduler.volumes["low"]; v != nil {
-				g.scheduler.volumeBuckets(Request{Volume: "low"}, v.plan)
-				floor := min(next.Plans[0].Limit*arrivalSkew/1000-next.Plans[0].Overdraft, 0)
-				cut += max(v.limitLevel-v.limitFloor-(next.Plans[0].Burst-floor), 0)
+			next.Plans[0].Limit = 4 + float64(rng.IntN(33))
+			next.Plans[0].Burst = 2 + float64(rng.IntN(9))
+			if buckets := h.scheduler.volumes["low"]; buckets != nil {
+				h.scheduler.volumeBuckets(Request{Volume: "low"}, buckets.plan)
+				limitFloor := min(next.Plans[0].Limit*arrivalSkew/1000-next.Plans[0].Overdraft, 0)
+				discarded += max(buckets.limitLevel-buckets.limitFloor-(next.Plans[0].Burst-limitFloor), 0)
 			}
-			g.handle(SettingsChanged{next})
+			h.handle(SettingsChanged{next})
 			for range 16 { // of 1 unit each 100 ms: eight times the mean limit
-				id := g.submit("read", "low", "", 1)
-				units[id] = 1
+				id := h.submit("read", "low", "", 1)
+				unitsByID[id] = 1
 			}
-			g.advance(100)
-			integral += next.Plans[0].Limit / 10
-			for ; from < len(g.actions); from++ { // also what an answer lets go
-				if x, ok := g.actions[from].(Send); ok {
-					passed += units[x.ID]
-					g.endAttemptFast(x.ID, Served)
+			h.advance(100)
+			limitIntegral += next.Plans[0].Limit / 10
+			for ; examined < len(h.actions); examined++ { // also what an answer lets go
+				if send, ok := h.actions[examined].(Send); ok {
+					sentUnits += unitsByID[send.ID]
+					h.endAttemptFast(send.ID, Served)
 				}
 			}
 		}
-		most := integral + begin.Burst + begin.Overdraft
-		least := integral - cut - begin.Burst - 2 // a request may stand before the gate, and one lies within rounding
-		if passed > most || passed < least {
-			t.Errorf("seed %d: %.1f units passed, the integral is %.1f, bounds %.1f and %.1f", seed, passed, integral, least, most)
+		maxSent := limitIntegral + initialPlan.Burst + initialPlan.Overdraft
+		minSent := limitIntegral - discarded - initialPlan.Burst - 2 // a request may stand before the gate, and one lies within rounding
+		if sentUnits > maxSent || sentUnits < minSent {
+			t.Errorf("seed %d: %.1f units passed, the integral is %.1f, bounds %.1f and %.1f", seed, sentUnits, limitIntegral, minSent, maxSent)
 		}
-		t.Logf("seed %d: %.0f units passed, integral of the limit %.1f, bounds %.1f to %.1f (%.1f units of stores cut away)", seed, passed, integral, least, most, cut)
+		t.Logf("seed %d: %.0f units passed, integral of the limit %.1f, bounds %.1f to %.1f (%.1f units of stores cut away)", seed, sentUnits, limitIntegral, minSent, maxSent, discarded)
 	}
 }
 
 // A request ends under what it was taken under: attempts and class.
 func TestRequestKeepsSettingsOfItsArrival(t *testing.T) {
-	g := newHarness(testSettings())
-	old := g.submit("read", "high", "", 2)
+	h := newHarness(testSettings())
+	earlier := h.submit("read", "high", "", 2)
 	next := testSettings()
 	next.Limits.MaxAttempts, next.Limits.RetryAfter = 1, 900
 	next.Classes[0] = Class{Name: "read", Value: 2, LatencyTarget: 300, Deadline: 1000, Effect: NonIdempotent}
-	g.handle(SettingsChanged{next})
-	g.endAttemptFast(old, ConnectionLost)
-	g.advance(200)
-	if n := g.sendCount(old); n != 2 {
+	h.handle(SettingsChanged{next})
+	h.endAttemptFast(earlier, ConnectionLost)
+	h.advance(200)
+	if n := h.sendCount(earlier); n != 2 {
 		t.Errorf("%d attempts of a read that was safe when it was taken", n)
 	}
-	g.endAttemptFast(old, Served)
-	fresh := g.submit("read", "high", "", 2)
-	g.endAttemptFast(fresh, ConnectionLost)
-	g.advance(600)
-	if n := g.sendCount(fresh); n > 1 {
+	h.endAttemptFast(earlier, Served)
+	later := h.submit("read", "high", "", 2)
+	h.endAttemptFast(later, ConnectionLost)
+	h.advance(600)
+	if n := h.sendCount(later); n > 1 {
 		t.Errorf("%d attempts of a request that is unsafe and may have one", n)
 	}
 }
 
 // Where nothing was limited nothing may be counted on: a limit that is new begins empty.
 func TestNewLimitStartsEmpty(t *testing.T) {
-	g := newHarness(testSettings())
-	g.submit("read", "high", "", 2)
+	h := newHarness(testSettings())
+	h.submit("read", "high", "", 2)
 	next := testSettings()
 	next.Plans[1].Limit, next.Plans[1].Burst, next.Plans[1].Overdraft = 10, 40, 0
-	g.advance(20000)
-	g.handle(SettingsChanged{next})
-	before := len(g.actions)
+	h.advance(20000)
+	h.handle(SettingsChanged{next})
+	before := len(h.actions)
 	for range 10 {
-		g.submit("read", "high", "", 2)
+		h.submit("read", "high", "", 2)
 	}
 	sends := 0
-	for _, a := range g.actions[before:] {
+	for _, a := range h.actions[before:] {
 		if _, ok := a.(Send); ok {
 			sends++
 		}
@@ -106,82 +106,82 @@
 // A limit that is lowered below what is out: what is out goes on, nothing more goes until
 // the store has filled, and nothing is charged again.
 func TestLimitLoweredBelowOutstanding(t *testing.T) {
-	g := newHarness(testSettings())
-	first := g.submit("read", "low", "", 1)
-	g.advance(500)
-	g.endAttemptFast(first, Served)
-	g.advance(5000) // the store is full
+	h := newHarness(testSettings())
+	first := h.submit("read", "low", "", 1)
+	h.advance(500)
+	h.endAttemptFast(first, Served)
+	h.advance(5000) // the store is full
 	ids := []string{}
 	for range 6 {
-		ids = append(ids, g.submit("read", "low", "", 1))
+		ids = append(ids, h.submit("read", "low", "", 1))
 	}
-	out := 0
+	outstanding := 0
 	for _, id := range ids {
-		out += g.sendCount(id)
+		outstanding += h.sendCount(id)
 	}
-	if out < 4 {
-		t.Fatalf("only %d are out", out)
+	if outstanding < 4 {
+		t.Fatalf("only %d are out", outstanding)
 	}
 	next := testSettings()
 	next.Plans[0].Limit, next.Plans[0].Burst, next.Plans[0].Overdraft = 2, 1, 0
-	g.handle(SettingsChanged{next})
-	v := g.scheduler.volumes["low"]
-	if v.limitLevel > 1 || v.limitLevel < v.limitFloor {
-		t.Errorf("the store holds %v after the change, its floor is %v", v.limitLevel, v.limitFloor)
+	h.handle(SettingsChanged{next})
+	buckets := h.scheduler.volumes["low"]
+	if buckets.limitLevel > 1 || buckets.limitLevel < buckets.limitFloor {
+		t.Errorf("the store holds %v after the change, its floor is %v", buckets.limitLevel, buckets.limitFloor)
 	}
 	for _, id := range ids {
-		g.endAttemptFast(id, Served)
+		h.endAttemptFast(id, Served)
 	}
-	late := g.submit("read", "low", "", 1)
-	g.advance(990)
-	if g.sendCount(late) != 0 && v.limitLevel < v.limitFloor {
-		t.Errorf("sent from a store of %v, its floor is %v", v.limitLevel, v.limitFloor)
+	later := h.submit("read", "low", "", 1)
+	h.advance(990)
+	if h.sendCount(later) != 0 && buckets.limitLevel < buckets.limitFloor {
+		t.Errorf("sent from a store of %v, its floor is %v", buckets.limitLevel, buckets.limitFloor)
 	}
 }
 
 // What was learnt stays when settings change, and a plan that goes and comes keeps its
 // requests.
 func TestSettingsChangeKeepsLearnedState(t *testing.T) {
-	g := newHarness(testSettings())
+	h := newHarness(testSettings())
 	for range 200 {
-		id := g.submit("read", "high", "", 2)
-		g.advance(20)
-		g.endAttemptFast(id, Served)
+		id := h.submit("read", "high", "", 2)
+		h.advance(20)
+		h.endAttemptFast(id, Served)
 	}
-	share, depth, got := slices.Clone(g.scheduler.shares.share), g.scheduler.shards[0].depth, g.scheduler.shards[0].serviceTime
-	theta := slices.Clone(g.scheduler.shares.models[1].theta)
+	shares, depth, serviceTime := slices.Clone(h.scheduler.shares.share), h.scheduler.shards[0].depth, h.scheduler.shards[0].serviceTime
+	theta := slices.Clone(h.scheduler.shares.models[1].theta)
 	next := testSettings()
 	next.Plans = append(next.Plans, Plan{Name: "mid", Price: 1, Weight: 1})
-	g.handle(SettingsChanged{next})
-	if g.scheduler.shards[0].depth != depth || g.scheduler.shards[0].serviceTime != got {
+	h.handle(SettingsChanged{next})
+	if h.scheduler.shards[0].depth != depth || h.scheduler.shards[0].serviceTime != serviceTime {
 		t.Error("the depth was forgotten")
 	}
-	if f := g.scheduler.shares.models[1]; f.theta[0] != theta[0] || f.theta[2] != theta[2] || f.theta[3] != 0 || f.theta[4] != theta[3] {
-		t.Errorf("%v became %v", theta, f.theta)
+	if model := h.scheduler.shares.models[1]; model.theta[0] != theta[0] || model.theta[2] != theta[2] || model.theta[3] != 0 || model.theta[4] != theta[3] {
+		t.Errorf("%v became %v", theta, model.theta)
 	}
 	sum := 0.0
-	for _, x := range g.scheduler.shares.share {
-		sum += x
+	for _, share := range h.scheduler.shares.share {
+		sum += share
 	}
-	if math.Abs(sum-1) > 1e-9 || g.scheduler.shares.share[0]/g.scheduler.shares.share[1] != share[0]/share[1] {
-		t.Errorf("%v became %v", share, g.scheduler.shares.share)
+	if math.Abs(sum-1) > 1e-9 || h.scheduler.shares.share[0]/h.scheduler.shares.share[1] != shares[0]/shares[1] {
+		t.Errorf("%v became %v", shares, h.scheduler.shares.share)
 	}
-	waiting := g.submit("read", "mid", "", 2)
+	waiting := h.submit("read", "mid", "", 2)
 	next.Plans = next.Plans[:2]
-	g.handle(SettingsChanged{next})
-	g.advance(100)
-	if g.sendCount(waiting) != 1 {
+	h.handle(SettingsChanged{next})
+	h.advance(100)
+	if h.sendCount(waiting) != 1 {
 		t.Error("a request whose plan is gone was not sent")
 	}
 	for n := range 50 { // plans that come and go don't pile up
 		next := testSettings()
 		next.Plans = append(next.Plans, Plan{Name: fmt.Sprint("p", n), Price: 1, Weight: 1})
-		g.handle(SettingsChanged{next})
-		id := g.submit("read", next.Plans[2].Name, "", 1)
-		g.endAttemptFast(id, Served)
-		g.advance(1200)
+		h.handle(SettingsChanged{next})
+		id := h.submit("read", next.Plans[2].Name, "", 1)
+		h.endAttemptFast(id, Served)
+		h.advance(1200)
 	}
-	if n := len(g.scheduler.settings.Plans); n > 5 {
+	if n := len(h.scheduler.settings.Plans); n > 5 {
 		t.Errorf("%d plans are kept", n)
 	}
 }
@@ -189,8 +189,8 @@
 // Whatever settings come when, each request has one end in time.
 func TestOneFinalAnswerAcrossSettingsChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newHarness(testSettings())
-		due := map[string]float64{}
+		h := newHarness(testSettings())
+		expiries := map[string]float64{}
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
@@ -207,28 +207,28 @@
 				}
 				s.Limits.MaxAttempts = rapid.IntRange(1, 3).Draw(t, "attempts")
 				s.Rules.HasBudget, s.Rules.BudgetBase, s.Rules.BudgetWindow = rapid.Bool().Draw(t, "budget"), 2, 5000
-				g.handle(SettingsChanged{s})
+				h.handle(SettingsChanged{s})
 			case 1, 2:
-				id := g.submit(rapid.SampledFrom([]string{"read", "write", "once", "turns"}).Draw(t, "class"),
+				id := h.submit(rapid.SampledFrom([]string{"read", "write", "once", "turns"}).Draw(t, "class"),
 					rapid.SampledFrom([]string{"low", "high", "x", "y"}).Draw(t, "plan"), "k", 1)
-				due[id] = g.now + 1000
+				expiries[id] = h.now + 1000
 			case 3:
-				ids := make([]string, 0, len(g.scheduler.requests))
-				for id, r := range g.scheduler.requests {
+				ids := make([]string, 0, len(h.scheduler.requests))
+				for id, r := range h.scheduler.requests {
 					if r.outstanding > 0 {
 						ids = append(ids, id)
 					}
 				}
 				slices.Sort(ids)
 				for _, id := range ids {
-					g.endAttemptFast(id, rapid.SampledFrom([]Result{Served, ConnectionLost, Rejected, NoAnswer}).Draw(t, "result"))
+					h.endAttemptFast(id, rapid.SampledFrom([]Result{Served, ConnectionLost, Rejected, NoAnswer}).Draw(t, "result"))
 				}
 			}
-			g.advance(float64(rapid.IntRange(0, 300).Draw(t, "pass")))
+			h.advance(float64(rapid.IntRange(0, 300).Draw(t, "pass")))
 		}
-		g.advance(3000)
-		for id := range due {
-			if r := g.scheduler.requests[id]; r != nil && !r.done {
+		h.advance(3000)
+		for id := range expiries {
+			if r := h.scheduler.requests[id]; r != nil && !r.done {
 				t.Fatalf("%s has no end", id)
 			}
 		}
--- a/policy/shares_test.go
+++ b/policy/shares_test.go
@@ -28,22 +28,22 @@
 // Depth and shares must stay within their bounds, whatever the outcomes.
 func TestRegulatorsStayInBounds(t *testing.T) {
 	for _, res := range []Result{Served, ServerError, NoConnection, NoAnswer} {
-		g := newHarness(testSettings())
+		h := newHarness(testSettings())
 		for range 300 {
 			for range 4 {
-				g.submit("read", "high", "", 2)
+				h.submit("read", "high", "", 2)
 			}
-			for _, r := range slices.Clone(g.scheduler.shards[0].outstanding) {
-				g.endAttempt(r.ID, res)
+			for _, r := range slices.Clone(h.scheduler.shards[0].outstanding) {
+				h.endAttempt(r.ID, res)
 			}
-			g.advance(50)
+			h.advance(50)
 		}
-		d := g.scheduler.shards[0].depth
+		d := h.scheduler.shards[0].depth
 		if !(d >= minTotalDepth && d <= maxDepth) {
 			t.Errorf("result %d: depth %v is out of bounds", res, d)
 		}
 		sum := 0.0
-		for _, share := range g.scheduler.shares.share {
+		for _, share := range h.scheduler.shares.share {
 			if !(share > 0) {
 				t.Errorf("result %d: share %v, want more than 0", res, share)
 			}
@@ -61,15 +61,15 @@
 		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
 			s := testSettings()
 			s.Hosts = hosts
-			g := newHarness(s)
+			h := newHarness(s)
 			for range b.N {
 				for range 20 {
-					id := g.submit("read", "high", "", 2)
-					if g.sendCount(id) > 0 {
-						g.endAttempt(id, Served)
+					id := h.submit("read", "high", "", 2)
+					if h.sendCount(id) > 0 {
+						h.endAttempt(id, Served)
 					}
-					g.actions = g.actions[:0]
-					g.advance(50)
+					h.actions = h.actions[:0]
+					h.advance(50)
 				}
 			}
 		})
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -9,18 +9,18 @@
 // A limit's bucket starts empty on a host that has just started, since the host may have spent its
 // tokens before a restart.
 func TestNewLimitBucketStartsEmpty(t *testing.T) {
-	g := newHarness(testSettings())
-	sentUnits, start := 0.0, g.now
+	h := newHarness(testSettings())
+	sentUnits, start := 0.0, h.now
 	for range 200 {
-		g.submit("read", "low", "", 2)
-		g.advance(10)
-		for _, r := range slices.Clone(g.scheduler.shards[0].outstanding) {
+		h.submit("read", "low", "", 2)
+		h.advance(10)
+		for _, r := range slices.Clone(h.scheduler.shards[0].outstanding) {
 			sentUnits += r.Units
-			g.endAttempt(r.ID, Served)
+			h.endAttempt(r.ID, Served)
 		}
 		// The bucket was at its floor when this host started.
-		if maxUnits := 10 * (g.now - start) / 1000; sentUnits > maxUnits+1e-6 {
-			t.Fatalf("sent %v units after %v ms, more than the limit allows", sentUnits, g.now-start)
+		if maxUnits := 10 * (h.now - start) / 1000; sentUnits > maxUnits+1e-6 {
+			t.Fatalf("sent %v units after %v ms, more than the limit allows", sentUnits, h.now-start)
 		}
 	}
 	if sentUnits < 10 {
@@ -33,16 +33,16 @@
 func TestLimitHoldsWhereSendsArrive(t *testing.T) {
 	s := testSettings()
 	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 100, 8, 4
-	g := newHarness(s)
-	g.advance(1000) // until the bucket has filled
+	h := newHarness(s)
+	h.advance(1000) // until the bucket has filled
 	type sendEvent struct{ time, units float64 }
 	var sends []sendEvent
 	for range 1000 {
-		g.submit("read", "low", "", 0.5)
-		g.advance(1)
-		for _, r := range slices.Clone(g.scheduler.shards[0].outstanding) {
-			sends = append(sends, sendEvent{g.now, r.Units})
-			g.endAttempt(r.ID, Served)
+		h.submit("read", "low", "", 0.5)
+		h.advance(1)
+		for _, r := range slices.Clone(h.scheduler.shards[0].outstanding) {
+			sends = append(sends, sendEvent{h.now, r.Units})
+			h.endAttempt(r.ID, Served)
 		}
 	}
 	level, time := s.Plans[0].Burst, 0.0
@@ -60,22 +60,22 @@
 
 // A volume held back by its limit must not delay other volumes of its plan.
 func TestLimitedVolumeDoesNotBlockOthers(t *testing.T) {
-	g := newHarness(testSettings())
+	h := newHarness(testSettings())
 	submit := func(volume string) string {
-		g.requestCount++
-		id := fmt.Sprintf("%016x", g.requestCount)
-		g.handle(Request{ID: id, Class: "write", Plan: "low", Volume: volume, Units: 2, Expires: g.now + 1000, Hosts: 1})
+		h.requestCount++
+		id := fmt.Sprintf("%016x", h.requestCount)
+		h.handle(Request{ID: id, Class: "write", Plan: "low", Volume: volume, Units: 2, Expires: h.now + 1000, Hosts: 1})
 		return id
 	}
 	submit("spent")
-	g.scheduler.volumes["spent"].limitLevel = -2
+	h.scheduler.volumes["spent"].limitLevel = -2
 	limited := submit("spent")
-	g.setNodes()
+	h.setNodes()
 	other := submit("free")
-	g.scheduler.volumes["free"].limitLevel = 8
-	g.setNodes(Node{Addr: "n0", Health: Ready, Zone: "z"})
-	if g.sendCount(limited) != 0 || g.sendCount(other) != 1 {
-		t.Errorf("limited volume: %d sends, want 0; other volume: %d sends, want 1", g.sendCount(limited), g.sendCount(other))
+	h.scheduler.volumes["free"].limitLevel = 8
+	h.setNodes(Node{Addr: "n0", Health: Ready, Zone: "z"})
+	if h.sendCount(limited) != 0 || h.sendCount(other) != 1 {
+		t.Errorf("limited volume: %d sends, want 0; other volume: %d sends, want 1", h.sendCount(limited), h.sendCount(other))
 	}
 }
 
@@ -88,26 +88,26 @@
 		s.Rules.HasBudget, s.Rules.BudgetBase, s.Rules.BudgetRatio, s.Rules.BudgetWindow = true, 1, 0.25, 5000
 		s.Plans[0].Burst = 2 * s.MaxUnits * float64(hosts)
 		sentUnits, requests, start, end := 0.0, 0, 0.0, 0.0
-		for h := range hosts {
-			g := &harness{scheduler: newScheduler(s, uint64(h)), now: 1000, timers: map[string]float64{}}
-			g.setNodes(Node{Addr: "n0", Health: Ready})
+		for host := range hosts {
+			h := &harness{scheduler: newScheduler(s, uint64(host)), now: 1000, timers: map[string]float64{}}
+			h.setNodes(Node{Addr: "n0", Health: Ready})
 			retries := 0
 			for k := range 40 {
-				g.requestCount++
-				id := fmt.Sprintf("%016x", g.requestCount)
-				g.handle(Request{ID: id, Class: "write", Plan: "low", Volume: "v", Units: 2, Expires: g.now + 1000, Hosts: hosts})
-				if g.sendCount(id) > 0 {
+				h.requestCount++
+				id := fmt.Sprintf("%016x", h.requestCount)
+				h.handle(Request{ID: id, Class: "write", Plan: "low", Volume: "v", Units: 2, Expires: h.now + 1000, Hosts: hosts})
+				if h.sendCount(id) > 0 {
 					sentUnits += 2
-					g.endAttempt(id, Result(k%2)) // served, or a server error that is retried
-					retries += g.sendCount(id) - 1
+					h.endAttempt(id, Result(k%2)) // served, or a server error that is retried
+					retries += h.sendCount(id) - 1
 				}
 				requests++
-				g.advance(50)
+				h.advance(50)
 			}
 			if retries > 1+40/4 {
 				t.Errorf("%d hosts: %d retries by one of them, want at most 11", hosts, retries)
 			}
-			start, end = 1000, g.now
+			start, end = 1000, h.now
 		}
 		if maxUnits := s.Plans[0].Limit*(end-start)/1000 + s.Plans[0].Burst + s.Plans[0].Overdraft; sentUnits > maxUnits {
 			t.Errorf("%d hosts sent %v units of one volume, want at most %v", hosts, sentUnits, maxUnits)
