--- a/cmd/merlinhitch/announce.go
+++ b/cmd/merlinhitch/announce.go
@@ -22,31 +22,31 @@
 }
 
 func (c *routesCmd) Run() error {
-	var r gateway.Routes
-	if err := c.with(func(ctx context.Context, api *settings.API) error { return api.Read(ctx, "/routes", &r) }); err != nil {
+	var routes gateway.Routes
+	if err := c.withAPI(func(ctx context.Context, api *settings.API) error { return api.Read(ctx, "/routes", &routes) }); err != nil {
 		return err
 	}
 	if c.JSON {
-		return printJSON(r)
+		return printJSON(routes)
 	}
-	tw := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(tw, "GROUP\tLEVEL\tFOR\tREASON\tMAY RISE IN\tPREFIXES")
-	for _, g := range r.Groups {
-		up := "-"
-		if g.UpIn != nil {
-			up = ms(max(*g.UpIn, 0))
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "GROUP\tLEVEL\tFOR\tREASON\tMAY RISE IN\tPREFIXES")
+	for _, group := range routes.Groups {
+		riseDelay := "-"
+		if group.UpIn != nil {
+			riseDelay = formatMS(max(*group.UpIn, 0))
 		}
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%v\n", g.Group, g.Level, ms(g.ForMS), g.Reason, up, g.Prefixes)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%v\n", group.Group, group.Level, formatMS(group.ForMS), group.Reason, riseDelay, group.Prefixes)
 	}
-	fmt.Fprintln(tw, "\nROUTER\tADDRESS\tSTATE\tFOR\tUPS\tUPDATES\tHAS ALL\tLAST ERROR")
-	for _, p := range r.Peers {
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%d\t%v\t%s\n", p.Name, p.Addr, p.State, ms(p.SinceMS), p.Ups, p.Updates, p.Told, p.LastError)
+	fmt.Fprintln(table, "\nROUTER\tADDRESS\tSTATE\tFOR\tUPS\tUPDATES\tHAS ALL\tLAST ERROR")
+	for _, peer := range routes.Peers {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%v\t%s\n", peer.Name, peer.Addr, peer.State, formatMS(peer.SinceMS), peer.Ups, peer.Updates, peer.Told, peer.LastError)
 	}
-	return tw.Flush()
+	return table.Flush()
 }
 
-func ms(v float64) string {
-	return (time.Duration(v) * time.Millisecond).Round(100 * time.Millisecond).String()
+func formatMS(milliseconds float64) string {
+	return (time.Duration(milliseconds) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
 type announceCmd struct {
@@ -87,9 +87,9 @@
 	if err := lab.PrintRoutes(os.Stdout, rows); err != nil {
 		return err
 	}
-	for _, r := range rows {
-		if r.Bad > 0 {
-			return errSaid
+	for _, row := range rows {
+		if row.Bad > 0 {
+			return errReported
 		}
 	}
 	return nil
@@ -116,20 +116,20 @@
 	}
 	if c.Chart != "" {
 		var lines []chart.Series
-		for _, r := range rows {
-			s := chart.Series{Name: r.Kind}
-			for q := 0.0; q <= 100; q += 0.5 {
-				s.X, s.Y = append(s.X, float64(r.Times.ValueAtQuantile(q))/1000), append(s.Y, q)
+		for _, row := range rows {
+			series := chart.Series{Name: row.Kind}
+			for quantile := 0.0; quantile <= 100; quantile += 0.5 {
+				series.X, series.Y = append(series.X, float64(row.Times.ValueAtQuantile(quantile))/1000), append(series.Y, quantile)
 			}
-			lines = append(lines, s)
+			lines = append(lines, series)
 		}
 		if err := chart.Lines(c.Chart, "from the loss to the router's log", "ms", "% of the losses", lines...); err != nil {
 			return err
 		}
 	}
-	for _, r := range rows {
-		if r.Late+r.Failed+r.Wrong > 0 {
-			return errSaid
+	for _, row := range rows {
+		if row.Late+row.Failed+row.Wrong > 0 {
+			return errReported
 		}
 	}
 	return nil
--- a/cmd/merlinhitch/badday.go
+++ b/cmd/merlinhitch/badday.go
@@ -33,7 +33,7 @@
 		return fmt.Errorf("badday: needs a host, three servers, a command and a rate above 0")
 	}
 	if c.Sweep > 0 {
-		return c.sweep(log)
+		return c.runSweep(log)
 	}
 	if c.Out == "" {
 		dir, err := os.MkdirTemp("", "badday-")
@@ -44,43 +44,43 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	opt := lab.Options{Seed: c.Seed, Commands: c.Commands, Troubles: c.Troubles, Hosts: c.Hosts,
+	options := lab.Options{Seed: c.Seed, Commands: c.Commands, Troubles: c.Troubles, Hosts: c.Hosts,
 		Servers: c.Servers, Rate: c.Rate, Out: c.Out, Log: log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)), Progress: os.Stderr}
 	if c.Counters {
-		return c.counted(ctx, opt)
+		return c.runCounterDay(ctx, options)
 	}
-	res, err := lab.BadDay(ctx, opt)
+	result, err := lab.BadDay(ctx, options)
 	if err != nil {
 		return err
 	}
-	res.Print(os.Stdout)
-	fmt.Println("trail:", res.Trail)
-	if res.OK() {
+	result.Print(os.Stdout)
+	fmt.Println("trail:", result.Trail)
+	if result.OK() {
 		return nil
 	}
-	_, events, err := trail.Read(res.Trail)
+	_, events, err := trail.Read(result.Trail)
 	if err != nil {
 		return err
 	}
-	for _, b := range res.Check.Breaks[:min(len(res.Check.Breaks), 3)] {
-		fmt.Printf("\n%s\n%s", b, trail.Way(events, b.Conn, b.Tag, b.HostID, b.Seq))
+	for _, violation := range result.Check.Breaks[:min(len(result.Check.Breaks), 3)] {
+		fmt.Printf("\n%s\n%s", violation, trail.Way(events, violation.Conn, violation.Tag, violation.HostID, violation.Seq))
 	}
-	return errSaid
+	return errReported
 }
 
-func (c *baddayCmd) counted(ctx context.Context, opt lab.Options) error {
-	r, err := lab.CountDay(ctx, opt)
+func (c *baddayCmd) runCounterDay(ctx context.Context, options lab.Options) error {
+	result, err := lab.CountDay(ctx, options)
 	if err != nil {
 		return err
 	}
-	r.Print(os.Stdout)
-	if !r.OK() {
-		return errSaid
+	result.Print(os.Stdout)
+	if !result.OK() {
+		return errReported
 	}
 	return nil
 }
 
-func (c *baddayCmd) sweep(log *zap.Logger) error {
+func (c *baddayCmd) runSweep(log *zap.Logger) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	rows, err := lab.Sweep(ctx, lab.Options{Commands: c.Commands, Hosts: c.Hosts, Servers: c.Servers, Rate: c.Rate,
@@ -91,9 +91,9 @@
 	if err := lab.PrintSweep(os.Stdout, rows); err != nil {
 		return err
 	}
-	for _, r := range rows {
-		if r.Bad > 0 {
-			return errSaid
+	for _, row := range rows {
+		if row.Bad > 0 {
+			return errReported
 		}
 	}
 	return nil
@@ -109,20 +109,20 @@
 }
 
 func (c *trailCheckCmd) Run() error {
-	m, events, err := trail.Read(c.File)
+	meta, events, err := trail.Read(c.File)
 	if err != nil {
 		return err
 	}
-	check := rules.Check(m, events)
+	check := rules.Check(meta, events)
 	check.Table.Print(os.Stdout)
 	check.Print(os.Stdout)
 	if check.OK() {
 		return nil
 	}
-	for _, b := range check.Breaks {
-		fmt.Println(b)
+	for _, violation := range check.Breaks {
+		fmt.Println(violation)
 	}
-	return errSaid
+	return errReported
 }
 
 type trailShowCmd struct {
@@ -141,17 +141,17 @@
 		if _, err := fmt.Sscanf(c.Request, "%d/%d", &conn, &tag); err != nil {
 			return fmt.Errorf("trail show: %q is not CONN/TAG", c.Request)
 		}
-		way := trail.Way(events, conn, tag, 0, 0)
-		if way == "" {
+		listing := trail.Way(events, conn, tag, 0, 0)
+		if listing == "" {
 			return fmt.Errorf("trail show: %s has no command %s", filepath.Base(c.File), c.Request)
 		}
-		fmt.Print(way)
+		fmt.Print(listing)
 		return nil
 	}
-	var b strings.Builder
+	var text strings.Builder
 	for i := range events[:min(len(events), c.Most)] {
-		trail.Line(&b, &events[i], 0)
+		trail.Line(&text, &events[i], 0)
 	}
-	fmt.Print(b.String())
+	fmt.Print(text.String())
 	return nil
 }
--- a/cmd/merlinhitch/bench.go
+++ b/cmd/merlinhitch/bench.go
@@ -16,12 +16,12 @@
 }
 
 func (c *benchCmd) Run() error {
-	opt := lab.BenchOptions{Point: c.Point, Conns: c.Connections, Depths: c.Outstanding, Progress: os.Stderr}
+	options := lab.BenchOptions{Point: c.Point, Conns: c.Connections, Depths: c.Outstanding, Progress: os.Stderr}
 	if c.Watch {
-		return lab.BenchWatch(opt, os.Stdout)
+		return lab.BenchWatch(options, os.Stdout)
 	}
 	if c.Keys {
-		return lab.BenchKeys(opt, os.Stdout)
+		return lab.BenchKeys(options, os.Stdout)
 	}
-	return lab.Bench(opt, os.Stdout)
+	return lab.Bench(options, os.Stdout)
 }
--- a/cmd/merlinhitch/conform.go
+++ b/cmd/merlinhitch/conform.go
@@ -22,23 +22,23 @@
 func (c *conformCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	cfg := initiator.Config{Environment: env.NewReal(), Addr: c.Portal, Name: c.Name, Target: c.Target, ISID: iscsi.ISID{0x80, 2}, Params: initiator.DefaultParams(), LoginTime: apiTime}
+	cfg := initiator.Config{Environment: env.NewReal(), Addr: c.Portal, Name: c.Name, Target: c.Target, ISID: iscsi.ISID{0x80, 2}, Params: initiator.DefaultParams(), LoginTime: apiTimeout}
 	if c.User != "" {
 		cfg.Chap = &iscsi.Credentials{User: c.User, Secret: c.Secret}
 	}
-	rows, err := conform.Run(ctx, func(ctx context.Context, who int) (*initiator.Client, error) {
-		cfg.ISID[5] = byte(who)
+	rows, err := conform.Run(ctx, func(ctx context.Context, initiatorIndex int) (*initiator.Client, error) {
+		cfg.ISID[5] = byte(initiatorIndex)
 		return initiator.Dial(ctx, cfg)
 	})
-	if perr := conform.Print(os.Stdout, rows); perr != nil {
-		return perr
+	if printErr := conform.Print(os.Stdout, rows); printErr != nil {
+		return printErr
 	}
 	if err != nil {
 		return err
 	}
-	for _, r := range rows {
-		if r.Verdict == conform.Fail {
-			return errSaid
+	for _, row := range rows {
+		if row.Verdict == conform.Fail {
+			return errReported
 		}
 	}
 	return nil
--- a/cmd/merlinhitch/expect.go
+++ b/cmd/merlinhitch/expect.go
@@ -22,7 +22,7 @@
 	if c.Settings != "" {
 		s, err = readSettings(c.Settings)
 	} else {
-		err = c.with(func(ctx context.Context, api *settings.API) error {
+		err = c.withAPI(func(ctx context.Context, api *settings.API) error {
 			s, err = api.Get(ctx)
 			return err
 		})
@@ -30,32 +30,32 @@
 	if err != nil {
 		return err
 	}
-	return meets(s, c.File, c.All)
+	return checkExpectations(s, c.File, c.All)
 }
 
-// meets answers a file of expectations, and fails if one of them does.
-func meets(s *settings.Settings, file string, all bool) error {
+// checkExpectations answers a file of expectations, and fails if one of them does.
+func checkExpectations(s *settings.Settings, file string, all bool) error {
 	f, err := os.Open(file)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	list, err := expect.Parse(f, s)
+	expectations, err := expect.Parse(f, s)
 	if err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	failed := 0
-	for _, a := range expect.Check(s, list) {
-		if !a.Held {
+	for _, answer := range expect.Check(s, expectations) {
+		if !answer.Held {
 			failed++
 		}
-		if all || !a.Held {
-			fmt.Println(a)
+		if all || !answer.Held {
+			fmt.Println(answer)
 		}
 	}
-	fmt.Printf("%d expectations, %d fail\n", len(list), failed)
+	fmt.Printf("%d expectations, %d fail\n", len(expectations), failed)
 	if failed > 0 {
-		return errSaid
+		return errReported
 	}
 	return nil
 }
--- a/cmd/merlinhitch/experiment.go
+++ b/cmd/merlinhitch/experiment.go
@@ -53,10 +53,10 @@
 		return err
 	}
 	fmt.Println("rows, table and charts:", filepath.Clean(c.Out))
-	for _, r := range rows {
-		if r.Failure != "" {
-			fmt.Printf("%d hosts, %d servers, %s, seed %d: %s\n", r.Hosts, r.Servers, r.Trouble, r.Seed, r.Failure)
-			err = errSaid
+	for _, row := range rows {
+		if row.Failure != "" {
+			fmt.Printf("%d hosts, %d servers, %s, seed %d: %s\n", row.Hosts, row.Servers, row.Trouble, row.Seed, row.Failure)
+			err = errReported
 		}
 	}
 	return err
@@ -76,9 +76,9 @@
 	if err != nil {
 		return err
 	}
-	list := lab.CompareExperiments(before, after)
-	if len(list) == 0 {
+	comparisons := lab.CompareExperiments(before, after)
+	if len(comparisons) == 0 {
 		return fmt.Errorf("the two have no run in common")
 	}
-	return lab.PrintCompared(os.Stdout, list)
+	return lab.PrintCompared(os.Stdout, comparisons)
 }
--- a/cmd/merlinhitch/explore.go
+++ b/cmd/merlinhitch/explore.go
@@ -39,42 +39,42 @@
 		c.Parallel = runtime.GOMAXPROCS(0)
 	}
 	begin := time.Now()
-	sum, err := lab.Explore(ctx, lab.Exploration{First: c.First, Seeds: c.Seeds, Hosts: c.Hosts, Servers: c.Servers, Rate: c.Rate,
+	summary, err := lab.Explore(ctx, lab.Exploration{First: c.First, Seeds: c.Seeds, Hosts: c.Hosts, Servers: c.Servers, Rate: c.Rate,
 		Span: time.Duration(c.Seconds * float64(time.Second)), Swarm: c.Swarm, Regions: c.Regions, Parallel: c.Parallel, StopAtFirst: c.Stop, Out: c.Out}, os.Stderr)
 	if err != nil {
 		return err
 	}
-	took := time.Since(begin)
-	fmt.Printf("%d scenes of %.0f s, %d hosts and %d disk servers: %d failed\n", sum.Played, c.Seconds, c.Hosts, c.Servers, len(sum.Failures))
+	elapsed := time.Since(begin)
+	fmt.Printf("%d scenes of %.0f s, %d hosts and %d disk servers: %d failed\n", summary.Played, c.Seconds, c.Hosts, c.Servers, len(summary.Failures))
 	fmt.Printf("%d steps, %d checks of rules, %d blocks read and judged, %d histories of blocks put in order (%d not in time)\n",
-		sum.Steps, sum.Checks, sum.Reads, sum.Blocks-sum.Unknown, sum.Unknown)
-	fmt.Printf("mean goodput %.3f; %.0f virtual seconds in %.1f s, %.0f steps a second\n", sum.Goodput, sum.Virtual.Seconds(), took.Seconds(), float64(sum.Steps)/took.Seconds())
-	var list []string
-	for _, k := range slices.Sorted(maps.Keys(sum.Kinds)) {
-		list = append(list, fmt.Sprintf("%s %d", k, sum.Kinds[k]))
+		summary.Steps, summary.Checks, summary.Reads, summary.Blocks-summary.Unknown, summary.Unknown)
+	fmt.Printf("mean goodput %.3f; %.0f virtual seconds in %.1f s, %.0f steps a second\n", summary.Goodput, summary.Virtual.Seconds(), elapsed.Seconds(), float64(summary.Steps)/elapsed.Seconds())
+	var troubles []string
+	for _, kind := range slices.Sorted(maps.Keys(summary.Kinds)) {
+		troubles = append(troubles, fmt.Sprintf("%s %d", kind, summary.Kinds[kind]))
 	}
-	fmt.Println("troubles:", strings.Join(list, ", "))
+	fmt.Println("troubles:", strings.Join(troubles, ", "))
 	if c.Regions {
-		sum.PrintRegions(os.Stdout)
+		summary.PrintRegions(os.Stdout)
 	}
-	for _, s := range sum.Failures {
-		fmt.Printf("seed %d: %s\n", s.Seed, s.Failure)
+	for _, scene := range summary.Failures {
+		fmt.Printf("seed %d: %s\n", scene.Seed, scene.Failure)
 	}
-	if len(sum.Failures) == 0 {
+	if len(summary.Failures) == 0 {
 		return nil
 	}
 	if c.Shrink > 0 {
-		small, err := sum.Failures[0].Shrink(ctx, c.Shrink, os.Stderr)
+		shrunk, err := summary.Failures[0].Shrink(ctx, c.Shrink, os.Stderr)
 		if err != nil {
 			return err
 		}
-		file := filepath.Join(c.Out, fmt.Sprintf("scene-%d-small.json", small.Seed))
-		if err := small.Save(file); err != nil {
+		file := filepath.Join(c.Out, fmt.Sprintf("scene-%d-small.json", shrunk.Seed))
+		if err := shrunk.Save(file); err != nil {
 			return err
 		}
-		fmt.Printf("smaller: %s, %d troubles, %d commands, %d hosts\n", file, len(small.Script), small.Commands, small.Hosts)
+		fmt.Printf("smaller: %s, %d troubles, %d commands, %d hosts\n", file, len(shrunk.Script), shrunk.Commands, shrunk.Hosts)
 	}
-	return errSaid
+	return errReported
 }
 
 type replayCmd struct {
@@ -83,7 +83,7 @@
 }
 
 func (c *replayCmd) Run() error {
-	s, err := lab.LoadScene(c.File)
+	scene, err := lab.LoadScene(c.File)
 	if err != nil {
 		return err
 	}
@@ -96,25 +96,25 @@
 		}
 		c.Trail = filepath.Join(dir, "trail.parquet")
 	}
-	out, err := s.Play(ctx, c.Trail)
+	outcome, err := scene.Play(ctx, c.Trail)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("digest %016x after %d steps, %.3f virtual seconds; trail: %s\n", out.Scene.Digest, out.Steps, out.Took.Seconds(), c.Trail)
-	if s.Digest != 0 && s.Digest != out.Scene.Digest {
+	fmt.Printf("digest %016x after %d steps, %.3f virtual seconds; trail: %s\n", outcome.Scene.Digest, outcome.Steps, outcome.Took.Seconds(), c.Trail)
+	if scene.Digest != 0 && scene.Digest != outcome.Scene.Digest {
 		return errors.New("replay: another run than the file tells of: it was made by another build")
 	}
-	if out.Failure == nil {
+	if outcome.Failure == nil {
 		fmt.Println("nothing failed")
 		return nil
 	}
-	fmt.Println(out.Failure)
-	if out.Failure.Conn != 0 {
+	fmt.Println(outcome.Failure)
+	if outcome.Failure.Conn != 0 {
 		_, events, err := trail.Read(c.Trail)
 		if err != nil {
 			return err
 		}
-		fmt.Print(trail.Way(events, out.Failure.Conn, out.Failure.Tag, out.Failure.HostID, out.Failure.Seq))
+		fmt.Print(trail.Way(events, outcome.Failure.Conn, outcome.Failure.Tag, outcome.Failure.HostID, outcome.Failure.Seq))
 	}
-	return errSaid
+	return errReported
 }
--- a/cmd/merlinhitch/keys.go
+++ b/cmd/merlinhitch/keys.go
@@ -29,7 +29,9 @@
 	Authority string `default:"authority" help:"Folder of the authority." placeholder:"DIR"`
 }
 
-func (a authorityFlag) open() (*keys.Authority, error) { return keys.Open(a.Authority, time.Now) }
+func (a authorityFlag) openAuthority() (*keys.Authority, error) {
+	return keys.Open(a.Authority, time.Now)
+}
 
 type keysInitCmd struct{ authorityFlag }
 
@@ -48,14 +50,14 @@
 }
 
 func (c *keysIssueCmd) Run() error {
-	a, err := c.open()
+	authority, err := c.openAuthority()
 	if err != nil {
 		return err
 	}
 	if c.Out == "" {
 		c.Out = c.Name
 	}
-	cert, err := a.Issue(c.Name, keys.Role(c.Role), c.For, c.Addresses, c.Out)
+	cert, err := authority.Issue(c.Name, keys.Role(c.Role), c.For, c.Addresses, c.Out)
 	if err != nil {
 		return err
 	}
@@ -66,21 +68,21 @@
 type keysRotateCmd struct{ authorityFlag }
 
 func (c *keysRotateCmd) Run() error {
-	a, err := c.open()
+	authority, err := c.openAuthority()
 	if err != nil {
 		return err
 	}
-	return a.Rotate()
+	return authority.Rotate()
 }
 
 type keysForgetCmd struct{ authorityFlag }
 
 func (c *keysForgetCmd) Run() error {
-	a, err := c.open()
+	authority, err := c.openAuthority()
 	if err != nil {
 		return err
 	}
-	return a.Forget()
+	return authority.Forget()
 }
 
 type keysRevokeCmd struct {
@@ -89,7 +91,7 @@
 }
 
 func (c *keysRevokeCmd) Run() error {
-	a, err := c.open()
+	authority, err := c.openAuthority()
 	if err != nil {
 		return err
 	}
@@ -97,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	return a.Revoke(cert.SerialNumber)
+	return authority.Revoke(cert.SerialNumber)
 }
 
 type keysHandCmd struct {
@@ -106,12 +108,12 @@
 }
 
 func (c *keysHandCmd) Run() error {
-	a, err := c.open()
+	authority, err := c.openAuthority()
 	if err != nil {
 		return err
 	}
-	for _, h := range c.Holders {
-		if err := a.Hand(h); err != nil {
+	for _, holderDir := range c.Holders {
+		if err := authority.Hand(holderDir); err != nil {
 			return err
 		}
 	}
@@ -129,38 +131,38 @@
 	}
 	name, role := keys.Name(cert)
 	fmt.Printf("%s, %s, from %s until %s, number %x\n", name, role, cert.NotBefore.UTC().Format(time.RFC3339), cert.NotAfter.UTC().Format(time.RFC3339), cert.SerialNumber)
-	h, err := keys.Hold(c.Holder, time.Now)
+	holder, err := keys.Hold(c.Holder, time.Now)
 	if err != nil {
 		return err
 	}
-	return h.Check(cert)
+	return holder.Check(cert)
 }
 
 type keysReloadCmd struct{ adminFlag }
 
-func (c *keysReloadCmd) Run() error { return c.with(callReload) }
+func (c *keysReloadCmd) Run() error { return c.withAPI(reloadKeys) }
 
-// defaultAdmin is the admin socket of a user who says nothing else.
-func defaultAdmin() string {
+// defaultAdminAddress is the admin socket of a user who says nothing else.
+func defaultAdminAddress() string {
 	return "unix:" + filepath.Join(os.TempDir(), fmt.Sprintf("merlinhitch-%d", os.Getuid()), "admin.sock")
 }
 
-// socketFolder makes the folder of an admin socket, open to nobody else.
-func socketFolder(admin string) error {
+// createSocketDir makes the folder of an admin socket, open to nobody else.
+func createSocketDir(admin string) error {
 	path, ok := strings.CutPrefix(admin, "unix:")
-	if !ok || admin != defaultAdmin() {
+	if !ok || admin != defaultAdminAddress() {
 		return nil
 	}
 	dir := filepath.Dir(path)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	st, err := os.Lstat(dir)
+	info, err := os.Lstat(dir)
 	if err != nil {
 		return err
 	}
-	if !st.IsDir() || st.Mode().Perm()&0o077 != 0 {
-		return fmt.Errorf("gateway: %s must be a folder that nobody else may enter (mode %v)", dir, st.Mode())
+	if !info.IsDir() || info.Mode().Perm()&0o077 != 0 {
+		return fmt.Errorf("gateway: %s must be a folder that nobody else may enter (mode %v)", dir, info.Mode())
 	}
 	return nil
 }
@@ -175,7 +177,7 @@
 	if k.Keys == "" || strings.HasPrefix(addr, "unix:") {
 		return settings.NewAPI(addr), nil
 	}
-	h, err := keys.Hold(k.Keys, time.Now)
+	holder, err := keys.Hold(k.Keys, time.Now)
 	if err != nil {
 		return nil, err
 	}
@@ -183,23 +185,23 @@
 	if err != nil {
 		return nil, err
 	}
-	return settings.NewTLSAPI(addr, h.Client(host)), nil
+	return settings.NewTLSAPI(addr, holder.Client(host)), nil
 }
 
 // hosts are clients of many admin addresses.
-func (k keysFlag) hosts(addrs []string) (out []*rollout.Host, err error) {
-	for _, a := range addrs {
-		api, err := k.api(a)
+func (k keysFlag) hosts(addrs []string) (clients []*rollout.Host, err error) {
+	for _, addr := range addrs {
+		api, err := k.api(addr)
 		if err != nil {
-			closeAll(out)
+			closeHosts(clients)
 			return nil, err
 		}
-		out = append(out, &rollout.Host{Name: a, API: api})
+		clients = append(clients, &rollout.Host{Name: addr, API: api})
 	}
-	return out, nil
+	return clients, nil
 }
 
-func closeAll(hosts []*rollout.Host) {
+func closeHosts(hosts []*rollout.Host) {
 	for _, h := range hosts {
 		h.API.Close()
 	}
--- a/cmd/merlinhitch/main.go
+++ b/cmd/merlinhitch/main.go
@@ -12,13 +12,13 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// commonOptions go before or behind every command.
-type commonOptions struct {
+// globalOptions go before or behind every command.
+type globalOptions struct {
 	LogLevel string `default:"info" enum:"debug,info,warn,error" help:"Least level of log lines (debug, info, warn, error)."`
 }
 
 type commandLine struct {
-	commonOptions
+	globalOptions
 
 	Gateway      gatewayCmd      `cmd:"" help:"Run a host: iSCSI towards clients, the module, disk servers behind."`
 	Scheduler    schedulerCmd    `cmd:"" help:"Run a scheduler in service: HTTP towards clients, the module, disk servers behind."`
@@ -45,50 +45,50 @@
 	Trail        trailCmd        `cmd:"" help:"Check or read the trail of a day."`
 }
 
-// errSaid ends a command that has already said what is wrong.
-var errSaid = errors.New("failed")
+// errReported ends a command that has already said what is wrong.
+var errReported = errors.New("failed")
 
-// schedulerLine is the command line of a scheduler alone: reading the whole one takes several
+// schedulerCommandLine is the command line of a scheduler alone: reading the whole one takes several
 // times what else a scheduler does until it listens.
-type schedulerLine struct {
-	commonOptions
+type schedulerCommandLine struct {
+	globalOptions
 
 	Scheduler schedulerCmd `cmd:"" help:"Run a scheduler in service: HTTP towards clients, the module, disk servers behind."`
 }
 
 func main() {
 	if len(os.Args) > 1 && os.Args[1] == "scheduler" {
-		var line schedulerLine
-		run(&line, &line.commonOptions)
+		var line schedulerCommandLine
+		run(&line, &line.globalOptions)
 		return
 	}
 	var line commandLine
-	run(&line, &line.commonOptions)
+	run(&line, &line.globalOptions)
 }
 
 // run reads the command line into grammar and runs the command that it names.
-func run(grammar any, options *commonOptions) {
-	k := kong.Parse(grammar, kong.Name("merlinhitch"), kong.Description("A storage gateway: iSCSI in front, the scheduler, disk servers behind."), kong.UsageOnError(), kong.Vars{"admin": defaultAdmin()})
-	log, err := newLog(options.LogLevel)
-	k.FatalIfErrorf(err)
-	if err := k.Run(log); err != nil {
-		if !errors.Is(err, errSaid) {
+func run(grammar any, options *globalOptions) {
+	parsed := kong.Parse(grammar, kong.Name("merlinhitch"), kong.Description("A storage gateway: iSCSI in front, the scheduler, disk servers behind."), kong.UsageOnError(), kong.Vars{"admin": defaultAdminAddress()})
+	log, err := newLogger(options.LogLevel)
+	parsed.FatalIfErrorf(err)
+	if err := parsed.Run(log); err != nil {
+		if !errors.Is(err, errReported) {
 			fmt.Fprintln(os.Stderr, "merlinhitch:", err)
 		}
 		os.Exit(1)
 	}
 }
 
-// newLog writes JSON lines to standard error, at most a hundred alike a second
+// newLogger writes JSON lines to standard error, at most a hundred alike a second
 // and then one in a hundred.
-func newLog(level string) (*zap.Logger, error) {
-	l, err := zapcore.ParseLevel(level)
+func newLogger(level string) (*zap.Logger, error) {
+	parsedLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, err
 	}
-	c := zap.NewProductionConfig()
-	c.Level = zap.NewAtomicLevelAt(l)
-	c.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
-	c.DisableStacktrace = true
-	return c.Build()
+	config := zap.NewProductionConfig()
+	config.Level = zap.NewAtomicLevelAt(parsedLevel)
+	config.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
+	config.DisableStacktrace = true
+	return config.Build()
 }
--- a/cmd/merlinhitch/plan.go
+++ b/cmd/merlinhitch/plan.go
@@ -53,118 +53,120 @@
 	if err != nil {
 		return err
 	}
-	defer closeAll(hosts)
-	pl, err := c.read(ctx, hosts)
+	defer closeHosts(hosts)
+	layoutPlan, err := c.readPlan(ctx, hosts)
 	if err != nil {
 		return err
 	}
 	begin := time.Now()
-	opt := placement.Options{Stop: func() bool { return time.Since(begin) > c.Limit || ctx.Err() != nil }, Near: c.Near}
-	r, err := placement.Solve(pl.Problem, opt)
+	options := placement.Options{Stop: func() bool { return time.Since(begin) > c.Limit || ctx.Err() != nil }, Near: c.Near}
+	result, err := placement.Solve(layoutPlan.Problem, options)
 	if err != nil {
-		return c.explain(pl.Problem, err)
+		return c.explainNoLayout(layoutPlan.Problem, err)
 	}
-	steps, err := pl.Steps(r.Layout)
+	steps, err := layoutPlan.Steps(result.Layout)
 	var blocked *placement.BlockedError
 	if err != nil && !errors.As(err, &blocked) {
 		return err
 	}
-	var names []string
+	var blockedVolumes []string
 	if blocked != nil {
-		names = blocked.Volumes
+		blockedVolumes = blocked.Volumes
 	}
-	if err := c.show(pl, r, pl.Report(r, steps, names)); err != nil || !c.Apply {
+	if err := c.printPlan(layoutPlan, result, layoutPlan.Report(result, steps, blockedVolumes)); err != nil || !c.Apply {
 		return err
 	}
-	return rollout.Apply(ctx, env.NewReal(), hosts, pl, steps, c.Pause, func(n int) {
+	return rollout.Apply(ctx, env.NewReal(), hosts, layoutPlan, steps, c.Pause, func(n int) {
 		fmt.Fprintf(os.Stderr, "step %d of %d is in force\n", n, len(steps))
 	})
 }
 
-func (c *planMakeCmd) read(ctx context.Context, hosts []*rollout.Host) (*plan.Plan, error) {
+func (c *planMakeCmd) readPlan(ctx context.Context, hosts []*rollout.Host) (*plan.Plan, error) {
 	if c.Snapshot != "" {
-		s, err := settings.Load(c.Snapshot, nil)
+		source, err := settings.Load(c.Snapshot, nil)
 		if err != nil && !errors.Is(err, settings.ErrNoKey) { // a layout needs no secret
 			return nil, err
 		}
-		return plan.From(s, plan.Options{Lost: c.Lost})
+		return plan.From(source, plan.Options{Lost: c.Lost})
 	}
-	ctx, cancel := context.WithTimeout(ctx, apiTime)
+	ctx, cancel := context.WithTimeout(ctx, apiTimeout)
 	defer cancel()
-	s, err := rollout.Read(ctx, hosts)
+	source, err := rollout.Read(ctx, hosts)
 	if err != nil {
 		return nil, err
 	}
-	opt := plan.Options{Lost: c.Lost}
+	options := plan.Options{Lost: c.Lost}
 	if c.Measured {
-		if opt.Measured, err = rollout.Rates(ctx, hosts); err != nil {
+		if options.Measured, err = rollout.Rates(ctx, hosts); err != nil {
 			return nil, err
 		}
 	}
-	return plan.From(s, opt)
+	return plan.From(source, options)
 }
 
-// explain says why there is no layout: the constraints that contradict each other
+// explainNoLayout says why there is no layout: the constraints that contradict each other
 // and the cheapest way out.
-func (c *planMakeCmd) explain(p *placement.Problem, err error) error {
+func (c *planMakeCmd) explainNoLayout(problem *placement.Problem, err error) error {
 	if !errors.Is(err, placement.ErrNoLayout) && !errors.Is(err, placement.ErrStopped) {
 		return err
 	}
 	begin := time.Now()
-	conflict, cerr := placement.FindConflict(p, placement.Options{Stop: func() bool { return time.Since(begin) > c.Limit }, Steps: 200_000})
-	if cerr != nil || conflict == nil {
+	conflict, conflictErr := placement.FindConflict(problem, placement.Options{Stop: func() bool { return time.Since(begin) > c.Limit }, Steps: 200_000})
+	if conflictErr != nil || conflict == nil {
 		demand, capacity := 0.0, 0.0
-		for _, v := range p.Volumes {
-			demand += v.Rate * (1 + float64(v.Copies-1)*v.Writes)
+		for _, volume := range problem.Volumes {
+			demand += volume.Rate * (1 + float64(volume.Copies-1)*volume.Writes)
 		}
-		for _, n := range p.Nodes {
-			capacity += n.Capacity
+		for _, node := range problem.Nodes {
+			capacity += node.Capacity
 		}
 		fmt.Printf("%v; asked for: %.1f units a second with copies, capacity: %.1f\n", err, demand, capacity)
-		return errSaid
+		return errReported
 	}
 	fmt.Println("no layout keeps all of these together; without any one of them there would be one:")
-	for _, w := range conflict.Words(p) {
-		fmt.Println(" ", w)
+	for _, constraint := range conflict.Words(problem) {
+		fmt.Println(" ", constraint)
 	}
-	return errSaid
+	return errReported
 }
 
-func (c *planMakeCmd) show(pl *plan.Plan, r *placement.Result, rep *plan.Report) error {
+func (c *planMakeCmd) printPlan(layoutPlan *plan.Plan, result *placement.Result, report *plan.Report) error {
 	if c.Picture != "" {
-		if err := drawUses(c.Picture, pl, r.Layout); err != nil {
+		if err := drawUtilization(c.Picture, layoutPlan, result.Layout); err != nil {
 			return err
 		}
 	}
 	if c.JSON {
-		return printJSON(rep)
+		return printJSON(report)
 	}
-	return rep.Print(os.Stdout)
+	return report.Print(os.Stdout)
 }
 
-func drawUses(file string, pl *plan.Plan, l placement.Layout) error {
-	h := &chart.Heat{Title: "use of nodes: load over capacity", Full: 1}
-	order := make([]int, len(pl.Problem.Nodes))
-	for n := range order {
-		order[n] = n
+func drawUtilization(file string, layoutPlan *plan.Plan, proposed placement.Layout) error {
+	heat := &chart.Heat{Title: "use of nodes: load over capacity", Full: 1}
+	order := make([]int, len(layoutPlan.Problem.Nodes))
+	for node := range order {
+		order[node] = node
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(pl.Problem.Nodes[a].Hall, pl.Problem.Nodes[b].Hall) })
-	h.Cells = make([][]float64, len(order))
-	for _, n := range order {
-		h.Rows = append(h.Rows, pl.Problem.Nodes[n].Hall+" "+pl.Problem.Nodes[n].Name)
+	slices.SortStableFunc(order, func(a, b int) int {
+		return cmp.Compare(layoutPlan.Problem.Nodes[a].Hall, layoutPlan.Problem.Nodes[b].Hall)
+	})
+	heat.Cells = make([][]float64, len(order))
+	for _, node := range order {
+		heat.Rows = append(heat.Rows, layoutPlan.Problem.Nodes[node].Hall+" "+layoutPlan.Problem.Nodes[node].Name)
 	}
 	for _, side := range []struct {
 		name   string
 		layout placement.Layout
-	}{{"before", pl.Current}, {"after", l}} {
-		for _, cs := range pl.Cases() {
-			h.Cols = append(h.Cols, side.name+"\n"+cs.Name)
-			for i, uses := 0, pl.Uses(side.layout, cs.Lost); i < len(order); i++ {
-				h.Cells[i] = append(h.Cells[i], uses[order[i]])
+	}{{"before", layoutPlan.Current}, {"after", proposed}} {
+		for _, lossCase := range layoutPlan.Cases() {
+			heat.Cols = append(heat.Cols, side.name+"\n"+lossCase.Name)
+			for i, utilization := 0, layoutPlan.Uses(side.layout, lossCase.Lost); i < len(order); i++ {
+				heat.Cells[i] = append(heat.Cells[i], utilization[order[i]])
 			}
 		}
 	}
-	return h.Draw(file)
+	return heat.Draw(file)
 }
 
 type planDaysCmd struct {
@@ -191,9 +193,9 @@
 			return err
 		}
 	}
-	for _, r := range rows {
-		if r.Bad > 0 {
-			return errSaid
+	for _, row := range rows {
+		if row.Bad > 0 {
+			return errReported
 		}
 	}
 	return nil
@@ -201,19 +203,19 @@
 
 func drawLayouts(file string, rows []lab.LayoutRow) error {
 	var days []string
-	by := map[string]*chart.Series{}
-	for _, r := range rows[:2*len(lab.Layouts)] {
-		if !slices.Contains(days, r.Day) {
-			days = append(days, r.Day)
+	byLayout := map[string]*chart.Series{}
+	for _, row := range rows[:2*len(lab.Layouts)] {
+		if !slices.Contains(days, row.Day) {
+			days = append(days, row.Day)
 		}
-		if by[r.Layout] == nil {
-			by[r.Layout] = &chart.Series{Name: r.Layout}
+		if byLayout[row.Layout] == nil {
+			byLayout[row.Layout] = &chart.Series{Name: row.Layout}
 		}
-		by[r.Layout].Y = append(by[r.Layout].Y, r.Goodput[len(r.Goodput)/2])
+		byLayout[row.Layout].Y = append(byLayout[row.Layout].Y, row.Goodput[len(row.Goodput)/2])
 	}
 	var series []chart.Series
-	for _, l := range lab.Layouts {
-		series = append(series, *by[l])
+	for _, layout := range lab.Layouts {
+		series = append(series, *byLayout[layout])
 	}
 	return chart.Bars(file, "goodput of busy days, median of the seeds", "part of the worth asked for", days, series...)
 }
@@ -225,48 +227,48 @@
 }
 
 func (c *planBenchCmd) Run() error {
-	tw := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
-	fmt.Fprintln(tw, "| nodes\t| volumes\t| layout\t| seconds\t| MiB allocated\t| highest use\t| after worst loss\t| unmet worth\t| constraints broken\t| gap\t| gap after loss\t|")
-	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
-	for _, n := range c.Nodes {
-		if n < 3 {
-			return fmt.Errorf("plan bench: a fleet of %d nodes has no three halls", n)
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
+	fmt.Fprintln(table, "| nodes\t| volumes\t| layout\t| seconds\t| MiB allocated\t| highest use\t| after worst loss\t| unmet worth\t| constraints broken\t| gap\t| gap after loss\t|")
+	fmt.Fprintln(table, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
+	for _, nodeCount := range c.Nodes {
+		if nodeCount < 3 {
+			return fmt.Errorf("plan bench: a fleet of %d nodes has no three halls", nodeCount)
 		}
-		p := placement.Fleet(n, c.Seed)
-		fmt.Fprintf(os.Stderr, "%d nodes, %d volumes\n", n, len(p.Volumes))
-		if err := c.solve(tw, p); err != nil {
+		problem := placement.Fleet(nodeCount, c.Seed)
+		fmt.Fprintf(os.Stderr, "%d nodes, %d volumes\n", nodeCount, len(problem.Volumes))
+		if err := c.benchSolver(table, problem); err != nil {
 			return err
 		}
-		for _, o := range []struct {
+		for _, baseline := range []struct {
 			name string
 			make func(*placement.Problem) placement.Layout
 		}{{"round robin", placement.RoundRobin}, {"by name", placement.ByName}, {"largest first", placement.LargestFirst}} {
-			begin, mem := time.Now(), allocated()
-			l := o.make(p)
-			row(tw, p, o.name, l, time.Since(begin), allocated()-mem, "\t|")
+			begin, allocatedBefore := time.Now(), totalAllocatedBytes()
+			layout := baseline.make(problem)
+			printBenchRow(table, problem, baseline.name, layout, time.Since(begin), totalAllocatedBytes()-allocatedBefore, "\t|")
 		}
 	}
-	return tw.Flush()
+	return table.Flush()
 }
 
-func (c *planBenchCmd) solve(tw *tabwriter.Writer, p *placement.Problem) error {
-	begin, mem := time.Now(), allocated()
-	r, err := placement.Solve(p, placement.Options{Stop: func() bool { return time.Since(begin) > c.Limit }})
+func (c *planBenchCmd) benchSolver(table *tabwriter.Writer, problem *placement.Problem) error {
+	begin, allocatedBefore := time.Now(), totalAllocatedBytes()
+	result, err := placement.Solve(problem, placement.Options{Stop: func() bool { return time.Since(begin) > c.Limit }})
 	if err != nil {
 		return err
 	}
-	row(tw, p, "solver", r.Layout, time.Since(begin), allocated()-mem, fmt.Sprintf("%.2f%%\t| %.1f%%", 100*r.Gap(), 100*r.LossGap()))
+	printBenchRow(table, problem, "solver", result.Layout, time.Since(begin), totalAllocatedBytes()-allocatedBefore, fmt.Sprintf("%.2f%%\t| %.1f%%", 100*result.Gap(), 100*result.LossGap()))
 	return nil
 }
 
-func row(tw *tabwriter.Writer, p *placement.Problem, name string, l placement.Layout, took time.Duration, mem uint64, gap string) {
-	o, broken := placement.Check(p, l)
-	fmt.Fprintf(tw, "| %d\t| %d\t| %s\t| %.3f\t| %.1f\t| %.3f\t| %.3f\t| %.1f\t| %d\t| %s\t|\n", len(p.Nodes), len(p.Volumes), name, took.Seconds(),
-		float64(mem)/(1<<20), o.Use, o.LossUse, o.Unmet, len(broken), gap)
+func printBenchRow(table *tabwriter.Writer, problem *placement.Problem, name string, layout placement.Layout, elapsed time.Duration, bytesAllocated uint64, gap string) {
+	objective, broken := placement.Check(problem, layout)
+	fmt.Fprintf(table, "| %d\t| %d\t| %s\t| %.3f\t| %.1f\t| %.3f\t| %.3f\t| %.1f\t| %d\t| %s\t|\n", len(problem.Nodes), len(problem.Volumes), name, elapsed.Seconds(),
+		float64(bytesAllocated)/(1<<20), objective.Use, objective.LossUse, objective.Unmet, len(broken), gap)
 }
 
-func allocated() uint64 {
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return m.TotalAlloc
+func totalAllocatedBytes() uint64 {
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.TotalAlloc
 }
--- a/cmd/merlinhitch/regions.go
+++ b/cmd/merlinhitch/regions.go
@@ -28,18 +28,18 @@
 	Cost   regionsCostCmd   `cmd:"" help:"Measure losses of a region, and what a split limit refuses in a cut, in a virtual world."`
 }
 
-// ask asks an inventory one question; what it refuses is an error.
-func ask(addr string, a inventory.Ask) (*inventory.List, error) {
-	c := inventory.NewCaller(env.NewReal(), func() string { return addr })
-	defer c.Close()
-	l, err := c.Ask(a, 3*time.Second)
+// sendRequest asks an inventory one question; what it refuses is an error.
+func sendRequest(addr string, request inventory.Ask) (*inventory.List, error) {
+	caller := inventory.NewCaller(env.NewReal(), func() string { return addr })
+	defer caller.Close()
+	list, err := caller.Ask(request, 3*time.Second)
 	if err != nil {
 		return nil, fmt.Errorf("inventory %s: %w", addr, err)
 	}
-	if l.Kind == inventory.Refused {
-		return nil, fmt.Errorf("inventory %s: %s", addr, l.Reason)
+	if list.Kind == inventory.Refused {
+		return nil, fmt.Errorf("inventory %s: %s", addr, list.Reason)
 	}
-	return &l, nil
+	return &list, nil
 }
 
 type regionsShowCmd struct {
@@ -49,80 +49,80 @@
 func (c *regionsShowCmd) Run() error {
 	failed := false
 	for _, addr := range c.Inventory {
-		l, err := ask(addr, inventory.Ask{Op: "record"})
+		list, err := sendRequest(addr, inventory.Ask{Op: "record"})
 		if err != nil {
 			fmt.Println(err)
 			failed = true
 			continue
 		}
-		showRegion(addr, l)
+		printRegion(addr, list)
 	}
 	if failed {
-		return errSaid
+		return errReported
 	}
 	return nil
 }
 
-func showRegion(addr string, l *inventory.List) {
-	r, s := l.Record, l.Status
+func printRegion(addr string, list *inventory.List) {
+	record, status := list.Record, list.Status
 	grants := "grants leases"
-	if !s.Grants {
+	if !status.Grants {
 		grants = "grants NOTHING"
 	}
-	heard := fmt.Sprintf("region %d heard %.1f s ago", s.Region.Other(), s.HeardMS/1000)
-	if s.HeardMS > 1e8 {
-		heard = fmt.Sprintf("region %d not heard since this one's start", s.Region.Other())
+	lastContact := fmt.Sprintf("region %d heard %.1f s ago", status.Region.Other(), status.HeardMS/1000)
+	if status.HeardMS > 1e8 {
+		lastContact = fmt.Sprintf("region %d not heard since this one's start", status.Region.Other())
 	}
-	fmt.Printf("region %d (%s): %s, term %s, region %d leads, %s\n\n", s.Region, addr, grants, region.TermText(r.Term), r.Leader, heard)
-	tw := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(tw, "shard\tserved in\tprefers\tgeneration\tcopy")
-	for i, h := range r.Homes {
-		at, copied := fmt.Sprint(h.Region), "kept"
-		if h.Region == region.Nowhere {
-			at = fmt.Sprintf("nowhere, from %d", h.From)
+	fmt.Printf("region %d (%s): %s, term %s, region %d leads, %s\n\n", status.Region, addr, grants, region.TermText(record.Term), record.Leader, lastContact)
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "shard\tserved in\tprefers\tgeneration\tcopy")
+	for i, home := range record.Homes {
+		location, copyState := fmt.Sprint(home.Region), "kept"
+		if home.Region == region.Nowhere {
+			location = fmt.Sprintf("nowhere, from %d", home.From)
 		}
 		switch {
-		case h.Alone:
-			copied = "behind: the home answers alone"
-		case h.Leaving:
-			copied = "out of reach: answers wait"
+		case home.Alone:
+			copyState = "behind: the home answers alone"
+		case home.Leaving:
+			copyState = "out of reach: answers wait"
 		}
-		fmt.Fprintf(tw, "%d\t%s\t%d\t%s\t%s\n", i, at, h.Prefer, region.TermText(h.Gen), copied)
+		fmt.Fprintf(table, "%d\t%s\t%d\t%s\t%s\n", i, location, home.Prefer, region.TermText(home.Gen), copyState)
 	}
-	for i, p := range r.Shares {
-		fmt.Fprintf(tw, "limit %d\t%.2f and %.2f\t%.2f and %.2f\t\t\n", i, p[0], p[1], r.Split[i][0], r.Split[i][1])
+	for i, shares := range record.Shares {
+		fmt.Fprintf(table, "limit %d\t%.2f and %.2f\t%.2f and %.2f\t\t\n", i, shares[0], shares[1], record.Split[i][0], record.Split[i][1])
 	}
-	tw.Flush()
-	for _, e := range s.History {
-		fmt.Printf("%8.1f s ago, term %s: %s\n", e.AgoMS/1000, region.TermText(e.Term), e.Text)
+	table.Flush()
+	for _, event := range status.History {
+		fmt.Printf("%8.1f s ago, term %s: %s\n", event.AgoMS/1000, region.TermText(event.Term), event.Text)
 	}
 	fmt.Println()
 }
 
-// wordArgs is what a word to an inventory needs.
-type wordArgs struct {
+// inventoryArgs is what a word to an inventory needs.
+type inventoryArgs struct {
 	Inventory string `arg:"" help:"Inventory to say it to." placeholder:"ADDRESS"`
 }
 
-func (c *wordArgs) say(op string) error {
-	if _, err := ask(c.Inventory, inventory.Ask{Op: op}); err != nil {
+func (c *inventoryArgs) send(op string) error {
+	if _, err := sendRequest(c.Inventory, inventory.Ask{Op: op}); err != nil {
 		return err
 	}
 	fmt.Println("said; 'merlinhitch regions show' tells what becomes of it")
 	return nil
 }
 
-type regionsLeadCmd struct{ wordArgs }
+type regionsLeadCmd struct{ inventoryArgs }
 
-func (c *regionsLeadCmd) Run() error { return c.say("lead") }
+func (c *regionsLeadCmd) Run() error { return c.send("lead") }
 
-type regionsReturnCmd struct{ wordArgs }
+type regionsReturnCmd struct{ inventoryArgs }
 
-func (c *regionsReturnCmd) Run() error { return c.say("return") }
+func (c *regionsReturnCmd) Run() error { return c.send("return") }
 
-type regionsGiveUpCmd struct{ wordArgs }
+type regionsGiveUpCmd struct{ inventoryArgs }
 
-func (c *regionsGiveUpCmd) Run() error { return c.say("give up") }
+func (c *regionsGiveUpCmd) Run() error { return c.send("give up") }
 
 type regionsMoveCmd struct {
 	Inventory string    `arg:"" placeholder:"ADDRESS"`
@@ -131,7 +131,7 @@
 }
 
 func (c *regionsMoveCmd) Run() error {
-	_, err := ask(c.Inventory, inventory.Ask{Op: "move", Shard: c.Shard, To: c.To})
+	_, err := sendRequest(c.Inventory, inventory.Ask{Op: "move", Shard: c.Shard, To: c.To})
 	return err
 }
 
@@ -142,7 +142,7 @@
 }
 
 func (c *regionsShareCmd) Run() error {
-	_, err := ask(c.Inventory, inventory.Ask{Op: "share", Shard: c.Plan, Parts: [2]float64{c.First, 1 - c.First}})
+	_, err := sendRequest(c.Inventory, inventory.Ask{Op: "share", Shard: c.Plan, Parts: [2]float64{c.First, 1 - c.First}})
 	return err
 }
 
@@ -164,15 +164,15 @@
 	defer stop()
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	script, span := lab.EveryRegionTrouble(seconds(c.Each), seconds(c.Calm), c.Seed)
-	res, err := lab.RegionDay(ctx, lab.Options{Seed: c.Seed, Commands: int(span.Seconds() * c.Rate), Hosts: c.Hosts, Servers: c.Servers, Rate: c.Rate, Script: script,
+	result, err := lab.RegionDay(ctx, lab.Options{Seed: c.Seed, Commands: int(span.Seconds() * c.Rate), Hosts: c.Hosts, Servers: c.Servers, Rate: c.Rate, Script: script,
 		Out: c.Out, Log: log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)), Progress: os.Stderr})
 	if err != nil {
 		return err
 	}
-	res.Print(os.Stdout)
-	res.PrintRegions(os.Stdout)
-	if !res.OK() {
-		return errSaid
+	result.Print(os.Stdout)
+	result.PrintRegions(os.Stdout)
+	if !result.OK() {
+		return errReported
 	}
 	return nil
 }
--- a/cmd/merlinhitch/report.go
+++ b/cmd/merlinhitch/report.go
@@ -22,35 +22,35 @@
 }
 
 func (c *reportCmd) Run() error {
-	from, to, err := c.times(time.Now())
+	from, to, err := c.parseInterval(time.Now())
 	if err != nil {
 		return err
 	}
-	rows, hosts, silent, err := c.read(from, to)
+	rows, hosts, failedReads, err := c.readHistories(from, to)
 	if err != nil {
 		return err
 	}
 	note := ""
-	if silent > 0 {
-		note = fmt.Sprintf("%d did not answer, or not whole.", silent)
+	if failedReads > 0 {
+		note = fmt.Sprintf("%d did not answer, or not whole.", failedReads)
 	}
-	p, err := report.Make(rows, hosts, from, to, note)
+	page, err := report.Make(rows, hosts, from, to, note)
 	if err != nil {
 		return err
 	}
-	f, err := os.Create(c.Out)
+	file, err := os.Create(c.Out)
 	if err != nil {
 		return err
 	}
-	if err = p.Write(f); err != nil {
-		f.Close()
+	if err = page.Write(file); err != nil {
+		file.Close()
 		return err
 	}
 	fmt.Printf("%s: %d hosts, %d rows. %s\n", c.Out, hosts, len(rows), note)
-	return f.Close()
+	return file.Close()
 }
 
-func (c *reportCmd) times(now time.Time) (from, to int64, err error) {
+func (c *reportCmd) parseInterval(now time.Time) (from, to int64, err error) {
 	end, begin := now, now.Add(-time.Hour)
 	if c.To != "" {
 		if end, err = time.Parse(time.RFC3339, c.To); err != nil {
@@ -69,38 +69,38 @@
 	return begin.Unix(), end.Unix(), nil
 }
 
-// read gathers the rows of all hosts; those that do not answer are said and counted.
-func (c *reportCmd) read(from, to int64) (rows []history.Row, hosts, silent int, err error) {
+// readHistories gathers the rows of all hosts; those that do not answer are said and counted.
+func (c *reportCmd) readHistories(from, to int64) (rows []history.Row, hosts, failedReads int, err error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	list, err := c.hosts(c.Hosts)
+	clients, err := c.hosts(c.Hosts)
 	if err != nil {
 		return nil, 0, 0, err
 	}
-	defer closeAll(list)
-	for _, h := range list {
-		var page []history.Row
+	defer closeHosts(clients)
+	for _, host := range clients {
+		var hostRows []history.Row
 		ctx, cancel := context.WithTimeout(ctx, c.Within)
-		err := h.API.Read(ctx, fmt.Sprintf("/history?from=%d&to=%d", from, to), &page)
+		err := host.API.Read(ctx, fmt.Sprintf("/history?from=%d&to=%d", from, to), &hostRows)
 		cancel()
 		if err != nil {
-			fmt.Fprintf(os.Stderr, "%s: %v\n", h.Name, err)
-			silent++
+			fmt.Fprintf(os.Stderr, "%s: %v\n", host.Name, err)
+			failedReads++
 			continue
 		}
-		rows, hosts = append(rows, page...), hosts+1
+		rows, hosts = append(rows, hostRows...), hosts+1
 	}
 	for _, dir := range c.History {
-		st, err := history.Open(dir)
+		store, err := history.Open(dir)
 		if err != nil {
 			return nil, 0, 0, err
 		}
-		part, err := st.Read(from, to)
+		storedRows, err := store.Read(from, to)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			silent++
+			failedReads++
 		}
-		rows, hosts = append(rows, part...), hosts+1
+		rows, hosts = append(rows, storedRows...), hosts+1
 	}
-	return rows, hosts, silent, nil
+	return rows, hosts, failedReads, nil
 }
--- a/cmd/merlinhitch/reservations.go
+++ b/cmd/merlinhitch/reservations.go
@@ -18,9 +18,9 @@
 func (c *reservationsCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	bad, err := lab.ReservationRuns(ctx, c.Virtual, max(c.Runs, 1), max(c.Steps, 1), max(c.Parallel, 1), os.Stdout, os.Stderr)
-	if err == nil && bad > 0 {
-		err = errSaid
+	failedRuns, err := lab.ReservationRuns(ctx, c.Virtual, max(c.Runs, 1), max(c.Steps, 1), max(c.Parallel, 1), os.Stdout, os.Stderr)
+	if err == nil && failedRuns > 0 {
+		err = errReported
 	}
 	return err
 }
--- a/cmd/merlinhitch/scheduler.go
+++ b/cmd/merlinhitch/scheduler.go
@@ -20,46 +20,46 @@
 	Config string `env:"ROUTER_CONFIG" required:"" help:"File of the configuration; SIGHUP reads it again." placeholder:"FILE"`
 }
 
-// badConfig is the exit status at a fault of the configuration.
-const badConfig = 2
+// exitInvalidConfig is the exit status at a fault of the configuration.
+const exitInvalidConfig = 2
 
-// heapPart of the machine's memory is what Go may take before it collects harder; the
+// heapLimitFraction of the machine's memory is what Go may take before it collects harder; the
 // rest is for the program itself and the kernel's buffers.
-const heapPart = 0.6
+const heapLimitFraction = 0.6
 
 // Run serves until SIGTERM, and then until all that was taken is answered.
 func (c *schedulerCmd) Run(log *zap.Logger) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt)
-	conf, err := c.read()
+	config, err := c.readConfig()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "merlinhitch:", err)
-		os.Exit(badConfig)
+		os.Exit(exitInvalidConfig)
 	}
-	runtime.GOMAXPROCS(max(int(math.Ceil(conf.Limits.Cores)), 1))
-	if mb := conf.Limits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(heapPart * float64(mb<<20)))
+	runtime.GOMAXPROCS(max(int(math.Ceil(config.Limits.Cores)), 1))
+	if memoryMB := config.Limits.MemoryMB; memoryMB > 0 {
+		debug.SetMemoryLimit(int64(heapLimitFraction * float64(memoryMB<<20)))
 	}
-	log = log.Named(conf.Name)
-	s, err := scheduler.Start(env.NewReal(), conf, log)
+	log = log.Named(config.Name)
+	instance, err := scheduler.Start(env.NewReal(), config, log)
 	if err != nil {
 		return err
 	}
-	log.Info("listening", zap.String("address", conf.Listen), zap.Int("memory_mb", conf.Limits.MemoryMB), zap.Int("sockets", conf.Limits.Sockets), zap.Float64("cores", conf.Limits.Cores))
-	ended := make(chan struct{})
+	log.Info("listening", zap.String("address", config.Listen), zap.Int("memory_mb", config.Limits.MemoryMB), zap.Int("sockets", config.Limits.Sockets), zap.Float64("cores", config.Limits.Cores))
+	drained := make(chan struct{})
 	drain := sync.OnceFunc(func() {
 		go func() {
-			defer close(ended)
-			s.Drain()
+			defer close(drained)
+			instance.Drain()
 		}()
 	})
 	for {
 		select {
-		case <-ended:
+		case <-drained:
 			return nil
 		case sig := <-signals:
 			if sig == syscall.SIGHUP {
-				c.reload(s, log)
+				c.reload(instance, log)
 			} else {
 				drain()
 			}
@@ -68,19 +68,19 @@
 }
 
 // reload reads the configuration again; one with a fault changes nothing.
-func (c *schedulerCmd) reload(s *scheduler.Scheduler, log *zap.Logger) {
-	conf, err := c.read()
+func (c *schedulerCmd) reload(instance *scheduler.Scheduler, log *zap.Logger) {
+	config, err := c.readConfig()
 	if err != nil {
 		log.Error("the new configuration is not taken", zap.Error(err))
 		return
 	}
-	s.Reload(conf)
+	instance.Reload(config)
 }
 
-func (c *schedulerCmd) read() (*scheduler.Config, error) {
-	b, err := os.ReadFile(c.Config)
+func (c *schedulerCmd) readConfig() (*scheduler.Config, error) {
+	data, err := os.ReadFile(c.Config)
 	if err != nil {
 		return nil, err
 	}
-	return scheduler.ParseConfig(b, os.Getenv)
+	return scheduler.ParseConfig(data, os.Getenv)
 }
--- a/cmd/merlinhitch/serve.go
+++ b/cmd/merlinhitch/serve.go
@@ -27,23 +27,23 @@
 	"merlinhitch/internal/simulation/standin"
 )
 
-// untilSignal returns at the first SIGINT or SIGTERM, with a context that ends at
+// waitForSignal returns at the first SIGINT or SIGTERM, with a context that ends at
 // the second.
-func untilSignal() context.Context {
-	c := make(chan os.Signal, 2)
-	signal.Notify(c, os.Interrupt, syscall.SIGTERM)
-	<-c
+func waitForSignal() context.Context {
+	signals := make(chan os.Signal, 2)
+	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
+	<-signals
 	ctx, cancel := context.WithCancel(context.Background())
-	go func() { <-c; cancel() }()
+	go func() { <-signals; cancel() }()
 	return ctx
 }
 
-// onHangUp calls f at each SIGHUP.
-func onHangUp(f func()) {
-	c := make(chan os.Signal, 1)
-	signal.Notify(c, syscall.SIGHUP)
+// onSIGHUP calls f at each SIGHUP.
+func onSIGHUP(f func()) {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
 	go func() {
-		for range c {
+		for range signals {
 			f()
 		}
 	}()
@@ -86,8 +86,8 @@
 		if err != nil || !id.Is4() || id.IsUnspecified() {
 			return cfg, fmt.Errorf("gateway: router id %q is no IPv4 address", c.RouterID)
 		}
-		b := id.As4()
-		cfg.RouterID = binary.BigEndian.Uint32(b[:])
+		idBytes := id.As4()
+		cfg.RouterID = binary.BigEndian.Uint32(idBytes[:])
 	}
 	if c.Hop4 != "" {
 		if cfg.Hop4, err = netip.ParseAddr(c.Hop4); err != nil || !cfg.Hop4.Is4() {
@@ -107,23 +107,23 @@
 	if err != nil {
 		return err
 	}
-	if err := socketFolder(c.Admin); err != nil {
+	if err := createSocketDir(c.Admin); err != nil {
 		return err
 	}
-	g, err := gateway.Start(cfg)
+	instance, err := gateway.Start(cfg)
 	if err != nil {
 		return err
 	}
 	if c.Keys != "" {
-		onHangUp(func() {
-			if err := g.ReloadKeys(); err != nil {
+		onSIGHUP(func() {
+			if err := instance.ReloadKeys(); err != nil {
 				log.Error("keys not reloaded", zap.Error(err))
 			}
 		})
 	}
-	ctx := untilSignal()
+	ctx := waitForSignal()
 	log.Info("stopping: what was taken is answered; a second signal ends at once")
-	g.Stop(ctx)
+	instance.Stop(ctx)
 	return nil
 }
 
@@ -137,28 +137,28 @@
 }
 
 func (c *diskserverCmd) Run(log *zap.Logger) error {
-	w := env.NewReal()
-	m := standin.NewMachine(standin.MachineConfig{Cores: c.Cores, Queue: 120, UnitWork: c.Work, WriteX: 1.5, ColdFrom: 1, FallTime: 1000, FallMultiple: 2},
-		w.RandomUint64(), standin.NewCell(func(string) int { return c.Block }), standin.NewRack(6000), nil, uint32(c.Shard), 0, false)
-	d := &standin.DiskServer{Name: fmt.Sprintf("d%d", c.Shard), Zone: c.Zone, Rack: fmt.Sprintf("d%d", c.Shard), Shard: c.Shard}
+	environment := env.NewReal()
+	machine := standin.NewMachine(standin.MachineConfig{Cores: c.Cores, Queue: 120, UnitWork: c.Work, WriteX: 1.5, ColdFrom: 1, FallTime: 1000, FallMultiple: 2},
+		environment.RandomUint64(), standin.NewCell(func(string) int { return c.Block }), standin.NewRack(6000), nil, uint32(c.Shard), 0, false)
+	diskServer := &standin.DiskServer{Name: fmt.Sprintf("d%d", c.Shard), Zone: c.Zone, Rack: fmt.Sprintf("d%d", c.Shard), Shard: c.Shard}
 	if c.Keys != "" {
 		var err error
-		if d.Keys, err = keys.Hold(c.Keys, time.Now); err != nil {
+		if diskServer.Keys, err = keys.Hold(c.Keys, time.Now); err != nil {
 			return err
 		}
-		onHangUp(func() {
-			if err := d.Keys.Reload(); err != nil {
+		onSIGHUP(func() {
+			if err := diskServer.Keys.Reload(); err != nil {
 				log.Error("keys not reloaded", zap.Error(err))
 			}
 		})
 	}
-	if err := standin.ServeDisk(w, m, d); err != nil {
+	if err := standin.ServeDisk(environment, machine, diskServer); err != nil {
 		return err
 	}
-	fmt.Printf("%s\n", d.Addr) // for scripts that enter it in the inventory
-	log.Info("stand-in disk server", zap.String("listen", d.Addr), zap.Int("shard", c.Shard))
-	untilSignal()
-	d.Kill()
+	fmt.Printf("%s\n", diskServer.Addr) // for scripts that enter it in the inventory
+	log.Info("stand-in disk server", zap.String("listen", diskServer.Addr), zap.Int("shard", c.Shard))
+	waitForSignal()
+	diskServer.Kill()
 	return nil
 }
 
@@ -169,25 +169,25 @@
 }
 
 func (c *inventoryCmd) Run(log *zap.Logger) error {
-	v, err := standin.ServeInventory(env.NewReal(), c.Listen, c.Late)
+	list, err := standin.ServeInventory(env.NewReal(), c.Listen, c.Late)
 	if err != nil {
 		return err
 	}
-	for i, n := range c.Nodes {
-		addr, where, ok := strings.Cut(n, "=")
-		shard, zone, _ := strings.Cut(where, "@")
-		var id int
-		if _, err := fmt.Sscanf(shard, "%d", &id); err != nil || !ok || id < 0 {
-			v.Close()
-			return fmt.Errorf("inventory: %q is not ADDRESS=SHARD or ADDRESS=SHARD@ZONE", n)
+	for i, node := range c.Nodes {
+		addr, location, ok := strings.Cut(node, "=")
+		shard, zone, _ := strings.Cut(location, "@")
+		var shardNumber int
+		if _, err := fmt.Sscanf(shard, "%d", &shardNumber); err != nil || !ok || shardNumber < 0 {
+			list.Close()
+			return fmt.Errorf("inventory: %q is not ADDRESS=SHARD or ADDRESS=SHARD@ZONE", node)
 		}
-		v.ChangeNow(func(b *inventory.Book) {
-			b.Set(inventory.Node{Addr: addr, Health: inventory.Ready, Shard: id, Zone: zone, Weight: 1, Incarnation: uint64(i + 1)}, 0)
+		list.ChangeNow(func(b *inventory.Book) {
+			b.Set(inventory.Node{Addr: addr, Health: inventory.Ready, Shard: shardNumber, Zone: zone, Weight: 1, Incarnation: uint64(i + 1)}, 0)
 		})
 	}
-	log.Info("stand-in inventory", zap.String("listen", v.Addr), zap.Int("nodes", len(c.Nodes)))
-	untilSignal()
-	v.Close()
+	log.Info("stand-in inventory", zap.String("listen", list.Addr), zap.Int("nodes", len(c.Nodes)))
+	waitForSignal()
+	list.Close()
 	return nil
 }
 
@@ -211,92 +211,92 @@
 	if c.User != "" {
 		cfg.Chap = &iscsi.Credentials{User: c.User, Secret: c.Secret}
 	}
-	s, err := initiator.Dial(ctx, cfg)
+	client, err := initiator.Dial(ctx, cfg)
 	if err != nil {
 		return err
 	}
-	defer s.Logout()
+	defer client.Logout()
 	if c.Target == "" {
-		targets, err := s.Targets(ctx)
-		for t, at := range targets {
-			fmt.Println(t, at)
+		targets, err := client.Targets(ctx)
+		for target, portals := range targets {
+			fmt.Println(target, portals)
 		}
 		return err
 	}
 	if c.Write != "" {
-		return c.write(ctx, s)
+		return c.write(ctx, client)
 	}
-	size, err := blockSize(ctx, s)
+	size, err := blockSize(ctx, client)
 	if err != nil {
 		return err
 	}
-	r, err := s.Do(ctx, initiator.ReadCDB(c.Lba, c.Blocks), nil, int(c.Blocks)*size)
+	result, err := client.Do(ctx, initiator.ReadCDB(c.Lba, c.Blocks), nil, int(c.Blocks)*size)
 	if err != nil {
 		return err
 	}
-	if err := statusError(r); err != nil {
+	if err := statusError(result); err != nil {
 		return err
 	}
-	_, err = os.Stdout.Write(r.Data)
+	_, err = os.Stdout.Write(result.Data)
 	return err
 }
 
-func (c *ioCmd) write(ctx context.Context, s *initiator.Client) error {
-	b, err := readInput(c.Write)
+func (c *ioCmd) write(ctx context.Context, client *initiator.Client) error {
+	data, err := readInput(c.Write)
 	if err != nil {
 		return err
 	}
-	size, err := blockSize(ctx, s)
+	size, err := blockSize(ctx, client)
 	if err != nil {
 		return err
 	}
-	if len(b) == 0 || len(b)%size != 0 {
-		return fmt.Errorf("io: %d bytes do not fill whole blocks of %d", len(b), size)
+	if len(data) == 0 || len(data)%size != 0 {
+		return fmt.Errorf("io: %d bytes do not fill whole blocks of %d", len(data), size)
 	}
-	r, err := s.Do(ctx, initiator.WriteCDB(c.Lba, uint32(len(b)/size)), b, 0)
+	result, err := client.Do(ctx, initiator.WriteCDB(c.Lba, uint32(len(data)/size)), data, 0)
 	if err != nil {
 		return err
 	}
-	return statusError(r)
+	return statusError(result)
 }
 
 func readInput(file string) ([]byte, error) {
-	const most = scsi.MaxBlocks * 4096
+	const maxBytes = scsi.MaxBlocks * 4096
 	if file == "-" {
-		return io.ReadAll(io.LimitReader(os.Stdin, most))
+		return io.ReadAll(io.LimitReader(os.Stdin, maxBytes))
 	}
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	return io.ReadAll(io.LimitReader(f, most))
+	return io.ReadAll(io.LimitReader(f, maxBytes))
 }
 
 // blockSize asks by READ CAPACITY (10).
-func blockSize(ctx context.Context, s *initiator.Client) (int, error) {
-	r, err := s.Do(ctx, append([]byte{0x25}, make([]byte, 9)...), nil, 8)
+func blockSize(ctx context.Context, client *initiator.Client) (int, error) {
+	result, err := client.Do(ctx, append([]byte{0x25}, make([]byte, 9)...), nil, 8)
 	if err != nil {
 		return 0, err
 	}
-	if err := statusError(r); err != nil {
+	if err := statusError(result); err != nil {
 		return 0, err
 	}
-	if len(r.Data) != 8 {
+	if len(result.Data) != 8 {
 		return 0, errors.New("io: short answer to READ CAPACITY")
 	}
-	return int(r.Data[6])<<8 | int(r.Data[7]), nil
+	return int(result.Data[6])<<8 | int(result.Data[7]), nil
 }
 
-func statusError(r iscsi.Result) error {
-	switch r.Status {
+func statusError(result iscsi.Result) error {
+	switch result.Status {
 	case scsi.Good:
 		return nil
 	case scsi.Busy:
-		return fmt.Errorf("refused: busy, nothing was done; again in %d ms", int(r.Qualifier)*100)
+		return fmt.Errorf("refused: busy, nothing was done; again in %d ms", int(result.Qualifier)*100)
 	}
-	if s, ok := scsi.ParseSense(r.Sense); ok {
-		return s
+	if sense, ok := scsi.ParseSense(result.Sense); ok {
+		return sense
 	}
-	return fmt.Errorf("status %02x, sense %s", r.Status, bytes.TrimSpace(r.Sense))
+	return fmt.Errorf("status %02x, sense %s", result.Status, bytes.TrimSpace(result.Sense))
 }
--- a/cmd/merlinhitch/settings.go
+++ b/cmd/merlinhitch/settings.go
@@ -37,7 +37,7 @@
 	Example settingsExampleCmd `cmd:"" help:"Print working settings to begin with."`
 }
 
-const apiTime = 10 * time.Second
+const apiTimeout = 10 * time.Second
 
 // adminFlag is where the gateway's admin API is.
 type adminFlag struct {
@@ -45,12 +45,12 @@
 	Admin string `default:"${admin}" help:"Admin address of the gateway: HOST:PORT or unix:PATH."`
 }
 
-// callReload has a gateway read its keys again.
-func callReload(ctx context.Context, api *settings.API) error { return api.Call(ctx, "/keys/reload") }
+// reloadKeys has a gateway read its keys again.
+func reloadKeys(ctx context.Context, api *settings.API) error { return api.Call(ctx, "/keys/reload") }
 
-// with calls f with a client of the admin API, within its time.
-func (a adminFlag) with(f func(ctx context.Context, api *settings.API) error) error {
-	ctx, cancel := context.WithTimeout(context.Background(), apiTime)
+// withAPI calls f withAPI a client of the admin API, within its time.
+func (a adminFlag) withAPI(f func(ctx context.Context, api *settings.API) error) error {
+	ctx, cancel := context.WithTimeout(context.Background(), apiTimeout)
 	defer cancel()
 	api, err := a.api(a.Admin)
 	if err != nil {
@@ -63,7 +63,7 @@
 type settingsGetCmd struct{ adminFlag }
 
 func (c *settingsGetCmd) Run() error {
-	return c.with(func(ctx context.Context, api *settings.API) error {
+	return c.withAPI(func(ctx context.Context, api *settings.API) error {
 		s, err := api.Get(ctx)
 		if err != nil {
 			return err
@@ -73,18 +73,18 @@
 }
 
 func printJSON(v any) error {
-	e := json.NewEncoder(os.Stdout)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
+	encoder := json.NewEncoder(os.Stdout)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
 }
 
-// whyFlags go with a change.
-type whyFlags struct {
+// changeFlags go with a change.
+type changeFlags struct {
 	Why string `help:"Reason, for the record."`
 	Who string `help:"Name, recorded as claimed where the gateway knows no better; empty: the user's." `
 }
 
-func (w whyFlags) ask() settings.Ask {
+func (w changeFlags) provenance() settings.Ask {
 	if w.Who == "" {
 		if u, err := user.Current(); err == nil {
 			w.Who = u.Username
@@ -95,7 +95,7 @@
 
 type settingsPutCmd struct {
 	adminFlag
-	whyFlags
+	changeFlags
 	Expect string `help:"Expectations that the settings must meet, or nothing is handed in." placeholder:"FILE"`
 	Merge  bool   `help:"Merge with what was changed since, if the two touch nothing in common."`
 	File   string `arg:"" help:"The settings, or - for standard input."`
@@ -107,18 +107,18 @@
 		return err
 	}
 	if c.Expect != "" {
-		if err := meets(s, c.Expect, false); err != nil {
+		if err := checkExpectations(s, c.Expect, false); err != nil {
 			return err
 		}
 	}
-	ask := c.ask()
-	ask.Merge = c.Merge
-	return c.with(func(ctx context.Context, api *settings.API) error {
-		now, err := api.Put(ctx, s, ask)
+	provenance := c.provenance()
+	provenance.Merge = c.Merge
+	return c.withAPI(func(ctx context.Context, api *settings.API) error {
+		accepted, err := api.Put(ctx, s, provenance)
 		if err != nil {
 			return err
 		}
-		fmt.Println("in force as version", now.Version)
+		fmt.Println("in force as version", accepted.Version)
 		return nil
 	})
 }
@@ -143,40 +143,40 @@
 }
 
 func (c *settingsLogCmd) Run() error {
-	return c.with(func(ctx context.Context, api *settings.API) error {
+	return c.withAPI(func(ctx context.Context, api *settings.API) error {
 		for from := c.From; ; {
-			var list []*audit.Record
-			if err := api.Read(ctx, "/settings/log?from="+strconv.FormatUint(from, 10), &list); err != nil || len(list) == 0 {
+			var records []*audit.Record
+			if err := api.Read(ctx, "/settings/log?from="+strconv.FormatUint(from, 10), &records); err != nil || len(records) == 0 {
 				return err
 			}
-			from = list[len(list)-1].Seq + 1
-			if err := c.print(os.Stdout, list); err != nil {
+			from = records[len(records)-1].Seq + 1
+			if err := c.print(os.Stdout, records); err != nil {
 				return err
 			}
 		}
 	})
 }
 
-func (c *settingsLogCmd) print(w io.Writer, list []*audit.Record) error {
+func (c *settingsLogCmd) print(w io.Writer, records []*audit.Record) error {
 	if c.JSON {
-		e := json.NewEncoder(w)
-		for _, r := range list {
-			if err := e.Encode(r); err != nil {
+		encoder := json.NewEncoder(w)
+		for _, r := range records {
+			if err := encoder.Encode(r); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	for _, r := range list {
-		fmt.Fprintf(t, "%d\t%s\tversion %d from %d\t%s\t%d changes\t%s\n", r.Seq, time.UnixMilli(r.At).UTC().Format(time.RFC3339), r.Version, r.From, r.Who, len(r.Changes), r.Why)
-		for _, x := range r.Changes {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	for _, r := range records {
+		fmt.Fprintf(table, "%d\t%s\tversion %d from %d\t%s\t%d changes\t%s\n", r.Seq, time.UnixMilli(r.At).UTC().Format(time.RFC3339), r.Version, r.From, r.Who, len(r.Changes), r.Why)
+		for _, change := range r.Changes {
 			if c.Changes {
-				fmt.Fprintf(t, "\t\t%v\n", x)
+				fmt.Fprintf(table, "\t\t%v\n", change)
 			}
 		}
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
 type settingsShowCmd struct {
@@ -185,7 +185,7 @@
 }
 
 func (c *settingsShowCmd) Run() error {
-	return c.with(func(ctx context.Context, api *settings.API) error {
+	return c.withAPI(func(ctx context.Context, api *settings.API) error {
 		s := &settings.Settings{}
 		if err := api.Read(ctx, "/settings/at?version="+strconv.FormatUint(c.Version, 10), s); err != nil {
 			return err
@@ -201,7 +201,7 @@
 }
 
 func (c *settingsDiffCmd) Run() error {
-	return c.with(func(ctx context.Context, api *settings.API) error {
+	return c.withAPI(func(ctx context.Context, api *settings.API) error {
 		if c.To == 0 {
 			s, err := api.Get(ctx)
 			if err != nil {
@@ -209,13 +209,13 @@
 			}
 			c.To = s.Version
 		}
-		var list []audit.Change
-		q := url.Values{"from": {strconv.FormatUint(c.From, 10)}, "to": {strconv.FormatUint(c.To, 10)}}
-		if err := api.Read(ctx, "/settings/diff?"+q.Encode(), &list); err != nil {
+		var changes []audit.Change
+		query := url.Values{"from": {strconv.FormatUint(c.From, 10)}, "to": {strconv.FormatUint(c.To, 10)}}
+		if err := api.Read(ctx, "/settings/diff?"+query.Encode(), &changes); err != nil {
 			return err
 		}
-		for _, x := range list {
-			fmt.Println(x)
+		for _, change := range changes {
+			fmt.Println(change)
 		}
 		return nil
 	})
@@ -223,17 +223,17 @@
 
 type settingsRevertCmd struct {
 	adminFlag
-	whyFlags
+	changeFlags
 	Version uint64 `arg:"" help:"The version to go back to."`
 }
 
 func (c *settingsRevertCmd) Run() error {
-	return c.with(func(ctx context.Context, api *settings.API) error {
-		now, err := api.Revert(ctx, c.Version, c.ask())
+	return c.withAPI(func(ctx context.Context, api *settings.API) error {
+		accepted, err := api.Revert(ctx, c.Version, c.provenance())
 		if err != nil {
 			return err
 		}
-		fmt.Printf("version %d is in force again, as version %d\n", c.Version, now.Version)
+		fmt.Printf("version %d is in force again, as version %d\n", c.Version, accepted.Version)
 		return nil
 	})
 }
@@ -245,40 +245,40 @@
 
 func (c *settingsVerifyCmd) Run() error {
 	if c.Record != "" {
-		return verifyFile(c.Record)
+		return verifyRecordFile(c.Record)
 	}
-	return c.with(func(ctx context.Context, api *settings.API) error {
-		var v settings.Verified
-		if err := api.Read(ctx, "/settings/verify", &v); err != nil {
+	return c.withAPI(func(ctx context.Context, api *settings.API) error {
+		var result settings.Verified
+		if err := api.Read(ctx, "/settings/verify", &result); err != nil {
 			return err
 		}
-		printVerified(v)
+		printVerification(result)
 		return nil
 	})
 }
 
-func printVerified(v settings.Verified) {
-	fmt.Printf("%d records up to version %d, head %v: the chain holds; the clock stepped back %d times\n", v.Records, v.Version, v.Head, v.Back)
-	if v.Late != "" {
-		fmt.Println("the snapshot is behind the record:", v.Late)
+func printVerification(result settings.Verified) {
+	fmt.Printf("%d records up to version %d, head %v: the chain holds; the clock stepped back %d times\n", result.Records, result.Version, result.Head, result.Back)
+	if result.Late != "" {
+		fmt.Println("the snapshot is behind the record:", result.Late)
 	}
 }
 
-func verifyFile(file string) error {
+func verifyRecordFile(file string) error {
 	if _, err := os.Stat(file); err != nil {
 		return err
 	}
-	st, err := audit.OpenStore(file)
+	store, err := audit.OpenStore(file)
 	if err != nil {
 		return err
 	}
-	defer st.Close()
-	printVerified(settings.VerifiedBy(st.Chain()))
+	defer store.Close()
+	printVerification(settings.VerifiedBy(store.Chain()))
 	return nil
 }
 
 type settingsRollCmd struct {
-	whyFlags
+	changeFlags
 	keysFlag
 	Hosts  []string      `required:"" help:"Admin addresses of all hosts." placeholder:"ADDRESS,..."`
 	ID     string        `required:"" help:"Name of the roll; one that was cut off is taken up under the same."`
@@ -289,12 +289,12 @@
 }
 
 func (c *settingsRollCmd) Run() error {
-	to, err := readSettings(c.File)
+	target, err := readSettings(c.File)
 	if err != nil {
 		return err
 	}
 	if c.Expect != "" {
-		if err := meets(to, c.Expect, false); err != nil {
+		if err := checkExpectations(target, c.Expect, false); err != nil {
 			return err
 		}
 	}
@@ -304,17 +304,17 @@
 	if err != nil {
 		return err
 	}
-	defer closeAll(hosts)
-	from, err := rollout.From(ctx, hosts, to)
+	defer closeHosts(hosts)
+	source, err := rollout.From(ctx, hosts, target)
 	if err != nil {
 		return err
 	}
-	do := rollout.Roll
+	rollOut := rollout.Roll
 	if c.Back {
-		do = rollout.Return
+		rollOut = rollout.Return
 	}
-	ask := c.ask()
-	return do(ctx, env.NewReal(), hosts, from, to, rollout.RollOptions{ID: c.ID, Why: ask.Why, Who: ask.Who, Watch: c.Watch,
+	provenance := c.provenance()
+	return rollOut(ctx, env.NewReal(), hosts, source, target, rollout.RollOptions{ID: c.ID, Why: provenance.Why, Who: provenance.Who, Watch: c.Watch,
 		Progress: func(s string) { fmt.Fprintln(os.Stderr, s) }})
 }
 
@@ -338,20 +338,20 @@
 	defer stop()
 	failed := 0
 	for i := range c.Seeds {
-		r, err := lab.ChangeDay(ctx, lab.Options{Seed: c.Seed + uint64(i), Commands: c.Commands, Rate: c.Rate, Hosts: c.Hosts, Servers: c.Servers,
+		result, err := lab.ChangeDay(ctx, lab.Options{Seed: c.Seed + uint64(i), Commands: c.Commands, Rate: c.Rate, Hosts: c.Hosts, Servers: c.Servers,
 			Troubles: c.Troubles, Log: log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))}, c.Operators, c.Changes)
 		if err != nil {
 			return err
 		}
 		fmt.Printf("seed %d\n", c.Seed+uint64(i))
-		r.Print(os.Stdout)
-		if !r.OK() {
+		result.Print(os.Stdout)
+		if !result.OK() {
 			failed++
 		}
 	}
 	fmt.Printf("%d days of %d changes by %d operators at %d hosts, %d failed\n", c.Seeds, c.Changes, c.Operators, c.Hosts, failed)
 	if failed > 0 {
-		return errSaid
+		return errReported
 	}
 	return nil
 }
@@ -364,13 +364,13 @@
 func (c *settingsLimitsCmd) Run(log *zap.Logger) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	r, err := lab.LimitDay(ctx, lab.Options{Seed: c.Seed, Log: log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))}, c.Span)
+	result, err := lab.LimitDay(ctx, lab.Options{Seed: c.Seed, Log: log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))}, c.Span)
 	if err != nil {
 		return err
 	}
-	r.Print(os.Stdout)
-	if !r.OK() {
-		return errSaid
+	result.Print(os.Stdout)
+	if !result.OK() {
+		return errReported
 	}
 	return nil
 }
--- a/cmd/merlinhitch/soak.go
+++ b/cmd/merlinhitch/soak.go
@@ -30,11 +30,11 @@
 }
 
 const (
-	mostSeeds = 1000
-	badOption = 2
+	maxSeeds          = 1000
+	exitInvalidOption = 2
 )
 
-func (c *soakCmd) program() (string, error) {
+func (c *soakCmd) programPath() (string, error) {
 	if c.Program != "" {
 		return c.Program, nil
 	}
@@ -43,63 +43,63 @@
 
 // Run plays the seeds.
 func (c *soakCmd) Run() error {
-	program, err := c.program()
+	programPath, err := c.programPath()
 	if err != nil {
 		return err
 	}
-	o := soak.Defaults()
-	o.Command = soak.Command{Path: program, Args: []string{"scheduler"}}
-	o.Schedulers, o.Servers, o.Rate, o.Lasts, o.Share = c.Schedulers, c.Servers, c.Rate, c.Lasts, c.Share
-	o.WholeLists, o.Indented = c.Whole, c.Indented
-	if err := o.Check(); err != nil || c.Seeds < 1 || c.Seeds > mostSeeds {
+	options := soak.Defaults()
+	options.Command = soak.Command{Path: programPath, Args: []string{"scheduler"}}
+	options.Schedulers, options.Servers, options.Rate, options.Lasts, options.Share = c.Schedulers, c.Servers, c.Rate, c.Lasts, c.Share
+	options.WholeLists, options.Indented = c.Whole, c.Indented
+	if err := options.Check(); err != nil || c.Seeds < 1 || c.Seeds > maxSeeds {
 		if err == nil {
-			err = fmt.Errorf("seeds is %d; it goes from 1 to %d", c.Seeds, mostSeeds)
+			err = fmt.Errorf("seeds is %d; it goes from 1 to %d", c.Seeds, maxSeeds)
 		}
 		fmt.Fprintln(os.Stderr, "merlinhitch:", err)
-		os.Exit(badOption)
+		os.Exit(exitInvalidOption)
 	}
-	bad := 0
+	failedSeeds := 0
 	for seed := c.From; seed < c.From+uint64(c.Seeds); seed++ {
-		o.Seed = seed
-		ok, err := c.play(o)
+		options.Seed = seed
+		ok, err := c.playSeed(options)
 		if err != nil {
 			return err
 		}
 		if !ok {
-			bad++
+			failedSeeds++
 		}
 	}
-	fmt.Printf("%d of %d seeds kept all rules\n", c.Seeds-bad, c.Seeds)
-	if bad > 0 {
-		return errSaid
+	fmt.Printf("%d of %d seeds kept all rules\n", c.Seeds-failedSeeds, c.Seeds)
+	if failedSeeds > 0 {
+		return errReported
 	}
 	return nil
 }
 
-// play plays one seed, and with Beside the same with fewer disk servers; false if a rule was
+// playSeed plays one seed, and with Beside the same with fewer disk servers; false if a rule was
 // broken or a bound passed.
-func (c *soakCmd) play(o soak.Options) (bool, error) {
-	large, ok, err := playOnce(o)
+func (c *soakCmd) playSeed(options soak.Options) (bool, error) {
+	largeRun, largeOK, err := playAndReport(options)
 	if err != nil || c.Beside == 0 {
-		return ok, err
+		return largeOK, err
 	}
-	o.Servers = c.Beside
-	small, smallOK, err := playOnce(o)
+	options.Servers = c.Beside
+	smallRun, smallOK, err := playAndReport(options)
 	if err != nil {
 		return false, err
 	}
-	within := soak.Compare(os.Stdout, small, large)
-	return ok && smallOK && within, nil
+	withinBounds := soak.Compare(os.Stdout, smallRun, largeRun)
+	return largeOK && smallOK && withinBounds, nil
 }
 
-func playOnce(o soak.Options) (*soak.Run, bool, error) {
-	run, broken, err := soak.Play(o, soak.Draw(o))
+func playAndReport(options soak.Options) (*soak.Run, bool, error) {
+	run, violations, err := soak.Play(options, soak.Draw(options))
 	if err != nil {
 		return nil, false, err
 	}
-	fmt.Println(run.Summary(broken))
-	if len(broken) > 0 {
-		run.Explain(os.Stdout, broken)
+	fmt.Println(run.Summary(violations))
+	if len(violations) > 0 {
+		run.Explain(os.Stdout, violations)
 	}
-	return run, len(broken) == 0, nil
+	return run, len(violations) == 0, nil
 }
--- a/cmd/merlinhitch/top.go
+++ b/cmd/merlinhitch/top.go
@@ -28,18 +28,18 @@
 	if err != nil {
 		return err
 	}
-	defer closeAll(hosts)
+	defer closeHosts(hosts)
 	var sources []top.Source
-	for _, h := range hosts {
-		sources = append(sources, top.Source{Name: h.Name, Read: func(ctx context.Context) (*top.State, error) {
-			s := &top.State{}
-			return s, h.API.Read(ctx, "/state", s)
+	for _, host := range hosts {
+		sources = append(sources, top.Source{Name: host.Name, Read: func(ctx context.Context) (*top.State, error) {
+			state := &top.State{}
+			return state, host.API.Read(ctx, "/state", state)
 		}})
 	}
-	w := env.NewReal()
-	before := top.Take(ctx, sources, c.Within, w.Now)
-	for env.SleepContext(ctx, w, c.Every) {
-		after := top.Take(ctx, sources, c.Within, w.Now)
+	environment := env.NewReal()
+	before := top.Take(ctx, sources, c.Within, environment.Now)
+	for env.SleepContext(ctx, environment, c.Every) {
+		after := top.Take(ctx, sources, c.Within, environment.Now)
 		if err := c.print(top.Sum(sources, before, after)); err != nil || c.Once {
 			return err
 		}
@@ -48,12 +48,12 @@
 	return nil
 }
 
-func (c *topCmd) print(f *top.Fleet) error {
+func (c *topCmd) print(fleet *top.Fleet) error {
 	if c.JSON {
-		return printJSON(f)
+		return printJSON(fleet)
 	}
-	if st, err := os.Stdout.Stat(); err == nil && st.Mode()&os.ModeCharDevice != 0 && !c.Once {
+	if info, err := os.Stdout.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 && !c.Once {
 		fmt.Print("\x1b[H\x1b[2J") // ECMA-48: home, and clear the screen
 	}
-	return f.Print(os.Stdout, c.Most)
+	return fleet.Print(os.Stdout, c.Most)
 }
