--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -8,18 +8,19 @@
 	"testing"
 )
 
-// coldNodeSim is many instances that don't talk, before one node that has just started.
+// coldNodeSim simulates many hosts, which do not communicate, and one node that has just started.
 type coldNodeSim struct {
 	settings     Settings
 	rng          *rand.Rand
 	now          float64
 	hosts        []*harness
 	outcomes     []hostOutcome
-	arrivalTimes []float64 // requests of mean work at the node
-	hostsCreated int
-	shards       int // of which the node has the first; nobody has the others
+	arrivalTimes []float64 // when requests of mean size arrived at the node
+	hostsCreated int       // seed of the newest host
+	shards       int       // only shard 0 has a node; below 2 all requests are for shard 0
 }
 
+// hostOutcome is an outcome to be delivered to a host at deliverAt.
 type hostOutcome struct {
 	deliverAt float64
 	host      *harness
@@ -28,6 +29,7 @@
 
 const nodeStartedAt = 999.0
 
+// newHost returns a host that has just started and knows only the node list.
 func (sim *coldNodeSim) newHost() *harness {
 	sim.hostsCreated++
 	h := &harness{scheduler: newScheduler(sim.settings, uint64(sim.hostsCreated)), now: sim.now, timers: map[string]float64{}}
@@ -35,8 +37,8 @@
 	return h
 }
 
-// step has time go by at one host and its sends arrive, some of them late: they wait for
-// their connection.
+// step advances one host to the current time, with a new request if withRequest is set, and lets its
+// sends arrive. About a third of them first wait up to MaxSendDelay for their connection.
 func (sim *coldNodeSim) step(h *harness, withRequest bool) {
 	h.advance(sim.now - h.now)
 	if withRequest && sim.shards > 1 {
@@ -64,6 +66,8 @@
 	h.actions = h.actions[:0]
 }
 
+// run simulates duration ms at that rate, in requests a second of all hosts together. Hosts for which
+// restart returns true are replaced by new ones.
 func (sim *coldNodeSim) run(duration, rate float64, restart func(now float64, i int) bool) {
 	const dt = 5.0
 	for end := sim.now + duration; sim.now < end; sim.now += dt {
@@ -84,8 +88,8 @@
 	}
 }
 
-// worstExcess is by how many requests a window of the fall's length passed what may be put down
-// to chance.
+// worstExcess returns the largest number of requests by which the arrivals within an OverloadWindow
+// exceeded the node's capacity c by more than 2 sqrt(c) + 2, which chance accounts for.
 func (sim *coldNodeSim) worstExcess() (excess float64) {
 	excess = math.Inf(-1)
 	slices.Sort(sim.arrivalTimes)
@@ -99,16 +103,16 @@
 	return excess
 }
 
-// What all hosts together send to a node that has just started stays within what it bears
-// and chance, however many they are, where attempts wait for connections, and through
-// restarts that forget what was sent.
+// All hosts together must not send more to a node that has just started than it can take, for any
+// number of hosts, while attempts wait for connections, and after restarts that lose the record of
+// earlier sends.
 func TestHostsTogetherKeepColdBudget(t *testing.T) {
 	for _, hosts := range []int{3, 25, 120} {
 		for name, restart := range map[string]func(now float64, i int) bool{
-			"calm":        func(float64, int) bool { return false },
-			"killed":      func(now float64, i int) bool { return now == 2500 && i%10 < 7 },
-			"one by one":  func(now float64, i int) bool { return now == 1500+float64(i*5*(1000/hosts/5)) },
-			"twice a bit": func(now float64, i int) bool { return (now == 1800 || now == 2400) && i%3 == 0 },
+			"no restart":             func(float64, int) bool { return false },
+			"most restart":           func(now float64, i int) bool { return now == 2500 && i%10 < 7 },
+			"rolling restart":        func(now float64, i int) bool { return now == 1500+float64(i*5*(1000/hosts/5)) },
+			"a third restarts twice": func(now float64, i int) bool { return (now == 1800 || now == 2400) && i%3 == 0 },
 		} {
 			t.Run(fmt.Sprint(hosts, name), func(t *testing.T) {
 				for seed := range uint64(20) {
@@ -121,10 +125,10 @@
 					}
 					sim.run(4000, 600, restart)
 					if excess := sim.worstExcess(); excess > 0 {
-						t.Errorf("seed %d: %.1f requests over, of %d", seed, excess, len(sim.arrivalTimes))
+						t.Errorf("seed %d: %.1f requests more than the cold node can take, of %d sent; want none", seed, excess, len(sim.arrivalTimes))
 					}
 					if len(sim.arrivalTimes) < 40 {
-						t.Errorf("seed %d: only %d sends to the cold node", seed, len(sim.arrivalTimes))
+						t.Errorf("seed %d: %d sends to the cold node, want at least 40", seed, len(sim.arrivalTimes))
 					}
 				}
 			})
@@ -132,9 +136,9 @@
 	}
 }
 
-// The same holds for hundreds of hosts that send hardly anything to the node each, so that
-// its budget is kept by chance alone: whatever it bears, as rates rise, and as most hosts
-// forget what they learnt. And what goes there is not much less than it bears.
+// Hundreds of hosts, each of which rarely sends to a cold node, must not overload it together, whatever
+// its capacity, while rates rise, and after most hosts lost their learned state. They must still use a
+// good part of its capacity.
 func TestHundredsOfHostsAtAColdNode(t *testing.T) {
 	const hosts, seeds = 900, 5
 	noRestart := func(float64, int) bool { return false }
@@ -142,15 +146,15 @@
 		coldUnits, rate, finalRate float64
 		shards                     int
 		restart                    func(now float64, i int) bool
-		minSends                   int // sends of all seeds
+		minSends                   int // with all seeds
 	}{
-		"calm":       {60, 600, 600, 1, noRestart, 500},
-		"few":        {6, 200, 200, 1, noRestart, 20},
-		"many":       {200, 1500, 1500, 1, noRestart, 1500},
-		"burst":      {60, 60, 130, 160, noRestart, 500},
-		"killed":     {60, 600, 600, 16, func(now float64, i int) bool { return now == 2500 && i%10 < 7 }, 300},
-		"all anew":   {60, 600, 600, 16, func(now float64, i int) bool { return now == 2500 }, 100},
-		"under part": {60, 50, 50, 16, noRestart, 300},
+		"no restart":     {60, 600, 600, 1, noRestart, 500},
+		"small capacity": {6, 200, 200, 1, noRestart, 20},
+		"large capacity": {200, 1500, 1500, 1, noRestart, 1500},
+		"rate doubles":   {60, 60, 130, 160, noRestart, 500},
+		"most restart":   {60, 600, 600, 16, func(now float64, i int) bool { return now == 2500 && i%10 < 7 }, 300},
+		"all restart":    {60, 600, 600, 16, func(now float64, i int) bool { return now == 2500 }, 100},
+		"low rate":       {60, 50, 50, 16, noRestart, 300},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sends := 0
@@ -165,21 +169,20 @@
 				sim.run(2000, tt.rate*float64(tt.shards), tt.restart)
 				sim.run(2000, tt.finalRate*float64(tt.shards), tt.restart)
 				if excess := sim.worstExcess(); excess > 0 {
-					t.Errorf("seed %d: %.1f requests over, of %d", seed, excess, len(sim.arrivalTimes))
+					t.Errorf("seed %d: %.1f requests more than the cold node can take, of %d sent; want none", seed, excess, len(sim.arrivalTimes))
 				}
 				sends += len(sim.arrivalTimes)
 			}
 			if sends < tt.minSends {
-				t.Errorf("only %d sends to the cold node", sends)
+				t.Errorf("%d sends to the cold node with all seeds, want more", sends)
 			}
 			t.Log(sends, "sends")
 		})
 	}
 }
 
-// A limited volume's units are taken when they pass. A request that found no connection
-// takes them when it is sent in earnest: while it waited the store has filled again, and
-// what it was let go by then would pass beside what the store lets go now.
+// A request that found no connection must be charged to its volume's limit again when it is sent again.
+// The bucket has refilled meanwhile, so without a new charge more would pass than the limit admits.
 func TestRetryIsChargedToLimitAgain(t *testing.T) {
 	const shards = 8
 	s := testSettings()
@@ -195,13 +198,13 @@
 		h.requestCount++
 		h.handle(Request{ID: fmt.Sprint(h.requestCount), Class: "read", Plan: "low", Volume: "v", Shard: shard, Units: 6, Expires: h.now + 9000, Hosts: 1})
 	}
-	submit(1) // the volume is known from now on, and its store fills
+	submit(1) // creates the volume's bucket, which then fills
 	h.advance(5000)
 	for range 4 {
 		submit(0)
 	}
 	unreached := 0
-	for range 8 { // nothing comes up at n0 for two seconds
+	for range 8 { // n0 accepts no connection for two seconds
 		var outcomes []Outcome
 		for _, a := range h.actions {
 			if send, ok := a.(Send); ok && send.Node == "n0" {
@@ -216,14 +219,14 @@
 		}
 	}
 	if unreached < 3 {
-		t.Fatalf("only %d attempts found no connection", unreached)
+		t.Fatalf("%d attempts found no connection, want at least 3", unreached)
 	}
 	for shard := 1; shard < shards; shard++ {
 		submit(shard)
 		submit(shard)
 	}
 	sentUnits := 0.0
-	for range 100 { // n0 works again, and so do the others
+	for range 100 { // all nodes serve
 		for _, a := range h.actions {
 			if send, ok := a.(Send); ok {
 				sentUnits += 6
@@ -234,12 +237,12 @@
 		h.advance(10)
 	}
 	if maxUnits := 36 + 6 + 11*1.0; sentUnits > maxUnits || sentUnits < 36 {
-		t.Errorf("%v units within a second, of %v that may pass", sentUnits, maxUnits)
+		t.Errorf("sent %v units within a second, want 36 to %v", sentUnits, maxUnits)
 	}
 }
 
-// Sends of a limited volume that wait for their connections come together where they
-// arrive: the store goes that much less below zero.
+// Sends of a limited volume that waited for their connections can arrive close together. The floor of
+// the limit's bucket must therefore rise by what the limit admits during the longest wait.
 func TestLimitFloorAllowsForSendDelay(t *testing.T) {
 	for _, maxDelay := range []float64{0, 300} {
 		s := testSettings()
@@ -249,7 +252,7 @@
 		h.submit("read", "low", "", 1)
 		buckets := h.scheduler.volumes["low"]
 		if want := 11*(arrivalSkew+maxDelay)/1000 - 6; math.Abs(buckets.limitFloor-want) > 1e-9 {
-			t.Errorf("late by %v: the store goes down to %v, want %v", maxDelay, buckets.limitFloor, want)
+			t.Errorf("MaxSendDelay %v ms: limit floor %v, want %v", maxDelay, buckets.limitFloor, want)
 		}
 	}
 }
--- a/policy/fleetsize_test.go
+++ b/policy/fleetsize_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// costMeter is one host's module before a fleet of some size, a shard for each node.
+// costMeter counts the visits of one host's scheduler with a fleet that has a node for each shard.
 type costMeter struct {
 	scheduler    *scheduler
 	now          float64
@@ -13,6 +13,7 @@
 	requestCount int
 }
 
+// newCostMeter returns a costMeter whose scheduler has not received its node list yet.
 func newCostMeter(nodeCount int) *costMeter {
 	s := gatewaySettings()
 	s.Hosts, s.Shards = 30, nodeCount
@@ -23,16 +24,17 @@
 	return m
 }
 
-// visits is how many nodes and shards the module looks at while it takes an event.
+// visits returns how many nodes and shards the scheduler examines for an event.
 func (m *costMeter) visits(ev Event) int {
 	before := m.scheduler.visits
 	m.scheduler.Handle(m.now, ev)
 	return m.scheduler.visits - before
 }
 
+// fullList returns a list of all nodes, which are ready.
 func (m *costMeter) fullList() Event { return NodeList{Full: true, Nodes: m.nodes} }
 
-// healthChange has every so many-th node drain, or come back.
+// healthChange returns a partial list that sets the health of count nodes, evenly spread from first on.
 func (m *costMeter) healthChange(first, count int, health Health) Event {
 	var changed []Node
 	for i := range count {
@@ -43,7 +45,8 @@
 	return NodeList{Nodes: changed}
 }
 
-// serveRequest asks for a shard, or with -1 for a new object, and is served at once.
+// serveRequest submits a request for a shard, or with -1 for a new object, ends it as served, and returns
+// the visits.
 func (m *costMeter) serveRequest(shard int) int {
 	m.requestCount++
 	id := fmt.Sprint(m.requestCount)
@@ -52,30 +55,30 @@
 	return visits + m.visits(Outcome{ID: id, Node: node.Addr, Done: true, Elapsed: 20, Result: Served})
 }
 
-// eventCosts is what each kind of event eventCosts before a fleet of that size, in visits.
+// eventCosts returns the visits for each kind of event with a fleet of that size.
 func eventCosts(nodeCount int) map[string]int {
 	m := newCostMeter(nodeCount)
-	costs := map[string]int{"first whole list": m.visits(m.fullList())}
+	costs := map[string]int{"first full list": m.visits(m.fullList())}
 	m.serveRequest(-1)
 	m.now += 100
-	costs["whole list again"] = m.visits(m.fullList())
-	costs["twelve drain"] = m.visits(m.healthChange(0, 12, Draining))
-	costs["twelve are back"] = m.visits(m.healthChange(0, 12, Ready))
+	costs["full list again"] = m.visits(m.fullList())
+	costs["twelve nodes drain"] = m.visits(m.healthChange(0, 12, Draining))
+	costs["twelve nodes return"] = m.visits(m.healthChange(0, 12, Ready))
 	m.now += 1000
 	costs["second"] = m.visits(TimerFired{"second"})
 	costs["request"] = m.serveRequest(nodeCount / 2)
 	costs["new object"] = m.serveRequest(-1)
 	m.now += 100
-	costs["tenth drains"] = m.visits(m.healthChange(0, nodeCount/10, Draining))
-	costs["new object then"] = m.serveRequest(-1)
+	costs["a tenth drains"] = m.visits(m.healthChange(0, nodeCount/10, Draining))
+	costs["new object during drain"] = m.serveRequest(-1)
 	return costs
 }
 
-// A list costs what it changes and a request what it touches, however many nodes there are;
-// a whole list and a second at most what there is more of.
+// The visits for a request or a partial list must not grow with the fleet beyond what the list changes;
+// those for a full list or the periodic update may grow about in proportion.
 func TestCostByFleetSize(t *testing.T) {
 	const fewNodes, manyNodes = 200, 3200
-	maxGrowth := map[string]float64{"first whole list": 24, "whole list again": 24, "tenth drains": 24, "second": 24}
+	maxGrowth := map[string]float64{"first full list": 24, "full list again": 24, "a tenth drains": 24, "second": 24}
 	costFew, costMany := eventCosts(fewNodes), eventCosts(manyNodes)
 	for event, cost := range costFew {
 		allowed := maxGrowth[event]
@@ -83,15 +86,15 @@
 			allowed = 3
 		}
 		if float64(costMany[event]) > allowed*float64(max(cost, 1)) {
-			t.Errorf("%s: %d visits before %d nodes, %d before %d", event, cost, fewNodes, costMany[event], manyNodes)
+			t.Errorf("%s: visits grow too fast: %d with %d nodes, %d with %d", event, cost, fewNodes, costMany[event], manyNodes)
 		}
 	}
-	if costMany["twelve drain"] > 100 || costMany["request"] > 20 || costMany["new object"] > 20 {
-		t.Errorf("at %d nodes: %v", manyNodes, costMany)
+	if costMany["twelve nodes drain"] > 100 || costMany["request"] > 20 || costMany["new object"] > 20 {
+		t.Errorf("visits with %d nodes: %v, want at most 100 when twelve nodes drain and 20 for a request", manyNodes, costMany)
 	}
 }
 
-// What a list, a request and a second cost by fleet size:
+// BenchmarkFleetSize measures the cost of a list, a request and the periodic update by fleet size:
 // go test -run xxx -bench FleetSize ./policy
 func BenchmarkFleetSize(b *testing.B) {
 	for _, nodes := range []int{200, 800, 3200} {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -5,6 +5,7 @@
 	"slices"
 )
 
+// testSettings returns the settings of a single host with an unlimited and a limited plan.
 func testSettings() Settings {
 	return Settings{
 		Hosts: 1, Zone: "z", Tick: 1, MeanUnits: 2, MaxUnits: 4, FairFactor: 1, SpareFactor: 0.1,
@@ -24,24 +25,26 @@
 	}
 }
 
-// harness drives one scheduler and keeps what it did.
+// harness drives the scheduler of one host with a simulated clock and records its actions.
 type harness struct {
 	scheduler    *scheduler
 	now          float64
 	actions      []Action
-	timers       map[string]float64
+	timers       map[string]float64 // time at which each pending timer fires
 	requestCount int
-	actionTimes  []float64 // of acts
-	// beforeEvent, if set, is called beforeEvent each event.
+	actionTimes  []float64 // time of each action
+	// beforeEvent, if set, is called before each event.
 	beforeEvent func()
 }
 
+// newHarness returns a harness at 1000 ms with one ready node, n0, for shard 0.
 func newHarness(settings Settings) *harness {
 	h := &harness{scheduler: newScheduler(settings, 1), now: 1000, timers: map[string]float64{}}
 	h.setNodes(Node{Addr: "n0", Health: Ready, Shard: 0, Zone: "z"})
 	return h
 }
 
+// handle passes ev to the scheduler at the current time and records the actions.
 func (h *harness) handle(ev Event) []Action {
 	if h.beforeEvent != nil {
 		h.beforeEvent()
@@ -57,10 +60,13 @@
 	return emitted
 }
 
+// setNodes replaces the node list.
 func (h *harness) setNodes(nodes ...Node) []Action {
 	return h.handle(NodeList{Full: true, Nodes: nodes})
 }
 
+// submit sends a request for shard 0 that expires in 1000 ms, with the plan's name as volume, and
+// returns its ID.
 func (h *harness) submit(class, plan, key string, units float64) string {
 	h.requestCount++
 	id := fmt.Sprintf("%016x", h.requestCount)
@@ -69,7 +75,7 @@
 	return id
 }
 
-// advance lets time go by, firing timers.
+// advance moves the clock forward by duration, ms, and fires the timers that come due.
 func (h *harness) advance(duration float64) {
 	for end := h.now + duration; ; {
 		nextTimer, nextTime := "", end
@@ -87,11 +93,13 @@
 	}
 }
 
+// endAttempt reports the end, after 20 ms, of a request's last attempt at n0.
 func (h *harness) endAttempt(id string, result Result) {
 	attempts := h.sendCount(id)
 	h.handle(Outcome{ID: id, Node: "n0", Attempt: attempts - 1, Done: result == Served, Elapsed: 20, Result: result})
 }
 
+// sendCount returns the number of attempts that were sent for a request.
 func (h *harness) sendCount(id string) (n int) {
 	for _, a := range h.actions {
 		if send, ok := a.(Send); ok && send.ID == id {
@@ -101,6 +109,7 @@
 	return n
 }
 
+// finalAnswers returns "refuse" or "fail" for each final answer of a request, concatenated.
 func (h *harness) finalAnswers(id string) string {
 	answers := ""
 	for _, a := range h.actions {
--- a/policy/limitcache_test.go
+++ b/policy/limitcache_test.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// schedulerPair are two schedulers of one seed; the second looks through every queue at every
-// send, as if nothing were remembered of limits.
+// schedulerPair holds two schedulers with the same seed. The second one's record of when limits open is
+// cleared before each event, so that it examines every queue at every dispatch.
 type schedulerPair struct {
 	t                *testing.T
 	cached, uncached *harness
 }
 
+// newSchedulerPair returns a pair with a limited plan and one ready node.
 func newSchedulerPair(t *testing.T) *schedulerPair {
 	s := testSettings()
 	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 40, 8, 4
@@ -32,9 +33,9 @@
 	return pair
 }
 
-// applyToBoth does the same to the two, whose timers are their own, and compares what they
-// decided and when. Timers are left out: without memory some are set for times that
-// nothing comes of.
+// applyToBoth applies the same calls to both schedulers, each with its own timers, and compares their
+// actions and the times of these. SetTimer is left out: without the record some timers are set that
+// lead to no action.
 func (pair *schedulerPair) applyToBoth(apply func(h *harness)) {
 	pair.t.Helper()
 	var actions [2][]Action
@@ -45,10 +46,10 @@
 		for i, a := range h.actions {
 			if _, timer := a.(SetTimer); !timer {
 				switch s := a.(type) {
-				case Send: // its end is reckoned from the moment of sending
+				case Send: // depends on the time of the send, which is compared with a tolerance
 					s.TimeoutAt = 0
 					a = s
-				case Refuse: // the reason tells when a limit was last looked at, and decides nothing
+				case Refuse: // depends on when a limit was last examined, which decides nothing
 					s.Cause = ReasonNone
 					a = s
 				case Fail:
@@ -60,17 +61,17 @@
 		}
 	}
 	if !slices.Equal(actions[0], actions[1]) || !slices.EqualFunc(times[0], times[1], func(x, y float64) bool { return math.Abs(x-y) < 1e-3 }) {
-		pair.t.Fatalf("%v at %v\n%v at %v without memory", actions[0], times[0], actions[1], times[1])
+		pair.t.Fatalf("actions %v at %v\nwant %v at %v, as without the record of when limits open", actions[0], times[0], actions[1], times[1])
 	}
 }
 
-// What is remembered of limits changes no decision.
+// The record of when limits open must not change any decision.
 func TestLimitCacheChangesNoDecision(t *testing.T) {
 	total := 0
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		pair := newSchedulerPair(t)
-		sends := 0
+		ended := 0
 		for k := range 1500 {
 			elapsed := rng.Float64() * 8
 			pair.applyToBoth(func(h *harness) { h.advance(elapsed) })
@@ -85,7 +86,7 @@
 				ev = Request{ID: fmt.Sprintf("%016x", k), Class: []string{"read", "write", "turns"}[rng.IntN(3)], Plan: plan, Key: fmt.Sprint(rng.IntN(4)), Volume: fmt.Sprint(plan, rng.IntN(3)), Units: 1 + float64(rng.IntN(4)), Expires: now + 1000, Hosts: 1}
 			case draw < 9 && len(pair.cached.scheduler.shards) > 0 && len(pair.cached.scheduler.shards[0].outstanding) > 0:
 				r := pair.cached.scheduler.shards[0].outstanding[0]
-				sends++
+				ended++
 				result := []Result{Served, Served, Served, Served, ServerError, Rejected, NoAnswer, ConnectionLost}[rng.IntN(8)]
 				ev = Outcome{ID: r.ID, Node: "n0", Attempt: r.attempts - 1, Done: result == Served, Elapsed: now - r.sentAt, Result: result}
 			case rng.IntN(20) == 0:
@@ -99,15 +100,15 @@
 			}
 			pair.applyToBoth(func(h *harness) { h.handle(ev) })
 		}
-		total += sends
+		total += ended
 	}
 	if total < 3000 {
-		t.Fatalf("only %d sends", total)
+		t.Fatalf("%d attempts ended with all seeds, want at least 3000", total)
 	}
 }
 
-// BenchmarkLimitedQueue is the cost of an event while a limit holds thousands of requests:
-// the time with what is remembered over the time without.
+// BenchmarkLimitedQueue measures what the record of when limits open saves while a limit holds thousands
+// of requests: the ratio of the time of an event with the record to that without.
 func BenchmarkLimitedQueue(b *testing.B) {
 	run := func(uncached bool) time.Duration {
 		s := testSettings()
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -22,7 +22,7 @@
 			h.endAttempt(id, NoAnswer)
 			return id
 		}},
-		{"no answer at the deadline, unsafe", "once", "fail", func(h *harness, submit func() string) string {
+		{"no answer at the deadline, non-idempotent", "once", "fail", func(h *harness, submit func() string) string {
 			id := submit()
 			h.advance(1000)
 			h.endAttempt(id, NoAnswer)
@@ -50,7 +50,7 @@
 	}{
 		{"read", ServerError, 10, 2, ""},
 		{"write", ServerError, 10, 2, ""},
-		{"write", ServerError, 900, 1, "fail"}, // past the window
+		{"write", ServerError, 900, 1, "fail"}, // past DedupWindow
 		{"once", ServerError, 10, 1, "fail"},
 		{"once", Rejected, 10, 2, ""},
 	}
@@ -74,18 +74,18 @@
 	first, second := h.submit("turns", "high", "k", 2), h.submit("turns", "high", "k", 2)
 	other := h.submit("turns", "high", "other", 2)
 	if h.sendCount(first) != 1 || h.sendCount(second) != 0 || h.sendCount(other) != 1 {
-		t.Fatal("only the first of a key may be out")
+		t.Fatal("want only the first request of each key sent")
 	}
-	h.endAttempt(first, NoAnswer) // goes again, after the rest
+	h.endAttempt(first, NoAnswer) // is sent again after its key's hold-off
 	if h.advance(150); h.sendCount(first) != 1 || h.sendCount(second) != 0 {
-		t.Fatal("the key did not rest")
+		t.Fatal("a request was sent during its key's hold-off")
 	}
 	if h.advance(100); h.sendCount(first) != 2 {
-		t.Fatal("the first was not sent again")
+		t.Fatal("the first request was not sent again after the hold-off")
 	}
 	h.endAttempt(first, Served)
 	if h.sendCount(second) != 1 {
-		t.Fatal("the second did not follow")
+		t.Fatal("the second request was not sent after the first was served")
 	}
 }
 
@@ -101,7 +101,7 @@
 		h.advance(20)
 	}
 	if retries < 1 || retries > 1+8/4 {
-		t.Errorf("%d further attempts", retries)
+		t.Errorf("%d retries, want 1 to 3", retries)
 	}
 }
 
@@ -115,10 +115,10 @@
 	}
 	deferred := h.scheduler.shards[0].deferred
 	if deferred.len() == 0 {
-		t.Fatal("nothing was shed")
+		t.Fatal("no request deferred, want some")
 	}
 	if deferred.all[0].flow != 0 {
-		t.Errorf("first shed is of the dearer plan")
+		t.Errorf("first deferred request is of plan high, want low")
 	}
 	_, _ = low, high
 }
@@ -133,11 +133,11 @@
 	h.advance(60000)
 	p := h.scheduler
 	if len(p.requests)+len(p.keyQueues)+len(p.volumes)+len(p.timers) > 1 {
-		t.Errorf("left: %d requests, %d keys, %d volumes, %d timers", len(p.requests), len(p.keyQueues), len(p.volumes), len(p.timers))
+		t.Errorf("left: %d requests, %d key queues, %d volumes, %d timers; want at most one in all", len(p.requests), len(p.keyQueues), len(p.volumes), len(p.timers))
 	}
 }
 
-// A client that leaves before its answer can come is told so at once.
+// A request that can't be answered before its client gives up must be refused at once.
 func TestUnservableRequestIsRefusedAtOnce(t *testing.T) {
 	h := newHarness(testSettings())
 	h.scheduler.shards[0].serviceTime = decayingMean{100, 100 * 100}
@@ -150,27 +150,27 @@
 	for timeLeft, want := range map[float64]string{50: "refuse", 150: ""} {
 		id := submit(timeLeft)
 		if got := h.finalAnswers(id); got != want || (h.sendCount(id) == 0) != (want == "refuse") {
-			t.Errorf("client leaves in %v: final %q, %d sends", timeLeft, got, h.sendCount(id))
+			t.Errorf("expires in %v ms: final answer %q, %d sends; want a refusal without a send only at 50 ms", timeLeft, got, h.sendCount(id))
 		}
 	}
 }
 
-// A late answer must not delay what other hosts have due at a busy node.
+// A request that is past its latency target must not delay other hosts' requests at a busy node.
 func TestDeferredSentOnlyToIdleNode(t *testing.T) {
 	for serviceTime, want := range map[float64]int{20: 1, 200: 0} {
 		h := newHarness(testSettings())
 		h.setNodes()
 		id := h.submit("read", "high", "", 2)
-		h.advance(350) // past its aim
+		h.advance(350) // past its latency target
 		h.scheduler.shards[0].serviceTime, h.scheduler.unloadedServiceTime = decayingMean{100, 100 * serviceTime}, 30
 		h.setNodes(Node{Addr: "n0", Health: Ready})
 		if h.sendCount(id) != want {
-			t.Errorf("service %v: %d sends, want %d", serviceTime, h.sendCount(id), want)
+			t.Errorf("service time %v ms: %d sends, want %d", serviceTime, h.sendCount(id), want)
 		}
 	}
 }
 
-// An attempt whose answer never comes must not hold depth until its client leaves.
+// An attempt whose answer never comes must not occupy depth until the request expires.
 func TestStuckAttemptsTimeOut(t *testing.T) {
 	for class, want := range map[string]float64{"read": 1450, "write": 1750, "once": 0} {
 		h := newHarness(testSettings())
@@ -178,14 +178,14 @@
 		id := h.submit(class, "high", "", 2)
 		for _, a := range h.actions {
 			if send, ok := a.(Send); ok && send.ID == id && send.TimeoutAt != want {
-				t.Errorf("%s: given up at %v, want %v", class, send.TimeoutAt, want)
+				t.Errorf("%s: times out at %v, want %v", class, send.TimeoutAt, want)
 			}
 		}
 	}
 }
 
-// A small request is answered sooner than the mean tells: clients with little
-// time left get theirs, and a large answer does not count as a slow node.
+// Service time grows with a request's size: a small request must still be sent with little time left, and
+// a large one's answer must not make the node look slow.
 func TestServiceTimeScalesWithSize(t *testing.T) {
 	for units, want := range map[float64]int{1: 1, 4: 0} {
 		h := newHarness(testSettings())
@@ -202,11 +202,11 @@
 	id := h.submit("read", "high", "", 4)
 	h.handle(Outcome{ID: id, Node: "n0", Done: true, Elapsed: 40, Result: Served})
 	if got := h.scheduler.shards[0].serviceTime; got.sum != 20 {
-		t.Errorf("twice the mean size in twice the time taught %v", got.sum)
+		t.Errorf("service time %v ms learned from twice the mean size in 40 ms, want 20", got.sum)
 	}
 }
 
-// Requests that count no units must not reach the fit or the optimizer.
+// Requests of zero units must not make the shares or the models' output infinite or NaN.
 func TestZeroUnitsKeepSharesFinite(t *testing.T) {
 	h := newHarness(testSettings())
 	for range 200 {
@@ -216,13 +216,13 @@
 	}
 	for _, share := range append(h.scheduler.shares.share, h.scheduler.shares.output...) {
 		if math.IsNaN(share) || math.IsInf(share, 0) {
-			t.Fatalf("shares %v, last sample %v", h.scheduler.shares.share, h.scheduler.shares.output)
+			t.Fatalf("shares %v, last output %v; want finite values", h.scheduler.shares.share, h.scheduler.shares.output)
 		}
 	}
 }
 
-// Before a node that is full or does not answer, many hosts must not each try
-// once a second: it would never drain. A dead node is tried as often as ever.
+// A node that is full or does not answer would never drain if each of many hosts tried it once a second,
+// so the longest backoff must grow with their number. For a node that refuses connections it must not.
 func TestBackoffGrowsWithHosts(t *testing.T) {
 	for _, tt := range []struct {
 		hosts       int
@@ -240,12 +240,12 @@
 			h.scheduler.recordOutcome(&request{shard: h.scheduler.shards[0]}, n, Outcome{Result: tt.result, Elapsed: 400})
 		}
 		if math.Abs(n.backoff-tt.wantBackoff) > 1 {
-			t.Errorf("%+v: held for %v", tt, n.backoff)
+			t.Errorf("%+v: got a backoff of %v ms", tt, n.backoff)
 		}
 	}
 }
 
-// Contradicting settings get the careful reading, and no panic.
+// Missing or contradictory settings must be read conservatively and must not cause a panic.
 func TestContradictorySettings(t *testing.T) {
 	coldNode := Node{Addr: "n0", Health: Ready, Started: 1001} // after this host's own start
 	tests := []struct {
@@ -255,8 +255,8 @@
 	}{
 		{"no hosts", func(s *Settings) { s.Hosts = 0 }, 1},
 		{"no cold units", func(s *Settings) { s.Rules.ColdUnits = 0 }, 0},
-		{"no fall time", func(s *Settings) { s.Rules.ColdUnits, s.Rules.OverloadWindow = 0, 0 }, 0},
-		{"no cold share", func(s *Settings) { s.Rules.ColdCapacity = 0 }, 1},
+		{"no overload window", func(s *Settings) { s.Rules.ColdUnits, s.Rules.OverloadWindow = 0, 0 }, 0},
+		{"no cold capacity", func(s *Settings) { s.Rules.ColdCapacity = 0 }, 1},
 		{"no plans, no classes", func(s *Settings) { s.Plans, s.Classes = nil, nil }, 1},
 		{"no units", func(s *Settings) { s.MeanUnits, s.MaxUnits = 0, 0 }, 1},
 	}
@@ -273,18 +273,18 @@
 	}
 	h := newHarness(testSettings())
 	h.scheduler.settings.Classes[1].DedupScope = DedupZone
-	h.setNodes(Node{Addr: "n0", Health: Ready}) // its zone is not told
+	h.setNodes(Node{Addr: "n0", Health: Ready}) // without a zone
 	r := &request{class: &h.scheduler.settings.Classes[1], mayHaveRunOn: h.scheduler.nodes["n0"], mayHaveRunAt: h.now}
 	if h.scheduler.now = h.now; h.scheduler.mayRepeat(r, &node{}) || !h.scheduler.mayRepeat(r, h.scheduler.nodes["n0"]) {
-		t.Error("two nodes without a zone were taken to share one")
+		t.Error("want retries at the same node only: nodes without a zone do not share one")
 	}
 	h.handle(Request{ID: "ff", Class: "read", Plan: "high", Volume: "w", Units: 2, Expires: h.now + 900, Hosts: 1000})
 	if v := h.scheduler.volumes["w"]; v.fairRate > 0 || v.limitRate > 0 {
-		t.Errorf("a plan without a rate got %v, %v", v.fairRate, v.limitRate)
+		t.Errorf("plan without a rate or limit: fair rate %v, limit rate %v, want none", v.fairRate, v.limitRate)
 	}
 }
 
-// Messages, probes and figures that the module does not use change nothing.
+// Events that the scheduler does not use, or that name nothing it knows, must have no effect.
 func TestUnusedEventsAreIgnored(t *testing.T) {
 	h := newHarness(testSettings())
 	for _, ev := range []Event{PeerMessage{From: -1}, PeerMessage{Data: make([]byte, 1<<16)},
@@ -292,11 +292,11 @@
 		StreamStarted{ID: "none"}, ClientGone{ID: "none"}, Outcome{ID: "none"}, TimerFired{"none"}} {
 		if got := h.handle(ev); len(got) > 0 {
 			if _, ok := got[0].(SetTimer); !ok {
-				t.Errorf("%#v: %v", ev, got)
+				t.Errorf("%#v: actions %v, want none or a timer", ev, got)
 			}
 		}
 	}
 	if id := h.submit("read", "high", "", 2); h.sendCount(id) != 1 {
-		t.Error("the next request did not go")
+		t.Error("the next request was not sent")
 	}
 }
--- a/policy/rate_test.go
+++ b/policy/rate_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// gatewaySettings are those of one gateway of three before nine disk servers.
+// gatewaySettings returns the settings of one of three gateways in front of nine disk servers.
 func gatewaySettings() Settings {
 	return Settings{Hosts: 3, Tick: 1, Shards: 9, MeanUnits: 2, MaxUnits: 6, FairFactor: 1, SpareFactor: 0.05,
 		Classes: []Class{
@@ -24,12 +24,13 @@
 			HasBudget: true, BudgetBase: 3, BudgetRatio: 0.25, BudgetWindow: 5000}}
 }
 
-// timedOutcome is an outcome on its way.
+// timedOutcome is an outcome to be delivered, or a timer to be fired, at dueAt.
 type timedOutcome struct {
 	dueAt   float64
 	outcome Outcome
 }
 
+// outcomeHeap is a heap.Interface with the earliest entry first.
 type outcomeHeap []timedOutcome
 
 func (h outcomeHeap) Len() int           { return len(h) }
@@ -43,16 +44,17 @@
 	return x
 }
 
-// idleFleetSim answers every attempt after 1 ms, but turns 2% of the first ones away.
+// idleFleetSim simulates one host and nodes that answer every attempt after 1 ms, but reject 2% of the
+// first attempts.
 type idleFleetSim struct {
 	scheduler Scheduler
 	rng       *rand.Rand
 	now       float64
 	outcomes  outcomeHeap
-	timers    outcomeHeap // Outcome.ID is the timer's name
-	attempts  map[string]int
-	countFrom int // requests from this number on are counted
-	unserved  int // of them, refused or failed
+	timers    outcomeHeap    // with the timer's name as Outcome.ID
+	attempts  map[string]int // sent for each request that is not over
+	countFrom int            // lowest number of a request that unserved counts
+	unserved  int            // requests that were refused or failed
 }
 
 func (sim *idleFleetSim) handle(ev Event) {
@@ -76,6 +78,7 @@
 	}
 }
 
+// countUnserved counts a request that was refused or failed.
 func (sim *idleFleetSim) countUnserved(id string) {
 	delete(sim.attempts, id)
 	if n, err := strconv.Atoi(id); err == nil && n >= sim.countFrom {
@@ -83,7 +86,7 @@
 	}
 }
 
-// runUntil plays everything that comes due before t.
+// runUntil delivers the outcomes and fires the timers that are due before end.
 func (sim *idleFleetSim) runUntil(end float64) {
 	for {
 		nextOutcome, nextTimer := end, end
@@ -112,7 +115,8 @@
 	}
 }
 
-// offerLoad asks for that rate a second for so many ms and returns the requests asked.
+// offerLoad submits requests, numbered from lastID+1 on, at that rate a second for duration ms, and returns
+// their number.
 func (sim *idleFleetSim) offerLoad(rate, duration float64, lastID int) int {
 	end := sim.now + duration
 	id := lastID
@@ -137,6 +141,7 @@
 	}
 }
 
+// newIdleFleetSim returns a simulation of nine nodes.
 func newIdleFleetSim() *idleFleetSim {
 	sim := &idleFleetSim{scheduler: New(gatewaySettings(), 1), rng: rand.New(rand.NewPCG(1, 2)), now: 1000, attempts: map[string]int{}}
 	var nodes []Node
@@ -147,8 +152,8 @@
 	return sim
 }
 
-// BenchmarkRate measures the module at a gateway's rates: its cost for a request
-// and, of an idle fleet, the part refused after the first two seconds.
+// BenchmarkRate measures the scheduler at a gateway's rates: the cost of a request, and the percentage
+// that ends unserved with an idle fleet after the first two seconds.
 func BenchmarkRate(b *testing.B) {
 	for _, rate := range []float64{500, 5000, 50000} {
 		b.Run(fmt.Sprintf("rate=%.0f", rate), func(b *testing.B) {
@@ -161,7 +166,7 @@
 				start := time.Now()
 				requests += sim.offerLoad(rate, 3000, warmUp)
 				elapsed += time.Since(start)
-				sim.runUntil(sim.now + 5000) // to the end of all that was asked
+				sim.runUntil(sim.now + 5000) // until every request has ended
 				unserved += sim.unserved
 			}
 			b.ReportMetric(float64(elapsed.Microseconds())/float64(requests), "us/request")
@@ -170,9 +175,8 @@
 	}
 }
 
-// At thousands of requests a second a node that turns a few away is not full: a
-// pause for each of them would keep an idle fleet from work, and a depth that
-// rises by the law's small steps would take a minute to give it enough.
+// At thousands of requests a second, a backoff after each of a few rejections would keep an idle fleet
+// from work, and so would a depth that rises only by small steps.
 func TestIdleFleetAtHighRate(t *testing.T) {
 	sim := newIdleFleetSim()
 	warmUp := sim.offerLoad(20000, 3000, 0)
@@ -180,26 +184,26 @@
 	requests := sim.offerLoad(20000, 1000, warmUp)
 	sim.runUntil(sim.now + 5000)
 	if sim.unserved*100 > requests {
-		t.Errorf("%d of %d refused by an idle fleet", sim.unserved, requests)
+		t.Errorf("%d of %d requests unserved by an idle fleet, want at most 1 in 100", sim.unserved, requests)
 	}
 }
 
-// A node that turns most away is left alone, at any rate.
+// A node that rejects most attempts must be left alone for a while, at any rate of requests.
 func TestBackoffFromFullNode(t *testing.T) {
 	sim := newIdleFleetSim()
 	sim.offerLoad(20000, 3000, 0)
 	sh := sim.scheduler.(*scheduler).shards[0]
-	for range 200 { // a whole queue stands before what comes now
+	for range 200 { // as if the node had just rejected a whole queue
 		sh.node.rejectedShort.add(sim.now, rejectSpan)
 	}
 	sim.handle(Request{ID: "x", Class: "read", Plan: "normal", Volume: "v", Shard: 0, Units: 1, Expires: sim.now + 2000, Hosts: 3})
 	sim.handle(Outcome{ID: "x", Node: sh.node.Addr, Result: Rejected})
 	if sh.node.backoffEnd <= sim.now {
-		t.Error("not left alone")
+		t.Error("no backoff after most attempts were rejected, want one")
 	}
 }
 
-// What the module remembers of the past does not grow with the time that it runs.
+// What the scheduler keeps of the past must not grow with its running time.
 func TestMemoryIsBounded(t *testing.T) {
 	sim := newIdleFleetSim()
 	lastID := sim.offerLoad(5000, 8000, 0)
@@ -217,13 +221,13 @@
 	before := recordCount()
 	sim.offerLoad(5000, 8000, lastID)
 	if after := recordCount(); after > before+before/2 {
-		t.Errorf("%d records after 8 s, %d after 16 s", before, after)
+		t.Errorf("%d records after 8 s, %d after 16 s, want at most half as many again", before, after)
 	}
 }
 
-// A limit's parts pass between two hosts again and again: whatever is asked of both, they
-// never pass it together, what is given back is spent, and nothing that a large part held
-// waits for a small one's pace for ever.
+// While fractions of a limit move between two hosts under overload, the hosts together must never exceed
+// the limit. What one gives up must be used, and requests that waited under a large fraction must not
+// wait forever under a small one.
 func TestLimitHoldsWhileFractionsMove(t *testing.T) {
 	s := testSettings()
 	s.Plans[0].Limit, s.Plans[0].Burst, s.Plans[0].Overdraft = 40, 8, 4
@@ -244,7 +248,7 @@
 			id := fmt.Sprint(i, "-", h.requestCount)
 			h.handle(Request{ID: id, Class: "read", Plan: "low", Volume: "v", Units: 1 + float64(rng.IntN(3)), Expires: h.now + 400, Hosts: 1, Fraction: fractions[i], FractionSince: since[i]})
 			h.advance(5)
-			for k := 0; k < len(h.actions); k++ { // those of the last change too
+			for k := 0; k < len(h.actions); k++ { // including sends caused by the last VolumeChanged
 				if send, ok := h.actions[k].(Send); ok {
 					sends = append(sends, limitedSend{h.actionTimes[k], h.scheduler.requests[send.ID].Units})
 					h.handle(Outcome{ID: send.ID, Node: "n0", Attempt: 0, Done: true, Elapsed: 1, Result: Served})
@@ -255,7 +259,7 @@
 		if step%300 != 299 {
 			continue
 		}
-		// First everyone gives up what it is to have no more, then others get it.
+		// Fractions are reduced first and only then increased elsewhere.
 		next := [][2]float64{{0.5, 0.5}, {1, negligible}, {negligible, 1}, {0.25, 0.5}}[rng.IntN(4)]
 		for i, h := range hosts {
 			fractions[i] = min(fractions[i], next[i])
@@ -273,16 +277,16 @@
 	for _, send := range sends {
 		level, levelAt = min(level+s.Plans[0].Limit*(send.sentAt-levelAt)/1000, s.Plans[0].Burst)-send.units, send.sentAt
 		if total += send.units; level < -s.Plans[0].Overdraft-1e-9 {
-			t.Fatalf("%.2f units below the limit at %.0f", -level, send.sentAt)
+			t.Fatalf("%.2f units below the limit's empty bucket at %.0f ms, want at most the overdraft", -level, send.sentAt)
 		}
 	}
 	if allowed := s.Plans[0].Limit * hosts[0].now / 1000; total < 0.6*allowed {
-		t.Errorf("%.0f units passed, the limit bears %.0f", total, allowed)
+		t.Errorf("sent %.0f units, want at least 0.6 of the %.0f that the limit admits", total, allowed)
 	}
 }
 
-// Units that attempts hold which find no connection come back, but not what the bucket would
-// have lost to its cap meanwhile: what passes keeps to the limit in every window.
+// Units charged by attempts that found no connection must be refunded, but not those that the full bucket
+// would have discarded meanwhile: the units sent must keep to the limit in every window.
 func TestUnitsThatComeBackFillNothing(t *testing.T) {
 	s := testSettings()
 	s.Rules.MaxSendDelay, s.Limits.MaxAttempts = 300, 4
@@ -341,11 +345,12 @@
 		collectSends()
 	}
 	if minLevel < -6 || passedCount < 100 {
-		t.Errorf("%d passed, the bucket fell to %.1f, -6 is allowed", passedCount, minLevel)
+		t.Errorf("%d requests sent to n0, lowest bucket level %.1f; want at least 100 and at least -6", passedCount, minLevel)
 	}
 }
 
-// Units that were taken under a larger part of the limit and come back find the smaller one.
+// Units that were charged while this host had the whole limit, and are refunded when it has a third, must
+// not exceed that third.
 func TestRefundUnderSmallerFraction(t *testing.T) {
 	s := testSettings()
 	s.Rules.MaxSendDelay, s.Limits.MaxAttempts = 300, 4
@@ -377,12 +382,12 @@
 			}
 		}
 	}
-	submitMany() // what the smaller part has
+	submitMany() // spends the third
 	for i, id := range unreachable {
 		h.handle(Outcome{ID: id, Node: fmt.Sprint("cut", i+1), Result: NoConnection, Done: true, Elapsed: 250})
 	}
-	submitMany() // and what came back
+	submitMany() // and the refund
 	if allowed := 36.0/3 + 6.0/3; passedUnits > allowed {
-		t.Errorf("%v units passed at once, its part is %v", passedUnits, allowed)
+		t.Errorf("sent %v units at once, want at most %v", passedUnits, allowed)
 	}
 }
--- a/policy/reason_test.go
+++ b/policy/reason_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// endReason returns the reason of a request's end, ReasonNone where it has none.
+// endReason returns the reason of a request's final answer, ReasonNone if it has none.
 func (h *harness) endReason(id string) Reason {
 	for _, a := range h.actions {
 		switch a := a.(type) {
@@ -19,7 +19,7 @@
 	return ReasonNone
 }
 
-// Each reason by a request that meets just that.
+// Each scenario must end a request with its reason, and every reason must have a name.
 func TestReasons(t *testing.T) {
 	for want, scenario := range map[Reason]func(h *harness) string{
 		ReasonNoNode: func(h *harness) string {
@@ -68,7 +68,7 @@
 		id := scenario(h)
 		h.advance(1200)
 		if got := h.endReason(id); got != want {
-			t.Errorf("%v, want %v", got, want)
+			t.Errorf("reason %v, want %v", got, want)
 		}
 	}
 	for r := range Reason(ReasonCount) {
--- a/policy/revise_test.go
+++ b/policy/revise_test.go
@@ -10,14 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// endAttemptFast ends an attempt of a request that is out.
+// endAttemptFast reports the end, after 5 ms, of a request's outstanding attempt at n0.
 func (h *harness) endAttemptFast(id string, result Result) {
 	h.handle(Outcome{ID: id, Node: "n0", Done: result == Served, Elapsed: 5, Result: result})
 }
 
-// A limit changed ten times a second, at eight times its rate: what passes stays under
-// the integral of the limit and one store, and falls short of it by no more than the
-// stores that were cut away.
+// While a limit changes ten times a second, at eight times its load, the units sent must stay below the
+// integral of the limit plus one bucket. They may fall short of it by what shrinking buckets discard.
 func TestLimitUnderFrequentChanges(t *testing.T) {
 	for seed := range uint64(5) {
 		s := testSettings()
@@ -36,13 +35,13 @@
 				discarded += max(buckets.limitLevel-buckets.limitFloor-(next.Plans[0].Burst-limitFloor), 0)
 			}
 			h.handle(SettingsChanged{next})
-			for range 16 { // of 1 unit each 100 ms: eight times the mean limit
+			for range 16 { // of 1 unit, each 100 ms: eight times the mean limit
 				id := h.submit("read", "low", "", 1)
 				unitsByID[id] = 1
 			}
 			h.advance(100)
 			limitIntegral += next.Plans[0].Limit / 10
-			for ; examined < len(h.actions); examined++ { // also what an answer lets go
+			for ; examined < len(h.actions); examined++ { // including sends that an outcome causes
 				if send, ok := h.actions[examined].(Send); ok {
 					sentUnits += unitsByID[send.ID]
 					h.endAttemptFast(send.ID, Served)
@@ -50,15 +49,15 @@
 			}
 		}
 		maxSent := limitIntegral + initialPlan.Burst + initialPlan.Overdraft
-		minSent := limitIntegral - discarded - initialPlan.Burst - 2 // a request may stand before the gate, and one lies within rounding
+		minSent := limitIntegral - discarded - initialPlan.Burst - 2 // one request may wait for tokens, and one is for rounding
 		if sentUnits > maxSent || sentUnits < minSent {
-			t.Errorf("seed %d: %.1f units passed, the integral is %.1f, bounds %.1f and %.1f", seed, sentUnits, limitIntegral, minSent, maxSent)
+			t.Errorf("seed %d: sent %.1f units, integral of the limit %.1f, want %.1f to %.1f", seed, sentUnits, limitIntegral, minSent, maxSent)
 		}
-		t.Logf("seed %d: %.0f units passed, integral of the limit %.1f, bounds %.1f to %.1f (%.1f units of stores cut away)", seed, sentUnits, limitIntegral, minSent, maxSent, discarded)
+		t.Logf("seed %d: sent %.0f units, integral of the limit %.1f, bounds %.1f to %.1f (%.1f units discarded by shrinking buckets)", seed, sentUnits, limitIntegral, minSent, maxSent, discarded)
 	}
 }
 
-// A request ends under what it was taken under: attempts and class.
+// A request must keep the number of attempts and the class that were in force when it arrived.
 func TestRequestKeepsSettingsOfItsArrival(t *testing.T) {
 	h := newHarness(testSettings())
 	earlier := h.submit("read", "high", "", 2)
@@ -69,18 +68,18 @@
 	h.endAttemptFast(earlier, ConnectionLost)
 	h.advance(200)
 	if n := h.sendCount(earlier); n != 2 {
-		t.Errorf("%d attempts of a read that was safe when it was taken", n)
+		t.Errorf("%d attempts of a read that was idempotent when it arrived, want 2", n)
 	}
 	h.endAttemptFast(earlier, Served)
 	later := h.submit("read", "high", "", 2)
 	h.endAttemptFast(later, ConnectionLost)
 	h.advance(600)
 	if n := h.sendCount(later); n > 1 {
-		t.Errorf("%d attempts of a request that is unsafe and may have one", n)
+		t.Errorf("%d attempts of a non-idempotent request with MaxAttempts 1, want at most 1", n)
 	}
 }
 
-// Where nothing was limited nothing may be counted on: a limit that is new begins empty.
+// The bucket of a new limit must start empty, since earlier units were not charged.
 func TestNewLimitStartsEmpty(t *testing.T) {
 	h := newHarness(testSettings())
 	h.submit("read", "high", "", 2)
@@ -99,18 +98,18 @@
 		}
 	}
 	if sends > 0 {
-		t.Errorf("%d sends at the moment a limit began", sends)
+		t.Errorf("%d sends at the start of a limit, want none", sends)
 	}
 }
 
-// A limit that is lowered below what is out: what is out goes on, nothing more goes until
-// the store has filled, and nothing is charged again.
+// When a limit is lowered below the units that are outstanding, these must not be charged again, and
+// nothing more may be sent until the bucket has refilled.
 func TestLimitLoweredBelowOutstanding(t *testing.T) {
 	h := newHarness(testSettings())
 	first := h.submit("read", "low", "", 1)
 	h.advance(500)
 	h.endAttemptFast(first, Served)
-	h.advance(5000) // the store is full
+	h.advance(5000) // the bucket is full
 	ids := []string{}
 	for range 6 {
 		ids = append(ids, h.submit("read", "low", "", 1))
@@ -120,14 +119,14 @@
 		outstanding += h.sendCount(id)
 	}
 	if outstanding < 4 {
-		t.Fatalf("only %d are out", outstanding)
+		t.Fatalf("%d requests outstanding, want at least 4", outstanding)
 	}
 	next := testSettings()
 	next.Plans[0].Limit, next.Plans[0].Burst, next.Plans[0].Overdraft = 2, 1, 0
 	h.handle(SettingsChanged{next})
 	buckets := h.scheduler.volumes["low"]
 	if buckets.limitLevel > 1 || buckets.limitLevel < buckets.limitFloor {
-		t.Errorf("the store holds %v after the change, its floor is %v", buckets.limitLevel, buckets.limitFloor)
+		t.Errorf("limit level %v after the change, want at most 1 and at least the floor %v", buckets.limitLevel, buckets.limitFloor)
 	}
 	for _, id := range ids {
 		h.endAttemptFast(id, Served)
@@ -135,12 +134,12 @@
 	later := h.submit("read", "low", "", 1)
 	h.advance(990)
 	if h.sendCount(later) != 0 && buckets.limitLevel < buckets.limitFloor {
-		t.Errorf("sent from a store of %v, its floor is %v", buckets.limitLevel, buckets.limitFloor)
+		t.Errorf("sent at limit level %v, want at least the floor %v", buckets.limitLevel, buckets.limitFloor)
 	}
 }
 
-// What was learnt stays when settings change, and a plan that goes and comes keeps its
-// requests.
+// A change of settings must keep learned state and the requests of removed plans, and plans that are
+// added and removed must not accumulate.
 func TestSettingsChangeKeepsLearnedState(t *testing.T) {
 	h := newHarness(testSettings())
 	for range 200 {
@@ -154,26 +153,26 @@
 	next.Plans = append(next.Plans, Plan{Name: "mid", Price: 1, Weight: 1})
 	h.handle(SettingsChanged{next})
 	if h.scheduler.shards[0].depth != depth || h.scheduler.shards[0].serviceTime != serviceTime {
-		t.Error("the depth was forgotten")
+		t.Error("depth or service time changed with the settings, want the learned ones")
 	}
 	if model := h.scheduler.shares.models[1]; model.theta[0] != theta[0] || model.theta[2] != theta[2] || model.theta[3] != 0 || model.theta[4] != theta[3] {
-		t.Errorf("%v became %v", theta, model.theta)
+		t.Errorf("model parameters %v became %v, want the same with 0 for the new plan", theta, model.theta)
 	}
 	sum := 0.0
 	for _, share := range h.scheduler.shares.share {
 		sum += share
 	}
 	if math.Abs(sum-1) > 1e-9 || h.scheduler.shares.share[0]/h.scheduler.shares.share[1] != shares[0]/shares[1] {
-		t.Errorf("%v became %v", shares, h.scheduler.shares.share)
+		t.Errorf("shares %v became %v, want a sum of 1 and the old ratio", shares, h.scheduler.shares.share)
 	}
 	waiting := h.submit("read", "mid", "", 2)
 	next.Plans = next.Plans[:2]
 	h.handle(SettingsChanged{next})
 	h.advance(100)
 	if h.sendCount(waiting) != 1 {
-		t.Error("a request whose plan is gone was not sent")
+		t.Error("a request whose plan was removed was not sent")
 	}
-	for n := range 50 { // plans that come and go don't pile up
+	for n := range 50 { // each adds a plan and removes the one before
 		next := testSettings()
 		next.Plans = append(next.Plans, Plan{Name: fmt.Sprint("p", n), Price: 1, Weight: 1})
 		h.handle(SettingsChanged{next})
@@ -182,27 +181,27 @@
 		h.advance(1200)
 	}
 	if n := len(h.scheduler.settings.Plans); n > 5 {
-		t.Errorf("%d plans are kept", n)
+		t.Errorf("%d plans kept, want at most 5", n)
 	}
 }
 
-// Whatever settings come when, each request has one end in time.
-func TestOneFinalAnswerAcrossSettingsChanges(t *testing.T) {
+// Every request must end, whichever settings change while it waits or has an attempt outstanding.
+func TestRequestsEndAcrossSettingsChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness(testSettings())
 		expiries := map[string]float64{}
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
 				s := testSettings()
 				for i := range s.Plans {
 					s.Plans[i].Limit = float64(rapid.SampledFrom([]int{0, 1, 20}).Draw(t, "limit"))
 					s.Plans[i].Burst = float64(rapid.IntRange(1, 30).Draw(t, "burst"))
 				}
-				if rapid.Bool().Draw(t, "more") {
+				if rapid.Bool().Draw(t, "add plan") {
 					s.Plans = append(s.Plans, Plan{Name: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"), Weight: 1, Price: 3})
 				}
-				if rapid.Bool().Draw(t, "fewer") {
+				if rapid.Bool().Draw(t, "remove plan") {
 					s.Plans = s.Plans[1:]
 				}
 				s.Limits.MaxAttempts = rapid.IntRange(1, 3).Draw(t, "attempts")
@@ -224,12 +223,12 @@
 					h.endAttemptFast(id, rapid.SampledFrom([]Result{Served, ConnectionLost, Rejected, NoAnswer}).Draw(t, "result"))
 				}
 			}
-			h.advance(float64(rapid.IntRange(0, 300).Draw(t, "pass")))
+			h.advance(float64(rapid.IntRange(0, 300).Draw(t, "elapsed")))
 		}
 		h.advance(3000)
 		for id := range expiries {
 			if r := h.scheduler.requests[id]; r != nil && !r.done {
-				t.Fatalf("%s has no end", id)
+				t.Fatalf("request %s has not ended 3 s after the last event", id)
 			}
 		}
 	})
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// What no node has had is refused while its client can still do something else; what one
-// has had, or may have, is kept to its deadline.
+// A request that no node has received must be refused early enough for its client to try elsewhere;
+// one that a node has received, or may have, must be kept until shortly before its expiry.
 func TestUnreceivedRequestEndsAtWaitDeadline(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
@@ -16,34 +16,34 @@
 		endsEarly    bool
 	}{
 		{"no node", func(h *harness, id string) {}, true},
-		{"never reached", func(h *harness, id string) { h.endAttempt(id, NoConnection) }, true},
-		{"turned away", func(h *harness, id string) { h.endAttempt(id, Rejected) }, false},
-		{"failed", func(h *harness, id string) { h.endAttempt(id, ServerError) }, false},
+		{"no connection", func(h *harness, id string) { h.endAttempt(id, NoConnection) }, true},
+		{"rejected", func(h *harness, id string) { h.endAttempt(id, Rejected) }, false},
+		{"server error", func(h *harness, id string) { h.endAttempt(id, ServerError) }, false},
 	} {
 		h := newHarness(testSettings())
 		if tt.name == "no node" {
 			h.setNodes()
 		}
 		id := h.submit("read", "high", "k", 2)
-		if h.setNodes(); h.sendCount(id) > 0 { // nothing further goes out
+		if h.setNodes(); h.sendCount(id) > 0 { // without a node nothing further is sent
 			tt.firstOutcome(h, id)
 		}
 		h.advance(1000*maxWaitFraction - 5)
 		if got := h.finalAnswers(id); got != "" {
-			t.Errorf("%s: %s before its time", tt.name, got)
+			t.Errorf("%s: final answer %s before the wait deadline, want none", tt.name, got)
 		}
 		h.advance(10)
 		if got := h.finalAnswers(id); (got != "") != tt.endsEarly {
-			t.Errorf("%s: %q at half of its time", tt.name, got)
+			t.Errorf("%s: final answer %q after the wait deadline, want one only if no node received the request", tt.name, got)
 		}
 		h.advance(1000)
 		if got := h.finalAnswers(id); got == "" {
-			t.Errorf("%s: no answer", tt.name)
+			t.Errorf("%s: no final answer after the expiry, want one", tt.name)
 		}
 	}
 }
 
-// A node that fails quickly has an empty queue; new objects don't follow that.
+// A node that fails quickly has an empty queue, but must not attract new objects by that.
 func TestNewObjectsAvoidFailingNode(t *testing.T) {
 	h := newHarness(testSettings())
 	h.setNodes(Node{Addr: "n0", Health: Ready, Shard: 0, Zone: "z"}, Node{Addr: "n1", Health: Ready, Shard: 1, Zone: "z"}, Node{Addr: "n2", Health: Ready, Shard: 2, Zone: "z"})
@@ -75,15 +75,15 @@
 		}
 	}
 	if sendsByNode["n0"] > 100 || sendsByNode["n1"]+sendsByNode["n2"] < 200 {
-		t.Errorf("sent to: %v", sendsByNode)
+		t.Errorf("sends by node %v, want at most 100 to n0 and at least 200 to the others", sendsByNode)
 	}
 	if h.advance(10 * answerSpan); h.scheduler.nodes["n0"].errorFraction(h.now) > 0.001 {
-		t.Error("it is not forgotten")
+		t.Error("error fraction of n0 above 0.001 after ten times answerSpan without errors")
 	}
 }
 
-// A connection that breaks alone costs its attempt and no more; one that can't be had, or
-// breaks again and again, keeps the host away for a while.
+// A single lost connection must not stop sends to the node; a refused connection or a series of losses
+// must, for a while.
 func TestSingleLostConnectionCausesNoBackoff(t *testing.T) {
 	sendsAfter := func(results ...Result) int {
 		h := newHarness(testSettings())
@@ -101,43 +101,43 @@
 		return h.sendCount(h.submit("read", "high", "y", 2))
 	}
 	if n := sendsAfter(ConnectionLost); n != 1 {
-		t.Error("held after a lone break")
+		t.Error("want one send after a single lost connection")
 	}
 	if n := sendsAfter(NoConnection); n != 0 {
-		t.Error("not held after a refused connection")
+		t.Error("want no send right after a refused connection")
 	}
 	if n := sendsAfter(slices.Repeat([]Result{ConnectionLost}, 30)...); n != 0 {
-		t.Error("not held after nothing but breaks")
+		t.Error("want no send after 30 lost connections in a row")
 	}
 }
 
-// An attempt that later ones have overtaken is stuck by itself: what waits behind is not
-// shed for it. One that nothing has overtaken tells of a pause at once.
+// An outstanding attempt that no later one has overtaken must raise the expected service time at once,
+// since the node may have stalled. After it was overtaken it must not: then only the attempt is stuck.
 func TestServiceTimeIgnoresOvertakenAttempt(t *testing.T) {
 	h := newHarness(testSettings())
 	stuck := h.submit("read", "high", "a", 2)
 	if h.advance(5); h.sendCount(stuck) != 1 {
-		t.Fatal("not sent")
+		t.Fatal("first request not sent")
 	}
 	h.advance(250)
 	h.handle(TimerFired{Name: "wake"})
 	sh := h.scheduler.shards[0]
 	if expected := h.scheduler.expectedServiceTime(sh); expected < 120 {
-		t.Errorf("a pause shows as %.0f ms", expected)
+		t.Errorf("expected service time %.0f ms while the node stalls, want at least 120", expected)
 	}
 	id := h.submit("read", "high", "b", 2)
 	h.advance(20)
 	if h.sendCount(id) == 0 {
-		t.Fatal("there is no room for a second one")
+		t.Fatal("second request not sent")
 	}
 	h.handle(Outcome{ID: id, Node: "n0", Elapsed: 20, Result: Served, Done: true})
 	if expected := h.scheduler.expectedServiceTime(sh); expected > 100 {
-		t.Errorf("overtaken, it shows as %.0f ms", expected)
+		t.Errorf("expected service time %.0f ms after the attempt was overtaken, want at most 100", expected)
 	}
 }
 
-// What others have overtaken that were sent well after it is given up, once, and sent
-// again; not where it must not run twice, nor where the site forbids it.
+// An attempt that was overtaken by ones sent well after it must be cancelled once and sent again, but
+// not if the request must not run twice, or the site forbids cancelling or duplicate attempts.
 func TestOvertakenAttemptsAreCancelled(t *testing.T) {
 	for _, tt := range []struct {
 		class       string
@@ -149,7 +149,7 @@
 		s.Limits.Cancel, s.Limits.Duplicates = tt.cancel, tt.duplicates
 		s.Classes[0].LatencyTarget, s.Classes[1].LatencyTarget = 1000, 1000
 		h := newHarness(s)
-		for i := range 20 { // it is known to answer in 10 ms
+		for i := range 20 { // the node answers in 10 ms
 			id := h.submit("read", "high", fmt.Sprint(i), 2)
 			h.advance(10)
 			h.handle(Outcome{ID: id, Node: "n0", Elapsed: 10, Result: Served, Done: true})
@@ -166,27 +166,26 @@
 		mean := h.scheduler.meanServiceTime(h.scheduler.shards[0])
 		for i := range 12 {
 			if before := cancelCount(slow); i < 3 && before > 0 {
-				t.Errorf("%s: given up at once", tt.class)
+				t.Errorf("%s: cancelled after at most two later answers, want no cancel yet", tt.class)
 			}
 			id := h.submit("read", "high", fmt.Sprint("x", i), 2)
 			h.advance(mean)
 			h.handle(Outcome{ID: id, Node: "n0", Elapsed: mean, Result: Served, Done: true})
 		}
 		if cancels := cancelCount(slow); cancels != tt.wantCancels {
-			t.Errorf("%s, cancel %v, copies %v: given up %d times", tt.class, tt.cancel, tt.duplicates, cancels)
+			t.Errorf("%s, Cancel %v, Duplicates %v: cancelled %d times, want once if all three allow it, else never", tt.class, tt.cancel, tt.duplicates, cancels)
 		}
 		if tt.wantCancels == 1 {
 			h.handle(Outcome{ID: slow, Node: "n0", Elapsed: 12 * mean, Result: Cancelled})
 			if h.sendCount(slow) != 2 {
-				t.Errorf("%s: not sent again", tt.class)
+				t.Errorf("%s: want two sends in all after the cancel", tt.class)
 			}
 		}
 	}
 }
 
-// A client's further try of what was refused counts its aim from the first try; it goes
-// after those that can still be in time. Another request for the same piece, or one that
-// comes when the first client has long given up, is fresh; so is one with little time.
+// The latency target of a client's retry of an unserved request must count from the first try. Another
+// request with the same key, or one after the class's deadline, counts from its own arrival.
 func TestClientRetryCountsFromFirstTry(t *testing.T) {
 	h := newHarness(testSettings())
 	count := 0
@@ -197,48 +196,49 @@
 		return h.scheduler.requests[id]
 	}
 	timeToTarget := func(r *request) float64 { return r.targetTime - h.now }
-	h.setNodes() // nothing can be sent
+	h.setNodes() // without a node nothing can be sent
 	submit("a", 900)
 	if r := submit("b", 250); timeToTarget(r) != 250 {
-		t.Errorf("a short try has %.0f ms", timeToTarget(r))
+		t.Errorf("time to target %.0f ms of a request that expires in 250 ms, want 250", timeToTarget(r))
 	}
-	h.advance(500) // a is refused at 0.45 of its time
+	h.advance(500) // a is refused after 450 ms
 	r := submit("a", 400)
 	if math.Abs(timeToTarget(r)+200) > 1 {
-		t.Errorf("a further try has %.0f ms", timeToTarget(r))
+		t.Errorf("time to target %.0f ms of a retry, want -200", timeToTarget(r))
 	}
 	if r := submit("a", 400); timeToTarget(r) != 300 {
-		t.Errorf("the next for that piece has %.0f ms", timeToTarget(r))
+		t.Errorf("time to target %.0f ms of another request with the same key, want 300", timeToTarget(r))
 	}
 	h.handle(ClientGone{ID: r.ID})
 	submit("c", 900)
 	h.advance(1100)
 	if r := submit("c", 900); timeToTarget(r) != 300 {
-		t.Errorf("when its client has given up: %.0f ms", timeToTarget(r))
+		t.Errorf("time to target %.0f ms of a request after the deadline of the first, want 300", timeToTarget(r))
 	}
 	h.advance(40000)
 	if len(h.scheduler.unserved) > 0 {
-		t.Errorf("%d are still remembered", len(h.scheduler.unserved))
+		t.Errorf("%d unserved requests remembered after their deadlines, want none", len(h.scheduler.unserved))
 	}
 }
 
-// A short try that can be in time to its end is not refused before that.
+// A request that expires before its latency target can be answered in time until it expires, so it must
+// not be refused earlier.
 func TestShortRequestWaitsUntilItsExpiry(t *testing.T) {
 	h := newHarness(testSettings())
 	h.setNodes()
 	h.handle(Request{ID: "s", Class: "read", Plan: "high", Volume: "v", Units: 2, Key: "k", Expires: h.now + 280, Hosts: 1})
 	h.advance(270)
 	if got := h.finalAnswers("s"); got != "" {
-		t.Error(got, "before its end")
+		t.Error(got, "before the request expires, want no final answer")
 	}
 	h.advance(20)
 	if got := h.finalAnswers("s"); got != "refuse" {
-		t.Errorf("%q at its end", got)
+		t.Errorf("final answer %q at the expiry, want refuse", got)
 	}
 }
 
-// An end that is brought forward is kept, whether the request waits or is out; a later one
-// changes nothing.
+// A shortened deadline must apply both to a waiting request and to one with an outstanding attempt; a
+// later deadline must have no effect.
 func TestShortenedDeadline(t *testing.T) {
 	for _, outstanding := range []bool{false, true} {
 		h := newHarness(testSettings())
@@ -247,17 +247,17 @@
 		}
 		id := h.submit("write", "high", "k", 1)
 		if got := h.sendCount(id); (got == 1) != outstanding {
-			t.Fatalf("%d sends", got)
+			t.Fatalf("%d sends, want one if the node is ready and none if it drains", got)
 		}
 		h.handle(DeadlineShortened{ID: id, Deadline: h.now + 1e6})
 		h.handle(DeadlineShortened{ID: id, Deadline: h.now + 100})
 		h.advance(90)
 		if h.finalAnswers(id) != "" {
-			t.Errorf("out %v: it ended before its time", outstanding)
+			t.Errorf("outstanding %v: final answer before the shortened deadline, want none", outstanding)
 		}
 		h.advance(30)
 		if h.finalAnswers(id) == "" {
-			t.Errorf("out %v: it has no final answer", outstanding)
+			t.Errorf("outstanding %v: no final answer after the shortened deadline, want one", outstanding)
 		}
 	}
 }
