--- a/internal/control/scheduler/ahead_test.go
+++ b/internal/control/scheduler/ahead_test.go
@@ -22,21 +22,21 @@
 		<-gate.Chan()
 		return standin.HTTPAnswer{Raw: []byte(ok200)}
 	}
-	playReal(t, nil, slow, func(sc *scene, _ *held) {
+	runOnSockets(t, nil, slow, func(sc *harness, _ *hookedEnv) {
 		sc.gates = append(sc.gates, &gate)
 		p := sc.connect()
 		var many strings.Builder
 		for many.Len() < 5*reservedReadAhead {
-			many.WriteString(strings.Replace(sc.get(), "0.480", "19.0", 1))
+			many.WriteString(strings.Replace(sc.getRequest(), "0.480", "19.0", 1))
 		}
 		io.WriteString(p.conn, many.String())
-		sc.until("the first went out", func() bool { return len(sc.disk.Asked()) == 1 })
+		sc.waitFor("the first went out", func() bool { return len(sc.diskServer.Asked()) == 1 })
 		p.conn.Close()
-		sc.until("its leaving was seen", func() bool { return sc.counters().Gone == 1 })
+		sc.waitFor("its leaving was seen", func() bool { return sc.counters().Gone == 1 })
 		gate.Open()
-		sc.until("its connection is gone", func() bool { return sc.s.frontend.clientCount() == 0 })
-		if c := sc.counters(); c.Sends != 1 || sc.s.frontend.readAhead.used.Load() != 0 {
-			t.Errorf("%+v, %d bytes are held", c, sc.s.frontend.readAhead.used.Load())
+		sc.waitFor("its connection is gone", func() bool { return sc.scheduler.frontend.clientCount() == 0 })
+		if c := sc.counters(); c.Sends != 1 || sc.scheduler.frontend.readAhead.used.Load() != 0 {
+			t.Errorf("%+v, %d bytes are held", c, sc.scheduler.frontend.readAhead.used.Load())
 		}
 	})
 }
@@ -100,16 +100,16 @@
 // Requests that came together are answered one after the other, each as soon as the one before
 // it is, also where nothing more comes.
 func TestRequestsThatCameTogether(t *testing.T) {
-	play(t, answering(ok200), func(sc *scene) {
+	runSimulated(t, respondWith(ok200), func(sc *harness) {
 		p, n := sc.connect(), 6
 		var all strings.Builder
 		for range n {
-			all.WriteString(sc.get())
+			all.WriteString(sc.getRequest())
 		}
-		from := sc.w.Now()
+		from := sc.environment.Now()
 		io.WriteString(p.conn, all.String())
 		for i := range n {
-			if got := p.hear(from); got.status != 200 || got.took > time.Duration(i+1)*40*time.Millisecond {
+			if got := p.readResponse(from); got.status != 200 || got.elapsed > time.Duration(i+1)*40*time.Millisecond {
 				t.Fatalf("answer %d: %+v", i, got)
 			}
 		}
@@ -121,14 +121,14 @@
 func TestLargeAnswersToASlowReader(t *testing.T) {
 	const requests, size = 12, 900 << 10
 	large := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size))
-	playReal(t, nil, answering(large), func(sc *scene, _ *held) {
+	runOnSockets(t, nil, respondWith(large), func(sc *harness, _ *hookedEnv) {
 		p := sc.connect()
 		for range requests {
-			io.WriteString(p.conn, strings.Replace(sc.get(), "0.480", "19.0", 1))
+			io.WriteString(p.conn, strings.Replace(sc.getRequest(), "0.480", "19.0", 1))
 		}
-		env.Sleep(sc.w, 300*time.Millisecond, nil) // it reads nothing meanwhile
+		env.Sleep(sc.environment, 300*time.Millisecond, nil) // it reads nothing meanwhile
 		for i := range requests {
-			if got := p.hear(p.w.Now()); got.status != 200 || len(got.body) != size {
+			if got := p.readResponse(p.w.Now()); got.status != 200 || len(got.body) != size {
 				t.Fatalf("answer %d: %d, %d bytes", i, got.status, len(got.body))
 			}
 		}
@@ -159,9 +159,9 @@
 // A request that lay in the listener's queue while the scheduler started has its time from
 // when it came: the disk server is told no more than the client has left.
 func TestARequestThatCameDuringTheStart(t *testing.T) {
-	playReal(t, nil, answering(ok200), func(sc *scene, h *held) {
-		w := &slowStart{Real: h.Real, raw: strings.Replace(sc.get(), "0.480", "9.000", 1), heldUp: 300 * time.Millisecond}
-		config := patient.Replace(testConfig("127.0.0.1:0", sc.list.Addr, listOf(7, entry("s0", sc.disk.Addr, "active", 0))))
+	runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
+		w := &slowStart{Real: h.Real, raw: strings.Replace(sc.getRequest(), "0.480", "9.000", 1), heldUp: 300 * time.Millisecond}
+		config := longTimeouts.Replace(testConfig("127.0.0.1:0", sc.discovery.Addr, fullListJSON(7, entryJSON("s0", sc.diskServer.Addr, "active", 0))))
 		c, err := ParseConfig([]byte(config), func(string) string { return "" })
 		if err != nil {
 			t.Fatal(err)
@@ -172,8 +172,8 @@
 		}
 		defer s.Close()
 		defer w.conn.Close()
-		sc.until("it came to the disk server", func() bool { return len(sc.disk.Asked()) == 1 })
-		told, err := time.ParseDuration(sc.disk.Asked()[0].Fields.Get("request-timeout") + "s")
+		sc.waitFor("it came to the disk server", func() bool { return len(sc.diskServer.Asked()) == 1 })
+		told, err := time.ParseDuration(sc.diskServer.Asked()[0].Fields.Get("request-timeout") + "s")
 		if err != nil || told > 9*time.Second-w.heldUp {
 			t.Errorf("told %s", told)
 		}
@@ -184,20 +184,20 @@
 // time: the one before it gets its answer by then.
 func TestLessTimeBehindMore(t *testing.T) {
 	silent := func(standin.HTTPAsk) standin.HTTPAnswer { return standin.HTTPAnswer{} }
-	play(t, silent, func(sc *scene) {
+	runSimulated(t, silent, func(sc *harness) {
 		p := sc.connect()
-		long := sc.request("PUT", "txn-write", "00000000000000c1", "9.000", "x", "Idempotency-Key: k\r\n")
-		from := sc.w.Now()
+		long := sc.formatRequest("PUT", "txn-write", "00000000000000c1", "9.000", "x", "Idempotency-Key: k\r\n")
+		from := sc.environment.Now()
 		io.WriteString(p.conn, long)
-		env.Sleep(sc.w, 20*time.Millisecond, nil)
-		io.WriteString(p.conn, sc.get()+sc.get()) // of 0.48 s
+		env.Sleep(sc.environment, 20*time.Millisecond, nil)
+		io.WriteString(p.conn, sc.getRequest()+sc.getRequest()) // of 0.48 s
 		for i := range 3 {
-			got := p.hear(from)
-			if got.status != 503 && got.status != 504 || got.took > 520*time.Millisecond {
+			got := p.readResponse(from)
+			if got.status != 503 && got.status != 504 || got.elapsed > 520*time.Millisecond {
 				t.Errorf("answer %d: %+v", i, got)
 			}
 		}
-		if got := p.ask(sc.get()); got.status == 0 {
+		if got := p.roundTrip(sc.getRequest()); got.status == 0 {
 			t.Error("the connection does not go on")
 		}
 	})
--- a/internal/control/scheduler/core_test.go
+++ b/internal/control/scheduler/core_test.go
@@ -36,7 +36,7 @@
 func (c clientOf) deliver(callOutcome, float64, []byte) { c.p.answers[c.id]++ }
 
 func coreFor(t interface{ Fatal(...any) }) (*core, *played) {
-	c, err := ParseConfig([]byte(testConfig("a:1", "b:1", listOf(1, entry("s0", "x:1", "active", 0), entry("s1", "x:2", "active", 1)))), func(string) string { return "" })
+	c, err := ParseConfig([]byte(testConfig("a:1", "b:1", fullListJSON(1, entryJSON("s0", "x:1", "active", 0), entryJSON("s1", "x:2", "active", 1)))), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/scheduler/discovery_test.go
+++ b/internal/control/scheduler/discovery_test.go
@@ -328,34 +328,34 @@
 		v := world.New(1)
 		err := v.Run("n0", time.Minute, func(p *world.Process) {
 			w = p
-			sc := &scene{t: t, w: p, addr: "127.0.0.1:5000"}
-			old, _ := standin.ServeHTTPDisk(p, answering(ok200))
-			now, _ := standin.ServeHTTPDisk(p, answering(ok200))
-			known := listOf(7, entry("s0", old.Addr, "active", 0))
+			sc := &harness{t: t, environment: p, schedulerAddr: "127.0.0.1:5000"}
+			old, _ := standin.ServeHTTPDisk(p, respondWith(ok200))
+			now, _ := standin.ServeHTTPDisk(p, respondWith(ok200))
+			known := fullListJSON(7, entryJSON("s0", old.Addr, "active", 0))
 			a := serveAgent(p, func(_ int, _ string, c net.Conn) {
 				if silent {
 					return
 				}
 				env.Sleep(w, 300*time.Millisecond, nil)
 				c.Write([]byte(watchHead))
-				c.Write(chunkOf(listOf(8, entry("s1", now.Addr, "active", 0)) + "\n"))
+				c.Write(chunkOf(fullListJSON(8, entryJSON("s1", now.Addr, "active", 0)) + "\n"))
 			})
-			c, err := ParseConfig([]byte(testConfig(sc.addr, a.l.Addr().String(), known)), func(string) string { return "" })
+			c, err := ParseConfig([]byte(testConfig(sc.schedulerAddr, a.l.Addr().String(), known)), func(string) string { return "" })
 			if err != nil {
 				panic(err)
 			}
-			if sc.s, err = Start(p, c, zap.NewNop()); err != nil {
+			if sc.scheduler, err = Start(p, c, zap.NewNop()); err != nil {
 				panic(err)
 			}
-			up := sc.connect().ask("GET /up HTTP/1.1\r\n\r\n")
-			got := sc.connect().ask(strings.Replace(sc.get(), "0.480", "30", 1))
-			if up.status != 503 || got.status != 200 || got.took > readyTimeout+100*time.Millisecond {
+			up := sc.connect().roundTrip("GET /up HTTP/1.1\r\n\r\n")
+			got := sc.connect().roundTrip(strings.Replace(sc.getRequest(), "0.480", "30", 1))
+			if up.status != 503 || got.status != 200 || got.elapsed > readyTimeout+100*time.Millisecond {
 				t.Errorf("silent %v: %+v, %+v", silent, up, got)
 			}
 			if was, is := len(old.Asked()), len(now.Asked()); silent != (was == 1) || silent == (is == 1) {
 				t.Errorf("silent %v: %d by the old list, %d by the new", silent, was, is)
 			}
-			sc.s.Close()
+			sc.scheduler.Close()
 			a.close()
 			old.Close()
 			now.Close()
--- a/internal/control/scheduler/scene_test.go
+++ b/internal/control/scheduler/harness_test.go
@@ -35,96 +35,96 @@
 "limits":{"cores":1,"memory_mb":64,"sockets":64},"known":%s,"settings":%s}`, listen, discovery, known, testSettings)
 }
 
-func listOf(seq int, entries ...string) string {
+func fullListJSON(seq int, entries ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[%s]}`, seq, strings.Join(entries, ","))
 }
 
-func entry(host, dial, health string, block int) string {
+func entryJSON(host, dial, health string, block int) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":%d,"health":%q,"share":1.0,"born_ms":0}`, host, dial, block, health)
 }
 
 const ok200 = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-// scene is one scheduler, a simulated disk server and discovery in a virtual world.
-type scene struct {
-	t    *testing.T
-	w    env.Environment
-	disk *standin.HTTPDisk
-	list *standin.HTTPList
-	s    *Scheduler
-	addr string
-	n    int
-
-	gates []*env.Gate // opened at the end
-	mu    sync.Mutex
-	peers []*peer // all clients: one that nothing refers to is closed by the garbage collector
+// harness is one scheduler, a simulated disk server and discovery in a virtual world.
+type harness struct {
+	t             *testing.T
+	environment   env.Environment
+	diskServer    *standin.HTTPDisk
+	discovery     *standin.HTTPList
+	scheduler     *Scheduler
+	schedulerAddr string
+	requestCount  int
+
+	gates   []*env.Gate // opened at the end
+	mu      sync.Mutex
+	clients []*testClient // all clients: one that nothing refers to is closed by the garbage collector
 }
 
-// play runs f on a scene whose disk server does as it is told.
-func play(t *testing.T, do func(standin.HTTPAsk) standin.HTTPAnswer, f func(*scene)) {
+// runSimulated runs f on a scene whose disk server does as it is told.
+func runSimulated(t *testing.T, do func(standin.HTTPAsk) standin.HTTPAnswer, f func(*harness)) {
 	t.Helper()
 	v := world.New(1)
 	v.Net.Delay = 100 * time.Microsecond
 	err := v.Run("n0", 10*time.Minute, func(p *world.Process) {
-		sc := &scene{t: t, w: p, addr: "127.0.0.1:5000"}
+		sc := &harness{t: t, environment: p, schedulerAddr: "127.0.0.1:5000"}
 		var err error
-		if sc.disk, err = standin.ServeHTTPDisk(p, do); err != nil {
+		if sc.diskServer, err = standin.ServeHTTPDisk(p, do); err != nil {
 			panic(err)
 		}
-		first := listOf(7, entry("s0", sc.disk.Addr, "active", 0))
-		if sc.list, err = standin.ServeHTTPList(p, first); err != nil {
+		first := fullListJSON(7, entryJSON("s0", sc.diskServer.Addr, "active", 0))
+		if sc.discovery, err = standin.ServeHTTPList(p, first); err != nil {
 			panic(err)
 		}
-		sc.s = sc.start(first)
+		sc.scheduler = sc.startScheduler(first)
 		f(sc)
-		sc.s.Close()
-		sc.disk.Close()
-		sc.list.Close()
+		sc.scheduler.Close()
+		sc.diskServer.Close()
+		sc.discovery.Close()
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (sc *scene) start(known string) *Scheduler {
-	c, err := ParseConfig([]byte(testConfig(sc.addr, sc.list.Addr, known)), func(string) string { return "" })
+func (sc *harness) startScheduler(known string) *Scheduler {
+	c, err := ParseConfig([]byte(testConfig(sc.schedulerAddr, sc.discovery.Addr, known)), func(string) string { return "" })
 	if err != nil {
 		panic(err)
 	}
-	s, err := Start(sc.w, c, zap.NewNop())
+	s, err := Start(sc.environment, c, zap.NewNop())
 	if err != nil {
 		panic(err)
 	}
-	env.Sleep(sc.w, 50*time.Millisecond, nil)
+	env.Sleep(sc.environment, 50*time.Millisecond, nil)
 	return s
 }
 
-// peer is a client's connection.
-type peer struct {
-	w    env.Environment
-	conn net.Conn
-	in   *bufio.Reader
+// testClient is a client's connection.
+type testClient struct {
+	w      env.Environment
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
-func (sc *scene) connect() *peer {
-	c, err := sc.w.Dial(context.Background(), "tcp", sc.addr, time.Second)
+func (sc *harness) connect() *testClient {
+	c, err := sc.environment.Dial(context.Background(), "tcp", sc.schedulerAddr, time.Second)
 	if err != nil {
 		panic(err)
 	}
-	p := &peer{sc.w, c, bufio.NewReader(c)}
+	p := &testClient{sc.environment, c, bufio.NewReader(c)}
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	sc.peers = append(sc.peers, p)
+	sc.clients = append(sc.clients, p)
 	return p
 }
 
-// get is a read with an id of its own; more are further fields.
-func (sc *scene) get(more ...string) string {
-	sc.n++
-	return sc.request("GET", "card-read", fmt.Sprintf("%016x", sc.n), "0.480", "", more...)
+// getRequest is a read with an id of its own; more are further fields.
+func (sc *harness) getRequest(more ...string) string {
+	sc.requestCount++
+	return sc.formatRequest("GET", "card-read", fmt.Sprintf("%016x", sc.requestCount), "0.480", "", more...)
 }
 
-func (sc *scene) request(method, class, id, timeout, body string, more ...string) string {
+func (sc *harness) formatRequest(method, class, id, timeout, body string, more ...string) string {
 	length := ""
 	if body != "" {
 		length = fmt.Sprintf("Content-Length: %d\r\n", len(body))
@@ -133,55 +133,55 @@
 		method, class, id, timeout, length, strings.Join(more, ""), body)
 }
 
-// said is an answer; status 0 if the connection ended without one.
-type said struct {
-	status int
-	body   string
-	fields http1.Fields
-	close  bool
-	took   time.Duration
+// clientResponse is an answer; status 0 if the connection ended without one.
+type clientResponse struct {
+	status    int
+	body      string
+	fields    http1.Fields
+	closeConn bool
+	elapsed   time.Duration
 }
 
-func (p *peer) ask(raw string) said {
+func (p *testClient) roundTrip(raw string) clientResponse {
 	from := p.w.Now()
 	io.WriteString(p.conn, raw)
-	return p.hear(from)
+	return p.readResponse(from)
 }
 
-func (p *peer) hear(from time.Duration) said {
+func (p *testClient) readResponse(from time.Duration) clientResponse {
 	p.conn.SetReadDeadline(p.w.Deadline(20 * time.Second))
-	m, b, err := http1.ReadWholeResponse(p.in, responseLimits)
+	m, b, err := http1.ReadWholeResponse(p.reader, responseLimits)
 	if http1.IsMessageError(err) {
 		panic(err)
 	}
 	if err != nil {
-		return said{took: p.w.Now() - from}
+		return clientResponse{elapsed: p.w.Now() - from}
 	}
-	return said{m.Status, string(b), m.Fields, m.Close(), p.w.Now() - from}
+	return clientResponse{m.Status, string(b), m.Fields, m.Close(), p.w.Now() - from}
 }
 
-func answering(raw string) func(standin.HTTPAsk) standin.HTTPAnswer {
+func respondWith(raw string) func(standin.HTTPAsk) standin.HTTPAnswer {
 	return func(standin.HTTPAsk) standin.HTTPAnswer {
 		return standin.HTTPAnswer{After: 20 * time.Millisecond, Raw: []byte(raw)}
 	}
 }
 
-func TestServesWhatTheDiskServerAnswered(t *testing.T) {
-	play(t, answering(ok200), func(sc *scene) {
+func TestResponsesAreForwarded(t *testing.T) {
+	runSimulated(t, respondWith(ok200), func(sc *harness) {
 		p := sc.connect()
-		if got := p.ask("GET /up HTTP/1.1\r\n\r\n"); got.status != 200 {
+		if got := p.roundTrip("GET /up HTTP/1.1\r\n\r\n"); got.status != 200 {
 			t.Error("not ready:", got)
 		}
 		for range 3 {
-			if got := p.ask(sc.get()); got.status != 200 || got.body != "hi" || got.close {
+			if got := p.roundTrip(sc.getRequest()); got.status != 200 || got.body != "hi" || got.closeConn {
 				t.Error(got)
 			}
 		}
-		got := p.ask(sc.request("PUT", "txn-write", "00000000000000aa", "0.480", "block", "Idempotency-Key: k1\r\n"))
+		got := p.roundTrip(sc.formatRequest("PUT", "txn-write", "00000000000000aa", "0.480", "block", "Idempotency-Key: k1\r\n"))
 		if got.status != 200 {
 			t.Error(got)
 		}
-		asked := sc.disk.Asked()
+		asked := sc.diskServer.Asked()
 		last := asked[len(asked)-1]
 		if len(asked) != 4 || last.Conn != 0 || last.Method != "PUT" || last.Target != "/txn-write/00000003b4d60021/7f3a9c21e0b4d655" ||
 			string(last.Body) != "block" || last.Fields.Get("request-id") != "00000000000000aa" ||
@@ -192,7 +192,7 @@
 }
 
 // An answer that is not whole and alone is a failed attempt: never a client's answer.
-func TestSpoiltAnswersAreNotPassedOn(t *testing.T) {
+func TestMalformedResponsesAreNotForwarded(t *testing.T) {
 	for name, raw := range map[string]string{
 		"noise":            "\x00\x7f\x01 noise\r\n\r\n",
 		"head never ends":  "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("y", 40<<10),
@@ -212,17 +212,17 @@
 				}
 				return standin.HTTPAnswer{Raw: []byte(ok200)}
 			}
-			play(t, do, func(sc *scene) {
-				got := sc.connect().ask(strings.Replace(sc.get(), "0.480", "1.900", 1))
+			runSimulated(t, do, func(sc *harness) {
+				got := sc.connect().roundTrip(strings.Replace(sc.getRequest(), "0.480", "1.900", 1))
 				// Both are seen only when their time is up, and then it is late: a body without
 				// length lasts to the close (RFC 9112, 6.3), and this connection stays open.
 				if name == "more than it is" || name == "no length at all" {
-					if got.status != 503 || sc.s.core.counters.Outcomes[policy.NoAnswer] != 1 {
+					if got.status != 503 || sc.scheduler.core.counters.Outcomes[policy.NoAnswer] != 1 {
 						t.Error(got)
 					}
 					return
 				}
-				if n := len(sc.disk.Asked()); got.status != 200 || got.body != "hi" || n != 2 {
+				if n := len(sc.diskServer.Asked()); got.status != 200 || got.body != "hi" || n != 2 {
 					t.Error(got, n, "attempts")
 				}
 			})
@@ -232,18 +232,18 @@
 
 // What comes behind a good answer, at once or some milliseconds late, is nobody's: its
 // connection takes nothing more.
-func TestMoreThanTheAnswerIsNobodys(t *testing.T) {
+func TestSurplusBytesAreDiscarded(t *testing.T) {
 	for _, late := range []time.Duration{0, 5 * time.Millisecond} {
 		do := func(a standin.HTTPAsk) standin.HTTPAnswer {
 			body := a.Fields.Get("request-id")
 			whole := fmt.Sprintf("HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nX-Iops-Used: many\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			return standin.HTTPAnswer{Raw: []byte(whole), Behind: []byte(whole), Late: late}
 		}
-		play(t, do, func(sc *scene) {
+		runSimulated(t, do, func(sc *harness) {
 			p := sc.connect()
 			for range 20 {
-				got := p.ask(sc.get())
-				if want := fmt.Sprintf("%016x", sc.n); got.status != 200 || got.body != want {
+				got := p.roundTrip(sc.getRequest())
+				if want := fmt.Sprintf("%016x", sc.requestCount); got.status != 200 || got.body != want {
 					t.Errorf("%s late: %+v, want %s", late, got, want)
 				}
 			}
@@ -253,13 +253,13 @@
 
 // Who sends what is no request, or nothing, gets an error or a close within 3 s.
 func TestBadClientsGetAnErrorOrAClose(t *testing.T) {
-	play(t, answering(ok200), func(sc *scene) {
-		good := sc.get()
+	runSimulated(t, respondWith(ok200), func(sc *harness) {
+		good := sc.getRequest()
 		for name, raw := range map[string]string{
 			"noise":         "\x16\x03\x01\x00\xff\r\n\r\n",
 			"nothing":       "",
 			"head never":    "GET /card-read HTTP/1.1\r\nA: b\r\n",
-			"half a body":   sc.request("PUT", "txn-write", "00000000000000b0", "0.4", "") + "x",
+			"half a body":   sc.formatRequest("PUT", "txn-write", "00000000000000b0", "0.4", "") + "x",
 			"huge":          strings.Replace(good, "Host:", "Content-Length: 60000000\r\nHost:", 1),
 			"both lengths":  strings.Replace(good, "Host:", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\nHost:", 1) + "0\r\n\r\n",
 			"class":         strings.Replace(good, "card-read", "card-reed", 1),
@@ -272,18 +272,18 @@
 			"units":         strings.Replace(good, "units=2", "units=1e9", 1),
 			"shard":         strings.Replace(good, "shard=0", "shard=99", 1),
 			"volume":        strings.Replace(good, "00000003b4d60021", "..", 1),
-			"no key":        sc.request("PUT", "txn-write", "00000000000000b1", "0.4", "x"),
-			"read a body":   sc.request("GET", "card-read", "00000000000000b2", "0.4", "x"),
-			"other method":  sc.request("DELETE", "card-read", "00000000000000b3", "0.4", ""),
+			"no key":        sc.formatRequest("PUT", "txn-write", "00000000000000b1", "0.4", "x"),
+			"read a body":   sc.formatRequest("GET", "card-read", "00000000000000b2", "0.4", "x"),
+			"other method":  sc.formatRequest("DELETE", "card-read", "00000000000000b3", "0.4", ""),
 			"length repeat": strings.Replace(good, "Host:", "Content-Length: 0\r\nContent-Length: 0\r\nHost:", 1),
 		} {
-			got := sc.connect().ask(raw)
-			if got.status != 0 && got.status < 400 || got.took > 3*time.Second {
+			got := sc.connect().roundTrip(raw)
+			if got.status != 0 && got.status < 400 || got.elapsed > 3*time.Second {
 				t.Errorf("%s: %+v", name, got)
 			}
 		}
-		if n := len(sc.disk.Asked()); n > 0 {
-			t.Errorf("%d of them came to the disk server: %+v", n, sc.disk.Asked()[0].Request)
+		if n := len(sc.diskServer.Asked()); n > 0 {
+			t.Errorf("%d of them came to the disk server: %+v", n, sc.diskServer.Asked()[0].Request)
 		}
 	})
 }
@@ -291,32 +291,32 @@
 // Who had an answer may write slowly; who has not is turned away within 3 s, however it
 // spreads its bytes.
 func TestSlowWriters(t *testing.T) {
-	play(t, answering(ok200), func(sc *scene) {
-		drip := func(p *peer, raw string, over time.Duration) said {
-			from := sc.w.Now()
+	runSimulated(t, respondWith(ok200), func(sc *harness) {
+		drip := func(p *testClient, raw string, over time.Duration) clientResponse {
+			from := sc.environment.Now()
 			for i := range raw {
 				if _, err := io.WriteString(p.conn, raw[i:i+1]); err != nil {
 					break
 				}
-				env.Sleep(sc.w, over/time.Duration(len(raw)), nil)
+				env.Sleep(sc.environment, over/time.Duration(len(raw)), nil)
 			}
-			return p.hear(from)
+			return p.readResponse(from)
 		}
 		p := sc.connect()
-		if got := p.ask(sc.get()); got.status != 200 {
+		if got := p.roundTrip(sc.getRequest()); got.status != 200 {
 			t.Fatal(got)
 		}
-		if got := drip(p, sc.get(), 3*time.Second); got.status != 200 {
+		if got := drip(p, sc.getRequest(), 3*time.Second); got.status != 200 {
 			t.Error("after an answer:", got)
 		}
-		if got := drip(sc.connect(), sc.get(), 2*time.Second); got.status != 200 {
+		if got := drip(sc.connect(), sc.getRequest(), 2*time.Second); got.status != 200 {
 			t.Error("a first request in time:", got)
 		}
 		q := sc.connect()
-		from := sc.w.Now()
-		env.Sleep(sc.w, 900*time.Millisecond, nil)
+		from := sc.environment.Now()
+		env.Sleep(sc.environment, 900*time.Millisecond, nil)
 		io.WriteString(q.conn, "GET /up HT")
-		if got := q.hear(from); got.status != 408 || got.took > 3*time.Second {
+		if got := q.readResponse(from); got.status != 408 || got.elapsed > 3*time.Second {
 			t.Errorf("a first request that never ends: %+v", got)
 		}
 	})
@@ -324,21 +324,21 @@
 
 // The id of a request that is open, or was, is not served for another client.
 func TestAnIdNamesOneRequest(t *testing.T) {
-	play(t, answering(ok200), func(sc *scene) {
-		raw := sc.get()
+	runSimulated(t, respondWith(ok200), func(sc *harness) {
+		raw := sc.getRequest()
 		p, thief := sc.connect(), sc.connect()
 		io.WriteString(p.conn, raw)
-		env.Sleep(sc.w, 5*time.Millisecond, nil)
-		if got := thief.ask(raw); got.status != 409 {
+		env.Sleep(sc.environment, 5*time.Millisecond, nil)
+		if got := thief.roundTrip(raw); got.status != 409 {
 			t.Error("while it is open:", got)
 		}
-		if got := p.hear(0); got.status != 200 {
+		if got := p.readResponse(0); got.status != 200 {
 			t.Error("its own:", got)
 		}
-		if got := sc.connect().ask(raw); got.status != 409 {
+		if got := sc.connect().roundTrip(raw); got.status != 409 {
 			t.Error("after it:", got)
 		}
-		if n := len(sc.disk.Asked()); n != 1 {
+		if n := len(sc.diskServer.Asked()); n != 1 {
 			t.Errorf("sent %d times", n)
 		}
 	})
@@ -346,19 +346,19 @@
 
 // Connections that say nothing, or asked once and stay, keep nobody out.
 func TestSilentConnectionsGiveWay(t *testing.T) {
-	play(t, answering(ok200), func(sc *scene) {
+	runSimulated(t, respondWith(ok200), func(sc *harness) {
 		for i := range 100 {
 			p := sc.connect()
 			if i%2 == 0 {
-				raw := sc.get()
-				sc.w.Go(func() { p.ask(raw) })
+				raw := sc.getRequest()
+				sc.environment.Go(func() { p.roundTrip(raw) })
 			}
 		}
-		if got := sc.connect().ask(sc.get()); got.status != 200 || got.took > time.Second {
+		if got := sc.connect().roundTrip(sc.getRequest()); got.status != 200 || got.elapsed > time.Second {
 			t.Error(got)
 		}
-		if n := sc.s.frontend.clientCount(); n > sc.s.frontend.maxClients {
-			t.Errorf("%d connections of %d", n, sc.s.frontend.maxClients)
+		if n := sc.scheduler.frontend.clientCount(); n > sc.scheduler.frontend.maxClients {
+			t.Errorf("%d connections of %d", n, sc.scheduler.frontend.maxClients)
 		}
 	})
 }
@@ -366,65 +366,65 @@
 // After SIGTERM open connections are served until the last answers have just time, and
 // then everything ends before the kill with nothing left unanswered.
 func TestDrainServesOpenConnectionsToTheEnd(t *testing.T) {
-	play(t, answering(ok200), func(sc *scene) {
+	runSimulated(t, respondWith(ok200), func(sc *harness) {
 		p := sc.connect()
-		p.ask(sc.get())
-		from := sc.w.Now()
-		sc.w.Go(sc.s.Drain)
+		p.roundTrip(sc.getRequest())
+		from := sc.environment.Now()
+		sc.environment.Go(sc.scheduler.Drain)
 		served, last := 0, time.Duration(0)
 		for {
-			env.Sleep(sc.w, 10*time.Millisecond, nil)
-			got := p.ask(sc.get())
+			env.Sleep(sc.environment, 10*time.Millisecond, nil)
+			got := p.roundTrip(sc.getRequest())
 			if got.status != 200 {
 				break // it was closed between two requests
 			}
-			served, last = served+1, sc.w.Now()-from
-			if got.close {
+			served, last = served+1, sc.environment.Now()-from
+			if got.closeConn {
 				break
 			}
 		}
-		sc.s.Wait()
-		if took := sc.w.Now() - from; last < 2500*time.Millisecond || took > 3700*time.Millisecond {
+		sc.scheduler.Wait()
+		if took := sc.environment.Now() - from; last < 2500*time.Millisecond || took > 3700*time.Millisecond {
 			t.Errorf("served %d until %s, ended after %s", served, last, took)
 		}
-		if _, err := sc.w.Dial(context.Background(), "tcp", sc.addr, time.Second); err == nil {
+		if _, err := sc.environment.Dial(context.Background(), "tcp", sc.schedulerAddr, time.Second); err == nil {
 			t.Error("it still listens")
 		}
-		if n := sc.s.core.counters; n.Taken != uint64(served)+1 || n.Served != n.Taken {
+		if n := sc.scheduler.core.counters; n.Taken != uint64(served)+1 || n.Served != n.Taken {
 			t.Errorf("%d answers came, %+v", served+1, n)
 		}
-		sc.s = sc.start(listOf(7))
+		sc.scheduler = sc.startScheduler(fullListJSON(7))
 	})
 }
 
 // A reload moves the watch; it goes on from the version held.
-func TestReloadMovesDiscovery(t *testing.T) {
-	play(t, answering(ok200), func(sc *scene) {
-		sc.list.Say(`{"seq":9,"whole":false,"hosts":[]}`)
-		other, err := standin.ServeHTTPList(sc.w, listOf(11, entry("s1", sc.disk.Addr, "active", 0)))
+func TestReloadChangesDiscoveryAddress(t *testing.T) {
+	runSimulated(t, respondWith(ok200), func(sc *harness) {
+		sc.discovery.Say(`{"seq":9,"whole":false,"hosts":[]}`)
+		other, err := standin.ServeHTTPList(sc.environment, fullListJSON(11, entryJSON("s1", sc.diskServer.Addr, "active", 0)))
 		if err != nil {
 			panic(err)
 		}
-		env.Sleep(sc.w, 50*time.Millisecond, nil)
-		c, err := ParseConfig([]byte(testConfig(sc.addr, other.Addr, listOf(0))), func(string) string { return "" })
+		env.Sleep(sc.environment, 50*time.Millisecond, nil)
+		c, err := ParseConfig([]byte(testConfig(sc.schedulerAddr, other.Addr, fullListJSON(0))), func(string) string { return "" })
 		if err != nil {
 			panic(err)
 		}
-		sc.s.Reload(c)
-		env.Sleep(sc.w, 500*time.Millisecond, nil)
+		sc.scheduler.Reload(c)
+		env.Sleep(sc.environment, 500*time.Millisecond, nil)
 		if got := other.Targets(); len(got) != 1 || got[0] != "/discovery/hosts?stream=1&index=9" {
 			t.Error(got)
 		}
-		if got := sc.connect().ask(sc.get()); got.status != 200 {
+		if got := sc.connect().roundTrip(sc.getRequest()); got.status != 200 {
 			t.Error(got)
 		}
 		var held []string
-		sc.s.loop.post(sc.s.loop.now(), eventStop, func(float64) {
-			for h := range sc.s.core.servers {
+		sc.scheduler.loop.post(sc.scheduler.loop.now(), eventStop, func(float64) {
+			for h := range sc.scheduler.core.servers {
 				held = append(held, h)
 			}
 		})
-		env.Sleep(sc.w, time.Millisecond, nil)
+		env.Sleep(sc.environment, time.Millisecond, nil)
 		if len(held) != 1 || held[0] != "s1" {
 			t.Error("held:", held)
 		}
@@ -434,38 +434,38 @@
 
 // A client that leaves takes its request along; its connection leaves nothing behind.
 func TestAClientThatLeaves(t *testing.T) {
-	play(t, answering(ok200), func(sc *scene) {
+	runSimulated(t, respondWith(ok200), func(sc *harness) {
 		p := sc.connect()
-		io.WriteString(p.conn, sc.get())
-		env.Sleep(sc.w, 5*time.Millisecond, nil)
+		io.WriteString(p.conn, sc.getRequest())
+		env.Sleep(sc.environment, 5*time.Millisecond, nil)
 		p.conn.Close()
-		env.Sleep(sc.w, 200*time.Millisecond, nil)
-		if n := sc.s.frontend.clientCount(); n != 0 {
+		env.Sleep(sc.environment, 200*time.Millisecond, nil)
+		if n := sc.scheduler.frontend.clientCount(); n != 0 {
 			t.Errorf("%d connections are left", n)
 		}
-		if k := sc.s.core; len(k.calls) != 0 || k.counters.Gone != 1 {
+		if k := sc.scheduler.core; len(k.calls) != 0 || k.counters.Gone != 1 {
 			t.Errorf("%d calls, %+v", len(k.calls), k.counters)
 		}
 	})
 }
 
 // Connections to disk servers are closed before the servers close them.
-func TestIdleConnectionsEndHere(t *testing.T) {
-	play(t, answering(ok200), func(sc *scene) {
+func TestIdleServerConnectionsAreClosed(t *testing.T) {
+	runSimulated(t, respondWith(ok200), func(sc *harness) {
 		p := sc.connect()
-		p.ask(sc.get())
-		env.Sleep(sc.w, 25*time.Second, nil)
-		if n := sc.s.pool.connCount; n != 0 {
+		p.roundTrip(sc.getRequest())
+		env.Sleep(sc.environment, 25*time.Second, nil)
+		if n := sc.scheduler.pool.connCount; n != 0 {
 			t.Errorf("%d connections are open", n)
 		}
-		if got := sc.connect().ask(sc.get()); got.status != 200 {
+		if got := sc.connect().roundTrip(sc.getRequest()); got.status != 200 {
 			t.Error(got)
 		}
 	})
 }
 
-func TestFaultsOfTheConfigurationAreNamedByPath(t *testing.T) {
-	good := testConfig("127.0.0.1:5000", "127.0.0.1:8500", listOf(1, entry("s0", "x:1", "active", 0)))
+func TestConfigErrorsNameTheField(t *testing.T) {
+	good := testConfig("127.0.0.1:5000", "127.0.0.1:8500", fullListJSON(1, entryJSON("s0", "x:1", "active", 0)))
 	env := func(string) string { return "" }
 	if c, err := ParseConfig([]byte(good), env); err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 64 || c.Timeouts.DialTimeout != 250 || len(c.Known.Entries) != 1 {
 		t.Fatalf("%+v %v", c, err)
--- a/internal/control/scheduler/list_test.go
+++ b/internal/control/scheduler/list_test.go
@@ -12,23 +12,23 @@
 
 // An entry that cannot be right costs itself alone.
 func TestWrongEntriesOfAList(t *testing.T) {
-	right := entry("b", "x:2", stateActive, 1)
+	right := entryJSON("b", "x:2", stateActive, 1)
 	for name, tt := range map[string]struct {
 		entries   []string
 		want      string // states of a and b
 		faults    int
 		malformed bool
 	}{
-		"all right":               {[]string{entry("a", "x:1", stateActive, 0), right}, "active active", 0, false},
-		"no name":                 {[]string{entry("", "x:1", stateActive, 0), right}, " active", 1, true},
-		"unknown state":           {[]string{entry("a", "x:1", "resting", 0), right}, "leaving active", 1, true},
+		"all right":               {[]string{entryJSON("a", "x:1", stateActive, 0), right}, "active active", 0, false},
+		"no name":                 {[]string{entryJSON("", "x:1", stateActive, 0), right}, " active", 1, true},
+		"unknown state":           {[]string{entryJSON("a", "x:1", "resting", 0), right}, "leaving active", 1, true},
 		"no state":                {[]string{`{"host":"a"}`, right}, "leaving active", 1, true},
-		"twice the same":          {[]string{entry("a", "x:1", stateActive, 0), right, entry("a", "x:1", stateActive, 0)}, "active active", 1, false},
-		"leaving, then active":    {[]string{entry("a", "x:1", stateLeaving, 0), right, entry("a", "x:1", stateActive, 0)}, "leaving active", 1, false},
-		"active, then left":       {[]string{entry("a", "x:1", stateActive, 0), entry("a", "x:1", stateLeft, 0), right}, "left active", 1, false},
-		"three times, one leaves": {[]string{entry("a", "x:1", stateActive, 0), entry("a", "x:1", stateLeaving, 0), entry("a", "x:1", stateActive, 0), right}, "leaving active", 2, false},
+		"twice the same":          {[]string{entryJSON("a", "x:1", stateActive, 0), right, entryJSON("a", "x:1", stateActive, 0)}, "active active", 1, false},
+		"leaving, then active":    {[]string{entryJSON("a", "x:1", stateLeaving, 0), right, entryJSON("a", "x:1", stateActive, 0)}, "leaving active", 1, false},
+		"active, then left":       {[]string{entryJSON("a", "x:1", stateActive, 0), entryJSON("a", "x:1", stateLeft, 0), right}, "left active", 1, false},
+		"three times, one leaves": {[]string{entryJSON("a", "x:1", stateActive, 0), entryJSON("a", "x:1", stateLeaving, 0), entryJSON("a", "x:1", stateActive, 0), right}, "leaving active", 2, false},
 	} {
-		l, err := parseServerList([]byte(listOf(3, tt.entries...)))
+		l, err := parseServerList([]byte(fullListJSON(3, tt.entries...)))
 		state := map[string]string{}
 		for _, e := range l.Entries {
 			if _, twice := state[e.Host]; twice || e.Host == "" {
@@ -44,7 +44,7 @@
 
 // Of a server that is named twice at another address the later entry counts.
 func TestTheLaterOfTwoEntriesCounts(t *testing.T) {
-	l, err := parseServerList([]byte(listOf(3, entry("a", "x:1", stateActive, 0), entry("a", "x:2", stateActive, 0))))
+	l, err := parseServerList([]byte(fullListJSON(3, entryJSON("a", "x:1", stateActive, 0), entryJSON("a", "x:2", stateActive, 0))))
 	if err != nil || len(l.Entries) != 1 || l.Entries[0].Address != "x:2" {
 		t.Errorf("%+v, %v", l.Entries, err)
 	}
@@ -56,8 +56,8 @@
 	logged, lines := observer.New(zap.InfoLevel)
 	k.log = newEventLog(zap.New(logged))
 	stamped := fmt.Sprintf(`{"host":"s3","dial":"x:5","block":0,"health":"active","born_ms":%d}`, k.zeroUnixMS+clockAtStart+3_600_000)
-	l, err := parseServerList([]byte(listOf(2, entry("s0", "x:1", stateActive, 0), entry("s0", "x:1", stateActive, 0),
-		entry("s1", "x:2", "resting", 1), entry("s2", "x:4", stateActive, 1_000_000), entry("s4", "x:6", stateActive, -3), stamped)))
+	l, err := parseServerList([]byte(fullListJSON(2, entryJSON("s0", "x:1", stateActive, 0), entryJSON("s0", "x:1", stateActive, 0),
+		entryJSON("s1", "x:2", "resting", 1), entryJSON("s2", "x:4", stateActive, 1_000_000), entryJSON("s4", "x:6", stateActive, -3), stamped)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 // a client can have kept in memory stays bounded.
 func TestNumbersOfShards(t *testing.T) {
 	for number, named := range map[int]int{-1: 0, 0: 0, 1: 1, maxShards: maxShards, maxShards + 1: 0, 1_000_000: 0} {
-		raw := strings.Replace(testConfig("a:1", "b:1", listOf(1, entry("s0", "x:1", stateActive, 0))), `"slots_total":2`, fmt.Sprintf(`"slots_total":%d`, number), 1)
+		raw := strings.Replace(testConfig("a:1", "b:1", fullListJSON(1, entryJSON("s0", "x:1", stateActive, 0))), `"slots_total":2`, fmt.Sprintf(`"slots_total":%d`, number), 1)
 		c, err := ParseConfig([]byte(raw), func(string) string { return "" })
 		if err != nil {
 			t.Fatal(number, err)
@@ -127,7 +127,7 @@
 	if ask("a"); len(p.out) != 0 {
 		t.Error("sent to a server of no shard")
 	}
-	c, err := ParseConfig([]byte(strings.Replace(testConfig("a:1", "b:1", listOf(1)), `"slots_total":2`, `"slots_total":10`, 1)), func(string) string { return "" })
+	c, err := ParseConfig([]byte(strings.Replace(testConfig("a:1", "b:1", fullListJSON(1)), `"slots_total":2`, `"slots_total":10`, 1)), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/scheduler/outcome_test.go
+++ b/internal/control/scheduler/outcome_test.go
@@ -51,12 +51,12 @@
 				s = strings.Replace(s, `"effect":"idempotency_key","group":"cell","key_ttl_ms":6000`, `"effect":"unsafe"`, 1)
 				return strings.Replace(s, `"attempts_cap":4`, `"attempts_cap":1`, 1)
 			}
-			playReal(t, unsafe, func(standin.HTTPAsk) standin.HTTPAnswer { return do }, func(sc *scene, h *held) {
+			runOnSockets(t, unsafe, func(standin.HTTPAsk) standin.HTTPAnswer { return do }, func(sc *harness, h *hookedEnv) {
 				within := "3" // enough for each answer, however slow the machine is
 				if c.want == policy.NoAnswer {
 					within = "0.300"
 				}
-				got := sc.connect().ask(sc.request("PUT", "txn-write", "00000000000000aa", within, "x"))
+				got := sc.connect().roundTrip(sc.formatRequest("PUT", "txn-write", "00000000000000aa", within, "x"))
 				want := map[policy.Result]int{policy.Served: 200, policy.Rejected: 503}[c.want]
 				if want == 0 {
 					want = 504
@@ -64,7 +64,7 @@
 				if got.status != want {
 					t.Errorf("%+v, want %d", got, want)
 				}
-				sc.until("it is over", settled(sc))
+				sc.waitFor("it is over", allEndedAndDialled(sc))
 				if k := sc.counters(); k.Sends != 1 || k.Outcomes[c.want] != 1 {
 					t.Errorf("%+v, want one of %d", k, c.want)
 				}
@@ -75,9 +75,9 @@
 
 // A disk server that can't be reached has run nothing.
 func TestAServerThatRefusesConnections(t *testing.T) {
-	playReal(t, nil, answering(ok200), func(sc *scene, h *held) {
-		sc.disk.Close()
-		got := sc.connect().ask(sc.request("PUT", "txn-write", "00000000000000aa", "0.300", "x", "Idempotency-Key: k\r\n"))
+	runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
+		sc.diskServer.Close()
+		got := sc.connect().roundTrip(sc.formatRequest("PUT", "txn-write", "00000000000000aa", "0.300", "x", "Idempotency-Key: k\r\n"))
 		if k := sc.counters(); got.status != 503 || k.Outcomes[policy.NoConnection] == 0 || k.Outcomes[policy.NoConnection] != k.Sends {
 			t.Errorf("%+v, %+v", got, k)
 		}
@@ -87,41 +87,41 @@
 // A reload brings classes, plans and deadlines that were not there; what is under way ends
 // under those it was taken with, and what the file leaves out is served no more.
 func TestAReloadReachesTheFront(t *testing.T) {
-	playReal(t, nil, answering(ok200), func(sc *scene, h *held) {
-		before := testConfig(sc.addr, sc.list.Addr, listOf(7))
+	runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
+		before := testConfig(sc.schedulerAddr, sc.discovery.Addr, fullListJSON(7))
 		after := strings.NewReplacer(`"name":"txn-write"`, `"name":"audit-write"`, `"name":"gold"`, `"name":"iron"`, `"give_up_ms":4000`, `"give_up_ms":700`,
 			`"give_up_ms":2000`, `"give_up_ms":600`, `"dial_timeout_ms":250`, `"dial_timeout_ms":400`, `"memory_mb":64`, `"memory_mb":32`).Replace(before)
-		old := sc.request("PUT", "txn-write", "00000000000000aa", "3", "x", "Idempotency-Key: k\r\n")
+		old := sc.formatRequest("PUT", "txn-write", "00000000000000aa", "3", "x", "Idempotency-Key: k\r\n")
 		renewed := strings.NewReplacer("txn-write", "audit-write", "gold", "iron", "aa", "ab").Replace(old)
 		p := sc.connect()
-		if got := sc.connect().ask(renewed); got.status != 404 {
+		if got := sc.connect().roundTrip(renewed); got.status != 404 {
 			t.Error("before the reload:", got)
 		}
-		came, release := sc.heldDial(h)
+		came, release := sc.blockDials(h)
 		fmt.Fprint(p.conn, old)
-		sc.until("the dial", came)
+		sc.waitFor("the dial", came)
 		c, err := ParseConfig([]byte(after), func(string) string { return "" })
 		if err != nil {
 			t.Fatal(err)
 		}
-		sc.s.Reload(c)
+		sc.scheduler.Reload(c)
 		release()
-		if got := p.hear(0); got.status != 200 {
+		if got := p.readResponse(0); got.status != 200 {
 			t.Error("taken before the reload:", got)
 		}
-		if got := sc.connect().ask(strings.Replace(renewed, "ab", "ac", 1)); got.status != 200 {
+		if got := sc.connect().roundTrip(strings.Replace(renewed, "ab", "ac", 1)); got.status != 200 {
 			t.Error("a new class and plan:", got)
 		}
-		if got := sc.connect().ask(strings.Replace(old, "aa", "ad", 1)); got.status != 404 {
+		if got := sc.connect().roundTrip(strings.Replace(old, "aa", "ad", 1)); got.status != 404 {
 			t.Error("a class that is gone:", got)
 		}
 		var within time.Duration
-		sc.on(func() { within = sc.s.pool.dialTimeout })
-		if within != 400*time.Millisecond || sc.s.frontend.byteLimit.Load() != 4<<20 {
-			t.Errorf("dials within %s, %d bytes of bodies", within, sc.s.frontend.byteLimit.Load())
+		sc.onLoop(func() { within = sc.scheduler.pool.dialTimeout })
+		if within != 400*time.Millisecond || sc.scheduler.frontend.byteLimit.Load() != 4<<20 {
+			t.Errorf("dials within %s, %d bytes of bodies", within, sc.scheduler.frontend.byteLimit.Load())
 		}
 		from := time.Now()
-		sc.s.Drain()
+		sc.scheduler.Drain()
 		if took := time.Since(from); took > 2500*time.Millisecond { // 3.7 s with those of the start
 			t.Errorf("the drain took %s", took)
 		}
--- a/internal/control/scheduler/permit_test.go
+++ b/internal/control/scheduler/permit_test.go
@@ -17,7 +17,7 @@
 
 // An attempt that the loop let begin is looked at once more when its first byte is to go:
 // its process may have been held up in between.
-func TestPermitAtTheFirstByte(t *testing.T) {
+func TestMayBegin(t *testing.T) {
 	two := ServerList{Seq: 1, Full: true, Entries: []ServerEntry{{Host: "s0", Health: "active", StartedMS: 7}, {Host: "s1", Health: "active"}}}
 	changed := func(e ServerEntry) ServerList { return ServerList{Seq: 2, Entries: []ServerEntry{e}} }
 	for name, tt := range map[string]struct {
@@ -60,16 +60,16 @@
 // waits, at a pace, and goes once there is a connection.
 func TestOwnFaultsOfDials(t *testing.T) {
 	for _, fault := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH} {
-		playReal(t, nil, answering(ok200), func(sc *scene, h *held) {
+		runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
 			var dials atomic.Int32
-			h.holdDials(func(int) error {
+			h.setDialHook(func(int) error {
 				if dials.Add(1) <= 4 {
 					return &net.OpError{Op: "dial", Err: fault}
 				}
 				return nil
 			})
 			from := time.Now()
-			got := sc.connect().ask(strings.Replace(sc.get(), "0.480", "1.900", 1))
+			got := sc.connect().roundTrip(strings.Replace(sc.getRequest(), "0.480", "1.900", 1))
 			c := sc.counters()
 			if got.status != 200 || c.Sends != 1 || c.Outcomes[policy.NoConnection]+c.Outcomes[policy.NotSent] != 0 {
 				t.Errorf("%v: %+v, %+v", fault, got, c)
@@ -82,7 +82,7 @@
 }
 
 // Faults of the other end count against the disk server at once.
-func TestFaultsOfTheOtherEnd(t *testing.T) {
+func TestRemoteDialErrorsAreNotLocal(t *testing.T) {
 	for _, fault := range []error{syscall.ECONNREFUSED, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.ECONNRESET} {
 		if localSocketError(&net.OpError{Op: "dial", Err: fault}) {
 			t.Errorf("%v is taken for this machine's own", fault)
@@ -96,45 +96,45 @@
 	const most = 3
 	var work [8]env.Gate
 	var disks []*standin.HTTPDisk
-	play(t, answering(ok200), func(sc *scene) {
+	runSimulated(t, respondWith(ok200), func(sc *harness) {
 		var entries []string
 		for i := range work {
-			d, err := standin.ServeHTTPDisk(sc.w, func(standin.HTTPAsk) standin.HTTPAnswer {
-				work[i].Wait(sc.w)
+			d, err := standin.ServeHTTPDisk(sc.environment, func(standin.HTTPAsk) standin.HTTPAnswer {
+				work[i].Wait(sc.environment)
 				return standin.HTTPAnswer{Raw: []byte(strings.Replace(ok200, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))}
 			})
 			if err != nil {
 				panic(err)
 			}
 			disks = append(disks, d)
-			entries = append(entries, entry(fmt.Sprintf("d%d", i), d.Addr, "active", i))
+			entries = append(entries, entryJSON(fmt.Sprintf("d%d", i), d.Addr, "active", i))
 		}
-		c, err := ParseConfig([]byte(strings.Replace(testConfig(sc.addr, sc.list.Addr, listOf(7)), `"slots_total":2`, fmt.Sprintf(`"slots_total":%d`, len(work)), 1)), func(string) string { return "" })
+		c, err := ParseConfig([]byte(strings.Replace(testConfig(sc.schedulerAddr, sc.discovery.Addr, fullListJSON(7)), `"slots_total":2`, fmt.Sprintf(`"slots_total":%d`, len(work)), 1)), func(string) string { return "" })
 		if err != nil {
 			panic(err)
 		}
-		sc.s.Reload(c)
-		sc.s.loop.post(sc.s.loop.now(), eventReload, func(float64) { sc.s.pool.maxConns = most })
-		sc.list.Say(fmt.Sprintf(`{"seq":8,"whole":true,"hosts":[%s]}`, strings.Join(entries, ",")))
-		env.Sleep(sc.w, 20*time.Millisecond, nil)
+		sc.scheduler.Reload(c)
+		sc.scheduler.loop.post(sc.scheduler.loop.now(), eventReload, func(float64) { sc.scheduler.pool.maxConns = most })
+		sc.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":true,"hosts":[%s]}`, strings.Join(entries, ",")))
+		env.Sleep(sc.environment, 20*time.Millisecond, nil)
 		status := make([]int, len(work))
 		var done env.WaitGroup
 		for i := range work {
-			raw := strings.Replace(sc.request("GET", "card-read", fmt.Sprintf("%016x", 0xa0+i), "1.900", ""), "shard=0", fmt.Sprintf("shard=%d", i), 1)
-			done.Go(sc.w, func() { status[i] = sc.connect().ask(raw).status })
-			env.Sleep(sc.w, 5*time.Millisecond, nil)
+			raw := strings.Replace(sc.formatRequest("GET", "card-read", fmt.Sprintf("%016x", 0xa0+i), "1.900", ""), "shard=0", fmt.Sprintf("shard=%d", i), 1)
+			done.Go(sc.environment, func() { status[i] = sc.connect().roundTrip(raw).status })
+			env.Sleep(sc.environment, 5*time.Millisecond, nil)
 		}
 		for i := range work {
 			work[i].Open()
-			env.Sleep(sc.w, 15*time.Millisecond, nil)
+			env.Sleep(sc.environment, 15*time.Millisecond, nil)
 		}
-		done.Wait(sc.w)
+		done.Wait(sc.environment)
 		for i, s := range status {
 			if s != 200 {
 				t.Errorf("request %d: %d", i, s)
 			}
 		}
-		if c := sc.s.core.counters; c.Sends != uint64(len(work)) || c.Outcomes[policy.NoConnection]+c.Outcomes[policy.NotSent] != 0 {
+		if c := sc.scheduler.core.counters; c.Sends != uint64(len(work)) || c.Outcomes[policy.NoConnection]+c.Outcomes[policy.NotSent] != 0 {
 			t.Errorf("%+v", c)
 		}
 		for _, d := range disks {
@@ -143,13 +143,13 @@
 	})
 }
 
-// gatedConn is a connection that is held up just before a request is written on it.
-type gatedConn struct {
+// blockedWriteConn is a connection that is held up just before a request is written on it.
+type blockedWriteConn struct {
 	*net.TCPConn
 	reached, gate *env.Gate
 }
 
-func (c *gatedConn) SetDeadline(t time.Time) error {
+func (c *blockedWriteConn) SetDeadline(t time.Time) error {
 	if !t.IsZero() {
 		c.reached.Open()
 		<-c.gate.Chan()
@@ -157,42 +157,42 @@
 	return c.TCPConn.SetDeadline(t)
 }
 
-// gateWrites holds up each request to the disk server just before it is written: reached opens
+// blockWrites holds up each request to the disk server just before it is written: reached opens
 // once one is there, and it goes on once gate is open.
-func (sc *scene) gateWrites(h *held) (reached, gate *env.Gate) {
+func (sc *harness) blockWrites(h *hookedEnv) (reached, gate *env.Gate) {
 	reached, gate = new(env.Gate), new(env.Gate)
 	sc.gates = append(sc.gates, gate)
 	h.mu.Lock()
-	h.wrap = func(c net.Conn) net.Conn { return &gatedConn{c.(*net.TCPConn), reached, gate} }
+	h.wrapServerConn = func(c net.Conn) net.Conn { return &blockedWriteConn{c.(*net.TCPConn), reached, gate} }
 	h.mu.Unlock()
-	h.holdDials(func(int) error { return nil })
+	h.setDialHook(func(int) error { return nil })
 	return reached, gate
 }
 
 // What happens while the goroutine that writes is held up holds for its first byte: nothing
 // is sent for a client that left, to a disk server that drains, or too late to begin.
 func TestHeldUpBeforeTheFirstByte(t *testing.T) {
-	for name, happen := range map[string]func(sc *scene, p *peer){
-		"client leaves": func(sc *scene, p *peer) {
+	for name, happen := range map[string]func(sc *harness, p *testClient){
+		"client leaves": func(sc *harness, p *testClient) {
 			p.conn.Close()
-			sc.until("its leaving was seen", func() bool { return sc.counters().Gone == 1 })
+			sc.waitFor("its leaving was seen", func() bool { return sc.counters().Gone == 1 })
 		},
-		"server drains": func(sc *scene, _ *peer) {
-			sc.list.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entry("s0", sc.disk.Addr, "leaving", 0)))
-			sc.until("the list was read", func() bool { return !sc.s.pool.serverStates.allows("s0", 0) })
+		"server drains": func(sc *harness, _ *testClient) {
+			sc.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", sc.diskServer.Addr, "leaving", 0)))
+			sc.waitFor("the list was read", func() bool { return !sc.scheduler.pool.serverStates.allows("s0", 0) })
 		},
-		"time to begin is over": func(sc *scene, _ *peer) { env.Sleep(sc.w, 320*time.Millisecond, nil) },
+		"time to begin is over": func(sc *harness, _ *testClient) { env.Sleep(sc.environment, 320*time.Millisecond, nil) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			playReal(t, nil, answering(ok200), func(sc *scene, h *held) {
-				reached, gate := sc.gateWrites(h)
+			runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
+				reached, gate := sc.blockWrites(h)
 				p := sc.connect()
-				fmt.Fprint(p.conn, sc.get())
-				sc.until("the write was reached", reached.Opened)
+				fmt.Fprint(p.conn, sc.getRequest())
+				sc.waitFor("the write was reached", reached.Opened)
 				happen(sc, p)
 				gate.Open()
-				sc.until("the attempt was taken back", func() bool { return sc.counters().Outcomes[policy.NotSent] > 0 })
-				if n := len(sc.disk.Asked()); n > 0 && name != "time to begin is over" {
+				sc.waitFor("the attempt was taken back", func() bool { return sc.counters().Outcomes[policy.NotSent] > 0 })
+				if n := len(sc.diskServer.Asked()); n > 0 && name != "time to begin is over" {
 					t.Errorf("%d requests came to the disk server", n)
 				}
 			})
@@ -200,12 +200,12 @@
 	}
 }
 
-// patient makes settings under which an attempt has all of its request's time, also on a
+// longTimeouts makes settings under which an attempt has all of its request's time, also on a
 // machine that is busy with much else.
-var patient = strings.NewReplacer(`"dial_timeout_ms":250`, `"dial_timeout_ms":9000`, `"aim_ms":300`, `"aim_ms":9000`)
+var longTimeouts = strings.NewReplacer(`"dial_timeout_ms":250`, `"dial_timeout_ms":9000`, `"aim_ms":300`, `"aim_ms":9000`)
 
 // A disk server is told no more time than its client has left, by not even half a millisecond.
-func TestTheTimeToldIsRoundedDown(t *testing.T) {
+func TestRequestTimeoutIsRoundedDown(t *testing.T) {
 	for left, want := range map[float64]string{8849.9: "8.849", 8850: "8.850", 1.9: "0.001", 0.2: "0.001"} {
 		a := &attempt{call: &call{forwardedRequest: forwardedRequest{method: "GET", target: "/"}}}
 		if got := string(a.encodeRequest(left)); !strings.Contains(got, "Request-Timeout: "+want+"\r\n") {
@@ -216,16 +216,16 @@
 
 // The time that a disk server is told is reckoned when it is written.
 func TestTheTimeToldIsThatOfTheWrite(t *testing.T) {
-	playReal(t, patient.Replace, answering(ok200), func(sc *scene, h *held) {
-		reached, gate := sc.gateWrites(h)
-		fmt.Fprint(sc.connect().conn, strings.Replace(sc.get(), "0.480", "9.000", 1))
-		sc.until("the write was reached", reached.Opened)
-		from := sc.w.Now()
-		env.Sleep(sc.w, 150*time.Millisecond, nil)
-		heldUp := sc.w.Now() - from
+	runOnSockets(t, longTimeouts.Replace, respondWith(ok200), func(sc *harness, h *hookedEnv) {
+		reached, gate := sc.blockWrites(h)
+		fmt.Fprint(sc.connect().conn, strings.Replace(sc.getRequest(), "0.480", "9.000", 1))
+		sc.waitFor("the write was reached", reached.Opened)
+		from := sc.environment.Now()
+		env.Sleep(sc.environment, 150*time.Millisecond, nil)
+		heldUp := sc.environment.Now() - from
 		gate.Open()
-		sc.until("it came to the disk server", func() bool { return len(sc.disk.Asked()) > 0 })
-		told, err := time.ParseDuration(sc.disk.Asked()[0].Fields.Get("request-timeout") + "s")
+		sc.waitFor("it came to the disk server", func() bool { return len(sc.diskServer.Asked()) > 0 })
+		told, err := time.ParseDuration(sc.diskServer.Asked()[0].Fields.Get("request-timeout") + "s")
 		if most := 9*time.Second - heldUp; err != nil || told > most {
 			t.Errorf("told %s, %s are left", told, most)
 		}
@@ -238,7 +238,7 @@
 	l := newLoop(env.NewReal())
 	l.afterBatch = func() {}
 	fired := false
-	k.scheduler = firing{k.scheduler, &fired}
+	k.scheduler = timerRecorder{k.scheduler, &fired}
 	due := l.now() + 2
 	k.perform(policy.SetTimer{Delay: due - k.now, Name: "test"})
 	var order []bool
@@ -260,13 +260,13 @@
 	}
 }
 
-// firing notes that the test's timer fired.
-type firing struct {
+// timerRecorder notes that the test's timer fired.
+type timerRecorder struct {
 	policy.Scheduler
 	fired *bool
 }
 
-func (f firing) Handle(now float64, ev policy.Event) []policy.Action {
+func (f timerRecorder) Handle(now float64, ev policy.Event) []policy.Action {
 	if t, ok := ev.(policy.TimerFired); ok && t.Name == "test" {
 		*f.fired = true
 		return nil
@@ -278,23 +278,23 @@
 // that the program had: what ends the connections comes behind them.
 func TestTheLastAnswersComeBeforeTheEnd(t *testing.T) {
 	silent := func(standin.HTTPAsk) standin.HTTPAnswer { return standin.HTTPAnswer{} }
-	play(t, silent, func(sc *scene) {
+	runSimulated(t, silent, func(sc *harness) {
 		p := sc.connect()
-		fmt.Fprint(p.conn, strings.Replace(sc.get(), "0.480", "30", 1))
-		env.Sleep(sc.w, 10*time.Millisecond, nil)
+		fmt.Fprint(p.conn, strings.Replace(sc.getRequest(), "0.480", "30", 1))
+		env.Sleep(sc.environment, 10*time.Millisecond, nil)
 		grace := gracePeriod(&Config{Settings: policy.Settings{Classes: []policy.Class{{Deadline: maxCountedDeadlineMS}}}})
-		sc.w.Go(sc.s.Drain)
-		env.Sleep(sc.w, env.Duration(grace-answerLeadMS-5), nil)
+		sc.environment.Go(sc.scheduler.Drain)
+		env.Sleep(sc.environment, env.Duration(grace-answerLeadMS-5), nil)
 		var gate env.Gate
-		sc.s.loop.post(sc.s.loop.now(), eventReload, func(float64) { gate.Wait(sc.w) })
-		sc.w.Go(func() {
-			env.Sleep(sc.w, env.Duration(answerLeadMS), nil)
+		sc.scheduler.loop.post(sc.scheduler.loop.now(), eventReload, func(float64) { gate.Wait(sc.environment) })
+		sc.environment.Go(func() {
+			env.Sleep(sc.environment, env.Duration(answerLeadMS), nil)
 			gate.Open()
 		})
-		if got := p.hear(sc.w.Now()); got.status != 503 && got.status != 504 {
+		if got := p.readResponse(sc.environment.Now()); got.status != 503 && got.status != 504 {
 			t.Errorf("%+v", got)
 		}
-		sc.s.Wait()
-		sc.s = sc.start(listOf(7))
+		sc.scheduler.Wait()
+		sc.scheduler = sc.startScheduler(fullListJSON(7))
 	})
 }
--- a/internal/control/scheduler/serverbytes_test.go
+++ b/internal/control/scheduler/serverbytes_test.go
@@ -23,7 +23,7 @@
 }
 
 // rawDisk serves each request with its id as body, on connections that the test can reach.
-func rawDisk(t *testing.T, sc *scene) *diskConns {
+func rawDisk(t *testing.T, sc *harness) *diskConns {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -41,8 +41,8 @@
 			go d.serve(c)
 		}
 	}()
-	sc.list.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entry("s0", l.Addr().String(), "active", 0)))
-	sc.until("the list", sc.core(func(k *core) bool { return k.servers["s0"].Address == l.Addr().String() }))
+	sc.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", l.Addr().String(), "active", 0)))
+	sc.waitFor("the list", sc.coreCondition(func(k *core) bool { return k.servers["s0"].Address == l.Addr().String() }))
 	return d
 }
 
@@ -85,17 +85,17 @@
 		"a copy and end": func(c net.Conn) { io.WriteString(c, ok200); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			playReal(t, nil, answering(ok200), func(sc *scene, h *held) {
+			runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
 				d := rawDisk(t, sc)
 				defer d.close()
 				p := sc.connect()
 				for i := range 3 {
-					got := p.ask(sc.get())
-					if want := fmt.Sprintf("%016x", sc.n); got.status != 200 || got.body != want {
+					got := p.roundTrip(sc.getRequest())
+					if want := fmt.Sprintf("%016x", sc.requestCount); got.status != 200 || got.body != want {
 						t.Fatalf("request %d: %+v, want %s", i, got, want)
 					}
-					sc.until("the connection is free", sc.core(func(k *core) bool {
-						s := sc.s.pool.servers["s0"]
+					sc.waitFor("the connection is free", sc.coreCondition(func(k *core) bool {
+						s := sc.scheduler.pool.servers["s0"]
 						return len(s.idle) == 1 && s.expectedConns == 0
 					}))
 					do(d.conn(i))
@@ -118,8 +118,8 @@
 			}
 			return standin.HTTPAnswer{Raw: []byte(raw), Close: !reset, Reset: reset}
 		}
-		playReal(t, nil, do, func(sc *scene, h *held) {
-			got := sc.connect().ask(strings.Replace(sc.get(), "0.480", "1.900", 1))
+		runOnSockets(t, nil, do, func(sc *harness, h *hookedEnv) {
+			got := sc.connect().roundTrip(strings.Replace(sc.getRequest(), "0.480", "1.900", 1))
 			c := sc.counters()
 			if got.status != 200 || got.body != "hi" || reset != (c.Sends == 2) || reset != (c.Outcomes[policy.ConnectionLost] == 1) {
 				t.Errorf("reset %v: %+v, %+v", reset, got, c)
@@ -136,22 +136,22 @@
 		"asked to end": "GET /up HTTP/1.1\r\nConnection: close\r\n\r\n" + strings.Repeat("x", 60<<10),
 	} {
 		t.Run(name, func(t *testing.T) {
-			playReal(t, nil, answering(ok200), func(sc *scene, h *held) {
-				ended := sc.gate()
-				sc.hookAccept(h, func(c net.Conn) net.Conn {
-					return &watched{c.(*net.TCPConn), ended, &env.Gate{}}
+			runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
+				ended := sc.newGate()
+				sc.setAcceptHook(h, func(c net.Conn) net.Conn {
+					return &closeNotifyConn{c.(*net.TCPConn), ended, &env.Gate{}}
 				})
 				p := sc.connect()
 				defer p.conn.Close()
 				if _, err := io.WriteString(p.conn, raw); err != nil {
 					t.Fatal(err)
 				}
-				sc.until("the end", ended.Opened) // only then does the client look
-				got := p.hear(0)
-				if got.status == 0 || !got.close {
+				sc.waitFor("the end", ended.Opened) // only then does the client look
+				got := p.readResponse(0)
+				if got.status == 0 || !got.closeConn {
 					t.Errorf("%+v", got)
 				}
-				if _, err := p.in.ReadByte(); err != io.EOF {
+				if _, err := p.reader.ReadByte(); err != io.EOF {
 					t.Error("no clean end behind the answer:", err)
 				}
 			})
--- a/internal/control/scheduler/staleness_test.go
+++ b/internal/control/scheduler/staleness_test.go
@@ -35,15 +35,15 @@
 		}
 		return standin.HTTPAnswer{Raw: []byte(ok200)}
 	}
-	play(t, do, func(sc *scene) {
+	runSimulated(t, do, func(sc *harness) {
 		p := sc.connect()
 		for range 100 {
-			if got := p.ask(sc.get()); got.status != 200 {
+			if got := p.roundTrip(sc.getRequest()); got.status != 200 {
 				t.Error(got)
 			}
-			env.Sleep(sc.w, 150*time.Millisecond, nil)
+			env.Sleep(sc.environment, 150*time.Millisecond, nil)
 		}
-		if n := sc.s.core.counters.Resends; n > 10 {
+		if n := sc.scheduler.core.counters.Resends; n > 10 {
 			t.Errorf("%d of 100 were sent again", n)
 		}
 	})
@@ -56,13 +56,13 @@
 		body[i] = 'a' + byte(i%26)
 	}
 	raw := "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + string(body)
-	play(t, answering(raw), func(sc *scene) {
-		got := sc.connect().ask(sc.get())
+	runSimulated(t, respondWith(raw), func(sc *harness) {
+		got := sc.connect().roundTrip(sc.getRequest())
 		if got.status != 200 || got.body != string(body) {
 			t.Error(got.status, len(got.body))
 		}
-		if b := sc.s.pool; b.replyBytes.Load() != 0 || sc.s.frontend.answerBytes.Load() != 0 {
-			t.Errorf("%d and %d bytes are still counted", b.replyBytes.Load(), sc.s.frontend.answerBytes.Load())
+		if b := sc.scheduler.pool; b.replyBytes.Load() != 0 || sc.scheduler.frontend.answerBytes.Load() != 0 {
+			t.Errorf("%d and %d bytes are still counted", b.replyBytes.Load(), sc.scheduler.frontend.answerBytes.Load())
 		}
 	})
 }
