--- a/internal/control/gateway/announcer.go
+++ b/internal/control/gateway/announcer.go
@@ -142,13 +142,13 @@
 	now := w.Now()
 	if !a.asked {
 		a.asked = true
-		a.host.post(event{kind: evAsk, ask: a.heard})
+		a.host.post(event{kind: eventRun, run: a.heard})
 	}
 	if now >= a.probeAt {
 		a.probeAt = now + env.Duration(orElse(a.set.Announce.ProbeEvery, probeEvery))
 		for addr, shard := range a.nodes {
 			if a.needed[shard] {
-				a.host.back.probe(addr)
+				a.host.pool.probe(addr)
 			}
 		}
 	}
@@ -156,7 +156,7 @@
 	answers, ready := map[int]bool{}, map[int]bool{}
 	for addr, shard := range a.nodes {
 		ready[shard] = true
-		if at, open := a.host.back.heard(addr); open && env.MS(now-at) <= orElse(a.set.Announce.AnswerTime, answerTime) {
+		if at, open := a.host.pool.lastRead(addr); open && env.MS(now-at) <= orElse(a.set.Announce.AnswerTime, answerTime) {
 			answers[shard] = true
 		}
 	}
@@ -172,7 +172,7 @@
 }
 
 // heard is the host core's sign of life, on its goroutine; it brings the nodes.
-func (a *announcer) heard(c *hostCore) {
+func (a *announcer) heard(c *core) {
 	nodes := make(map[string]int, len(c.nodes))
 	for addr, n := range c.nodes {
 		if c.healthOf(n) == policy.Ready {
@@ -181,7 +181,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.asked, a.beat, a.nodes, a.listed = false, env.MS(a.cfg.Environment.Now()), nodes, c.listed
+	a.asked, a.beat, a.nodes, a.listed = false, env.MS(a.cfg.Environment.Now()), nodes, c.listSeen
 }
 
 // Paths of the levels: a last resort is behind any other in each way that routers
--- a/internal/control/gateway/caller.go
+++ b/internal/control/gateway/caller.go
@@ -14,37 +14,37 @@
 	"merlinhitch/internal/control/settings"
 )
 
-// who is at the other end of a call of the admin API.
-type who struct {
+// caller is at the other end of a call of the admin API.
+type caller struct {
 	name string
 	role keys.Role
 }
 
-type whoKey struct{}
+type callerKey struct{}
 
-type peerKey struct{}
+type socketUserKey struct{}
 
-// peerContext notes the user at the other end of a Unix socket.
-func peerContext(ctx context.Context, c net.Conn) context.Context {
+// withSocketUser notes the user at the other end of a Unix socket.
+func withSocketUser(ctx context.Context, c net.Conn) context.Context {
 	if u, ok := c.(*net.UnixConn); ok {
 		uid, known := peerUser(u)
-		return context.WithValue(ctx, peerKey{}, peer{uid, known})
+		return context.WithValue(ctx, socketUserKey{}, socketUser{uid, known})
 	}
 	return ctx
 }
 
-type peer struct {
+type socketUser struct {
 	uid   uint32
 	known bool
 }
 
-// guard finds out who calls and holds them to their role: whoever shows a certificate to
+// authorize finds out who calls and holds them to their role: whoever shows a certificate to
 // that in it, as of now and not only as of when the connection began; users of a Unix
 // socket and callers in clear from this machine to all, the first only if they are the
 // gateway's own user or root.
-func (g *Gateway) guard(next http.Handler) http.Handler {
+func (g *Gateway) authorize(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		x, err := g.caller(r)
+		x, err := g.identify(r)
 		if err != nil {
 			settings.Reply(w, http.StatusUnauthorized, map[string]string{"error": err.Error()})
 			return
@@ -60,46 +60,46 @@
 			settings.Reply(w, http.StatusForbidden, map[string]string{"error": fmt.Sprintf("%s has the role %q, this needs %q", x.name, x.role, need)})
 			return
 		}
-		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), whoKey{}, x)))
+		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), callerKey{}, x)))
 	})
 }
 
-func (g *Gateway) caller(r *http.Request) (who, error) {
+func (g *Gateway) identify(r *http.Request) (caller, error) {
 	said := r.URL.Query().Get("who")
-	said = said[:min(len(said), mostName)]
+	said = said[:min(len(said), maxClaimedNameBytes)]
 	if r.TLS != nil {
 		if len(r.TLS.PeerCertificates) == 0 {
-			return who{}, errors.New("no certificate")
+			return caller{}, errors.New("no certificate")
 		}
 		c := r.TLS.PeerCertificates[0]
 		if err := g.cfg.Keys.Check(c); err != nil {
-			return who{}, err
+			return caller{}, err
 		}
 		name, role := keys.Name(c)
-		return who{name, role}, nil
+		return caller{name, role}, nil
 	}
-	if p, unix := r.Context().Value(peerKey{}).(peer); unix {
+	if p, unix := r.Context().Value(socketUserKey{}).(socketUser); unix {
 		if p.known && p.uid != 0 && int(p.uid) != os.Getuid() {
-			return who{}, fmt.Errorf("uid %d is not the gateway's", p.uid)
+			return caller{}, fmt.Errorf("uid %d is not the gateway's", p.uid)
 		}
 		name := fmt.Sprintf("uid %d", p.uid)
 		if said != "" {
 			name += ", claimed " + said
 		}
-		return who{name, keys.Administer}, nil
+		return caller{name, keys.Administer}, nil
 	}
 	if said != "" {
-		return who{"claimed " + said, keys.Administer}, nil
+		return caller{"claimed " + said, keys.Administer}, nil
 	}
-	return who{"unnamed at " + r.RemoteAddr, keys.Administer}, nil
+	return caller{"unnamed at " + r.RemoteAddr, keys.Administer}, nil
 }
 
-// mostName bounds a claimed name, in bytes.
-const mostName = 200
+// maxClaimedNameBytes bounds a claimed name, in bytes.
+const maxClaimedNameBytes = 200
 
 // author is who calls, as the record has it.
 func author(r *http.Request) settings.Author {
-	x, _ := r.Context().Value(whoKey{}).(who)
+	x, _ := r.Context().Value(callerKey{}).(caller)
 	a := settings.Author{Who: x.name}
 	if !x.role.May(keys.Administer) {
 		a.Closed = settings.SecretPaths
@@ -129,14 +129,14 @@
 	h := g.host
 	g.mu.Unlock()
 	if h != nil {
-		h.back.renew()
+		h.pool.renewConns()
 	}
 	g.cfg.Log.Info("keys reloaded", zap.Time("expires", g.cfg.Keys.Expires()))
 	return nil
 }
 
-// onLoopback tells whether an address is reached from this machine alone.
-func onLoopback(addr string) bool {
+// isLoopback tells whether an address is reached from this machine alone.
+func isLoopback(addr string) bool {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return false
--- a/internal/control/gateway/front.go
+++ b/internal/control/gateway/front.go
@@ -61,8 +61,8 @@
 	open     atomic.Int64 // requests at the host core
 	nextTSIH atomic.Uint32
 	turn     atomic.Uint32 // of connections at the answerers
-	keeper   *keeper
-	answers  []*answerer
+	keeper   *reservationCache
+	answers  []*responder
 
 	mu       sync.Mutex
 	conns    env.OrderedSet[*conn]
@@ -89,7 +89,7 @@
 
 func newFront(w env.Environment, h *host, v *view, l net.Listener, log *zap.Logger) *front {
 	f := &front{world: w, host: h, log: log, listener: l, sessions: map[sessionKey]*conn{}}
-	f.keeper, f.answers = newKeeper(f), newAnswerers(h)
+	f.keeper, f.answers = newReservationCache(f), newResponders(h)
 	f.view.Store(v)
 	f.nextTSIH.Store(uint32(w.RandomUint64()))
 	f.tasks.Go(w, f.accept)
@@ -123,9 +123,9 @@
 func (f *front) revise(s *settings.Settings) {
 	f.taking.Lock()
 	defer f.taking.Unlock()
-	f.host.back.dialIn.Store(int64(env.Duration(s.Limits.DialTimeout)))
-	f.host.post(event{kind: evRevise, set: s})
-	f.view.Store(newView(s, f.host.self))
+	f.host.pool.dialTimeout.Store(int64(env.Duration(s.Limits.DialTimeout)))
+	f.host.post(event{kind: eventSettings, settings: s})
+	f.view.Store(newView(s, f.host.hostIndex))
 }
 
 // reserve takes memory for a command's data; false when the bound is reached.
@@ -173,7 +173,7 @@
 	key   sessionKey // set before the session is registered
 	port  reserve.Nexus
 	// answers gives the connection's commands their answers; nil: the host does.
-	answers *answerer
+	answers *responder
 	unit    *unit
 	ended   env.Gate
 
@@ -299,7 +299,7 @@
 	c.unit = v.targets[l.Target]
 	if !l.Discovery {
 		c.key = sessionKey{l.Initiator, l.Target, l.ISID}
-		c.port = portOf(c.key, c.front.host.self)
+		c.port = nexusOf(c.key, c.front.host.hostIndex)
 		if old := c.front.register(c.key, c); old != nil {
 			old.log.Info("session reinstated by a new login")
 			old.out.Abort()
@@ -402,7 +402,7 @@
 	for _, e := range events {
 		switch {
 		case e.Ready != nil:
-			c.ready(e.Ready)
+			c.handleCommand(e.Ready)
 		case e.Abort != nil:
 			c.abort(e.Abort)
 		case e.Logout:
@@ -423,7 +423,7 @@
 		return
 	}
 	v := c.front.view.Load()
-	k := v.Class(scsi.Write, int(t.Length), c.last(v).vol.Plan)
+	k := v.Class(scsi.Write, int(t.Length), c.currentOrLoginUnit(v).vol.Plan)
 	if k == nil {
 		return
 	}
@@ -442,7 +442,7 @@
 	g := &abortion{conn: c, abort: a, left: 1}
 	if a.Wide() && c.unit != nil {
 		g.left++
-		c.front.host.post(event{kind: evAsk, ask: func(*hostCore) { c.resetOthers(g) }})
+		c.front.host.post(event{kind: eventRun, run: func(*core) { c.resetOthers(g) }})
 	}
 	for _, t := range a.Tasks {
 		if u, ok := t.User.(underway); ok {
--- a/internal/control/gateway/gateway.go
+++ b/internal/control/gateway/gateway.go
@@ -113,7 +113,7 @@
 		network, addr = "unix", p
 		os.Remove(p) // a socket that a killed process left
 	}
-	if network == "tcp" && g.cfg.Keys == nil && !onLoopback(addr) {
+	if network == "tcp" && g.cfg.Keys == nil && !isLoopback(addr) {
 		return errors.New("gateway: an admin address that others reach needs keys")
 	}
 	l, err := g.cfg.Environment.Listen(network, addr)
@@ -153,7 +153,7 @@
 		}
 		settings.Reply(w, http.StatusOK, map[string]any{"status": r.status, "module": r.View, "settings_version": r.Version, "serves": r.Leased})
 	})
-	g.admin = &http.Server{Handler: g.guard(mux), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, ConnContext: peerContext,
+	g.admin = &http.Server{Handler: g.authorize(mux), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, ConnContext: withSocketUser,
 		ErrorLog: zap.NewStdLog(g.cfg.Log)}
 	go g.admin.Serve(l) // ends with Close; its error says only that
 	return nil
@@ -214,9 +214,9 @@
 	}
 	h := newHost(g.cfg.Environment, s, g.cfg.Self, g.cfg.Name, g.cfg.Zone, g.cfg.Keys, g.cfg.Log)
 	g.list = inventory.Follow(g.cfg.Environment, g.cfg.Inventory, func(l inventory.List) {
-		h.post(event{kind: evList, list: l})
+		h.post(event{kind: eventNodeList, list: l})
 	})
-	h.fetch = g.list.Fetch
+	h.fetchNodeList = g.list.Fetch
 	if s.Regions != nil {
 		g.lease = newLeaser(g.cfg.Environment, h, g.cfg.Inventory, s.Regions, g.cfg.Log)
 	}
@@ -260,13 +260,13 @@
 
 // Status reads the present figures.
 func (g *Gateway) Status() Status {
-	s, _ := g.look(func(*hostCore) {})
+	s, _ := g.look(func(*core) {})
 	return s
 }
 
 // look reads the present figures and, in the same moment of the host core, more; false if
 // there is no host, or no longer.
-func (g *Gateway) look(more func(*hostCore)) (s Status, ok bool) {
+func (g *Gateway) look(more func(*core)) (s Status, ok bool) {
 	g.mu.Lock()
 	f, h := g.front, g.host
 	g.mu.Unlock()
@@ -278,13 +278,13 @@
 	s.Sessions = len(f.sessions)
 	f.mu.Unlock()
 	s.Open, s.Memory = int(f.open.Load()), f.memory.Load()
-	h.back.mu.Lock()
-	s.ConnectedServers = len(h.back.links)
-	h.back.mu.Unlock()
-	ok = h.ask(func(c *hostCore) {
+	h.pool.mu.Lock()
+	s.ConnectedServers = len(h.pool.connByServer)
+	h.pool.mu.Unlock()
+	ok = h.runAndWait(func(c *core) {
 		more(c)
-		s.Figures = c.tally.figures()
-		s.Requests, s.Sends, s.Resends, s.LimitHeld, s.Nodes, s.ListSeen = c.nextSeq, c.sends, c.resends, c.held, len(c.nodes), c.listed
+		s.Figures = c.counters.figures()
+		s.Requests, s.Sends, s.Resends, s.LimitHeld, s.Nodes, s.ListSeen = c.lastSeq, c.sends, c.resends, c.limitedRequests, len(c.nodes), c.listSeen
 	})
 	return s, ok
 }
@@ -295,7 +295,7 @@
 	h := g.host
 	g.mu.Unlock()
 	if h != nil {
-		h.ask(func(c *hostCore) { out = c.usage.Read(c.now) })
+		h.runAndWait(func(c *core) { out = c.demand.Read(c.now) })
 	}
 	return out
 }
@@ -318,7 +318,7 @@
 	h := g.host
 	g.mu.Unlock()
 	if h != nil {
-		h.post(event{kind: evAsk, ask: func(*hostCore) { env.WaitAny(h.world, until, &h.halted) }})
+		h.post(event{kind: eventRun, run: func(*core) { env.WaitAny(h.environment, until, &h.stopBegun) }})
 	}
 }
 
--- a/internal/control/gateway/host_test.go
+++ b/internal/control/gateway/host_test.go
@@ -27,21 +27,21 @@
 		return false
 	}
 	ready := make(chan bool, 2)
-	events := []func(*hostCore){
-		func(c *hostCore) {
-			c.mod = module
+	events := []func(*core){
+		func(c *core) {
+			c.scheduler = module
 			due := c.now + 2
-			c.do(policy.SetTimer{Delay: due - c.now, Name: "test"})
+			c.perform(policy.SetTimer{Delay: due - c.now, Name: "test"})
 			for env.MS(w.Now()) < due {
 				runtime.Gosched()
 			}
 			ready <- fired()
 		},
-		func(*hostCore) { ready <- fired() },
+		func(*core) { ready <- fired() },
 	}
 	h.mu.Lock() // both are in one batch
 	for _, ask := range events {
-		h.mailbox = append(h.mailbox, event{kind: evAsk, ask: ask})
+		h.queue = append(h.queue, event{kind: eventRun, run: ask})
 	}
 	h.mu.Unlock()
 	h.wake.Unpark()
@@ -59,7 +59,7 @@
 		env.Sleep(w, 5*time.Millisecond, nil)
 		asked := env.MS(w.Now())
 		var now float64
-		if !h.ask(func(c *hostCore) { now = c.now }) || now < asked {
+		if !h.runAndWait(func(c *core) { now = c.now }) || now < asked {
 			t.Errorf("asked at %.3f ms, the core has %.3f", asked, now)
 		}
 	}
--- a/internal/control/gateway/hostcore.go
+++ b/internal/control/gateway/hostcore.go
@@ -20,68 +20,68 @@
 	"merlinhitch/policy"
 )
 
-// endKind is how a request ended.
-type endKind int
+// jobOutcome is how a request ended.
+type jobOutcome int
 
 const (
-	endServed endKind = iota
-	endRefused
-	endFailed
-	endGone // the client ended it
+	jobServed jobOutcome = iota
+	jobRefused
+	jobFailed
+	jobAborted // the client ended it
 )
 
 // job is one request of the module: a command's part on one shard.
 type job struct {
-	id      string
-	req     policy.Request
-	do      diskproto.Do // what every attempt says, but for its number and deadline
-	owner   owner
-	sends   int
-	out     int
-	ended   bool
-	over    atomic.Bool // the same to other goroutines
-	last    *attempt    // the one sent last
-	landBy  float64     // until then a lost attempt may still take effect
-	settled bool
-	gen     uint64  // of the shard's home when it was first sent
-	counts  *counts // that it goes to
-	takenAt float64
-	aimAt   float64
-	group   policy.DedupScope
-	buffer  *[]byte // what the data of the answer under way lies in
-	spare   bool    // ended because the command's answer no longer depends on it
-}
-
-// end notes that the job has its one end: nothing more goes out for it.
-func (j *job) end() {
+	id              string
+	req             policy.Request
+	message         diskproto.Do // what every attempt says, but for its number and deadline
+	owner           owner
+	attempts        int
+	outstanding     int
+	ended           bool
+	noNewAttempts   atomic.Bool // the same to other goroutines
+	lastAttempt     *attempt    // the one sent last
+	effectDeadline  float64     // until then a lost attempt may still take effect
+	settled         bool
+	generation      uint64  // of the shard's home when it was first sent
+	classCounters   *counts // that it goes to
+	submittedAt     float64
+	latencyTargetAt float64
+	dedupScope      policy.DedupScope
+	dataBuffer      *[]byte // what the data of the answer under way lies in
+	abortedUnsent   bool    // ended because the command's answer no longer depends on it
+}
+
+// markEnded notes that the job has its one markEnded: nothing more goes out for it.
+func (j *job) markEnded() {
 	j.ended = true
-	j.over.Store(true)
+	j.noNewAttempts.Store(true)
 }
 
 // owner is who a job was made for. It is told on the host's goroutine.
 type owner interface {
-	// partDone is the job's one end; ans is there if it was served.
-	partDone(j *job, how endKind, after float64, ans *diskproto.Answer)
-	// partSettled says that nothing of the job can take effect any more.
-	partSettled()
+	// jobEnded is the job's one end; ans is there if it was served.
+	jobEnded(j *job, how jobOutcome, after float64, ans *diskproto.Answer)
+	// jobSettled says that nothing of the job can take effect any more.
+	jobSettled()
 }
 
 // attempt is one sending of a job. Its state is the only thing that host core and
 // back share: the one that moves it out of waiting decides whether it was sent.
 type attempt struct {
-	job    *job
-	n      int
-	node   string
-	sentAt float64
-	until  float64
-	by     float64 // it has to have begun by then
-	gen    uint64  // of the shard's home
-	state  atomic.Int32
-	over   bool
-	back   bool // it was taken back before it began
-	tag    uint32
-	link   *link // that it was given to; the host's goroutine's
-	timer  timer
+	job          *job
+	number       int
+	node         string
+	issuedAt     float64
+	answerBy     float64
+	beginBy      float64 // it has to have begun by then
+	generation   uint64  // of the shard's home
+	state        atomic.Int32
+	outcomeKnown bool
+	withdrawn    bool // it was taken back before it began
+	tag          uint32
+	serverConn   *serverConn // that it was given to; the host's goroutine's
+	timer        timer
 }
 
 const (
@@ -96,78 +96,78 @@
 // drop is the host core's: it tells whether the attempt was kept from going out.
 func (a *attempt) drop() bool { return a.state.CompareAndSwap(attemptWaiting, attemptDropped) }
 
-// permitted tells whether the attempt may begin now. On any goroutine.
-func (a *attempt) permitted(now float64) bool {
-	return !a.job.over.Load() && now <= a.by && now < a.until
+// mayBegin tells whether the attempt may begin now. On any goroutine.
+func (a *attempt) mayBegin(now float64) bool {
+	return !a.job.noNewAttempts.Load() && now <= a.beginBy && now < a.answerBy
 }
 
-// effects is what a host core has done. The calls must not block nor call back.
-type effects interface {
+// effectHandler is what a host core has done. The calls must not block nor call back.
+type effectHandler interface {
 	send(a *attempt)
 	cancel(a *attempt)
-	forget(a *attempt) // its time is up; an answer no longer matters
-	finish(j *job, how endKind, after float64, ans *diskproto.Answer)
-	settled(j *job) // of a job that the client ended: nothing of it can land any more
+	attemptTimedOut(a *attempt) // its time is up; an answer no longer matters
+	jobEnded(j *job, how jobOutcome, after float64, ans *diskproto.Answer)
+	jobSettled(j *job) // of a job that the client ended: nothing of it can land any more
 	fetchList()
-	renew()               // ask for a lease at once
-	leased(until float64) // the lease's end, by the host's clock
-	retire(node string)   // close the connection once it has nothing out
-	note(text string)
+	renewLease()               // ask for a lease at once
+	setLeaseEnd(until float64) // the lease's end, by the host's clock
+	retire(node string)        // close the connection once it has nothing out
+	warn(text string)
 }
 
-// hostCore owns the module's instance and everything that the module was told and
+// core owns the module's instance and everything that the module was told and
 // has said. It is a core: times and events in, effects out, no I/O.
-type hostCore struct {
-	mod     policy.Scheduler
-	eff     effects
-	now     float64
-	jobs    map[string]*job
-	timers  timers
-	nextSeq uint64
-	started map[startKey]float64 // when a node's incarnation started, on this clock
-	listed  bool
-	nodes   map[string]inventory.Node
-	usage   *rates.Meter
-	limits  map[string]float64 // units a second of a plan's volumes, over all hosts
-	regions *regional          // nil: there is one
-	groups  map[string]policy.DedupScope
-	aims    map[string]float64 // by class, ms
-	self    int
-	zone    string
-	version uint64             // of the settings in force
-	held    uint64             // requests that were let go of unsent while their volume asked for more than its limit
-	saidAt  map[string]float64 // when that was last said of a volume
+type core struct {
+	scheduler       policy.Scheduler
+	effects         effectHandler
+	now             float64
+	jobs            map[string]*job
+	timers          timerQueue
+	lastSeq         uint64
+	startTimes      map[incarnationKey]float64 // when a node's incarnation started, on this clock
+	listSeen        bool
+	nodes           map[string]inventory.Node
+	demand          *rates.Meter
+	planLimits      map[string]float64 // units a second of a plan's volumes, over all hosts
+	regions         *regional          // nil: there is one
+	dedupScopes     map[string]policy.DedupScope
+	latencyTargets  map[string]float64 // by class, ms
+	hostIndex       int
+	zone            string
+	settingsVersion uint64             // of the settings in force
+	limitedRequests uint64             // requests that were let go of unsent while their volume asked for more than its limit
+	limitWarnedAt   map[string]float64 // when that was last said of a volume
 	// Sends and Resends count attempts; for operators.
 	sends, resends uint64
-	tally          tally
+	counters       tally
 }
 
-type startKey struct {
+type incarnationKey struct {
 	addr        string
 	incarnation uint64
 }
 
-// rateMemory is how many seconds a measured rate looks back on: long enough for the
+// rateWindowSeconds is how many seconds a measured rate looks back on: long enough for the
 // spread to mean something, short against the hours for which layouts are made.
-const rateMemory = 300
+const rateWindowSeconds = 300
 
-func newHostCore(now float64, s *settings.Settings, self int, zone string, seed uint64, eff effects) *hostCore {
-	h := &hostCore{regions: newRegional(s, self), self: self, zone: zone, saidAt: map[string]float64{}, now: now, usage: rates.New(now, rateMemory),
-		eff: eff, jobs: map[string]*job{}, started: map[startKey]float64{}, nodes: map[string]inventory.Node{}, tally: newTally()}
-	h.mod = policy.New(h.learn(s), seed)
+func newCore(now float64, s *settings.Settings, self int, zone string, seed uint64, eff effectHandler) *core {
+	h := &core{regions: newRegional(s, self), hostIndex: self, zone: zone, limitWarnedAt: map[string]float64{}, now: now, demand: rates.New(now, rateWindowSeconds),
+		effects: eff, jobs: map[string]*job{}, startTimes: map[incarnationKey]float64{}, nodes: map[string]inventory.Node{}, counters: newTally()}
+	h.scheduler = policy.New(h.applySettings(s), seed)
 	return h
 }
 
-// learn takes what the core itself needs of settings and returns what the module does.
-func (h *hostCore) learn(s *settings.Settings) policy.Settings {
+// applySettings takes what the core itself needs of settings and returns what the module does.
+func (h *core) applySettings(s *settings.Settings) policy.Settings {
 	s = s.Held()
-	h.version, h.limits, h.groups, h.aims = s.Version, map[string]float64{}, map[string]policy.DedupScope{}, map[string]float64{}
+	h.settingsVersion, h.planLimits, h.dedupScopes, h.latencyTargets = s.Version, map[string]float64{}, map[string]policy.DedupScope{}, map[string]float64{}
 	for _, p := range s.Plans {
 		if p.Limit > 0 {
-			h.limits[p.Name] = p.Limit
+			h.planLimits[p.Name] = p.Limit
 		}
 	}
-	p := s.Policy(h.self, h.zone)
+	p := s.Policy(h.hostIndex, h.zone)
 	if faultinject.Active(faultinject.RepeatUnsafe) {
 		for i := range p.Classes {
 			if p.Classes[i].Effect == policy.NonIdempotent {
@@ -181,105 +181,105 @@
 		}
 	}
 	for _, k := range p.Classes {
-		h.groups[k.Name], h.aims[k.Name] = k.DedupScope, k.LatencyTarget
+		h.dedupScopes[k.Name], h.latencyTargets[k.Name] = k.DedupScope, k.LatencyTarget
 	}
 	return p
 }
 
-// revise brings other settings for the requests that are taken from now on.
-func (h *hostCore) revise(now float64, s *settings.Settings) {
-	h.at(now)
-	p := h.learn(s)
+// updateSettings brings other settings for the requests that are taken from now on.
+func (h *core) updateSettings(now float64, s *settings.Settings) {
+	h.advance(now)
+	p := h.applySettings(s)
 	if h.regions != nil {
 		h.regions.learn(s)
 	}
 	h.notify(policy.SettingsChanged{Settings: p})
 }
 
-// at moves the clock, which never goes back.
-func (h *hostCore) at(now float64) { h.now = max(h.now, now) }
+// advance moves the clock, which never goes back.
+func (h *core) advance(now float64) { h.now = max(h.now, now) }
 
-// take hands a request to the module.
-func (h *hostCore) take(now float64, j *job) {
-	h.at(now)
-	h.nextSeq++
-	j.do.Under = h.version
-	j.id = strconv.FormatUint(h.nextSeq, 36)
-	j.req.ID, j.do.Seq = j.id, h.nextSeq
+// submit hands a request to the module.
+func (h *core) submit(now float64, j *job) {
+	h.advance(now)
+	h.lastSeq++
+	j.message.Under = h.settingsVersion
+	j.id = strconv.FormatUint(h.lastSeq, 36)
+	j.req.ID, j.message.Seq = j.id, h.lastSeq
 	if h.regions != nil {
 		h.regions.limited(h.now, &j.req)
-		j.group, j.do.Copied = h.groups[j.req.Class], h.regions.copied[j.req.Plan]
+		j.dedupScope, j.message.Copied = h.dedupScopes[j.req.Class], h.regions.copied[j.req.Plan]
 	}
 	h.jobs[j.id] = j
-	j.counts = h.tally.of(&j.req)
-	j.counts.Taken++
-	j.takenAt = h.now
-	j.aimAt = h.now + h.aims[j.req.Class]
-	h.usage.Add(h.now, j.req.Volume, j.req.Units, j.req.Write)
+	j.classCounters = h.counters.of(&j.req)
+	j.classCounters.Taken++
+	j.submittedAt = h.now
+	j.latencyTargetAt = h.now + h.latencyTargets[j.req.Class]
+	h.demand.Add(h.now, j.req.Volume, j.req.Units, j.req.Write)
 	h.notify(j.req)
 }
 
 // notify gives the module an event and carries out what it says.
-func (h *hostCore) notify(ev policy.Event) {
+func (h *core) notify(ev policy.Event) {
 	// The slice of actions is the module's and is overwritten by the next event;
 	// carrying an action out never tells the module anything by itself.
-	for _, a := range h.mod.Handle(h.now, ev) {
-		h.do(a)
+	for _, a := range h.scheduler.Handle(h.now, ev) {
+		h.perform(a)
 	}
 }
 
-func (h *hostCore) do(a policy.Action) {
+func (h *core) perform(a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
 		h.send(a)
 	case policy.Refuse:
-		h.end(a.ID, endRefused, a.RetryAfter, a.Cause)
+		h.finishUnserved(a.ID, jobRefused, a.RetryAfter, a.Cause)
 	case policy.Fail:
-		h.end(a.ID, endFailed, 0, a.Cause)
+		h.finishUnserved(a.ID, jobFailed, 0, a.Cause)
 	case policy.CancelAttempt:
 		if j := h.jobs[a.ID]; j != nil {
 			h.cancel(j, a.Attempt)
 		}
 	case policy.Withdraw:
-		if j := h.jobs[a.ID]; j != nil && j.last != nil && j.last.n == a.Attempt {
-			h.withdraw(j.last)
+		if j := h.jobs[a.ID]; j != nil && j.lastAttempt != nil && j.lastAttempt.number == a.Attempt {
+			h.withdraw(j.lastAttempt)
 		}
 	case policy.SetTimer:
-		h.timers.Push(&timer{Due: h.now + a.Delay, Value: awaited{name: a.Name}})
+		h.timers.Push(&timer{Due: h.now + a.Delay, Value: timerEvent{name: a.Name}})
 	case policy.FetchList:
-		h.eff.fetchList() // Subscribe needs nothing: the client always is
+		h.effects.fetchList() // Subscribe needs nothing: the client always is
 	case policy.CloseIdle:
-		h.eff.retire(a.Node)
+		h.effects.retire(a.Node)
 	case policy.Log:
-		h.eff.note(a.Text)
+		h.effects.warn(a.Text)
 	}
 }
 
-func (h *hostCore) send(s policy.Send) {
+func (h *core) send(s policy.Send) {
 	j := h.jobs[s.ID]
 	if j == nil || j.ended {
-		h.eff.note("send for a request that is over: " + s.ID)
+		h.effects.warn("send for a request that is over: " + s.ID)
 		return
 	}
 	until := j.req.Expires
 	if s.TimeoutAt > 0 {
 		until = min(until, s.TimeoutAt)
 	}
-	a := &attempt{job: j, n: j.sends, node: s.Node, sentAt: h.now, until: until, by: math.Inf(1)}
+	a := &attempt{job: j, number: j.attempts, node: s.Node, issuedAt: h.now, answerBy: until, beginBy: math.Inf(1)}
 	if s.StartBy > 0 {
-		a.by = s.StartBy
+		a.beginBy = s.StartBy
 	}
-	j.last = a
+	j.lastAttempt = a
 	goes := h.stamp(a)
-	j.sends++
-	j.out++
+	j.attempts++
+	j.outstanding++
 	h.sends++
-	if a.n > 0 {
+	if a.number > 0 {
 		h.resends++
 	}
-	a.timer = timer{Due: min(a.by, a.until), Value: awaited{a: a}}
+	a.timer = timer{Due: min(a.beginBy, a.answerBy), Value: timerEvent{attempt: a}}
 	if goes {
-		h.eff.send(a)
+		h.effects.send(a)
 	} else {
 		a.timer.Due, a.timer.Value.cancelled = h.now, true // the module is in the midst of an event
 	}
@@ -288,14 +288,14 @@
 
 // withdraw takes back an attempt that waits for its connection still; the outcome comes with
 // the next tick, for the module is in the middle of an event.
-func (h *hostCore) withdraw(a *attempt) {
-	if !a.over && a.drop() {
-		a.back = true
-		h.rearm(a, h.now)
+func (h *core) withdraw(a *attempt) {
+	if !a.outcomeKnown && a.drop() {
+		a.withdrawn = true
+		h.resetTimer(a, h.now)
 	}
 }
 
-func (h *hostCore) rearm(a *attempt, at float64) {
+func (h *core) resetTimer(a *attempt, at float64) {
 	h.timers.Remove(&a.timer)
 	a.timer.Due = at
 	h.timers.Push(&a.timer)
@@ -303,89 +303,89 @@
 
 // cancel stops waiting for an attempt; the outcome comes with the next tick, for
 // the module is in the middle of an event.
-func (h *hostCore) cancel(j *job, n int) {
+func (h *core) cancel(j *job, n int) {
 	for _, d := range h.timers.All() { // rare: the module's own time-outs do most
-		if a := d.Value.a; a != nil && a.job == j && a.n == n {
+		if a := d.Value.attempt; a != nil && a.job == j && a.number == n {
 			h.timers.Remove(d)
 			d.Due, d.Value.cancelled = h.now, true
 			h.timers.Push(d)
-			h.eff.cancel(a)
+			h.effects.cancel(a)
 			return
 		}
 	}
 }
 
-// end is a final answer by the module.
-func (h *hostCore) end(id string, how endKind, after float64, why policy.Reason) {
+// finishUnserved is a final answer by the module.
+func (h *core) finishUnserved(id string, how jobOutcome, after float64, why policy.Reason) {
 	j := h.jobs[id]
 	if j == nil || j.ended {
 		return
 	}
-	j.end()
-	j.counts.ended(j, how, h.now)
-	j.counts.Reasons[why]++
-	h.heldBack(j)
-	h.eff.finish(j, how, after, nil)
-	h.tidy(j)
+	j.markEnded()
+	j.classCounters.ended(j, how, h.now)
+	j.classCounters.Reasons[why]++
+	h.recordLimited(j)
+	h.effects.jobEnded(j, how, after, nil)
+	h.removeIfDone(j)
 }
 
-// sayEvery is how often a volume that its limit holds back is named in the log, ms.
-const sayEvery = 60_000
+// limitWarnInterval is how often a volume that its limit holds back is named in the log, ms.
+const limitWarnInterval = 60_000
 
-// heldBack says, now and then, that a limit is what holds a volume back: a request of it
+// recordLimited says, now and then, that a limit is what holds a volume back: a request of it
 // was never sent, and the volume asks this host for more than the host's part. It
 // decides nothing.
-func (h *hostCore) heldBack(j *job) {
-	limit := h.limits[j.req.Plan]
-	if limit == 0 || j.sends > 0 {
+func (h *core) recordLimited(j *job) {
+	limit := h.planLimits[j.req.Plan]
+	if limit == 0 || j.attempts > 0 {
 		return
 	}
 	part := limit / float64(max(j.req.Hosts, 1))
-	asks := h.usage.Of(h.now, j.req.Volume)
+	asks := h.demand.Of(h.now, j.req.Volume)
 	if asks <= part {
 		return
 	}
-	h.held++
-	if at, said := h.saidAt[j.req.Volume]; said && h.now-at < sayEvery {
+	h.limitedRequests++
+	if at, said := h.limitWarnedAt[j.req.Volume]; said && h.now-at < limitWarnInterval {
 		return
 	}
-	h.saidAt[j.req.Volume] = h.now
-	h.eff.note(fmt.Sprintf("volume %s of plan %s asks this host for %.1f units a second, its limit lets it have %.1f here; requests wait and are refused for that",
+	h.limitWarnedAt[j.req.Volume] = h.now
+	h.effects.warn(fmt.Sprintf("volume %s of plan %s asks this host for %.1f units a second, its limit lets it have %.1f here; requests wait and are refused for that",
 		j.req.Volume, j.req.Plan, asks, part))
 }
 
-// tidy forgets a job that is over and has nothing out.
-func (h *hostCore) tidy(j *job) {
-	if !j.ended || j.out > 0 {
+// removeIfDone forgets a job that is over and has nothing out.
+func (h *core) removeIfDone(j *job) {
+	if !j.ended || j.outstanding > 0 {
 		return
 	}
 	delete(h.jobs, j.id)
-	j.do.Data = nil
+	j.message.Data = nil
 	if j.settled {
 		return
 	}
-	if j.landBy > h.now {
-		h.timers.Push(&timer{Due: j.landBy, Value: awaited{j: j}})
+	if j.effectDeadline > h.now {
+		h.timers.Push(&timer{Due: j.effectDeadline, Value: timerEvent{job: j}})
 		return
 	}
 	j.settled = true
-	h.eff.settled(j)
+	h.effects.jobSettled(j)
 }
 
-// abandon ends a request from the client's side.
-func (h *hostCore) abandon(now float64, j *job) {
-	h.at(now)
+// abort ends a request from the client's side.
+func (h *core) abort(now float64, j *job) {
+	h.advance(now)
 	if j.ended || h.jobs[j.id] != j {
 		return
 	}
-	j.end()
-	j.counts.ended(j, endGone, h.now)
-	h.eff.finish(j, endGone, 0, nil)
+	j.markEnded()
+	j.classCounters.ended(j, jobAborted, h.now)
+	h.effects.jobEnded(j, jobAborted, 0, nil)
 	h.notify(policy.ClientGone{ID: j.id})
-	h.tidy(j)
+	h.removeIfDone(j)
 }
 
-var results = map[diskproto.Result]policy.Result{
+var policyResults = map[diskproto.Result]policy.Result{
 	diskproto.OK:         policy.Served,
 	diskproto.Miscompare: policy.Served, // it ran, and said no
 	diskproto.Failed:     policy.ServerError,
@@ -397,64 +397,64 @@
 	diskproto.Stale:      policy.NotSent,
 }
 
-// answered brings a disk server's answer. Of an attempt that is over already
+// receiveAnswer brings a disk server's answer. Of an attempt that is over already
 // (timed out) it comes too late and changes nothing.
-func (h *hostCore) answered(now float64, a *attempt, ans *diskproto.Answer) {
-	h.at(now)
-	if a.over {
+func (h *core) receiveAnswer(now float64, a *attempt, ans *diskproto.Answer) {
+	h.advance(now)
+	if a.outcomeKnown {
 		return
 	}
 	if ans.Result == diskproto.Stale {
 		h.refusedAsOld(a)
 	}
-	r := results[ans.Result]
+	r := policyResults[ans.Result]
 	if r == policy.Served && !a.job.ended {
-		a.job.end()
-		a.job.counts.ended(a.job, endServed, h.now)
-		h.eff.finish(a.job, endServed, 0, ans)
+		a.job.markEnded()
+		a.job.classCounters.ended(a.job, jobServed, h.now)
+		h.effects.jobEnded(a.job, jobServed, 0, ans)
 	}
 	report := make([]policy.Reading, len(ans.Report))
 	for i, f := range ans.Report {
 		report[i] = policy.Reading(f)
 	}
-	h.outcome(a, r, policy.Outcome{FromOthers: ans.Others, Use: float64(ans.Use), Report: report})
+	h.endAttempt(a, r, policy.Outcome{FromOthers: ans.Others, Use: float64(ans.Use), Report: report})
 }
 
-// lost ends an attempt without an answer.
-func (h *hostCore) lost(now float64, a *attempt, r policy.Result) {
-	h.at(now)
-	if a.over {
+// failAttempt ends an attempt without an answer.
+func (h *core) failAttempt(now float64, a *attempt, r policy.Result) {
+	h.advance(now)
+	if a.outcomeKnown {
 		return
 	}
 	if r == policy.ConnectionLost {
-		a.job.landBy = max(a.job.landBy, a.until)
+		a.job.effectDeadline = max(a.job.effectDeadline, a.answerBy)
 	}
-	h.outcome(a, r, policy.Outcome{})
+	h.endAttempt(a, r, policy.Outcome{})
 }
 
-func (h *hostCore) outcome(a *attempt, r policy.Result, o policy.Outcome) {
-	a.over = true
+func (h *core) endAttempt(a *attempt, r policy.Result, o policy.Outcome) {
+	a.outcomeKnown = true
 	h.timers.Remove(&a.timer)
 	j := a.job
-	j.out--
-	h.tally.outcome(a.node, r, h.nodes)
-	o.ID, o.Node, o.Attempt, o.Done, o.Elapsed, o.Result = j.id, a.node, a.n, j.ended, h.now-a.sentAt, r
+	j.outstanding--
+	h.counters.outcome(a.node, r, h.nodes)
+	o.ID, o.Node, o.Attempt, o.Done, o.Elapsed, o.Result = j.id, a.node, a.number, j.ended, h.now-a.issuedAt, r
 	h.notify(o)
-	h.tidy(j)
+	h.removeIfDone(j)
 }
 
-// next is when tick has something to do, +Inf if never.
-func (h *hostCore) next() float64 { return h.timers.NextDue() }
+// nextDue is when tick has something to do, +Inf if never.
+func (h *core) nextDue() float64 { return h.timers.NextDue() }
 
-// tick does what has come due.
-func (h *hostCore) tick(now float64) {
-	h.at(now)
+// runDue does what has come due.
+func (h *core) runDue(now float64) {
+	h.advance(now)
 	for e := h.timers.PopDue(h.now); e != nil; e = h.timers.PopDue(h.now) {
 		switch d := e.Value; {
-		case d.a != nil:
-			h.timeOut(d.a, d.cancelled)
-		case d.j != nil:
-			h.tidy(d.j)
+		case d.attempt != nil:
+			h.expireAttempt(d.attempt, d.cancelled)
+		case d.job != nil:
+			h.removeIfDone(d.job)
 		case d.name == leaseEnd:
 			h.leaseOver()
 		default:
@@ -463,31 +463,31 @@
 	}
 }
 
-// timeOut ends an attempt whose time is up. If it was still waiting for a
+// expireAttempt ends an attempt whose time is up. If it was still waiting for a
 // connection, nothing of it left the host. One that began in time goes on.
-func (h *hostCore) timeOut(a *attempt, cancelled bool) {
+func (h *core) expireAttempt(a *attempt, cancelled bool) {
 	switch {
-	case a.back:
-		h.outcome(a, policy.NotSent, policy.Outcome{})
-	case a.link == nil && cancelled && a.drop(): // it was not to go
-		h.outcome(a, policy.NotSent, policy.Outcome{})
+	case a.withdrawn:
+		h.endAttempt(a, policy.NotSent, policy.Outcome{})
+	case a.serverConn == nil && cancelled && a.drop(): // it was not to go
+		h.endAttempt(a, policy.NotSent, policy.Outcome{})
 	case a.drop():
-		h.outcome(a, policy.NoConnection, policy.Outcome{})
+		h.endAttempt(a, policy.NoConnection, policy.Outcome{})
 	case a.state.Load() == attemptDropped: // by the back: its outcome is on its way
-	case !cancelled && h.now < a.until:
-		h.rearm(a, a.until)
+	case !cancelled && h.now < a.answerBy:
+		h.resetTimer(a, a.answerBy)
 	case cancelled:
-		a.job.landBy = max(a.job.landBy, a.until)
-		h.outcome(a, policy.Cancelled, policy.Outcome{})
+		a.job.effectDeadline = max(a.job.effectDeadline, a.answerBy)
+		h.endAttempt(a, policy.Cancelled, policy.Outcome{})
 	default: // its deadline has passed at the server too: it can't begin any more
-		h.eff.forget(a)
-		h.outcome(a, policy.NoAnswer, policy.Outcome{})
+		h.effects.attemptTimedOut(a)
+		h.endAttempt(a, policy.NoAnswer, policy.Outcome{})
 	}
 }
 
-// list brings the node list.
-func (h *hostCore) list(now float64, l inventory.List) {
-	h.at(now)
+// updateNodes brings the node updateNodes.
+func (h *core) updateNodes(now float64, l inventory.List) {
+	h.advance(now)
 	if l.Kind == inventory.Failed {
 		h.notify(policy.ListFailed{})
 		return
@@ -501,43 +501,43 @@
 		}
 		h.nodes[n.Addr] = l.Nodes[i]
 	}
-	h.listed = true
-	h.notifyNodes(l.Kind == inventory.Full, l.Nodes)
+	h.listSeen = true
+	h.reportNodes(l.Kind == inventory.Full, l.Nodes)
 	for _, n := range l.Nodes {
 		if n.Health == inventory.Gone {
 			delete(h.nodes, n.Addr)
-			delete(h.started, startKey{n.Addr, n.Incarnation})
-			h.eff.retire(n.Addr)
+			delete(h.startTimes, incarnationKey{n.Addr, n.Incarnation})
+			h.effects.retire(n.Addr)
 		}
 	}
 }
 
-// notifyNodes tells the module of nodes, of all there are where full.
-func (h *hostCore) notifyNodes(full bool, list []inventory.Node) {
+// reportNodes tells the module of nodes, of all there are where full.
+func (h *core) reportNodes(full bool, list []inventory.Node) {
 	nodes := make([]policy.Node, len(list))
 	for i, n := range list {
-		nodes[i] = policy.Node{Addr: n.Addr, Health: h.healthOf(n), Shard: n.Shard, Zone: n.Zone, Weight: n.Weight, Started: h.startOf(n)}
+		nodes[i] = policy.Node{Addr: n.Addr, Health: h.healthOf(n), Shard: n.Shard, Zone: n.Zone, Weight: n.Weight, Started: h.startTime(n)}
 	}
 	h.notify(policy.NodeList{Full: full, Nodes: nodes})
 }
 
-func byAddr(a, b inventory.Node) int { return strings.Compare(a.Addr, b.Addr) }
+func compareAddr(a, b inventory.Node) int { return strings.Compare(a.Addr, b.Addr) }
 
-var health = map[string]policy.Health{
+var policyHealth = map[string]policy.Health{
 	inventory.Ready: policy.Ready, inventory.Draining: policy.Draining, inventory.Gone: policy.Removed,
 }
 
-// startOf turns an age into a time on this clock, once for each incarnation: the
+// startTime turns an age into a time on this clock, once for each incarnation: the
 // module takes another time for another start.
-func (h *hostCore) startOf(n inventory.Node) float64 {
+func (h *core) startTime(n inventory.Node) float64 {
 	if n.AgeMS <= 0 || faultinject.Active(faultinject.StartUnheard) {
 		return 0
 	}
-	k := startKey{n.Addr, n.Incarnation}
-	at, ok := h.started[k]
+	k := incarnationKey{n.Addr, n.Incarnation}
+	at, ok := h.startTimes[k]
 	if !ok {
 		at = max(h.now-n.AgeMS, math.SmallestNonzeroFloat64)
-		h.started[k] = at
+		h.startTimes[k] = at
 	}
 	return at
 }
--- a/internal/control/gateway/hostcore_test.go
+++ b/internal/control/gateway/hostcore_test.go
@@ -14,7 +14,7 @@
 
 func TestDuesComeInOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	var h timers
+	var h timerQueue
 	var live []*timer
 	for range 20000 {
 		switch {
@@ -59,28 +59,30 @@
 // noted is the effects of a core, as a test sees them.
 type noted struct {
 	sent    []*attempt
-	ends    []endKind
+	ends    []jobOutcome
 	settle  int
 	retired []string
 	forgot  int
 }
 
-func (n *noted) send(a *attempt)                                          { n.sent = append(n.sent, a) }
-func (n *noted) cancel(*attempt)                                          {}
-func (n *noted) forget(*attempt)                                          { n.forgot++ }
-func (n *noted) finish(_ *job, k endKind, _ float64, _ *diskproto.Answer) { n.ends = append(n.ends, k) }
-func (n *noted) settled(*job)                                             { n.settle++ }
-func (n *noted) fetchList()                                               {}
-func (n *noted) renew()                                                   {}
-func (n *noted) leased(float64)                                           {}
-func (n *noted) retire(node string)                                       { n.retired = append(n.retired, node) }
-func (n *noted) note(string)                                              {}
-
-func newScripted(then func(policy.Event) []policy.Action) (*hostCore, *script, *noted) {
+func (n *noted) send(a *attempt)          { n.sent = append(n.sent, a) }
+func (n *noted) cancel(*attempt)          {}
+func (n *noted) attemptTimedOut(*attempt) { n.forgot++ }
+func (n *noted) jobEnded(_ *job, k jobOutcome, _ float64, _ *diskproto.Answer) {
+	n.ends = append(n.ends, k)
+}
+func (n *noted) jobSettled(*job)     { n.settle++ }
+func (n *noted) fetchList()          {}
+func (n *noted) renewLease()         {}
+func (n *noted) setLeaseEnd(float64) {}
+func (n *noted) retire(node string)  { n.retired = append(n.retired, node) }
+func (n *noted) warn(string)         {}
+
+func newScripted(then func(policy.Event) []policy.Action) (*core, *script, *noted) {
 	n := &noted{}
-	h := newHostCore(0, settings.Example(1, 1), 0, "", 1, n)
+	h := newCore(0, settings.Example(1, 1), 0, "", 1, n)
 	s := &script{then: then}
-	h.mod = s
+	h.scheduler = s
 	return h, s, n
 }
 
@@ -106,16 +108,16 @@
 	for _, claimed := range []bool{false, true} {
 		h, s, n := newScripted(sendAll)
 		j := &job{req: policy.Request{Expires: 2000}}
-		h.take(100, j)
+		h.submit(100, j)
 		a := n.sent[0]
 		if claimed && !a.claim() {
 			t.Fatal("not to be claimed")
 		}
-		if h.next() != 500 {
-			t.Fatalf("next at %v", h.next())
+		if h.nextDue() != 500 {
+			t.Fatalf("next at %v", h.nextDue())
 		}
-		h.tick(499)
-		h.tick(500)
+		h.runDue(499)
+		h.runDue(500)
 		want := policy.NoConnection
 		if claimed {
 			want = policy.NoAnswer
@@ -127,8 +129,8 @@
 			t.Error("claimed after its time")
 		}
 		told := len(s.told)
-		h.answered(600, a, &diskproto.Answer{Result: diskproto.OK})
-		h.lost(600, a, policy.ConnectionLost)
+		h.receiveAnswer(600, a, &diskproto.Answer{Result: diskproto.OK})
+		h.failAttempt(600, a, policy.ConnectionLost)
 		if len(s.told) != told || len(n.ends) != 0 {
 			t.Error("a late answer was told")
 		}
@@ -138,17 +140,17 @@
 func TestServedEndsOnce(t *testing.T) {
 	h, s, n := newScripted(sendAll)
 	j := &job{req: policy.Request{Expires: 2000}}
-	h.take(100, j)
+	h.submit(100, j)
 	n.sent[0].claim()
-	h.answered(150, n.sent[0], &diskproto.Answer{Result: diskproto.OK})
+	h.receiveAnswer(150, n.sent[0], &diskproto.Answer{Result: diskproto.OK})
 	if o := lastOutcome(s); o.Result != policy.Served || !o.Done {
 		t.Errorf("%+v", o)
 	}
-	h.abandon(160, j)
-	h.do(policy.Fail{ID: j.id})
-	h.do(policy.Send{ID: j.id, Node: "n"})
-	if !slices.Equal(n.ends, []endKind{endServed}) || len(n.sent) != 1 || len(h.jobs) != 0 || !math.IsInf(h.next(), 1) {
-		t.Errorf("ends %v, %d sends, %d jobs, next %v", n.ends, len(n.sent), len(h.jobs), h.next())
+	h.abort(160, j)
+	h.perform(policy.Fail{ID: j.id})
+	h.perform(policy.Send{ID: j.id, Node: "n"})
+	if !slices.Equal(n.ends, []jobOutcome{jobServed}) || len(n.sent) != 1 || len(h.jobs) != 0 || !math.IsInf(h.nextDue(), 1) {
+		t.Errorf("ends %v, %d sends, %d jobs, next %v", n.ends, len(n.sent), len(h.jobs), h.nextDue())
 	}
 }
 
@@ -157,22 +159,22 @@
 func TestSettledAtTheDeadline(t *testing.T) {
 	h, s, n := newScripted(sendAll)
 	j := &job{req: policy.Request{Expires: 2000}}
-	h.take(100, j)
+	h.submit(100, j)
 	n.sent[0].claim()
-	h.abandon(150, j)
+	h.abort(150, j)
 	if _, ok := s.told[len(s.told)-1].(policy.ClientGone); !ok || n.settle != 0 {
 		t.Fatalf("told %T, settled %d", s.told[len(s.told)-1], n.settle)
 	}
-	h.lost(160, n.sent[0], policy.ConnectionLost)
+	h.failAttempt(160, n.sent[0], policy.ConnectionLost)
 	if o := lastOutcome(s); o.Result != policy.ConnectionLost || !o.Done || n.settle != 0 {
 		t.Fatalf("%+v, settled %d", o, n.settle)
 	}
-	h.tick(499)
+	h.runDue(499)
 	if n.settle != 0 {
 		t.Error("settled before the deadline")
 	}
-	h.tick(500)
-	if n.settle != 1 || !math.IsInf(h.next(), 1) {
+	h.runDue(500)
+	if n.settle != 1 || !math.IsInf(h.nextDue(), 1) {
 		t.Errorf("settled %d", n.settle)
 	}
 }
@@ -180,12 +182,12 @@
 func TestCancel(t *testing.T) {
 	h, s, n := newScripted(sendAll)
 	j := &job{req: policy.Request{Expires: 2000}}
-	h.take(100, j)
+	h.submit(100, j)
 	n.sent[0].claim()
-	h.do(policy.CancelAttempt{ID: j.id, Attempt: 0})
-	h.tick(101)
-	if o := lastOutcome(s); o.Result != policy.Cancelled || j.landBy != 500 {
-		t.Errorf("%+v, may land until %v", o, j.landBy)
+	h.perform(policy.CancelAttempt{ID: j.id, Attempt: 0})
+	h.runDue(101)
+	if o := lastOutcome(s); o.Result != policy.Cancelled || j.effectDeadline != 500 {
+		t.Errorf("%+v, may land until %v", o, j.effectDeadline)
 	}
 }
 
@@ -194,7 +196,7 @@
 func TestStartOfANode(t *testing.T) {
 	h, s, n := newScripted(nil)
 	tell := func(now, age float64, inc uint64, health string) policy.Node {
-		h.list(now, inventory.List{Kind: inventory.Delta, Nodes: []inventory.Node{{Addr: "n", Health: health, Incarnation: inc, AgeMS: age}}})
+		h.updateNodes(now, inventory.List{Kind: inventory.Delta, Nodes: []inventory.Node{{Addr: "n", Health: health, Incarnation: inc, AgeMS: age}}})
 		return s.told[len(s.told)-1].(policy.NodeList).Nodes[0]
 	}
 	first := tell(1000, 300, 1, inventory.Ready).Started
@@ -211,7 +213,7 @@
 	if !slices.Equal(n.retired, []string{"n"}) || len(h.nodes) != 0 {
 		t.Errorf("retired %v, %d nodes", n.retired, len(h.nodes))
 	}
-	h.list(5000, inventory.List{Kind: inventory.Failed})
+	h.updateNodes(5000, inventory.List{Kind: inventory.Failed})
 	if _, ok := s.told[len(s.told)-1].(policy.ListFailed); !ok {
 		t.Error("a failure was not told")
 	}
--- a/internal/control/gateway/keeper.go
+++ b/internal/control/gateway/keeper.go
@@ -15,100 +15,102 @@
 	"merlinhitch/policy"
 )
 
-// keeper knows what this host has been told of its volumes' reservations. The truth is
+// reservationCache knows what this host has been told of its volumes' reservations. The truth is
 // the record at the disk server of a volume's first extent; docs/reservations.md has
 // the protocol. What is allowed by an old state is stopped by the fence at the disk
 // servers; what an old state forbids is looked up anew before it is said.
-type keeper struct {
-	front *front
-	mu    sync.Mutex
-	known map[string]*guard // volumes of which a record was seen
+type reservationCache struct {
+	front   *front
+	mu      sync.Mutex
+	volumes map[string]*volumeReservations // volumes of which a record was seen
 }
 
-// guard is one volume's.
-type guard struct {
-	state   *reserve.State
-	reading bool
-	now     []waiter // of the read that is under way
-	later   []waiter // that came while it was: they need one begun after them
-	polled  bool
+// volumeReservations is one volume's.
+type volumeReservations struct {
+	state       *reserve.State
+	reading     bool
+	waiters     []stateWaiter // of the read that is under way
+	nextWaiters []stateWaiter // that came while it was: they need one begun after them
+	polling     bool
 }
 
-// waiter hears of a state read after it began to wait, on no particular goroutine.
-type waiter struct {
+// stateWaiter hears of a state read after it began to wait, on no particular goroutine.
+type stateWaiter struct {
 	expires float64
-	tell    func(*reserve.State, error)
+	receive func(*reserve.State, error)
 }
 
 // Lease is how old the state that a host acts on may be while it has registered
 // initiators: so late at most do they hear of a pre-emption. Nothing relies on it for
 // safety: the fence does that.
-const lease = time.Second
+const pollInterval = time.Second
 
-// errUnknown ends what needs a state that could not be read, or a fence that could not
+// errReservationsUnavailable ends what needs a state that could not be read, or a fence that could not
 // be raised: nothing was done, and the client may try again.
-var errUnknown = errors.New("gateway: the volume's reservations can't be read now")
+var errReservationsUnavailable = errors.New("gateway: the volume's reservations can't be read now")
 
-func newKeeper(f *front) *keeper { return &keeper{front: f, known: map[string]*guard{}} }
+func newReservationCache(f *front) *reservationCache {
+	return &reservationCache{front: f, volumes: map[string]*volumeReservations{}}
+}
 
-// guard returns a volume's; unseen it is the zero state, which every fence that was
+// volume returns a volume's; unseen it is the zero state, which every fence that was
 // ever raised refuses. Held: mu.
-func (k *keeper) guard(volume string) *guard {
-	g := k.known[volume]
+func (k *reservationCache) volume(volume string) *volumeReservations {
+	g := k.volumes[volume]
 	if g == nil {
-		g = &guard{state: &reserve.State{}}
-		k.known[volume] = g
+		g = &volumeReservations{state: &reserve.State{}}
+		k.volumes[volume] = g
 	}
 	return g
 }
 
-// judge tells whether a nexus may write or read, as far as this host knows, and the
+// check tells whether a nexus may write or read, as far as this host knows, and the
 // version by which disk servers hold it to that.
-func (k *keeper) judge(volume string, n reserve.Nexus, write bool) (fence uint64, ok bool) {
+func (k *reservationCache) check(volume string, n reserve.Nexus, write bool) (fence uint64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	g := k.known[volume]
+	g := k.volumes[volume]
 	if g == nil {
 		return 0, true
 	}
 	return g.state.Version, g.state.May(n, write)
 }
 
-// fresh reads the record, in a read that begins after this call, has every shard of
+// refresh reads the record, in a read that begins after this call, has every shard of
 // the volume refuse what is older, and then tells.
-func (k *keeper) fresh(vol *settings.Volume, expires float64, tell func(*reserve.State, error)) {
+func (k *reservationCache) refresh(vol *settings.Volume, expires float64, tell func(*reserve.State, error)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	g := k.guard(vol.Name)
-	w := waiter{expires, tell}
+	g := k.volume(vol.Name)
+	w := stateWaiter{expires, tell}
 	if g.reading {
-		g.later = append(g.later, w)
+		g.nextWaiters = append(g.nextWaiters, w)
 		return
 	}
-	g.now = append(g.now, w)
-	k.read(vol, g)
+	g.waiters = append(g.waiters, w)
+	k.startRead(vol, g)
 }
 
-// read begins a read for those that wait. Held: mu.
-func (k *keeper) read(vol *settings.Volume, g *guard) {
+// startRead begins a startRead for those that wait. Held: mu.
+func (k *reservationCache) startRead(vol *settings.Volume, g *volumeReservations) {
 	g.reading = true
 	latest := 0.0
-	for _, w := range g.now {
+	for _, w := range g.waiters {
 		latest = max(latest, w.expires)
 	}
-	k.front.record(vol, diskproto.OpRecord, scsi.Read, nil, 0, latest, func(ans *diskproto.Answer) {
+	k.front.accessRecord(vol, diskproto.OpRecord, scsi.Read, nil, 0, latest, func(ans *diskproto.Answer) {
 		s, err := parseRecord(ans)
 		if err != nil {
-			k.told(vol, nil, err)
+			k.finishRead(vol, nil, err)
 			return
 		}
-		k.learn(vol, s, latest, func(err error) { k.told(vol, s, err) })
+		k.update(vol, s, latest, func(err error) { k.finishRead(vol, s, err) })
 	})
 }
 
 func parseRecord(ans *diskproto.Answer) (*reserve.State, error) {
 	if ans == nil {
-		return nil, errUnknown
+		return nil, errReservationsUnavailable
 	}
 	var r diskproto.Record
 	if err := r.Parse(ans.Data); err != nil {
@@ -122,35 +124,35 @@
 	return s, nil
 }
 
-// told ends a read, and begins the next where some still wait.
-func (k *keeper) told(vol *settings.Volume, s *reserve.State, err error) {
+// finishRead ends a read, and begins the next where some still wait.
+func (k *reservationCache) finishRead(vol *settings.Volume, s *reserve.State, err error) {
 	k.mu.Lock()
-	g := k.guard(vol.Name)
-	now := g.now
-	g.now, g.later, g.reading = g.later, nil, false
-	if len(g.now) > 0 {
-		k.read(vol, g)
+	g := k.volume(vol.Name)
+	now := g.waiters
+	g.waiters, g.nextWaiters, g.reading = g.nextWaiters, nil, false
+	if len(g.waiters) > 0 {
+		k.startRead(vol, g)
 	}
 	k.mu.Unlock()
 	for _, w := range now {
-		w.tell(s, err)
+		w.receive(s, err)
 	}
 }
 
-// learn takes a state that is newer than the one known: first its fence is raised at
+// update takes a state that is newer than the one known: first its fence is raised at
 // every shard, so that nobody acts on an older one any more, then it counts here, and
 // initiators hear of what concerns them.
-func (k *keeper) learn(vol *settings.Volume, s *reserve.State, expires float64, then func(error)) {
+func (k *reservationCache) update(vol *settings.Volume, s *reserve.State, expires float64, then func(error)) {
 	k.mu.Lock()
-	old := k.guard(vol.Name).state
+	old := k.volume(vol.Name).state
 	k.mu.Unlock()
 	if s.Version <= old.Version {
 		then(nil)
 		return
 	}
-	k.front.fence(vol, s.Version, expires, func(ok bool) {
+	k.front.raiseFence(vol, s.Version, expires, func(ok bool) {
 		if !ok {
-			then(errUnknown)
+			then(errReservationsUnavailable)
 			return
 		}
 		k.install(vol, s)
@@ -158,35 +160,35 @@
 	})
 }
 
-func (k *keeper) install(vol *settings.Volume, s *reserve.State) {
+func (k *reservationCache) install(vol *settings.Volume, s *reserve.State) {
 	k.mu.Lock()
-	g := k.guard(vol.Name)
+	g := k.volume(vol.Name)
 	old := g.state
 	if s.Version <= old.Version {
 		k.mu.Unlock()
 		return
 	}
 	g.state = s
-	poll := !g.polled && len(s.Registrations) > 0
-	g.polled = g.polled || poll
+	poll := !g.polling && len(s.Registrations) > 0
+	g.polling = g.polling || poll
 	k.mu.Unlock()
-	k.front.attend(vol.Name, reserve.Notices(old, s))
+	k.front.setAttention(vol.Name, reserve.Notices(old, s))
 	if poll {
 		k.poll(vol)
 	}
 }
 
 // poll reads the record once a lease while anybody is registered.
-func (k *keeper) poll(vol *settings.Volume) {
-	k.front.world.AfterFunc(lease, func() {
-		if k.front.over() {
+func (k *reservationCache) poll(vol *settings.Volume) {
+	k.front.world.AfterFunc(pollInterval, func() {
+		if k.front.isStopping() {
 			return
 		}
-		k.fresh(vol, env.MS(k.front.world.Now()+lease), func(*reserve.State, error) {
+		k.refresh(vol, env.MS(k.front.world.Now()+pollInterval), func(*reserve.State, error) {
 			k.mu.Lock()
-			g := k.guard(vol.Name)
-			g.polled = len(g.state.Registrations) > 0
-			again := g.polled
+			g := k.volume(vol.Name)
+			g.polling = len(g.state.Registrations) > 0
+			again := g.polling
 			k.mu.Unlock()
 			if again {
 				k.poll(vol)
@@ -195,35 +197,35 @@
 	})
 }
 
-// errand is a request of the keeper's own at a disk server.
-type errand struct{ end func(*diskproto.Answer) }
+// internalRequest is a request of the keeper's own at a disk server.
+type internalRequest struct{ done func(*diskproto.Answer) }
 
-func (e *errand) partDone(_ *job, how endKind, _ float64, ans *diskproto.Answer) {
-	if how != endServed {
+func (e *internalRequest) jobEnded(_ *job, how jobOutcome, _ float64, ans *diskproto.Answer) {
+	if how != jobServed {
 		ans = nil
 	}
-	e.end(ans)
+	e.done(ans)
 }
 
-func (e *errand) partSettled() {}
+func (e *internalRequest) jobSettled() {}
 
-// classAs is the class that a keeper's request runs under: that of the operation on
+// classFor is the class that a keeper's request runs under: that of the operation on
 // blocks which it is most like.
-func (f *front) classAs(vol *settings.Volume, like scsi.Op) *settings.Class {
+func (f *front) classFor(vol *settings.Volume, like scsi.Op) *settings.Class {
 	v := f.view.Load()
 	return v.Class(like, vol.BlockSize, vol.Plan)
 }
 
-// record does something with a volume's record at the disk server of its first extent,
+// accessRecord does something with a volume's accessRecord at the disk server of its first extent,
 // through the module like any request. end is told the answer, nil if there is none.
-func (f *front) record(vol *settings.Volume, op byte, like scsi.Op, data []byte, fence uint64, expires float64, end func(*diskproto.Answer)) {
-	f.errand(vol, vol.Layout[0], op, like, data, fence, expires, end)
+func (f *front) accessRecord(vol *settings.Volume, op byte, like scsi.Op, data []byte, fence uint64, expires float64, end func(*diskproto.Answer)) {
+	f.submitInternal(vol, vol.Layout[0], op, like, data, fence, expires, end)
 }
 
-func (f *front) errand(vol *settings.Volume, shard int, op byte, like scsi.Op, data []byte, fence uint64, expires float64, end func(*diskproto.Answer)) {
+func (f *front) submitInternal(vol *settings.Volume, shard int, op byte, like scsi.Op, data []byte, fence uint64, expires float64, end func(*diskproto.Answer)) {
 	f.taking.RLock()
 	defer f.taking.RUnlock()
-	class := f.classAs(vol, like)
+	class := f.classFor(vol, like)
 	if class == nil {
 		f.world.AfterFunc(0, func() { end(nil) }) // the caller may hold a lock
 		return
@@ -232,25 +234,25 @@
 	j := &job{}
 	j.req = policy.Request{Class: class.Name, Plan: vol.Plan, Volume: vol.Name, Shard: shard, Units: 1, Key: vol.Name + name,
 		Hosts: f.view.Load().hosts[vol.Name], Write: like.Writes(), Expires: expires}
-	j.do = diskproto.Do{Op: op, Effect: wireEffect[class.Effect], Shard: uint32(shard), Host: f.host.back.id, Units: 1, Plan: vol.Plan,
+	j.message = diskproto.Do{Op: op, Effect: diskEffects[class.Effect], Shard: uint32(shard), Host: f.host.pool.hostID, Units: 1, Plan: vol.Plan,
 		Volume: vol.Name, Key: j.req.Key, Fence: fence, Data: data}
 	f.open.Add(1)
-	j.owner = &errand{func(ans *diskproto.Answer) { f.open.Add(-1); end(ans) }}
-	if !f.host.post(event{kind: evTake, job: j}) {
+	j.owner = &internalRequest{func(ans *diskproto.Answer) { f.open.Add(-1); end(ans) }}
+	if !f.host.post(event{kind: eventSubmit, job: j}) {
 		f.open.Add(-1)
 		f.world.AfterFunc(0, func() { end(nil) })
 	}
 }
 
-// fence raises the fence at every shard of a volume.
-func (f *front) fence(vol *settings.Volume, version uint64, expires float64, end func(ok bool)) {
+// raiseFence raises the raiseFence at every shard of a volume.
+func (f *front) raiseFence(vol *settings.Volume, version uint64, expires float64, end func(ok bool)) {
 	shards := slices.Clone(vol.Layout)
 	slices.Sort(shards)
 	shards = slices.Compact(shards)
 	var mu sync.Mutex
 	left, all := len(shards), true
 	for _, sh := range shards {
-		f.errand(vol, sh, diskproto.OpFence, scsi.Read, nil, version, expires, func(ans *diskproto.Answer) {
+		f.submitInternal(vol, sh, diskproto.OpFence, scsi.Read, nil, version, expires, func(ans *diskproto.Answer) {
 			mu.Lock()
 			left--
 			all = all && ans != nil
@@ -263,8 +265,8 @@
 	}
 }
 
-// over tells whether the front has ended.
-func (f *front) over() bool {
+// isStopping tells whether the front has ended.
+func (f *front) isStopping() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.stopping
@@ -275,8 +277,8 @@
 	reserve.Preempted: &scsi.ReservationsPreempted, reserve.Released: &scsi.ReservationsReleased, reserve.RegistrationPreempted: &scsi.RegistrationsPreempted,
 }
 
-// attend tells the sessions of a volume what became of their nexus.
-func (f *front) attend(volume string, notices map[reserve.Nexus]reserve.Notice) {
+// setAttention tells the sessions of a volume what became of their nexus.
+func (f *front) setAttention(volume string, notices map[reserve.Nexus]reserve.Notice) {
 	if len(notices) == 0 {
 		return
 	}
@@ -294,8 +296,8 @@
 // nexus is the session's: its initiator port and this host.
 func (c *conn) nexus() reserve.Nexus { return c.port }
 
-// portOf is the nexus of a session's key at a host.
-func portOf(key sessionKey, host int) reserve.Nexus {
+// nexusOf is the nexus of a session's key at a host.
+func nexusOf(key sessionKey, host int) reserve.Nexus {
 	const hex = "0123456789abcdef"
 	name := append([]byte(key.initiator), ",i,0x"...)
 	for _, b := range key.isid {
@@ -304,27 +306,27 @@
 	return reserve.Nexus{Initiator: string(name), Host: uint16(host + 1)}
 }
 
-// reservation carries out a PERSISTENT RESERVE command. Held: conn.mu.
-func (c *conn) reservation(v *view, t *iscsi.Task, r *scsi.Reservation) {
-	vol := c.at(v).vol
-	class := c.front.classAs(vol, scsi.CompareAndWrite)
+// handleReservation carries out a PERSISTENT RESERVE command. Held: conn.mu.
+func (c *conn) handleReservation(v *view, t *iscsi.Task, r *scsi.Reservation) {
+	vol := c.currentUnit(v).vol
+	class := c.front.classFor(vol, scsi.CompareAndWrite)
 	if class == nil {
 		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.InvalidOpcode.Fixed()})
 		return
 	}
-	p := &reserving{c: c, t: t, vol: vol, expires: t.At + class.Deadline}
+	p := &reservationCommand{conn: c, task: t, vol: vol, expires: t.At + class.Deadline}
 	t.User = p
 	if r.In {
-		c.front.keeper.fresh(vol, p.expires, func(s *reserve.State, err error) { p.show(s, err, r) })
+		c.front.keeper.refresh(vol, p.expires, func(s *reserve.State, err error) { p.respondIn(s, err, r) })
 		return
 	}
 	req, known, err := reserve.ParseOut(t.CDB, r.List)
 	if !known || err != nil {
 		sense := scsi.InvalidField
 		if err != nil {
-			sense = outSense[err]
+			sense = reserveErrorSense[err]
 		}
-		p.over = true
+		p.ended = true
 		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: sense.Fixed()})
 		return
 	}
@@ -332,47 +334,47 @@
 	for _, h := range vol.Hosts {
 		req.Hosts = append(req.Hosts, uint16(h+1))
 	}
-	p.req, p.out = req, len(r.List)
+	p.req, p.parameterBytes = req, len(r.List)
 	p.stamp = c.front.world.RandomUint64()
-	c.front.keeper.fresh(vol, p.expires, p.try)
+	c.front.keeper.refresh(vol, p.expires, p.tryChange)
 }
 
-// outSense is how errors of package reserve are answered.
-var outSense = map[error]scsi.Sense{
+// reserveErrorSense is how errors of package reserve are answered.
+var reserveErrorSense = map[error]scsi.Sense{
 	reserve.ErrRelease: scsi.InvalidRelease, reserve.ErrParameter: scsi.InvalidParameter, reserve.ErrLength: scsi.ParamLength,
 	reserve.ErrRoom: scsi.RegistrationResources, reserve.ErrAction: scsi.InvalidField,
 }
 
-// reserving is a PERSISTENT RESERVE command under way.
-type reserving struct {
-	c       *conn
-	t       *iscsi.Task
-	vol     *settings.Volume
-	expires float64
-	req     reserve.Request
-	out     int
-	stamp   uint64
-	tries   int
-	maybe   bool   // an own change may have been made, or may still be,
-	from    uint64 // to this version
+// reservationCommand is a PERSISTENT RESERVE command under way.
+type reservationCommand struct {
+	conn             *conn
+	task             *iscsi.Task
+	vol              *settings.Volume
+	expires          float64
+	req              reserve.Request
+	parameterBytes   int
+	stamp            uint64
+	swaps            int
+	mayBeApplied     bool   // an own change may have been made, or may still be,
+	uncertainVersion uint64 // to this version
 	// Guarded by c.mu:
-	over  bool
-	group *abortion // that waits for the end
+	ended        bool
+	waitingAbort *abortion // that waits for the end
 }
 
 // abandon has an abort wait until the change is made, or certainly is not.
-func (p *reserving) abandon(g *abortion) {
-	p.group = g
-	if p.over {
-		p.tellGroup()
+func (p *reservationCommand) abandon(g *abortion) {
+	p.waitingAbort = g
+	if p.ended {
+		p.notifyAbort()
 	}
 }
 
-// tellGroup tells an abort that waits, from a goroutine that holds no lock.
-func (p *reserving) tellGroup() {
-	if g := p.group; g != nil {
-		p.group = nil
-		p.c.front.world.AfterFunc(0, func() {
+// notifyAbort tells an abort that waits, from a goroutine that holds no lock.
+func (p *reservationCommand) notifyAbort() {
+	if g := p.waitingAbort; g != nil {
+		p.waitingAbort = nil
+		p.conn.front.world.AfterFunc(0, func() {
 			g.conn.mu.Lock()
 			defer g.conn.mu.Unlock()
 			g.one()
@@ -380,114 +382,114 @@
 	}
 }
 
-// mostTries bounds how often a change that lost against another is made anew: 64
+// maxSwaps bounds how often a change that lost against another is made anew: 64
 // initiators that register at once lose 63 times at most.
-const mostTries = 128
+const maxSwaps = 128
 
-func (p *reserving) answer(a iscsi.Answer) {
-	p.c.mu.Lock()
-	defer p.c.mu.Unlock()
-	p.over = true
-	p.tellGroup()
-	if !p.c.closed {
-		p.c.respond(p.t, a)
+func (p *reservationCommand) respond(a iscsi.Answer) {
+	p.conn.mu.Lock()
+	defer p.conn.mu.Unlock()
+	p.ended = true
+	p.notifyAbort()
+	if !p.conn.closed {
+		p.conn.respond(p.task, a)
 	}
 }
 
-// lost ends the command without a result that is known.
-func (p *reserving) lost() {
-	if p.maybe {
-		p.answer(iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.CommandAborted.Fixed()})
+// fail ends the command without a result that is known.
+func (p *reservationCommand) fail() {
+	if p.mayBeApplied {
+		p.respond(iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.CommandAborted.Fixed()})
 		return
 	}
-	p.answer(iscsi.Answer{Status: scsi.Busy})
+	p.respond(iscsi.Answer{Status: scsi.Busy})
 }
 
-func (p *reserving) show(s *reserve.State, err error, r *scsi.Reservation) {
+func (p *reservationCommand) respondIn(s *reserve.State, err error, r *scsi.Reservation) {
 	if err != nil {
-		p.lost()
+		p.fail()
 		return
 	}
 	b, ok := s.In(r.Action)
 	if !ok {
-		p.answer(iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.InvalidField.Fixed()})
+		p.respond(iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.InvalidField.Fixed()})
 		return
 	}
-	p.answer(iscsi.Answer{Data: b[:min(len(b), r.Alloc)]})
+	p.respond(iscsi.Answer{Data: b[:min(len(b), r.Alloc)]})
 }
 
-// try makes the change on a state that was just read.
-func (p *reserving) try(s *reserve.State, err error) {
+// tryChange makes the change on a state that was just read.
+func (p *reservationCommand) tryChange(s *reserve.State, err error) {
 	if err != nil {
-		p.lost()
+		p.fail()
 		return
 	}
 	switch {
-	case p.maybe && s.Stamp == p.stamp:
-		p.done()
+	case p.mayBeApplied && s.Stamp == p.stamp:
+		p.succeed()
 		return
-	case p.maybe && s.Version != p.from:
+	case p.mayBeApplied && s.Version != p.uncertainVersion:
 		// Others have changed it since: whether this change came before theirs can't be
 		// told, and their state says nothing of it.
-		p.lost()
+		p.fail()
 		return
 	}
 	next, err := s.Apply(p.req)
 	switch {
 	case errors.Is(err, reserve.ErrConflict):
-		p.answer(iscsi.Answer{Status: scsi.Conflict})
+		p.respond(iscsi.Answer{Status: scsi.Conflict})
 		return
 	case err != nil:
-		p.answer(iscsi.Answer{Status: scsi.CheckCondition, Sense: outSense[err].Fixed()})
+		p.respond(iscsi.Answer{Status: scsi.CheckCondition, Sense: reserveErrorSense[err].Fixed()})
 		return
 	case next == nil:
-		p.done()
+		p.succeed()
 		return
 	}
-	if p.tries++; p.tries > mostTries {
-		p.lost()
+	if p.swaps++; p.swaps > maxSwaps {
+		p.fail()
 		return
 	}
 	next.Stamp = p.stamp
 	swap := &diskproto.Swap{Expected: s.Version, Persist: next.Persist, New: diskproto.Record{Version: next.Version, Bytes: next.Append(nil)}}
-	p.c.front.record(p.vol, diskproto.OpSwapRecord, scsi.CompareAndWrite, swap.Append(nil), next.Version, p.expires, func(ans *diskproto.Answer) {
-		p.swapped(s.Version, next, ans)
+	p.conn.front.accessRecord(p.vol, diskproto.OpSwapRecord, scsi.CompareAndWrite, swap.Append(nil), next.Version, p.expires, func(ans *diskproto.Answer) {
+		p.swapDone(s.Version, next, ans)
 	})
 }
 
-func (p *reserving) swapped(from uint64, next *reserve.State, ans *diskproto.Answer) {
-	k := p.c.front.keeper
+func (p *reservationCommand) swapDone(from uint64, next *reserve.State, ans *diskproto.Answer) {
+	k := p.conn.front.keeper
 	switch {
 	case ans == nil: // refused, failed or lost: it may have been made, or still be
-		p.maybe, p.from = true, from
+		p.mayBeApplied, p.uncertainVersion = true, from
 		fallthrough
 	case ans.Result != diskproto.OK:
-		k.fresh(p.vol, p.expires, p.try)
+		k.refresh(p.vol, p.expires, p.tryChange)
 		return
 	}
-	p.maybe = true
-	k.learn(p.vol, next, p.expires, func(err error) {
+	p.mayBeApplied = true
+	k.update(p.vol, next, p.expires, func(err error) {
 		if err != nil {
-			p.lost()
+			p.fail()
 			return
 		}
-		p.done()
+		p.succeed()
 	})
 }
 
-// done answers GOOD: every shard refuses by now what the change forbids. Tasks of
+// succeed answers GOOD: every shard refuses by now what the change forbids. Tasks of
 // pre-empted nexus at this host end with it where that was asked for.
-func (p *reserving) done() {
+func (p *reservationCommand) succeed() {
 	if p.req.Action == reserve.PreemptAbort {
-		p.c.front.endTasks(p.vol.Name, p.c)
+		p.conn.front.abortPreempted(p.vol.Name, p.conn)
 	}
-	p.answer(iscsi.Answer{Out: p.out})
+	p.respond(iscsi.Answer{Out: p.parameterBytes})
 }
 
-// endTasks ends the tasks of sessions that lost their registration.
-func (f *front) endTasks(volume string, by *conn) {
+// abortPreempted ends the tasks of sessions that lost their registration.
+func (f *front) abortPreempted(volume string, by *conn) {
 	f.keeper.mu.Lock()
-	state := f.keeper.guard(volume).state
+	state := f.keeper.volume(volume).state
 	f.keeper.mu.Unlock()
 	for _, o := range f.all() {
 		o.mu.Lock()
--- a/internal/control/gateway/metrics.go
+++ b/internal/control/gateway/metrics.go
@@ -60,21 +60,21 @@
 }
 
 // ended notes the end of a request.
-func (c *counts) ended(j *job, how endKind, now float64) {
+func (c *counts) ended(j *job, how jobOutcome, now float64) {
 	switch how {
-	case endServed:
+	case jobServed:
 		c.Served++
 		c.Units += j.req.Units
-		if now <= j.aimAt {
+		if now <= j.latencyTargetAt {
 			c.InAim++
 		}
-		c.latency.Observe((now - j.takenAt) / 1000)
-		c.Times[history.Bucket(now-j.takenAt)]++
-	case endRefused:
+		c.latency.Observe((now - j.submittedAt) / 1000)
+		c.Times[history.Bucket(now-j.submittedAt)]++
+	case jobRefused:
 		c.Refused++
-	case endFailed:
+	case jobFailed:
 		c.Failed++
-	case endGone:
+	case jobAborted:
 		c.Gone++
 	}
 }
@@ -104,18 +104,18 @@
 
 // read copies the tally on the host's goroutine.
 func (g *Gateway) read() (r reading, ok bool) {
-	r.status, ok = g.look(func(c *hostCore) {
-		r.Attempts = make(map[string]metrics.Attempts, len(c.tally.attempts))
-		for _, e := range c.tally.ends {
+	r.status, ok = g.look(func(c *core) {
+		r.Attempts = make(map[string]metrics.Attempts, len(c.counters.attempts))
+		for _, e := range c.counters.ends {
 			r.Ends = append(r.Ends, e.Ends)
 		}
-		for n, a := range c.tally.attempts {
+		for n, a := range c.counters.attempts {
 			r.Attempts[n] = *a
 		}
-		for _, class := range slices.Sorted(maps.Keys(c.tally.latency)) {
-			r.Latency = append(r.Latency, c.tally.latency[class])
+		for _, class := range slices.Sorted(maps.Keys(c.counters.latency)) {
+			r.Latency = append(r.Latency, c.counters.latency[class])
 		}
-		r.View, r.Version, r.Leased = c.mod.View(c.now), c.version, g.host.serves()
+		r.View, r.Version, r.Leased = c.scheduler.View(c.now), c.settingsVersion, g.host.leaseValid()
 	})
 	r.LimitHeld, r.Open, r.Bytes = r.status.LimitHeld, r.status.Open, r.status.Memory
 	r.Sessions, r.Connections = r.status.Sessions, r.status.ConnectedServers
--- a/internal/control/gateway/permit_test.go
+++ b/internal/control/gateway/permit_test.go
@@ -28,19 +28,19 @@
 func TestBeginByItsTimeOrNotAtAll(t *testing.T) {
 	for _, claimed := range []bool{false, true} {
 		h, s, n := newScripted(sendBy)
-		h.take(100, &job{req: policy.Request{Expires: 2000}})
+		h.submit(100, &job{req: policy.Request{Expires: 2000}})
 		if claimed {
 			n.sent[0].claim()
 		}
-		h.tick(299)
+		h.runDue(299)
 		if o := lastOutcome(s); o.Result != -1 {
 			t.Errorf("claimed %v: %+v too early", claimed, o)
 		}
-		h.tick(300)
+		h.runDue(300)
 		if o := lastOutcome(s); claimed != (o.Result == -1) || !claimed && o.Result != policy.NoConnection {
 			t.Errorf("claimed %v: %+v", claimed, o)
 		}
-		h.tick(500)
+		h.runDue(500)
 		if o := lastOutcome(s); claimed && o.Result != policy.NoAnswer {
 			t.Errorf("%+v", o)
 		}
@@ -52,21 +52,21 @@
 	for _, claimed := range []bool{false, true} {
 		h, s, n := newScripted(sendAll)
 		j := &job{req: policy.Request{Expires: 2000}}
-		h.take(100, j)
+		h.submit(100, j)
 		a := n.sent[0]
 		if claimed {
 			a.claim()
 		}
-		h.do(policy.Withdraw{ID: j.id, Attempt: 0})
+		h.perform(policy.Withdraw{ID: j.id, Attempt: 0})
 		if !claimed && a.claim() {
 			t.Error("claimed after it was taken back")
 		}
-		h.tick(101)
+		h.runDue(101)
 		if o := lastOutcome(s); claimed != (o.Result == -1) || !claimed && o.Result != policy.NotSent {
 			t.Errorf("claimed %v: %+v", claimed, o)
 		}
-		h.do(policy.Withdraw{ID: j.id, Attempt: 7}) // none of that number
-		h.tick(102)
+		h.perform(policy.Withdraw{ID: j.id, Attempt: 7}) // none of that number
+		h.runDue(102)
 		if len(n.ends) != 0 {
 			t.Error("the request ended")
 		}
@@ -77,13 +77,13 @@
 // past its time: it has certainly not run.
 func TestAnOutcomeOnItsWay(t *testing.T) {
 	h, s, n := newScripted(sendAll)
-	h.take(100, &job{req: policy.Request{Expires: 2000}})
+	h.submit(100, &job{req: policy.Request{Expires: 2000}})
 	n.sent[0].drop()
-	h.tick(600)
+	h.runDue(600)
 	if o := lastOutcome(s); o.Result != -1 {
 		t.Errorf("%+v", o)
 	}
-	h.lost(601, n.sent[0], policy.NotSent)
+	h.failAttempt(601, n.sent[0], policy.NotSent)
 	if o := lastOutcome(s); o.Result != policy.NotSent {
 		t.Errorf("%+v", o)
 	}
@@ -92,8 +92,8 @@
 // nobody owns a job of which the test awaits nothing.
 type nobody struct{}
 
-func (nobody) partDone(*job, endKind, float64, *diskproto.Answer) {}
-func (nobody) partSettled()                                       {}
+func (nobody) jobEnded(*job, jobOutcome, float64, *diskproto.Answer) {}
+func (nobody) jobSettled()                                           {}
 
 // Nothing is put on a connection for a request that is over, or too late.
 func TestPermitsWhenAConnectionIsUp(t *testing.T) {
@@ -103,20 +103,20 @@
 		goes   bool
 	}{
 		"in time":          {func(*attempt, float64) {}, true},
-		"request over":     {func(a *attempt, _ float64) { a.job.end() }, false},
-		"too late":         {func(a *attempt, now float64) { a.by = now - 1 }, false},
-		"time is up":       {func(a *attempt, now float64) { a.until = now }, false},
+		"request over":     {func(a *attempt, _ float64) { a.job.markEnded() }, false},
+		"too late":         {func(a *attempt, now float64) { a.beginBy = now - 1 }, false},
+		"time is up":       {func(a *attempt, now float64) { a.answerBy = now }, false},
 		"was taken back":   {func(a *attempt, _ float64) { a.drop() }, false},
-		"has time to wait": {func(a *attempt, now float64) { a.by = now + 10_000 }, true},
+		"has time to wait": {func(a *attempt, now float64) { a.beginBy = now + 10_000 }, true},
 	} {
 		h := newHost(w, settings.Example(1, 1), 0, "h0", "z0", nil, zap.NewNop())
 		ours, theirs := net.Pipe()
-		l := &link{back: h.back, open: map[uint32]*attempt{}, conn: ours, out: writequeue.New(w, ours, 1<<20, time.Second)}
+		l := &serverConn{pool: h.pool, outstanding: map[uint32]*attempt{}, conn: ours, writes: writequeue.New(w, ours, 1<<20, time.Second)}
 		now := env.MS(w.Now())
-		a := &attempt{job: &job{owner: nobody{}}, until: now + 60_000, by: math.Inf(1)}
+		a := &attempt{job: &job{owner: nobody{}}, answerBy: now + 60_000, beginBy: math.Inf(1)}
 		tt.change(a, now)
-		l.put(a)
-		l.out.Finish()
+		l.begin(a)
+		l.writes.Finish()
 		got, err := io.ReadAll(theirs)
 		if err != nil || (len(got) > 0) != tt.goes {
 			t.Errorf("%s: %d bytes, %v", name, len(got), err)
--- a/internal/control/gateway/regional.go
+++ b/internal/control/gateway/regional.go
@@ -74,14 +74,14 @@
 }
 
 // granted brings what the inventory granted.
-func (h *hostCore) granted(now float64, g *region.Grant) {
-	h.at(now)
+func (h *core) granted(now float64, g *region.Grant) {
+	h.advance(now)
 	r := h.regions
 	if r == nil || !r.Told(h.now, *g) {
 		return
 	}
-	h.eff.leased(r.Until())
-	h.timers.Push(&timer{Due: r.Until(), Value: awaited{name: leaseEnd}})
+	h.effects.setLeaseEnd(r.Until())
+	h.timers.Push(&timer{Due: r.Until(), Value: timerEvent{name: leaseEnd}})
 	if r.held && r.Known().Term == r.term {
 		return
 	}
@@ -92,23 +92,23 @@
 const leaseEnd = "/lease"
 
 // leaseOver looks whether the lease has run out.
-func (h *hostCore) leaseOver() {
+func (h *core) leaseOver() {
 	if r := h.regions; r.held && !r.Holds(h.now) {
 		h.rehome()
-		h.eff.note("no lease: nothing is sent until the inventory grants one")
+		h.effects.warn("no lease: nothing is sent until the inventory grants one")
 	}
 }
 
 // rehome tells the module where shards are at home now, and its parts of limits.
-func (h *hostCore) rehome() {
+func (h *core) rehome() {
 	r := h.regions
 	r.held, r.term = r.Holds(h.now), r.Known().Term
 	all := make([]inventory.Node, 0, len(h.nodes))
 	for _, n := range h.nodes {
 		all = append(all, n)
 	}
-	slices.SortFunc(all, byAddr)
-	h.notifyNodes(true, all)
+	slices.SortFunc(all, compareAddr)
+	h.reportNodes(true, all)
 	volumes := make([]string, 0, len(r.parts))
 	for v := range r.parts {
 		volumes = append(volumes, v)
@@ -123,18 +123,18 @@
 
 // healthOf is a node's as the module is told it: one that is not at its shard's home is
 // as good as draining.
-func (h *hostCore) healthOf(n inventory.Node) policy.Health {
+func (h *core) healthOf(n inventory.Node) policy.Health {
 	if r := h.regions; r != nil && n.Health == inventory.Ready {
 		if home, ok := r.May(h.now, n.Shard); !ok || home.Region != n.Region {
 			return policy.Draining
 		}
 	}
-	return health[n.Health]
+	return policyHealth[n.Health]
 }
 
 // stamp has an attempt carry its shard's generation and end with the lease; false if it
 // must not go.
-func (h *hostCore) stamp(a *attempt) bool {
+func (h *core) stamp(a *attempt) bool {
 	r, j := h.regions, a.job
 	if r == nil {
 		return true
@@ -143,25 +143,25 @@
 	if n, listed := h.nodes[a.node]; !ok || !listed || n.Region != home.Region {
 		return false
 	}
-	if j.gen == 0 {
-		j.gen = home.Gen
+	if j.generation == 0 {
+		j.generation = home.Gen
 	}
-	everywhere := j.group == policy.DedupAll || j.do.Effect == diskproto.Safe
-	if !region.MayRepeat(j.gen, home, everywhere) {
+	everywhere := j.dedupScope == policy.DedupAll || j.message.Effect == diskproto.Safe
+	if !region.MayRepeat(j.generation, home, everywhere) {
 		return false
 	}
-	if a.gen = home.Gen; !faultinject.Active(faultinject.FenceMissing) {
-		a.until = min(a.until, r.Until())
+	if a.generation = home.Gen; !faultinject.Active(faultinject.FenceMissing) {
+		a.answerBy = min(a.answerBy, r.Until())
 	}
 	return true
 }
 
 // refusedAsOld takes note of a disk server that knows a later generation.
-func (h *hostCore) refusedAsOld(a *attempt) {
+func (h *core) refusedAsOld(a *attempt) {
 	if r := h.regions; r != nil {
-		r.Refused(a.job.req.Shard, a.gen)
+		r.Refused(a.job.req.Shard, a.generation)
 		h.rehome()
-		h.eff.renew()
+		h.effects.renewLease()
 	}
 }
 
@@ -184,7 +184,7 @@
 
 func newLeaser(w env.Environment, h *host, addr string, r *settings.Regions, log *zap.Logger) *leaser {
 	l := &leaser{world: w, host: h, caller: inventory.NewCaller(w, func() string { return addr }), every: env.Duration(r.Lease / leaseParts), log: log}
-	h.sooner = l.sooner
+	h.requestLease = l.sooner
 	w.Go(l.run)
 	return l
 }
@@ -194,19 +194,19 @@
 	refused := false
 	for {
 		var id, knows uint64
-		if !l.host.ask(func(c *hostCore) { id, knows = c.regions.Ask(c.now), c.regions.Known().Term }) {
+		if !l.host.runAndWait(func(c *core) { id, knows = c.regions.Ask(c.now), c.regions.Known().Term }) {
 			return
 		}
 		a, err := l.caller.Ask(inventory.Ask{Op: "lease", Ask: id, From: knows}, 2*l.every)
 		switch {
 		case err == nil && a.Kind == inventory.Granted:
 			refused = false
-			l.host.post(event{kind: evGrant, grant: a.Grant})
+			l.host.post(event{kind: eventLeaseGranted, grant: a.Grant})
 		case err == nil && !refused:
 			refused = true
 			l.log.Warn("no lease is granted", zap.String("reason", a.Reason))
 		}
-		l.host.back.freshen()
+		l.host.pool.refreshClocks()
 		l.mu.Lock()
 		l.soon = &env.Gate{}
 		soon := l.soon
--- a/internal/control/gateway/regional_test.go
+++ b/internal/control/gateway/regional_test.go
@@ -12,12 +12,12 @@
 
 // regionalCore is a host core of region 0 of a service over two, with a node of shard 0 in
 // each, and a module that sends each request to the node that it is told is ready.
-func regionalCore() (*hostCore, *script, *noted) {
+func regionalCore() (*core, *script, *noted) {
 	set := settings.Example(2, 1)
 	set.Regions = &settings.Regions{Lease: 1000, Quiet: 500, Drift: 0.1, Hosts: []int{0, 1}}
 	set.Plans[0].Copied = settings.AckBefore
 	n := &noted{}
-	h := newHostCore(0, set, 0, "", 1, n)
+	h := newCore(0, set, 0, "", 1, n)
 	s := &script{}
 	ready := map[string]bool{}
 	s.then = func(ev policy.Event) (out []policy.Action) {
@@ -35,19 +35,19 @@
 		}
 		return out
 	}
-	h.mod = s
-	h.list(0, inventory.List{Kind: inventory.Full, Nodes: []inventory.Node{{Addr: "a", Health: inventory.Ready}, {Addr: "b", Health: inventory.Ready, Region: 1}}})
+	h.scheduler = s
+	h.updateNodes(0, inventory.List{Kind: inventory.Full, Nodes: []inventory.Node{{Addr: "a", Health: inventory.Ready}, {Addr: "b", Health: inventory.Ready, Region: 1}}})
 	return h, s, n
 }
 
-func grant(h *hostCore, now float64, rec region.Record) {
-	h.at(now)
+func grant(h *core, now float64, rec region.Record) {
+	h.advance(now)
 	h.granted(now, &region.Grant{Ask: h.regions.Ask(now), Lease: 1000, Record: rec})
 }
 
-func ask(h *hostCore, now float64, plan string) *job {
-	j := &job{req: policy.Request{Expires: now + 4000, Plan: plan, Class: "claim-write", Volume: "v", Hosts: 2}, do: diskproto.Do{Effect: diskproto.Keyed}}
-	h.take(now, j)
+func ask(h *core, now float64, plan string) *job {
+	j := &job{req: policy.Request{Expires: now + 4000, Plan: plan, Class: "claim-write", Volume: "v", Hosts: 2}, message: diskproto.Do{Effect: diskproto.Keyed}}
+	h.submit(now, j)
 	return j
 }
 
@@ -62,16 +62,16 @@
 	}
 	grant(h, 100, rec)
 	j := ask(h, 200, "basico")
-	if len(n.sent) != 1 || n.sent[0].node != "b" || n.sent[0].gen != 1 || n.sent[0].until != 1000 || j.do.Copied {
+	if len(n.sent) != 1 || n.sent[0].node != "b" || n.sent[0].generation != 1 || n.sent[0].answerBy != 1000 || j.message.Copied {
 		t.Fatalf("%d sent: %+v", len(n.sent), n.sent)
 	}
 	if q := s.told[len(s.told)-1].(policy.Request); q.Fraction < 0.22 || q.Fraction > 0.225 || q.FractionSince != 100 {
 		t.Errorf("a part of %v since %v", q.Fraction, q.FractionSince)
 	}
-	if j := ask(h, 210, "normal"); !j.do.Copied {
+	if j := ask(h, 210, "normal"); !j.message.Copied {
 		t.Error("a plan that says nothing is acknowledged before its copy")
 	}
-	h.tick(1000) // its end: 100 ms at which it was asked for, and a lease less its drift
+	h.runDue(1000) // its end: 100 ms at which it was asked for, and a lease less its drift
 	ask(h, 1001, "basico")
 	if len(n.sent) != 2 {
 		t.Errorf("%d sent after the lease", len(n.sent))
@@ -84,25 +84,25 @@
 	for _, everywhere := range []bool{false, true} {
 		h, s, n := regionalCore()
 		if everywhere {
-			h.groups["claim-write"] = policy.DedupAll
+			h.dedupScopes["claim-write"] = policy.DedupAll
 		}
 		rec := region.Begin(0, []region.ID{0}, nil)
 		grant(h, 0, rec)
 		j := ask(h, 10, "normal")
-		h.lost(20, n.sent[0], policy.ConnectionLost)
+		h.failAttempt(20, n.sent[0], policy.ConnectionLost)
 		rec = rec.Clone()
 		rec.Term, rec.Homes[0] = 9, region.Home{Region: 1, From: 1, Gen: 9, Moved: 9}
 		grant(h, 100, rec)
 		told := len(s.told)
-		h.do(policy.Send{ID: j.id, Node: "b"})
-		h.tick(100)
+		h.perform(policy.Send{ID: j.id, Node: "b"})
+		h.runDue(100)
 		if went := len(n.sent) == 2; went != everywhere {
 			t.Errorf("sent into the other region: %v", went)
 		}
 		if o := lastOutcome(s); !everywhere && (len(s.told) != told+1 || o.Result != policy.NotSent) {
 			t.Errorf("the module was told %+v", o)
 		}
-		if ask(h, 110, "normal"); n.sent[len(n.sent)-1].node != "b" || n.sent[len(n.sent)-1].gen != 9 {
+		if ask(h, 110, "normal"); n.sent[len(n.sent)-1].node != "b" || n.sent[len(n.sent)-1].generation != 9 {
 			t.Error("what is new does not go to the new home")
 		}
 	}
@@ -115,7 +115,7 @@
 	grant(h, 0, rec)
 	ask(h, 10, "normal")
 	n.sent[0].claim()
-	h.answered(20, n.sent[0], &diskproto.Answer{Result: diskproto.Stale})
+	h.receiveAnswer(20, n.sent[0], &diskproto.Answer{Result: diskproto.Stale})
 	if o := lastOutcome(s); o.Result != policy.NotSent {
 		t.Errorf("%+v", o)
 	}
@@ -125,7 +125,7 @@
 	rec = rec.Clone()
 	rec.Term, rec.Homes[0].Gen = 5, 5
 	grant(h, 40, rec)
-	if ask(h, 50, "normal"); len(n.sent) != 2 || n.sent[1].gen != 5 {
+	if ask(h, 50, "normal"); len(n.sent) != 2 || n.sent[1].generation != 5 {
 		t.Error("not sent under the later generation")
 	}
 }
--- a/internal/control/gateway/timers.go
+++ b/internal/control/gateway/timers.go
@@ -3,15 +3,15 @@
 import "merlinhitch/internal/runtime/timerqueue"
 
 // timer is something to do at a time.
-type timer = timerqueue.Timer[awaited]
+type timer = timerqueue.Timer[timerEvent]
 
-// timers holds what is awaited, by time.
-type timers = timerqueue.Queue[awaited]
+// timerQueue holds what is awaited, by time.
+type timerQueue = timerqueue.Queue[timerEvent]
 
-// awaited says what to do. Exactly one of a, j and name is there.
-type awaited struct {
-	a         *attempt // its time-out, or what cancelled it
+// timerEvent says what to do. Exactly one of a, j and name is there.
+type timerEvent struct {
+	attempt   *attempt // its time-out, or what cancelled it
 	cancelled bool
-	j         *job   // its last possible landing
+	job       *job   // its last possible landing
 	name      string // the module's timer
 }
