--- a/policy/limitcache_test.go
+++ b/policy/limitcache_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// schedulerPair holds two schedulers with the same seed. The second one's record of when limits open is
-// cleared before each event, so that it examines every queue at every dispatch.
+// schedulerPair holds two schedulers with the same seed. In the second one, the cached times at which
+// limits open are cleared before each event, so that it examines every queue at every dispatch.
 type schedulerPair struct {
 	t                *testing.T
 	cached, uncached *harness
@@ -34,7 +34,7 @@
 }
 
 // applyToBoth applies the same calls to both schedulers, each with its own timers, and compares their
-// actions and the times of these. SetTimer is left out: without the record some timers are set that
+// actions and the times of these. SetTimer is left out: without the cache some timers are set that
 // lead to no action.
 func (pair *schedulerPair) applyToBoth(apply func(h *harness)) {
 	pair.t.Helper()
@@ -44,28 +44,28 @@
 		h.actions, h.actionTimes = nil, nil
 		apply(h)
 		for i, a := range h.actions {
-			if _, timer := a.(SetTimer); !timer {
-				switch s := a.(type) {
+			if _, isTimer := a.(SetTimer); !isTimer {
+				switch action := a.(type) {
 				case Send: // depends on the time of the send, which is compared with a tolerance
-					s.TimeoutAt = 0
-					a = s
+					action.TimeoutAt = 0
+					a = action
 				case Refuse: // depends on when a limit was last examined, which decides nothing
-					s.Cause = ReasonNone
-					a = s
+					action.Cause = ReasonNone
+					a = action
 				case Fail:
-					s.Cause = ReasonNone
-					a = s
+					action.Cause = ReasonNone
+					a = action
 				}
 				actions[k], times[k] = append(actions[k], a), append(times[k], h.actionTimes[i])
 			}
 		}
 	}
 	if !slices.Equal(actions[0], actions[1]) || !slices.EqualFunc(times[0], times[1], func(x, y float64) bool { return math.Abs(x-y) < 1e-3 }) {
-		pair.t.Fatalf("actions %v at %v\nwant %v at %v, as without the record of when limits open", actions[0], times[0], actions[1], times[1])
+		pair.t.Fatalf("actions %v at %v\nwant %v at %v, as without cached limit times", actions[0], times[0], actions[1], times[1])
 	}
 }
 
-// The record of when limits open must not change any decision.
+// Caching the times at which limits open must not change any decision.
 func TestLimitCacheChangesNoDecision(t *testing.T) {
 	total := 0
 	for seed := range uint64(60) {
@@ -107,8 +107,8 @@
 	}
 }
 
-// BenchmarkLimitedQueue measures what the record of when limits open saves while a limit holds thousands
-// of requests: the ratio of the time of an event with the record to that without.
+// BenchmarkLimitedQueue measures what caching the times at which limits open saves while a limit holds
+// thousands of requests: the ratio of the time of an event with the cache to that without.
 func BenchmarkLimitedQueue(b *testing.B) {
 	run := func(uncached bool) time.Duration {
 		s := testSettings()
