--- a/cmd/merlinhitch/keys.go
+++ b/cmd/merlinhitch/keys.go
@@ -14,19 +14,19 @@
 )
 
 type keysCmd struct {
-	Init   keysInitCmd   `cmd:"" help:"Make the service's own authority."`
-	Issue  keysIssueCmd  `cmd:"" help:"Make a key and a certificate, also in place of old ones."`
-	Rotate keysRotateCmd `cmd:"" help:"Give the authority another key; the old one stays trusted."`
-	Forget keysForgetCmd `cmd:"" help:"End the trust in all former keys of the authority."`
-	Revoke keysRevokeCmd `cmd:"" help:"Have a certificate count no more."`
-	Hand   keysHandCmd   `cmd:"" help:"Copy what is trusted and what is revoked to holders' folders."`
-	Show   keysShowCmd   `cmd:"" help:"Show a holder's certificate."`
-	Reload keysReloadCmd `cmd:"" help:"Have a running gateway read its keys again."`
+	Init   keysInitCmd   `cmd:"" help:"Create the service's certificate authority."`
+	Issue  keysIssueCmd  `cmd:"" help:"Issue a key and a certificate, replacing any that exist."`
+	Rotate keysRotateCmd `cmd:"" help:"Replace the authority's key; the old one stays trusted."`
+	Forget keysForgetCmd `cmd:"" help:"Stop trusting all former keys of the authority."`
+	Revoke keysRevokeCmd `cmd:"" help:"Revoke a certificate."`
+	Hand   keysHandCmd   `cmd:"" help:"Copy the trusted authorities and the revocation list to holders' directories."`
+	Show   keysShowCmd   `cmd:"" help:"Show a holder's certificate and verify it."`
+	Reload keysReloadCmd `cmd:"" help:"Make a running gateway reload its keys."`
 }
 
-// authorityFlag is the folder of the authority.
+// authorityFlag selects the directory of the certificate authority.
 type authorityFlag struct {
-	Authority string `default:"authority" help:"Folder of the authority." placeholder:"DIR"`
+	Authority string `default:"authority" help:"Directory of the certificate authority." placeholder:"DIR"`
 }
 
 func (a authorityFlag) openAuthority() (*keys.Authority, error) {
@@ -42,10 +42,10 @@
 
 type keysIssueCmd struct {
 	authorityFlag
-	Role      string        `required:"" enum:"read,operate,administer,machine" help:"read, operate, administer (admin API), or machine (hosts and disk servers)."`
-	For       time.Duration `default:"2160h" help:"How long it counts."`
-	Addresses []string      `help:"Names and addresses at which a server is reached." placeholder:"NAME,..."`
-	Out       string        `help:"The holder's folder; by default the name." placeholder:"DIR"`
+	Role      string        `required:"" enum:"read,operate,administer,machine" help:"Role: read, operate or administer for the admin API, machine for hosts and disk servers."`
+	For       time.Duration `default:"2160h" help:"Validity period of the certificate."`
+	Addresses []string      `help:"DNS names and IP addresses at which the holder is reached as a server." placeholder:"NAME,..."`
+	Out       string        `help:"Directory of the holder; by default, the name." placeholder:"DIR"`
 	Name      string        `arg:"" help:"Name of the holder."`
 }
 
@@ -87,7 +87,7 @@
 
 type keysRevokeCmd struct {
 	authorityFlag
-	Holder string `arg:"" help:"The holder's folder."`
+	Holder string `arg:"" help:"Directory of the holder."`
 }
 
 func (c *keysRevokeCmd) Run() error {
@@ -104,7 +104,7 @@
 
 type keysHandCmd struct {
 	authorityFlag
-	Holders []string `arg:"" help:"The holders' folders."`
+	Holders []string `arg:"" help:"Directories of the holders."`
 }
 
 func (c *keysHandCmd) Run() error {
@@ -121,7 +121,7 @@
 }
 
 type keysShowCmd struct {
-	Holder string `arg:"" help:"The holder's folder."`
+	Holder string `arg:"" help:"Directory of the holder."`
 }
 
 func (c *keysShowCmd) Run() error {
@@ -142,12 +142,13 @@
 
 func (c *keysReloadCmd) Run() error { return c.withAPI(reloadKeys) }
 
-// defaultAdminAddress is the admin socket of a user who says nothing else.
+// defaultAdminAddress returns the current user's default admin socket.
 func defaultAdminAddress() string {
 	return "unix:" + filepath.Join(os.TempDir(), fmt.Sprintf("merlinhitch-%d", os.Getuid()), "admin.sock")
 }
 
-// createSocketDir makes the folder of an admin socket, open to nobody else.
+// createSocketDir creates the directory of the default admin socket and fails if other users
+// have access to it. For other addresses it does nothing.
 func createSocketDir(admin string) error {
 	path, ok := strings.CutPrefix(admin, "unix:")
 	if !ok || admin != defaultAdminAddress() {
@@ -162,17 +163,17 @@
 		return err
 	}
 	if !info.IsDir() || info.Mode().Perm()&0o077 != 0 {
-		return fmt.Errorf("gateway: %s must be a folder that nobody else may enter (mode %v)", dir, info.Mode())
+		return fmt.Errorf("gateway: %s must be a directory without access for other users, but has mode %v", dir, info.Mode())
 	}
 	return nil
 }
 
-// keysFlag is the caller's own keys.
+// keysFlag selects the caller's own keys for the admin API.
 type keysFlag struct {
-	Keys string `env:"MERLINHITCH_KEYS" help:"Folder of your own keys, where the admin API is served with keys." placeholder:"DIR"`
+	Keys string `env:"MERLINHITCH_KEYS" help:"Directory with your own keys, if the admin API uses TLS." placeholder:"DIR"`
 }
 
-// api is a client of an admin address.
+// api returns a client of an admin address. Without keys, and on Unix sockets, it is not TLS.
 func (k keysFlag) api(addr string) (*settings.API, error) {
 	if k.Keys == "" || strings.HasPrefix(addr, "unix:") {
 		return settings.NewAPI(addr), nil
@@ -188,7 +189,7 @@
 	return settings.NewTLSAPI(addr, holder.Client(host)), nil
 }
 
-// hosts are clients of many admin addresses.
+// hosts returns a client of each admin address; the caller closes them.
 func (k keysFlag) hosts(addrs []string) (clients []*rollout.Host, err error) {
 	for _, addr := range addrs {
 		api, err := k.api(addr)
--- a/cmd/merlinhitch/main.go
+++ b/cmd/merlinhitch/main.go
@@ -1,5 +1,6 @@
-// Command merlinhitch runs the storage gateway, its stand-ins and its tools. Each
-// subcommand only reads its arguments and starts what a package does.
+// Command merlinhitch runs the storage gateway, the scheduler, stand-ins for disk servers
+// and the inventory, and operators' tools. A subcommand parses its arguments and calls the
+// package that does the work.
 package main
 
 import (
@@ -12,48 +13,48 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// globalOptions go before or behind every command.
+// globalOptions are accepted by every command.
 type globalOptions struct {
-	LogLevel string `default:"info" enum:"debug,info,warn,error" help:"Least level of log lines (debug, info, warn, error)."`
+	LogLevel string `default:"info" enum:"debug,info,warn,error" help:"Minimum log level (debug, info, warn, error)."`
 }
 
 type commandLine struct {
 	globalOptions
 
-	Gateway      gatewayCmd      `cmd:"" help:"Run a host: iSCSI towards clients, the module, disk servers behind."`
-	Scheduler    schedulerCmd    `cmd:"" help:"Run a scheduler in service: HTTP towards clients, the module, disk servers behind."`
+	Gateway      gatewayCmd      `cmd:"" help:"Run a gateway: an iSCSI target that schedules requests to disk servers."`
+	Scheduler    schedulerCmd    `cmd:"" help:"Run a scheduler: an HTTP server that schedules requests to disk servers."`
 	Diskserver   diskserverCmd   `cmd:"" help:"Run a stand-in disk server."`
-	Inventory    inventoryCmd    `cmd:"" help:"Run a stand-in node list."`
-	Soak         soakCmd         `cmd:"" help:"Play real schedulers on loopback through drawn faults and judge what passed."`
-	Settings     settingsCmd     `cmd:"" help:"Read, change or draft the settings of a running gateway."`
-	Keys         keysCmd         `cmd:"" help:"The service's own authority: certificates of hosts, disk servers and operators."`
-	Expect       expectCmd       `cmd:"" help:"Answer what operators expect of routing and limits, without sending anything."`
+	Inventory    inventoryCmd    `cmd:"" help:"Run a stand-in inventory that serves the node list."`
+	Soak         soakCmd         `cmd:"" help:"Run real schedulers on loopback under random faults and check the recorded traffic."`
+	Settings     settingsCmd     `cmd:"" help:"Read, change, verify and test the settings of gateways."`
+	Keys         keysCmd         `cmd:"" help:"Manage the service's certificate authority and the certificates of hosts, disk servers and operators."`
+	Expect       expectCmd       `cmd:"" help:"Check expectations about routing and limits against settings, without sending any request."`
 	Io           ioCmd           `cmd:"" help:"Log in to a volume and read or write blocks."`
-	Badday       baddayCmd       `cmd:"" help:"Play a scripted bad day on loopback and check the seven rules on what passed."`
-	Explore      exploreCmd      `cmd:"" help:"Play days with drawn troubles in a virtual world and check every step."`
-	Replay       replayCmd       `cmd:"" help:"Play one scene again, exactly."`
-	Experiment   experimentCmd   `cmd:"" help:"Load experiments in a virtual world, kept as tables and charts."`
-	Reservations reservationsCmd `cmd:"" help:"Play reservations over three hosts with crashes, pauses and cut links, and judge the histories."`
-	Conform      conformCmd      `cmd:"" help:"Hold a target to SPC-4, SBC-3 and RFC 7143, check by check."`
-	Bench        benchCmd        `cmd:"" help:"Measure the gateway beside a bare relay over the same hops."`
-	Plan         planCmd         `cmd:"" help:"Work out which volume lies on which nodes."`
-	Regions      regionsCmd      `cmd:"" help:"A service over two regions: who serves what, operators' words, and its days."`
-	Top          topCmd          `cmd:"" help:"What many hosts do at once, and what holds each back."`
-	Report       reportCmd       `cmd:"" help:"A page of charts and tables of what hosts served."`
-	Routes       routesCmd       `cmd:"" help:"Show what a gateway announces, to which routers, and why."`
-	Announce     announceCmd     `cmd:"" help:"Measure announcements."`
-	Trail        trailCmd        `cmd:"" help:"Check or read the trail of a day."`
+	Badday       baddayCmd       `cmd:"" help:"Run a scripted fault workload on loopback and check the seven rules on its trail."`
+	Explore      exploreCmd      `cmd:"" help:"Simulate random fault scenarios in virtual time and check every step."`
+	Replay       replayCmd       `cmd:"" help:"Replay one recorded scenario deterministically."`
+	Experiment   experimentCmd   `cmd:"" help:"Run load experiments in virtual time and save their tables and charts."`
+	Reservations reservationsCmd `cmd:"" help:"Exercise persistent reservations over three hosts with crashes, pauses and cut links, and check the histories."`
+	Conform      conformCmd      `cmd:"" help:"Test the conformance of a target to SPC-4, SBC-3 and RFC 7143."`
+	Bench        benchCmd        `cmd:"" help:"Benchmark the gateway against a plain relay over the same hops."`
+	Plan         planCmd         `cmd:"" help:"Compute the placement of volumes on nodes."`
+	Regions      regionsCmd      `cmd:"" help:"Inspect, operate and test a service that spans two regions."`
+	Top          topCmd          `cmd:"" help:"Show the live load of many hosts and what limits each."`
+	Report       reportCmd       `cmd:"" help:"Write an HTML report of what hosts served."`
+	Routes       routesCmd       `cmd:"" help:"Show the BGP routes that a gateway announces, to which routers, and why."`
+	Announce     announceCmd     `cmd:"" help:"Measure BGP route announcements."`
+	Trail        trailCmd        `cmd:"" help:"Check or print the trail of a run."`
 }
 
-// errReported ends a command that has already said what is wrong.
+// errReported makes a command that has already printed its failure exit with status 1.
 var errReported = errors.New("failed")
 
-// schedulerCommandLine is the command line of a scheduler alone: reading the whole one takes several
-// times what else a scheduler does until it listens.
+// schedulerCommandLine has only the scheduler command, since building the grammar of all
+// commands would delay the scheduler's start.
 type schedulerCommandLine struct {
 	globalOptions
 
-	Scheduler schedulerCmd `cmd:"" help:"Run a scheduler in service: HTTP towards clients, the module, disk servers behind."`
+	Scheduler schedulerCmd `cmd:"" help:"Run a scheduler: an HTTP server that schedules requests to disk servers."`
 }
 
 func main() {
@@ -66,9 +67,9 @@
 	run(&line, &line.globalOptions)
 }
 
-// run reads the command line into grammar and runs the command that it names.
+// run parses the command line into grammar and runs the selected command.
 func run(grammar any, options *globalOptions) {
-	parsed := kong.Parse(grammar, kong.Name("merlinhitch"), kong.Description("A storage gateway: iSCSI in front, the scheduler, disk servers behind."), kong.UsageOnError(), kong.Vars{"admin": defaultAdminAddress()})
+	parsed := kong.Parse(grammar, kong.Name("merlinhitch"), kong.Description("Storage gateway and request scheduler in front of disk servers."), kong.UsageOnError(), kong.Vars{"admin": defaultAdminAddress()})
 	log, err := newLogger(options.LogLevel)
 	parsed.FatalIfErrorf(err)
 	if err := parsed.Run(log); err != nil {
@@ -79,8 +80,8 @@
 	}
 }
 
-// newLogger writes JSON lines to standard error, at most a hundred alike a second
-// and then one in a hundred.
+// newLogger returns a logger that writes JSON lines to standard error. Of lines with the same
+// level and message, the first 100 in a second and then every 100th are written.
 func newLogger(level string) (*zap.Logger, error) {
 	parsedLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
--- a/cmd/merlinhitch/scheduler.go
+++ b/cmd/merlinhitch/scheduler.go
@@ -17,17 +17,18 @@
 )
 
 type schedulerCmd struct {
-	Config string `env:"ROUTER_CONFIG" required:"" help:"File of the configuration; SIGHUP reads it again." placeholder:"FILE"`
+	Config string `env:"ROUTER_CONFIG" required:"" help:"Configuration file; SIGHUP reloads it." placeholder:"FILE"`
 }
 
-// exitInvalidConfig is the exit status at a fault of the configuration.
+// exitInvalidConfig is the exit status for a configuration that cannot be read or is invalid.
 const exitInvalidConfig = 2
 
-// heapLimitFraction of the machine's memory is what Go may take before it collects harder; the
-// rest is for the program itself and the kernel's buffers.
+// heapLimitFraction is the Go runtime's soft memory limit as a fraction of limits.memory_mb;
+// the rest is left for the program image and kernel buffers.
 const heapLimitFraction = 0.6
 
-// Run serves until SIGTERM, and then until all that was taken is answered.
+// Run serves until SIGTERM or SIGINT, then returns once the scheduler has drained. SIGHUP
+// reloads the configuration.
 func (c *schedulerCmd) Run(log *zap.Logger) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt)
@@ -67,7 +68,7 @@
 	}
 }
 
-// reload reads the configuration again; one with a fault changes nothing.
+// reload applies the configuration file again; an invalid one is logged and changes nothing.
 func (c *schedulerCmd) reload(instance *scheduler.Scheduler, log *zap.Logger) {
 	config, err := c.readConfig()
 	if err != nil {
--- a/cmd/merlinhitch/serve.go
+++ b/cmd/merlinhitch/serve.go
@@ -27,8 +27,8 @@
 	"merlinhitch/internal/simulation/standin"
 )
 
-// waitForSignal returns at the first SIGINT or SIGTERM, with a context that ends at
-// the second.
+// waitForSignal blocks until the first SIGINT or SIGTERM and returns a context that the
+// second one cancels.
 func waitForSignal() context.Context {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
@@ -38,7 +38,7 @@
 	return ctx
 }
 
-// onSIGHUP calls f at each SIGHUP.
+// onSIGHUP starts a goroutine that calls f on each SIGHUP.
 func onSIGHUP(f func()) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -50,23 +50,23 @@
 }
 
 type gatewayCmd struct {
-	Name      string `default:"host" help:"Name told to disk servers and in logs."`
-	Self      int    `default:"0" help:"This host's number in the service, from 0."`
-	Zone      string `help:"Hall that the host stands in."`
-	Listen    string `default:"127.0.0.1:3260" help:"Address for initiators."`
-	Inventory string `required:"" help:"Address of the node list."`
+	Name      string `default:"host" help:"Host name sent to disk servers and written to logs."`
+	Self      int    `default:"0" help:"Index of this host in the service, from 0."`
+	Zone      string `help:"Hall where the host is."`
+	Listen    string `default:"127.0.0.1:3260" help:"Address on which initiators connect."`
+	Inventory string `required:"" help:"Address of the inventory that serves the node list."`
 	Admin     string `default:"${admin}" help:"Address of the admin API: HOST:PORT or unix:PATH."`
-	Keys      string `help:"Folder of the host's keys: for the admin API and towards disk servers; SIGHUP reads it again." placeholder:"DIR"`
-	Snapshot  string `help:"File of the saved settings; their record lies beside it." placeholder:"FILE"`
-	History   string `help:"Folder for what the host counted, second by second." placeholder:"DIR"`
-	KeyFile   string `help:"Key that seals secrets in them: 32 bytes or more that nobody can guess." placeholder:"FILE"`
-	RouterID  string `help:"BGP identifier, in the form of an IPv4 address; needed where the settings announce." placeholder:"A.B.C.D"`
-	Hop4      string `help:"Next hop told for IPv4 addresses." placeholder:"ADDRESS"`
-	Hop6      string `help:"Next hop told for IPv6 addresses." placeholder:"ADDRESS"`
-	BGPListen string `help:"Address for routers that dial." placeholder:"HOST:PORT"`
+	Keys      string `help:"Directory with the host's key and certificates, for TLS on the admin API and to disk servers; SIGHUP reloads it." placeholder:"DIR"`
+	Snapshot  string `help:"File for the saved settings; the audit record is kept beside it." placeholder:"FILE"`
+	History   string `help:"Directory for the history of the host's counters, one row per second." placeholder:"DIR"`
+	KeyFile   string `help:"File with the key that encrypts secrets in the saved settings: at least 32 random bytes." placeholder:"FILE"`
+	RouterID  string `help:"BGP identifier in the form of an IPv4 address; required if the settings announce routes." placeholder:"A.B.C.D"`
+	Hop4      string `help:"Next hop announced for IPv4 prefixes." placeholder:"ADDRESS"`
+	Hop6      string `help:"Next hop announced for IPv6 prefixes." placeholder:"ADDRESS"`
+	BGPListen string `help:"Address on which to accept BGP sessions from routers." placeholder:"HOST:PORT"`
 }
 
-// config turns the arguments into a gateway's.
+// config builds the gateway's configuration from the arguments.
 func (c *gatewayCmd) config(log *zap.Logger) (gateway.Config, error) {
 	cfg := gateway.Config{Environment: env.NewReal(), Log: log, Name: c.Name, Self: c.Self, Zone: c.Zone,
 		Listen: c.Listen, Inventory: c.Inventory, Admin: c.Admin, Snapshot: c.Snapshot, History: c.History, BGPListen: c.BGPListen}
@@ -84,19 +84,19 @@
 	if c.RouterID != "" {
 		id, err := netip.ParseAddr(c.RouterID)
 		if err != nil || !id.Is4() || id.IsUnspecified() {
-			return cfg, fmt.Errorf("gateway: router id %q is no IPv4 address", c.RouterID)
+			return cfg, fmt.Errorf("gateway: router id %q is not an IPv4 address other than 0.0.0.0", c.RouterID)
 		}
 		idBytes := id.As4()
 		cfg.RouterID = binary.BigEndian.Uint32(idBytes[:])
 	}
 	if c.Hop4 != "" {
 		if cfg.Hop4, err = netip.ParseAddr(c.Hop4); err != nil || !cfg.Hop4.Is4() {
-			return cfg, fmt.Errorf("gateway: next hop %q is no IPv4 address", c.Hop4)
+			return cfg, fmt.Errorf("gateway: next hop %q is not an IPv4 address", c.Hop4)
 		}
 	}
 	if c.Hop6 != "" {
 		if cfg.Hop6, err = netip.ParseAddr(c.Hop6); err != nil || !cfg.Hop6.Is6() {
-			return cfg, fmt.Errorf("gateway: next hop %q is no IPv6 address", c.Hop6)
+			return cfg, fmt.Errorf("gateway: next hop %q is not an IPv6 address", c.Hop6)
 		}
 	}
 	return cfg, nil
@@ -128,12 +128,12 @@
 }
 
 type diskserverCmd struct {
-	Shard int     `required:"" help:"Shard that it holds."`
-	Zone  string  `help:"Hall that it stands in."`
-	Work  float64 `default:"1" help:"Milliseconds that a unit takes on a core."`
-	Cores int     `default:"2" help:"Cores."`
-	Block int     `default:"4096" help:"Block size of the volumes."`
-	Keys  string  `help:"Folder of the server's keys; SIGHUP reads it again." placeholder:"DIR"`
+	Shard int     `required:"" help:"Shard that the server stores."`
+	Zone  string  `help:"Hall where the server is."`
+	Work  float64 `default:"1" help:"Core time per unit of a read, in milliseconds."`
+	Cores int     `default:"2" help:"Number of cores to simulate."`
+	Block int     `default:"4096" help:"Block size of the volumes in bytes."`
+	Keys  string  `help:"Directory with the server's key and certificates; SIGHUP reloads it." placeholder:"DIR"`
 }
 
 func (c *diskserverCmd) Run(log *zap.Logger) error {
@@ -155,7 +155,7 @@
 	if err := standin.ServeDisk(environment, machine, diskServer); err != nil {
 		return err
 	}
-	fmt.Printf("%s\n", diskServer.Addr) // for scripts that enter it in the inventory
+	fmt.Printf("%s\n", diskServer.Addr) // scripts read the address and add it to the inventory
 	log.Info("stand-in disk server", zap.String("listen", diskServer.Addr), zap.Int("shard", c.Shard))
 	waitForSignal()
 	diskServer.Kill()
@@ -163,9 +163,9 @@
 }
 
 type inventoryCmd struct {
-	Listen string   `default:"127.0.0.1:8630" help:"Address for hosts."`
-	Late   float64  `default:"0" help:"Milliseconds by which changes are told late."`
-	Nodes  []string `arg:"" help:"The list: ADDRESS=SHARD or ADDRESS=SHARD@ZONE." placeholder:"NODE"`
+	Listen string   `default:"127.0.0.1:8630" help:"Address on which hosts connect."`
+	Late   float64  `default:"0" help:"Delay in milliseconds before changes are sent to hosts."`
+	Nodes  []string `arg:"" help:"Nodes to list, each as ADDRESS=SHARD or ADDRESS=SHARD@ZONE." placeholder:"NODE"`
 }
 
 func (c *inventoryCmd) Run(log *zap.Logger) error {
@@ -179,7 +179,7 @@
 		var shardNumber int
 		if _, err := fmt.Sscanf(shard, "%d", &shardNumber); err != nil || !ok || shardNumber < 0 {
 			list.Close()
-			return fmt.Errorf("inventory: %q is not ADDRESS=SHARD or ADDRESS=SHARD@ZONE", node)
+			return fmt.Errorf("inventory: node %q does not have the form ADDRESS=SHARD or ADDRESS=SHARD@ZONE", node)
 		}
 		list.ChangeNow(func(b *inventory.Book) {
 			b.Set(inventory.Node{Addr: addr, Health: inventory.Ready, Shard: shardNumber, Zone: zone, Weight: 1, Incarnation: uint64(i + 1)}, 0)
@@ -194,13 +194,13 @@
 type ioCmd struct {
 	Portal string        `default:"127.0.0.1:3260" help:"Address of the gateway."`
 	Name   string        `default:"iqn.2026-11.example.client:io" help:"Initiator name."`
-	Target string        `help:"Target name; without one the targets are listed."`
-	Lba    uint64        `help:"First block."`
-	Blocks uint32        `default:"1" help:"Blocks to read."`
-	Write  string        `help:"File whose bytes to write, - for standard input; it must fill whole blocks." placeholder:"FILE"`
+	Target string        `help:"Target name; if empty, the targets are listed."`
+	Lba    uint64        `help:"Address of the first block."`
+	Blocks uint32        `default:"1" help:"Number of blocks to read."`
+	Write  string        `help:"File to write, or - for standard input; its size must be a multiple of the block size." placeholder:"FILE"`
 	User   string        `help:"CHAP name."`
 	Secret string        `env:"MERLINHITCH_SECRET" help:"CHAP secret."`
-	Within time.Duration `default:"10s" help:"How long to wait."`
+	Within time.Duration `default:"10s" help:"Timeout of the whole command."`
 }
 
 func (c *ioCmd) Run() error {
@@ -273,7 +273,7 @@
 	return io.ReadAll(io.LimitReader(f, maxBytes))
 }
 
-// blockSize asks by READ CAPACITY (10).
+// blockSize returns the block size in bytes that READ CAPACITY (10) reports.
 func blockSize(ctx context.Context, client *initiator.Client) (int, error) {
 	result, err := client.Do(ctx, append([]byte{0x25}, make([]byte, 9)...), nil, 8)
 	if err != nil {
@@ -283,7 +283,7 @@
 		return 0, err
 	}
 	if len(result.Data) != 8 {
-		return 0, errors.New("io: short answer to READ CAPACITY")
+		return 0, errors.New("io: wrong length of the READ CAPACITY (10) data")
 	}
 	return int(result.Data[6])<<8 | int(result.Data[7]), nil
 }
@@ -293,10 +293,10 @@
 	case scsi.Good:
 		return nil
 	case scsi.Busy:
-		return fmt.Errorf("refused: busy, nothing was done; again in %d ms", int(result.Qualifier)*100)
+		return fmt.Errorf("target is busy and did not execute the command; retry after %d ms", int(result.Qualifier)*100)
 	}
 	if sense, ok := scsi.ParseSense(result.Sense); ok {
 		return sense
 	}
-	return fmt.Errorf("status %02x, sense %s", result.Status, bytes.TrimSpace(result.Sense))
+	return fmt.Errorf("command failed with SCSI status %02x, sense data %s", result.Status, bytes.TrimSpace(result.Sense))
 }
--- a/cmd/merlinhitch/settings.go
+++ b/cmd/merlinhitch/settings.go
@@ -25,30 +25,31 @@
 
 type settingsCmd struct {
 	Get     settingsGetCmd     `cmd:"" help:"Print the settings in force."`
-	Put     settingsPutCmd     `cmd:"" help:"Hand in new settings, made from those in force."`
-	Log     settingsLogCmd     `cmd:"" help:"Who changed what, when and why."`
-	Show    settingsShowCmd    `cmd:"" help:"Print the settings of a former version."`
-	Diff    settingsDiffCmd    `cmd:"" help:"What was changed from one version to another."`
-	Revert  settingsRevertCmd  `cmd:"" help:"Put a former version in force again, as a change of its own."`
-	Roll    settingsRollCmd    `cmd:"" help:"Take all hosts to other settings in steps, and back where figures fall."`
-	Verify  settingsVerifyCmd  `cmd:"" help:"Read the whole record again and name a broken one."`
-	Day     settingsDayCmd     `cmd:"" help:"Play bad days on loopback on which operators change settings all the time, and check record and trail."`
-	Limits  settingsLimitsCmd  `cmd:"" help:"Change a limit every 100 ms on loopback at eight times its rate, and count what passes."`
-	Example settingsExampleCmd `cmd:"" help:"Print working settings to begin with."`
+	Put     settingsPutCmd     `cmd:"" help:"Submit new settings, edited from those in force."`
+	Log     settingsLogCmd     `cmd:"" help:"List the recorded changes: who changed what, when and why."`
+	Show    settingsShowCmd    `cmd:"" help:"Print the settings of an earlier version."`
+	Diff    settingsDiffCmd    `cmd:"" help:"Print the changes between two versions."`
+	Revert  settingsRevertCmd  `cmd:"" help:"Restore an earlier version as a new version."`
+	Roll    settingsRollCmd    `cmd:"" help:"Roll out settings to all hosts in steps, and roll back if metrics get worse."`
+	Verify  settingsVerifyCmd  `cmd:"" help:"Verify the hash chain of the audit record and name the first broken entry."`
+	Day     settingsDayCmd     `cmd:"" help:"Run fault workloads on loopback while operators change settings, and check the audit record and the trail."`
+	Limits  settingsLimitsCmd  `cmd:"" help:"Offer eight times a limit on loopback, change the limit every 100 ms, and check what is admitted."`
+	Example settingsExampleCmd `cmd:"" help:"Print example settings to start from."`
 }
 
+// apiTimeout bounds a command that uses the admin API.
 const apiTimeout = 10 * time.Second
 
-// adminFlag is where the gateway's admin API is.
+// adminFlag selects the admin API of one gateway.
 type adminFlag struct {
 	keysFlag
 	Admin string `default:"${admin}" help:"Admin address of the gateway: HOST:PORT or unix:PATH."`
 }
 
-// reloadKeys has a gateway read its keys again.
+// reloadKeys makes a gateway reload its keys.
 func reloadKeys(ctx context.Context, api *settings.API) error { return api.Call(ctx, "/keys/reload") }
 
-// withAPI calls f withAPI a client of the admin API, within its time.
+// withAPI calls f with a client of the admin API and a context that ends after apiTimeout.
 func (a adminFlag) withAPI(f func(ctx context.Context, api *settings.API) error) error {
 	ctx, cancel := context.WithTimeout(context.Background(), apiTimeout)
 	defer cancel()
@@ -78,10 +79,10 @@
 	return encoder.Encode(v)
 }
 
-// changeFlags go with a change.
+// changeFlags give the reason and author of a change.
 type changeFlags struct {
-	Why string `help:"Reason, for the record."`
-	Who string `help:"Name, recorded as claimed where the gateway knows no better; empty: the user's." `
+	Why string `help:"Reason for the change, for the audit record."`
+	Who string `help:"Author, recorded as claimed if the gateway cannot authenticate the caller; by default, the login name." `
 }
 
 func (w changeFlags) provenance() settings.Ask {
@@ -96,9 +97,9 @@
 type settingsPutCmd struct {
 	adminFlag
 	changeFlags
-	Expect string `help:"Expectations that the settings must meet, or nothing is handed in." placeholder:"FILE"`
-	Merge  bool   `help:"Merge with what was changed since, if the two touch nothing in common."`
-	File   string `arg:"" help:"The settings, or - for standard input."`
+	Expect string `help:"File of expectations that the settings must meet before they are submitted." placeholder:"FILE"`
+	Merge  bool   `help:"Merge with later changes if they do not conflict."`
+	File   string `arg:"" help:"File of the settings, or - for standard input."`
 }
 
 func (c *settingsPutCmd) Run() error {
@@ -137,9 +138,9 @@
 
 type settingsLogCmd struct {
 	adminFlag
-	From    uint64 `default:"1" help:"First record."`
-	Changes bool   `help:"Each change, too."`
-	JSON    bool   `help:"As JSON lines."`
+	From    uint64 `default:"1" help:"Sequence number of the first record."`
+	Changes bool   `help:"Print each changed value too."`
+	JSON    bool   `help:"Print JSON lines."`
 }
 
 func (c *settingsLogCmd) Run() error {
@@ -181,7 +182,7 @@
 
 type settingsShowCmd struct {
 	adminFlag
-	Version uint64 `arg:"" help:"The version."`
+	Version uint64 `arg:"" help:"Version to print."`
 }
 
 func (c *settingsShowCmd) Run() error {
@@ -196,8 +197,8 @@
 
 type settingsDiffCmd struct {
 	adminFlag
-	From uint64 `arg:"" help:"The earlier version."`
-	To   uint64 `arg:"" optional:"" help:"The later one; left out: that in force."`
+	From uint64 `arg:"" help:"Earlier version."`
+	To   uint64 `arg:"" optional:"" help:"Later version; by default, the one in force."`
 }
 
 func (c *settingsDiffCmd) Run() error {
@@ -224,7 +225,7 @@
 type settingsRevertCmd struct {
 	adminFlag
 	changeFlags
-	Version uint64 `arg:"" help:"The version to go back to."`
+	Version uint64 `arg:"" help:"Version to restore."`
 }
 
 func (c *settingsRevertCmd) Run() error {
@@ -240,7 +241,7 @@
 
 type settingsVerifyCmd struct {
 	adminFlag
-	Record string `help:"File of a record to verify instead, of a gateway that is stopped." placeholder:"FILE"`
+	Record string `help:"Audit record file of a stopped gateway to verify instead." placeholder:"FILE"`
 }
 
 func (c *settingsVerifyCmd) Run() error {
@@ -258,9 +259,9 @@
 }
 
 func printVerification(result settings.Verified) {
-	fmt.Printf("%d records up to version %d, head %v: the chain holds; the clock stepped back %d times\n", result.Records, result.Version, result.Head, result.Back)
+	fmt.Printf("%d records up to version %d, head %v: the hash chain is intact; the clock stepped back %d times\n", result.Records, result.Version, result.Head, result.Back)
 	if result.Late != "" {
-		fmt.Println("the snapshot is behind the record:", result.Late)
+		fmt.Println("the snapshot is behind the audit record:", result.Late)
 	}
 }
 
@@ -281,11 +282,11 @@
 	changeFlags
 	keysFlag
 	Hosts  []string      `required:"" help:"Admin addresses of all hosts." placeholder:"ADDRESS,..."`
-	ID     string        `required:"" help:"Name of the roll; one that was cut off is taken up under the same."`
-	Watch  time.Duration `default:"10s" help:"How long figures are gathered before and after each step."`
-	Back   bool          `help:"Take a roll that was cut off back instead."`
-	Expect string        `help:"Expectations that the settings must meet, or nothing is begun." placeholder:"FILE"`
-	File   string        `arg:"" help:"The settings, or - for standard input."`
+	ID     string        `required:"" help:"Name of the rollout; the same name resumes one that was interrupted."`
+	Watch  time.Duration `default:"10s" help:"How long metrics are collected before and after each step."`
+	Back   bool          `help:"Roll back an interrupted rollout instead."`
+	Expect string        `help:"File of expectations that the settings must meet before the rollout starts." placeholder:"FILE"`
+	File   string        `arg:"" help:"File of the settings, or - for standard input."`
 }
 
 func (c *settingsRollCmd) Run() error {
@@ -320,19 +321,19 @@
 
 type settingsDayCmd struct {
 	Seed      uint64   `default:"1" help:"First seed."`
-	Seeds     int      `default:"1" help:"Days."`
-	Hosts     int      `default:"4" help:"Hosts."`
-	Servers   int      `default:"9" help:"Disk servers, in three halls."`
-	Commands  int      `default:"4000" help:"Commands of a day."`
-	Rate      float64  `default:"220" help:"Commands a second."`
-	Operators int      `default:"4" help:"Operators at once."`
-	Changes   int      `default:"1000" help:"Changes that they ask for in a day, all together."`
-	Troubles  []string `help:"Kinds of trouble, all by default; none for a calm day." placeholder:"KIND,..."`
+	Seeds     int      `default:"1" help:"Number of seeds to run."`
+	Hosts     int      `default:"4" help:"Number of hosts."`
+	Servers   int      `default:"9" help:"Number of disk servers, in three halls."`
+	Commands  int      `default:"4000" help:"Commands that clients send in a run."`
+	Rate      float64  `default:"220" help:"Mean rate in commands per second."`
+	Operators int      `default:"4" help:"Number of concurrent operators."`
+	Changes   int      `default:"1000" help:"Total number of changes that operators request in a run."`
+	Troubles  []string `help:"Kinds of fault; by default all, 'none' for no faults." placeholder:"KIND,..."`
 }
 
 func (c *settingsDayCmd) Run(log *zap.Logger) error {
 	if c.Hosts < 1 || c.Servers < 3 || c.Commands < 1 || !(c.Rate > 0) || c.Operators < 1 || c.Changes < c.Operators {
-		return errors.New("settings day: needs a host, three servers, a command, a rate above 0 and a change of each operator")
+		return errors.New("settings day: needs at least 1 host, 3 servers, 1 command, a rate above 0, 1 operator and 1 change per operator")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -349,7 +350,7 @@
 			failed++
 		}
 	}
-	fmt.Printf("%d days of %d changes by %d operators at %d hosts, %d failed\n", c.Seeds, c.Changes, c.Operators, c.Hosts, failed)
+	fmt.Printf("%d runs of %d changes by %d operators at %d hosts, %d failed\n", c.Seeds, c.Changes, c.Operators, c.Hosts, failed)
 	if failed > 0 {
 		return errReported
 	}
@@ -357,8 +358,8 @@
 }
 
 type settingsLimitsCmd struct {
-	Seed uint64        `default:"1" help:"Draws the limits and what clients ask for."`
-	Span time.Duration `default:"1m" help:"How long."`
+	Seed uint64        `default:"1" help:"Seed of the limits and of the client workload."`
+	Span time.Duration `default:"1m" help:"Duration of the run."`
 }
 
 func (c *settingsLimitsCmd) Run(log *zap.Logger) error {
@@ -376,13 +377,13 @@
 }
 
 type settingsExampleCmd struct {
-	Hosts  int `default:"3" help:"Hosts."`
-	Shards int `default:"9" help:"Shards."`
+	Hosts  int `default:"3" help:"Number of hosts."`
+	Shards int `default:"9" help:"Number of shards."`
 }
 
 func (c *settingsExampleCmd) Run() error {
 	if c.Hosts < 1 || c.Shards < 1 {
-		return errors.New("settings example: needs a host and a shard")
+		return errors.New("settings example: needs at least 1 host and 1 shard")
 	}
 	return printJSON(settings.Example(c.Hosts, c.Shards))
 }
--- a/cmd/merlinhitch/soak.go
+++ b/cmd/merlinhitch/soak.go
@@ -10,23 +10,23 @@
 
 type soakCmd struct {
 	From       uint64        `default:"1" help:"First seed."`
-	Seeds      int           `default:"5" help:"How many seeds, one after the other (1 to 1000)."`
-	Schedulers int           `default:"3" help:"Scheduler processes (1 to 200)."`
-	Servers    int           `default:"40" help:"Stand-in disk servers (1 to 5000)."`
-	Rate       float64       `default:"60" help:"Requests a second at each scheduler."`
-	Lasts      time.Duration `default:"15s" help:"How long clients send."`
-	Share      float64       `default:"1" help:"Share of a core of each scheduler, held by stopping it now and then (0.01 to 1)."`
-	Whole      bool          `help:"Every watch begins with the whole list."`
-	Indented   bool          `help:"Discovery's messages are indented."`
-	Beside     int           `help:"Play each seed also with so many disk servers, and compare what the schedulers need."`
-	Program    string        `type:"existingfile" help:"Build of merlinhitch whose schedulers are played; this one if none is named."`
+	Seeds      int           `default:"5" help:"Number of seeds, run one after another (1 to 1000)."`
+	Schedulers int           `default:"3" help:"Number of scheduler processes (1 to 200)."`
+	Servers    int           `default:"40" help:"Number of stand-in disk servers (1 to 5000)."`
+	Rate       float64       `default:"60" help:"Requests per second to each scheduler."`
+	Lasts      time.Duration `default:"15s" help:"Duration of the client traffic."`
+	Share      float64       `default:"1" help:"Share of a core for each scheduler, enforced by pausing the process (0.01 to 1)."`
+	Whole      bool          `help:"Start every discovery watch with the whole list."`
+	Indented   bool          `help:"Send indented discovery messages."`
+	Beside     int           `help:"Run each seed also with this smaller number of disk servers and compare the schedulers' resource use."`
+	Program    string        `type:"existingfile" help:"merlinhitch binary to run as schedulers; by default, this one."`
 }
 
-// Help tells what the command does and how it ends.
+// Help returns the detailed help text.
 func (c *soakCmd) Help() string {
-	return "Starts real schedulers on loopback before stand-in disk servers, discovery and clients, draws faults from each seed, and " +
-		"judges what passed on the sockets by the platform's rules. Status 1: a rule was broken; the seed, the rule, the time and the " +
-		"request's whole way are printed. Status 2: an option is out of range."
+	return "Starts real schedulers on loopback with stand-in disk servers, discovery and clients, injects random faults drawn from each seed, and " +
+		"checks the traffic on the sockets against the platform's rules. Exit status 1: a rule was broken, a bound of --beside was exceeded or a run failed; for a broken rule the seed, the rule, " +
+		"the time and the trace of the request are printed. Exit status 2: an option is out of range."
 }
 
 const (
@@ -41,7 +41,7 @@
 	return os.Executable()
 }
 
-// Run plays the seeds.
+// Run runs every seed; it fails if any seed broke a rule or exceeded a bound.
 func (c *soakCmd) Run() error {
 	programPath, err := c.programPath()
 	if err != nil {
@@ -53,7 +53,7 @@
 	options.WholeLists, options.Indented = c.Whole, c.Indented
 	if err := options.Check(); err != nil || c.Seeds < 1 || c.Seeds > maxSeeds {
 		if err == nil {
-			err = fmt.Errorf("seeds is %d; it goes from 1 to %d", c.Seeds, maxSeeds)
+			err = fmt.Errorf("seeds is %d, must be from 1 to %d", c.Seeds, maxSeeds)
 		}
 		fmt.Fprintln(os.Stderr, "merlinhitch:", err)
 		os.Exit(exitInvalidOption)
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// playSeed plays one seed, and with Beside the same with fewer disk servers; false if a rule was
-// broken or a bound passed.
+// playSeed runs one seed, and with Beside also with fewer disk servers. It returns false if a
+// rule was broken or resource use grew beyond the bounds.
 func (c *soakCmd) playSeed(options soak.Options) (bool, error) {
 	largeRun, largeOK, err := playAndReport(options)
 	if err != nil || c.Beside == 0 {
