--- a/internal/control/gateway/adminauth.go
+++ b/internal/control/gateway/adminauth.go
@@ -26,8 +26,8 @@
 
 // withSocketUser notes the user at the other end of a Unix socket.
 func withSocketUser(ctx context.Context, c net.Conn) context.Context {
-	if u, ok := c.(*net.UnixConn); ok {
-		uid, known := peerUser(u)
+	if conn, ok := c.(*net.UnixConn); ok {
+		uid, known := peerUser(conn)
 		return context.WithValue(ctx, socketUserKey{}, socketUser{uid, known})
 	}
 	return ctx
@@ -44,52 +44,52 @@
 // gateway's own user or root.
 func (g *Gateway) authorize(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		x, err := g.identify(r)
+		requester, err := g.identify(r)
 		if err != nil {
 			settings.Reply(w, http.StatusUnauthorized, map[string]string{"error": err.Error()})
 			return
 		}
-		need := keys.Operate
+		required := keys.Operate
 		switch {
 		case r.URL.Path == "/keys/reload":
-			need = keys.Administer
+			required = keys.Administer
 		case r.Method == http.MethodGet:
-			need = keys.Read
+			required = keys.Read
 		}
-		if !x.role.May(need) {
-			settings.Reply(w, http.StatusForbidden, map[string]string{"error": fmt.Sprintf("%s has the role %q, this needs %q", x.name, x.role, need)})
+		if !requester.role.May(required) {
+			settings.Reply(w, http.StatusForbidden, map[string]string{"error": fmt.Sprintf("%s has the role %q, this needs %q", requester.name, requester.role, required)})
 			return
 		}
-		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), callerKey{}, x)))
+		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), callerKey{}, requester)))
 	})
 }
 
 func (g *Gateway) identify(r *http.Request) (caller, error) {
-	said := r.URL.Query().Get("who")
-	said = said[:min(len(said), maxClaimedNameBytes)]
+	claimed := r.URL.Query().Get("who")
+	claimed = claimed[:min(len(claimed), maxClaimedNameBytes)]
 	if r.TLS != nil {
 		if len(r.TLS.PeerCertificates) == 0 {
 			return caller{}, errors.New("no certificate")
 		}
-		c := r.TLS.PeerCertificates[0]
-		if err := g.cfg.Keys.Check(c); err != nil {
+		certificate := r.TLS.PeerCertificates[0]
+		if err := g.cfg.Keys.Check(certificate); err != nil {
 			return caller{}, err
 		}
-		name, role := keys.Name(c)
+		name, role := keys.Name(certificate)
 		return caller{name, role}, nil
 	}
-	if p, unix := r.Context().Value(socketUserKey{}).(socketUser); unix {
-		if p.known && p.uid != 0 && int(p.uid) != os.Getuid() {
-			return caller{}, fmt.Errorf("uid %d is not the gateway's", p.uid)
+	if user, unix := r.Context().Value(socketUserKey{}).(socketUser); unix {
+		if user.known && user.uid != 0 && int(user.uid) != os.Getuid() {
+			return caller{}, fmt.Errorf("uid %d is not the gateway's", user.uid)
 		}
-		name := fmt.Sprintf("uid %d", p.uid)
-		if said != "" {
-			name += ", claimed " + said
+		name := fmt.Sprintf("uid %d", user.uid)
+		if claimed != "" {
+			name += ", claimed " + claimed
 		}
 		return caller{name, keys.Administer}, nil
 	}
-	if said != "" {
-		return caller{"claimed " + said, keys.Administer}, nil
+	if claimed != "" {
+		return caller{"claimed " + claimed, keys.Administer}, nil
 	}
 	return caller{"unnamed at " + r.RemoteAddr, keys.Administer}, nil
 }
@@ -99,9 +99,9 @@
 
 // author is who calls, as the record has it.
 func author(r *http.Request) settings.Author {
-	x, _ := r.Context().Value(callerKey{}).(caller)
-	a := settings.Author{Who: x.name}
-	if !x.role.May(keys.Administer) {
+	requester, _ := r.Context().Value(callerKey{}).(caller)
+	a := settings.Author{Who: requester.name}
+	if !requester.role.May(keys.Administer) {
 		a.Closed = settings.SecretPaths
 	}
 	return a
--- a/internal/control/gateway/command.go
+++ b/internal/control/gateway/command.go
@@ -52,19 +52,19 @@
 	if u := c.currentUnit(v); t.LUN == 0 && u != nil {
 		disk = u.disk
 	}
-	out := scsi.Decode(disk, t.CDB, t.Data, []uint64{0})
+	decoded := scsi.Decode(disk, t.CDB, t.Data, []uint64{0})
 	switch {
-	case out.Sense != nil:
-		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: out.Sense.Fixed()})
-	case out.Reserve != nil:
-		c.handleReservation(v, t, out.Reserve)
-	case out.IO == nil:
-		c.respond(t, iscsi.Answer{Data: out.Data, Out: out.Out})
-	case out.IO.Op == scsi.Flush && c.flushPermitted(v):
+	case decoded.Sense != nil:
+		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: decoded.Sense.Fixed()})
+	case decoded.Reserve != nil:
+		c.handleReservation(v, t, decoded.Reserve)
+	case decoded.IO == nil:
+		c.respond(t, iscsi.Answer{Data: decoded.Data, Out: decoded.Out})
+	case decoded.IO.Op == scsi.Flush && c.flushPermitted(v):
 		// Every write that was acknowledged is on its disk server already.
 		c.respond(t, iscsi.Answer{})
 	default:
-		c.startCommand(t, out)
+		c.startCommand(t, decoded)
 	}
 }
 
@@ -91,19 +91,19 @@
 func (c *conn) respond(t *iscsi.Task, a iscsi.Answer) { c.sess.Respond(t, a) }
 
 // startCommand hands the command's parts to the host core. Held: conn.mu.
-func (c *conn) startCommand(t *iscsi.Task, out scsi.Outcome) {
-	if vol, class := c.submit(t, out); class != nil {
-		c.recheckReservations(t, out, vol, class, false)
+func (c *conn) startCommand(t *iscsi.Task, decoded scsi.Outcome) {
+	if vol, class := c.submit(t, decoded); class != nil {
+		c.recheckReservations(t, decoded, vol, class, false)
 	}
 }
 
 // submit hands them over under the settings in force, or answers the command itself. It
 // returns a volume and a class where the reservations must be looked at first.
-func (c *conn) submit(t *iscsi.Task, out scsi.Outcome) (*settings.Volume, *settings.Class) {
+func (c *conn) submit(t *iscsi.Task, decoded scsi.Outcome) (*settings.Volume, *settings.Class) {
 	f := c.front
 	f.taking.RLock()
 	defer f.taking.RUnlock()
-	v, io := f.view.Load(), out.IO
+	v, io := f.view.Load(), decoded.IO
 	u := c.currentUnit(v)
 	if u == nil {
 		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.NoSuchLUN.Fixed()})
@@ -118,11 +118,11 @@
 		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.InvalidField.Fixed()})
 		return nil, nil
 	}
-	fence, may := f.keeper.check(u.vol.Name, c.nexus(), io.Op.Writes() || io.Op == scsi.Flush)
-	if !may {
+	fence, permitted := f.keeper.check(u.vol.Name, c.nexus(), io.Op.Writes() || io.Op == scsi.Flush)
+	if !permitted {
 		return u.vol, class
 	}
-	cmd := &command{conn: c, task: t, blockSize: u.vol.BlockSize, decoded: out, class: class, fence: fence}
+	cmd := &command{conn: c, task: t, blockSize: u.vol.BlockSize, decoded: decoded, class: class, fence: fence}
 	if io.Op == scsi.Read {
 		cmd.reservedBytes = size
 	}
@@ -145,18 +145,18 @@
 		cmd.splitUnmap(v, vol, class, io)
 		return
 	}
-	whole := cmd.task.Data
-	if len(whole) > io.Out {
-		whole = whole[:io.Out]
+	taskData := cmd.task.Data
+	if len(taskData) > io.Out {
+		taskData = taskData[:io.Out]
 	}
 	for p := range vol.Parts(io.LBA, io.Blocks) {
-		from := int(p.LBA-io.LBA) * vol.BlockSize
-		n := int(p.Blocks) * vol.BlockSize
-		data := whole
+		start := int(p.LBA-io.LBA) * vol.BlockSize
+		size := int(p.Blocks) * vol.BlockSize
+		data := taskData
 		if io.Op == scsi.Write || io.Compare {
-			data = whole[from : from+n]
+			data = taskData[start : start+size]
 		}
-		j := cmd.addJob(v, vol, class, io.Op, p.Shard, p.Extent, n)
+		j := cmd.addJob(v, vol, class, io.Op, p.Shard, p.Extent, size)
 		j.message.LBA, j.message.Blocks, j.message.Data = p.LBA, p.Blocks, data
 		if faultinject.Active(faultinject.ExtentMissed) && len(cmd.jobs) > 1 && io.Op == scsi.Write {
 			j.message.LBA--
@@ -223,24 +223,24 @@
 }
 
 // jobEnded is the end of one part. On the host's goroutine.
-func (cmd *command) jobEnded(j *job, how jobOutcome, after float64, ans *diskproto.Answer) {
+func (cmd *command) jobEnded(j *job, outcome jobOutcome, retryAfter float64, answer *diskproto.Answer) {
 	cmd.conn.front.open.Add(-1)
 	cmd.unfinished--
 	if j.abortedUnsent {
-		how = jobRefused // it was never sent
+		outcome = jobRefused // it was never sent
 	}
-	if how == jobRefused || how == jobFailed {
+	if outcome == jobRefused || outcome == jobFailed {
 		cmd.abortUnsent()
 	}
-	if faultinject.Active(faultinject.LossTakenForGood) && how == jobFailed && j.req.Write {
-		how = jobServed
+	if faultinject.Active(faultinject.LossTakenForGood) && outcome == jobFailed && j.req.Write {
+		outcome = jobServed
 	}
-	cmd.worstOutcome, cmd.retryAfter = max(cmd.worstOutcome, how), max(cmd.retryAfter, after)
-	if ans != nil && ans.Result == diskproto.Fenced {
+	cmd.worstOutcome, cmd.retryAfter = max(cmd.worstOutcome, outcome), max(cmd.retryAfter, retryAfter)
+	if answer != nil && answer.Result == diskproto.Fenced {
 		cmd.fenceOutdated = true
-	} else if ans != nil {
-		cmd.miscompared = cmd.miscompared || ans.Result == diskproto.Miscompare
-		if cmd.reservedBytes > 0 && !cmd.gather(j, ans.Data) {
+	} else if answer != nil {
+		cmd.miscompared = cmd.miscompared || answer.Result == diskproto.Miscompare
+		if cmd.reservedBytes > 0 && !cmd.gather(j, answer.Data) {
 			cmd.worstOutcome = max(cmd.worstOutcome, jobFailed) // a server that answers less than was asked
 		}
 	}
@@ -292,12 +292,12 @@
 		c.front.host.putBuffer(cmd.dataBuffer)
 		return
 	}
-	x := completion{cmd, cmd.response(), cmd.dataBuffer, cmd.fenceOutdated && cmd.worstOutcome == jobServed}
+	completed := completion{cmd, cmd.response(), cmd.dataBuffer, cmd.fenceOutdated && cmd.worstOutcome == jobServed}
 	if c.answers == nil {
-		c.front.host.respond(&x, c.front.host.flushAfterBatch)
+		c.front.host.respond(&completed, c.front.host.flushAfterBatch)
 		return
 	}
-	c.answers.enqueue(x)
+	c.answers.enqueue(completed)
 }
 
 func (cmd *command) response() iscsi.Answer {
@@ -328,22 +328,22 @@
 // recheckReservations looks a volume's reservations up and then starts the command anew, or says
 // that they stand in its way. partly: some of it may have been done already, which a
 // conflict must not deny. Held: conn.mu.
-func (c *conn) recheckReservations(t *iscsi.Task, out scsi.Outcome, vol *settings.Volume, class *settings.Class, partly bool) {
+func (c *conn) recheckReservations(t *iscsi.Task, decoded scsi.Outcome, vol *settings.Volume, class *settings.Class, maybeExecuted bool) {
 	t.User = nil // nothing of it is under way
-	c.front.keeper.refresh(vol, t.At+class.Deadline, func(s *reserve.State, err error) {
+	c.front.keeper.refresh(vol, t.At+class.Deadline, func(state *reserve.State, err error) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		switch {
 		case c.closed:
-		case err != nil && partly:
+		case err != nil && maybeExecuted:
 			c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.CommandAborted.Fixed()})
 		case err != nil:
 			c.respond(t, iscsi.Answer{Status: scsi.Busy})
-		case s.May(c.nexus(), out.IO.Op.Writes() || out.IO.Op == scsi.Flush):
+		case state.May(c.nexus(), decoded.IO.Op.Writes() || decoded.IO.Op == scsi.Flush):
 			if c.sess.Task(t.ITT) == t {
-				c.restart(t, out)
+				c.restart(t, decoded)
 			}
-		case partly:
+		case maybeExecuted:
 			c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.CommandAborted.Fixed()})
 		default:
 			c.respond(t, iscsi.Answer{Status: scsi.Conflict})
@@ -352,12 +352,12 @@
 }
 
 // restart starts a command anew. Held: conn.mu.
-func (c *conn) restart(t *iscsi.Task, out scsi.Outcome) {
-	if out.IO.Op == scsi.Flush {
+func (c *conn) restart(t *iscsi.Task, decoded scsi.Outcome) {
+	if decoded.IO.Op == scsi.Flush {
 		c.respond(t, iscsi.Answer{})
 		return
 	}
-	c.startCommand(t, out)
+	c.startCommand(t, decoded)
 }
 
 // retryDelay is the advice of BUSY: tenths of a second, SAM-5 section 5.3.2.
--- a/internal/control/gateway/connpool.go
+++ b/internal/control/gateway/connpool.go
@@ -51,11 +51,11 @@
 	halfOpenTimeout = 2 * time.Second
 )
 
-func newConnPool(w env.Environment, h *host, name string, dialIn time.Duration, log *zap.Logger) *connPool {
-	b := &connPool{environment: w, host: h, hostID: w.RandomUint64(), hostName: name, log: log, connByServer: map[string]*serverConn{}}
-	b.dialTimeout.Store(int64(dialIn))
-	b.ctx, b.stop = context.WithCancel(context.Background())
-	return b
+func newConnPool(w env.Environment, h *host, hostName string, dialTimeout time.Duration, log *zap.Logger) *connPool {
+	p := &connPool{environment: w, host: h, hostID: w.RandomUint64(), hostName: hostName, log: log, connByServer: map[string]*serverConn{}}
+	p.dialTimeout.Store(int64(dialTimeout))
+	p.ctx, p.stop = context.WithCancel(context.Background())
+	return p
 }
 
 // serverConn is one connection, from its dialling on. It is used once.
@@ -78,62 +78,62 @@
 }
 
 // send takes an attempt, on the host's goroutine; it never blocks on the network.
-func (b *connPool) send(a *attempt) {
-	b.mu.Lock()
-	if b.closed {
-		b.mu.Unlock()
+func (p *connPool) send(a *attempt) {
+	p.mu.Lock()
+	if p.closed {
+		p.mu.Unlock()
 		return
 	}
-	l := b.connTo(a.node)
-	b.mu.Unlock()
-	a.serverConn = l
-	l.send(a)
+	sc := p.connTo(a.node)
+	p.mu.Unlock()
+	a.serverConn = sc
+	sc.send(a)
 }
 
 // connTo is the connection to a server, a new one where there is none that can be used.
 // Held: mu.
-func (b *connPool) connTo(addr string) *serverConn {
-	l := b.connByServer[addr]
-	if l == nil || !l.usable() {
-		l = &serverConn{pool: b, addr: addr, outstanding: map[uint32]*attempt{}}
-		b.connByServer[addr] = l
-		b.conns.Add(l)
-		b.tasks.Go(b.environment, l.run)
-	}
-	return l
+func (p *connPool) connTo(addr string) *serverConn {
+	sc := p.connByServer[addr]
+	if sc == nil || !sc.usable() {
+		sc = &serverConn{pool: p, addr: addr, outstanding: map[uint32]*attempt{}}
+		p.connByServer[addr] = sc
+		p.conns.Add(sc)
+		p.tasks.Go(p.environment, sc.run)
+	}
+	return sc
 }
 
 // probe asks a server for a sign of life, dialling it if need be.
-func (b *connPool) probe(addr string) {
-	b.mu.Lock()
-	if b.closed {
-		b.mu.Unlock()
+func (p *connPool) probe(addr string) {
+	p.mu.Lock()
+	if p.closed {
+		p.mu.Unlock()
 		return
 	}
-	l := b.connTo(addr)
-	b.mu.Unlock()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.established && !l.closed {
-		l.lastTag++
-		tag := l.lastTag
-		l.writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindProbe, tag, nil) })
+	sc := p.connTo(addr)
+	p.mu.Unlock()
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if sc.established && !sc.closed {
+		sc.lastTag++
+		tag := sc.lastTag
+		sc.writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindProbe, tag, nil) })
 	}
 }
 
 // refreshClocks asks servers whose clock was last heard a while ago for it.
-func (b *connPool) refreshClocks() {
-	b.mu.Lock()
-	links := b.conns.All()
-	b.mu.Unlock()
-	for _, l := range links {
-		l.mu.Lock()
-		if now := float64(b.environment.Now()) / float64(time.Microsecond); now-l.clockReadAt > maxClockAge && l.established && !l.closed {
-			l.lastTag++
-			tag := l.lastTag
-			l.writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindProbe, tag, nil) })
+func (p *connPool) refreshClocks() {
+	p.mu.Lock()
+	conns := p.conns.All()
+	p.mu.Unlock()
+	for _, sc := range conns {
+		sc.mu.Lock()
+		if nowMicros := float64(p.environment.Now()) / float64(time.Microsecond); nowMicros-sc.clockReadAt > maxClockAge && sc.established && !sc.closed {
+			sc.lastTag++
+			tag := sc.lastTag
+			sc.writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindProbe, tag, nil) })
 		}
-		l.mu.Unlock()
+		sc.mu.Unlock()
 	}
 }
 
@@ -141,115 +141,115 @@
 const maxClockAge = 400_000
 
 // lastRead tells when a server last said anything on the connection that is open to it.
-func (b *connPool) lastRead(addr string) (at time.Duration, open bool) {
-	b.withConn(addr, func(l *serverConn) { at, open = l.lastReadAt, l.established && !l.closed && !l.retired })
+func (p *connPool) lastRead(addr string) (at time.Duration, open bool) {
+	p.withConn(addr, func(sc *serverConn) { at, open = sc.lastReadAt, sc.established && !sc.closed && !sc.retired })
 	return at, open
 }
 
-func (l *serverConn) usable() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return !l.closed && !l.retired
+func (sc *serverConn) usable() bool {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return !sc.closed && !sc.retired
 }
 
-func (l *serverConn) send(a *attempt) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (sc *serverConn) send(a *attempt) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
 	switch {
-	case l.closed:
-		l.postFailure(a, policy.NoConnection)
-	case l.established:
-		l.begin(a)
-		l.pool.host.flushAfterBatch(l.writes)
+	case sc.closed:
+		sc.postFailure(a, policy.NoConnection)
+	case sc.established:
+		sc.begin(a)
+		sc.pool.host.flushAfterBatch(sc.writes)
 	default:
-		l.waiting = append(l.waiting, a)
+		sc.waiting = append(sc.waiting, a)
 	}
 }
 
 // begin holds the attempt's frame for the write queue's next release. One that may not begin any
 // more, for it waited for its connection, ends as never sent. Held: mu.
-func (l *serverConn) begin(a *attempt) {
-	if !a.mayBegin(env.MS(l.pool.environment.Now())) {
-		l.postFailure(a, policy.NotSent)
+func (sc *serverConn) begin(a *attempt) {
+	if !a.mayBegin(env.MS(sc.pool.environment.Now())) {
+		sc.postFailure(a, policy.NotSent)
 		return
 	}
 	if !a.claim() {
 		return // timed out while it waited
 	}
-	l.lastTag++
+	sc.lastTag++
 	if faultinject.Active(faultinject.TagReused) {
-		l.lastTag %= 4
+		sc.lastTag %= 4
 	}
-	a.tag = l.lastTag
-	l.outstanding[a.tag] = a
+	a.tag = sc.lastTag
+	sc.outstanding[a.tag] = a
 	do := a.job.message
 	do.Attempt = uint16(a.number)
-	do.Gen, do.Deadline = a.generation, l.serverDeadline(a.answerBy)
+	do.Gen, do.Deadline = a.generation, sc.serverDeadline(a.answerBy)
 	if faultinject.Active(faultinject.DeadlineUnsaid) {
 		do.Deadline += 60_000_000
 	}
-	if !l.writes.Buffer(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindDo, a.tag, &do) }) {
-		l.conn.Close() // the reader ends the rest
+	if !sc.writes.Buffer(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindDo, a.tag, &do) }) {
+		sc.conn.Close() // the reader ends the rest
 	}
 }
 
 // setClock takes the server's clock as heard at now. The server read it before: deadlines
 // reckoned from it are early by the way back, never late. Held: mu.
-func (l *serverConn) setClock(clock uint64, now time.Duration) {
-	l.serverClock, l.clockReadAt = float64(clock), float64(now)/float64(time.Microsecond)
+func (sc *serverConn) setClock(clock uint64, now time.Duration) {
+	sc.serverClock, sc.clockReadAt = float64(clock), float64(now)/float64(time.Microsecond)
 }
 
 // serverDeadline is a time of this host's in the server's clock, no later however the two
 // have drifted since it was heard. Held: mu.
-func (l *serverConn) serverDeadline(until float64) uint64 {
-	ahead := until*1000 - l.clockReadAt
-	if d := l.pool.maxClockDrift; d > 0 && ahead > 0 {
-		ahead *= (1 - d) / (1 + d)
+func (sc *serverConn) serverDeadline(deadline float64) uint64 {
+	remaining := deadline*1000 - sc.clockReadAt
+	if d := sc.pool.maxClockDrift; d > 0 && remaining > 0 {
+		remaining *= (1 - d) / (1 + d)
 	}
-	return uint64(max(l.serverClock+ahead, 0))
+	return uint64(max(sc.serverClock+remaining, 0))
 }
 
 // postFailure tells the host of an attempt's postFailure, unless the host ended one that has not gone out.
-func (l *serverConn) postFailure(a *attempt, r policy.Result) {
-	if (r == policy.NoConnection || r == policy.NotSent) && !a.drop() {
+func (sc *serverConn) postFailure(a *attempt, result policy.Result) {
+	if (result == policy.NoConnection || result == policy.NotSent) && !a.drop() {
 		return
 	}
-	l.pool.host.post(event{kind: eventAttemptFailed, attempt: a, result: r})
+	sc.pool.host.post(event{kind: eventAttemptFailed, attempt: a, result: result})
 }
 
 // run dials, greets and reads until the connection ends.
-func (l *serverConn) run() {
-	conn, err := l.pool.environment.Dial(l.pool.ctx, "tcp", l.addr, time.Duration(l.pool.dialTimeout.Load()))
+func (sc *serverConn) run() {
+	conn, err := sc.pool.environment.Dial(sc.pool.ctx, "tcp", sc.addr, time.Duration(sc.pool.dialTimeout.Load()))
 	if err == nil {
-		if k := l.pool.keys; k != nil {
-			conn = tls.Client(conn, k.Client("")) // it greets with the first frame, within its time
+		if keyHolder := sc.pool.keys; keyHolder != nil {
+			conn = tls.Client(conn, keyHolder.Client("")) // it greets with the first frame, within its time
 		}
-		err = l.serve(conn)
+		err = sc.serve(conn)
 	}
-	l.endAttempts()
-	l.pool.log.Debug("disk server connection over", zap.String("node", l.addr), zap.Error(err))
+	sc.endAttempts()
+	sc.pool.log.Debug("disk server connection over", zap.String("node", sc.addr), zap.Error(err))
 }
 
-func (l *serverConn) serve(conn net.Conn) error {
-	out := writequeue.New(l.pool.environment, conn, maxQueuedWriteBytes, writeTimeout)
-	defer out.Wait()
-	defer out.Abort()
-	l.mu.Lock()
-	l.conn, l.writes = conn, out
-	l.mu.Unlock()
-	if l.pool.ctx.Err() != nil {
-		return l.pool.ctx.Err()
-	}
-	r := diskproto.NewReader(bufio.NewReaderSize(conn, readBufferBytes))
-	if err := l.handshake(conn, r); err != nil {
+func (sc *serverConn) serve(conn net.Conn) error {
+	writes := writequeue.New(sc.pool.environment, conn, maxQueuedWriteBytes, writeTimeout)
+	defer writes.Wait()
+	defer writes.Abort()
+	sc.mu.Lock()
+	sc.conn, sc.writes = conn, writes
+	sc.mu.Unlock()
+	if sc.pool.ctx.Err() != nil {
+		return sc.pool.ctx.Err()
+	}
+	reader := diskproto.NewReader(bufio.NewReaderSize(conn, readBufferBytes))
+	if err := sc.handshake(conn, reader); err != nil {
 		return err
 	}
 	for {
-		f, err := r.Next()
+		frame, err := reader.Next()
 		if err != nil {
 			return err
 		}
-		if err := l.handleFrame(f); err != nil {
+		if err := sc.handleFrame(frame); err != nil {
 			return err
 		}
 	}
@@ -257,79 +257,79 @@
 
 // handshake exchanges Hello and Welcome within the dial time: a connection that opens
 // and then hangs has carried nothing, and says so by NoConnection.
-func (l *serverConn) handshake(conn net.Conn, r *diskproto.Reader) error {
-	h := &diskproto.Hello{Oldest: diskproto.Oldest, Newest: diskproto.Version, Host: l.pool.hostID, Name: l.pool.hostName}
-	l.writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindHello, 0, h) })
-	conn.SetReadDeadline(l.pool.environment.Deadline(time.Duration(l.pool.dialTimeout.Load())))
-	f, err := r.Next()
+func (sc *serverConn) handshake(conn net.Conn, reader *diskproto.Reader) error {
+	hello := &diskproto.Hello{Oldest: diskproto.Oldest, Newest: diskproto.Version, Host: sc.pool.hostID, Name: sc.pool.hostName}
+	sc.writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindHello, 0, hello) })
+	conn.SetReadDeadline(sc.pool.environment.Deadline(time.Duration(sc.pool.dialTimeout.Load())))
+	frame, err := reader.Next()
 	if err != nil {
 		return err
 	}
-	var w diskproto.Welcome
-	if f.Kind != diskproto.KindWelcome {
+	var welcome diskproto.Welcome
+	if frame.Kind != diskproto.KindWelcome {
 		return &diskproto.FrameError{Reason: "no welcome"}
 	}
-	if err := w.Parse(f.Body); err != nil {
+	if err := welcome.Parse(frame.Body); err != nil {
 		return err
 	}
-	if w.Version == 0 {
+	if welcome.Version == 0 {
 		return &diskproto.FrameError{Reason: "no common version"}
 	}
 	conn.SetReadDeadline(time.Time{})
-	now := l.pool.environment.Now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.setClock(w.Clock, now)
-	l.established, l.lastReadAt = true, now
-	for _, a := range l.waiting {
-		l.begin(a)
-	}
-	l.writes.Flush()
-	l.waiting = nil
+	now := sc.pool.environment.Now()
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	sc.setClock(welcome.Clock, now)
+	sc.established, sc.lastReadAt = true, now
+	for _, a := range sc.waiting {
+		sc.begin(a)
+	}
+	sc.writes.Flush()
+	sc.waiting = nil
 	return nil
 }
 
-func (l *serverConn) handleFrame(f diskproto.Frame) error {
-	l.mu.Lock()
-	l.lastReadAt = l.pool.environment.Now()
-	a := l.outstanding[f.Tag]
-	if f.Kind == diskproto.KindAnswer {
-		delete(l.outstanding, f.Tag)
-	}
-	if f.Kind == diskproto.KindBye {
-		l.retired = true // what is out may still be answered
-	}
-	over := l.retired && len(l.outstanding) == 0
-	l.mu.Unlock()
-	if f.Kind == diskproto.KindProbed {
-		var p diskproto.Probed
-		if err := p.Parse(f.Body); err != nil {
+func (sc *serverConn) handleFrame(frame diskproto.Frame) error {
+	sc.mu.Lock()
+	sc.lastReadAt = sc.pool.environment.Now()
+	a := sc.outstanding[frame.Tag]
+	if frame.Kind == diskproto.KindAnswer {
+		delete(sc.outstanding, frame.Tag)
+	}
+	if frame.Kind == diskproto.KindBye {
+		sc.retired = true // what is out may still be answered
+	}
+	finished := sc.retired && len(sc.outstanding) == 0
+	sc.mu.Unlock()
+	if frame.Kind == diskproto.KindProbed {
+		var probed diskproto.Probed
+		if err := probed.Parse(frame.Body); err != nil {
 			return err
 		}
-		l.mu.Lock()
-		l.setClock(p.Clock, l.lastReadAt)
-		l.mu.Unlock()
+		sc.mu.Lock()
+		sc.setClock(probed.Clock, sc.lastReadAt)
+		sc.mu.Unlock()
 	}
-	if f.Kind != diskproto.KindAnswer || a == nil {
-		return errRetired.errorIf(over)
+	if frame.Kind != diskproto.KindAnswer || a == nil {
+		return errRetired.errorIf(finished)
 	}
-	ans := &diskproto.Answer{}
-	if err := ans.Parse(f.Body); err != nil {
+	answer := &diskproto.Answer{}
+	if err := answer.Parse(frame.Body); err != nil {
 		return err
 	}
-	if l.pool.maxClockDrift > 0 {
-		l.mu.Lock()
-		l.setClock(ans.Clock, l.lastReadAt)
-		l.mu.Unlock()
+	if sc.pool.maxClockDrift > 0 {
+		sc.mu.Lock()
+		sc.setClock(answer.Clock, sc.lastReadAt)
+		sc.mu.Unlock()
 	}
-	e := event{kind: eventAnswered, attempt: a, answer: ans}
-	if len(ans.Data) > 0 {
-		e.buffer = l.pool.host.getBuffer()
-		*e.buffer = append((*e.buffer)[:0], ans.Data...)
-		ans.Data = *e.buffer
+	e := event{kind: eventAnswered, attempt: a, answer: answer}
+	if len(answer.Data) > 0 {
+		e.buffer = sc.pool.host.getBuffer()
+		*e.buffer = append((*e.buffer)[:0], answer.Data...)
+		answer.Data = *e.buffer
 	}
-	l.pool.host.post(e)
-	return errRetired.errorIf(over)
+	sc.pool.host.post(e)
+	return errRetired.errorIf(finished)
 }
 
 // retiredError ends a connection to which nothing more goes.
@@ -339,113 +339,113 @@
 
 func (retiredError) Error() string { return "gateway: connection retired" }
 
-func (e retiredError) errorIf(over bool) error {
-	if over {
+func (e retiredError) errorIf(condition bool) error {
+	if condition {
 		return e
 	}
 	return nil
 }
 
 // withConn runs f on the connection to a server, if there is one, under its lock.
-func (b *connPool) withConn(addr string, f func(l *serverConn)) {
-	b.mu.Lock()
-	l := b.connByServer[addr]
-	b.mu.Unlock()
-	if l == nil {
+func (p *connPool) withConn(addr string, f func(sc *serverConn)) {
+	p.mu.Lock()
+	sc := p.connByServer[addr]
+	p.mu.Unlock()
+	if sc == nil {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	f(l)
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	f(sc)
 }
 
 // renewConns has every connection end once nothing is out on it: the next to each server is
 // made with the keys that there are now.
-func (b *connPool) renewConns() {
-	b.mu.Lock()
-	addrs := slices.Sorted(maps.Keys(b.connByServer))
-	b.mu.Unlock()
-	for _, a := range addrs {
-		b.retire(a)
+func (p *connPool) renewConns() {
+	p.mu.Lock()
+	addrs := slices.Sorted(maps.Keys(p.connByServer))
+	p.mu.Unlock()
+	for _, addr := range addrs {
+		p.retire(addr)
 	}
 }
 
 // retire closes the connection to a server, as to one that has left, once it has nothing
 // out.
-func (b *connPool) retire(addr string) {
-	b.withConn(addr, func(l *serverConn) {
-		l.retired = true
-		if l.established && len(l.outstanding) == 0 {
-			l.conn.Close()
+func (p *connPool) retire(addr string) {
+	p.withConn(addr, func(sc *serverConn) {
+		sc.retired = true
+		if sc.established && len(sc.outstanding) == 0 {
+			sc.conn.Close()
 		}
 	})
 }
 
 // endAttempts ends what the connection had: what waited has certainly not gone, what
 // was sent may have run.
-func (l *serverConn) endAttempts() {
-	l.mu.Lock()
-	l.closed = true
-	waiting, open := l.waiting, l.outstanding
-	l.waiting, l.outstanding = nil, nil
-	l.mu.Unlock()
-	l.pool.mu.Lock()
-	l.pool.conns.Remove(l)
-	if l.pool.connByServer[l.addr] == l {
-		delete(l.pool.connByServer, l.addr)
-	}
-	l.pool.mu.Unlock()
+func (sc *serverConn) endAttempts() {
+	sc.mu.Lock()
+	sc.closed = true
+	waiting, outstanding := sc.waiting, sc.outstanding
+	sc.waiting, sc.outstanding = nil, nil
+	sc.mu.Unlock()
+	sc.pool.mu.Lock()
+	sc.pool.conns.Remove(sc)
+	if sc.pool.connByServer[sc.addr] == sc {
+		delete(sc.pool.connByServer, sc.addr)
+	}
+	sc.pool.mu.Unlock()
 	for _, a := range waiting {
-		l.postFailure(a, policy.NoConnection)
+		sc.postFailure(a, policy.NoConnection)
 	}
-	for _, a := range sortedByTag(open) {
-		l.postFailure(a, policy.ConnectionLost)
+	for _, a := range sortedByTag(outstanding) {
+		sc.postFailure(a, policy.ConnectionLost)
 	}
 }
 
-// forget drops what has timed out, and closes a connection that seems half-open, or
+// attemptTimedOut drops what has timed out, and closes a connection that seems half-open, or
 // that only this attempt still kept: it may have another in its place already.
-func (b *connPool) forget(a *attempt) {
-	l := a.serverConn
-	if l == nil {
+func (p *connPool) attemptTimedOut(a *attempt) {
+	sc := a.serverConn
+	if sc == nil {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.outstanding[a.tag] != a {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if sc.outstanding[a.tag] != a {
 		return
 	}
-	delete(l.outstanding, a.tag)
-	if l.retired && len(l.outstanding) == 0 || b.environment.Now()-l.lastReadAt > halfOpenTimeout {
-		l.conn.Close()
+	delete(sc.outstanding, a.tag)
+	if sc.retired && len(sc.outstanding) == 0 || p.environment.Now()-sc.lastReadAt > halfOpenTimeout {
+		sc.conn.Close()
 	}
 }
 
-func (b *connPool) cancel(a *attempt) {
-	l := a.serverConn
-	if l == nil {
+func (p *connPool) cancel(a *attempt) {
+	sc := a.serverConn
+	if sc == nil {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.established && l.outstanding[a.tag] == a {
-		l.writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCancel, a.tag, nil) })
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if sc.established && sc.outstanding[a.tag] == a {
+		sc.writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCancel, a.tag, nil) })
 	}
 }
 
 // close ends every connection and waits for the goroutines.
-func (b *connPool) close() {
-	b.stop()
-	b.mu.Lock()
-	b.closed = true
-	links := b.conns.All()
-	b.mu.Unlock()
-	for _, l := range links {
-		l.mu.Lock()
-		if l.conn != nil {
-			l.conn.Close()
+func (p *connPool) close() {
+	p.stop()
+	p.mu.Lock()
+	p.closed = true
+	conns := p.conns.All()
+	p.mu.Unlock()
+	for _, sc := range conns {
+		sc.mu.Lock()
+		if sc.conn != nil {
+			sc.conn.Close()
 		}
-		l.mu.Unlock()
+		sc.mu.Unlock()
 	}
-	b.tasks.Wait(b.environment)
+	p.tasks.Wait(p.environment)
 }
--- a/internal/control/gateway/core.go
+++ b/internal/control/gateway/core.go
@@ -61,7 +61,7 @@
 // owner is who a job was made for. It is told on the host's goroutine.
 type owner interface {
 	// jobEnded is the job's one end; ans is there if it was served.
-	jobEnded(j *job, how jobOutcome, after float64, ans *diskproto.Answer)
+	jobEnded(j *job, outcome jobOutcome, retryAfter float64, answer *diskproto.Answer)
 	// jobSettled says that nothing of the job can take effect any more.
 	jobSettled()
 }
@@ -106,12 +106,12 @@
 	send(a *attempt)
 	cancel(a *attempt)
 	attemptTimedOut(a *attempt) // its time is up; an answer no longer matters
-	jobEnded(j *job, how jobOutcome, after float64, ans *diskproto.Answer)
+	jobEnded(j *job, outcome jobOutcome, retryAfter float64, answer *diskproto.Answer)
 	jobSettled(j *job) // of a job that the client ended: nothing of it can land any more
 	fetchList()
-	renewLease()               // ask for a lease at once
-	setLeaseEnd(until float64) // the lease's end, by the host's clock
-	retire(node string)        // close the connection once it has nothing out
+	renewLease()             // ask for a lease at once
+	setLeaseEnd(end float64) // the lease's end, by the host's clock
+	retire(node string)      // close the connection once it has nothing out
 	warn(text string)
 }
 
@@ -151,9 +151,9 @@
 // spread to mean something, short against the hours for which layouts are made.
 const rateWindowSeconds = 300
 
-func newCore(now float64, s *settings.Settings, self int, zone string, seed uint64, eff effectHandler) *core {
-	h := &core{regions: newRegional(s, self), hostIndex: self, zone: zone, limitWarnedAt: map[string]float64{}, now: now, demand: rates.New(now, rateWindowSeconds),
-		effects: eff, jobs: map[string]*job{}, startTimes: map[incarnationKey]float64{}, nodes: map[string]inventory.Node{}, counters: newTally()}
+func newCore(now float64, s *settings.Settings, hostIndex int, zone string, seed uint64, effects effectHandler) *core {
+	h := &core{regions: newRegional(s, hostIndex), hostIndex: hostIndex, zone: zone, limitWarnedAt: map[string]float64{}, now: now, demand: rates.New(now, rateWindowSeconds),
+		effects: effects, jobs: map[string]*job{}, startTimes: map[incarnationKey]float64{}, nodes: map[string]inventory.Node{}, counters: newTally()}
 	h.scheduler = policy.New(h.applySettings(s), seed)
 	return h
 }
@@ -162,38 +162,38 @@
 func (h *core) applySettings(s *settings.Settings) policy.Settings {
 	s = s.Held()
 	h.settingsVersion, h.planLimits, h.dedupScopes, h.latencyTargets = s.Version, map[string]float64{}, map[string]policy.DedupScope{}, map[string]float64{}
-	for _, p := range s.Plans {
-		if p.Limit > 0 {
-			h.planLimits[p.Name] = p.Limit
+	for _, plan := range s.Plans {
+		if plan.Limit > 0 {
+			h.planLimits[plan.Name] = plan.Limit
 		}
 	}
-	p := s.Policy(h.hostIndex, h.zone)
+	policySettings := s.Policy(h.hostIndex, h.zone)
 	if faultinject.Active(faultinject.RepeatUnsafe) {
-		for i := range p.Classes {
-			if p.Classes[i].Effect == policy.NonIdempotent {
-				p.Classes[i].Effect, p.Classes[i].DedupWindow = policy.Keyed, p.Classes[i].Deadline
+		for i := range policySettings.Classes {
+			if policySettings.Classes[i].Effect == policy.NonIdempotent {
+				policySettings.Classes[i].Effect, policySettings.Classes[i].DedupWindow = policy.Keyed, policySettings.Classes[i].Deadline
 			}
 		}
 	}
 	if faultinject.Active(faultinject.LimitMisread) {
-		for i := range p.Plans {
-			p.Plans[i].Limit *= 4
+		for i := range policySettings.Plans {
+			policySettings.Plans[i].Limit *= 4
 		}
 	}
-	for _, k := range p.Classes {
-		h.dedupScopes[k.Name], h.latencyTargets[k.Name] = k.DedupScope, k.LatencyTarget
+	for _, class := range policySettings.Classes {
+		h.dedupScopes[class.Name], h.latencyTargets[class.Name] = class.DedupScope, class.LatencyTarget
 	}
-	return p
+	return policySettings
 }
 
 // updateSettings brings other settings for the requests that are taken from now on.
 func (h *core) updateSettings(now float64, s *settings.Settings) {
 	h.advance(now)
-	p := h.applySettings(s)
+	policySettings := h.applySettings(s)
 	if h.regions != nil {
 		h.regions.learn(s)
 	}
-	h.notify(policy.SettingsChanged{Settings: p})
+	h.notify(policy.SettingsChanged{Settings: policySettings})
 }
 
 // advance moves the clock, which never goes back.
@@ -261,16 +261,16 @@
 		h.effects.warn("send for a request that is over: " + s.ID)
 		return
 	}
-	until := j.req.Expires
+	answerBy := j.req.Expires
 	if s.TimeoutAt > 0 {
-		until = min(until, s.TimeoutAt)
+		answerBy = min(answerBy, s.TimeoutAt)
 	}
-	a := &attempt{job: j, number: j.attempts, node: s.Node, issuedAt: h.now, answerBy: until, beginBy: math.Inf(1)}
+	a := &attempt{job: j, number: j.attempts, node: s.Node, issuedAt: h.now, answerBy: answerBy, beginBy: math.Inf(1)}
 	if s.StartBy > 0 {
 		a.beginBy = s.StartBy
 	}
 	j.lastAttempt = a
-	goes := h.stamp(a)
+	maySend := h.stamp(a)
 	j.attempts++
 	j.outstanding++
 	h.sends++
@@ -278,7 +278,7 @@
 		h.resends++
 	}
 	a.timer = timer{Due: min(a.beginBy, a.answerBy), Value: timerEvent{attempt: a}}
-	if goes {
+	if maySend {
 		h.effects.send(a)
 	} else {
 		a.timer.Due, a.timer.Value.cancelled = h.now, true // the module is in the midst of an event
@@ -295,20 +295,20 @@
 	}
 }
 
-func (h *core) resetTimer(a *attempt, at float64) {
+func (h *core) resetTimer(a *attempt, due float64) {
 	h.timers.Remove(&a.timer)
-	a.timer.Due = at
+	a.timer.Due = due
 	h.timers.Push(&a.timer)
 }
 
 // cancel stops waiting for an attempt; the outcome comes with the next tick, for
 // the module is in the middle of an event.
-func (h *core) cancel(j *job, n int) {
-	for _, d := range h.timers.All() { // rare: the module's own time-outs do most
-		if a := d.Value.attempt; a != nil && a.job == j && a.number == n {
-			h.timers.Remove(d)
-			d.Due, d.Value.cancelled = h.now, true
-			h.timers.Push(d)
+func (h *core) cancel(j *job, number int) {
+	for _, timer := range h.timers.All() { // rare: the module's own time-outs do most
+		if a := timer.Value.attempt; a != nil && a.job == j && a.number == number {
+			h.timers.Remove(timer)
+			timer.Due, timer.Value.cancelled = h.now, true
+			h.timers.Push(timer)
 			h.effects.cancel(a)
 			return
 		}
@@ -316,16 +316,16 @@
 }
 
 // finishUnserved is a final answer by the module.
-func (h *core) finishUnserved(id string, how jobOutcome, after float64, why policy.Reason) {
+func (h *core) finishUnserved(id string, outcome jobOutcome, retryAfter float64, cause policy.Reason) {
 	j := h.jobs[id]
 	if j == nil || j.ended {
 		return
 	}
 	j.markEnded()
-	j.classCounters.ended(j, how, h.now)
-	j.classCounters.Reasons[why]++
+	j.classCounters.ended(j, outcome, h.now)
+	j.classCounters.Reasons[cause]++
 	h.recordLimited(j)
-	h.effects.jobEnded(j, how, after, nil)
+	h.effects.jobEnded(j, outcome, retryAfter, nil)
 	h.removeIfDone(j)
 }
 
@@ -340,18 +340,18 @@
 	if limit == 0 || j.attempts > 0 {
 		return
 	}
-	part := limit / float64(max(j.req.Hosts, 1))
-	asks := h.demand.Of(h.now, j.req.Volume)
-	if asks <= part {
+	hostLimit := limit / float64(max(j.req.Hosts, 1))
+	demand := h.demand.Of(h.now, j.req.Volume)
+	if demand <= hostLimit {
 		return
 	}
 	h.limitedRequests++
-	if at, said := h.limitWarnedAt[j.req.Volume]; said && h.now-at < limitWarnInterval {
+	if warnedAt, warned := h.limitWarnedAt[j.req.Volume]; warned && h.now-warnedAt < limitWarnInterval {
 		return
 	}
 	h.limitWarnedAt[j.req.Volume] = h.now
 	h.effects.warn(fmt.Sprintf("volume %s of plan %s asks this host for %.1f units a second, its limit lets it have %.1f here; requests wait and are refused for that",
-		j.req.Volume, j.req.Plan, asks, part))
+		j.req.Volume, j.req.Plan, demand, hostLimit))
 }
 
 // removeIfDone forgets a job that is over and has nothing out.
@@ -399,47 +399,47 @@
 
 // receiveAnswer brings a disk server's answer. Of an attempt that is over already
 // (timed out) it comes too late and changes nothing.
-func (h *core) receiveAnswer(now float64, a *attempt, ans *diskproto.Answer) {
+func (h *core) receiveAnswer(now float64, a *attempt, answer *diskproto.Answer) {
 	h.advance(now)
 	if a.outcomeKnown {
 		return
 	}
-	if ans.Result == diskproto.Stale {
+	if answer.Result == diskproto.Stale {
 		h.refusedAsOld(a)
 	}
-	r := policyResults[ans.Result]
-	if r == policy.Served && !a.job.ended {
+	result := policyResults[answer.Result]
+	if result == policy.Served && !a.job.ended {
 		a.job.markEnded()
 		a.job.classCounters.ended(a.job, jobServed, h.now)
-		h.effects.jobEnded(a.job, jobServed, 0, ans)
+		h.effects.jobEnded(a.job, jobServed, 0, answer)
 	}
-	report := make([]policy.Reading, len(ans.Report))
-	for i, f := range ans.Report {
+	report := make([]policy.Reading, len(answer.Report))
+	for i, f := range answer.Report {
 		report[i] = policy.Reading(f)
 	}
-	h.endAttempt(a, r, policy.Outcome{FromOthers: ans.Others, Use: float64(ans.Use), Report: report})
+	h.endAttempt(a, result, policy.Outcome{FromOthers: answer.Others, Use: float64(answer.Use), Report: report})
 }
 
 // failAttempt ends an attempt without an answer.
-func (h *core) failAttempt(now float64, a *attempt, r policy.Result) {
+func (h *core) failAttempt(now float64, a *attempt, result policy.Result) {
 	h.advance(now)
 	if a.outcomeKnown {
 		return
 	}
-	if r == policy.ConnectionLost {
+	if result == policy.ConnectionLost {
 		a.job.effectDeadline = max(a.job.effectDeadline, a.answerBy)
 	}
-	h.endAttempt(a, r, policy.Outcome{})
+	h.endAttempt(a, result, policy.Outcome{})
 }
 
-func (h *core) endAttempt(a *attempt, r policy.Result, o policy.Outcome) {
+func (h *core) endAttempt(a *attempt, result policy.Result, outcome policy.Outcome) {
 	a.outcomeKnown = true
 	h.timers.Remove(&a.timer)
 	j := a.job
 	j.outstanding--
-	h.counters.outcome(a.node, r, h.nodes)
-	o.ID, o.Node, o.Attempt, o.Done, o.Elapsed, o.Result = j.id, a.node, a.number, j.ended, h.now-a.issuedAt, r
-	h.notify(o)
+	h.counters.outcome(a.node, result, h.nodes)
+	outcome.ID, outcome.Node, outcome.Attempt, outcome.Done, outcome.Elapsed, outcome.Result = j.id, a.node, a.number, j.ended, h.now-a.issuedAt, result
+	h.notify(outcome)
 	h.removeIfDone(j)
 }
 
@@ -449,16 +449,16 @@
 // runDue does what has come due.
 func (h *core) runDue(now float64) {
 	h.advance(now)
-	for e := h.timers.PopDue(h.now); e != nil; e = h.timers.PopDue(h.now) {
-		switch d := e.Value; {
-		case d.attempt != nil:
-			h.expireAttempt(d.attempt, d.cancelled)
-		case d.job != nil:
-			h.removeIfDone(d.job)
-		case d.name == leaseEnd:
+	for timer := h.timers.PopDue(h.now); timer != nil; timer = h.timers.PopDue(h.now) {
+		switch event := timer.Value; {
+		case event.attempt != nil:
+			h.expireAttempt(event.attempt, event.cancelled)
+		case event.job != nil:
+			h.removeIfDone(event.job)
+		case event.name == leaseEnd:
 			h.leaseOver()
 		default:
-			h.notify(policy.TimerFired{Name: d.name})
+			h.notify(policy.TimerFired{Name: event.name})
 		}
 	}
 }
@@ -486,24 +486,24 @@
 }
 
 // updateNodes brings the node updateNodes.
-func (h *core) updateNodes(now float64, l inventory.List) {
+func (h *core) updateNodes(now float64, list inventory.List) {
 	h.advance(now)
-	if l.Kind == inventory.Failed {
+	if list.Kind == inventory.Failed {
 		h.notify(policy.ListFailed{})
 		return
 	}
-	if l.Kind == inventory.Full {
+	if list.Kind == inventory.Full {
 		clear(h.nodes)
 	}
-	for i, n := range l.Nodes {
+	for i, n := range list.Nodes {
 		if faultinject.Active(faultinject.DrainOverlooked) && n.Health == inventory.Draining {
-			l.Nodes[i].Health = inventory.Ready
+			list.Nodes[i].Health = inventory.Ready
 		}
-		h.nodes[n.Addr] = l.Nodes[i]
+		h.nodes[n.Addr] = list.Nodes[i]
 	}
 	h.listSeen = true
-	h.reportNodes(l.Kind == inventory.Full, l.Nodes)
-	for _, n := range l.Nodes {
+	h.reportNodes(list.Kind == inventory.Full, list.Nodes)
+	for _, n := range list.Nodes {
 		if n.Health == inventory.Gone {
 			delete(h.nodes, n.Addr)
 			delete(h.startTimes, incarnationKey{n.Addr, n.Incarnation})
@@ -533,11 +533,11 @@
 	if n.AgeMS <= 0 || faultinject.Active(faultinject.StartUnheard) {
 		return 0
 	}
-	k := incarnationKey{n.Addr, n.Incarnation}
-	at, ok := h.startTimes[k]
+	key := incarnationKey{n.Addr, n.Incarnation}
+	startedAt, ok := h.startTimes[key]
 	if !ok {
-		at = max(h.now-n.AgeMS, math.SmallestNonzeroFloat64)
-		h.startTimes[k] = at
+		startedAt = max(h.now-n.AgeMS, math.SmallestNonzeroFloat64)
+		h.startTimes[key] = startedAt
 	}
-	return at
+	return startedAt
 }
--- a/internal/control/gateway/host.go
+++ b/internal/control/gateway/host.go
@@ -69,16 +69,16 @@
 	settings *settings.Settings
 }
 
-func newHost(w env.Environment, s *settings.Settings, self int, name, zone string, k *keys.Holder, log *zap.Logger) *host {
-	h := &host{environment: w, log: log, hostIndex: self, wake: w.NewParker(), fetchNodeList: func() {}}
-	h.core = newCore(env.MS(w.Now()), s, self, zone, w.RandomUint64(), h)
-	h.pool = newConnPool(w, h, name, env.Duration(s.Limits.DialTimeout), log)
+func newHost(w env.Environment, s *settings.Settings, hostIndex int, hostName, zone string, keyHolder *keys.Holder, log *zap.Logger) *host {
+	h := &host{environment: w, log: log, hostIndex: hostIndex, wake: w.NewParker(), fetchNodeList: func() {}}
+	h.core = newCore(env.MS(w.Now()), s, hostIndex, zone, w.RandomUint64(), h)
+	h.pool = newConnPool(w, h, hostName, env.Duration(s.Limits.DialTimeout), log)
 	h.requestLease = func() {}
 	if h.setLeaseEnd(math.Inf(1)); s.Regions != nil {
 		h.setLeaseEnd(0)
 		h.pool.maxClockDrift = s.Regions.Drift
 	}
-	h.pool.keys = k
+	h.pool.keys = keyHolder
 	w.Go(h.run)
 	return h
 }
@@ -110,16 +110,16 @@
 		events, h.queue = h.queue, events[:0]
 		h.mu.Unlock()
 		now := h.runDue()
-		held := now
+		lastFlush := now
 		for i := range events {
 			if events[i].kind == eventStop {
 				return
 			}
 			h.handle(now, &events[i])
 			events[i] = event{}
-			if now = h.runDue(); now-held > maxFlushDelay {
+			if now = h.runDue(); now-lastFlush > maxFlushDelay {
 				h.unflushed.flush()
-				held = now
+				lastFlush = now
 			}
 		}
 		h.unflushed.flush()
@@ -152,7 +152,7 @@
 
 // flushAfterBatch has what o holds written at the end of the batch: many answers then go
 // out in one call of the system. On the host's goroutine only.
-func (h *host) flushAfterBatch(o *writequeue.Queue) { h.unflushed = append(h.unflushed, o) }
+func (h *host) flushAfterBatch(writes *writequeue.Queue) { h.unflushed = append(h.unflushed, writes) }
 
 func (h *host) handle(now float64, e *event) {
 	switch e.kind {
@@ -179,11 +179,11 @@
 
 // setAlarm has the goroutine woken when the core next has something to do.
 func (h *host) setAlarm() {
-	at := h.core.nextDue()
-	if faultinject.Active(faultinject.WakeupLost) && h.alarm.Due() > 0 && at >= h.alarm.Due() {
+	due := h.core.nextDue()
+	if faultinject.Active(faultinject.WakeupLost) && h.alarm.Due() > 0 && due >= h.alarm.Due() {
 		return
 	}
-	h.alarm.Set(h.environment, env.MS(h.environment.Now()), at, h.wake.Unpark)
+	h.alarm.Set(h.environment, env.MS(h.environment.Now()), due, h.wake.Unpark)
 }
 
 // runAndWait runs f on the host's goroutine and waits for it; false if the host stopped.
@@ -213,29 +213,29 @@
 
 func (h *host) send(a *attempt)            { h.pool.send(a) }
 func (h *host) cancel(a *attempt)          { h.pool.cancel(a) }
-func (h *host) attemptTimedOut(a *attempt) { h.pool.forget(a) }
+func (h *host) attemptTimedOut(a *attempt) { h.pool.attemptTimedOut(a) }
 func (h *host) retire(node string)         { h.pool.retire(node) }
 func (h *host) fetchList()                 { h.fetchNodeList() }
 func (h *host) warn(text string)           { h.log.Warn(text) }
 func (h *host) renewLease()                { h.requestLease() }
-func (h *host) setLeaseEnd(until float64)  { h.leaseEndBits.Store(math.Float64bits(until)) }
+func (h *host) setLeaseEnd(end float64)    { h.leaseEndBits.Store(math.Float64bits(end)) }
 
 // leaseValid tells whether the host may take work now; without a lease it may not.
 func (h *host) leaseValid() bool {
 	return env.MS(h.environment.Now()) < math.Float64frombits(h.leaseEndBits.Load())
 }
 
-func (h *host) jobEnded(j *job, how jobOutcome, after float64, ans *diskproto.Answer) {
-	j.owner.jobEnded(j, how, after, ans)
+func (h *host) jobEnded(j *job, outcome jobOutcome, retryAfter float64, answer *diskproto.Answer) {
+	j.owner.jobEnded(j, outcome, retryAfter, answer)
 }
 
 func (h *host) jobSettled(j *job) { j.owner.jobSettled() }
 
-func sortedByTag(open map[uint32]*attempt) []*attempt {
-	var out []*attempt
-	for _, a := range open {
-		out = append(out, a)
+func sortedByTag(outstanding map[uint32]*attempt) []*attempt {
+	var sorted []*attempt
+	for _, a := range outstanding {
+		sorted = append(sorted, a)
 	}
-	slices.SortFunc(out, func(a, b *attempt) int { return cmp.Compare(a.tag, b.tag) })
-	return out
+	slices.SortFunc(sorted, func(a, b *attempt) int { return cmp.Compare(a.tag, b.tag) })
+	return sorted
 }
--- a/internal/control/gateway/reservations.go
+++ b/internal/control/gateway/reservations.go
@@ -78,11 +78,11 @@
 
 // refresh reads the record, in a read that begins after this call, has every shard of
 // the volume refuse what is older, and then tells.
-func (k *reservationCache) refresh(vol *settings.Volume, expires float64, tell func(*reserve.State, error)) {
+func (k *reservationCache) refresh(vol *settings.Volume, expires float64, receive func(*reserve.State, error)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	g := k.volume(vol.Name)
-	w := stateWaiter{expires, tell}
+	w := stateWaiter{expires, receive}
 	if g.reading {
 		g.nextWaiters = append(g.nextWaiters, w)
 		return
@@ -98,82 +98,82 @@
 	for _, w := range g.waiters {
 		latest = max(latest, w.expires)
 	}
-	k.front.accessRecord(vol, diskproto.OpRecord, scsi.Read, nil, 0, latest, func(ans *diskproto.Answer) {
-		s, err := parseRecord(ans)
+	k.front.accessRecord(vol, diskproto.OpRecord, scsi.Read, nil, 0, latest, func(answer *diskproto.Answer) {
+		state, err := parseRecord(answer)
 		if err != nil {
 			k.finishRead(vol, nil, err)
 			return
 		}
-		k.update(vol, s, latest, func(err error) { k.finishRead(vol, s, err) })
+		k.update(vol, state, latest, func(err error) { k.finishRead(vol, state, err) })
 	})
 }
 
-func parseRecord(ans *diskproto.Answer) (*reserve.State, error) {
-	if ans == nil {
+func parseRecord(answer *diskproto.Answer) (*reserve.State, error) {
+	if answer == nil {
 		return nil, errReservationsUnavailable
 	}
-	var r diskproto.Record
-	if err := r.Parse(ans.Data); err != nil {
+	var record diskproto.Record
+	if err := record.Parse(answer.Data); err != nil {
 		return nil, err
 	}
-	s, err := reserve.Parse(r.Bytes)
+	state, err := reserve.Parse(record.Bytes)
 	if err != nil {
 		return nil, err
 	}
-	s.Version = r.Version
-	return s, nil
+	state.Version = record.Version
+	return state, nil
 }
 
 // finishRead ends a read, and begins the next where some still wait.
-func (k *reservationCache) finishRead(vol *settings.Volume, s *reserve.State, err error) {
+func (k *reservationCache) finishRead(vol *settings.Volume, state *reserve.State, err error) {
 	k.mu.Lock()
 	g := k.volume(vol.Name)
-	now := g.waiters
+	waiting := g.waiters
 	g.waiters, g.nextWaiters, g.reading = g.nextWaiters, nil, false
 	if len(g.waiters) > 0 {
 		k.startRead(vol, g)
 	}
 	k.mu.Unlock()
-	for _, w := range now {
-		w.receive(s, err)
+	for _, w := range waiting {
+		w.receive(state, err)
 	}
 }
 
 // update takes a state that is newer than the one known: first its fence is raised at
 // every shard, so that nobody acts on an older one any more, then it counts here, and
 // initiators hear of what concerns them.
-func (k *reservationCache) update(vol *settings.Volume, s *reserve.State, expires float64, then func(error)) {
+func (k *reservationCache) update(vol *settings.Volume, state *reserve.State, expires float64, done func(error)) {
 	k.mu.Lock()
 	old := k.volume(vol.Name).state
 	k.mu.Unlock()
-	if s.Version <= old.Version {
-		then(nil)
+	if state.Version <= old.Version {
+		done(nil)
 		return
 	}
-	k.front.raiseFence(vol, s.Version, expires, func(ok bool) {
+	k.front.raiseFence(vol, state.Version, expires, func(ok bool) {
 		if !ok {
-			then(errReservationsUnavailable)
+			done(errReservationsUnavailable)
 			return
 		}
-		k.install(vol, s)
-		then(nil)
+		k.install(vol, state)
+		done(nil)
 	})
 }
 
-func (k *reservationCache) install(vol *settings.Volume, s *reserve.State) {
+func (k *reservationCache) install(vol *settings.Volume, state *reserve.State) {
 	k.mu.Lock()
 	g := k.volume(vol.Name)
 	old := g.state
-	if s.Version <= old.Version {
+	if state.Version <= old.Version {
 		k.mu.Unlock()
 		return
 	}
-	g.state = s
-	poll := !g.polling && len(s.Registrations) > 0
-	g.polling = g.polling || poll
+	g.state = state
+	startPolling := !g.polling && len(state.Registrations) > 0
+	g.polling = g.polling || startPolling
 	k.mu.Unlock()
-	k.front.setAttention(vol.Name, reserve.Notices(old, s))
-	if poll {
+	k.front.setAttention(vol.Name, reserve.Notices(old, state))
+	if startPolling {
 		k.poll(vol)
 	}
 }
@@ -188,9 +188,9 @@
 			k.mu.Lock()
 			g := k.volume(vol.Name)
 			g.polling = len(g.state.Registrations) > 0
-			again := g.polling
+			continuePolling := g.polling
 			k.mu.Unlock()
-			if again {
+			if continuePolling {
 				k.poll(vol)
 			}
 		})
@@ -200,66 +200,66 @@
 // internalRequest is a request of the keeper's own at a disk server.
 type internalRequest struct{ done func(*diskproto.Answer) }
 
-func (e *internalRequest) jobEnded(_ *job, how jobOutcome, _ float64, ans *diskproto.Answer) {
-	if how != jobServed {
-		ans = nil
+func (e *internalRequest) jobEnded(_ *job, outcome jobOutcome, _ float64, answer *diskproto.Answer) {
+	if outcome != jobServed {
+		answer = nil
 	}
-	e.done(ans)
+	e.done(answer)
 }
 
 func (e *internalRequest) jobSettled() {}
 
 // classFor is the class that a keeper's request runs under: that of the operation on
 // blocks which it is most like.
-func (f *front) classFor(vol *settings.Volume, like scsi.Op) *settings.Class {
+func (f *front) classFor(vol *settings.Volume, classOp scsi.Op) *settings.Class {
 	v := f.view.Load()
-	return v.Class(like, vol.BlockSize, vol.Plan)
+	return v.Class(classOp, vol.BlockSize, vol.Plan)
 }
 
 // accessRecord does something with a volume's accessRecord at the disk server of its first extent,
 // through the module like any request. end is told the answer, nil if there is none.
-func (f *front) accessRecord(vol *settings.Volume, op byte, like scsi.Op, data []byte, fence uint64, expires float64, end func(*diskproto.Answer)) {
-	f.submitInternal(vol, vol.Layout[0], op, like, data, fence, expires, end)
+func (f *front) accessRecord(vol *settings.Volume, op byte, classOp scsi.Op, data []byte, fence uint64, expires float64, done func(*diskproto.Answer)) {
+	f.submitInternal(vol, vol.Layout[0], op, classOp, data, fence, expires, done)
 }
 
-func (f *front) submitInternal(vol *settings.Volume, shard int, op byte, like scsi.Op, data []byte, fence uint64, expires float64, end func(*diskproto.Answer)) {
+func (f *front) submitInternal(vol *settings.Volume, shard int, op byte, classOp scsi.Op, data []byte, fence uint64, expires float64, done func(*diskproto.Answer)) {
 	f.taking.RLock()
 	defer f.taking.RUnlock()
-	class := f.classFor(vol, like)
+	class := f.classFor(vol, classOp)
 	if class == nil {
-		f.world.AfterFunc(0, func() { end(nil) }) // the caller may hold a lock
+		f.world.AfterFunc(0, func() { done(nil) }) // the caller may hold a lock
 		return
 	}
-	const name = "/reservations"
+	const keySuffix = "/reservations"
 	j := &job{}
-	j.req = policy.Request{Class: class.Name, Plan: vol.Plan, Volume: vol.Name, Shard: shard, Units: 1, Key: vol.Name + name,
-		Hosts: f.view.Load().hosts[vol.Name], Write: like.Writes(), Expires: expires}
+	j.req = policy.Request{Class: class.Name, Plan: vol.Plan, Volume: vol.Name, Shard: shard, Units: 1, Key: vol.Name + keySuffix,
+		Hosts: f.view.Load().hosts[vol.Name], Write: classOp.Writes(), Expires: expires}
 	j.message = diskproto.Do{Op: op, Effect: diskEffects[class.Effect], Shard: uint32(shard), Host: f.host.pool.hostID, Units: 1, Plan: vol.Plan,
 		Volume: vol.Name, Key: j.req.Key, Fence: fence, Data: data}
 	f.open.Add(1)
-	j.owner = &internalRequest{func(ans *diskproto.Answer) { f.open.Add(-1); end(ans) }}
+	j.owner = &internalRequest{func(answer *diskproto.Answer) { f.open.Add(-1); done(answer) }}
 	if !f.host.post(event{kind: eventSubmit, job: j}) {
 		f.open.Add(-1)
-		f.world.AfterFunc(0, func() { end(nil) })
+		f.world.AfterFunc(0, func() { done(nil) })
 	}
 }
 
 // raiseFence raises the raiseFence at every shard of a volume.
-func (f *front) raiseFence(vol *settings.Volume, version uint64, expires float64, end func(ok bool)) {
+func (f *front) raiseFence(vol *settings.Volume, version uint64, expires float64, done func(ok bool)) {
 	shards := slices.Clone(vol.Layout)
 	slices.Sort(shards)
 	shards = slices.Compact(shards)
 	var mu sync.Mutex
-	left, all := len(shards), true
-	for _, sh := range shards {
-		f.submitInternal(vol, sh, diskproto.OpFence, scsi.Read, nil, version, expires, func(ans *diskproto.Answer) {
+	remaining, allRaised := len(shards), true
+	for _, shard := range shards {
+		f.submitInternal(vol, shard, diskproto.OpFence, scsi.Read, nil, version, expires, func(answer *diskproto.Answer) {
 			mu.Lock()
-			left--
-			all = all && ans != nil
-			last, ok := left == 0, all
+			remaining--
+			allRaised = allRaised && answer != nil
+			isLast, succeeded := remaining == 0, allRaised
 			mu.Unlock()
-			if last {
-				end(ok)
+			if isLast {
+				done(succeeded)
 			}
 		})
 	}
@@ -314,10 +314,10 @@
 		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.InvalidOpcode.Fixed()})
 		return
 	}
-	p := &reservationCommand{conn: c, task: t, vol: vol, expires: t.At + class.Deadline}
-	t.User = p
+	command := &reservationCommand{conn: c, task: t, vol: vol, expires: t.At + class.Deadline}
+	t.User = command
 	if r.In {
-		c.front.keeper.refresh(vol, p.expires, func(s *reserve.State, err error) { p.respondIn(s, err, r) })
+		c.front.keeper.refresh(vol, command.expires, func(state *reserve.State, err error) { command.respondIn(state, err, r) })
 		return
 	}
 	req, known, err := reserve.ParseOut(t.CDB, r.List)
@@ -326,7 +326,7 @@
 		if err != nil {
 			sense = reserveErrorSense[err]
 		}
-		p.ended = true
+		command.ended = true
 		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: sense.Fixed()})
 		return
 	}
@@ -334,9 +334,9 @@
 	for _, h := range vol.Hosts {
 		req.Hosts = append(req.Hosts, uint16(h+1))
 	}
-	p.req, p.parameterBytes = req, len(r.List)
-	p.stamp = c.front.world.RandomUint64()
-	c.front.keeper.refresh(vol, p.expires, p.tryChange)
+	command.req, command.parameterBytes = req, len(r.List)
+	command.stamp = c.front.world.RandomUint64()
+	c.front.keeper.refresh(vol, command.expires, command.tryChange)
 }
 
 // reserveErrorSense is how errors of package reserve are answered.
@@ -405,36 +405,36 @@
 	p.respond(iscsi.Answer{Status: scsi.Busy})
 }
 
-func (p *reservationCommand) respondIn(s *reserve.State, err error, r *scsi.Reservation) {
+func (p *reservationCommand) respondIn(state *reserve.State, err error, r *scsi.Reservation) {
 	if err != nil {
 		p.fail()
 		return
 	}
-	b, ok := s.In(r.Action)
+	data, ok := state.In(r.Action)
 	if !ok {
 		p.respond(iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.InvalidField.Fixed()})
 		return
 	}
-	p.respond(iscsi.Answer{Data: b[:min(len(b), r.Alloc)]})
+	p.respond(iscsi.Answer{Data: data[:min(len(data), r.Alloc)]})
 }
 
 // tryChange makes the change on a state that was just read.
-func (p *reservationCommand) tryChange(s *reserve.State, err error) {
+func (p *reservationCommand) tryChange(state *reserve.State, err error) {
 	if err != nil {
 		p.fail()
 		return
 	}
 	switch {
-	case p.mayBeApplied && s.Stamp == p.stamp:
+	case p.mayBeApplied && state.Stamp == p.stamp:
 		p.succeed()
 		return
-	case p.mayBeApplied && s.Version != p.uncertainVersion:
+	case p.mayBeApplied && state.Version != p.uncertainVersion:
 		// Others have changed it since: whether this change came before theirs can't be
 		// told, and their state says nothing of it.
 		p.fail()
 		return
 	}
-	next, err := s.Apply(p.req)
+	next, err := state.Apply(p.req)
 	switch {
 	case errors.Is(err, reserve.ErrConflict):
 		p.respond(iscsi.Answer{Status: scsi.Conflict})
@@ -451,24 +451,24 @@
 		return
 	}
 	next.Stamp = p.stamp
-	swap := &diskproto.Swap{Expected: s.Version, Persist: next.Persist, New: diskproto.Record{Version: next.Version, Bytes: next.Append(nil)}}
-	p.conn.front.accessRecord(p.vol, diskproto.OpSwapRecord, scsi.CompareAndWrite, swap.Append(nil), next.Version, p.expires, func(ans *diskproto.Answer) {
-		p.swapDone(s.Version, next, ans)
+	swap := &diskproto.Swap{Expected: state.Version, Persist: next.Persist, New: diskproto.Record{Version: next.Version, Bytes: next.Append(nil)}}
+	p.conn.front.accessRecord(p.vol, diskproto.OpSwapRecord, scsi.CompareAndWrite, swap.Append(nil), next.Version, p.expires, func(answer *diskproto.Answer) {
+		p.swapDone(state.Version, next, answer)
 	})
 }
 
-func (p *reservationCommand) swapDone(from uint64, next *reserve.State, ans *diskproto.Answer) {
-	k := p.conn.front.keeper
+func (p *reservationCommand) swapDone(fromVersion uint64, next *reserve.State, answer *diskproto.Answer) {
+	cache := p.conn.front.keeper
 	switch {
-	case ans == nil: // refused, failed or lost: it may have been made, or still be
-		p.mayBeApplied, p.uncertainVersion = true, from
+	case answer == nil: // refused, failed or lost: it may have been made, or still be
+		p.mayBeApplied, p.uncertainVersion = true, fromVersion
 		fallthrough
-	case ans.Result != diskproto.OK:
-		k.refresh(p.vol, p.expires, p.tryChange)
+	case answer.Result != diskproto.OK:
+		cache.refresh(p.vol, p.expires, p.tryChange)
 		return
 	}
 	p.mayBeApplied = true
-	k.update(p.vol, next, p.expires, func(err error) {
+	cache.update(p.vol, next, p.expires, func(err error) {
 		if err != nil {
 			p.fail()
 			return
@@ -487,20 +487,20 @@
 }
 
 // abortPreempted ends the tasks of sessions that lost their registration.
-func (f *front) abortPreempted(volume string, by *conn) {
+func (f *front) abortPreempted(volume string, preemptor *conn) {
 	f.keeper.mu.Lock()
 	state := f.keeper.volume(volume).state
 	f.keeper.mu.Unlock()
-	for _, o := range f.all() {
-		o.mu.Lock()
-		hit := o != by && o.unit != nil && o.unit.vol.Name == volume && o.attention == &scsi.RegistrationsPreempted
-		if _, registered := state.Key(o.nexus()); hit && !registered && o.sess != nil && !o.closed {
-			for _, t := range o.sess.Reset() {
+	for _, other := range f.all() {
+		other.mu.Lock()
+		preempted := other != preemptor && other.unit != nil && other.unit.vol.Name == volume && other.attention == &scsi.RegistrationsPreempted
+		if _, registered := state.Key(other.nexus()); preempted && !registered && other.sess != nil && !other.closed {
+			for _, t := range other.sess.Reset() {
 				if u, ok := t.User.(underway); ok {
 					u.abandon(nil)
 				}
 			}
 		}
-		o.mu.Unlock()
+		other.mu.Unlock()
 	}
 }
--- a/internal/control/gateway/responder.go
+++ b/internal/control/gateway/responder.go
@@ -56,44 +56,44 @@
 }
 
 // enqueue hands an answer over. What waits is bounded by what is open at the host.
-func (a *responder) enqueue(x completion) {
-	a.mu.Lock()
-	a.queue = append(a.queue, x)
-	a.mu.Unlock()
-	a.wake.Unpark()
+func (r *responder) enqueue(completed completion) {
+	r.mu.Lock()
+	r.queue = append(r.queue, completed)
+	r.mu.Unlock()
+	r.wake.Unpark()
 }
 
 // close ends the goroutine once it has given what it was handed, and waits for it.
-func (a *responder) close() {
-	a.mu.Lock()
-	a.closed = true
-	a.mu.Unlock()
-	a.wake.Unpark()
-	a.done.Wait(a.host.environment)
+func (r *responder) close() {
+	r.mu.Lock()
+	r.closed = true
+	r.mu.Unlock()
+	r.wake.Unpark()
+	r.done.Wait(r.host.environment)
 }
 
-func (a *responder) run() {
-	defer a.done.Open()
-	var events []completion
+func (r *responder) run() {
+	defer r.done.Open()
+	var completions []completion
 	for {
-		a.wake.Park()
-		a.mu.Lock()
-		events, a.queue = a.queue, events[:0]
-		closed := a.closed
-		a.mu.Unlock()
-		for i := range events {
-			a.host.respond(&events[i], func(o *writequeue.Queue) { a.unflushed = append(a.unflushed, o) })
-			events[i] = completion{}
-			if len(a.unflushed) == maxUnflushed {
-				a.unflushed.flush()
+		r.wake.Park()
+		r.mu.Lock()
+		completions, r.queue = r.queue, completions[:0]
+		closed := r.closed
+		r.mu.Unlock()
+		for i := range completions {
+			r.host.respond(&completions[i], func(writes *writequeue.Queue) { r.unflushed = append(r.unflushed, writes) })
+			completions[i] = completion{}
+			if len(r.unflushed) == maxUnflushed {
+				r.unflushed.flush()
 			}
 		}
-		a.unflushed.flush()
-		if closed && len(events) == 0 {
+		r.unflushed.flush()
+		if closed && len(completions) == 0 {
 			return
 		}
 		if closed {
-			a.wake.Unpark()
+			r.wake.Unpark()
 		}
 	}
 }
@@ -111,19 +111,19 @@
 }
 
 // respond ends a command at its session; later has what that leaves be written.
-func (h *host) respond(x *completion, later func(*writequeue.Queue)) {
-	c := x.cmd.conn
+func (h *host) respond(completed *completion, flushLater func(*writequeue.Queue)) {
+	c := completed.cmd.conn
 	c.mu.Lock()
 	if !c.closed {
-		if x.fenceOutdated {
-			c.recheckReservations(x.cmd.task, x.cmd.decoded, c.currentOrLoginUnit(c.front.view.Load()).vol, x.cmd.class, x.cmd.mayBePartlyWritten())
+		if completed.fenceOutdated {
+			c.recheckReservations(completed.cmd.task, completed.cmd.decoded, c.currentOrLoginUnit(c.front.view.Load()).vol, completed.cmd.class, completed.cmd.mayBePartlyWritten())
 		} else {
 			c.batch = true
-			c.sess.Respond(x.cmd.task, x.answer)
+			c.sess.Respond(completed.cmd.task, completed.answer)
 			c.batch = false
-			later(c.out)
+			flushLater(c.out)
 		}
 	}
 	c.mu.Unlock()
-	h.putBuffer(x.dataBuffer)
+	h.putBuffer(completed.dataBuffer)
 }
