--- a/internal/control/scheduler/ahead_test.go
+++ b/internal/control/scheduler/ahead_test.go
@@ -128,7 +128,7 @@
 		}
 		env.Sleep(sc.environment, 300*time.Millisecond, nil) // it reads nothing meanwhile
 		for i := range requests {
-			if got := p.readResponse(p.w.Now()); got.status != 200 || len(got.body) != size {
+			if got := p.readResponse(p.environment.Now()); got.status != 200 || len(got.body) != size {
 				t.Fatalf("answer %d: %d, %d bytes", i, got.status, len(got.body))
 			}
 		}
--- a/internal/control/scheduler/faultscenario_test.go
+++ b/internal/control/scheduler/faultscenario_test.go
@@ -36,15 +36,15 @@
 
 // traceEvent is one line of a day's trail.
 type traceEvent struct {
-	at       time.Duration
-	kind     traceKind
-	id       string // of the request
-	class    string
-	server   string
-	status   int
-	body     string
-	executed bool          // the attempt took effect
-	timeout  time.Duration // what a client gives, and what a disk server is told
+	occurredAt time.Duration
+	kind       traceKind
+	id         string // of the request
+	class      string
+	server     string
+	status     int
+	body       string
+	executed   bool          // the attempt took effect
+	timeout    time.Duration // what a client gives, and what a disk server is told
 }
 
 // traceRules are what a trail is held to.
@@ -55,89 +55,89 @@
 }
 
 // violations names what in a trail breaks a rule.
-func (t *traceRules) violations(trail []traceEvent) (broken []string) {
-	say := func(e traceEvent, what string) {
-		broken = append(broken, fmt.Sprintf("%s %s at %s: %s", e.kind, e.id, e.at, what))
+func (r *traceRules) violations(trace []traceEvent) (found []string) {
+	report := func(e traceEvent, description string) {
+		found = append(found, fmt.Sprintf("%s %s at %s: %s", e.kind, e.id, e.occurredAt, description))
 	}
 	byID := map[string][]traceEvent{}
 	leaving := map[string]time.Duration{}
-	for _, e := range trail {
+	for _, e := range trace {
 		byID[e.id] = append(byID[e.id], e)
 		if e.kind == drainAnnounced {
-			leaving[e.server] = e.at
+			leaving[e.server] = e.occurredAt
 		}
-		if at, yes := leaving[e.server]; yes && e.kind == attemptReceived && e.at > at+t.drainGrace+t.slack {
-			say(e, "sent to a disk server that was leaving")
+		if announcedAt, draining := leaving[e.server]; draining && e.kind == attemptReceived && e.occurredAt > announcedAt+r.drainGrace+r.slack {
+			report(e, "sent to a disk server that was leaving")
 		}
 	}
 	for id, es := range byID {
 		if id != "" {
-			t.checkRequest(es, say)
+			r.checkRequest(es, report)
 		}
 	}
-	return broken
+	return found
 }
 
-func (t *traceRules) checkRequest(es []traceEvent, say func(traceEvent, string)) {
-	var ask, first, gone, answer *traceEvent
-	ran := 0
-	for i := range es {
-		e := &es[i]
+func (r *traceRules) checkRequest(events []traceEvent, report func(traceEvent, string)) {
+	var request, firstExecuted, disconnect, response *traceEvent
+	executions := 0
+	for i := range events {
+		e := &events[i]
 		switch e.kind {
 		case requestSent:
-			ask = e
+			request = e
 		case clientClosed:
-			gone = e
-			if ask != nil && e.at > ask.at+ask.timeout+t.slack {
-				say(*e, "no answer in its time")
+			disconnect = e
+			if request != nil && e.occurredAt > request.occurredAt+request.timeout+r.slack {
+				report(*e, "no answer in its time")
 			}
 		case responseReceived:
-			if answer != nil {
-				say(*e, "a second answer")
+			if response != nil {
+				report(*e, "a second answer")
 			}
-			if answer = e; e.status == 0 {
-				say(*e, "no answer")
+			if response = e; e.status == 0 {
+				report(*e, "no answer")
 			}
-			if ask != nil && e.at > ask.at+ask.timeout+t.slack {
-				say(*e, "answered late")
+			if request != nil && e.occurredAt > request.occurredAt+request.timeout+r.slack {
+				report(*e, "answered late")
 			}
 			if e.status == 200 && e.body != e.id {
-				say(*e, "another's answer: "+e.body)
+				report(*e, "another's answer: "+e.body)
 			}
 		case attemptReceived:
-			if ask == nil {
-				say(*e, "nobody asked for it")
+			if request == nil {
+				report(*e, "nobody asked for it")
 				continue
 			}
-			if e.timeout > ask.at+ask.timeout-e.at+t.maxTimeoutExcess {
-				say(*e, "told more time than its client has")
+			if e.timeout > request.occurredAt+request.timeout-e.occurredAt+r.maxTimeoutExcess {
+				report(*e, "told more time than its client has")
 			}
-			if gone != nil && e.at > gone.at+t.slack {
-				say(*e, "its client had gone")
+			if disconnect != nil && e.occurredAt > disconnect.occurredAt+r.slack {
+				report(*e, "its client had gone")
 			}
-			if answer != nil && e.at > answer.at+t.slack {
-				say(*e, "it was answered before")
+			if response != nil && e.occurredAt > response.occurredAt+r.slack {
+				report(*e, "it was answered before")
 			}
-			if first != nil && t.effects[ask.class] == "keyed" && e.at > first.at+t.dedupWindow+t.slack {
-				say(*e, "repeats are not dropped any more")
+			if firstExecuted != nil && r.effects[request.class] == "keyed" && e.occurredAt > firstExecuted.occurredAt+r.dedupWindow+r.slack {
+				report(*e, "repeats are not dropped any more")
 			}
 			if e.executed {
-				ran++
-				if first == nil {
-					first = e
+				executions++
+				if firstExecuted == nil {
+					firstExecuted = e
 				}
 			}
 		}
 	}
 	switch {
-	case ask != nil && gone == nil && answer == nil:
-		say(*ask, "never answered")
-	case ask != nil && ran > 1 && t.effects[ask.class] == "unsafe":
-		say(*ask, "its effect happened again")
-	case answer != nil && answer.status == 503 && ran > 0 && t.effects[ask.class] == "unsafe":
-		say(*answer, "refused although it ran")
-	case answer != nil && answer.status == 200 && ran == 0:
-		say(*answer, "served by nobody")
+	case request != nil && disconnect == nil && response == nil:
+		report(*request, "never answered")
+	case request != nil && executions > 1 && r.effects[request.class] == "unsafe":
+		report(*request, "its effect happened again")
+	case response != nil && response.status == 503 && executions > 0 && r.effects[request.class] == "unsafe":
+		report(*response, "refused although it ran")
+	case response != nil && response.status == 200 && executions == 0:
+		report(*response, "served by nobody")
 	}
 }
 
@@ -165,16 +165,16 @@
 	rng *rand.Rand
 }
 
-func (w *slowDialEnv) Dial(ctx context.Context, network, address string, within time.Duration) (net.Conn, error) {
-	c, err := w.Environment.Dial(ctx, network, address, within)
-	w.mu.Lock()
-	late := time.Duration(0)
-	if w.rng.IntN(3) == 0 {
-		late = time.Duration(w.rng.IntN(240)) * time.Millisecond
+func (e *slowDialEnv) Dial(ctx context.Context, network, address string, timeout time.Duration) (net.Conn, error) {
+	conn, err := e.Environment.Dial(ctx, network, address, timeout)
+	e.mu.Lock()
+	delay := time.Duration(0)
+	if e.rng.IntN(3) == 0 {
+		delay = time.Duration(e.rng.IntN(240)) * time.Millisecond
 	}
-	w.mu.Unlock()
-	env.Sleep(w.Environment, late, nil)
-	return c, err
+	e.mu.Unlock()
+	env.Sleep(e.Environment, delay, nil)
+	return conn, err
 }
 
 // faultScenario plays one and keeps its trail.
@@ -197,318 +197,323 @@
 	stopTime time.Duration // when SIGTERM came, 0: not yet
 }
 
-func (d *faultScenario) record(e traceEvent) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	e.at = d.environment.Now()
-	d.trace = append(d.trace, e)
+func (s *faultScenario) record(e traceEvent) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	e.occurredAt = s.environment.Now()
+	s.trace = append(s.trace, e)
 }
 
-func (d *faultScenario) randN(n int) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.rng.IntN(n)
+func (s *faultScenario) randN(n int) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.rng.IntN(n)
 }
 
-// diskServer is what a disk server does with an attempt, some of it wrong.
-func (d *faultScenario) diskServer(server string) func(standin.HTTPAsk) standin.HTTPAnswer {
-	return func(a standin.HTTPAsk) standin.HTTPAnswer {
-		id := a.Fields.Get("request-id")
-		raw := []byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id))
-		what := d.randN(20)
-		told, err := time.ParseDuration(a.Fields.Get("request-timeout") + "s")
+// diskServerHandler is what a disk server does with an attempt, some of it wrong.
+func (s *faultScenario) diskServerHandler(server string) func(standin.HTTPAsk) standin.HTTPAnswer {
+	return func(request standin.HTTPAsk) standin.HTTPAnswer {
+		id := request.Fields.Get("request-id")
+		response := []byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id))
+		fault := s.randN(20)
+		requestTimeout, err := time.ParseDuration(request.Fields.Get("request-timeout") + "s")
 		if err != nil {
-			told = time.Hour
+			requestTimeout = time.Hour
 		}
-		d.record(traceEvent{kind: attemptReceived, id: id, server: server, executed: what != 0, timeout: told})
-		after := time.Duration(2+d.randN(30)) * time.Millisecond
-		switch what {
+		s.record(traceEvent{kind: attemptReceived, id: id, server: server, executed: fault != 0, timeout: requestTimeout})
+		delay := time.Duration(2+s.randN(30)) * time.Millisecond
+		switch fault {
 		case 0:
 			return standin.HTTPAnswer{Raw: []byte("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")}
 		case 1:
-			return standin.HTTPAnswer{After: after, Reset: true}
+			return standin.HTTPAnswer{After: delay, Reset: true}
 		case 2:
-			return standin.HTTPAnswer{After: after, Raw: []byte("\x00 noise\r\n\r\n")}
+			return standin.HTTPAnswer{After: delay, Raw: []byte("\x00 noise\r\n\r\n")}
 		case 3:
-			return standin.HTTPAnswer{After: after, Raw: raw[:len(raw)-3], Reset: true}
+			return standin.HTTPAnswer{After: delay, Raw: response[:len(response)-3], Reset: true}
 		case 4:
-			if d.realTime { // a timer that slips would make the copy as late as no rest can bear
-				return standin.HTTPAnswer{After: after, Raw: append(slices.Clone(raw), raw...)}
+			if s.realTime { // a timer that slips would make the copy as late as no rest can bear
+				return standin.HTTPAnswer{After: delay, Raw: append(slices.Clone(response), response...)}
 			}
-			return standin.HTTPAnswer{After: after, Raw: raw, Behind: raw, Late: 5 * time.Millisecond}
+			return standin.HTTPAnswer{After: delay, Raw: response, Behind: response, Late: 5 * time.Millisecond}
 		case 5:
 			return standin.HTTPAnswer{} // it never answers
 		case 6:
-			return standin.HTTPAnswer{After: after, Raw: []byte("HTTP/1.1 200 OK\r\n\r\n" + id), Close: true}
+			return standin.HTTPAnswer{After: delay, Raw: []byte("HTTP/1.1 200 OK\r\n\r\n" + id), Close: true}
 		case 7:
-			return standin.HTTPAnswer{After: after, Raw: []byte("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")}
+			return standin.HTTPAnswer{After: delay, Raw: []byte("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")}
 		}
-		return standin.HTTPAnswer{After: after, Raw: raw}
+		return standin.HTTPAnswer{After: delay, Raw: response}
 	}
 }
 
 // runClient asks until the day ends; one request in six it gives up by closing.
-func (d *faultScenario) runClient(until time.Duration) {
-	var p *testClient
-	for d.environment.Now() < until {
-		if p == nil {
-			c, err := d.environment.Dial(context.Background(), "tcp", d.schedulerAddr, time.Second)
+func (s *faultScenario) runClient(endTime time.Duration) {
+	var client *testClient
+	for s.environment.Now() < endTime {
+		if client == nil {
+			netConn, err := s.environment.Dial(context.Background(), "tcp", s.schedulerAddr, time.Second)
 			if err != nil {
 				return // nobody listens any more
 			}
-			p = &testClient{d.environment, c, bufio.NewReader(c)}
+			client = &testClient{s.environment, netConn, bufio.NewReader(netConn)}
 		}
-		d.mu.Lock()
-		d.requestCount++
-		id := fmt.Sprintf("%016x", d.requestCount)
-		d.mu.Unlock()
-		class := []string{"look", "book", "pay"}[d.randN(3)]
-		within := time.Duration(200+d.randN(900)) * time.Millisecond
-		raw := fmt.Sprintf("PUT /%s/%016x/%016x HTTP/1.1\r\nRequest-Id: %s\r\nIdempotency-Key: k%s\r\nX-Qos-Policy: gold\r\nRequest-Timeout: %.3f\r\nContent-Length: 1\r\nX-Placement: units=2,shard=%d,hosts=1\r\n\r\nx",
-			class, d.randN(40), d.randN(1000), id, id, within.Seconds(), d.randN(3))
+		s.mu.Lock()
+		s.requestCount++
+		id := fmt.Sprintf("%016x", s.requestCount)
+		s.mu.Unlock()
+		class := []string{"look", "book", "pay"}[s.randN(3)]
+		requestTimeout := time.Duration(200+s.randN(900)) * time.Millisecond
+		rawRequest := fmt.Sprintf("PUT /%s/%016x/%016x HTTP/1.1\r\nRequest-Id: %s\r\nIdempotency-Key: k%s\r\nX-Qos-Policy: gold\r\nRequest-Timeout: %.3f\r\nContent-Length: 1\r\nX-Placement: units=2,shard=%d,hosts=1\r\n\r\nx",
+			class, s.randN(40), s.randN(1000), id, id, requestTimeout.Seconds(), s.randN(3))
 		if class == "look" {
-			raw = strings.Replace(strings.TrimSuffix(raw, "x"), "Content-Length: 1\r\n", "", 1)
-			raw = strings.Replace(raw, "PUT", "GET", 1)
+			rawRequest = strings.Replace(strings.TrimSuffix(rawRequest, "x"), "Content-Length: 1\r\n", "", 1)
+			rawRequest = strings.Replace(rawRequest, "PUT", "GET", 1)
 		}
-		from := d.environment.Now()
-		d.record(traceEvent{kind: requestSent, id: id, class: class, timeout: within})
-		if _, err := io.WriteString(p.conn, raw); err != nil {
-			d.removeRequest(id) // the connection ended between two requests
-			p.conn.Close()
-			p = nil
+		startedAt := s.environment.Now()
+		s.record(traceEvent{kind: requestSent, id: id, class: class, timeout: requestTimeout})
+		if _, err := io.WriteString(client.conn, rawRequest); err != nil {
+			s.removeRequest(id) // the connection ended between two requests
+			client.conn.Close()
+			client = nil
 			continue
 		}
-		if d.randN(6) == 0 {
-			env.Sleep(d.environment, time.Duration(d.randN(min(250, int(within.Milliseconds()))))*time.Millisecond, nil)
-			p.conn.Close()
-			d.record(traceEvent{kind: clientClosed, id: id})
-			p = nil
+		if s.randN(6) == 0 {
+			env.Sleep(s.environment, time.Duration(s.randN(min(250, int(requestTimeout.Milliseconds()))))*time.Millisecond, nil)
+			client.conn.Close()
+			s.record(traceEvent{kind: clientClosed, id: id})
+			client = nil
 			continue
 		}
-		got := p.readResponse(from)
-		if got.status == 0 && d.connectionsEnding() && !d.attemptSeen(id) { // it crossed the close, and was never read
-			d.removeRequest(id)
+		got := client.readResponse(startedAt)
+		if got.status == 0 && s.connectionsEnding() && !s.attemptSeen(id) { // it crossed the close, and was never read
+			s.removeRequest(id)
 		} else {
-			d.record(traceEvent{kind: responseReceived, id: id, status: got.status, body: got.body})
+			s.record(traceEvent{kind: responseReceived, id: id, status: got.status, body: got.body})
 		}
 		if got.status == 0 || got.closeConn {
-			p.conn.Close()
-			p = nil
+			client.conn.Close()
+			client = nil
 		}
-		env.Sleep(d.environment, time.Duration(d.randN(20))*time.Millisecond, nil)
+		env.Sleep(s.environment, time.Duration(s.randN(20))*time.Millisecond, nil)
 	}
-	if p != nil {
-		p.conn.Close()
+	if client != nil {
+		client.conn.Close()
 	}
 }
 
 // connectionsEnding tells that the scheduler takes nothing new any more and ends its connections: before
 // that each request is owed its answer.
-func (d *faultScenario) connectionsEnding() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.stopTime > 0 && d.environment.Now() > d.stopTime+env.Duration(gracePeriod(scenarioConfig("a:1"))-finishLeadMS)
+func (s *faultScenario) connectionsEnding() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.stopTime > 0 && s.environment.Now() > s.stopTime+env.Duration(gracePeriod(scenarioConfig("a:1"))-finishLeadMS)
 }
 
 // attemptSeen tells whether an attempt of a request came to a disk server.
-func (d *faultScenario) attemptSeen(id string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return slices.ContainsFunc(d.trace, func(e traceEvent) bool { return e.id == id && e.kind == attemptReceived })
+func (s *faultScenario) attemptSeen(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.ContainsFunc(s.trace, func(e traceEvent) bool { return e.id == id && e.kind == attemptReceived })
 }
 
-func (d *faultScenario) removeRequest(id string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.trace = slices.DeleteFunc(d.trace, func(e traceEvent) bool { return e.id == id && e.kind == requestSent })
+func (s *faultScenario) removeRequest(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.trace = slices.DeleteFunc(s.trace, func(e traceEvent) bool { return e.id == id && e.kind == requestSent })
 }
 
 // serveWatch answers watches with the whole list, and says it anew when it changes.
-func (d *faultScenario) serveWatch(_ int, _ string, c net.Conn) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	c.Write([]byte(watchHead))
-	c.Write(chunkOf(d.serverList + "\n"))
-	d.watches = append(d.watches, c)
+func (s *faultScenario) serveWatch(_ int, _ string, conn net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	conn.Write([]byte(watchHead))
+	conn.Write(chunkOf(s.serverList + "\n"))
+	s.watches = append(s.watches, conn)
 }
 
-func (d *faultScenario) publishList(list string, leaving ...string) {
-	d.mu.Lock()
-	d.serverList = list
-	if !d.watchesSilent {
-		for _, c := range d.watches {
-			c.Write(chunkOf(list + "\n"))
+func (s *faultScenario) publishList(list string, leaving ...string) {
+	s.mu.Lock()
+	s.serverList = list
+	if !s.watchesSilent {
+		for _, conn := range s.watches {
+			conn.Write(chunkOf(list + "\n"))
 		}
 	}
-	d.mu.Unlock()
-	for _, s := range leaving {
-		if d.watchesSilent { // it counts as told 6 s after the silence began
-			env.Sleep(d.environment, 5900*time.Millisecond, nil)
+	s.mu.Unlock()
+	for _, host := range leaving {
+		if s.watchesSilent { // it counts as told 6 s after the silence began
+			env.Sleep(s.environment, 5900*time.Millisecond, nil)
 		}
-		d.record(traceEvent{kind: drainAnnounced, server: s})
+		s.record(traceEvent{kind: drainAnnounced, server: host})
 	}
 }
 
 // scenarioConfig is the configuration of a day's scheduler.
-func scenarioConfig(discovery string) *Config {
-	text := strings.Replace(testConfig("127.0.0.1:0", discovery, fullListJSON(0)), testSettings, scenarioSettings, 1)
-	c, err := ParseConfig([]byte(text), func(string) string { return "" })
+func scenarioConfig(discoveryAddr string) *Config {
+	configJSON := strings.Replace(testConfig("127.0.0.1:0", discoveryAddr, fullListJSON(0)), testSettings, scenarioSettings, 1)
+	config, err := ParseConfig([]byte(configJSON), func(string) string { return "" })
 	if err != nil {
 		panic(err)
 	}
-	return c
+	return config
 }
 
 // run plays the day in a world: late connections, clients that leave, spoilt answers, a
 // drain, a cold disk server, a silent watch with a drain in it, SIGHUP and SIGTERM.
-func (d *faultScenario) run() error {
-	a := serveAgent(d.environment, d.serveWatch)
-	defer a.close()
-	disks := map[string]*standin.HTTPDisk{}
-	for _, name := range []string{"s0", "s1", "s2", "s3", "s4"} {
-		disk, err := standin.ServeHTTPDisk(d.environment, d.diskServer(name))
+func (s *faultScenario) run() error {
+	firstDiscovery := serveAgent(s.environment, s.serveWatch)
+	defer firstDiscovery.close()
+	diskServers := map[string]*standin.HTTPDisk{}
+	for _, host := range []string{"s0", "s1", "s2", "s3", "s4"} {
+		diskServer, err := standin.ServeHTTPDisk(s.environment, s.diskServerHandler(host))
 		if err != nil {
 			return err
 		}
-		defer disk.Close()
-		disks[name] = disk
+		defer diskServer.Close()
+		diskServers[host] = diskServer
 	}
-	at := func(name, health string, block int, born int64) string {
-		return strings.Replace(entryJSON(name, disks[name].Addr, health, block), `"born_ms":0`, fmt.Sprintf(`"born_ms":%d`, born), 1)
+	entry := func(host, health string, shard int, startedMS int64) string {
+		return strings.Replace(entryJSON(host, diskServers[host].Addr, health, shard), `"born_ms":0`, fmt.Sprintf(`"born_ms":%d`, startedMS), 1)
 	}
-	d.serverList = fullListJSON(1, at("s0", "active", 0, 0), at("s1", "active", 1, 0), at("s2", "active", 2, 0))
+	s.serverList = fullListJSON(1, entry("s0", "active", 0, 0), entry("s1", "active", 1, 0), entry("s2", "active", 2, 0))
 	var err error
-	late := &slowDialEnv{Environment: d.environment, rng: rand.New(rand.NewPCG(d.seed, 2))}
-	if d.scheduler, err = Start(late, scenarioConfig(a.l.Addr().String()), zap.NewNop()); err != nil {
+	slowDials := &slowDialEnv{Environment: s.environment, rng: rand.New(rand.NewPCG(s.seed, 2))}
+	if s.scheduler, err = Start(slowDials, scenarioConfig(firstDiscovery.l.Addr().String()), zap.NewNop()); err != nil {
 		return err
 	}
-	d.schedulerAddr = d.scheduler.frontend.listener.Addr().String()
-	d.scheduler.frontend.ready.Wait(d.environment)
+	s.schedulerAddr = s.scheduler.frontend.listener.Addr().String()
+	s.scheduler.frontend.ready.Wait(s.environment)
 	var clients env.WaitGroup
 	for range 12 {
-		clients.Go(d.environment, func() { d.runClient(15 * time.Second) })
+		clients.Go(s.environment, func() { s.runClient(15 * time.Second) })
 	}
-	env.Sleep(d.environment, 700*time.Millisecond, nil)
-	now := d.environment.Deadline(0).UnixMilli()
-	d.publishList(fullListJSON(2, at("s0", "active", 0, 0), at("s1", "leaving", 1, 0), at("s2", "active", 2, 0), at("s3", "active", 1, now)), "s1")
-	env.Sleep(d.environment, 700*time.Millisecond, nil)
-	b := serveAgent(d.environment, d.serveWatch)
-	defer b.close()
-	d.scheduler.Reload(scenarioConfig(b.l.Addr().String()))
-	env.Sleep(d.environment, 400*time.Millisecond, nil)
-	d.mu.Lock()
-	d.watchesSilent = true
-	d.mu.Unlock()
-	d.publishList(fullListJSON(3, at("s0", "leaving", 0, 0), at("s4", "active", 0, now), at("s2", "active", 2, 0), at("s3", "active", 1, now)), "s0")
-	env.Sleep(d.environment, 900*time.Millisecond, nil)
-	d.mu.Lock()
-	d.stopTime = d.environment.Now()
-	d.mu.Unlock()
-	d.scheduler.Drain()
-	clients.Wait(d.environment)
+	env.Sleep(s.environment, 700*time.Millisecond, nil)
+	now := s.environment.Deadline(0).UnixMilli()
+	s.publishList(fullListJSON(2, entry("s0", "active", 0, 0), entry("s1", "leaving", 1, 0), entry("s2", "active", 2, 0), entry("s3", "active", 1, now)), "s1")
+	env.Sleep(s.environment, 700*time.Millisecond, nil)
+	secondDiscovery := serveAgent(s.environment, s.serveWatch)
+	defer secondDiscovery.close()
+	s.scheduler.Reload(scenarioConfig(secondDiscovery.l.Addr().String()))
+	env.Sleep(s.environment, 400*time.Millisecond, nil)
+	s.mu.Lock()
+	s.watchesSilent = true
+	s.mu.Unlock()
+	s.publishList(fullListJSON(3, entry("s0", "leaving", 0, 0), entry("s4", "active", 0, now), entry("s2", "active", 2, 0), entry("s3", "active", 1, now)), "s0")
+	env.Sleep(s.environment, 900*time.Millisecond, nil)
+	s.mu.Lock()
+	s.stopTime = s.environment.Now()
+	s.mu.Unlock()
+	s.scheduler.Drain()
+	clients.Wait(s.environment)
 	return nil
 }
 
-func newFaultScenario(w env.Environment, seed uint64) *faultScenario {
-	return &faultScenario{environment: w, seed: seed, rng: rand.New(rand.NewPCG(seed, 1))}
+func newFaultScenario(e env.Environment, seed uint64) *faultScenario {
+	return &faultScenario{environment: e, seed: seed, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
 // check judges a day and that it was one.
-func (d *faultScenario) check(t *testing.T) {
+func (s *faultScenario) check(t *testing.T) {
 	t.Helper()
-	slices.SortStableFunc(d.trace, func(a, b traceEvent) int { return cmp.Compare(a.at, b.at) })
-	terms := scenarioRules
-	if d.realTime {
-		terms.slack = realTimeSlack
+	slices.SortStableFunc(s.trace, func(a, b traceEvent) int { return cmp.Compare(a.occurredAt, b.occurredAt) })
+	rules := scenarioRules
+	if s.realTime {
+		rules.slack = realTimeSlack
 	}
-	broken := terms.violations(d.trace)
-	for _, b := range broken[:min(len(broken), 5)] {
-		t.Errorf("seed %d: %s", d.seed, b)
+	found := rules.violations(s.trace)
+	for _, violation := range found[:min(len(found), 5)] {
+		t.Errorf("seed %d: %s", s.seed, violation)
 	}
-	count := map[string]int{}
-	for _, e := range d.trace {
-		count[fmt.Sprint(e.kind, e.status)]++
-		count[string(e.kind)+e.server]++
+	counts := map[string]int{}
+	for _, e := range s.trace {
+		counts[fmt.Sprint(e.kind, e.status)]++
+		counts[string(e.kind)+e.server]++
 	}
-	for what, least := range map[string]int{"asked0": 200, "answered200": 100, "answered503": 5, "left0": 20, "attempts0": 10, "attempts3": 5, "attempts4": 5, "tolds0": 1, "tolds1": 1} {
-		if count[what] < least {
-			t.Errorf("seed %d: %d of %q: no rough day", d.seed, count[what], what)
+	for key, minimum := range map[string]int{"asked0": 200, "answered200": 100, "answered503": 5, "left0": 20, "attempts0": 10, "attempts3": 5, "attempts4": 5, "tolds0": 1, "tolds1": 1} {
+		if counts[key] < minimum {
+			t.Errorf("seed %d: %d of %q: no rough day", s.seed, counts[key], key)
 		}
 	}
 }
 
 func TestFaultScenario(t *testing.T) {
 	for seed := range uint64(8) {
-		v := world.New(seed)
-		v.Net.Delay = 200 * time.Microsecond
-		var d *faultScenario
-		err := v.Run("n0", time.Minute, func(p *world.Process) {
-			d = newFaultScenario(p, seed)
-			if err := d.run(); err != nil {
+		sim := world.New(seed)
+		sim.Net.Delay = 200 * time.Microsecond
+		var scenario *faultScenario
+		err := sim.Run("n0", time.Minute, func(process *world.Process) {
+			scenario = newFaultScenario(process, seed)
+			if err := scenario.run(); err != nil {
 				panic(err)
 			}
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.check(t)
+		scenario.check(t)
 	}
 }
 
 func TestFaultScenarioOnRealSockets(t *testing.T) {
-	d := newFaultScenario(env.NewReal(), 1)
-	d.realTime = true
-	if err := d.run(); err != nil {
+	scenario := newFaultScenario(env.NewReal(), 1)
+	scenario.realTime = true
+	if err := scenario.run(); err != nil {
 		t.Fatal(err)
 	}
-	d.check(t)
+	scenario.check(t)
 }
 
 // The judge finds each kind of break in a day that was doctored, and none in one that keeps
 // the rules.
 func TestTraceRulesFindViolations(t *testing.T) {
 	ms := time.Millisecond
-	good := func() []traceEvent {
+	validTrace := func() []traceEvent {
 		return []traceEvent{
-			{at: 0, kind: requestSent, id: "1", class: "pay", timeout: 1000 * ms},
-			{at: 2 * ms, kind: attemptReceived, id: "1", server: "s0", executed: true},
-			{at: 9 * ms, kind: responseReceived, id: "1", status: 200, body: "1"},
-			{at: 10 * ms, kind: requestSent, id: "2", class: "book", timeout: 1000 * ms},
-			{at: 12 * ms, kind: attemptReceived, id: "2", server: "s0", executed: true},
-			{at: 80 * ms, kind: drainAnnounced, server: "s0"},
-			{at: 500 * ms, kind: attemptReceived, id: "2", server: "s0", executed: true},
-			{at: 520 * ms, kind: responseReceived, id: "2", status: 200, body: "2"},
-			{at: 600 * ms, kind: requestSent, id: "3", class: "look", timeout: 1000 * ms},
-			{at: 610 * ms, kind: clientClosed, id: "3"},
-			{at: 650 * ms, kind: attemptReceived, id: "3", server: "s1", executed: true},
-			{at: 700 * ms, kind: requestSent, id: "4", class: "pay", timeout: 1000 * ms},
-			{at: 710 * ms, kind: attemptReceived, id: "4", server: "s1"},
-			{at: 720 * ms, kind: responseReceived, id: "4", status: 503},
+			{occurredAt: 0, kind: requestSent, id: "1", class: "pay", timeout: 1000 * ms},
+			{occurredAt: 2 * ms, kind: attemptReceived, id: "1", server: "s0", executed: true},
+			{occurredAt: 9 * ms, kind: responseReceived, id: "1", status: 200, body: "1"},
+			{occurredAt: 10 * ms, kind: requestSent, id: "2", class: "book", timeout: 1000 * ms},
+			{occurredAt: 12 * ms, kind: attemptReceived, id: "2", server: "s0", executed: true},
+			{occurredAt: 80 * ms, kind: drainAnnounced, server: "s0"},
+			{occurredAt: 500 * ms, kind: attemptReceived, id: "2", server: "s0", executed: true},
+			{occurredAt: 520 * ms, kind: responseReceived, id: "2", status: 200, body: "2"},
+			{occurredAt: 600 * ms, kind: requestSent, id: "3", class: "look", timeout: 1000 * ms},
+			{occurredAt: 610 * ms, kind: clientClosed, id: "3"},
+			{occurredAt: 650 * ms, kind: attemptReceived, id: "3", server: "s1", executed: true},
+			{occurredAt: 700 * ms, kind: requestSent, id: "4", class: "pay", timeout: 1000 * ms},
+			{occurredAt: 710 * ms, kind: attemptReceived, id: "4", server: "s1"},
+			{occurredAt: 720 * ms, kind: responseReceived, id: "4", status: 503},
 		}
 	}
-	if broken := scenarioRules.violations(good()); len(broken) > 0 {
-		t.Fatal(broken)
+	if found := scenarioRules.violations(validTrace()); len(found) > 0 {
+		t.Fatal(found)
 	}
-	for want, change := range map[string]func(d []traceEvent) []traceEvent{
-		"never answered":                   func(d []traceEvent) []traceEvent { return slices.Delete(d, 2, 3) },
-		"no answer":                        func(d []traceEvent) []traceEvent { d[2].status = 0; return d },
-		"answered late":                    func(d []traceEvent) []traceEvent { d[2].at = 1200 * ms; return d },
-		"no answer in its time":            func(d []traceEvent) []traceEvent { d[9].at = 1800 * ms; return d },
-		"told more time than its client":   func(d []traceEvent) []traceEvent { d[1].timeout = 1200 * ms; return d },
-		"a second answer":                  func(d []traceEvent) []traceEvent { return append(d, d[2]) },
-		"another's answer":                 func(d []traceEvent) []traceEvent { d[7].body = "1"; return d },
-		"served by nobody":                 func(d []traceEvent) []traceEvent { return slices.Delete(d, 1, 2) },
-		"its effect happened again":        func(d []traceEvent) []traceEvent { return slices.Insert(d, 2, d[1]) },
-		"refused although it ran":          func(d []traceEvent) []traceEvent { d[12].executed = true; return d },
-		"repeats are not dropped any more": func(d []traceEvent) []traceEvent { d[4].at = -400 * ms; return d },
-		"its client had gone":              func(d []traceEvent) []traceEvent { d[10].at = 720 * ms; return d },
-		"it was answered before": func(d []traceEvent) []traceEvent {
-			return append(d, traceEvent{at: 900 * ms, kind: attemptReceived, id: "4", server: "s1"})
+	for want, corrupt := range map[string]func(trace []traceEvent) []traceEvent{
+		"never answered":                   func(trace []traceEvent) []traceEvent { return slices.Delete(trace, 2, 3) },
+		"no answer":                        func(trace []traceEvent) []traceEvent { trace[2].status = 0; return trace },
+		"answered late":                    func(trace []traceEvent) []traceEvent { trace[2].occurredAt = 1200 * ms; return trace },
+		"no answer in its time":            func(trace []traceEvent) []traceEvent { trace[9].occurredAt = 1800 * ms; return trace },
+		"told more time than its client":   func(trace []traceEvent) []traceEvent { trace[1].timeout = 1200 * ms; return trace },
+		"a second answer":                  func(trace []traceEvent) []traceEvent { return append(trace, trace[2]) },
+		"another's answer":                 func(trace []traceEvent) []traceEvent { trace[7].body = "1"; return trace },
+		"served by nobody":                 func(trace []traceEvent) []traceEvent { return slices.Delete(trace, 1, 2) },
+		"its effect happened again":        func(trace []traceEvent) []traceEvent { return slices.Insert(trace, 2, trace[1]) },
+		"refused although it ran":          func(trace []traceEvent) []traceEvent { trace[12].executed = true; return trace },
+		"repeats are not dropped any more": func(trace []traceEvent) []traceEvent { trace[4].occurredAt = -400 * ms; return trace },
+		"its client had gone":              func(trace []traceEvent) []traceEvent { trace[10].occurredAt = 720 * ms; return trace },
+		"it was answered before": func(trace []traceEvent) []traceEvent {
+			return append(trace, traceEvent{occurredAt: 900 * ms, kind: attemptReceived, id: "4", server: "s1"})
+		},
+		"sent to a disk server that was leaving": func(trace []traceEvent) []traceEvent {
+			trace[5].occurredAt = -200 * ms
+			return slices.Insert(trace, 0, trace[5])
+		},
+		"nobody asked for it": func(trace []traceEvent) []traceEvent {
+			return append(trace, traceEvent{kind: attemptReceived, id: "9"})
 		},
-		"sent to a disk server that was leaving": func(d []traceEvent) []traceEvent { d[5].at = -200 * ms; return slices.Insert(d, 0, d[5]) },
-		"nobody asked for it":                    func(d []traceEvent) []traceEvent { return append(d, traceEvent{kind: attemptReceived, id: "9"}) },
 	} {
-		got := scenarioRules.violations(change(good()))
+		got := scenarioRules.violations(corrupt(validTrace()))
 		if !slices.ContainsFunc(got, func(s string) bool { return strings.Contains(s, want) }) {
 			t.Errorf("%s was not found: %q", want, got)
 		}
--- a/internal/control/scheduler/hookedenv_test.go
+++ b/internal/control/scheduler/hookedenv_test.go
@@ -27,60 +27,60 @@
 	acceptError    func() error            // in place of an accepted connection
 }
 
-func (h *hookedEnv) Dial(ctx context.Context, network, address string, within time.Duration) (net.Conn, error) {
-	c, err := h.Real.Dial(ctx, network, address, within)
-	h.mu.Lock()
-	f, n := h.onDial, h.dialCount
-	if address != h.diskAddr || f == nil {
-		h.mu.Unlock()
-		return c, err
+func (e *hookedEnv) Dial(ctx context.Context, network, address string, timeout time.Duration) (net.Conn, error) {
+	conn, err := e.Real.Dial(ctx, network, address, timeout)
+	e.mu.Lock()
+	hook, index := e.onDial, e.dialCount
+	if address != e.diskAddr || hook == nil {
+		e.mu.Unlock()
+		return conn, err
 	}
-	h.dialCount++
-	if h.wrapServerConn != nil && err == nil {
-		c = h.wrapServerConn(c)
+	e.dialCount++
+	if e.wrapServerConn != nil && err == nil {
+		conn = e.wrapServerConn(conn)
 	}
-	h.mu.Unlock()
-	if e := f(n); e != nil {
-		if c != nil {
-			c.Close()
+	e.mu.Unlock()
+	if hookErr := hook(index); hookErr != nil {
+		if conn != nil {
+			conn.Close()
 		}
-		return nil, e
+		return nil, hookErr
 	}
-	return c, err
+	return conn, err
 }
 
 // setDialHook has f called for each dial to the disk server before its connection is handed
 // over.
-func (h *hookedEnv) setDialHook(f func(n int) error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.onDial = f
+func (e *hookedEnv) setDialHook(hook func(n int) error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.onDial = hook
 }
 
-func (h *hookedEnv) Listen(network, address string) (net.Listener, error) {
-	l, err := h.Real.Listen(network, address)
-	return &hookedListener{l, h}, err
+func (e *hookedEnv) Listen(network, address string) (net.Listener, error) {
+	listener, err := e.Real.Listen(network, address)
+	return &hookedListener{listener, e}, err
 }
 
 type hookedListener struct {
 	net.Listener
-	env *hookedEnv
+	hooks *hookedEnv
 }
 
 func (l *hookedListener) Accept() (net.Conn, error) {
-	l.env.mu.Lock()
-	refuse, accept := l.env.acceptError, l.env.onAccept
-	l.env.mu.Unlock()
-	if refuse != nil {
-		if err := refuse(); err != nil {
+	l.hooks.mu.Lock()
+	failAccept, hook := l.hooks.acceptError, l.hooks.onAccept
+	l.hooks.mu.Unlock()
+	if failAccept != nil {
+		if err := failAccept(); err != nil {
 			return nil, err
 		}
 	}
-	c, err := l.Listener.Accept()
-	if err == nil && accept != nil {
-		c = accept(c)
+	conn, err := l.Listener.Accept()
+	if err == nil && hook != nil {
+		conn = hook(conn)
 	}
-	return c, err
+	return conn, err
 }
 
 // closeNotifyConn tells when this side of a connection ended what it sends, and when it closed.
@@ -101,115 +101,115 @@
 }
 
 // runOnSockets plays f on a scheduler, a simulated disk server and discovery on real sockets.
-func runOnSockets(t *testing.T, settings func(string) string, do func(standin.HTTPAsk) standin.HTTPAnswer, f func(sc *harness, h *hookedEnv)) {
+func runOnSockets(t *testing.T, editConfig func(string) string, respond func(standin.HTTPAsk) standin.HTTPAnswer, test func(h *harness, hooks *hookedEnv)) {
 	t.Helper()
-	h := &hookedEnv{Real: env.NewReal()}
-	sc := &harness{t: t, environment: h, schedulerAddr: "127.0.0.1:0"}
+	hooks := &hookedEnv{Real: env.NewReal()}
+	h := &harness{t: t, environment: hooks, schedulerAddr: "127.0.0.1:0"}
 	must := func(err error) {
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
 	var err error
-	sc.diskServer, err = standin.ServeHTTPDisk(h.Real, do)
+	h.diskServer, err = standin.ServeHTTPDisk(hooks.Real, respond)
 	must(err)
-	defer sc.diskServer.Close()
-	h.diskAddr = sc.diskServer.Addr
-	first := fullListJSON(7, entryJSON("s0", sc.diskServer.Addr, "active", 0))
-	sc.discovery, err = standin.ServeHTTPList(h.Real, first)
+	defer h.diskServer.Close()
+	hooks.diskAddr = h.diskServer.Addr
+	initialList := fullListJSON(7, entryJSON("s0", h.diskServer.Addr, "active", 0))
+	h.discovery, err = standin.ServeHTTPList(hooks.Real, initialList)
 	must(err)
-	defer sc.discovery.Close()
-	conf := testConfig(sc.schedulerAddr, sc.discovery.Addr, first)
-	if settings != nil {
-		conf = settings(conf)
+	defer h.discovery.Close()
+	configJSON := testConfig(h.schedulerAddr, h.discovery.Addr, initialList)
+	if editConfig != nil {
+		configJSON = editConfig(configJSON)
 	}
-	c, err := ParseConfig([]byte(conf), func(string) string { return "" })
+	config, err := ParseConfig([]byte(configJSON), func(string) string { return "" })
 	must(err)
-	sc.scheduler, err = Start(h, c, zap.NewNop())
+	h.scheduler, err = Start(hooks, config, zap.NewNop())
 	must(err)
-	defer sc.scheduler.Close()
+	defer h.scheduler.Close()
 	defer func() {
-		for _, g := range sc.gates {
-			g.Open()
+		for _, gate := range h.gates {
+			gate.Open()
 		}
 	}()
-	sc.schedulerAddr = sc.scheduler.frontend.listener.Addr().String()
-	sc.waitFor("discovery was heard", sc.scheduler.listReceived.Opened)
-	sc.waitFor("ready", sc.scheduler.frontend.ready.Opened)
-	f(sc, h)
+	h.schedulerAddr = h.scheduler.frontend.listener.Addr().String()
+	h.waitFor("discovery was heard", h.scheduler.listReceived.Opened)
+	h.waitFor("ready", h.scheduler.frontend.ready.Opened)
+	test(h, hooks)
 }
 
 // waitFor waits for something that is bound to come.
-func (sc *harness) waitFor(what string, ok func() bool) {
-	sc.t.Helper()
-	for from := time.Now(); !ok(); time.Sleep(200 * time.Microsecond) {
-		if time.Since(from) > 10*time.Second {
-			sc.t.Fatal("never: " + what)
+func (h *harness) waitFor(condition string, satisfied func() bool) {
+	h.t.Helper()
+	for startedAt := time.Now(); !satisfied(); time.Sleep(200 * time.Microsecond) {
+		if time.Since(startedAt) > 10*time.Second {
+			h.t.Fatal("never: " + condition)
 		}
 	}
 }
 
 // onLoop runs f onLoop the loop and waits for it.
-func (sc *harness) onLoop(f func()) {
+func (h *harness) onLoop(f func()) {
 	var done env.Gate
-	sc.scheduler.loop.post(sc.scheduler.loop.now(), eventStop, func(float64) {
+	h.scheduler.loop.post(h.scheduler.loop.now(), eventStop, func(float64) {
 		f()
 		done.Open()
 	})
-	done.Wait(sc.environment)
+	done.Wait(h.environment)
 }
 
 // counters are the core's, read on its loop.
-func (sc *harness) counters() (c Counters) {
-	sc.onLoop(func() {
-		c = sc.scheduler.core.counters
+func (h *harness) counters() (c Counters) {
+	h.onLoop(func() {
+		c = h.scheduler.core.counters
 		c.Reasons = maps.Clone(c.Reasons)
 	})
 	return c
 }
 
 // setAcceptHook has f called for what is accepted from now on.
-func (sc *harness) setAcceptHook(h *hookedEnv, f func(net.Conn) net.Conn) {
-	h.mu.Lock()
-	h.onAccept = f
-	h.mu.Unlock()
-	p := sc.connect() // it is accepted by the call that was under way
-	p.roundTrip("GET /up HTTP/1.1\r\n\r\n")
-	p.conn.Close()
+func (h *harness) setAcceptHook(hooks *hookedEnv, hook func(net.Conn) net.Conn) {
+	hooks.mu.Lock()
+	hooks.onAccept = hook
+	hooks.mu.Unlock()
+	client := h.connect() // it is accepted by the call that was under way
+	client.roundTrip("GET /up HTTP/1.1\r\n\r\n")
+	client.conn.Close()
 }
 
 // coreCondition asks something of the coreCondition, on its loop.
-func (sc *harness) coreCondition(f func(k *core) bool) func() bool {
+func (h *harness) coreCondition(condition func(k *core) bool) func() bool {
 	return func() (ok bool) {
-		sc.onLoop(func() { ok = f(sc.scheduler.core) })
+		h.onLoop(func() { ok = condition(h.scheduler.core) })
 		return ok
 	}
 }
 
 // blockDials has the next dials wait; it returns what tells that one came and what lets go.
-func (sc *harness) blockDials(h *hookedEnv) (came func() bool, release func()) {
-	gate, at := sc.newGate(), sc.newGate()
-	h.setDialHook(func(int) error {
-		at.Open()
-		gate.Wait(h)
+func (h *harness) blockDials(hooks *hookedEnv) (dialled func() bool, release func()) {
+	gate, reached := h.newGate(), h.newGate()
+	hooks.setDialHook(func(int) error {
+		reached.Open()
+		gate.Wait(hooks)
 		return nil
 	})
-	return at.Opened, func() {
-		h.setDialHook(nil)
+	return reached.Opened, func() {
+		hooks.setDialHook(nil)
 		gate.Open()
 	}
 }
 
 // newGate is one that opens with the scene's end at the latest.
-func (sc *harness) newGate() *env.Gate {
-	g := &env.Gate{}
-	sc.gates = append(sc.gates, g)
-	return g
+func (h *harness) newGate() *env.Gate {
+	gate := &env.Gate{}
+	h.gates = append(h.gates, gate)
+	return gate
 }
 
-// allEnded tells that nothing is waited for any more: each attempt has its outcome, each dial
+// callsEnded tells that nothing is waited for any more: each attempt has its outcome, each dial
 // its end.
-func (k *core) allEnded() bool {
+func (k *core) callsEnded() bool {
 	total := uint64(0)
 	for _, n := range k.counters.Outcomes {
 		total += n
@@ -217,12 +217,12 @@
 	return total == k.counters.Sends && len(k.calls) == 0
 }
 
-func allEndedAndDialled(sc *harness) func() bool {
-	return sc.coreCondition(func(k *core) bool {
+func quiescent(h *harness) func() bool {
+	return h.coreCondition(func(k *core) bool {
 		expectedConns := 0
-		for _, s := range sc.scheduler.pool.servers {
-			expectedConns += s.expectedConns
+		for _, server := range h.scheduler.pool.servers {
+			expectedConns += server.expectedConns
 		}
-		return k.allEnded() && expectedConns == 0
+		return k.callsEnded() && expectedConns == 0
 	})
 }
--- a/internal/control/scheduler/outcome_test.go
+++ b/internal/control/scheduler/outcome_test.go
@@ -64,7 +64,7 @@
 				if got.status != want {
 					t.Errorf("%+v, want %d", got, want)
 				}
-				sc.waitFor("it is over", allEndedAndDialled(sc))
+				sc.waitFor("it is over", quiescent(sc))
 				if k := sc.counters(); k.Sends != 1 || k.Outcomes[c.want] != 1 {
 					t.Errorf("%+v, want one of %d", k, c.want)
 				}
--- a/internal/control/scheduler/permit_test.go
+++ b/internal/control/scheduler/permit_test.go
@@ -18,39 +18,39 @@
 // An attempt that the loop let begin is looked at once more when its first byte is to go:
 // its process may have been held up in between.
 func TestMayBegin(t *testing.T) {
-	two := ServerList{Seq: 1, Full: true, Entries: []ServerEntry{{Host: "s0", Health: "active", StartedMS: 7}, {Host: "s1", Health: "active"}}}
-	changed := func(e ServerEntry) ServerList { return ServerList{Seq: 2, Entries: []ServerEntry{e}} }
+	list := ServerList{Seq: 1, Full: true, Entries: []ServerEntry{{Host: "s0", Health: "active", StartedMS: 7}, {Host: "s1", Health: "active"}}}
+	partialList := func(e ServerEntry) ServerList { return ServerList{Seq: 2, Entries: []ServerEntry{e}} }
 	for name, tt := range map[string]struct {
-		do   func(b *connPool, a *attempt)
-		now  float64
-		want bool
+		change func(p *connPool, a *attempt)
+		now    float64
+		want   bool
 	}{
 		"nothing happened":  {func(*connPool, *attempt) {}, 100, true},
 		"too late to begin": {func(*connPool, *attempt) {}, 151, false},
 		"its time is over":  {func(_ *connPool, a *attempt) { a.beginBy, a.answerBy = 300, 120 }, 120, false},
 		"its client left":   {func(_ *connPool, a *attempt) { a.call.noNewAttempts.Store(true) }, 100, false},
-		"drains": {func(b *connPool, _ *attempt) {
-			b.serverStates.apply(changed(ServerEntry{Host: "s0", Health: "leaving", StartedMS: 7}))
+		"drains": {func(p *connPool, _ *attempt) {
+			p.serverStates.apply(partialList(ServerEntry{Host: "s0", Health: "leaving", StartedMS: 7}))
 		}, 100, false},
-		"gone": {func(b *connPool, _ *attempt) {
-			b.serverStates.apply(changed(ServerEntry{Host: "s0", Health: "left", StartedMS: 7}))
+		"gone": {func(p *connPool, _ *attempt) {
+			p.serverStates.apply(partialList(ServerEntry{Host: "s0", Health: "left", StartedMS: 7}))
 		}, 100, false},
-		"started anew": {func(b *connPool, _ *attempt) {
-			b.serverStates.apply(changed(ServerEntry{Host: "s0", Health: "active", StartedMS: 9}))
+		"started anew": {func(p *connPool, _ *attempt) {
+			p.serverStates.apply(partialList(ServerEntry{Host: "s0", Health: "active", StartedMS: 9}))
 		}, 100, false},
-		"another one drains": {func(b *connPool, _ *attempt) {
-			b.serverStates.apply(changed(ServerEntry{Host: "s1", Health: "leaving"}))
+		"another one drains": {func(p *connPool, _ *attempt) {
+			p.serverStates.apply(partialList(ServerEntry{Host: "s1", Health: "leaving"}))
 		}, 100, true},
-		"not on a whole list": {func(b *connPool, _ *attempt) {
-			b.serverStates.apply(ServerList{Seq: 3, Full: true, Entries: two.Entries[1:]})
+		"not on a whole list": {func(p *connPool, _ *attempt) {
+			p.serverStates.apply(ServerList{Seq: 3, Full: true, Entries: list.Entries[1:]})
 		}, 100, false},
-		"on a whole list anew": {func(b *connPool, _ *attempt) { b.serverStates.apply(two) }, 100, true},
+		"on a whole list anew": {func(p *connPool, _ *attempt) { p.serverStates.apply(list) }, 100, true},
 	} {
-		b := &connPool{}
-		b.serverStates.apply(two)
+		p := &connPool{}
+		p.serverStates.apply(list)
 		a := &attempt{call: &call{}, host: "s0", beginBy: 150, answerBy: 200}
-		tt.do(b, a)
-		if got := b.mayBegin(a, tt.now, 7); got != tt.want {
+		tt.change(p, a)
+		if got := p.mayBegin(a, tt.now, 7); got != tt.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -60,22 +60,22 @@
 // waits, at a pace, and goes once there is a connection.
 func TestOwnFaultsOfDials(t *testing.T) {
 	for _, fault := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH} {
-		runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
-			var dials atomic.Int32
-			h.setDialHook(func(int) error {
-				if dials.Add(1) <= 4 {
+		runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
+			var dialCount atomic.Int32
+			hooks.setDialHook(func(int) error {
+				if dialCount.Add(1) <= 4 {
 					return &net.OpError{Op: "dial", Err: fault}
 				}
 				return nil
 			})
-			from := time.Now()
-			got := sc.connect().roundTrip(strings.Replace(sc.getRequest(), "0.480", "1.900", 1))
-			c := sc.counters()
+			startedAt := time.Now()
+			got := h.connect().roundTrip(strings.Replace(h.getRequest(), "0.480", "1.900", 1))
+			c := h.counters()
 			if got.status != 200 || c.Sends != 1 || c.Outcomes[policy.NoConnection]+c.Outcomes[policy.NotSent] != 0 {
 				t.Errorf("%v: %+v, %+v", fault, got, c)
 			}
-			if n, took := dials.Load(), time.Since(from); n != 5 || took < 4*dialPause {
-				t.Errorf("%v: %d dials in %s", fault, n, took)
+			if n, elapsed := dialCount.Load(), time.Since(startedAt); n != 5 || elapsed < 4*dialPause {
+				t.Errorf("%v: %d dials in %s", fault, n, elapsed)
 			}
 		})
 	}
@@ -93,52 +93,52 @@
 // Where every connection that there may be is busy, who waits for one gets the next that
 // ends elsewhere, in the order in which they came; no disk server is blamed meanwhile.
 func TestWaitingForRoom(t *testing.T) {
-	const most = 3
-	var work [8]env.Gate
-	var disks []*standin.HTTPDisk
-	runSimulated(t, respondWith(ok200), func(sc *harness) {
+	const limit = 3
+	var gates [8]env.Gate
+	var diskServers []*standin.HTTPDisk
+	runSimulated(t, respondWith(ok200), func(h *harness) {
 		var entries []string
-		for i := range work {
-			d, err := standin.ServeHTTPDisk(sc.environment, func(standin.HTTPAsk) standin.HTTPAnswer {
-				work[i].Wait(sc.environment)
+		for i := range gates {
+			server, err := standin.ServeHTTPDisk(h.environment, func(standin.HTTPAsk) standin.HTTPAnswer {
+				gates[i].Wait(h.environment)
 				return standin.HTTPAnswer{Raw: []byte(strings.Replace(ok200, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))}
 			})
 			if err != nil {
 				panic(err)
 			}
-			disks = append(disks, d)
-			entries = append(entries, entryJSON(fmt.Sprintf("d%d", i), d.Addr, "active", i))
+			diskServers = append(diskServers, server)
+			entries = append(entries, entryJSON(fmt.Sprintf("d%d", i), server.Addr, "active", i))
 		}
-		c, err := ParseConfig([]byte(strings.Replace(testConfig(sc.schedulerAddr, sc.discovery.Addr, fullListJSON(7)), `"slots_total":2`, fmt.Sprintf(`"slots_total":%d`, len(work)), 1)), func(string) string { return "" })
+		config, err := ParseConfig([]byte(strings.Replace(testConfig(h.schedulerAddr, h.discovery.Addr, fullListJSON(7)), `"slots_total":2`, fmt.Sprintf(`"slots_total":%d`, len(gates)), 1)), func(string) string { return "" })
 		if err != nil {
 			panic(err)
 		}
-		sc.scheduler.Reload(c)
-		sc.scheduler.loop.post(sc.scheduler.loop.now(), eventReload, func(float64) { sc.scheduler.pool.maxConns = most })
-		sc.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":true,"hosts":[%s]}`, strings.Join(entries, ",")))
-		env.Sleep(sc.environment, 20*time.Millisecond, nil)
-		status := make([]int, len(work))
+		h.scheduler.Reload(config)
+		h.scheduler.loop.post(h.scheduler.loop.now(), eventReload, func(float64) { h.scheduler.pool.maxConns = limit })
+		h.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":true,"hosts":[%s]}`, strings.Join(entries, ",")))
+		env.Sleep(h.environment, 20*time.Millisecond, nil)
+		status := make([]int, len(gates))
 		var done env.WaitGroup
-		for i := range work {
-			raw := strings.Replace(sc.formatRequest("GET", "card-read", fmt.Sprintf("%016x", 0xa0+i), "1.900", ""), "shard=0", fmt.Sprintf("shard=%d", i), 1)
-			done.Go(sc.environment, func() { status[i] = sc.connect().roundTrip(raw).status })
-			env.Sleep(sc.environment, 5*time.Millisecond, nil)
+		for i := range gates {
+			rawRequest := strings.Replace(h.formatRequest("GET", "card-read", fmt.Sprintf("%016x", 0xa0+i), "1.900", ""), "shard=0", fmt.Sprintf("shard=%d", i), 1)
+			done.Go(h.environment, func() { status[i] = h.connect().roundTrip(rawRequest).status })
+			env.Sleep(h.environment, 5*time.Millisecond, nil)
 		}
-		for i := range work {
-			work[i].Open()
-			env.Sleep(sc.environment, 15*time.Millisecond, nil)
+		for i := range gates {
+			gates[i].Open()
+			env.Sleep(h.environment, 15*time.Millisecond, nil)
 		}
-		done.Wait(sc.environment)
-		for i, s := range status {
-			if s != 200 {
-				t.Errorf("request %d: %d", i, s)
+		done.Wait(h.environment)
+		for i, code := range status {
+			if code != 200 {
+				t.Errorf("request %d: %d", i, code)
 			}
 		}
-		if c := sc.scheduler.core.counters; c.Sends != uint64(len(work)) || c.Outcomes[policy.NoConnection]+c.Outcomes[policy.NotSent] != 0 {
+		if c := h.scheduler.core.counters; c.Sends != uint64(len(gates)) || c.Outcomes[policy.NoConnection]+c.Outcomes[policy.NotSent] != 0 {
 			t.Errorf("%+v", c)
 		}
-		for _, d := range disks {
-			d.Close()
+		for _, server := range diskServers {
+			server.Close()
 		}
 	})
 }
@@ -159,40 +159,40 @@
 
 // blockWrites holds up each request to the disk server just before it is written: reached opens
 // once one is there, and it goes on once gate is open.
-func (sc *harness) blockWrites(h *hookedEnv) (reached, gate *env.Gate) {
+func (h *harness) blockWrites(hooks *hookedEnv) (reached, gate *env.Gate) {
 	reached, gate = new(env.Gate), new(env.Gate)
-	sc.gates = append(sc.gates, gate)
-	h.mu.Lock()
-	h.wrapServerConn = func(c net.Conn) net.Conn { return &blockedWriteConn{c.(*net.TCPConn), reached, gate} }
-	h.mu.Unlock()
-	h.setDialHook(func(int) error { return nil })
+	h.gates = append(h.gates, gate)
+	hooks.mu.Lock()
+	hooks.wrapServerConn = func(conn net.Conn) net.Conn { return &blockedWriteConn{conn.(*net.TCPConn), reached, gate} }
+	hooks.mu.Unlock()
+	hooks.setDialHook(func(int) error { return nil })
 	return reached, gate
 }
 
 // What happens while the goroutine that writes is held up holds for its first byte: nothing
 // is sent for a client that left, to a disk server that drains, or too late to begin.
 func TestHeldUpBeforeTheFirstByte(t *testing.T) {
-	for name, happen := range map[string]func(sc *harness, p *testClient){
-		"client leaves": func(sc *harness, p *testClient) {
-			p.conn.Close()
-			sc.waitFor("its leaving was seen", func() bool { return sc.counters().Gone == 1 })
+	for name, change := range map[string]func(h *harness, p *testClient){
+		"client leaves": func(h *harness, client *testClient) {
+			client.conn.Close()
+			h.waitFor("its leaving was seen", func() bool { return h.counters().Gone == 1 })
 		},
-		"server drains": func(sc *harness, _ *testClient) {
-			sc.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", sc.diskServer.Addr, "leaving", 0)))
-			sc.waitFor("the list was read", func() bool { return !sc.scheduler.pool.serverStates.allows("s0", 0) })
+		"server drains": func(h *harness, _ *testClient) {
+			h.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", h.diskServer.Addr, "leaving", 0)))
+			h.waitFor("the list was read", func() bool { return !h.scheduler.pool.serverStates.allows("s0", 0) })
 		},
-		"time to begin is over": func(sc *harness, _ *testClient) { env.Sleep(sc.environment, 320*time.Millisecond, nil) },
+		"time to begin is over": func(h *harness, _ *testClient) { env.Sleep(h.environment, 320*time.Millisecond, nil) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
-				reached, gate := sc.blockWrites(h)
-				p := sc.connect()
-				fmt.Fprint(p.conn, sc.getRequest())
-				sc.waitFor("the write was reached", reached.Opened)
-				happen(sc, p)
+			runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
+				reached, gate := h.blockWrites(hooks)
+				client := h.connect()
+				fmt.Fprint(client.conn, h.getRequest())
+				h.waitFor("the write was reached", reached.Opened)
+				change(h, client)
 				gate.Open()
-				sc.waitFor("the attempt was taken back", func() bool { return sc.counters().Outcomes[policy.NotSent] > 0 })
-				if n := len(sc.diskServer.Asked()); n > 0 && name != "time to begin is over" {
+				h.waitFor("the attempt was taken back", func() bool { return h.counters().Outcomes[policy.NotSent] > 0 })
+				if n := len(h.diskServer.Asked()); n > 0 && name != "time to begin is over" {
 					t.Errorf("%d requests came to the disk server", n)
 				}
 			})
@@ -216,18 +216,18 @@
 
 // The time that a disk server is told is reckoned when it is written.
 func TestTheTimeToldIsThatOfTheWrite(t *testing.T) {
-	runOnSockets(t, longTimeouts.Replace, respondWith(ok200), func(sc *harness, h *hookedEnv) {
-		reached, gate := sc.blockWrites(h)
-		fmt.Fprint(sc.connect().conn, strings.Replace(sc.getRequest(), "0.480", "9.000", 1))
-		sc.waitFor("the write was reached", reached.Opened)
-		from := sc.environment.Now()
-		env.Sleep(sc.environment, 150*time.Millisecond, nil)
-		heldUp := sc.environment.Now() - from
+	runOnSockets(t, longTimeouts.Replace, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
+		reached, gate := h.blockWrites(hooks)
+		fmt.Fprint(h.connect().conn, strings.Replace(h.getRequest(), "0.480", "9.000", 1))
+		h.waitFor("the write was reached", reached.Opened)
+		startedAt := h.environment.Now()
+		env.Sleep(h.environment, 150*time.Millisecond, nil)
+		delay := h.environment.Now() - startedAt
 		gate.Open()
-		sc.waitFor("it came to the disk server", func() bool { return len(sc.diskServer.Asked()) > 0 })
-		told, err := time.ParseDuration(sc.diskServer.Asked()[0].Fields.Get("request-timeout") + "s")
-		if most := 9*time.Second - heldUp; err != nil || told > most {
-			t.Errorf("told %s, %s are left", told, most)
+		h.waitFor("it came to the disk server", func() bool { return len(h.diskServer.Asked()) > 0 })
+		timeout, err := time.ParseDuration(h.diskServer.Asked()[0].Fields.Get("request-timeout") + "s")
+		if limit := 9*time.Second - delay; err != nil || timeout > limit {
+			t.Errorf("told %s, %s are left", timeout, limit)
 		}
 	})
 }
@@ -241,7 +241,7 @@
 	k.scheduler = timerRecorder{k.scheduler, &fired}
 	due := l.now() + 2
 	k.perform(policy.SetTimer{Delay: due - k.now, Name: "test"})
-	var order []bool
+	var firedBefore []bool
 	l.post(l.now(), eventStop, func(float64) {
 		for l.now() < due {
 			runtime.Gosched()
@@ -249,14 +249,14 @@
 	})
 	var done env.Gate
 	l.post(l.now(), eventStop, func(float64) {
-		order = append(order, fired)
+		firedBefore = append(firedBefore, fired)
 		done.Open()
 	})
 	go l.run(k)
 	done.Wait(l.environment)
 	l.stop()
-	if len(order) != 1 || !order[0] {
-		t.Error("the second event came before the timer:", order)
+	if len(firedBefore) != 1 || !firedBefore[0] {
+		t.Error("the second event came before the timer:", firedBefore)
 	}
 }
 
@@ -266,35 +266,35 @@
 	fired *bool
 }
 
-func (f timerRecorder) Handle(now float64, ev policy.Event) []policy.Action {
+func (r timerRecorder) Handle(now float64, ev policy.Event) []policy.Action {
 	if t, ok := ev.(policy.TimerFired); ok && t.Name == "test" {
-		*f.fired = true
+		*r.fired = true
 		return nil
 	}
-	return f.Scheduler.Handle(now, ev)
+	return r.Scheduler.Handle(now, ev)
 }
 
 // A stop waits for the loop to give the last answers, also where it is held up past the time
 // that the program had: what ends the connections comes behind them.
 func TestTheLastAnswersComeBeforeTheEnd(t *testing.T) {
-	silent := func(standin.HTTPAsk) standin.HTTPAnswer { return standin.HTTPAnswer{} }
-	runSimulated(t, silent, func(sc *harness) {
-		p := sc.connect()
-		fmt.Fprint(p.conn, strings.Replace(sc.getRequest(), "0.480", "30", 1))
-		env.Sleep(sc.environment, 10*time.Millisecond, nil)
+	neverRespond := func(standin.HTTPAsk) standin.HTTPAnswer { return standin.HTTPAnswer{} }
+	runSimulated(t, neverRespond, func(h *harness) {
+		client := h.connect()
+		fmt.Fprint(client.conn, strings.Replace(h.getRequest(), "0.480", "30", 1))
+		env.Sleep(h.environment, 10*time.Millisecond, nil)
 		grace := gracePeriod(&Config{Settings: policy.Settings{Classes: []policy.Class{{Deadline: maxCountedDeadlineMS}}}})
-		sc.environment.Go(sc.scheduler.Drain)
-		env.Sleep(sc.environment, env.Duration(grace-answerLeadMS-5), nil)
+		h.environment.Go(h.scheduler.Drain)
+		env.Sleep(h.environment, env.Duration(grace-answerLeadMS-5), nil)
 		var gate env.Gate
-		sc.scheduler.loop.post(sc.scheduler.loop.now(), eventReload, func(float64) { gate.Wait(sc.environment) })
-		sc.environment.Go(func() {
-			env.Sleep(sc.environment, env.Duration(answerLeadMS), nil)
+		h.scheduler.loop.post(h.scheduler.loop.now(), eventReload, func(float64) { gate.Wait(h.environment) })
+		h.environment.Go(func() {
+			env.Sleep(h.environment, env.Duration(answerLeadMS), nil)
 			gate.Open()
 		})
-		if got := p.readResponse(sc.environment.Now()); got.status != 503 && got.status != 504 {
+		if got := client.readResponse(h.environment.Now()); got.status != 503 && got.status != 504 {
 			t.Errorf("%+v", got)
 		}
-		sc.scheduler.Wait()
-		sc.scheduler = sc.startScheduler(fullListJSON(7))
+		h.scheduler.Wait()
+		h.scheduler = h.startScheduler(fullListJSON(7))
 	})
 }
--- a/internal/control/scheduler/waitingattempts_test.go
+++ b/internal/control/scheduler/waitingattempts_test.go
@@ -16,29 +16,29 @@
 // A client that leaves while its attempt waits for a connection takes it along, however it
 // leaves and whatever it sent ahead.
 func TestNoAttemptAfterClientDisconnects(t *testing.T) {
-	for name, leave := range map[string]func(c *net.TCPConn){
-		"close":            func(c *net.TCPConn) { c.Close() },
-		"reset":            func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-		"half a close":     func(c *net.TCPConn) { c.CloseWrite() },
-		"behind a request": func(c *net.TCPConn) { io.WriteString(c, "GET /up HTTP/1.1\r\n\r\n"); c.Close() },
-		"behind half of one": func(c *net.TCPConn) {
-			io.WriteString(c, "GET /up HT")
-			c.Close()
+	for name, disconnect := range map[string]func(c *net.TCPConn){
+		"close":            func(conn *net.TCPConn) { conn.Close() },
+		"reset":            func(conn *net.TCPConn) { conn.SetLinger(0); conn.Close() },
+		"half a close":     func(conn *net.TCPConn) { conn.CloseWrite() },
+		"behind a request": func(conn *net.TCPConn) { io.WriteString(conn, "GET /up HTTP/1.1\r\n\r\n"); conn.Close() },
+		"behind half of one": func(conn *net.TCPConn) {
+			io.WriteString(conn, "GET /up HT")
+			conn.Close()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
-				came, release := sc.blockDials(h)
-				p := sc.connect()
-				defer p.conn.Close()
-				io.WriteString(p.conn, strings.Replace(sc.getRequest(), "0.480", "30", 1))
-				sc.waitFor("the dial", came)
-				leave(p.conn.(*net.TCPConn))
-				sc.waitFor("it is gone", sc.coreCondition(func(k *core) bool { return k.counters.Gone == 1 }))
-				sc.waitFor("its attempt is over", sc.coreCondition(func(k *core) bool { return k.counters.Outcomes[policy.NotSent] == 1 }))
+			runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
+				dialled, release := h.blockDials(hooks)
+				client := h.connect()
+				defer client.conn.Close()
+				io.WriteString(client.conn, strings.Replace(h.getRequest(), "0.480", "30", 1))
+				h.waitFor("the dial", dialled)
+				disconnect(client.conn.(*net.TCPConn))
+				h.waitFor("it is gone", h.coreCondition(func(k *core) bool { return k.counters.Gone == 1 }))
+				h.waitFor("its attempt is over", h.coreCondition(func(k *core) bool { return k.counters.Outcomes[policy.NotSent] == 1 }))
 				release()
-				sc.waitFor("all is over", allEndedAndDialled(sc))
-				if n := len(sc.diskServer.Asked()); n != 0 {
+				h.waitFor("all is over", quiescent(h))
+				if n := len(h.diskServer.Asked()); n != 0 {
 					t.Errorf("%d attempts for a client that had gone", n)
 				}
 			})
@@ -49,22 +49,22 @@
 // A client that has gone before its request is read is not served at all: its connection
 // waited to be accepted.
 func TestClientDisconnectsBeforeAccept(t *testing.T) {
-	runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
-		gate, at, closed := sc.newGate(), sc.newGate(), sc.newGate()
-		sc.setAcceptHook(h, func(c net.Conn) net.Conn {
-			at.Open()
-			gate.Wait(h)
-			return &closeNotifyConn{c.(*net.TCPConn), &env.Gate{}, closed}
+	runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
+		gate, reached, closed := h.newGate(), h.newGate(), h.newGate()
+		h.setAcceptHook(hooks, func(conn net.Conn) net.Conn {
+			reached.Open()
+			gate.Wait(hooks)
+			return &closeNotifyConn{conn.(*net.TCPConn), &env.Gate{}, closed}
 		})
-		p := sc.connect()
-		sc.waitFor("the hook", at.Opened)
-		io.WriteString(p.conn, sc.getRequest())
-		p.conn.Close()
+		client := h.connect()
+		h.waitFor("the hook", reached.Opened)
+		io.WriteString(client.conn, h.getRequest())
+		client.conn.Close()
 		gate.Open()
-		sc.waitFor("it is closed here", closed.Opened)
-		sc.waitFor("all is over", allEndedAndDialled(sc))
-		if n := len(sc.diskServer.Asked()); n != 0 || sc.counters().Taken != 0 {
-			t.Errorf("%d attempts, %+v", n, sc.counters())
+		h.waitFor("it is closed here", closed.Opened)
+		h.waitFor("all is over", quiescent(h))
+		if n := len(h.diskServer.Asked()); n != 0 || h.counters().Taken != 0 {
+			t.Errorf("%d attempts, %+v", n, h.counters())
 		}
 	})
 }
@@ -72,34 +72,34 @@
 // What waits for its connection is taken back when its disk server is told to leave, is
 // gone, or has started anew: it is decided again.
 func TestListChangeCancelsWaitingAttempts(t *testing.T) {
-	for name, change := range map[string]func(string) string{
-		"leaving": func(e string) string { return strings.Replace(e, "active", "leaving", 1) },
-		"left":    func(e string) string { return strings.Replace(e, "active", "left", 1) },
-		"restarted": func(e string) string {
-			return strings.Replace(e, `"born_ms":0`, fmt.Sprintf(`"born_ms":%d`, time.Now().UnixMilli()), 1)
+	for name, editEntry := range map[string]func(string) string{
+		"leaving": func(entry string) string { return strings.Replace(entry, "active", "leaving", 1) },
+		"left":    func(entry string) string { return strings.Replace(entry, "active", "left", 1) },
+		"restarted": func(entry string) string {
+			return strings.Replace(entry, `"born_ms":0`, fmt.Sprintf(`"born_ms":%d`, time.Now().UnixMilli()), 1)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
-				came, release := sc.blockDials(h)
-				p := sc.connect()
-				raw := strings.Replace(sc.getRequest(), "0.480", "1.900", 1)
-				io.WriteString(p.conn, raw)
-				sc.waitFor("the dial", came)
-				sc.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, change(entryJSON("s0", sc.diskServer.Addr, "active", 0))))
-				sc.waitFor("it is taken back", sc.coreCondition(func(k *core) bool { return k.counters.Outcomes[policy.NotSent] > 0 }))
+			runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
+				dialled, release := h.blockDials(hooks)
+				client := h.connect()
+				rawRequest := strings.Replace(h.getRequest(), "0.480", "1.900", 1)
+				io.WriteString(client.conn, rawRequest)
+				h.waitFor("the dial", dialled)
+				h.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, editEntry(entryJSON("s0", h.diskServer.Addr, "active", 0))))
+				h.waitFor("it is taken back", h.coreCondition(func(k *core) bool { return k.counters.Outcomes[policy.NotSent] > 0 }))
 				if name != "restarted" {
 					release()
-					sc.waitFor("the dial is over", sc.coreCondition(func(k *core) bool {
-						return len(sc.scheduler.pool.servers) == 0 || sc.scheduler.pool.servers["s0"].expectedConns == 0
+					h.waitFor("the dial is over", h.coreCondition(func(k *core) bool {
+						return len(h.scheduler.pool.servers) == 0 || h.scheduler.pool.servers["s0"].expectedConns == 0
 					}))
-					if got := p.readResponse(0); got.status != 503 || len(sc.diskServer.Asked()) != 0 {
-						t.Errorf("%+v, %d attempts", got, len(sc.diskServer.Asked()))
+					if got := client.readResponse(0); got.status != 503 || len(h.diskServer.Asked()) != 0 {
+						t.Errorf("%+v, %d attempts", got, len(h.diskServer.Asked()))
 					}
 					return
 				}
 				release() // it may go to the new process, as the module decides now
-				if got := p.readResponse(0); got.status != 200 {
+				if got := client.readResponse(0); got.status != 200 {
 					t.Errorf("%+v", got)
 				}
 			})
@@ -110,44 +110,44 @@
 // An attempt that waits for a connection to an address that is another's by then goes to
 // the one that its disk server has now.
 func TestAddressChangesDuringDial(t *testing.T) {
-	runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
-		other, err := standin.ServeHTTPDisk(h.Real, respondWith(ok200))
+	runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
+		newServer, err := standin.ServeHTTPDisk(hooks.Real, respondWith(ok200))
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer other.Close()
-		came, release := sc.blockDials(h)
-		p := sc.connect()
-		io.WriteString(p.conn, strings.Replace(sc.getRequest(), "0.480", "1.900", 1))
-		sc.waitFor("the dial", came)
-		sc.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", other.Addr, "active", 0)))
-		sc.waitFor("the list", sc.coreCondition(func(k *core) bool { return k.servers["s0"].Address == other.Addr }))
+		defer newServer.Close()
+		dialled, release := h.blockDials(hooks)
+		client := h.connect()
+		io.WriteString(client.conn, strings.Replace(h.getRequest(), "0.480", "1.900", 1))
+		h.waitFor("the dial", dialled)
+		h.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", newServer.Addr, "active", 0)))
+		h.waitFor("the list", h.coreCondition(func(k *core) bool { return k.servers["s0"].Address == newServer.Addr }))
 		release()
-		if got := p.readResponse(0); got.status != 200 || len(sc.diskServer.Asked()) != 0 || len(other.Asked()) != 1 {
-			t.Errorf("%+v, %d at the old address, %d at the new", got, len(sc.diskServer.Asked()), len(other.Asked()))
+		if got := client.readResponse(0); got.status != 200 || len(h.diskServer.Asked()) != 0 || len(newServer.Asked()) != 1 {
+			t.Errorf("%+v, %d at the old address, %d at the new", got, len(h.diskServer.Asked()), len(newServer.Asked()))
 		}
 	})
 }
 
 // Settings that leave out the times of connections get usual ones.
 func TestDefaultConnectionTimeouts(t *testing.T) {
-	bare := func(s string) string {
-		return strings.Replace(s, `"dial_timeout_ms":250,"conn_idle_ms":30000`, `"x":0`, 1)
+	removeTimeouts := func(config string) string {
+		return strings.Replace(config, `"dial_timeout_ms":250,"conn_idle_ms":30000`, `"x":0`, 1)
 	}
-	runOnSockets(t, bare, respondWith(ok200), func(sc *harness, h *hookedEnv) {
-		p := sc.connect()
+	runOnSockets(t, removeTimeouts, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
+		client := h.connect()
 		for range 3 {
-			if got := p.roundTrip(sc.getRequest()); got.status != 200 {
+			if got := client.roundTrip(h.getRequest()); got.status != 200 {
 				t.Error(got)
 			}
-			sc.waitFor("the connection is free", sc.coreCondition(func(*core) bool { return len(sc.scheduler.pool.servers["s0"].idle) == 1 }))
+			h.waitFor("the connection is free", h.coreCondition(func(*core) bool { return len(h.scheduler.pool.servers["s0"].idle) == 1 }))
 		}
-		if asked := sc.diskServer.Asked(); asked[len(asked)-1].Conn != 0 {
+		if requests := h.diskServer.Asked(); requests[len(requests)-1].Conn != 0 {
 			t.Error("a connection was not used again")
 		}
-		sc.onLoop(func() {
-			if b := sc.scheduler.pool; b.dialTimeout != defaultDialTimeout || b.maxIdle != defaultConnIdle*idleKeepFraction {
-				t.Error(b.dialTimeout, b.idleConns)
+		h.onLoop(func() {
+			if p := h.scheduler.pool; p.dialTimeout != defaultDialTimeout || p.maxIdle != defaultConnIdle*idleKeepFraction {
+				t.Error(p.dialTimeout, p.idleConns)
 			}
 		})
 	})
@@ -156,32 +156,32 @@
 // A repeat that waits for its connection past the time in which repeats are dropped does
 // not begin.
 func TestRetryIsNotSentAfterItsKeyExpired(t *testing.T) {
-	short := func(s string) string {
-		s = strings.Replace(s, `"key_ttl_ms":6000`, `"key_ttl_ms":150`, 1)
-		return strings.Replace(s, `"dial_timeout_ms":250`, `"dial_timeout_ms":3000`, 1)
+	shortenKeyTTL := func(config string) string {
+		config = strings.Replace(config, `"key_ttl_ms":6000`, `"key_ttl_ms":150`, 1)
+		return strings.Replace(config, `"dial_timeout_ms":250`, `"dial_timeout_ms":3000`, 1)
 	}
-	do := func(a standin.HTTPAsk) standin.HTTPAnswer { return standin.HTTPAnswer{Reset: true} }
-	runOnSockets(t, short, do, func(sc *harness, h *hookedEnv) {
-		second, gate := sc.newGate(), sc.newGate()
-		h.setDialHook(func(n int) error {
+	respond := func(request standin.HTTPAsk) standin.HTTPAnswer { return standin.HTTPAnswer{Reset: true} }
+	runOnSockets(t, shortenKeyTTL, respond, func(h *harness, hooks *hookedEnv) {
+		secondDial, gate := h.newGate(), h.newGate()
+		hooks.setDialHook(func(n int) error {
 			if n > 0 { // the first goes
-				second.Open()
-				gate.Wait(h)
+				secondDial.Open()
+				gate.Wait(hooks)
 			}
 			return nil
 		})
-		p := sc.connect()
-		io.WriteString(p.conn, sc.formatRequest("PUT", "txn-write", "00000000000000aa", "1.900", "x", "Idempotency-Key: k1\r\n"))
-		sc.waitFor("the repeat's dial", second.Opened)
-		until := 0.0
-		sc.onLoop(func() { until = sc.scheduler.core.calls["00000000000000aa"].req.Expires - 1900 + 160 })
-		sc.waitFor("its window is over", func() bool { return sc.scheduler.loop.now() > until })
+		client := h.connect()
+		io.WriteString(client.conn, h.formatRequest("PUT", "txn-write", "00000000000000aa", "1.900", "x", "Idempotency-Key: k1\r\n"))
+		h.waitFor("the repeat's dial", secondDial.Opened)
+		windowEnd := 0.0
+		h.onLoop(func() { windowEnd = h.scheduler.core.calls["00000000000000aa"].req.Expires - 1900 + 160 })
+		h.waitFor("its window is over", func() bool { return h.scheduler.loop.now() > windowEnd })
 		gate.Open()
-		if got := p.readResponse(0); got.status != 504 {
+		if got := client.readResponse(0); got.status != 504 {
 			t.Errorf("%+v", got)
 		}
-		sc.waitFor("all is over", allEndedAndDialled(sc))
-		if n := len(sc.diskServer.Asked()); n != 1 {
+		h.waitFor("all is over", quiescent(h))
+		if n := len(h.diskServer.Asked()); n != 1 {
 			t.Errorf("sent %d times", n)
 		}
 	})
@@ -189,11 +189,11 @@
 
 // An attempt for a host that no list names is over at once: nothing left this machine.
 func TestAttemptForUnknownHost(t *testing.T) {
-	runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
-		sc.onLoop(func() { delete(sc.scheduler.pool.servers, "s0") })
-		got := sc.connect().roundTrip(sc.getRequest())
-		if got.status != 503 || sc.counters().Outcomes[policy.NotSent] == 0 || sc.counters().Outcomes[policy.NoConnection] > 0 {
-			t.Errorf("%+v, %+v", got, sc.counters())
+	runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
+		h.onLoop(func() { delete(h.scheduler.pool.servers, "s0") })
+		got := h.connect().roundTrip(h.getRequest())
+		if got.status != 503 || h.counters().Outcomes[policy.NotSent] == 0 || h.counters().Outcomes[policy.NoConnection] > 0 {
+			t.Errorf("%+v, %+v", got, h.counters())
 		}
 	})
 }
