--- a/cmd/merlinhitch/announce.go
+++ b/cmd/merlinhitch/announce.go
@@ -33,8 +33,8 @@
 	fmt.Fprintln(table, "GROUP\tLEVEL\tFOR\tREASON\tMAY RISE IN\tPREFIXES")
 	for _, group := range routes.Groups {
 		riseDelay := "-"
-		if group.UpIn != nil {
-			riseDelay = formatMS(max(*group.UpIn, 0))
+		if group.RiseIn != nil {
+			riseDelay = formatMS(max(*group.RiseIn, 0))
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%v\n", group.Group, group.Level, formatMS(group.ForMS), group.Reason, riseDelay, group.Prefixes)
 	}
--- a/cmd/merlinhitch/serve.go
+++ b/cmd/merlinhitch/serve.go
@@ -77,7 +77,7 @@
 		}
 	}
 	if c.KeyFile != "" {
-		if cfg.Key, err = settings.ReadKey(c.KeyFile); err != nil {
+		if cfg.SettingsKey, err = settings.ReadKey(c.KeyFile); err != nil {
 			return cfg, err
 		}
 	}
@@ -90,12 +90,12 @@
 		cfg.RouterID = binary.BigEndian.Uint32(idBytes[:])
 	}
 	if c.Hop4 != "" {
-		if cfg.Hop4, err = netip.ParseAddr(c.Hop4); err != nil || !cfg.Hop4.Is4() {
+		if cfg.NextHop4, err = netip.ParseAddr(c.Hop4); err != nil || !cfg.NextHop4.Is4() {
 			return cfg, fmt.Errorf("gateway: next hop %q is not an IPv4 address", c.Hop4)
 		}
 	}
 	if c.Hop6 != "" {
-		if cfg.Hop6, err = netip.ParseAddr(c.Hop6); err != nil || !cfg.Hop6.Is6() {
+		if cfg.NextHop6, err = netip.ParseAddr(c.Hop6); err != nil || !cfg.NextHop6.Is6() {
 			return cfg, fmt.Errorf("gateway: next hop %q is not an IPv6 address", c.Hop6)
 		}
 	}
--- a/internal/control/gateway/adminauth.go
+++ b/internal/control/gateway/adminauth.go
@@ -27,7 +27,7 @@
 // withSocketUser notes the user at the other end of a Unix socket.
 func withSocketUser(ctx context.Context, c net.Conn) context.Context {
 	if conn, ok := c.(*net.UnixConn); ok {
-		uid, known := peerUser(conn)
+		uid, known := peerUID(conn)
 		return context.WithValue(ctx, socketUserKey{}, socketUser{uid, known})
 	}
 	return ctx
--- a/internal/control/gateway/announcer.go
+++ b/internal/control/gateway/announcer.go
@@ -21,41 +21,41 @@
 // decides to the speaker. It asks the host core for a sign of life and never waits
 // for it, so a core that hangs is seen.
 type announcer struct {
-	cfg     Config
-	host    *host
-	list    *inventory.Client
-	log     *zap.Logger
-	speaker *bgp.Speaker
-	stopped env.Gate
-	done    env.Gate
+	config          Config
+	host            *host
+	inventoryClient *inventory.Client
+	log             *zap.Logger
+	speaker         *bgp.Speaker
+	stopped         env.Gate
+	done            env.Gate
 
-	mu      sync.Mutex
-	core    *announce.Core
-	set     *settings.Settings
-	groups  map[string][]netip.Prefix
-	needed  map[int]bool // shards of any group
-	asked   bool         // the host core was asked and has not answered yet
-	beat    float64
-	nodes   map[string]int // ready nodes, with their shards
-	listed  bool
-	probeAt time.Duration
-	levels  map[string]announce.Level
+	mu               sync.Mutex
+	core             *announce.Core
+	settings         *settings.Settings
+	prefixes         map[string][]netip.Prefix
+	announcedShards  map[int]bool // shards of any group
+	heartbeatPending bool         // the host core was asked and has not answered yet
+	lastHeartbeat    float64
+	readyNodes       map[string]int // ready nodes, with their shards
+	listReceived     bool
+	nextProbeAt      time.Duration
+	levels           map[string]announce.Level
 }
 
-// lookEvery is how often the announcer looks; with the time for an answer it bounds
+// evaluateInterval is how often the announcer looks; with the time for an answer it bounds
 // how late a loss is seen.
-const lookEvery = 40 * time.Millisecond
+const evaluateInterval = 40 * time.Millisecond
 
 // Times for what settings leave open, ms.
 const (
-	probeEvery = 150
-	answerTime = 500
-	moveTime   = 2000
+	defaultProbeIntervalMS = 150
+	defaultAnswerTimeoutMS = 500
+	defaultMoveTimeMS      = 2000
 )
 
 func newAnnouncer(cfg Config, s *settings.Settings, h *host, list *inventory.Client) (*announcer, error) {
-	a := &announcer{cfg: cfg, host: h, list: list, log: cfg.Log, core: announce.New(announce.DefaultConfig),
-		nodes: map[string]int{}, levels: map[string]announce.Level{}}
+	a := &announcer{config: cfg, host: h, inventoryClient: list, log: cfg.Log, core: announce.New(announce.DefaultConfig),
+		readyNodes: map[string]int{}, levels: map[string]announce.Level{}}
 	var peers []bgp.Neighbour
 	for i := range s.Announce.Routers {
 		r := &s.Announce.Routers[i]
@@ -65,18 +65,18 @@
 		times := bgp.DefaultTimes
 		times.Hold = s.Announce.HoldTime
 		peers = append(peers, bgp.Neighbour{Addr: r.Addr, PeerConfig: bgp.PeerConfig{Name: r.Name, LocalAS: s.Announce.AS, PeerAS: r.AS, ID: cfg.RouterID,
-			Passive: r.Passive, Families: []bgp.Family{bgp.IPv4, bgp.IPv6}, Hop4: cfg.Hop4, Hop6: cfg.Hop6, Times: times}})
+			Passive: r.Passive, Families: []bgp.Family{bgp.IPv4, bgp.IPv6}, Hop4: cfg.NextHop4, Hop6: cfg.NextHop6, Times: times}})
 	}
 	var err error
 	if a.speaker, err = bgp.StartSpeaker(cfg.Environment, cfg.Log, cfg.BGPListen, peers); err != nil {
 		return nil, err
 	}
-	a.apply(s)
+	a.applySettings(s)
 	cfg.Environment.Go(a.run)
 	return a, nil
 }
 
-func orElse(v, other float64) float64 {
+func valueOr(v, other float64) float64 {
 	if v == 0 {
 		return other
 	}
@@ -85,21 +85,21 @@
 
 func announceConfig(a *settings.Announce) announce.Config {
 	d := announce.DefaultConfig
-	return announce.Config{Steady: orElse(a.Steady, d.Steady), SteadyMost: orElse(a.SteadyMost, d.SteadyMost), ResortMost: orElse(a.ResortMost, d.ResortMost),
-		HalfLife: orElse(a.HalfLife, d.HalfLife), ListBound: orElse(a.ListBound, d.ListBound), BeatBound: orElse(a.BeatBound, d.BeatBound)}
+	return announce.Config{Steady: valueOr(a.Steady, d.Steady), SteadyMost: valueOr(a.SteadyMost, d.SteadyMost), ResortMost: valueOr(a.ResortMost, d.ResortMost),
+		HalfLife: valueOr(a.HalfLife, d.HalfLife), ListBound: valueOr(a.ListBound, d.ListBound), BeatBound: valueOr(a.BeatBound, d.BeatBound)}
 }
 
-// apply takes settings: their groups and times. Routers are those of the start.
-func (a *announcer) apply(s *settings.Settings) {
+// applySettings takes settings: their groups and times. Routers are those of the start.
+func (a *announcer) applySettings(s *settings.Settings) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if s.Announce == nil {
 		s = &settings.Settings{Announce: &settings.Announce{}} // nothing is announced any more
 	}
-	a.set, a.groups, a.needed = s, map[string][]netip.Prefix{}, map[int]bool{}
+	a.settings, a.prefixes, a.announcedShards = s, map[string][]netip.Prefix{}, map[int]bool{}
 	at := map[string]*settings.Volume{}
 	for i := range s.Volumes {
-		if v := &s.Volumes[i]; slices.Contains(v.Hosts, a.cfg.Self) {
+		if v := &s.Volumes[i]; slices.Contains(v.Hosts, a.config.Self) {
 			at[v.Name] = v
 		}
 	}
@@ -114,85 +114,85 @@
 		slices.Sort(k.Shards)
 		k.Shards = slices.Compact(k.Shards)
 		for _, sh := range k.Shards {
-			a.needed[sh] = true
+			a.announcedShards[sh] = true
 		}
 		for _, p := range g.Prefixes {
-			a.groups[g.Name] = append(a.groups[g.Name], netip.MustParsePrefix(p)) // checked with the settings
+			a.prefixes[g.Name] = append(a.prefixes[g.Name], netip.MustParsePrefix(p)) // checked with the settings
 		}
 		list = append(list, k)
 	}
-	now := env.MS(a.cfg.Environment.Now())
+	now := env.MS(a.config.Environment.Now())
 	a.core.Configure(now, announceConfig(s.Announce))
 	a.core.Groups(now, list)
-	a.tell()
+	a.publish()
 }
 
 func (a *announcer) run() {
 	defer a.done.Open()
-	for env.Sleep(a.cfg.Environment, lookEvery, &a.stopped) {
-		a.look()
+	for env.Sleep(a.config.Environment, evaluateInterval, &a.stopped) {
+		a.evaluate()
 	}
 }
 
-// look gathers what there is to know, and decides.
-func (a *announcer) look() {
+// evaluate gathers what there is to know, and decides.
+func (a *announcer) evaluate() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	w := a.cfg.Environment
+	w := a.config.Environment
 	now := w.Now()
-	if !a.asked {
-		a.asked = true
-		a.host.post(event{kind: eventRun, run: a.heard})
+	if !a.heartbeatPending {
+		a.heartbeatPending = true
+		a.host.post(event{kind: eventRun, run: a.recordHeartbeat})
 	}
-	if now >= a.probeAt {
-		a.probeAt = now + env.Duration(orElse(a.set.Announce.ProbeEvery, probeEvery))
-		for addr, shard := range a.nodes {
-			if a.needed[shard] {
+	if now >= a.nextProbeAt {
+		a.nextProbeAt = now + env.Duration(valueOr(a.settings.Announce.ProbeEvery, defaultProbeIntervalMS))
+		for addr, shard := range a.readyNodes {
+			if a.announcedShards[shard] {
 				a.host.pool.probe(addr)
 			}
 		}
 	}
 	ms := env.MS(now)
 	answers, ready := map[int]bool{}, map[int]bool{}
-	for addr, shard := range a.nodes {
+	for addr, shard := range a.readyNodes {
 		ready[shard] = true
-		if at, open := a.host.pool.lastRead(addr); open && env.MS(now-at) <= orElse(a.set.Announce.AnswerTime, answerTime) {
+		if at, open := a.host.pool.lastRead(addr); open && env.MS(now-at) <= valueOr(a.settings.Announce.AnswerTime, defaultAnswerTimeoutMS) {
 			answers[shard] = true
 		}
 	}
-	if a.listed {
+	if a.listReceived {
 		a.core.List(ms, ready)
 	}
-	if since, lost := a.list.Lost(); lost {
+	if since, lost := a.inventoryClient.Lost(); lost {
 		a.core.ListLost(env.MS(since))
 	}
-	a.core.Beat(ms, a.beat)
+	a.core.Beat(ms, a.lastHeartbeat)
 	a.core.Answers(ms, answers)
-	a.tell()
+	a.publish()
 }
 
-// heard is the host core's sign of life, on its goroutine; it brings the nodes.
-func (a *announcer) heard(c *core) {
+// recordHeartbeat is the host core's sign of life, on its goroutine; it brings the nodes.
+func (a *announcer) recordHeartbeat(c *core) {
 	nodes := make(map[string]int, len(c.nodes))
 	for addr, n := range c.nodes {
-		if c.healthOf(n) == policy.Ready {
+		if c.effectiveHealth(n) == policy.Ready {
 			nodes[addr] = n.Shard
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.asked, a.beat, a.nodes, a.listed = false, env.MS(a.cfg.Environment.Now()), nodes, c.listSeen
+	a.heartbeatPending, a.lastHeartbeat, a.readyNodes, a.listReceived = false, env.MS(a.config.Environment.Now()), nodes, c.listSeen
 }
 
 // Paths of the levels: a last resort is behind any other in each way that routers
 // compare.
 var (
-	fullPath   = bgp.Path{MED: 100}
-	resortPath = bgp.Path{MED: 1000, Prepend: 3, Shutdown: true}
+	fullPath       = bgp.Path{MED: 100}
+	lastResortPath = bgp.Path{MED: 1000, Prepend: 3, Shutdown: true}
 )
 
-// tell hands what is decided to the speaker. Held: mu.
-func (a *announcer) tell() {
+// publish hands what is decided to the speaker. Held: mu.
+func (a *announcer) publish() {
 	var routes []bgp.Route
 	levels := map[string]announce.Level{}
 	for _, s := range a.core.States() {
@@ -205,9 +205,9 @@
 		}
 		path := fullPath
 		if s.Level == announce.LastResort {
-			path = resortPath
+			path = lastResortPath
 		}
-		for _, p := range a.groups[s.Group] {
+		for _, p := range a.prefixes[s.Group] {
 			routes = append(routes, bgp.Route{Prefix: p, Path: path})
 		}
 	}
@@ -215,23 +215,23 @@
 	a.speaker.Set(routes)
 }
 
-// stop brings a phase of a graceful stop, and tells it at once.
-func (a *announcer) stop(p announce.StopPhase) {
+// setStopPhase brings a phase of a graceful setStopPhase, and tells it at once.
+func (a *announcer) setStopPhase(p announce.StopPhase) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.core.Stop(env.MS(a.cfg.Environment.Now()), p)
-	a.tell()
+	a.core.Stop(env.MS(a.config.Environment.Now()), p)
+	a.publish()
 }
 
-// leave is the first part of a graceful stop: clients are asked to go elsewhere, get
+// drainClients is the first part of a graceful stop: clients are asked to go elsewhere, get
 // so long for it as the settings say, and then find no way here any more.
-func (a *announcer) leave(wait func(time.Duration)) {
-	a.stop(announce.Leaving)
+func (a *announcer) drainClients(wait func(time.Duration)) {
+	a.setStopPhase(announce.Leaving)
 	a.mu.Lock()
-	most := orElse(a.set.Announce.MoveTime, moveTime)
+	most := valueOr(a.settings.Announce.MoveTime, defaultMoveTimeMS)
 	a.mu.Unlock()
 	wait(env.Duration(most))
-	a.stop(announce.Left)
+	a.setStopPhase(announce.Left)
 }
 
 // close ends the announcer; with a text in peace, without one at once.
@@ -242,7 +242,7 @@
 	} else {
 		a.speaker.Close(text)
 	}
-	a.done.Wait(a.cfg.Environment)
+	a.done.Wait(a.config.Environment)
 }
 
 // Routes is what operators see of the announcements.
@@ -257,19 +257,19 @@
 	Level    string         `json:"level"`
 	Prefixes []netip.Prefix `json:"prefixes"`
 	ForMS    float64        `json:"for_ms"` // at this level
-	// UpIn is the time until the level may rise, ms; absent where nothing now known
+	// RiseIn is the time until the level may rise, ms; absent where nothing now known
 	// would let it.
-	UpIn *float64 `json:"up_in_ms,omitempty"`
+	RiseIn *float64 `json:"up_in_ms,omitempty"`
 }
 
 func (a *announcer) routes() Routes {
 	a.mu.Lock()
-	now := env.MS(a.cfg.Environment.Now())
+	now := env.MS(a.config.Environment.Now())
 	var out Routes
 	for _, s := range a.core.States() {
-		g := GroupRoutes{State: s, Level: s.Level.String(), Prefixes: a.groups[s.Group], ForMS: now - s.Since}
+		g := GroupRoutes{State: s, Level: s.Level.String(), Prefixes: a.prefixes[s.Group], ForMS: now - s.Since}
 		if up := s.Up - now; up < 1e12 {
-			g.UpIn = &up
+			g.RiseIn = &up
 		}
 		out.Groups = append(out.Groups, g)
 	}
--- a/internal/control/gateway/announcer_test.go
+++ b/internal/control/gateway/announcer_test.go
@@ -221,7 +221,7 @@
 	}
 	t.Cleanup(d.Kill)
 	v.ChangeNow(func(b *inventory.Book) { b.Set(inventory.Node{Addr: d.Addr, Health: inventory.Ready, Weight: 1}, 0) })
-	gate, err := gateway.Start(gateway.Config{Environment: w, Name: "h0", Listen: "127.0.0.1:0", Inventory: v.Addr, RouterID: 1, Hop4: netip.AddrFrom4([4]byte{127, 0, 0, 1})})
+	gate, err := gateway.Start(gateway.Config{Environment: w, Name: "h0", Listen: "127.0.0.1:0", Inventory: v.Addr, RouterID: 1, NextHop4: netip.AddrFrom4([4]byte{127, 0, 0, 1})})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/gateway/command.go
+++ b/internal/control/gateway/command.go
@@ -35,19 +35,19 @@
 	class         *settings.Class
 	fence         uint64 // version of the reservations that it was judged by
 	fenceOutdated bool   // a disk server knows a later one
-	waitingAbort  *abortion
+	waitingAbort  *abortWait
 	aborted       bool
 	unsentAborted bool
 }
 
 // handleCommand turns a command with all its data into requests. Held: conn.mu.
 func (c *conn) handleCommand(t *iscsi.Task) {
-	if c.attention != nil && scsi.TakesAttention(t.CDB) {
-		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: c.attention.Fixed()})
-		c.attention = nil
+	if c.unitAttention != nil && scsi.TakesAttention(t.CDB) {
+		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: c.unitAttention.Fixed()})
+		c.unitAttention = nil
 		return
 	}
-	v := c.front.view.Load()
+	v := c.frontend.settings.Load()
 	var disk *scsi.Disk
 	if u := c.currentUnit(v); t.LUN == 0 && u != nil {
 		disk = u.disk
@@ -69,26 +69,26 @@
 }
 
 // flushPermitted tells whether a flush needs no look at the reservations.
-func (c *conn) flushPermitted(v *view) bool {
-	_, ok := c.front.keeper.check(c.currentUnit(v).vol.Name, c.nexus(), true)
+func (c *conn) flushPermitted(v *activeSettings) bool {
+	_, ok := c.frontend.keeper.check(c.currentUnit(v).volume.Name, c.nexus(), true)
 	return ok
 }
 
 // currentUnit is the session's unit as settings have it, nil if they have it here no more: its
 // commands are then answered as those of a unit that there isn't, while what was taken
 // before ends as it would have.
-func (c *conn) currentUnit(v *view) *unit { return v.targets[c.key.target] }
+func (c *conn) currentUnit(v *activeSettings) *logicalUnit { return v.unitsByTarget[c.key.target] }
 
 // currentOrLoginUnit is the session's unit as settings have it or, if they don't, as they had it at its
 // login: for what was begun before.
-func (c *conn) currentOrLoginUnit(v *view) *unit {
+func (c *conn) currentOrLoginUnit(v *activeSettings) *logicalUnit {
 	if u := c.currentUnit(v); u != nil {
 		return u
 	}
-	return c.unit
+	return c.logicalUnit
 }
 
-func (c *conn) respond(t *iscsi.Task, a iscsi.Answer) { c.sess.Respond(t, a) }
+func (c *conn) respond(t *iscsi.Task, a iscsi.Answer) { c.session.Respond(t, a) }
 
 // startCommand hands the command's parts to the host core. Held: conn.mu.
 func (c *conn) startCommand(t *iscsi.Task, decoded scsi.Outcome) {
@@ -100,39 +100,39 @@
 // submit hands them over under the settings in force, or answers the command itself. It
 // returns a volume and a class where the reservations must be looked at first.
 func (c *conn) submit(t *iscsi.Task, decoded scsi.Outcome) (*settings.Volume, *settings.Class) {
-	f := c.front
-	f.taking.RLock()
-	defer f.taking.RUnlock()
-	v, io := f.view.Load(), decoded.IO
+	f := c.frontend
+	f.settingsMu.RLock()
+	defer f.settingsMu.RUnlock()
+	v, io := f.settings.Load(), decoded.IO
 	u := c.currentUnit(v)
 	if u == nil {
 		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.NoSuchLUN.Fixed()})
 		return nil, nil
 	}
-	size := int(io.Blocks) * u.vol.BlockSize
+	size := int(io.Blocks) * u.volume.BlockSize
 	if io.Op == scsi.Unmap {
 		size = 0
 	}
-	class := v.Class(io.Op, size, u.vol.Plan)
+	class := v.Class(io.Op, size, u.volume.Plan)
 	if class == nil {
 		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.InvalidField.Fixed()})
 		return nil, nil
 	}
-	fence, permitted := f.keeper.check(u.vol.Name, c.nexus(), io.Op.Writes() || io.Op == scsi.Flush)
+	fence, permitted := f.keeper.check(u.volume.Name, c.nexus(), io.Op.Writes() || io.Op == scsi.Flush)
 	if !permitted {
-		return u.vol, class
+		return u.volume, class
 	}
-	cmd := &command{conn: c, task: t, blockSize: u.vol.BlockSize, decoded: decoded, class: class, fence: fence}
+	cmd := &command{conn: c, task: t, blockSize: u.volume.BlockSize, decoded: decoded, class: class, fence: fence}
 	if io.Op == scsi.Read {
 		cmd.reservedBytes = size
 	}
-	if !f.host.leaseValid() || int(f.open.Load()) >= v.Limits.MaxOpen || !f.reserve(cmd.reservedBytes) {
+	if !f.host.leaseValid() || int(f.openRequests.Load()) >= v.Limits.MaxOpen || !f.reserveMemory(cmd.reservedBytes) {
 		c.respond(t, iscsi.Answer{Status: scsi.Busy}) // not taken: nothing was sent
 		return nil, nil
 	}
-	cmd.split(v, u.vol, class, io)
+	cmd.split(v, u.volume, class, io)
 	t.User = cmd
-	f.open.Add(int64(len(cmd.jobs)))
+	f.openRequests.Add(int64(len(cmd.jobs)))
 	for _, j := range cmd.jobs {
 		f.host.post(event{kind: eventSubmit, job: j})
 	}
@@ -140,7 +140,7 @@
 }
 
 // split makes one request for each run of blocks on one shard.
-func (cmd *command) split(v *view, vol *settings.Volume, class *settings.Class, io *scsi.IO) {
+func (cmd *command) split(v *activeSettings, vol *settings.Volume, class *settings.Class, io *scsi.IO) {
 	if io.Op == scsi.Unmap {
 		cmd.splitUnmap(v, vol, class, io)
 		return
@@ -165,7 +165,7 @@
 }
 
 // splitUnmap gathers the runs of each shard into one request.
-func (cmd *command) splitUnmap(v *view, vol *settings.Volume, class *settings.Class, io *scsi.IO) {
+func (cmd *command) splitUnmap(v *activeSettings, vol *settings.Volume, class *settings.Class, io *scsi.IO) {
 	byShard := map[int]*job{}
 	for _, r := range io.Unmaps {
 		for p := range vol.Parts(r.LBA, r.Blocks) {
@@ -182,7 +182,7 @@
 const maxRunsPerRequest = 64 // of one frame
 
 // addJob makes one part's request.
-func (cmd *command) addJob(v *view, vol *settings.Volume, class *settings.Class, op scsi.Op, shard int, extent uint64, size int) *job {
+func (cmd *command) addJob(v *activeSettings, vol *settings.Volume, class *settings.Class, op scsi.Op, shard int, extent uint64, size int) *job {
 	c := cmd.conn
 	key := vol.Key(extent)
 	units := v.Units(size)
@@ -194,11 +194,11 @@
 	}
 	j.owner = cmd
 	j.req = policy.Request{Class: class.Name, Plan: vol.Plan, Volume: vol.Name, Shard: shard, Units: units,
-		Key: key, Hosts: v.hosts[vol.Name], Write: op.Writes(), Expires: cmd.task.At + class.Deadline}
-	j.message = diskproto.Do{Op: byte(op), Effect: diskEffects[class.Effect], Shard: uint32(shard), Host: c.front.host.pool.hostID,
+		Key: key, Hosts: v.hostCounts[vol.Name], Write: op.Writes(), Expires: cmd.task.At + class.Deadline}
+	j.message = diskproto.Do{Op: byte(op), Effect: diskEffects[class.Effect], Shard: uint32(shard), Host: c.frontend.host.pool.hostID,
 		Origin: uint64(c.tsih)<<32 | uint64(cmd.task.ITT), Fence: cmd.fence, Units: units, Plan: vol.Plan, Volume: vol.Name, Key: key}
 	if faultinject.Active(faultinject.KeyForgotten) {
-		j.req.Key += fmt.Sprint(c.front.open.Load())
+		j.req.Key += fmt.Sprint(c.frontend.openRequests.Load())
 	}
 	cmd.jobs = append(cmd.jobs, j)
 	cmd.unfinished++
@@ -210,8 +210,8 @@
 
 // abandon ends the command from the client's side; g, if any, hears when nothing
 // of it can take effect any more. Held: conn.mu.
-func (cmd *command) abandon(g *abortion) {
-	cmd.conn.front.host.post(event{kind: eventRun, run: func(h *core) {
+func (cmd *command) abandon(g *abortWait) {
+	cmd.conn.frontend.host.post(event{kind: eventRun, run: func(h *core) {
 		cmd.waitingAbort, cmd.aborted = g, true
 		for _, j := range cmd.jobs {
 			h.abort(h.now, j)
@@ -224,7 +224,7 @@
 
 // jobEnded is the end of one part. On the host's goroutine.
 func (cmd *command) jobEnded(j *job, outcome jobOutcome, retryAfter float64, answer *diskproto.Answer) {
-	cmd.conn.front.open.Add(-1)
+	cmd.conn.frontend.openRequests.Add(-1)
 	cmd.unfinished--
 	if j.abortedUnsent {
 		outcome = jobRefused // it was never sent
@@ -256,7 +256,7 @@
 		return
 	}
 	cmd.unsentAborted = true
-	cmd.conn.front.host.post(event{kind: eventRun, run: func(h *core) {
+	cmd.conn.frontend.host.post(event{kind: eventRun, run: func(h *core) {
 		for _, j := range cmd.jobs {
 			if j.attempts == 0 && !j.ended {
 				j.abortedUnsent = true
@@ -287,17 +287,17 @@
 // that nothing ran, which a served part of a write would belie.
 func (cmd *command) complete() {
 	c := cmd.conn
-	c.front.release(cmd.reservedBytes)
+	c.frontend.releaseMemory(cmd.reservedBytes)
 	if cmd.worstOutcome == jobAborted {
-		c.front.host.putBuffer(cmd.dataBuffer)
+		c.frontend.host.putBuffer(cmd.dataBuffer)
 		return
 	}
 	completed := completion{cmd, cmd.response(), cmd.dataBuffer, cmd.fenceOutdated && cmd.worstOutcome == jobServed}
-	if c.answers == nil {
-		c.front.host.respond(&completed, c.front.host.flushAfterBatch)
+	if c.answerer == nil {
+		c.frontend.host.respond(&completed, c.frontend.host.flushAfterBatch)
 		return
 	}
-	c.answers.enqueue(completed)
+	c.answerer.enqueue(completed)
 }
 
 func (cmd *command) response() iscsi.Answer {
@@ -330,7 +330,7 @@
 // conflict must not deny. Held: conn.mu.
 func (c *conn) recheckReservations(t *iscsi.Task, decoded scsi.Outcome, vol *settings.Volume, class *settings.Class, maybeExecuted bool) {
 	t.User = nil // nothing of it is under way
-	c.front.keeper.refresh(vol, t.At+class.Deadline, func(state *reserve.State, err error) {
+	c.frontend.keeper.refresh(vol, t.At+class.Deadline, func(state *reserve.State, err error) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		switch {
@@ -340,7 +340,7 @@
 		case err != nil:
 			c.respond(t, iscsi.Answer{Status: scsi.Busy})
 		case state.May(c.nexus(), decoded.IO.Op.Writes() || decoded.IO.Op == scsi.Flush):
-			if c.sess.Task(t.ITT) == t {
+			if c.session.Task(t.ITT) == t {
 				c.restart(t, decoded)
 			}
 		case maybeExecuted:
@@ -381,5 +381,5 @@
 	}
 	g.conn.mu.Lock()
 	defer g.conn.mu.Unlock()
-	g.one()
+	g.commandDone()
 }
--- a/internal/control/gateway/core.go
+++ b/internal/control/gateway/core.go
@@ -43,8 +43,8 @@
 	lastAttempt     *attempt    // the one sent last
 	effectDeadline  float64     // until then a lost attempt may still take effect
 	settled         bool
-	generation      uint64  // of the shard's home when it was first sent
-	classCounters   *counts // that it goes to
+	generation      uint64         // of the shard's home when it was first sent
+	classCounters   *requestCounts // that it goes to
 	submittedAt     float64
 	latencyTargetAt float64
 	dedupScope      policy.DedupScope
@@ -129,7 +129,7 @@
 	nodes           map[string]inventory.Node
 	demand          *rates.Meter
 	planLimits      map[string]float64 // units a second of a plan's volumes, over all hosts
-	regions         *regional          // nil: there is one
+	regions         *regionState       // nil: there is one
 	dedupScopes     map[string]policy.DedupScope
 	latencyTargets  map[string]float64 // by class, ms
 	hostIndex       int
@@ -139,7 +139,7 @@
 	limitWarnedAt   map[string]float64 // when that was last said of a volume
 	// Sends and Resends count attempts; for operators.
 	sends, resends uint64
-	counters       tally
+	counters       coreMetrics
 }
 
 type incarnationKey struct {
@@ -152,8 +152,8 @@
 const rateWindowSeconds = 300
 
 func newCore(now float64, s *settings.Settings, hostIndex int, zone string, seed uint64, effects effectHandler) *core {
-	h := &core{regions: newRegional(s, hostIndex), hostIndex: hostIndex, zone: zone, limitWarnedAt: map[string]float64{}, now: now, demand: rates.New(now, rateWindowSeconds),
-		effects: effects, jobs: map[string]*job{}, startTimes: map[incarnationKey]float64{}, nodes: map[string]inventory.Node{}, counters: newTally()}
+	h := &core{regions: newRegionState(s, hostIndex), hostIndex: hostIndex, zone: zone, limitWarnedAt: map[string]float64{}, now: now, demand: rates.New(now, rateWindowSeconds),
+		effects: effects, jobs: map[string]*job{}, startTimes: map[incarnationKey]float64{}, nodes: map[string]inventory.Node{}, counters: newCoreMetrics()}
 	h.scheduler = policy.New(h.applySettings(s), seed)
 	return h
 }
@@ -191,7 +191,7 @@
 	h.advance(now)
 	policySettings := h.applySettings(s)
 	if h.regions != nil {
-		h.regions.learn(s)
+		h.regions.applySettings(s)
 	}
 	h.notify(policy.SettingsChanged{Settings: policySettings})
 }
@@ -207,11 +207,11 @@
 	j.id = strconv.FormatUint(h.lastSeq, 36)
 	j.req.ID, j.message.Seq = j.id, h.lastSeq
 	if h.regions != nil {
-		h.regions.limited(h.now, &j.req)
+		h.regions.setLimitShare(h.now, &j.req)
 		j.dedupScope, j.message.Copied = h.dedupScopes[j.req.Class], h.regions.copied[j.req.Plan]
 	}
 	h.jobs[j.id] = j
-	j.classCounters = h.counters.of(&j.req)
+	j.classCounters = h.counters.countsFor(&j.req)
 	j.classCounters.Taken++
 	j.submittedAt = h.now
 	j.latencyTargetAt = h.now + h.latencyTargets[j.req.Class]
@@ -270,7 +270,7 @@
 		a.beginBy = s.StartBy
 	}
 	j.lastAttempt = a
-	maySend := h.stamp(a)
+	maySend := h.stampGeneration(a)
 	j.attempts++
 	j.outstanding++
 	h.sends++
@@ -322,7 +322,7 @@
 		return
 	}
 	j.markEnded()
-	j.classCounters.ended(j, outcome, h.now)
+	j.classCounters.recordEnd(j, outcome, h.now)
 	j.classCounters.Reasons[cause]++
 	h.recordLimited(j)
 	h.effects.jobEnded(j, outcome, retryAfter, nil)
@@ -379,7 +379,7 @@
 		return
 	}
 	j.markEnded()
-	j.classCounters.ended(j, jobAborted, h.now)
+	j.classCounters.recordEnd(j, jobAborted, h.now)
 	h.effects.jobEnded(j, jobAborted, 0, nil)
 	h.notify(policy.ClientGone{ID: j.id})
 	h.removeIfDone(j)
@@ -405,12 +405,12 @@
 		return
 	}
 	if answer.Result == diskproto.Stale {
-		h.refusedAsOld(a)
+		h.refusedStale(a)
 	}
 	result := policyResults[answer.Result]
 	if result == policy.Served && !a.job.ended {
 		a.job.markEnded()
-		a.job.classCounters.ended(a.job, jobServed, h.now)
+		a.job.classCounters.recordEnd(a.job, jobServed, h.now)
 		h.effects.jobEnded(a.job, jobServed, 0, answer)
 	}
 	report := make([]policy.Reading, len(answer.Report))
@@ -437,7 +437,7 @@
 	h.timers.Remove(&a.timer)
 	j := a.job
 	j.outstanding--
-	h.counters.outcome(a.node, result, h.nodes)
+	h.counters.recordAttempt(a.node, result, h.nodes)
 	outcome.ID, outcome.Node, outcome.Attempt, outcome.Done, outcome.Elapsed, outcome.Result = j.id, a.node, a.number, j.ended, h.now-a.issuedAt, result
 	h.notify(outcome)
 	h.removeIfDone(j)
@@ -455,8 +455,8 @@
 			h.expireAttempt(event.attempt, event.cancelled)
 		case event.job != nil:
 			h.removeIfDone(event.job)
-		case event.name == leaseEnd:
-			h.leaseOver()
+		case event.name == leaseTimerName:
+			h.checkLease()
 		default:
 			h.notify(policy.TimerFired{Name: event.name})
 		}
@@ -516,7 +516,7 @@
 func (h *core) reportNodes(full bool, list []inventory.Node) {
 	nodes := make([]policy.Node, len(list))
 	for i, n := range list {
-		nodes[i] = policy.Node{Addr: n.Addr, Health: h.healthOf(n), Shard: n.Shard, Zone: n.Zone, Weight: n.Weight, Started: h.startTime(n)}
+		nodes[i] = policy.Node{Addr: n.Addr, Health: h.effectiveHealth(n), Shard: n.Shard, Zone: n.Zone, Weight: n.Weight, Started: h.startTime(n)}
 	}
 	h.notify(policy.NodeList{Full: full, Nodes: nodes})
 }
--- a/internal/control/gateway/gateway.go
+++ b/internal/control/gateway/gateway.go
@@ -39,34 +39,34 @@
 	History string
 	// Keys of this host; nil: the admin API is served in clear, to this machine alone, and
 	// disk servers are spoken to in clear.
-	Keys *keys.Holder
-	Key  *settings.Key // seals secrets in them; nil: there must be none
+	Keys        *keys.Holder
+	SettingsKey *settings.Key // seals secrets in them; nil: there must be none
 	// For announcements: the identifier, the next hops told for IPv4 and IPv6 (a
 	// family without one is not announced), and where routers may dial, or nowhere.
-	RouterID   uint32
-	Hop4, Hop6 netip.Addr
-	BGPListen  string
+	RouterID           uint32
+	NextHop4, NextHop6 netip.Addr
+	BGPListen          string
 }
 
 // Gateway is a running host. Without settings it waits for them at the admin API
 // and takes no initiator.
 type Gateway struct {
-	cfg   Config
-	store *settings.Store
-	admin *http.Server
-	api   net.Listener
+	cfg           Config
+	store         *settings.Store
+	adminServer   *http.Server
+	adminListener net.Listener
 
-	mu       sync.Mutex
-	front    *front
-	host     *host
-	list     *inventory.Client
-	lease    *leaser    // nil in a service of one region
-	recorder *recorder  // nil: no history is kept
-	ann      *announcer // nil where nothing is to be announced at the start
-	addr     net.Addr
-	stopped  bool
-	ready    env.Gate
-	failed   error
+	mu              sync.Mutex
+	frontend        *frontend
+	host            *host
+	inventoryClient *inventory.Client
+	leaseRenewer    *leaseRenewer // nil in a service of one region
+	recorder        *recorder     // nil: no history is kept
+	announcer       *announcer    // nil where nothing is to be announced at the start
+	listenAddr      net.Addr
+	stopped         bool
+	ready           env.Gate
+	startErr        error
 }
 
 // Start starts a gateway.
@@ -75,7 +75,7 @@
 		cfg.Log = zap.NewNop()
 	}
 	cfg.Log = cfg.Log.With(zap.String("host", cfg.Name))
-	st, err := settings.Open(cfg.Snapshot, cfg.Key)
+	st, err := settings.Open(cfg.Snapshot, cfg.SettingsKey)
 	if err != nil {
 		return nil, err
 	}
@@ -90,13 +90,13 @@
 		g.Kill()
 		return nil, err
 	}
-	st.Allow(g.allowed)
-	st.Watch(g.apply)
+	st.Allow(g.checkSettings)
+	st.Watch(g.applySettings)
 	if s := st.Get(); s != nil {
-		g.apply(s)
-		if g.failed != nil {
+		g.applySettings(s)
+		if g.startErr != nil {
 			g.Kill()
-			return nil, g.failed
+			return nil, g.startErr
 		}
 	} else {
 		cfg.Log.Info("waiting for settings", zap.String("admin", cfg.Admin))
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	if g.api = l; network == "unix" {
+	if g.adminListener = l; network == "unix" {
 		if err := os.Chmod(addr, 0o600); err != nil {
 			return err
 		}
@@ -135,63 +135,63 @@
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { settings.Reply(w, http.StatusOK, g.Status()) })
 	mux.HandleFunc("GET /rates", func(w http.ResponseWriter, _ *http.Request) { settings.Reply(w, http.StatusOK, g.Rates()) })
 	mux.HandleFunc("POST /keys/reload", g.reloadKeys)
-	mux.Handle("GET /metrics", metrics.Handler(func() (metrics.Reading, bool) { r, ok := g.read(); return r.Reading, ok }))
-	mux.HandleFunc("GET /history", g.history)
+	mux.Handle("GET /metrics", metrics.Handler(func() (metrics.Reading, bool) { r, ok := g.readState(); return r.Reading, ok }))
+	mux.HandleFunc("GET /history", g.serveHistory)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { settings.Reply(w, http.StatusOK, "lives") })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if why := g.notReady(); why != "" {
+		if why := g.notReadyReason(); why != "" {
 			settings.Reply(w, http.StatusServiceUnavailable, why)
 			return
 		}
 		settings.Reply(w, http.StatusOK, "ready")
 	})
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) {
-		r, ok := g.read()
+		r, ok := g.readState()
 		if !ok {
 			settings.Reply(w, http.StatusServiceUnavailable, "no settings are in force")
 			return
 		}
 		settings.Reply(w, http.StatusOK, map[string]any{"status": r.status, "module": r.View, "settings_version": r.Version, "serves": r.Leased})
 	})
-	g.admin = &http.Server{Handler: g.authorize(mux), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, ConnContext: withSocketUser,
+	g.adminServer = &http.Server{Handler: g.authorize(mux), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, ConnContext: withSocketUser,
 		ErrorLog: zap.NewStdLog(g.cfg.Log)}
-	go g.admin.Serve(l) // ends with Close; its error says only that
+	go g.adminServer.Serve(l) // ends with Close; its error says only that
 	return nil
 }
 
 // Admin is the address of the admin API.
 func (g *Gateway) Admin() net.Addr {
-	if g.api == nil {
+	if g.adminListener == nil {
 		return nil
 	}
-	return g.api.Addr()
+	return g.adminListener.Addr()
 }
 
-// apply brings settings into force. The first start the gateway; later ones hold for
+// applySettings brings settings into force. The first start the gateway; later ones hold for
 // commands taken from then on.
-func (g *Gateway) apply(s *settings.Settings) {
+func (g *Gateway) applySettings(s *settings.Settings) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.stopped {
 		return
 	}
-	if g.front != nil {
-		g.front.revise(s)
-		if g.ann != nil {
-			g.ann.apply(s)
+	if g.frontend != nil {
+		g.frontend.applySettings(s)
+		if g.announcer != nil {
+			g.announcer.applySettings(s)
 		}
 		g.cfg.Log.Info("settings changed", zap.Uint64("version", s.Version))
 		return
 	}
-	if g.failed = g.begin(s); g.failed != nil {
-		g.cfg.Log.Error("can't start", zap.Error(g.failed))
+	if g.startErr = g.startServing(s); g.startErr != nil {
+		g.cfg.Log.Error("can't start", zap.Error(g.startErr))
 		return
 	}
 	g.ready.Open()
 }
 
-// allowed lists what keeps settings from coming into force at this host.
-func (g *Gateway) allowed(_, s *settings.Settings) (out []settings.Fault) {
+// checkSettings lists what keeps settings from coming into force at this host.
+func (g *Gateway) checkSettings(_, s *settings.Settings) (out []settings.Fault) {
 	if g.cfg.Self >= s.Hosts {
 		out = append(out, settings.Fault{Path: "hosts", Reason: fmt.Sprintf("is %d, and this is host %d", s.Hosts, g.cfg.Self)})
 	}
@@ -201,7 +201,7 @@
 	return out
 }
 
-func (g *Gateway) begin(s *settings.Settings) error {
+func (g *Gateway) startServing(s *settings.Settings) error {
 	if g.cfg.Self >= s.Hosts {
 		return errors.New("gateway: the settings know no host of this number")
 	}
@@ -213,17 +213,17 @@
 		return err
 	}
 	h := newHost(g.cfg.Environment, s, g.cfg.Self, g.cfg.Name, g.cfg.Zone, g.cfg.Keys, g.cfg.Log)
-	g.list = inventory.Follow(g.cfg.Environment, g.cfg.Inventory, func(l inventory.List) {
+	g.inventoryClient = inventory.Follow(g.cfg.Environment, g.cfg.Inventory, func(l inventory.List) {
 		h.post(event{kind: eventNodeList, list: l})
 	})
-	h.fetchNodeList = g.list.Fetch
+	h.fetchNodeList = g.inventoryClient.Fetch
 	if s.Regions != nil {
-		g.lease = newLeaser(g.cfg.Environment, h, g.cfg.Inventory, s.Regions, g.cfg.Log)
+		g.leaseRenewer = newLeaseRenewer(g.cfg.Environment, h, g.cfg.Inventory, s.Regions, g.cfg.Log)
 	}
-	g.host, g.addr = h, l.Addr()
-	g.front = newFront(g.cfg.Environment, h, newView(s, g.cfg.Self), l, g.cfg.Log)
+	g.host, g.listenAddr = h, l.Addr()
+	g.frontend = newFrontend(g.cfg.Environment, h, newActiveSettings(s, g.cfg.Self), l, g.cfg.Log)
 	if s.Announce != nil {
-		if g.ann, err = newAnnouncer(g.cfg, s, h, g.list); err != nil {
+		if g.announcer, err = newAnnouncer(g.cfg, s, h, g.inventoryClient); err != nil {
 			return err // Start ends the rest
 		}
 	}
@@ -238,7 +238,7 @@
 func (g *Gateway) Addr() net.Addr {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.addr
+	return g.listenAddr
 }
 
 // Settings is the store of the settings.
@@ -260,15 +260,15 @@
 
 // Status reads the present figures.
 func (g *Gateway) Status() Status {
-	s, _ := g.look(func(*core) {})
+	s, _ := g.readStatus(func(*core) {})
 	return s
 }
 
-// look reads the present figures and, in the same moment of the host core, more; false if
+// readStatus reads the present figures and, in the same moment of the host core, more; false if
 // there is no host, or no longer.
-func (g *Gateway) look(more func(*core)) (s Status, ok bool) {
+func (g *Gateway) readStatus(more func(*core)) (s Status, ok bool) {
 	g.mu.Lock()
-	f, h := g.front, g.host
+	f, h := g.frontend, g.host
 	g.mu.Unlock()
 	s.Zone = g.cfg.Zone
 	if f == nil {
@@ -277,13 +277,13 @@
 	f.mu.Lock()
 	s.Sessions = len(f.sessions)
 	f.mu.Unlock()
-	s.Open, s.Memory = int(f.open.Load()), f.memory.Load()
+	s.Open, s.Memory = int(f.openRequests.Load()), f.memoryBytes.Load()
 	h.pool.mu.Lock()
 	s.ConnectedServers = len(h.pool.connByServer)
 	h.pool.mu.Unlock()
 	ok = h.runAndWait(func(c *core) {
 		more(c)
-		s.Figures = c.counters.figures()
+		s.Figures = c.counters.totals()
 		s.Requests, s.Sends, s.Resends, s.LimitHeld, s.Nodes, s.ListSeen = c.lastSeq, c.sends, c.resends, c.limitedRequests, len(c.nodes), c.listSeen
 	})
 	return s, ok
@@ -303,7 +303,7 @@
 // Routes is what this gateway announces, to whom, and why.
 func (g *Gateway) Routes() Routes {
 	g.mu.Lock()
-	a := g.ann
+	a := g.announcer
 	g.mu.Unlock()
 	if a == nil {
 		return Routes{}
@@ -322,7 +322,7 @@
 	}
 }
 
-const stopLook = 20 * time.Millisecond
+const stopPollInterval = 20 * time.Millisecond
 
 // Stop ends the gateway gracefully: clients are led elsewhere where addresses are
 // announced, and the announcement ends; no new login, what was taken is answered,
@@ -330,57 +330,57 @@
 // ends at once when ctx does.
 func (g *Gateway) Stop(ctx context.Context) {
 	g.mu.Lock()
-	f, a := g.front, g.ann
+	f, a := g.frontend, g.announcer
 	g.mu.Unlock()
 	if a != nil {
-		a.leave(func(most time.Duration) { g.await(ctx, most, func() bool { return len(f.all()) == 0 }) })
+		a.drainClients(func(most time.Duration) { g.waitUntil(ctx, most, func() bool { return len(f.allConns()) == 0 }) })
 	}
 	if f != nil {
 		f.stopAccepting()
-		stop := f.view.Load().Target.StopTime
-		for _, c := range f.all() {
-			c.askLogout(uint16(min(stop/1000+1, 3600)))
+		stop := f.settings.Load().Target.StopTime
+		for _, c := range f.allConns() {
+			c.requestLogout(uint16(min(stop/1000+1, 3600)))
 		}
-		g.await(ctx, env.Duration(stop), func() bool { return len(f.all()) == 0 })
+		g.waitUntil(ctx, env.Duration(stop), func() bool { return len(f.allConns()) == 0 })
 		longest := 0.0
-		for _, k := range f.view.Load().Classes {
+		for _, k := range f.settings.Load().Classes {
 			longest = max(longest, k.Deadline)
 		}
-		g.await(ctx, env.Duration(longest), func() bool {
-			for _, c := range f.all() {
-				if c.busy() {
+		g.waitUntil(ctx, env.Duration(longest), func() bool {
+			for _, c := range f.allConns() {
+				if c.hasOpenCommands() {
 					return false
 				}
 			}
 			return true
 		})
 	}
-	g.end("graceful stop")
+	g.shutdown("graceful stop")
 }
 
-// await looks until done, for at most so long.
-func (g *Gateway) await(ctx context.Context, most time.Duration, done func() bool) {
+// waitUntil looks until done, for at most so long.
+func (g *Gateway) waitUntil(ctx context.Context, most time.Duration, done func() bool) {
 	end := g.cfg.Environment.Now() + most
 	for !done() && g.cfg.Environment.Now() < end && ctx.Err() == nil {
-		env.SleepContext(ctx, g.cfg.Environment, stopLook)
+		env.SleepContext(ctx, g.cfg.Environment, stopPollInterval)
 	}
 }
 
 // Kill ends the gateway at once. What it held is the clients' to try again.
-func (g *Gateway) Kill() { g.end("") }
+func (g *Gateway) Kill() { g.shutdown("") }
 
-// end ends everything; with a text, routers are told it.
-func (g *Gateway) end(text string) {
+// shutdown ends everything; with a text, routers are told it.
+func (g *Gateway) shutdown(text string) {
 	g.mu.Lock()
 	if g.stopped {
 		g.mu.Unlock()
 		return
 	}
 	g.stopped = true
-	f, h, l, a, lease := g.front, g.host, g.list, g.ann, g.lease
+	f, h, l, a, lease := g.frontend, g.host, g.inventoryClient, g.announcer, g.leaseRenewer
 	g.mu.Unlock()
-	if g.admin != nil {
-		g.admin.Close()
+	if g.adminServer != nil {
+		g.adminServer.Close()
 	}
 	if g.recorder != nil {
 		g.recorder.close()
@@ -391,7 +391,7 @@
 	}
 	if f != nil {
 		h.stop() // first, so that nothing more goes to disk servers
-		f.cutAll()
+		f.abortAll()
 		l.Close()
 		if lease != nil {
 			lease.close()
--- a/internal/control/gateway/gateway_test.go
+++ b/internal/control/gateway/gateway_test.go
@@ -66,7 +66,7 @@
 		})
 	}
 	cfg := gateway.Config{Environment: r.world, Name: "h0", Zone: "hall-a", Listen: "127.0.0.1:0", Inventory: r.inv.Addr,
-		RouterID: 1, Hop4: netip.AddrFrom4([4]byte{127, 0, 0, 1})}
+		RouterID: 1, NextHop4: netip.AddrFrom4([4]byte{127, 0, 0, 1})}
 	more(&cfg)
 	r.gate, err = gateway.Start(cfg)
 	if err != nil {
--- a/internal/control/gateway/host.go
+++ b/internal/control/gateway/host.go
@@ -169,7 +169,7 @@
 	case eventNodeList:
 		h.core.updateNodes(now, e.list)
 	case eventLeaseGranted:
-		h.core.granted(now, e.grant)
+		h.core.applyGrant(now, e.grant)
 	case eventSettings:
 		h.core.updateSettings(now, e.settings)
 	case eventRun:
--- a/internal/control/gateway/metrics.go
+++ b/internal/control/gateway/metrics.go
@@ -14,53 +14,53 @@
 	"merlinhitch/policy"
 )
 
-// counted is a class and a plan, of which settings bound the number.
-type counted struct{ class, plan string }
+// classPlan is a class and a plan, of which settings bound the number.
+type classPlan struct{ class, plan string }
 
-// counts are what is counted of a class and a plan.
-type counts struct {
+// requestCounts are what is counted of a class and a plan.
+type requestCounts struct {
 	metrics.Ends
 	latency prometheus.Histogram // the class's
 }
 
-// tally is what a host core counts for operators: a few additions for each request, and
+// coreMetrics is what a host core counts for operators: a few additions for each request, and
 // nothing that grows with volumes or connections.
-type tally struct {
-	ends     map[counted]*counts
-	latency  map[string]prometheus.Histogram // by class
-	attempts map[string]*metrics.Attempts    // by node of the list
+type coreMetrics struct {
+	byClassPlan map[classPlan]*requestCounts
+	latency     map[string]prometheus.Histogram // by class
+	attempts    map[string]*metrics.Attempts    // by node of the list
 }
 
-func newTally() tally {
-	return tally{ends: map[counted]*counts{}, latency: map[string]prometheus.Histogram{}, attempts: map[string]*metrics.Attempts{}}
+func newCoreMetrics() coreMetrics {
+	return coreMetrics{byClassPlan: map[classPlan]*requestCounts{}, latency: map[string]prometheus.Histogram{}, attempts: map[string]*metrics.Attempts{}}
 }
 
-// of are the counts that a request goes to.
-func (t *tally) of(q *policy.Request) *counts {
-	k := counted{q.Class, q.Plan}
-	c := t.ends[k]
+// countsFor are the counts that a request goes to.
+func (t *coreMetrics) countsFor(q *policy.Request) *requestCounts {
+	k := classPlan{q.Class, q.Plan}
+	c := t.byClassPlan[k]
 	if c == nil {
 		h := t.latency[q.Class]
 		if h == nil {
 			h = metrics.Latency(q.Class)
 			t.latency[q.Class] = h
 		}
-		c = &counts{metrics.Ends{Class: q.Class, Plan: q.Plan}, h}
-		t.ends[k] = c
+		c = &requestCounts{metrics.Ends{Class: q.Class, Plan: q.Plan}, h}
+		t.byClassPlan[k] = c
 	}
 	return c
 }
 
-// figures sums over classes and plans.
-func (t *tally) figures() (f roll.Figures) {
-	for _, c := range t.ends {
+// totals sums over classes and plans.
+func (t *coreMetrics) totals() (f roll.Figures) {
+	for _, c := range t.byClassPlan {
 		f = f.Add(roll.Figures{Taken: c.Taken, Served: c.Served, InAim: c.InAim, Refused: c.Refused, Failed: c.Failed})
 	}
 	return f
 }
 
-// ended notes the end of a request.
-func (c *counts) ended(j *job, how jobOutcome, now float64) {
+// recordEnd notes the end of a request.
+func (c *requestCounts) recordEnd(j *job, how jobOutcome, now float64) {
 	switch how {
 	case jobServed:
 		c.Served++
@@ -79,15 +79,15 @@
 	}
 }
 
-// mostNodes bounds the nodes that are counted. A node that left the list keeps its counters
+// maxCountedNodes bounds the nodes that are counted. A node that left the list keeps its counters
 // until there are so many: it may come back under its address.
-const mostNodes = 4096
+const maxCountedNodes = 4096
 
-// outcome notes the end of an attempt.
-func (t *tally) outcome(node string, r policy.Result, listed map[string]inventory.Node) {
+// recordAttempt notes the end of an attempt.
+func (t *coreMetrics) recordAttempt(node string, r policy.Result, listed map[string]inventory.Node) {
 	a := t.attempts[node]
 	if a == nil {
-		if len(t.attempts) >= mostNodes {
+		if len(t.attempts) >= maxCountedNodes {
 			maps.DeleteFunc(t.attempts, func(n string, _ *metrics.Attempts) bool { _, ok := listed[n]; return !ok })
 		}
 		a = &metrics.Attempts{}
@@ -96,17 +96,17 @@
 	a[r]++
 }
 
-// reading is all that /metrics and /state show, of one moment.
-type reading struct {
+// stateReading is all that /metrics and /state show, of one moment.
+type stateReading struct {
 	metrics.Reading
 	status Status
 }
 
-// read copies the tally on the host's goroutine.
-func (g *Gateway) read() (r reading, ok bool) {
-	r.status, ok = g.look(func(c *core) {
+// readState copies the tally on the host's goroutine.
+func (g *Gateway) readState() (r stateReading, ok bool) {
+	r.status, ok = g.readStatus(func(c *core) {
 		r.Attempts = make(map[string]metrics.Attempts, len(c.counters.attempts))
-		for _, e := range c.counters.ends {
+		for _, e := range c.counters.byClassPlan {
 			r.Ends = append(r.Ends, e.Ends)
 		}
 		for n, a := range c.counters.attempts {
@@ -122,10 +122,10 @@
 	return r, ok
 }
 
-// notReady says what keeps the gateway from serving, "" if nothing does.
-func (g *Gateway) notReady() string {
+// notReadyReason says what keeps the gateway from serving, "" if nothing does.
+func (g *Gateway) notReadyReason() string {
 	g.mu.Lock()
-	stopped, failed := g.stopped, g.failed
+	stopped, failed := g.stopped, g.startErr
 	g.mu.Unlock()
 	switch {
 	case stopped:
@@ -133,7 +133,7 @@
 	case failed != nil:
 		return failed.Error()
 	}
-	r, ok := g.read()
+	r, ok := g.readState()
 	switch {
 	case !ok:
 		return "no settings are in force"
@@ -143,7 +143,7 @@
 		return "no lease"
 	}
 	g.mu.Lock()
-	f := g.front
+	f := g.frontend
 	g.mu.Unlock()
 	f.mu.Lock()
 	stopping := f.stopping
@@ -156,7 +156,7 @@
 			return "shard " + strconv.Itoa(s.Shard) + " has no node"
 		}
 	}
-	if want := f.view.Load().Shards; len(r.View.Shards) < want {
+	if want := f.settings.Load().Shards; len(r.View.Shards) < want {
 		return strconv.Itoa(want-len(r.View.Shards)) + " shards have never had a node"
 	}
 	return ""
--- a/internal/control/gateway/peer_linux.go
+++ b/internal/control/gateway/peer_linux.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// peerUser is the user at the other end of a Unix socket (SO_PEERCRED, unix(7)).
-func peerUser(c *net.UnixConn) (uint32, bool) {
+// peerUID is the user at the other end of a Unix socket (SO_PEERCRED, unix(7)).
+func peerUID(c *net.UnixConn) (uint32, bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0, false
--- a/internal/control/gateway/peer_other.go
+++ b/internal/control/gateway/peer_other.go
@@ -4,5 +4,5 @@
 
 import "net"
 
-// peerUser is not known on this system.
-func peerUser(*net.UnixConn) (uint32, bool) { return 0, false }
+// peerUID is not known on this system.
+func peerUID(*net.UnixConn) (uint32, bool) { return 0, false }
--- a/internal/control/gateway/recorder.go
+++ b/internal/control/gateway/recorder.go
@@ -15,38 +15,38 @@
 
 // recorder keeps a host's counters as history, once a second.
 type recorder struct {
-	g     *Gateway
-	mu    sync.Mutex
-	store *history.Store
-	was   map[history.Key]history.Counts
-	over  env.Gate
-	tasks env.WaitGroup
+	gateway  *Gateway
+	mu       sync.Mutex
+	store    *history.Store
+	previous map[history.Key]history.Counts
+	stopped  env.Gate
+	tasks    env.WaitGroup
 }
 
-// flushEvery is how many seconds may be lost in a crash.
-const flushEvery = 10
+// flushIntervalSeconds is how many seconds may be lost in a crash.
+const flushIntervalSeconds = 10
 
 func startRecorder(g *Gateway, dir string) (*recorder, error) {
 	st, err := history.Open(dir)
 	if err != nil {
 		return nil, err
 	}
-	r := &recorder{g: g, store: st, was: map[history.Key]history.Counts{}}
+	r := &recorder{gateway: g, store: st, previous: map[history.Key]history.Counts{}}
 	r.tasks.Go(g.cfg.Environment, r.run)
 	return r, nil
 }
 
 func (r *recorder) run() {
-	w := r.g.cfg.Environment
-	for n := 1; env.Sleep(w, time.Second, &r.over); n++ {
-		r.second(w.Deadline(0).Unix(), n%flushEvery == 0)
+	w := r.gateway.cfg.Environment
+	for n := 1; env.Sleep(w, time.Second, &r.stopped); n++ {
+		r.recordSecond(w.Deadline(0).Unix(), n%flushIntervalSeconds == 0)
 	}
-	r.second(w.Deadline(0).Unix(), true)
+	r.recordSecond(w.Deadline(0).Unix(), true)
 }
 
-// second adds what was counted since the last.
-func (r *recorder) second(at int64, flush bool) {
-	now, ok := r.g.read()
+// recordSecond adds what was counted since the last.
+func (r *recorder) recordSecond(at int64, flush bool) {
+	now, ok := r.gateway.readState()
 	if !ok {
 		return
 	}
@@ -55,8 +55,8 @@
 		e := &now.Ends[i]
 		c := history.Counts{Taken: e.Taken, Served: e.Served, InAim: e.InAim, Refused: e.Refused, Failed: e.Failed, Latency: e.Times[:], Reasons: e.Reasons[:]}
 		k := history.Key{Class: e.Class, Plan: e.Plan}
-		was := r.was[k]
-		r.was[k] = c
+		was := r.previous[k]
+		r.previous[k] = c
 		rows = append(rows, history.Row{At: at, Span: 1, Key: k, Counts: c.Since(&was)})
 	}
 	history.Sort(rows)
@@ -69,24 +69,24 @@
 		}
 	}
 	if err != nil {
-		r.g.cfg.Log.Warn("history not written", zap.Error(err), zap.Int("failed", r.store.Failed), zap.Int("lost", r.store.Lost))
+		r.gateway.cfg.Log.Warn("history not written", zap.Error(err), zap.Int("failed", r.store.Failed), zap.Int("lost", r.store.Lost))
 	}
 }
 
-// read returns rows from what is written.
-func (r *recorder) read(from, to int64) ([]history.Row, error) {
+// readRows returns rows from what is written.
+func (r *recorder) readRows(from, to int64) ([]history.Row, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Read(from, to)
 }
 
 func (r *recorder) close() {
-	r.over.Open()
-	r.tasks.Wait(r.g.cfg.Environment)
+	r.stopped.Open()
+	r.tasks.Wait(r.gateway.cfg.Environment)
 }
 
-// history serves /history?from=&to=, in seconds since 1970.
-func (g *Gateway) history(w http.ResponseWriter, r *http.Request) {
+// serveHistory serves /serveHistory?from=&to=, in seconds since 1970.
+func (g *Gateway) serveHistory(w http.ResponseWriter, r *http.Request) {
 	if g.recorder == nil {
 		settings.Reply(w, http.StatusNotFound, "no history is kept")
 		return
@@ -97,7 +97,7 @@
 		settings.Reply(w, http.StatusUnprocessableEntity, "from and to must be seconds since 1970, in order")
 		return
 	}
-	rows, err := g.recorder.read(from, to)
+	rows, err := g.recorder.readRows(from, to)
 	if err != nil {
 		w.Header().Set("Warning", `199 - "`+err.Error()+`"`) // RFC 9111 section 5.5: rows of the sound files
 	}
--- a/internal/control/gateway/regional_test.go
+++ b/internal/control/gateway/regional_test.go
@@ -42,7 +42,7 @@
 
 func grant(h *core, now float64, rec region.Record) {
 	h.advance(now)
-	h.granted(now, &region.Grant{Ask: h.regions.Ask(now), Lease: 1000, Record: rec})
+	h.applyGrant(now, &region.Grant{Ask: h.regions.Ask(now), Lease: 1000, Record: rec})
 }
 
 func ask(h *core, now float64, plan string) *job {
--- a/internal/control/gateway/reservations.go
+++ b/internal/control/gateway/reservations.go
@@ -20,7 +20,7 @@
 // the protocol. What is allowed by an old state is stopped by the fence at the disk
 // servers; what an old state forbids is looked up anew before it is said.
 type reservationCache struct {
-	front   *front
+	front   *frontend
 	mu      sync.Mutex
 	volumes map[string]*volumeReservations // volumes of which a record was seen
 }
@@ -49,7 +49,7 @@
 // be raised: nothing was done, and the client may try again.
 var errReservationsUnavailable = errors.New("gateway: the volume's reservations can't be read now")
 
-func newReservationCache(f *front) *reservationCache {
+func newReservationCache(f *frontend) *reservationCache {
 	return &reservationCache{front: f, volumes: map[string]*volumeReservations{}}
 }
 
@@ -180,11 +180,11 @@
 
 // poll reads the record once a lease while anybody is registered.
 func (k *reservationCache) poll(vol *settings.Volume) {
-	k.front.world.AfterFunc(pollInterval, func() {
+	k.front.environment.AfterFunc(pollInterval, func() {
 		if k.front.isStopping() {
 			return
 		}
-		k.refresh(vol, env.MS(k.front.world.Now()+pollInterval), func(*reserve.State, error) {
+		k.refresh(vol, env.MS(k.front.environment.Now()+pollInterval), func(*reserve.State, error) {
 			k.mu.Lock()
 			g := k.volume(vol.Name)
 			g.polling = len(g.state.Registrations) > 0
@@ -211,41 +211,41 @@
 
 // classFor is the class that a keeper's request runs under: that of the operation on
 // blocks which it is most like.
-func (f *front) classFor(vol *settings.Volume, classOp scsi.Op) *settings.Class {
-	v := f.view.Load()
+func (f *frontend) classFor(vol *settings.Volume, classOp scsi.Op) *settings.Class {
+	v := f.settings.Load()
 	return v.Class(classOp, vol.BlockSize, vol.Plan)
 }
 
 // accessRecord does something with a volume's accessRecord at the disk server of its first extent,
 // through the module like any request. end is told the answer, nil if there is none.
-func (f *front) accessRecord(vol *settings.Volume, op byte, classOp scsi.Op, data []byte, fence uint64, expires float64, done func(*diskproto.Answer)) {
+func (f *frontend) accessRecord(vol *settings.Volume, op byte, classOp scsi.Op, data []byte, fence uint64, expires float64, done func(*diskproto.Answer)) {
 	f.submitInternal(vol, vol.Layout[0], op, classOp, data, fence, expires, done)
 }
 
-func (f *front) submitInternal(vol *settings.Volume, shard int, op byte, classOp scsi.Op, data []byte, fence uint64, expires float64, done func(*diskproto.Answer)) {
-	f.taking.RLock()
-	defer f.taking.RUnlock()
+func (f *frontend) submitInternal(vol *settings.Volume, shard int, op byte, classOp scsi.Op, data []byte, fence uint64, expires float64, done func(*diskproto.Answer)) {
+	f.settingsMu.RLock()
+	defer f.settingsMu.RUnlock()
 	class := f.classFor(vol, classOp)
 	if class == nil {
-		f.world.AfterFunc(0, func() { done(nil) }) // the caller may hold a lock
+		f.environment.AfterFunc(0, func() { done(nil) }) // the caller may hold a lock
 		return
 	}
 	const keySuffix = "/reservations"
 	j := &job{}
 	j.req = policy.Request{Class: class.Name, Plan: vol.Plan, Volume: vol.Name, Shard: shard, Units: 1, Key: vol.Name + keySuffix,
-		Hosts: f.view.Load().hosts[vol.Name], Write: classOp.Writes(), Expires: expires}
+		Hosts: f.settings.Load().hostCounts[vol.Name], Write: classOp.Writes(), Expires: expires}
 	j.message = diskproto.Do{Op: op, Effect: diskEffects[class.Effect], Shard: uint32(shard), Host: f.host.pool.hostID, Units: 1, Plan: vol.Plan,
 		Volume: vol.Name, Key: j.req.Key, Fence: fence, Data: data}
-	f.open.Add(1)
-	j.owner = &internalRequest{func(answer *diskproto.Answer) { f.open.Add(-1); done(answer) }}
+	f.openRequests.Add(1)
+	j.owner = &internalRequest{func(answer *diskproto.Answer) { f.openRequests.Add(-1); done(answer) }}
 	if !f.host.post(event{kind: eventSubmit, job: j}) {
-		f.open.Add(-1)
-		f.world.AfterFunc(0, func() { done(nil) })
+		f.openRequests.Add(-1)
+		f.environment.AfterFunc(0, func() { done(nil) })
 	}
 }
 
 // raiseFence raises the raiseFence at every shard of a volume.
-func (f *front) raiseFence(vol *settings.Volume, version uint64, expires float64, done func(ok bool)) {
+func (f *frontend) raiseFence(vol *settings.Volume, version uint64, expires float64, done func(ok bool)) {
 	shards := slices.Clone(vol.Layout)
 	slices.Sort(shards)
 	shards = slices.Compact(shards)
@@ -266,7 +266,7 @@
 }
 
 // isStopping tells whether the front has ended.
-func (f *front) isStopping() bool {
+func (f *frontend) isStopping() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.stopping
@@ -278,15 +278,15 @@
 }
 
 // setAttention tells the sessions of a volume what became of their nexus.
-func (f *front) setAttention(volume string, notices map[reserve.Nexus]reserve.Notice) {
+func (f *frontend) setAttention(volume string, notices map[reserve.Nexus]reserve.Notice) {
 	if len(notices) == 0 {
 		return
 	}
-	for _, c := range f.all() {
+	for _, c := range f.allConns() {
 		c.mu.Lock()
-		if c.unit != nil && c.unit.vol.Name == volume && !c.closed {
+		if c.logicalUnit != nil && c.logicalUnit.volume.Name == volume && !c.closed {
 			if n, ok := notices[c.nexus()]; ok {
-				c.attention = noticeSense[n]
+				c.unitAttention = noticeSense[n]
 			}
 		}
 		c.mu.Unlock()
@@ -294,7 +294,7 @@
 }
 
 // nexus is the session's: its initiator port and this host.
-func (c *conn) nexus() reserve.Nexus { return c.port }
+func (c *conn) nexus() reserve.Nexus { return c.initiatorPort }
 
 // nexusOf is the nexus of a session's key at a host.
 func nexusOf(key sessionKey, host int) reserve.Nexus {
@@ -307,9 +307,9 @@
 }
 
 // handleReservation carries out a PERSISTENT RESERVE command. Held: conn.mu.
-func (c *conn) handleReservation(v *view, t *iscsi.Task, r *scsi.Reservation) {
-	vol := c.currentUnit(v).vol
-	class := c.front.classFor(vol, scsi.CompareAndWrite)
+func (c *conn) handleReservation(v *activeSettings, t *iscsi.Task, r *scsi.Reservation) {
+	vol := c.currentUnit(v).volume
+	class := c.frontend.classFor(vol, scsi.CompareAndWrite)
 	if class == nil {
 		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.InvalidOpcode.Fixed()})
 		return
@@ -317,7 +317,7 @@
 	command := &reservationCommand{conn: c, task: t, vol: vol, expires: t.At + class.Deadline}
 	t.User = command
 	if r.In {
-		c.front.keeper.refresh(vol, command.expires, func(state *reserve.State, err error) { command.respondIn(state, err, r) })
+		c.frontend.keeper.refresh(vol, command.expires, func(state *reserve.State, err error) { command.respondIn(state, err, r) })
 		return
 	}
 	req, known, err := reserve.ParseOut(t.CDB, r.List)
@@ -335,8 +335,8 @@
 		req.Hosts = append(req.Hosts, uint16(h+1))
 	}
 	command.req, command.parameterBytes = req, len(r.List)
-	command.stamp = c.front.world.RandomUint64()
-	c.front.keeper.refresh(vol, command.expires, command.tryChange)
+	command.stamp = c.frontend.environment.RandomUint64()
+	c.frontend.keeper.refresh(vol, command.expires, command.tryChange)
 }
 
 // reserveErrorSense is how errors of package reserve are answered.
@@ -359,11 +359,11 @@
 	uncertainVersion uint64 // to this version
 	// Guarded by c.mu:
 	ended        bool
-	waitingAbort *abortion // that waits for the end
+	waitingAbort *abortWait // that waits for the end
 }
 
 // abandon has an abort wait until the change is made, or certainly is not.
-func (p *reservationCommand) abandon(g *abortion) {
+func (p *reservationCommand) abandon(g *abortWait) {
 	p.waitingAbort = g
 	if p.ended {
 		p.notifyAbort()
@@ -374,10 +374,10 @@
 func (p *reservationCommand) notifyAbort() {
 	if g := p.waitingAbort; g != nil {
 		p.waitingAbort = nil
-		p.conn.front.world.AfterFunc(0, func() {
+		p.conn.frontend.environment.AfterFunc(0, func() {
 			g.conn.mu.Lock()
 			defer g.conn.mu.Unlock()
-			g.one()
+			g.commandDone()
 		})
 	}
 }
@@ -452,13 +452,13 @@
 	}
 	next.Stamp = p.stamp
 	swap := &diskproto.Swap{Expected: state.Version, Persist: next.Persist, New: diskproto.Record{Version: next.Version, Bytes: next.Append(nil)}}
-	p.conn.front.accessRecord(p.vol, diskproto.OpSwapRecord, scsi.CompareAndWrite, swap.Append(nil), next.Version, p.expires, func(answer *diskproto.Answer) {
+	p.conn.frontend.accessRecord(p.vol, diskproto.OpSwapRecord, scsi.CompareAndWrite, swap.Append(nil), next.Version, p.expires, func(answer *diskproto.Answer) {
 		p.swapDone(state.Version, next, answer)
 	})
 }
 
 func (p *reservationCommand) swapDone(fromVersion uint64, next *reserve.State, answer *diskproto.Answer) {
-	cache := p.conn.front.keeper
+	cache := p.conn.frontend.keeper
 	switch {
 	case answer == nil: // refused, failed or lost: it may have been made, or still be
 		p.mayBeApplied, p.uncertainVersion = true, fromVersion
@@ -481,22 +481,22 @@
 // pre-empted nexus at this host end with it where that was asked for.
 func (p *reservationCommand) succeed() {
 	if p.req.Action == reserve.PreemptAbort {
-		p.conn.front.abortPreempted(p.vol.Name, p.conn)
+		p.conn.frontend.abortPreempted(p.vol.Name, p.conn)
 	}
 	p.respond(iscsi.Answer{Out: p.parameterBytes})
 }
 
 // abortPreempted ends the tasks of sessions that lost their registration.
-func (f *front) abortPreempted(volume string, preemptor *conn) {
+func (f *frontend) abortPreempted(volume string, preemptor *conn) {
 	f.keeper.mu.Lock()
 	state := f.keeper.volume(volume).state
 	f.keeper.mu.Unlock()
-	for _, other := range f.all() {
+	for _, other := range f.allConns() {
 		other.mu.Lock()
-		preempted := other != preemptor && other.unit != nil && other.unit.vol.Name == volume && other.attention == &scsi.RegistrationsPreempted
-		if _, registered := state.Key(other.nexus()); preempted && !registered && other.sess != nil && !other.closed {
-			for _, t := range other.sess.Reset() {
-				if u, ok := t.User.(underway); ok {
+		preempted := other != preemptor && other.logicalUnit != nil && other.logicalUnit.volume.Name == volume && other.unitAttention == &scsi.RegistrationsPreempted
+		if _, registered := state.Key(other.nexus()); preempted && !registered && other.session != nil && !other.closed {
+			for _, t := range other.session.Reset() {
+				if u, ok := t.User.(abandonable); ok {
 					u.abandon(nil)
 				}
 			}
--- a/internal/control/gateway/responder.go
+++ b/internal/control/gateway/responder.go
@@ -116,11 +116,11 @@
 	c.mu.Lock()
 	if !c.closed {
 		if completed.fenceOutdated {
-			c.recheckReservations(completed.cmd.task, completed.cmd.decoded, c.currentOrLoginUnit(c.front.view.Load()).vol, completed.cmd.class, completed.cmd.mayBePartlyWritten())
+			c.recheckReservations(completed.cmd.task, completed.cmd.decoded, c.currentOrLoginUnit(c.frontend.settings.Load()).volume, completed.cmd.class, completed.cmd.mayBePartlyWritten())
 		} else {
-			c.batch = true
-			c.sess.Respond(completed.cmd.task, completed.answer)
-			c.batch = false
+			c.batching = true
+			c.session.Respond(completed.cmd.task, completed.answer)
+			c.batching = false
 			flushLater(c.out)
 		}
 	}
--- a/internal/simulation/lab/fleet.go
+++ b/internal/simulation/lab/fleet.go
@@ -290,7 +290,7 @@
 	}
 	h.gate, err = gateway.Start(gateway.Config{Environment: h.world, Log: f.log, Name: h.name, Self: h.self,
 		Zone: Halls[h.self%len(Halls)], Listen: "127.0.0.1:0", Inventory: h.list.Address(), Admin: f.site.admin(), Snapshot: f.snapshot(h.self),
-		RouterID: routerID(h.self), Hop4: netip.AddrFrom4([4]byte{127, 0, 0, 1})})
+		RouterID: routerID(h.self), NextHop4: netip.AddrFrom4([4]byte{127, 0, 0, 1})})
 	if err != nil {
 		return err
 	}
--- a/internal/simulation/lab/losses.go
+++ b/internal/simulation/lab/losses.go
@@ -230,7 +230,7 @@
 func (s *loser) start() (err error) {
 	from := s.rig.mark()
 	s.gate, err = gateway.Start(gateway.Config{Environment: s.world, Log: zap.NewNop(), Name: fmt.Sprint("h", s.n), Zone: Halls[0], Listen: "127.0.0.1:0",
-		Inventory: s.rig.inv.Addr, RouterID: uint32(s.n + 1), Hop4: netip.AddrFrom4([4]byte{127, 0, 0, 1})})
+		Inventory: s.rig.inv.Addr, RouterID: uint32(s.n + 1), NextHop4: netip.AddrFrom4([4]byte{127, 0, 0, 1})})
 	if err != nil {
 		return err
 	}
