--- a/cmd/merlinhitch/announce.go
+++ b/cmd/merlinhitch/announce.go
@@ -38,42 +38,43 @@
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%v\n", group.Group, group.Level, formatMS(group.ForMS), group.Reason, riseDelay, group.Prefixes)
 	}
-	fmt.Fprintln(table, "\nROUTER\tADDRESS\tSTATE\tFOR\tUPS\tUPDATES\tHAS ALL\tLAST ERROR")
+	fmt.Fprintln(table, "\nROUTER\tADDRESS\tSTATE\tFOR\tSESSIONS\tUPDATES\tUP TO DATE\tLAST ERROR")
 	for _, peer := range routes.Peers {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%v\t%s\n", peer.Name, peer.Addr, peer.State, formatMS(peer.SinceMS), peer.Ups, peer.Updates, peer.Told, peer.LastError)
 	}
 	return table.Flush()
 }
 
+// formatMS formats a duration in milliseconds, rounded to a tenth of a second.
 func formatMS(milliseconds float64) string {
 	return (time.Duration(milliseconds) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
 type announceCmd struct {
-	Losses announceLossesCmd `cmd:"" help:"Time how soon a router hears of losses, on its sockets."`
-	Peers  announcePeersCmd  `cmd:"" help:"Measure one speaker with many routers and addresses."`
-	Days   announceDaysCmd   `cmd:"" help:"Play days with a hall dark and with hosts killed, clients routed by announcements and without."`
+	Losses announceLossesCmd `cmd:"" help:"Measure how long a router takes to learn of failures, on its sockets."`
+	Peers  announcePeersCmd  `cmd:"" help:"Benchmark one BGP speaker with many routers and prefixes."`
+	Days   announceDaysCmd   `cmd:"" help:"Run workloads with a hall lost and with hosts killed, with and without routing by announcements."`
 }
 
 type announcePeersCmd struct {
-	Peers    int `default:"200" help:"Routers."`
-	Prefixes int `default:"2000" help:"Addresses, a quarter of them IPv6."`
+	Peers    int `default:"200" help:"Number of routers (1 to 1000)."`
+	Prefixes int `default:"2000" help:"Number of prefixes, a quarter of them IPv6 (4 to 60000)."`
 }
 
 func (c *announcePeersCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	if c.Peers < 1 || c.Peers > 1000 || c.Prefixes < 4 || c.Prefixes > 60000 {
-		return fmt.Errorf("announce peers: needs 1 to 1000 routers and 4 to 60000 addresses")
+		return fmt.Errorf("announce peers: needs 1 to 1000 routers and 4 to 60000 prefixes")
 	}
 	return lab.ManyPeers(ctx, c.Peers, c.Prefixes, os.Stdout)
 }
 
 type announceDaysCmd struct {
-	Seeds    int     `default:"10" help:"Seeds."`
-	Commands int     `default:"4000" help:"Commands that clients begin on a day."`
-	Rate     float64 `default:"200" help:"Commands a second."`
-	Parallel int     `default:"5" help:"Days at once."`
+	Seeds    int     `default:"10" help:"Number of seeds."`
+	Commands int     `default:"4000" help:"Commands that clients start in a run."`
+	Rate     float64 `default:"200" help:"Mean rate in commands per second."`
+	Parallel int     `default:"5" help:"Number of runs in parallel."`
 }
 
 func (c *announceDaysCmd) Run(log *zap.Logger) error {
@@ -96,16 +97,16 @@
 }
 
 type announceLossesCmd struct {
-	Each     int    `default:"1000" help:"Losses of each kind."`
-	Gateways int    `default:"30" help:"Gateways that lose things, at once."`
-	Chart    string `help:"Draw the distributions as a PNG." placeholder:"FILE"`
+	Each     int    `default:"1000" help:"Number of failures of each kind."`
+	Gateways int    `default:"30" help:"Number of gateways in which failures are injected in parallel (1 to 200)."`
+	Chart    string `help:"Write a PNG chart of the distributions." placeholder:"FILE"`
 }
 
 func (c *announceLossesCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	if c.Each < 1 || c.Gateways < 1 || c.Gateways > 200 {
-		return fmt.Errorf("announce losses: needs a loss, and 1 to 200 gateways")
+		return fmt.Errorf("announce losses: needs at least 1 failure of each kind, and 1 to 200 gateways")
 	}
 	rows, err := lab.Losses(ctx, c.Each, c.Gateways, os.Stderr)
 	if err != nil {
@@ -123,7 +124,7 @@
 			}
 			lines = append(lines, series)
 		}
-		if err := chart.Lines(c.Chart, "from the loss to the router's log", "ms", "% of the losses", lines...); err != nil {
+		if err := chart.Lines(c.Chart, "time from failure to route change at the router", "ms", "% of failures", lines...); err != nil {
 			return err
 		}
 	}
--- a/cmd/merlinhitch/badday.go
+++ b/cmd/merlinhitch/badday.go
@@ -16,21 +16,21 @@
 )
 
 type baddayCmd struct {
-	Seed     uint64   `default:"1" help:"Draws the script and what clients ask for."`
-	Commands int      `default:"10000" help:"Commands that clients begin."`
-	Rate     float64  `default:"220" help:"Commands a second, in the mean of an ordinary day."`
-	Troubles []string `help:"Kinds of trouble, all by default; none for a calm day." placeholder:"KIND,..."`
-	Hosts    int      `default:"3" help:"Hosts."`
-	Servers  int      `default:"9" help:"Disk servers, in three halls."`
-	Sweep    int      `help:"Play each kind of trouble alone, all together and none, over so many seeds." placeholder:"SEEDS"`
-	Parallel int      `default:"4" help:"Days of a sweep at once."`
-	Counters bool     `help:"Hold the hosts' counters to what passed on their sockets."`
-	Out      string   `help:"Folder for the trail; by default a temporary one." placeholder:"DIR"`
+	Seed     uint64   `default:"1" help:"Seed of the fault script and of the client workload."`
+	Commands int      `default:"10000" help:"Commands that clients start."`
+	Rate     float64  `default:"220" help:"Mean rate in commands per second without faults."`
+	Troubles []string `help:"Kinds of fault; by default all, 'none' for no faults." placeholder:"KIND,..."`
+	Hosts    int      `default:"3" help:"Number of hosts."`
+	Servers  int      `default:"9" help:"Number of disk servers, in three halls."`
+	Sweep    int      `help:"Run each kind of fault alone, all together and none, with this number of seeds each." placeholder:"SEEDS"`
+	Parallel int      `default:"4" help:"Number of runs of a sweep in parallel."`
+	Counters bool     `help:"Compare the hosts' counters with the traffic on their sockets."`
+	Out      string   `help:"Directory for the trail; by default, a temporary one." placeholder:"DIR"`
 }
 
 func (c *baddayCmd) Run(log *zap.Logger) error {
 	if c.Hosts < 1 || c.Servers < 3 || c.Commands < 1 || !(c.Rate > 0) {
-		return fmt.Errorf("badday: needs a host, three servers, a command and a rate above 0")
+		return fmt.Errorf("badday: needs at least 1 host, 3 servers, 1 command and a rate above 0")
 	}
 	if c.Sweep > 0 {
 		return c.runSweep(log)
@@ -100,8 +100,8 @@
 }
 
 type trailCmd struct {
-	Check trailCheckCmd `cmd:"" help:"Check the seven rules on a trail."`
-	Show  trailShowCmd  `cmd:"" help:"Print a trail, or one command's whole way."`
+	Check trailCheckCmd `cmd:"" help:"Check a trail against the seven rules."`
+	Show  trailShowCmd  `cmd:"" help:"Print a trail, or the trace of one command."`
 }
 
 type trailCheckCmd struct {
@@ -127,8 +127,8 @@
 
 type trailShowCmd struct {
 	File    string `arg:"" type:"existingfile"`
-	Request string `help:"One command: CONNECTION/TAG as the listing names it." placeholder:"CONN/TAG"`
-	Most    int    `default:"200" help:"Lines of a listing."`
+	Request string `help:"Command to trace, named by its connection and tag as in the listing." placeholder:"CONN/TAG"`
+	Most    int    `default:"200" help:"Maximum number of lines to print."`
 }
 
 func (c *trailShowCmd) Run() error {
@@ -139,7 +139,7 @@
 	if c.Request != "" {
 		var conn, tag uint32
 		if _, err := fmt.Sscanf(c.Request, "%d/%d", &conn, &tag); err != nil {
-			return fmt.Errorf("trail show: %q is not CONN/TAG", c.Request)
+			return fmt.Errorf("trail show: request %q does not have the form CONN/TAG", c.Request)
 		}
 		listing := trail.Way(events, conn, tag, 0, 0)
 		if listing == "" {
--- a/cmd/merlinhitch/bench.go
+++ b/cmd/merlinhitch/bench.go
@@ -8,11 +8,11 @@
 )
 
 type benchCmd struct {
-	Point       time.Duration `default:"2s" help:"Time of each measurement."`
-	Connections []int         `default:"1,10,100,1000" help:"Connections."`
-	Watch       bool          `help:"Measure what history and readers of /metrics cost instead."`
-	Keys        bool          `help:"Measure what TLS to the disk servers costs instead."`
-	Outstanding []int         `default:"1,8,64" help:"Commands outstanding on each."`
+	Point       time.Duration `default:"2s" help:"Duration of each measurement."`
+	Connections []int         `default:"1,10,100,1000" help:"Numbers of connections to measure with."`
+	Watch       bool          `help:"Measure the cost of the history and of /metrics readers instead."`
+	Keys        bool          `help:"Measure the cost of TLS to the disk servers instead."`
+	Outstanding []int         `default:"1,8,64" help:"Numbers of outstanding commands per connection to measure with."`
 }
 
 func (c *benchCmd) Run() error {
--- a/cmd/merlinhitch/conform.go
+++ b/cmd/merlinhitch/conform.go
@@ -13,7 +13,7 @@
 
 type conformCmd struct {
 	Portal string `arg:"" help:"Address of the target: HOST:PORT."`
-	Target string `arg:"" help:"Target name. The first blocks of its unit are overwritten."`
+	Target string `arg:"" help:"Target name. The first blocks of its logical unit are overwritten."`
 	Name   string `default:"iqn.2026-11.example.client:conform" help:"Initiator name."`
 	User   string `help:"CHAP name."`
 	Secret string `env:"MERLINHITCH_SECRET" help:"CHAP secret."`
--- a/cmd/merlinhitch/expect.go
+++ b/cmd/merlinhitch/expect.go
@@ -11,9 +11,9 @@
 
 type expectCmd struct {
 	adminFlag
-	Settings string `help:"Settings to ask instead of those in force." placeholder:"FILE"`
-	All      bool   `help:"Print also what holds."`
-	File     string `arg:"" help:"The expectations."`
+	Settings string `help:"Settings file to check instead of the settings in force." placeholder:"FILE"`
+	All      bool   `help:"Print the expectations that hold too."`
+	File     string `arg:"" help:"File of the expectations."`
 }
 
 func (c *expectCmd) Run() error {
@@ -33,7 +33,8 @@
 	return checkExpectations(s, c.File, c.All)
 }
 
-// checkExpectations answers a file of expectations, and fails if one of them does.
+// checkExpectations evaluates a file of expectations against settings, prints those that fail
+// (with all, every one) and returns an error if any fails.
 func checkExpectations(s *settings.Settings, file string, all bool) error {
 	f, err := os.Open(file)
 	if err != nil {
--- a/cmd/merlinhitch/experiment.go
+++ b/cmd/merlinhitch/experiment.go
@@ -13,23 +13,23 @@
 )
 
 type experimentCmd struct {
-	Run     experimentRunCmd     `cmd:"" default:"withargs" help:"Make every run of a grid in a virtual world; keep rows, table and charts."`
-	Compare experimentCompareCmd `cmd:"" help:"Compare two experiments run for run; what is within noise is no gain."`
+	Run     experimentRunCmd     `cmd:"" default:"withargs" help:"Run every combination of a parameter grid in virtual time and save rows, table and charts."`
+	Compare experimentCompareCmd `cmd:"" help:"Compare two experiments run by run; differences within noise are not counted."`
 }
 
 type experimentRunCmd struct {
 	Hosts    []int     `default:"3,10,46,100,170,230" help:"Numbers of hosts."`
 	Servers  []int     `default:"47" help:"Numbers of disk servers."`
-	Rates    []float64 `default:"760" help:"Commands a second."`
-	Loads    []float64 `default:"1" help:"Times the rate."`
-	Layouts  []string  `default:"" help:"How volumes lie: narrow, wide, or as the example has them." placeholder:"LAYOUT,..."`
-	Troubles []string  `default:"none,mass_restart,all" help:"A kind, none, all (of the bench) or world (every kind)."`
-	Seeds    int       `default:"3" help:"Seeds of each cell."`
-	Seconds  float64   `default:"40" help:"Virtual seconds of a run."`
-	Figure   string    `help:"A figure of the settings that varies, by path, as limits.max_attempts." placeholder:"PATH"`
-	Values   []float64 `help:"Its values." placeholder:"V,..."`
-	Parallel int       `help:"Runs at once; by default as many as processors."`
-	Out      string    `default:"experiment" help:"Folder for the results." placeholder:"DIR"`
+	Rates    []float64 `default:"760" help:"Mean rates in commands per second."`
+	Loads    []float64 `default:"1" help:"Load factors by which the rate is multiplied."`
+	Layouts  []string  `default:"" help:"Volume layouts: narrow, wide, or empty for those of the example settings." placeholder:"LAYOUT,..."`
+	Troubles []string  `default:"none,mass_restart,all" help:"Kinds of fault: a kind, none, all (those of badday) or world (every kind of the simulator)."`
+	Seeds    int       `default:"3" help:"Number of seeds for each combination."`
+	Seconds  float64   `default:"40" help:"Duration of a run in virtual seconds."`
+	Figure   string    `help:"Path of a numeric setting to vary, such as limits.max_attempts." placeholder:"PATH"`
+	Values   []float64 `help:"Values of that setting." placeholder:"V,..."`
+	Parallel int       `help:"Number of runs in parallel; by default, GOMAXPROCS."`
+	Out      string    `default:"experiment" help:"Directory for the results." placeholder:"DIR"`
 }
 
 func (c *experimentRunCmd) Run() error {
@@ -63,8 +63,8 @@
 }
 
 type experimentCompareCmd struct {
-	Before string `arg:"" type:"existingdir" help:"Folder of an experiment."`
-	After  string `arg:"" type:"existingdir" help:"Folder of another."`
+	Before string `arg:"" type:"existingdir" help:"Directory of the baseline experiment."`
+	After  string `arg:"" type:"existingdir" help:"Directory of the experiment to compare with it."`
 }
 
 func (c *experimentCompareCmd) Run() error {
@@ -78,7 +78,7 @@
 	}
 	comparisons := lab.CompareExperiments(before, after)
 	if len(comparisons) == 0 {
-		return fmt.Errorf("the two have no run in common")
+		return fmt.Errorf("experiment compare: the two experiments have no run in common")
 	}
 	return lab.PrintCompared(os.Stdout, comparisons)
 }
--- a/cmd/merlinhitch/explore.go
+++ b/cmd/merlinhitch/explore.go
@@ -18,18 +18,18 @@
 )
 
 type exploreCmd struct {
-	Seeds    uint64  `default:"1000" help:"Scenes to play."`
-	First    uint64  `default:"1" help:"Seed of the first."`
-	Hosts    int     `default:"3" help:"Hosts."`
-	Servers  int     `default:"9" help:"Disk servers, in three halls."`
-	Seconds  float64 `default:"60" help:"Virtual seconds during which clients ask."`
-	Rate     float64 `default:"120" help:"Commands a second, in the mean of an ordinary day."`
-	Regions  bool    `help:"A service over two regions, with its troubles."`
-	Swarm    bool    `default:"true" negatable:"" help:"A subset of the kinds of trouble for each seed; otherwise all on each."`
-	Parallel int     `help:"Scenes at once; by default as many as processors."`
+	Seeds    uint64  `default:"1000" help:"Number of scenarios to run."`
+	First    uint64  `default:"1" help:"Seed of the first scenario."`
+	Hosts    int     `default:"3" help:"Number of hosts."`
+	Servers  int     `default:"9" help:"Number of disk servers, in three halls."`
+	Seconds  float64 `default:"60" help:"Duration of the client traffic in virtual seconds."`
+	Rate     float64 `default:"120" help:"Mean rate in commands per second without faults."`
+	Regions  bool    `help:"Simulate a service that spans two regions, with region faults."`
+	Swarm    bool    `default:"true" negatable:"" help:"Use a random subset of the kinds of fault for each seed instead of all (swarm testing)."`
+	Parallel int     `help:"Number of scenarios in parallel; by default, GOMAXPROCS."`
 	Stop     bool    `help:"Stop at the first failure."`
-	Shrink   int     `default:"60" help:"Plays to spend on making the first failure smaller; 0: none."`
-	Out      string  `default:"scenes" help:"Folder for the scenes that fail." placeholder:"DIR"`
+	Shrink   int     `default:"60" help:"Maximum number of runs for shrinking the first failing scenario; 0 disables shrinking."`
+	Out      string  `default:"scenes" help:"Directory for the scenarios that fail." placeholder:"DIR"`
 }
 
 func (c *exploreCmd) Run() error {
@@ -45,15 +45,15 @@
 		return err
 	}
 	elapsed := time.Since(begin)
-	fmt.Printf("%d scenes of %.0f s, %d hosts and %d disk servers: %d failed\n", summary.Played, c.Seconds, c.Hosts, c.Servers, len(summary.Failures))
-	fmt.Printf("%d steps, %d checks of rules, %d blocks read and judged, %d histories of blocks put in order (%d not in time)\n",
+	fmt.Printf("%d scenarios of %.0f s, %d hosts and %d disk servers: %d failed\n", summary.Played, c.Seconds, c.Hosts, c.Servers, len(summary.Failures))
+	fmt.Printf("%d steps, %d rule checks, %d blocks read and verified, %d block histories checked for linearizability (%d timed out)\n",
 		summary.Steps, summary.Checks, summary.Reads, summary.Blocks-summary.Unknown, summary.Unknown)
 	fmt.Printf("mean goodput %.3f; %.0f virtual seconds in %.1f s, %.0f steps a second\n", summary.Goodput, summary.Virtual.Seconds(), elapsed.Seconds(), float64(summary.Steps)/elapsed.Seconds())
 	var troubles []string
 	for _, kind := range slices.Sorted(maps.Keys(summary.Kinds)) {
 		troubles = append(troubles, fmt.Sprintf("%s %d", kind, summary.Kinds[kind]))
 	}
-	fmt.Println("troubles:", strings.Join(troubles, ", "))
+	fmt.Println("faults:", strings.Join(troubles, ", "))
 	if c.Regions {
 		summary.PrintRegions(os.Stdout)
 	}
@@ -72,13 +72,13 @@
 		if err := shrunk.Save(file); err != nil {
 			return err
 		}
-		fmt.Printf("smaller: %s, %d troubles, %d commands, %d hosts\n", file, len(shrunk.Script), shrunk.Commands, shrunk.Hosts)
+		fmt.Printf("shrunk scenario: %s, %d faults, %d commands, %d hosts\n", file, len(shrunk.Script), shrunk.Commands, shrunk.Hosts)
 	}
 	return errReported
 }
 
 type replayCmd struct {
-	File  string `arg:"" type:"existingfile" help:"Scene, as explore writes it."`
+	File  string `arg:"" type:"existingfile" help:"Scenario file that explore wrote."`
 	Trail string `help:"File for the trail." placeholder:"FILE"`
 }
 
@@ -102,7 +102,7 @@
 	}
 	fmt.Printf("digest %016x after %d steps, %.3f virtual seconds; trail: %s\n", outcome.Scene.Digest, outcome.Steps, outcome.Took.Seconds(), c.Trail)
 	if scene.Digest != 0 && scene.Digest != outcome.Scene.Digest {
-		return errors.New("replay: another run than the file tells of: it was made by another build")
+		return errors.New("replay: digest differs from the recorded one; the scenario was probably recorded by another build")
 	}
 	if outcome.Failure == nil {
 		fmt.Println("nothing failed")
--- a/cmd/merlinhitch/keys.go
+++ b/cmd/merlinhitch/keys.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s, %s, until %s, number %x\n", c.Name, c.Role, cert.NotAfter.UTC().Format(time.RFC3339), cert.SerialNumber)
+	fmt.Printf("%s, %s, until %s, serial number %x\n", c.Name, c.Role, cert.NotAfter.UTC().Format(time.RFC3339), cert.SerialNumber)
 	return nil
 }
 
@@ -130,7 +130,7 @@
 		return err
 	}
 	name, role := keys.Name(cert)
-	fmt.Printf("%s, %s, from %s until %s, number %x\n", name, role, cert.NotBefore.UTC().Format(time.RFC3339), cert.NotAfter.UTC().Format(time.RFC3339), cert.SerialNumber)
+	fmt.Printf("%s, %s, from %s until %s, serial number %x\n", name, role, cert.NotBefore.UTC().Format(time.RFC3339), cert.NotAfter.UTC().Format(time.RFC3339), cert.SerialNumber)
 	holder, err := keys.Hold(c.Holder, time.Now)
 	if err != nil {
 		return err
--- a/cmd/merlinhitch/plan.go
+++ b/cmd/merlinhitch/plan.go
@@ -24,30 +24,30 @@
 )
 
 type planCmd struct {
-	Make  planMakeCmd  `cmd:"" default:"withargs" help:"Work out a layout for the settings in force, show it, and apply it if asked."`
-	Days  planDaysCmd  `cmd:"" help:"Play busy days through the gateway with the solver's layout and three made without one."`
-	Bench planBenchCmd `cmd:"" help:"Measure the solver beside layouts made without one, on simulated fleets."`
+	Make  planMakeCmd  `cmd:"" default:"withargs" help:"Compute a layout for the settings in force, print it, and with --apply roll it out."`
+	Days  planDaysCmd  `cmd:"" help:"Run busy workloads through the gateway with the solver's layout and three baseline layouts."`
+	Bench planBenchCmd `cmd:"" help:"Benchmark the solver against baseline layouts on generated fleets."`
 }
 
 type planMakeCmd struct {
 	keysFlag
 	Admin    []string      `default:"${admin}" help:"Admin addresses of all gateways of the service."`
-	Snapshot string        `help:"Plan for a saved snapshot instead; nothing can be applied." placeholder:"FILE"`
-	Measured bool          `help:"Take the rates that the gateways measured instead of the typed ones."`
-	Lost     []string      `help:"Halls that are lost." placeholder:"HALL"`
-	Limit    time.Duration `default:"30s" help:"Time after which the search gives the best so far."`
-	Near     float64       `default:"0.01" help:"Part by which uses and cost may be above the best found, if less is moved for it."`
+	Snapshot string        `help:"Plan from a saved settings snapshot instead; excludes --apply and --measured." placeholder:"FILE"`
+	Measured bool          `help:"Use the rates that the gateways measured instead of the configured ones."`
+	Lost     []string      `help:"Halls to treat as lost." placeholder:"HALL"`
+	Limit    time.Duration `default:"30s" help:"Time limit of the search, after which the best layout found is used."`
+	Near     float64       `default:"0.01" help:"Fraction by which utilization and cost may exceed the best found in order to move less."`
 	JSON     bool          `name:"json" help:"Print JSON."`
-	Picture  string        `help:"Draw use by node and hall, before and after, with each hall lost, as a PNG." placeholder:"FILE"`
-	Apply    bool          `help:"Hand the steps to the gateways one by one; stop at the first that is refused."`
-	Pause    time.Duration `default:"1s" help:"Wait between steps."`
+	Picture  string        `help:"Write a PNG heat map of node utilization before and after, also with each hall lost." placeholder:"FILE"`
+	Apply    bool          `help:"Apply the steps at the gateways one by one; stop at the first that is refused."`
+	Pause    time.Duration `default:"1s" help:"Pause between steps."`
 }
 
 func (c *planMakeCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	if c.Snapshot != "" && (c.Apply || c.Measured) {
-		return errors.New("plan: a snapshot has no gateways to measure or apply with")
+		return errors.New("plan: --snapshot cannot be combined with --apply or --measured")
 	}
 	hosts, err := c.hosts(c.Admin)
 	if err != nil {
@@ -84,7 +84,7 @@
 func (c *planMakeCmd) readPlan(ctx context.Context, hosts []*rollout.Host) (*plan.Plan, error) {
 	if c.Snapshot != "" {
 		source, err := settings.Load(c.Snapshot, nil)
-		if err != nil && !errors.Is(err, settings.ErrNoKey) { // a layout needs no secret
+		if err != nil && !errors.Is(err, settings.ErrNoKey) { // the plan does not use the encrypted secrets
 			return nil, err
 		}
 		return plan.From(source, plan.Options{Lost: c.Lost})
@@ -104,8 +104,8 @@
 	return plan.From(source, options)
 }
 
-// explainNoLayout says why there is no layout: the constraints that contradict each other
-// and the cheapest way out.
+// explainNoLayout prints a minimal set of conflicting constraints and how to resolve them at
+// least cost. If none is found, it prints the total demand and capacity instead.
 func (c *planMakeCmd) explainNoLayout(problem *placement.Problem, err error) error {
 	if !errors.Is(err, placement.ErrNoLayout) && !errors.Is(err, placement.ErrStopped) {
 		return err
@@ -120,10 +120,10 @@
 		for _, node := range problem.Nodes {
 			capacity += node.Capacity
 		}
-		fmt.Printf("%v; asked for: %.1f units a second with copies, capacity: %.1f\n", err, demand, capacity)
+		fmt.Printf("%v; demand with copies: %.1f units/s, capacity: %.1f units/s\n", err, demand, capacity)
 		return errReported
 	}
-	fmt.Println("no layout keeps all of these together; without any one of them there would be one:")
+	fmt.Println("no layout satisfies all of these constraints; dropping any one of them would allow one:")
 	for _, constraint := range conflict.Words(problem) {
 		fmt.Println(" ", constraint)
 	}
@@ -142,8 +142,9 @@
 	return report.Print(os.Stdout)
 }
 
+// drawUtilization draws node utilization before and after the plan, also with each hall lost.
 func drawUtilization(file string, layoutPlan *plan.Plan, proposed placement.Layout) error {
-	heat := &chart.Heat{Title: "use of nodes: load over capacity", Full: 1}
+	heat := &chart.Heat{Title: "node utilization: load / capacity", Full: 1}
 	order := make([]int, len(layoutPlan.Problem.Nodes))
 	for node := range order {
 		order[node] = node
@@ -170,11 +171,11 @@
 }
 
 type planDaysCmd struct {
-	Seeds    int     `default:"10" help:"Seeds."`
-	Commands int     `default:"5000" help:"Commands that clients begin on a day."`
-	Rate     float64 `default:"260" help:"Commands a second, in the mean of an ordinary day."`
-	Parallel int     `default:"5" help:"Days at once."`
-	Chart    string  `help:"Draw the medians as a PNG." placeholder:"FILE"`
+	Seeds    int     `default:"10" help:"Number of seeds."`
+	Commands int     `default:"5000" help:"Commands that clients start in a run."`
+	Rate     float64 `default:"260" help:"Mean rate in commands per second under ordinary load."`
+	Parallel int     `default:"5" help:"Number of runs in parallel."`
+	Chart    string  `help:"Write a PNG chart of the medians." placeholder:"FILE"`
 }
 
 func (c *planDaysCmd) Run(log *zap.Logger) error {
@@ -217,22 +218,22 @@
 	for _, layout := range lab.Layouts {
 		series = append(series, *byLayout[layout])
 	}
-	return chart.Bars(file, "goodput of busy days, median of the seeds", "part of the worth asked for", days, series...)
+	return chart.Bars(file, "goodput under busy workloads, median of the seeds", "fraction of offered value", days, series...)
 }
 
 type planBenchCmd struct {
-	Nodes []int         `default:"10,47,200,1000" help:"Sizes; eight volumes a node."`
-	Seed  uint64        `default:"1" help:"Draws the fleets."`
-	Limit time.Duration `default:"30s" help:"Time after which a search gives the best so far."`
+	Nodes []int         `default:"10,47,200,1000" help:"Numbers of nodes in a fleet, with eight volumes per node."`
+	Seed  uint64        `default:"1" help:"Seed of the fleets."`
+	Limit time.Duration `default:"30s" help:"Time limit of a search, after which the best layout found is used."`
 }
 
 func (c *planBenchCmd) Run() error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
-	fmt.Fprintln(table, "| nodes\t| volumes\t| layout\t| seconds\t| MiB allocated\t| highest use\t| after worst loss\t| unmet worth\t| constraints broken\t| gap\t| gap after loss\t|")
+	fmt.Fprintln(table, "| nodes\t| volumes\t| layout\t| seconds\t| MiB allocated\t| max utilization\t| after worst loss\t| unmet value\t| constraints violated\t| gap\t| gap after loss\t|")
 	fmt.Fprintln(table, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
 	for _, nodeCount := range c.Nodes {
 		if nodeCount < 3 {
-			return fmt.Errorf("plan bench: a fleet of %d nodes has no three halls", nodeCount)
+			return fmt.Errorf("plan bench: %d nodes are too few for three halls", nodeCount)
 		}
 		problem := placement.Fleet(nodeCount, c.Seed)
 		fmt.Fprintf(os.Stderr, "%d nodes, %d volumes\n", nodeCount, len(problem.Volumes))
--- a/cmd/merlinhitch/regions.go
+++ b/cmd/merlinhitch/regions.go
@@ -18,17 +18,17 @@
 )
 
 type regionsCmd struct {
-	Show   regionsShowCmd   `cmd:"" default:"withargs" help:"Who serves what, under which generation, since when and why."`
-	Lead   regionsLeadCmd   `cmd:"" help:"Say that this region leads: the other is lost, or this one came back alone."`
-	Return regionsReturnCmd `cmd:"" help:"Have every shard served where it prefers to be, once its copy there has all."`
-	GiveUp regionsGiveUpCmd `cmd:"" help:"Take over even what only the lost region has in full: writes that it answered alone are lost."`
-	Move   regionsMoveCmd   `cmd:"" help:"Have one shard served in a region."`
+	Show   regionsShowCmd   `cmd:"" default:"withargs" help:"Show which region serves each shard, under which generation, and recent changes."`
+	Lead   regionsLeadCmd   `cmd:"" help:"Make this region the leader, because the other is lost or this one restarted alone."`
+	Return regionsReturnCmd `cmd:"" help:"Move every shard to its preferred region once its copy there is complete."`
+	GiveUp regionsGiveUpCmd `cmd:"" help:"Take over also the shards whose only complete copy is in the lost region; writes that it alone acknowledged are lost."`
+	Move   regionsMoveCmd   `cmd:"" help:"Move one shard to a region."`
 	Share  regionsShareCmd  `cmd:"" help:"Split a plan's limit between the regions."`
-	Day    regionsDayCmd    `cmd:"" help:"Play a day of a service over two regions on loopback, with every trouble of regions in turn."`
-	Cost   regionsCostCmd   `cmd:"" help:"Measure losses of a region, and what a split limit refuses in a cut, in a virtual world."`
+	Day    regionsDayCmd    `cmd:"" help:"Run a two-region service on loopback with every kind of region fault in turn."`
+	Cost   regionsCostCmd   `cmd:"" help:"Measure, in virtual time, the effect of losing a region and what split limits refuse during a partition."`
 }
 
-// sendRequest asks an inventory one question; what it refuses is an error.
+// sendRequest sends one request to an inventory and returns its answer. A refusal is an error.
 func sendRequest(addr string, request inventory.Ask) (*inventory.List, error) {
 	caller := inventory.NewCaller(env.NewReal(), func() string { return addr })
 	defer caller.Close()
@@ -43,7 +43,7 @@
 }
 
 type regionsShowCmd struct {
-	Inventory []string `arg:"" help:"Inventories of the regions." placeholder:"ADDRESS"`
+	Inventory []string `arg:"" help:"Inventory addresses of the regions." placeholder:"ADDRESS"`
 }
 
 func (c *regionsShowCmd) Run() error {
@@ -67,25 +67,25 @@
 	record, status := list.Record, list.Status
 	grants := "grants leases"
 	if !status.Grants {
-		grants = "grants NOTHING"
+		grants = "grants no leases"
 	}
-	lastContact := fmt.Sprintf("region %d heard %.1f s ago", status.Region.Other(), status.HeardMS/1000)
+	lastContact := fmt.Sprintf("last contact with region %d %.1f s ago", status.Region.Other(), status.HeardMS/1000)
 	if status.HeardMS > 1e8 {
-		lastContact = fmt.Sprintf("region %d not heard since this one's start", status.Region.Other())
+		lastContact = fmt.Sprintf("no contact with region %d since this one's start", status.Region.Other())
 	}
 	fmt.Printf("region %d (%s): %s, term %s, region %d leads, %s\n\n", status.Region, addr, grants, region.TermText(record.Term), record.Leader, lastContact)
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "shard\tserved in\tprefers\tgeneration\tcopy")
 	for i, home := range record.Homes {
-		location, copyState := fmt.Sprint(home.Region), "kept"
+		location, copyState := fmt.Sprint(home.Region), "in sync"
 		if home.Region == region.Nowhere {
-			location = fmt.Sprintf("nowhere, from %d", home.From)
+			location = fmt.Sprintf("none, complete copy in %d", home.From)
 		}
 		switch {
 		case home.Alone:
-			copyState = "behind: the home answers alone"
+			copyState = "behind: the serving region acknowledges writes alone"
 		case home.Leaving:
-			copyState = "out of reach: answers wait"
+			copyState = "unreachable: acknowledgements wait"
 		}
 		fmt.Fprintf(table, "%d\t%s\t%d\t%s\t%s\n", i, location, home.Prefer, region.TermText(home.Gen), copyState)
 	}
@@ -99,16 +99,16 @@
 	fmt.Println()
 }
 
-// inventoryArgs is what a word to an inventory needs.
+// inventoryArgs selects the inventory that an operator's request goes to.
 type inventoryArgs struct {
-	Inventory string `arg:"" help:"Inventory to say it to." placeholder:"ADDRESS"`
+	Inventory string `arg:"" help:"Address of the inventory." placeholder:"ADDRESS"`
 }
 
 func (c *inventoryArgs) send(op string) error {
 	if _, err := sendRequest(c.Inventory, inventory.Ask{Op: op}); err != nil {
 		return err
 	}
-	fmt.Println("said; 'merlinhitch regions show' tells what becomes of it")
+	fmt.Println("request accepted; 'merlinhitch regions show' shows its progress")
 	return nil
 }
 
@@ -127,7 +127,7 @@
 type regionsMoveCmd struct {
 	Inventory string    `arg:"" placeholder:"ADDRESS"`
 	Shard     int       `arg:""`
-	To        region.ID `arg:"" help:"Region: 0 or 1."`
+	To        region.ID `arg:"" help:"Region to move it to: 0 or 1."`
 }
 
 func (c *regionsMoveCmd) Run() error {
@@ -137,8 +137,8 @@
 
 type regionsShareCmd struct {
 	Inventory string  `arg:"" placeholder:"ADDRESS"`
-	Plan      int     `arg:"" help:"Number of the plan in the settings."`
-	First     float64 `arg:"" help:"Part of region 0, from 0 to 1; the rest is region 1's."`
+	Plan      int     `arg:"" help:"Index of the plan in the settings."`
+	First     float64 `arg:"" help:"Fraction of the limit for region 0, from 0 to 1; region 1 gets the rest."`
 }
 
 func (c *regionsShareCmd) Run() error {
@@ -147,18 +147,18 @@
 }
 
 type regionsDayCmd struct {
-	Seed    uint64  `default:"1" help:"Draws the troubles and what clients ask for."`
-	Hosts   int     `default:"4" help:"Hosts, in turn of either region."`
-	Servers int     `default:"8" help:"Shards, each with a disk server in either region."`
-	Rate    float64 `default:"160" help:"Commands a second, in the mean of an ordinary day."`
-	Each    float64 `default:"14" help:"Seconds that each trouble lasts."`
-	Calm    float64 `default:"9" help:"Seconds between them."`
-	Out     string  `help:"Folder for the trail, or none." placeholder:"DIR"`
+	Seed    uint64  `default:"1" help:"Seed of the faults and of the client workload."`
+	Hosts   int     `default:"4" help:"Number of hosts, alternating between the regions."`
+	Servers int     `default:"8" help:"Number of shards, each with a disk server in both regions."`
+	Rate    float64 `default:"160" help:"Mean rate in commands per second without faults."`
+	Each    float64 `default:"14" help:"Duration of each fault in seconds."`
+	Calm    float64 `default:"9" help:"Time between faults in seconds."`
+	Out     string  `help:"Directory for the trail; by default, none is written." placeholder:"DIR"`
 }
 
 func (c *regionsDayCmd) Run(log *zap.Logger) error {
 	if c.Hosts < 2 || c.Servers < 2 || !(c.Rate > 0) || !(c.Each > 0) || !(c.Calm > 0) {
-		return fmt.Errorf("regions day: needs two hosts, two shards, and a rate and times above 0")
+		return fmt.Errorf("regions day: needs at least 2 hosts and 2 shards, and a rate and durations above 0")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -178,8 +178,8 @@
 }
 
 type regionsCostCmd struct {
-	Seeds uint64 `default:"20" help:"Days of each kind."`
-	Out   string `default:"regions" help:"Folder for the charts." placeholder:"DIR"`
+	Seeds uint64 `default:"20" help:"Number of runs of each kind."`
+	Out   string `default:"regions" help:"Directory for the charts." placeholder:"DIR"`
 }
 
 func (c *regionsCostCmd) Run() error {
--- a/cmd/merlinhitch/report.go
+++ b/cmd/merlinhitch/report.go
@@ -14,11 +14,11 @@
 type reportCmd struct {
 	keysFlag
 	Hosts   []string      `help:"Admin addresses of hosts that keep a history." placeholder:"ADDRESS,..."`
-	History []string      `help:"Folders of histories, of hosts that are stopped." placeholder:"DIR,..."`
-	From    string        `help:"Begin, as 2026-12-01T08:00:00Z; left out: the last hour." placeholder:"TIME"`
-	To      string        `help:"End; left out: now." placeholder:"TIME"`
-	Within  time.Duration `default:"5s" help:"How long a host may take to answer."`
-	Out     string        `default:"report.html" help:"The page." placeholder:"FILE"`
+	History []string      `help:"History directories of stopped hosts." placeholder:"DIR,..."`
+	From    string        `help:"Start of the interval, such as 2026-12-01T08:00:00Z; by default, one hour before the end." placeholder:"TIME"`
+	To      string        `help:"End of the interval; by default, now." placeholder:"TIME"`
+	Within  time.Duration `default:"5s" help:"Timeout for each host."`
+	Out     string        `default:"report.html" help:"HTML file to write." placeholder:"FILE"`
 }
 
 func (c *reportCmd) Run() error {
@@ -32,7 +32,7 @@
 	}
 	note := ""
 	if failedReads > 0 {
-		note = fmt.Sprintf("%d did not answer, or not whole.", failedReads)
+		note = fmt.Sprintf("%d hosts or histories could not be read completely.", failedReads)
 	}
 	page, err := report.Make(rows, hosts, from, to, note)
 	if err != nil {
@@ -50,6 +50,7 @@
 	return file.Close()
 }
 
+// parseInterval returns the reported interval in seconds since 1970.
 func (c *reportCmd) parseInterval(now time.Time) (from, to int64, err error) {
 	end, begin := now, now.Add(-time.Hour)
 	if c.To != "" {
@@ -64,12 +65,13 @@
 		}
 	}
 	if !begin.Before(end) {
-		return 0, 0, fmt.Errorf("report: %v is not before %v", begin, end)
+		return 0, 0, fmt.Errorf("report: start %v is not before end %v", begin, end)
 	}
 	return begin.Unix(), end.Unix(), nil
 }
 
-// readHistories gathers the rows of all hosts; those that do not answer are said and counted.
+// readHistories reads the rows of all hosts and history directories. Hosts that fail to answer
+// and directories that cannot be read completely are printed and counted in failedReads.
 func (c *reportCmd) readHistories(from, to int64) (rows []history.Row, hosts, failedReads int, err error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
--- a/cmd/merlinhitch/reservations.go
+++ b/cmd/merlinhitch/reservations.go
@@ -9,10 +9,10 @@
 )
 
 type reservationsCmd struct {
-	Runs     int  `default:"200" help:"Seeds."`
-	Steps    int  `default:"40" help:"Steps of each of the four initiators."`
-	Virtual  bool `help:"Play in a virtual world, the same at each play."`
-	Parallel int  `default:"6" help:"Runs at once."`
+	Runs     int  `default:"200" help:"Number of seeds."`
+	Steps    int  `default:"40" help:"Number of steps of each of the four initiators."`
+	Virtual  bool `help:"Run in virtual time, deterministically."`
+	Parallel int  `default:"6" help:"Number of runs in parallel."`
 }
 
 func (c *reservationsCmd) Run() error {
--- a/cmd/merlinhitch/scheduler_test.go
+++ b/cmd/merlinhitch/scheduler_test.go
@@ -23,8 +23,8 @@
 	"merlinhitch/internal/simulation/standin"
 )
 
-// runAsSchedulerEnv has the test binary run as `merlinhitch scheduler` in place of the tests, so
-// that real signals come to a real process.
+// runAsSchedulerEnv is the environment variable that makes the test binary run as
+// `merlinhitch scheduler` instead of the tests, so that signals reach a separate process.
 const runAsSchedulerEnv = "MERLINHITCH_TEST_SCHEDULER"
 
 func TestMain(m *testing.M) {
@@ -39,7 +39,7 @@
 	os.Exit(m.Run())
 }
 
-// schedulerProcess is a scheduler that runs, with what it said so far.
+// schedulerProcess is a running scheduler process with its log so far.
 type schedulerProcess struct {
 	t          *testing.T
 	cmd        *exec.Cmd
@@ -60,7 +60,7 @@
 "limits":{"attempts_cap":4,"retry_after":true,"max_retry_after_ms":2000,"dial_timeout_ms":250,"conn_idle_ms":30000},
 "safety":{"answer_slack_ms":8,"stop_sending_within_ms":500},"extra":{"unit_mean":2,"largest":6,"slots_total":2}}}`
 
-// unusedAddr is one that nobody listens at just now.
+// unusedAddr returns a loopback address on which nothing listens at the moment.
 func unusedAddr(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,7 +94,7 @@
 		}
 		err := p.cmd.Wait()
 		p.mu.Lock()
-		p.log.WriteString("it has ended\n")
+		p.log.WriteString("process exited\n")
 		p.logGrew.Broadcast()
 		p.mu.Unlock()
 		p.exited <- err
@@ -109,7 +109,8 @@
 	}
 }
 
-// waitForLog waits until the process has waitForLog something.
+// waitForLog waits until the log contains text. It fails the test if the process exits first;
+// after 20 s it kills the process.
 func (p *schedulerProcess) waitForLog(text string) {
 	p.t.Helper()
 	timer := time.AfterFunc(20*time.Second, func() { p.cmd.Process.Kill() })
@@ -117,8 +118,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for !strings.Contains(p.log.String(), text) {
-		if strings.Contains(p.log.String(), "it has ended") {
-			p.t.Fatalf("never said %q:\n%s", text, p.log.String())
+		if strings.Contains(p.log.String(), "process exited") {
+			p.t.Fatalf("the process exited without logging %q:\n%s", text, p.log.String())
 		}
 		p.logGrew.Wait()
 	}
@@ -131,14 +132,14 @@
 	}
 }
 
-// waitForExit waits for the end and tells the exit status.
+// waitForExit waits for the process to exit and returns its exit status.
 func (p *schedulerProcess) waitForExit(timeout time.Duration) int {
 	p.t.Helper()
 	select {
 	case <-p.exited:
 		return p.cmd.ProcessState.ExitCode()
 	case <-time.After(timeout):
-		p.t.Fatalf("still there after %s:\n%s", timeout, p.log.String())
+		p.t.Fatalf("process still running after %s:\n%s", timeout, p.log.String())
 		return -1
 	}
 }
@@ -163,7 +164,7 @@
 	return c.readStatus()
 }
 
-// readStatus tells an answer's status, 0 where the connection ended without one.
+// readStatus reads a response and returns its status, or 0 if none could be read within 15 s.
 func (c *clientConn) readStatus() int {
 	c.SetReadDeadline(time.Now().Add(15 * time.Second))
 	limits := http1.Limits{MaxHeadBytes: 4 << 10, MaxFields: 20, MaxBodyBytes: 4 << 10}
@@ -174,12 +175,12 @@
 	return response.Status
 }
 
-// standins is a disk server and two agents of discovery.
+// standins is a stand-in disk server and two stand-in discovery agents.
 type standins struct {
 	disk                      *standin.HTTPDisk
 	discovery, otherDiscovery *standin.HTTPList
-	received                  chan struct{} // a value for each request that came to the disk server
-	release                   chan struct{} // and one that lets its answer go
+	received                  chan struct{} // gets a value for each request that arrives at the disk server
+	release                   chan struct{} // each value releases one answer of the disk server
 }
 
 func startStandins(t *testing.T) *standins {
@@ -223,8 +224,8 @@
 	return p
 }
 
-// A request that is out when SIGTERM comes, a second SIGTERM and a SIGHUP with another
-// class behind it: all is answered, the move is made, and the process ends by itself.
+// A SIGHUP and a second SIGTERM during the drain must neither cut off the open request nor
+// start a second drain, and the reloaded request class and discovery address must take effect.
 func TestOverlappingSigtermAndSighup(t *testing.T) {
 	servers := startStandins(t)
 	p := servers.startScheduler(t)
@@ -241,24 +242,24 @@
 	p.waitForLog("configuration read again")
 	servers.release <- struct{}{}
 	if status := <-statuses; status != 200 {
-		t.Errorf("under way at SIGTERM: %d", status)
+		t.Errorf("status of the request open at SIGTERM: got %d, want 200", status)
 	}
 	servers.release <- struct{}{}
 	if status := c.request("scan", 2); status != 200 {
-		t.Errorf("a new class, after both signals: %d", status)
+		t.Errorf("status of a request of the reloaded class: got %d, want 200", status)
 	}
 	if status := p.waitForExit(4 * time.Second); status != 0 {
-		t.Errorf("exit status %d:\n%s", status, p.log.String())
+		t.Errorf("exit status: got %d, want 0; log:\n%s", status, p.log.String())
 	}
 	if n := strings.Count(p.log.String(), `"draining"`); n != 1 {
-		t.Errorf("drained %d times", n)
+		t.Errorf("number of drains: got %d, want 1", n)
 	}
 	if len(servers.otherDiscovery.Targets()) == 0 {
-		t.Error("discovery did not move")
+		t.Error("the scheduler did not connect to the reloaded discovery address")
 	}
 }
 
-// SIGTERM before the scheduler is ready: /up never says 200, and it ends.
+// SIGTERM before the scheduler is ready must still end the process with status 0.
 func TestSigtermBeforeReady(t *testing.T) {
 	silentDiscovery, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -271,18 +272,18 @@
 	p.signal(syscall.SIGTERM)
 	p.waitForLog(`"draining"`)
 	if status := p.waitForExit(4 * time.Second); status != 0 {
-		t.Errorf("exit status %d", status)
+		t.Errorf("exit status: got %d, want 0", status)
 	}
 }
 
-// A fault of the configuration ends the start with its path and status 2; at SIGHUP it is
-// logged, and the old configuration stays.
+// An invalid configuration must stop the start with exit status 2 and the path of the fault; at
+// SIGHUP it must be logged and the old configuration stay in force.
 func TestInvalidConfigFile(t *testing.T) {
 	servers := startStandins(t)
 	invalidConfig := strings.Replace(servers.config(unusedAddr(t), servers.discovery.Addr, "read", 500), `"aim_ms":200`, `"aim_ms":-1`, 1)
 	p := startProcess(t, invalidConfig)
 	if status := p.waitForExit(10 * time.Second); status != exitInvalidConfig || !strings.Contains(p.log.String(), "settings.request_classes[0].aim_ms") {
-		t.Errorf("exit status %d:\n%s", status, p.log.String())
+		t.Errorf("exit status: got %d, want 2 and the path of the fault in the log; log:\n%s", status, p.log.String())
 	}
 	p = servers.startScheduler(t)
 	p.waitForLog(`"ready"`)
@@ -294,16 +295,16 @@
 	c := p.connect()
 	servers.release <- struct{}{}
 	if status := c.request("read", 1); status != 200 {
-		t.Errorf("after faulty files: %d", status)
+		t.Errorf("status after invalid configuration files: got %d, want 200", status)
 	}
 	p.signal(syscall.SIGTERM)
 	if status := p.waitForExit(4 * time.Second); status != 0 {
-		t.Errorf("exit status %d", status)
+		t.Errorf("exit status: got %d, want 0", status)
 	}
 }
 
-// Descriptors run out in earnest: idle clients hold all that there are. Who has a connection
-// is served, and new ones are once there is room.
+// While idle clients hold every file descriptor, open connections must still be served, and new
+// ones must be served once descriptors are free again.
 func TestFileDescriptorsExhausted(t *testing.T) {
 	servers := startStandins(t)
 	p := servers.startScheduler(t)
@@ -311,13 +312,13 @@
 	kept := p.connect()
 	servers.release <- struct{}{}
 	if status := kept.request("read", 1); status != 200 {
-		t.Fatal("before the crowd:", status)
+		t.Fatal("status before the idle clients connected (want 200):", status)
 	}
 	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Two more than it has: one connection to the disk server, or a client.
+	// Two more than are open: enough for a connection to the disk server or a client.
 	limit := &unix.Rlimit{Cur: uint64(len(descriptors) + 2), Max: uint64(len(descriptors) + 2)}
 	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, limit, nil); err != nil {
 		t.Fatal(err)
@@ -332,7 +333,7 @@
 	}
 	servers.release <- struct{}{}
 	if status := kept.request("read", 2); status != 200 {
-		t.Errorf("in the crowd: %d", status)
+		t.Errorf("status while idle clients hold the descriptors: got %d, want 200", status)
 	}
 	for _, c := range idleClients {
 		c.Close()
@@ -340,14 +341,14 @@
 	c := p.connect()
 	servers.release <- struct{}{}
 	if status := c.request("read", 3); status != 200 {
-		t.Errorf("after the crowd: %d", status)
+		t.Errorf("status after the idle clients left: got %d, want 200", status)
 	}
 	io.WriteString(kept, "GET /up HTTP/1.1\r\n\r\n")
 	if status := kept.readStatus(); status != 200 {
-		t.Errorf("/up: %d", status)
+		t.Errorf("status of /up: got %d, want 200", status)
 	}
 	p.signal(syscall.SIGTERM)
 	if status := p.waitForExit(4 * time.Second); status != 0 {
-		t.Errorf("exit status %d", status)
+		t.Errorf("exit status: got %d, want 0", status)
 	}
 }
--- a/cmd/merlinhitch/serve.go
+++ b/cmd/merlinhitch/serve.go
@@ -251,7 +251,7 @@
 		return err
 	}
 	if len(data) == 0 || len(data)%size != 0 {
-		return fmt.Errorf("io: %d bytes do not fill whole blocks of %d", len(data), size)
+		return fmt.Errorf("io: input of %d bytes is not a positive multiple of the block size, %d bytes", len(data), size)
 	}
 	result, err := client.Do(ctx, initiator.WriteCDB(c.Lba, uint32(len(data)/size)), data, 0)
 	if err != nil {
--- a/cmd/merlinhitch/settings.go
+++ b/cmd/merlinhitch/settings.go
@@ -234,7 +234,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("version %d is in force again, as version %d\n", c.Version, accepted.Version)
+		fmt.Printf("version %d restored as version %d\n", c.Version, accepted.Version)
 		return nil
 	})
 }
--- a/cmd/merlinhitch/soak_test.go
+++ b/cmd/merlinhitch/soak_test.go
@@ -9,13 +9,13 @@
 	"merlinhitch/internal/simulation/soak"
 )
 
-// schedulerCommand has the test binary run as `merlinhitch scheduler`. The race detector would
-// have it rest for a second at its end.
+// schedulerCommand runs the test binary as `merlinhitch scheduler`. GORACE turns off the race
+// detector's delay of one second at exit.
 func schedulerCommand() soak.Command {
 	return soak.Command{Path: os.Args[0], Env: []string{runAsSchedulerEnv + "=1", "GORACE=atexit_sleep_ms=0"}}
 }
 
-// everyTenth lists every everyTenth server, from one on.
+// everyTenth returns the indexes first, first+10 and so on, below servers.
 func everyTenth(servers, first int) (picked []int) {
 	for i := first; i < servers; i += 10 {
 		picked = append(picked, i)
@@ -23,20 +23,20 @@
 	return picked
 }
 
-// Incident 4d103e: thousands of disk servers, a scheduler with a part of a core, discovery
-// that was silent and comes back with the whole list and a release right behind it. Every
-// request gets its final answer in its time, and nothing goes to what drains.
+// Regression test for incident 4d103e: with thousands of disk servers and a fraction of a core,
+// discovery returns with the whole list just before a release. Every request must still be
+// answered in time, and none be sent to draining servers.
 func TestReleaseOfAFleetOfThousands(t *testing.T) {
 	options := soak.Defaults()
 	options.Command, options.Schedulers, options.Servers, options.Rate, options.Lasts, options.Share, options.WholeLists = schedulerCommand(), 1, 3200, 60, 7*time.Second, 0.1, true
-	if testing.Short() { // under the race detector, which makes the program some ten times slower
+	if testing.Short() { // -short is used with the race detector, under which the process is about ten times slower
 		options.Share = 1
 	}
 	setHealth := func(first int, health string) func(*soak.Run) {
 		return func(r *soak.Run) { r.Directory.Change(everyTenth(options.Servers, first), health) }
 	}
 	run, violations, err := soak.Play(options, []soak.Fault{
-		{At: 1000 * time.Millisecond, Name: "discovery falls silent", Do: func(r *soak.Run) {
+		{At: 1000 * time.Millisecond, Name: "discovery goes down", Do: func(r *soak.Run) {
 			r.Agent(0).SetDown(true)
 			r.Agent(0).ResetWatches()
 		}},
@@ -55,7 +55,7 @@
 		t.Error(violation)
 	}
 	if len(violations) > 0 {
-		t.Errorf("%d breaks in all; the scheduler's log:", len(violations))
+		t.Errorf("%d rule violations in total; log lines of the scheduler:", len(violations))
 		for line := range strings.SplitSeq(run.Record.Ends[0].Log, "\n") {
 			if strings.Contains(line, "event loop late") || strings.Contains(line, "list taken") {
 				t.Log(line)
--- a/cmd/merlinhitch/top.go
+++ b/cmd/merlinhitch/top.go
@@ -13,11 +13,11 @@
 
 type topCmd struct {
 	keysFlag
-	Every  time.Duration `default:"2s" help:"Time between two readings."`
-	Within time.Duration `default:"1s" help:"How long a host may take to answer."`
-	Once   bool          `help:"Print one summary and end."`
+	Every  time.Duration `default:"2s" help:"Interval between readings."`
+	Within time.Duration `default:"1s" help:"Timeout for each host."`
+	Once   bool          `help:"Print one summary and exit."`
 	JSON   bool          `name:"json" help:"Print JSON."`
-	Most   int           `default:"40" help:"Hosts to list; the rest are counted."`
+	Most   int           `default:"40" help:"Maximum number of hosts to list; the rest are only counted."`
 	Hosts  []string      `arg:"" help:"Admin addresses of the hosts."`
 }
 
@@ -53,7 +53,7 @@
 		return printJSON(fleet)
 	}
 	if info, err := os.Stdout.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 && !c.Once {
-		fmt.Print("\x1b[H\x1b[2J") // ECMA-48: home, and clear the screen
+		fmt.Print("\x1b[H\x1b[2J") // ECMA-48: move the cursor home and clear the screen
 	}
 	return fleet.Print(os.Stdout, c.Most)
 }
