--- a/internal/control/scheduler/outcome_test.go
+++ b/internal/control/scheduler/attemptresult_test.go
@@ -12,7 +12,7 @@
 
 // Each way in which an attempt can end is told to the module as what it is: whether it may
 // have run follows from it, and with it whether a write may go again.
-func TestEachEndOfAnAttempt(t *testing.T) {
+func TestAttemptResults(t *testing.T) {
 	const noStart = "Not-Started: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		do   standin.HTTPAnswer
@@ -74,7 +74,7 @@
 }
 
 // A disk server that can't be reached has run nothing.
-func TestAServerThatRefusesConnections(t *testing.T) {
+func TestConnectionRefusedByServer(t *testing.T) {
 	runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
 		sc.diskServer.Close()
 		got := sc.connect().roundTrip(sc.formatRequest("PUT", "txn-write", "00000000000000aa", "0.300", "x", "Idempotency-Key: k\r\n"))
@@ -86,7 +86,7 @@
 
 // A reload brings classes, plans and deadlines that were not there; what is under way ends
 // under those it was taken with, and what the file leaves out is served no more.
-func TestAReloadReachesTheFront(t *testing.T) {
+func TestReloadAppliesToFrontend(t *testing.T) {
 	runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
 		before := testConfig(sc.schedulerAddr, sc.discovery.Addr, fullListJSON(7))
 		after := strings.NewReplacer(`"name":"txn-write"`, `"name":"audit-write"`, `"name":"gold"`, `"name":"iron"`, `"give_up_ms":4000`, `"give_up_ms":700`,
--- a/internal/control/scheduler/core_test.go
+++ b/internal/control/scheduler/core_test.go
@@ -9,86 +9,86 @@
 	"merlinhitch/policy"
 )
 
-// played is the effects of a core under test; it also stands for its clients.
-type played struct {
-	out     []*attempt
-	sent    map[*attempt]bool // went out whole
-	answers map[string]int
-	retired []string
+// fakeEffects is the effects of a core under test; it also stands for its clients.
+type fakeEffects struct {
+	attempts     []*attempt
+	written      map[*attempt]bool // went out whole
+	deliveries   map[string]int
+	removedHosts []string
 }
 
-func (p *played) send(a *attempt) { p.out = append(p.out, a) }
-func (p *played) abandon(a *attempt) attemptProgress {
-	if p.sent[a] {
+func (p *fakeEffects) send(a *attempt) { p.attempts = append(p.attempts, a) }
+func (p *fakeEffects) abandon(a *attempt) attemptProgress {
+	if p.written[a] {
 		return progressSent
 	}
 	return progressNotConnected
 }
-func (p *played) serverListed(ServerEntry)  {}
-func (p *played) serverRemoved(host string) { p.retired = append(p.retired, host) }
-func (p *played) warn(string)               {}
+func (p *fakeEffects) serverListed(ServerEntry)  {}
+func (p *fakeEffects) serverRemoved(host string) { p.removedHosts = append(p.removedHosts, host) }
+func (p *fakeEffects) warn(string)               {}
 
-type clientOf struct {
-	p  *played
-	id string
+type fakeClient struct {
+	effects *fakeEffects
+	id      string
 }
 
-func (c clientOf) deliver(callOutcome, float64, []byte) { c.p.answers[c.id]++ }
+func (c fakeClient) deliver(callOutcome, float64, []byte) { c.effects.deliveries[c.id]++ }
 
-func coreFor(t interface{ Fatal(...any) }) (*core, *played) {
+func newTestCore(t interface{ Fatal(...any) }) (*core, *fakeEffects) {
 	c, err := ParseConfig([]byte(testConfig("a:1", "b:1", fullListJSON(1, entryJSON("s0", "x:1", "active", 0), entryJSON("s1", "x:2", "active", 1)))), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &played{sent: map[*attempt]bool{}, answers: map[string]int{}}
+	p := &fakeEffects{written: map[*attempt]bool{}, deliveries: map[string]int{}}
 	k := newCore(1_000_000, c, p)
 	k.start(c.Known)
 	return k, p
 }
 
-func (p *played) call(k *core, id, class string, now, left float64) *call {
-	return &call{replyTo: clientOf{p, id}, req: policy.Request{ID: id, Class: class, Plan: "gold", Volume: "v", Shard: 0, Units: 2, Expires: now + left, Hosts: 1}}
+func (p *fakeEffects) newCall(k *core, id, class string, now, left float64) *call {
+	return &call{replyTo: fakeClient{p, id}, req: policy.Request{ID: id, Class: class, Plan: "gold", Volume: "v", Shard: 0, Units: 2, Expires: now + left, Hosts: 1}}
 }
 
 // Whatever happens to attempts, each call gets one answer and each attempt one outcome,
 // and nothing is held once all is over.
-func TestOneAnswerForEachCall(t *testing.T) {
+func TestOneResponsePerCall(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k, p := coreFor(t)
+		k, p := newTestCore(t)
 		now, asked := float64(clockAtStart), map[string]*call{}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 200).Draw(t, "dt")
 			k.runDue(now)
 			var a *attempt
-			if n := len(p.out); n > 0 {
-				a = p.out[rapid.IntRange(0, n-1).Draw(t, "a")]
+			if n := len(p.attempts); n > 0 {
+				a = p.attempts[rapid.IntRange(0, n-1).Draw(t, "a")]
 			}
 			switch what := rapid.IntRange(0, 7).Draw(t, "what"); {
 			case what <= 2:
 				id := fmt.Sprint(i)
-				c := p.call(k, id, []string{"card-read", "txn-write"}[what%2], now, rapid.Float64Range(1, 3000).Draw(t, "left"))
+				c := p.newCall(k, id, []string{"card-read", "txn-write"}[what%2], now, rapid.Float64Range(1, 3000).Draw(t, "left"))
 				asked[id] = c
 				if !k.startCall(now, c) || k.startCall(now, c) {
 					t.Fatal("an id was not taken once")
 				}
 			case a == nil:
 			case what == 3:
-				p.sent[a] = true
+				p.written[a] = true
 			case what == 4:
 				k.receiveReply(now, a, reply{result: policy.Served})
 			case what == 5:
 				k.receiveReply(now, a, reply{result: policy.Result(rapid.IntRange(1, 2).Draw(t, "result"))})
 			case what == 6:
 				k.failAttempt(now, a, policy.ConnectionLost)
-			case what == 7 && p.answers[a.call.req.ID] == 0:
+			case what == 7 && p.deliveries[a.call.req.ID] == 0:
 				k.clientGone(now, a.call)
-				p.answers[a.call.req.ID]++ // nobody is there to be told
+				p.deliveries[a.call.req.ID]++ // nobody is there to be told
 			}
 		}
 		k.runDue(now + 60_000)
 		for id := range asked {
-			if p.answers[id] != 1 {
-				t.Fatalf("call %s has %d answers", id, p.answers[id])
+			if p.deliveries[id] != 1 {
+				t.Fatalf("call %s has %d answers", id, p.deliveries[id])
 			}
 		}
 		if len(k.calls) > 0 {
@@ -105,41 +105,41 @@
 }
 
 // What is told of an attempt whose time is up follows from whether it went out.
-func TestTimeOutsSayWhatMayHaveRun(t *testing.T) {
+func TestTimeoutResultReflectsProgress(t *testing.T) {
 	for _, went := range []bool{false, true} {
-		k, p := coreFor(t)
-		k.startCall(clockAtStart, p.call(k, "a", "card-read", clockAtStart, 400))
-		if len(p.out) != 1 {
+		k, p := newTestCore(t)
+		k.startCall(clockAtStart, p.newCall(k, "a", "card-read", clockAtStart, 400))
+		if len(p.attempts) != 1 {
 			t.Fatal("not sent")
 		}
-		p.sent[p.out[0]] = went
+		p.written[p.attempts[0]] = went
 		k.runDue(clockAtStart + 460)
 		want := policy.NoConnection
 		if went {
 			want = policy.NoAnswer
 		}
-		if k.counters.Outcomes[want] != 1 || p.answers["a"] != 1 {
+		if k.counters.Outcomes[want] != 1 || p.deliveries["a"] != 1 {
 			t.Errorf("went %v: %+v", went, k.counters)
 		}
 	}
 }
 
 // What a whole list leaves out is gone, in the module too.
-func TestAWholeListNamesWhatIsGone(t *testing.T) {
-	k, p := coreFor(t)
+func TestFullListRemovesMissingServers(t *testing.T) {
+	k, p := newTestCore(t)
 	k.updateServers(clockAtStart+1, ServerList{Seq: 2, Full: true, Entries: []ServerEntry{{Host: "s2", Address: "x:3", ShardIndex: 0, Health: "active"}}}, false)
-	if len(k.servers) != 1 || len(p.retired) != 2 || p.retired[0] != "s0" || p.retired[1] != "s1" {
-		t.Errorf("held %v, retired %v", k.servers, p.retired)
+	if len(k.servers) != 1 || len(p.removedHosts) != 2 || p.removedHosts[0] != "s0" || p.removedHosts[1] != "s1" {
+		t.Errorf("held %v, retired %v", k.servers, p.removedHosts)
 	}
-	k.startCall(clockAtStart+2, p.call(k, "a", "card-read", clockAtStart+2, 400))
-	if len(p.out) != 1 || p.out[0].host != "s2" {
-		t.Errorf("sent %v", p.out)
+	k.startCall(clockAtStart+2, p.newCall(k, "a", "card-read", clockAtStart+2, 400))
+	if len(p.attempts) != 1 || p.attempts[0].host != "s2" {
+		t.Errorf("sent %v", p.attempts)
 	}
 }
 
 // Starts are put on the core's clock exactly, so that the same start is the same time.
-func TestStartsOnTheClock(t *testing.T) {
-	k, _ := coreFor(t)
+func TestStartTimeConversion(t *testing.T) {
+	k, _ := newTestCore(t)
 	for born, want := range map[int64]float64{0: 0, 1_000_000 + clockAtStart - 250: clockAtStart - 250, 10: 0} {
 		if got := k.startTime(ServerEntry{StartedMS: born}); got != want {
 			t.Errorf("%d: %v, want %v", born, got, want)
@@ -154,29 +154,29 @@
 	const hour = int64(3_600_000)
 	wall := int64(1_000_000 + clockAtStart)
 	for _, step := range []int64{-hour, -5000, 0, 5000, hour} {
-		k, _ := coreFor(t)
-		spy := &spyModule{Scheduler: k.scheduler}
+		k, _ := newTestCore(t)
+		spy := &recordingPolicy{Scheduler: k.scheduler}
 		k.scheduler = spy
 		one := ServerEntry{Host: "s9", Address: "x:9", ShardIndex: 0, Health: "active", StartedMS: wall + step}
 		k.updateServers(clockAtStart+10, ServerList{Seq: 1, Entries: []ServerEntry{one}}, false)
-		if got := spy.nodes[0].Started; got > clockAtStart+10 || step <= 0 && got != max(float64(clockAtStart+step), 0) {
+		if got := spy.lastNodes[0].Started; got > clockAtStart+10 || step <= 0 && got != max(float64(clockAtStart+step), 0) {
 			t.Errorf("step %d: the first list's start is %v", step, got-clockAtStart)
 		}
 		one.StartedMS++
 		k.updateServers(clockAtStart+5000, ServerList{Seq: 2, Entries: []ServerEntry{one}}, false)
-		if got := spy.nodes[0].Started; got != clockAtStart+5000 {
+		if got := spy.lastNodes[0].Started; got != clockAtStart+5000 {
 			t.Errorf("step %d: a start in service is at %v", step, got-clockAtStart)
 		}
 		one.Health = "leaving"
 		k.updateServers(clockAtStart+9000, ServerList{Seq: 3, Entries: []ServerEntry{one}}, false)
-		if got := spy.nodes[0].Started; got != clockAtStart+5000 {
+		if got := spy.lastNodes[0].Started; got != clockAtStart+5000 {
 			t.Errorf("step %d: it has moved to %v", step, got-clockAtStart)
 		}
 	}
 }
 
 // The last ids are known, and no more than that are held.
-func TestRingIsBounded(t *testing.T) {
+func TestIDHistoryIsBounded(t *testing.T) {
 	var r idHistory
 	for i := range 3 * idHistorySize {
 		r.add(fmt.Sprint(i))
--- a/internal/control/scheduler/discovery_test.go
+++ b/internal/control/scheduler/discovery_test.go
@@ -19,24 +19,24 @@
 	"merlinhitch/internal/simulation/world"
 )
 
-// agent is discovery that does with each connection what a test says.
-type agent struct {
-	w       env.Environment
-	l       net.Listener
-	tasks   env.WaitGroup
-	mu      sync.Mutex
-	conns   []net.Conn
-	targets []string
-	times   []time.Duration
-	do      func(n int, target string, c net.Conn)
+// fakeDiscovery is discovery that does with each connection what a test says.
+type fakeDiscovery struct {
+	environment  env.Environment
+	listener     net.Listener
+	tasks        env.WaitGroup
+	mu           sync.Mutex
+	conns        []net.Conn
+	targets      []string
+	requestTimes []time.Duration
+	handle       func(n int, target string, c net.Conn)
 }
 
-func serveAgent(w env.Environment, do func(n int, target string, c net.Conn)) *agent {
+func startFakeDiscovery(w env.Environment, do func(n int, target string, c net.Conn)) *fakeDiscovery {
 	l, err := w.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	a := &agent{w: w, l: l, do: do}
+	a := &fakeDiscovery{environment: w, listener: l, handle: do}
 	a.tasks.Go(w, func() {
 		for {
 			c, err := l.Accept()
@@ -53,55 +53,55 @@
 	return a
 }
 
-func (a *agent) serve(n int, c net.Conn) {
+func (a *fakeDiscovery) serve(n int, c net.Conn) {
 	r, err := http1.ReadRequest(bufio.NewReader(c), messageLimits)
 	if err != nil {
 		return
 	}
 	a.mu.Lock()
 	a.targets = append(a.targets, r.Target)
-	a.times = append(a.times, a.w.Now())
+	a.requestTimes = append(a.requestTimes, a.environment.Now())
 	a.mu.Unlock()
-	a.do(n, r.Target, c)
+	a.handle(n, r.Target, c)
 }
 
-func (a *agent) close() {
-	a.l.Close()
+func (a *fakeDiscovery) close() {
+	a.listener.Close()
 	a.mu.Lock()
 	for _, c := range a.conns {
 		c.Close()
 	}
 	a.mu.Unlock()
-	a.tasks.Wait(a.w)
+	a.tasks.Wait(a.environment)
 }
 
-const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+const watchResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-func chunkOf(s string) []byte { return fmt.Appendf(nil, "%x\r\n%s\r\n", len(s), s) }
+func encodeChunk(s string) []byte { return fmt.Appendf(nil, "%x\r\n%s\r\n", len(s), s) }
 
-// told is what a watch told, and when.
-type told struct {
+// receivedLists is what a watch receivedLists, and when.
+type receivedLists struct {
 	lists []ServerList
-	at    []time.Duration
+	times []time.Duration
 }
 
-func (t *told) last() time.Duration {
-	if len(t.at) == 0 {
+func (t *receivedLists) lastTime() time.Duration {
+	if len(t.times) == 0 {
 		return 0
 	}
-	return t.at[len(t.at)-1]
+	return t.times[len(t.times)-1]
 }
 
-// watching plays f on a watch of an agent, in a virtual world.
-func watching(t *testing.T, do func(n int, target string, c net.Conn), f func(w env.Environment, d *discoveryClient, got *told, a *agent)) {
+// runWatch plays f on a watch of an agent, in a virtual world.
+func runWatch(t *testing.T, do func(n int, target string, c net.Conn), f func(w env.Environment, d *discoveryClient, got *receivedLists, a *fakeDiscovery)) {
 	t.Helper()
 	v := world.New(1)
 	err := v.Run("n0", 10*time.Minute, func(p *world.Process) {
-		a := serveAgent(p, do)
-		got := &told{}
-		d := newDiscoveryClient(p, a.l.Addr().String(), 7, func(l ServerList) {
+		a := startFakeDiscovery(p, do)
+		got := &receivedLists{}
+		d := newDiscoveryClient(p, a.listener.Addr().String(), 7, func(l ServerList) {
 			got.lists = append(got.lists, l)
-			got.at = append(got.at, p.Now())
+			got.times = append(got.times, p.Now())
 		}, func(string, error) {})
 		f(p, d, got, a)
 		d.close()
@@ -112,24 +112,26 @@
 	}
 }
 
-func diff(seq int) string { return fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[]}`, seq) }
+func emptyPartialListJSON(seq int) string {
+	return fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[]}`, seq)
+}
 
 // What a silent watch misses is known within 6 s of when it fell silent, whatever the next
 // one meets.
-func TestASilentWatchIsLeftInTime(t *testing.T) {
+func TestSilentWatchIsReplacedInTime(t *testing.T) {
 	// Each is what the second watch meets; the first falls silent at once, the third works.
 	for name, second := range map[string]func(w env.Environment, c net.Conn){
 		"works":          nil,
 		"says nothing":   func(env.Environment, net.Conn) {},
-		"a head alone":   func(_ env.Environment, c net.Conn) { c.Write([]byte(watchHead)) },
+		"a head alone":   func(_ env.Environment, c net.Conn) { c.Write([]byte(watchResponseHead)) },
 		"is closed":      func(_ env.Environment, c net.Conn) { c.Close() },
 		"is no HTTP":     func(_ env.Environment, c net.Conn) { c.Write([]byte("nonsense\r\n\r\n")) },
 		"answers 503":    func(_ env.Environment, c net.Conn) { c.Write([]byte("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")) },
-		"is half a head": func(_ env.Environment, c net.Conn) { c.Write([]byte(watchHead[:20])) },
+		"is half a head": func(_ env.Environment, c net.Conn) { c.Write([]byte(watchResponseHead[:20])) },
 		"drips": func(w env.Environment, c net.Conn) { // bytes that are no line are no sign of life
-			c.Write([]byte(watchHead))
+			c.Write([]byte(watchResponseHead))
 			for range 100 {
-				if _, err := c.Write(chunkOf(" ")); err != nil {
+				if _, err := c.Write(encodeChunk(" ")); err != nil {
 					return
 				}
 				env.Sleep(w, 500*time.Millisecond, nil)
@@ -142,23 +144,23 @@
 			do := func(n int, _ string, c net.Conn) {
 				switch {
 				case n == 0:
-					c.Write([]byte(watchHead))
-					c.Write(chunkOf(diff(7) + "\n"))
+					c.Write([]byte(watchResponseHead))
+					c.Write(encodeChunk(emptyPartialListJSON(7) + "\n"))
 					silentAt = w.Now()
 				case n == 1 && second != nil:
 					second(w, c)
 				default:
-					c.Write([]byte(watchHead))
-					c.Write(chunkOf(diff(9) + "\n"))
+					c.Write([]byte(watchResponseHead))
+					c.Write(encodeChunk(emptyPartialListJSON(9) + "\n"))
 				}
 			}
-			watching(t, do, func(p env.Environment, d *discoveryClient, got *told, a *agent) {
+			runWatch(t, do, func(p env.Environment, d *discoveryClient, got *receivedLists, a *fakeDiscovery) {
 				w = p
 				for w.Now() < 7*time.Second && (len(got.lists) == 0 || got.lists[len(got.lists)-1].Seq != 9) {
 					env.Sleep(w, 10*time.Millisecond, nil)
 				}
-				if took := got.last() - silentAt; len(got.lists) < 2 || took > 5900*time.Millisecond {
-					t.Errorf("%d messages, the last %s after the silence; asked %v at %v", len(got.lists), took, a.targets, a.times)
+				if took := got.lastTime() - silentAt; len(got.lists) < 2 || took > 5900*time.Millisecond {
+					t.Errorf("%d messages, the last %s after the silence; asked %v at %v", len(got.lists), took, a.targets, a.requestTimes)
 				}
 			})
 		})
@@ -166,18 +168,18 @@
 }
 
 // A watch that says an empty line every 2 s is kept.
-func TestEmptyLinesKeepAWatch(t *testing.T) {
+func TestEmptyLinesKeepWatchOpen(t *testing.T) {
 	var w env.Environment
 	do := func(n int, _ string, c net.Conn) {
-		c.Write([]byte(watchHead))
+		c.Write([]byte(watchResponseHead))
 		for range 20 {
-			if _, err := c.Write(chunkOf("\n")); err != nil {
+			if _, err := c.Write(encodeChunk("\n")); err != nil {
 				return
 			}
 			env.Sleep(w, 2*time.Second, nil)
 		}
 	}
-	watching(t, do, func(p env.Environment, d *discoveryClient, got *told, a *agent) {
+	runWatch(t, do, func(p env.Environment, d *discoveryClient, got *receivedLists, a *fakeDiscovery) {
 		w = p
 		env.Sleep(w, 30*time.Second, nil)
 		if len(a.conns) != 1 || len(got.lists) != 1 || got.lists[0].Seq != 7 {
@@ -188,12 +190,12 @@
 
 // A message that can't be read, or goes back in the versions, costs one fetch of the whole
 // list, and then the watch goes on from there. Where it lasts, the rate is bounded.
-func TestAnUnreadableMessageCostsAWholeList(t *testing.T) {
+func TestUnreadableMessageCausesFullFetch(t *testing.T) {
 	for name, line := range map[string]string{
 		"noise":         "nonsense\n",
 		"another type":  `{"seq":"x"}` + "\n",
 		"health":        `{"seq":9,"hosts":[{"host":"s","health":"well"}]}` + "\n",
-		"back":          diff(3) + "\n",
+		"back":          emptyPartialListJSON(3) + "\n",
 		"too long":      `{"seq":9,"hosts":[` + strings.Repeat(" ", maxMessageBytes) + "]}\n",
 		"closed by it":  `{"seq":9]` + "\n" + `}`,
 		"an array only": "[]\n",
@@ -207,12 +209,12 @@
 						fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(whole), whole)
 						return
 					}
-					c.Write([]byte(watchHead))
+					c.Write([]byte(watchResponseHead))
 					if watches++; watches == 1 || always {
-						c.Write(chunkOf(line))
+						c.Write(encodeChunk(line))
 					}
 				}
-				watching(t, do, func(w env.Environment, d *discoveryClient, got *told, a *agent) {
+				runWatch(t, do, func(w env.Environment, d *discoveryClient, got *receivedLists, a *fakeDiscovery) {
 					env.Sleep(w, 1900*time.Millisecond, nil)
 					want := []string{discoveryPath + "?stream=1&index=7", discoveryPath, discoveryPath + "?stream=1&index=11"}
 					if len(a.targets) < 3 || !slices.Equal(a.targets[:3], want) || len(got.lists) == 0 || got.lists[0].Seq != 11 || !got.lists[0].Full {
@@ -228,7 +230,7 @@
 }
 
 // Messages may be indented and come in any pieces: an object is one message.
-func TestMessagesInWhateverForm(t *testing.T) {
+func TestIndentedAndSplitMessages(t *testing.T) {
 	one := ServerList{Seq: 9, Entries: []ServerEntry{{Host: `a "\}{`, Address: "x:1", Health: "active", Share: 1}}}
 	two := ServerList{Seq: 10, Full: true, Entries: []ServerEntry{{Host: "b", Address: "x:2", Health: "leaving", Share: 1}}}
 	flat1, _ := json.Marshal(one)
@@ -242,14 +244,14 @@
 		for _, size := range []int{1, 2, 7, 1 << 20} {
 			t.Run(fmt.Sprint(name, size), func(t *testing.T) {
 				do := func(_ int, _ string, c net.Conn) {
-					c.Write([]byte(watchHead))
+					c.Write([]byte(watchResponseHead))
 					for b := stream; b != ""; {
 						n := min(size, len(b))
-						c.Write(chunkOf(b[:n]))
+						c.Write(encodeChunk(b[:n]))
 						b = b[n:]
 					}
 				}
-				watching(t, do, func(w env.Environment, d *discoveryClient, got *told, a *agent) {
+				runWatch(t, do, func(w env.Environment, d *discoveryClient, got *receivedLists, a *fakeDiscovery) {
 					env.Sleep(w, time.Second, nil)
 					if len(got.lists) != 2 || got.lists[0].Entries[0] != one.Entries[0] || !got.lists[1].Full || got.lists[1].Entries[0] != two.Entries[0] {
 						t.Errorf("%+v", got.lists)
@@ -261,25 +263,25 @@
 }
 
 // A move during a dial, during a silence, or twice at once ends at the last address.
-func TestMovesOfTheWatch(t *testing.T) {
+func TestSetAddressDuringWatch(t *testing.T) {
 	answer := func(seq int) func(int, string, net.Conn) {
 		return func(_ int, _ string, c net.Conn) {
-			c.Write([]byte(watchHead))
-			c.Write(chunkOf(diff(seq) + "\n"))
+			c.Write([]byte(watchResponseHead))
+			c.Write(encodeChunk(emptyPartialListJSON(seq) + "\n"))
 		}
 	}
 	silent := func(int, string, net.Conn) {}
 	for name, first := range map[string]func(int, string, net.Conn){"silent": silent, "open": answer(8)} {
 		t.Run(name, func(t *testing.T) {
-			watching(t, first, func(w env.Environment, d *discoveryClient, got *told, a *agent) {
+			runWatch(t, first, func(w env.Environment, d *discoveryClient, got *receivedLists, a *fakeDiscovery) {
 				env.Sleep(w, 20*time.Millisecond, nil)
-				b, c := serveAgent(w, answer(9)), serveAgent(w, answer(10))
+				b, c := startFakeDiscovery(w, answer(9)), startFakeDiscovery(w, answer(10))
 				from := w.Now()
-				d.setAddress(b.l.Addr().String())
-				d.setAddress(c.l.Addr().String())
+				d.setAddress(b.listener.Addr().String())
+				d.setAddress(c.listener.Addr().String())
 				env.Sleep(w, time.Second, nil)
-				if len(got.lists) == 0 || got.lists[len(got.lists)-1].Seq != 10 || got.last()-from > 500*time.Millisecond {
-					t.Errorf("%+v after %s", got.lists, got.last()-from)
+				if len(got.lists) == 0 || got.lists[len(got.lists)-1].Seq != 10 || got.lastTime()-from > 500*time.Millisecond {
+					t.Errorf("%+v after %s", got.lists, got.lastTime()-from)
 				}
 				b.close()
 				c.close()
@@ -322,7 +324,7 @@
 // A new process sends nothing by the list it was started with until discovery was heard:
 // what that knows counts as told from the first moment. Where discovery is silent, it is
 // waited for no longer than readyWait.
-func TestANewProcessHearsDiscoveryFirst(t *testing.T) {
+func TestStartWaitsForDiscovery(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		var w env.Environment
 		v := world.New(1)
@@ -332,15 +334,15 @@
 			old, _ := standin.ServeHTTPDisk(p, respondWith(ok200))
 			now, _ := standin.ServeHTTPDisk(p, respondWith(ok200))
 			known := fullListJSON(7, entryJSON("s0", old.Addr, "active", 0))
-			a := serveAgent(p, func(_ int, _ string, c net.Conn) {
+			a := startFakeDiscovery(p, func(_ int, _ string, c net.Conn) {
 				if silent {
 					return
 				}
 				env.Sleep(w, 300*time.Millisecond, nil)
-				c.Write([]byte(watchHead))
-				c.Write(chunkOf(fullListJSON(8, entryJSON("s1", now.Addr, "active", 0)) + "\n"))
+				c.Write([]byte(watchResponseHead))
+				c.Write(encodeChunk(fullListJSON(8, entryJSON("s1", now.Addr, "active", 0)) + "\n"))
 			})
-			c, err := ParseConfig([]byte(testConfig(sc.schedulerAddr, a.l.Addr().String(), known)), func(string) string { return "" })
+			c, err := ParseConfig([]byte(testConfig(sc.schedulerAddr, a.listener.Addr().String(), known)), func(string) string { return "" })
 			if err != nil {
 				panic(err)
 			}
--- a/internal/control/scheduler/faultscenario_test.go
+++ b/internal/control/scheduler/faultscenario_test.go
@@ -327,8 +327,8 @@
 func (s *faultScenario) serveWatch(_ int, _ string, conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	conn.Write([]byte(watchHead))
-	conn.Write(chunkOf(s.serverList + "\n"))
+	conn.Write([]byte(watchResponseHead))
+	conn.Write(encodeChunk(s.serverList + "\n"))
 	s.watches = append(s.watches, conn)
 }
 
@@ -337,7 +337,7 @@
 	s.serverList = list
 	if !s.watchesSilent {
 		for _, conn := range s.watches {
-			conn.Write(chunkOf(list + "\n"))
+			conn.Write(encodeChunk(list + "\n"))
 		}
 	}
 	s.mu.Unlock()
@@ -362,7 +362,7 @@
 // run plays the day in a world: late connections, clients that leave, spoilt answers, a
 // drain, a cold disk server, a silent watch with a drain in it, SIGHUP and SIGTERM.
 func (s *faultScenario) run() error {
-	firstDiscovery := serveAgent(s.environment, s.serveWatch)
+	firstDiscovery := startFakeDiscovery(s.environment, s.serveWatch)
 	defer firstDiscovery.close()
 	diskServers := map[string]*standin.HTTPDisk{}
 	for _, host := range []string{"s0", "s1", "s2", "s3", "s4"} {
@@ -379,7 +379,7 @@
 	s.serverList = fullListJSON(1, entry("s0", "active", 0, 0), entry("s1", "active", 1, 0), entry("s2", "active", 2, 0))
 	var err error
 	slowDials := &slowDialEnv{Environment: s.environment, rng: rand.New(rand.NewPCG(s.seed, 2))}
-	if s.scheduler, err = Start(slowDials, scenarioConfig(firstDiscovery.l.Addr().String()), zap.NewNop()); err != nil {
+	if s.scheduler, err = Start(slowDials, scenarioConfig(firstDiscovery.listener.Addr().String()), zap.NewNop()); err != nil {
 		return err
 	}
 	s.schedulerAddr = s.scheduler.frontend.listener.Addr().String()
@@ -392,9 +392,9 @@
 	now := s.environment.Deadline(0).UnixMilli()
 	s.publishList(fullListJSON(2, entry("s0", "active", 0, 0), entry("s1", "leaving", 1, 0), entry("s2", "active", 2, 0), entry("s3", "active", 1, now)), "s1")
 	env.Sleep(s.environment, 700*time.Millisecond, nil)
-	secondDiscovery := serveAgent(s.environment, s.serveWatch)
+	secondDiscovery := startFakeDiscovery(s.environment, s.serveWatch)
 	defer secondDiscovery.close()
-	s.scheduler.Reload(scenarioConfig(secondDiscovery.l.Addr().String()))
+	s.scheduler.Reload(scenarioConfig(secondDiscovery.listener.Addr().String()))
 	env.Sleep(s.environment, 400*time.Millisecond, nil)
 	s.mu.Lock()
 	s.watchesSilent = true
--- a/internal/control/scheduler/listsize_test.go
+++ b/internal/control/scheduler/largelist_test.go
@@ -8,7 +8,7 @@
 	"merlinhitch/policy"
 )
 
-func listOfSize(n int, health string) ServerList {
+func makeServerList(n int, health string) ServerList {
 	l := ServerList{Seq: 1, Full: true}
 	for i := range n {
 		l.Entries = append(l.Entries, ServerEntry{Host: fmt.Sprintf("s-%08x", i*2654435761%(1<<32)), Address: fmt.Sprintf("10.1.%d.%d:5000", i/250, i%250), Site: "hall-a", ShardIndex: i, Health: health, Share: 1, StartedMS: 1764691200000})
@@ -18,8 +18,8 @@
 
 // What a whole list of 3,200 disk servers costs to read, and to take where all is known:
 // go test -run xxx -bench List ./scheduler
-func BenchmarkListOfThousands(b *testing.B) {
-	l := listOfSize(3200, "active")
+func BenchmarkLargeList(b *testing.B) {
+	l := makeServerList(3200, "active")
 	raw, err := json.MarshalIndent(l, "", "    ")
 	if err != nil {
 		b.Fatal(err)
@@ -43,7 +43,7 @@
 		}
 	})
 	b.Run("known", func(b *testing.B) {
-		k, _ := coreFor(b)
+		k, _ := newTestCore(b)
 		k.updateServers(k.now, l, false)
 		for b.Loop() {
 			k.updateServers(k.now, l, false)
@@ -54,50 +54,50 @@
 // The module is told what a list changes: nothing where it repeats what is known, in whatever
 // form, and the last of two entries of one server.
 func TestOnlyChangesComeToTheModule(t *testing.T) {
-	k, _ := coreFor(t)
-	spy := &spyModule{Scheduler: k.scheduler}
+	k, _ := newTestCore(t)
+	spy := &recordingPolicy{Scheduler: k.scheduler}
 	k.scheduler = spy
-	l := listOfSize(40, "active")
+	l := makeServerList(40, "active")
 	k.updateServers(k.now, l, false)
-	if n := len(spy.nodes); n != 42 { // the two of before are gone
+	if n := len(spy.lastNodes); n != 42 { // the two of before are gone
 		t.Errorf("%d of the first list", n)
 	}
 	k.updateServers(k.now, l, false)
-	if n := len(spy.nodes); n != 0 {
+	if n := len(spy.lastNodes); n != 0 {
 		t.Errorf("%d of the same list again", n)
 	}
 	drained := l.Entries[7]
 	drained.Health = "leaving"
 	k.updateServers(k.now, ServerList{Seq: 2, Entries: []ServerEntry{drained, l.Entries[7], l.Entries[8]}}, false)
-	if n := len(spy.nodes); n != 2 || spy.nodes[0].Health != policy.Draining || spy.nodes[1].Health != policy.Ready {
-		t.Error(spy.nodes)
+	if n := len(spy.lastNodes); n != 2 || spy.lastNodes[0].Health != policy.Draining || spy.lastNodes[1].Health != policy.Ready {
+		t.Error(spy.lastNodes)
 	}
 	short := ServerList{Seq: 3, Full: true, Entries: append([]ServerEntry{l.Entries[0]}, l.Entries[:39]...)}
 	k.updateServers(k.now, short, false)
-	if n := len(spy.nodes); n != 1 || spy.nodes[0].Addr != l.Entries[39].Host || spy.nodes[0].Health != policy.Removed {
-		t.Error(spy.nodes)
+	if n := len(spy.lastNodes); n != 1 || spy.lastNodes[0].Addr != l.Entries[39].Host || spy.lastNodes[0].Health != policy.Removed {
+		t.Error(spy.lastNodes)
 	}
 	if len(k.servers) != 39 {
 		t.Errorf("%d are held", len(k.servers))
 	}
 }
 
-// spyModule keeps the nodes of the last list.
-type spyModule struct {
+// recordingPolicy keeps the nodes of the last list.
+type recordingPolicy struct {
 	policy.Scheduler
-	nodes []policy.Node
+	lastNodes []policy.Node
 }
 
-func (s *spyModule) Handle(now float64, ev policy.Event) []policy.Action {
+func (s *recordingPolicy) Handle(now float64, ev policy.Event) []policy.Action {
 	if l, ok := ev.(policy.NodeList); ok {
-		s.nodes = l.Nodes
+		s.lastNodes = l.Nodes
 	}
 	return s.Scheduler.Handle(now, ev)
 }
 
 // The whole list of the largest fleet is read, however it is indented.
 func TestLargestListIsRead(t *testing.T) {
-	raw, err := json.MarshalIndent(listOfSize(3200, "active"), "", "        ")
+	raw, err := json.MarshalIndent(makeServerList(3200, "active"), "", "        ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/scheduler/list_test.go
+++ b/internal/control/scheduler/list_test.go
@@ -11,7 +11,7 @@
 )
 
 // An entry that cannot be right costs itself alone.
-func TestWrongEntriesOfAList(t *testing.T) {
+func TestInvalidListEntries(t *testing.T) {
 	right := entryJSON("b", "x:2", stateActive, 1)
 	for name, tt := range map[string]struct {
 		entries   []string
@@ -43,7 +43,7 @@
 }
 
 // Of a server that is named twice at another address the later entry counts.
-func TestTheLaterOfTwoEntriesCounts(t *testing.T) {
+func TestLaterDuplicateEntryCounts(t *testing.T) {
 	l, err := parseServerList([]byte(fullListJSON(3, entryJSON("a", "x:1", stateActive, 0), entryJSON("a", "x:2", stateActive, 0))))
 	if err != nil || len(l.Entries) != 1 || l.Entries[0].Address != "x:2" {
 		t.Errorf("%+v, %v", l.Entries, err)
@@ -51,8 +51,8 @@
 }
 
 // Each wrong entry has its line in the log, and the others are served.
-func TestWrongEntriesAreLogged(t *testing.T) {
-	k, p := coreFor(t)
+func TestInvalidEntriesAreLogged(t *testing.T) {
+	k, p := newTestCore(t)
 	logged, lines := observer.New(zap.InfoLevel)
 	k.log = newEventLog(zap.New(logged))
 	stamped := fmt.Sprintf(`{"host":"s3","dial":"x:5","block":0,"health":"active","born_ms":%d}`, k.zeroUnixMS+clockAtStart+3_600_000)
@@ -73,23 +73,23 @@
 		}
 	}
 	for i, shard := range []int{0, -1, -1, -1} {
-		c := p.call(k, fmt.Sprint(i), "card-read", clockAtStart+2, 400)
+		c := p.newCall(k, fmt.Sprint(i), "card-read", clockAtStart+2, 400)
 		c.req.Shard = shard
 		k.startCall(clockAtStart+2, c)
 	}
-	for _, a := range p.out {
+	for _, a := range p.attempts {
 		if a.host != "s0" && a.host != "s3" {
 			t.Error("sent to", a.host)
 		}
 	}
-	if len(p.out) == 0 {
+	if len(p.attempts) == 0 {
 		t.Error("nothing was served")
 	}
 }
 
 // A number of shards that cannot be one is not known: the list's shards are served, and what
 // a client can have kept in memory stays bounded.
-func TestNumbersOfShards(t *testing.T) {
+func TestShardCountValidation(t *testing.T) {
 	for number, named := range map[int]int{-1: 0, 0: 0, 1: 1, maxShards: maxShards, maxShards + 1: 0, 1_000_000: 0} {
 		raw := strings.Replace(testConfig("a:1", "b:1", fullListJSON(1, entryJSON("s0", "x:1", stateActive, 0))), `"slots_total":2`, fmt.Sprintf(`"slots_total":%d`, number), 1)
 		c, err := ParseConfig([]byte(raw), func(string) string { return "" })
@@ -106,25 +106,25 @@
 		if got := newRequestParser(&c.Settings).shardCount; got != bound {
 			t.Errorf("%d: requests may name %d shards", number, got)
 		}
-		p := &played{sent: map[*attempt]bool{}, answers: map[string]int{}}
+		p := &fakeEffects{written: map[*attempt]bool{}, deliveries: map[string]int{}}
 		k := newCore(1_000_000, c, p)
 		k.start(c.Known)
-		if k.startCall(clockAtStart+1, p.call(k, "a", "card-read", clockAtStart+1, 400)); len(p.out) != 1 {
+		if k.startCall(clockAtStart+1, p.newCall(k, "a", "card-read", clockAtStart+1, 400)); len(p.attempts) != 1 {
 			t.Errorf("%d: nothing was sent", number)
 		}
 	}
 }
 
 // A server whose shard comes with other settings is served from then on.
-func TestAReloadNamesMoreShards(t *testing.T) {
-	k, p := coreFor(t)
+func TestReloadAddsShards(t *testing.T) {
+	k, p := newTestCore(t)
 	k.updateServers(clockAtStart+1, ServerList{Seq: 2, Entries: []ServerEntry{{Host: "s9", Address: "x:9", ShardIndex: 9, Health: stateActive}}}, false)
 	ask := func(id string) {
-		c := p.call(k, id, "card-read", k.now, 400)
+		c := p.newCall(k, id, "card-read", k.now, 400)
 		c.req.Shard = 9
 		k.startCall(k.now, c)
 	}
-	if ask("a"); len(p.out) != 0 {
+	if ask("a"); len(p.attempts) != 0 {
 		t.Error("sent to a server of no shard")
 	}
 	c, err := ParseConfig([]byte(strings.Replace(testConfig("a:1", "b:1", fullListJSON(1)), `"slots_total":2`, `"slots_total":10`, 1)), func(string) string { return "" })
@@ -132,10 +132,10 @@
 		t.Fatal(err)
 	}
 	k.updateSettings(clockAtStart+2, c.Settings)
-	if ask("b"); len(p.out) == 0 {
+	if ask("b"); len(p.attempts) == 0 {
 		t.Error("not served after the reload")
 	}
-	for _, a := range p.out {
+	for _, a := range p.attempts {
 		if a.host != "s9" {
 			t.Error("sent to", a.host)
 		}
--- a/internal/control/scheduler/permit_test.go
+++ b/internal/control/scheduler/permit_test.go
@@ -234,7 +234,7 @@
 
 // A timer that comes due while one event is handled goes before the next event.
 func TestTimersGoBetweenEvents(t *testing.T) {
-	k, _ := coreFor(t)
+	k, _ := newTestCore(t)
 	l := newLoop(env.NewReal())
 	l.afterBatch = func() {}
 	fired := false
--- a/internal/control/scheduler/ahead_test.go
+++ b/internal/control/scheduler/readahead_test.go
@@ -42,7 +42,7 @@
 }
 
 // Where clients together sent too much ahead, each may still send sureAhead.
-func TestAheadBudget(t *testing.T) {
+func TestReadAheadBudget(t *testing.T) {
 	var b readAheadBudget
 	b.limit.Store(40 << 10)
 	now := func() float64 { return 0 }
@@ -67,16 +67,16 @@
 	}
 }
 
-// lateListener is a world in which the first tries to listen fail.
-type lateListener struct {
+// failingListenEnv is a world in which the first tries to listen fail.
+type failingListenEnv struct {
 	*env.Real
-	fault error
-	left  int
+	listenErr    error
+	failuresLeft int
 }
 
-func (w *lateListener) Listen(network, address string) (net.Listener, error) {
-	if w.left--; w.left >= 0 {
-		return nil, &net.OpError{Op: "listen", Err: w.fault}
+func (w *failingListenEnv) Listen(network, address string) (net.Listener, error) {
+	if w.failuresLeft--; w.failuresLeft >= 0 {
+		return nil, &net.OpError{Op: "listen", Err: w.listenErr}
 	}
 	return w.Real.Listen(network, address)
 }
@@ -85,7 +85,7 @@
 // other fault ends it at once.
 func TestListenIsTriedAgain(t *testing.T) {
 	for fault, waits := range map[error]bool{syscall.EADDRINUSE: true, syscall.ENOBUFS: true, syscall.EMFILE: true, syscall.EINVAL: false} {
-		w := &lateListener{Real: env.NewReal(), fault: fault, left: 3}
+		w := &failingListenEnv{Real: env.NewReal(), listenErr: fault, failuresLeft: 3}
 		from := time.Now()
 		l, err := listen(w, "127.0.0.1:0", zap.NewNop())
 		if got := err == nil; got != waits || waits && time.Since(from) < 3*listenRetryInterval {
@@ -135,24 +135,24 @@
 	})
 }
 
-// slowStart is a world in which a request comes as soon as the scheduler listens, and the
+// slowListenEnv is a world in which a request comes as soon as the scheduler listens, and the
 // scheduler's start is held up behind that.
-type slowStart struct {
+type slowListenEnv struct {
 	*env.Real
-	raw    string
-	heldUp time.Duration
-	conn   net.Conn
+	request string
+	delay   time.Duration
+	conn    net.Conn
 }
 
-func (w *slowStart) Listen(network, address string) (net.Listener, error) {
+func (w *slowListenEnv) Listen(network, address string) (net.Listener, error) {
 	l, err := w.Real.Listen(network, address)
 	if err != nil {
 		return nil, err
 	}
 	if w.conn, err = net.Dial("tcp", l.Addr().String()); err == nil {
-		_, err = io.WriteString(w.conn, w.raw)
+		_, err = io.WriteString(w.conn, w.request)
 	}
-	env.Sleep(w.Real, w.heldUp, nil)
+	env.Sleep(w.Real, w.delay, nil)
 	return l, err
 }
 
@@ -160,7 +160,7 @@
 // when it came: the disk server is told no more than the client has left.
 func TestARequestThatCameDuringTheStart(t *testing.T) {
 	runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
-		w := &slowStart{Real: h.Real, raw: strings.Replace(sc.getRequest(), "0.480", "9.000", 1), heldUp: 300 * time.Millisecond}
+		w := &slowListenEnv{Real: h.Real, request: strings.Replace(sc.getRequest(), "0.480", "9.000", 1), delay: 300 * time.Millisecond}
 		config := longTimeouts.Replace(testConfig("127.0.0.1:0", sc.discovery.Addr, fullListJSON(7, entryJSON("s0", sc.diskServer.Addr, "active", 0))))
 		c, err := ParseConfig([]byte(config), func(string) string { return "" })
 		if err != nil {
@@ -174,7 +174,7 @@
 		defer w.conn.Close()
 		sc.waitFor("it came to the disk server", func() bool { return len(sc.diskServer.Asked()) == 1 })
 		told, err := time.ParseDuration(sc.diskServer.Asked()[0].Fields.Get("request-timeout") + "s")
-		if err != nil || told > 9*time.Second-w.heldUp {
+		if err != nil || told > 9*time.Second-w.delay {
 			t.Errorf("told %s", told)
 		}
 	})
--- a/internal/control/scheduler/staleness_test.go
+++ b/internal/control/scheduler/reusestats_test.go
@@ -9,7 +9,7 @@
 )
 
 // Ages at which connections break are avoided, others are not, and they are tried again.
-func TestAgesThatBreakAreAvoided(t *testing.T) {
+func TestIdleTimesThatBreakAreAvoided(t *testing.T) {
 	var w reuseStats
 	for i := range 10 {
 		now := float64(i)
@@ -26,7 +26,7 @@
 
 // A disk server that drops connections which were idle for 100 ms, and says so only to the
 // next request, costs few attempts.
-func TestConnectionsDroppedWithoutAWord(t *testing.T) {
+func TestSilentlyDroppedConnections(t *testing.T) {
 	last := map[int]time.Duration{}
 	do := func(a standin.HTTPAsk) standin.HTTPAnswer {
 		idle := a.At - last[a.Conn]
@@ -50,7 +50,7 @@
 }
 
 // An answer larger than requests may be is passed on whole, to the bound of answers.
-func TestLargeAnswers(t *testing.T) {
+func TestLargeResponses(t *testing.T) {
 	body := make([]byte, 400_000)
 	for i := range body {
 		body[i] = 'a' + byte(i%26)
--- a/internal/control/scheduler/serverbytes_test.go
+++ b/internal/control/scheduler/serverconn_test.go
@@ -15,20 +15,20 @@
 	"merlinhitch/policy"
 )
 
-// diskConns lets a test speak on a disk server's connections itself.
-type diskConns struct {
-	l  net.Listener
-	mu sync.Mutex
-	at []net.Conn
+// rawDiskServer lets a test speak on a disk server's connections itself.
+type rawDiskServer struct {
+	listener net.Listener
+	mu       sync.Mutex
+	conns    []net.Conn
 }
 
-// rawDisk serves each request with its id as body, on connections that the test can reach.
-func rawDisk(t *testing.T, sc *harness) *diskConns {
+// startRawDiskServer serves each request with its id as body, on connections that the test can reach.
+func startRawDiskServer(t *testing.T, sc *harness) *rawDiskServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &diskConns{l: l}
+	d := &rawDiskServer{listener: l}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -36,7 +36,7 @@
 				return
 			}
 			d.mu.Lock()
-			d.at = append(d.at, c)
+			d.conns = append(d.conns, c)
 			d.mu.Unlock()
 			go d.serve(c)
 		}
@@ -46,7 +46,7 @@
 	return d
 }
 
-func (d *diskConns) serve(c net.Conn) {
+func (d *rawDiskServer) serve(c net.Conn) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for {
@@ -59,24 +59,24 @@
 	}
 }
 
-func (d *diskConns) conn(n int) net.Conn {
+func (d *rawDiskServer) conn(n int) net.Conn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.at[n]
+	return d.conns[n]
 }
 
-func (d *diskConns) close() {
-	d.l.Close()
+func (d *rawDiskServer) close() {
+	d.listener.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, c := range d.at {
+	for _, c := range d.conns {
 		c.Close()
 	}
 }
 
 // What comes on a connection to a disk server before the next request is written, bytes or
 // its end, is never taken for that request's answer and costs it no attempt.
-func TestBytesBeforeTheRequest(t *testing.T) {
+func TestUnexpectedInputOnIdleConnection(t *testing.T) {
 	for name, do := range map[string]func(c net.Conn){
 		"a second copy":  func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale") },
 		"half a line":    func(c net.Conn) { io.WriteString(c, "HTTP/1.1 2") },
@@ -86,7 +86,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
-				d := rawDisk(t, sc)
+				d := startRawDiskServer(t, sc)
 				defer d.close()
 				p := sc.connect()
 				for i := range 3 {
@@ -109,7 +109,7 @@
 }
 
 // An answer up to the close is whole where its connection ends cleanly; a reset is no end.
-func TestAnswersUpToTheClose(t *testing.T) {
+func TestResponsesDelimitedByClose(t *testing.T) {
 	const raw = "HTTP/1.1 200 OK\r\n\r\nhi"
 	for _, reset := range []bool{false, true} {
 		do := func(a standin.HTTPAsk) standin.HTTPAnswer {
