--- a/internal/control/gateway/connpool.go
+++ b/internal/control/gateway/connpool.go
@@ -21,21 +21,22 @@
 	"merlinhitch/policy"
 )
 
-// connPool keeps one connection to each disk server that is sent to, and runs
-// attempts on them. What it learns it posts to the host.
+// connPool keeps one connection to each disk server in use, sends attempts on it and posts their
+// outcomes to the host. The methods send, cancel and attemptTimedOut are called on the host's
+// goroutine.
 type connPool struct {
 	environment   env.Environment
 	host          *host
 	hostID        uint64
 	hostName      string
-	dialTimeout   atomic.Int64 // time to connect and be greeted
-	keys          *keys.Holder // nil: disk servers are spoken to in clear
-	maxClockDrift float64      // part by which clocks may run fast or slow
+	dialTimeout   atomic.Int64 // ns, for the connect and for the handshake
+	keys          *keys.Holder // nil: connections to disk servers are not encrypted
+	maxClockDrift float64      // fraction by which a clock may run fast or slow; 0: drift is ignored
 	log           *zap.Logger
 
 	mu           sync.Mutex
-	connByServer map[string]*serverConn // that can be used, by server
-	conns        env.OrderedSet[*serverConn]
+	connByServer map[string]*serverConn      // current connection, by address
+	conns        env.OrderedSet[*serverConn] // all that have not ended, retired ones included
 	closed       bool
 	tasks        env.WaitGroup
 	ctx          context.Context
@@ -43,11 +44,11 @@
 }
 
 const (
-	maxQueuedWriteBytes = 64 << 20 // module depth times the largest write is half of it
+	maxQueuedWriteBytes = 64 << 20 // twice the policy's depth times the largest write
 	writeTimeout        = 5 * time.Second
-	readBufferBytes     = 256 << 10 // a server's answers are many and its connection is one
-	// A connection on which attempts time out and nothing was heard for so long
-	// is taken for half-open.
+	readBufferBytes     = 256 << 10
+	// halfOpenTimeout is the time without input after which a connection is taken for
+	// half-open and closed when an attempt on it times out.
 	halfOpenTimeout = 2 * time.Second
 )
 
@@ -58,26 +59,28 @@
 	return p
 }
 
-// serverConn is one connection, from its dialling on. It is used once.
+// serverConn is one connection to a disk server, from the start of its dial. It is not dialled
+// again; a new serverConn replaces one that has ended.
 type serverConn struct {
 	pool *connPool
 	addr string
 
 	mu          sync.Mutex
-	established bool
+	established bool // the handshake is complete
 	closed      bool
-	retired     bool // nothing new goes here
+	retired     bool // it gets no new attempts and is closed when none is outstanding
 	conn        net.Conn
 	writes      *writequeue.Queue
-	waiting     []*attempt
-	outstanding map[uint32]*attempt
+	waiting     []*attempt          // for the handshake
+	outstanding map[uint32]*attempt // sent and not answered, by tag
 	lastTag     uint32
 	lastReadAt  time.Duration
-	serverClock float64 // the server's, us, which was no less
-	clockReadAt float64 // at this time of the host's, us
+	serverClock float64 // us, as last received; a lower bound of the server's clock at clockReadAt
+	clockReadAt float64 // us, on the host's clock
 }
 
-// send takes an attempt, on the host's goroutine; it never blocks on the network.
+// send passes an attempt to its server's connection, which is dialled if need be. It does not
+// block on the network.
 func (p *connPool) send(a *attempt) {
 	p.mu.Lock()
 	if p.closed {
@@ -90,8 +93,7 @@
 	sc.send(a)
 }
 
-// connTo is the connection to a server, a new one where there is none that can be used.
-// Held: mu.
+// connTo returns the usable connection to a server, or a new one. The caller holds mu.
 func (p *connPool) connTo(addr string) *serverConn {
 	sc := p.connByServer[addr]
 	if sc == nil || !sc.usable() {
@@ -103,7 +105,8 @@
 	return sc
 }
 
-// probe asks a server for a sign of life, dialling it if need be.
+// probe sends a server a probe. If it has no connection yet, one is dialled, and the handshake
+// stands for the probe.
 func (p *connPool) probe(addr string) {
 	p.mu.Lock()
 	if p.closed {
@@ -121,7 +124,7 @@
 	}
 }
 
-// refreshClocks asks servers whose clock was last heard a while ago for it.
+// refreshClocks probes servers whose clock was not received within maxClockAge.
 func (p *connPool) refreshClocks() {
 	p.mu.Lock()
 	conns := p.conns.All()
@@ -137,10 +140,11 @@
 	}
 }
 
-// maxClockAge is the age at which a server's clock is asked for, us.
+// maxClockAge is in us.
 const maxClockAge = 400_000
 
-// lastRead tells when a server last said anything on the connection that is open to it.
+// lastRead returns when the last frame from a server arrived, and whether its connection is
+// established and not retired.
 func (p *connPool) lastRead(addr string) (at time.Duration, open bool) {
 	p.withConn(addr, func(sc *serverConn) { at, open = sc.lastReadAt, sc.established && !sc.closed && !sc.retired })
 	return at, open
@@ -166,15 +170,15 @@
 	}
 }
 
-// begin holds the attempt's frame for the write queue's next release. One that may not begin any
-// more, for it waited for its connection, ends as never sent. Held: mu.
+// begin buffers the attempt's frame; the caller flushes the write queue. An attempt past its
+// deadline, or whose job ended while it waited, ends as not sent. The caller holds mu.
 func (sc *serverConn) begin(a *attempt) {
 	if !a.mayBegin(env.MS(sc.pool.environment.Now())) {
 		sc.postFailure(a, policy.NotSent)
 		return
 	}
 	if !a.claim() {
-		return // timed out while it waited
+		return // the host ended it while it waited
 	}
 	sc.lastTag++
 	if faultinject.Active(faultinject.TagReused) {
@@ -189,18 +193,18 @@
 		do.Deadline += 60_000_000
 	}
 	if !sc.writes.Buffer(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindDo, a.tag, &do) }) {
-		sc.conn.Close() // the reader ends the rest
+		sc.conn.Close() // run then ends the attempts
 	}
 }
 
-// setClock takes the server's clock as heard at now. The server read it before: deadlines
-// reckoned from it are early by the way back, never late. Held: mu.
+// setClock records the server's clock as received at now. Deadlines computed from it are early by
+// the latency of the message, never late. The caller holds mu.
 func (sc *serverConn) setClock(clock uint64, now time.Duration) {
 	sc.serverClock, sc.clockReadAt = float64(clock), float64(now)/float64(time.Microsecond)
 }
 
-// serverDeadline is a time of this host's in the server's clock, no later however the two
-// have drifted since it was heard. Held: mu.
+// serverDeadline converts a time in ms on the host's clock to us on the server's, scaled so that
+// drift of the two clocks never makes it later. The caller holds mu.
 func (sc *serverConn) serverDeadline(deadline float64) uint64 {
 	remaining := deadline*1000 - sc.clockReadAt
 	if d := sc.pool.maxClockDrift; d > 0 && remaining > 0 {
@@ -209,7 +213,8 @@
 	return uint64(max(sc.serverClock+remaining, 0))
 }
 
-// postFailure tells the host of an attempt's postFailure, unless the host ended one that has not gone out.
+// postFailure posts the outcome of an attempt without an answer. An unsent attempt that the host
+// ended first is skipped.
 func (sc *serverConn) postFailure(a *attempt, result policy.Result) {
 	if (result == policy.NoConnection || result == policy.NotSent) && !a.drop() {
 		return
@@ -217,12 +222,12 @@
 	sc.pool.host.post(event{kind: eventAttemptFailed, attempt: a, result: result})
 }
 
-// run dials, greets and reads until the connection ends.
+// run dials the server and reads from it until the connection ends.
 func (sc *serverConn) run() {
 	conn, err := sc.pool.environment.Dial(sc.pool.ctx, "tcp", sc.addr, time.Duration(sc.pool.dialTimeout.Load()))
 	if err == nil {
 		if keyHolder := sc.pool.keys; keyHolder != nil {
-			conn = tls.Client(conn, keyHolder.Client("")) // it greets with the first frame, within its time
+			conn = tls.Client(conn, keyHolder.Client("")) // the TLS handshake runs with the first frame, within the dial timeout
 		}
 		err = sc.serve(conn)
 	}
@@ -255,8 +260,8 @@
 	}
 }
 
-// handshake exchanges Hello and Welcome within the dial time: a connection that opens
-// and then hangs has carried nothing, and says so by NoConnection.
+// handshake exchanges Hello and Welcome within the dial timeout. Attempts are sent only after it,
+// so that those on a connection which opens and then hangs end with NoConnection.
 func (sc *serverConn) handshake(conn net.Conn, reader *diskproto.Reader) error {
 	hello := &diskproto.Hello{Oldest: diskproto.Oldest, Newest: diskproto.Version, Host: sc.pool.hostID, Name: sc.pool.hostName}
 	sc.writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindHello, 0, hello) })
@@ -267,13 +272,13 @@
 	}
 	var welcome diskproto.Welcome
 	if frame.Kind != diskproto.KindWelcome {
-		return &diskproto.FrameError{Reason: "no welcome"}
+		return &diskproto.FrameError{Reason: "first frame is not Welcome"}
 	}
 	if err := welcome.Parse(frame.Body); err != nil {
 		return err
 	}
 	if welcome.Version == 0 {
-		return &diskproto.FrameError{Reason: "no common version"}
+		return &diskproto.FrameError{Reason: "no protocol version in common"}
 	}
 	conn.SetReadDeadline(time.Time{})
 	now := sc.pool.environment.Now()
@@ -297,7 +302,7 @@
 		delete(sc.outstanding, frame.Tag)
 	}
 	if frame.Kind == diskproto.KindBye {
-		sc.retired = true // what is out may still be answered
+		sc.retired = true // outstanding attempts may still be answered
 	}
 	finished := sc.retired && len(sc.outstanding) == 0
 	sc.mu.Unlock()
@@ -332,13 +337,14 @@
 	return errRetired.errorIf(finished)
 }
 
-// retiredError ends a connection to which nothing more goes.
+// retiredError is returned when a retired connection has no outstanding attempt left.
 type retiredError struct{}
 
 var errRetired retiredError
 
 func (retiredError) Error() string { return "gateway: connection retired" }
 
+// errorIf returns e if condition holds, else nil.
 func (e retiredError) errorIf(condition bool) error {
 	if condition {
 		return e
@@ -346,7 +352,7 @@
 	return nil
 }
 
-// withConn runs f on the connection to a server, if there is one, under its lock.
+// withConn calls f with the connection to a server locked. It does nothing if there is none.
 func (p *connPool) withConn(addr string, f func(sc *serverConn)) {
 	p.mu.Lock()
 	sc := p.connByServer[addr]
@@ -359,8 +365,7 @@
 	f(sc)
 }
 
-// renewConns has every connection end once nothing is out on it: the next to each server is
-// made with the keys that there are now.
+// renewConns retires every connection, so that its successor uses the current keys.
 func (p *connPool) renewConns() {
 	p.mu.Lock()
 	addrs := slices.Sorted(maps.Keys(p.connByServer))
@@ -370,8 +375,7 @@
 	}
 }
 
-// retire closes the connection to a server, as to one that has left, once it has nothing
-// out.
+// retire closes the connection to a server once it has no outstanding attempt.
 func (p *connPool) retire(addr string) {
 	p.withConn(addr, func(sc *serverConn) {
 		sc.retired = true
@@ -381,8 +385,8 @@
 	})
 }
 
-// endAttempts ends what the connection had: what waited has certainly not gone, what
-// was sent may have run.
+// endAttempts removes an ended connection from the pool and ends its attempts: those that waited
+// were certainly not sent, the outstanding ones may have been executed.
 func (sc *serverConn) endAttempts() {
 	sc.mu.Lock()
 	sc.closed = true
@@ -403,8 +407,8 @@
 	}
 }
 
-// attemptTimedOut drops what has timed out, and closes a connection that seems half-open, or
-// that only this attempt still kept: it may have another in its place already.
+// attemptTimedOut removes an attempt from its connection, which it closes if that seems half-open
+// or was retired and has no other outstanding attempt.
 func (p *connPool) attemptTimedOut(a *attempt) {
 	sc := a.serverConn
 	if sc == nil {
@@ -433,7 +437,7 @@
 	}
 }
 
-// close ends every connection and waits for the goroutines.
+// close ends all connections and waits for their goroutines.
 func (p *connPool) close() {
 	p.stop()
 	p.mu.Lock()
--- a/internal/control/gateway/core.go
+++ b/internal/control/gateway/core.go
@@ -1,8 +1,8 @@
-// Package gateway is the running scheduler of one host: the front that speaks
-// iSCSI, the host core that owns the module's instance, and the back that keeps
-// connections to disk servers. Every decision on order, depth, sending, repeats,
-// refusals, drains, cold nodes and limits is the module's (package policy); what
-// stands here only tells it what happened and carries out what it says.
+// Package gateway runs a storage scheduler on one host, between iSCSI initiators and disk
+// servers. It holds the iSCSI frontend, the core that owns the instance of policy.Scheduler,
+// and the pool of connections to disk servers. All decisions on order, depth, sending,
+// retries, refusals, drains, cold disk servers and limits are made by package policy. This
+// package reports events to the policy and carries out its actions.
 package gateway
 
 import (
@@ -20,67 +20,69 @@
 	"merlinhitch/policy"
 )
 
-// jobOutcome is how a request ended.
+// jobOutcome is the final result of a job. A command's result is the largest of its jobs'.
 type jobOutcome int
 
 const (
 	jobServed jobOutcome = iota
 	jobRefused
 	jobFailed
-	jobAborted // the client ended it
+	jobAborted // by the client, or because its command can no longer succeed
 )
 
-// job is one request of the module: a command's part on one shard.
+// job is one request of the policy: the part of a command that goes to one shard, or an
+// internal request. Its fields belong to the host's goroutine once it is submitted.
 type job struct {
 	id              string
 	req             policy.Request
-	message         diskproto.Do // what every attempt says, but for its number and deadline
+	message         diskproto.Do // sent with each attempt, which adds its number, generation and deadline
 	owner           owner
-	attempts        int
-	outstanding     int
-	ended           bool
-	noNewAttempts   atomic.Bool // the same to other goroutines
-	lastAttempt     *attempt    // the one sent last
-	effectDeadline  float64     // until then a lost attempt may still take effect
-	settled         bool
-	generation      uint64         // of the shard's home when it was first sent
-	classCounters   *requestCounts // that it goes to
+	attempts        int         // issued so far
+	outstanding     int         // attempts without an outcome
+	ended           bool        // it has its final result
+	noNewAttempts   atomic.Bool // ended, for other goroutines: no attempt may begin
+	lastAttempt     *attempt
+	effectDeadline  float64        // an attempt without an answer may take effect until then
+	settled         bool           // its owner was told that no attempt can take effect any more
+	generation      uint64         // of the shard's home at the first attempt; 0: not known
+	classCounters   *requestCounts // counters of its class and plan
 	submittedAt     float64
 	latencyTargetAt float64
 	dedupScope      policy.DedupScope
-	dataBuffer      *[]byte // what the data of the answer under way lies in
-	abortedUnsent   bool    // ended because the command's answer no longer depends on it
+	dataBuffer      *[]byte // holds the data of the answer being handled; nil once the command took it over
+	abortedUnsent   bool    // aborted before its first attempt, since another part of its command failed
 }
 
-// markEnded notes that the job has its one markEnded: nothing more goes out for it.
+// markEnded records that the job has its final result and keeps further attempts from beginning.
 func (j *job) markEnded() {
 	j.ended = true
 	j.noNewAttempts.Store(true)
 }
 
-// owner is who a job was made for. It is told on the host's goroutine.
+// owner receives the result of a job, on the host's goroutine.
 type owner interface {
-	// jobEnded is the job's one end; ans is there if it was served.
+	// jobEnded is called once. answer is nil unless the job was served; retryAfter is in ms,
+	// 0 for none.
 	jobEnded(j *job, outcome jobOutcome, retryAfter float64, answer *diskproto.Answer)
-	// jobSettled says that nothing of the job can take effect any more.
+	// jobSettled is called once, when no attempt of the job can take effect any more.
 	jobSettled()
 }
 
-// attempt is one sending of a job. Its state is the only thing that host core and
-// back share: the one that moves it out of waiting decides whether it was sent.
+// attempt is one attempt of a job at a disk server. The core and the connection pool share its
+// state: whichever moves it out of attemptWaiting decides whether it is sent.
 type attempt struct {
 	job          *job
 	number       int
 	node         string
-	issuedAt     float64
-	answerBy     float64
-	beginBy      float64 // it has to have begun by then
+	issuedAt     float64 // when the policy sent it
+	answerBy     float64 // deadline for the answer
+	beginBy      float64 // deadline for the start of the write; +Inf: none
 	generation   uint64  // of the shard's home
 	state        atomic.Int32
-	outcomeKnown bool
-	withdrawn    bool // it was taken back before it began
-	tag          uint32
-	serverConn   *serverConn // that it was given to; the host's goroutine's
+	outcomeKnown bool        // it has ended
+	withdrawn    bool        // by the policy, before it began
+	tag          uint32      // on its connection
+	serverConn   *serverConn // set and read on the host's goroutine; nil: it was not passed to the pool
 	timer        timer
 }
 
@@ -90,33 +92,33 @@
 	attemptDropped
 )
 
-// claim is the back's: it tells whether the attempt may still go out.
+// claim is called by the connection pool and reports whether the attempt may still be sent.
 func (a *attempt) claim() bool { return a.state.CompareAndSwap(attemptWaiting, attemptSent) }
 
-// drop is the host core's: it tells whether the attempt was kept from going out.
+// drop reports whether it kept the attempt from being sent.
 func (a *attempt) drop() bool { return a.state.CompareAndSwap(attemptWaiting, attemptDropped) }
 
-// mayBegin tells whether the attempt may begin now. On any goroutine.
+// mayBegin reports whether the attempt may begin now. It may be called on any goroutine.
 func (a *attempt) mayBegin(now float64) bool {
 	return !a.job.noNewAttempts.Load() && now <= a.beginBy && now < a.answerBy
 }
 
-// effectHandler is what a host core has done. The calls must not block nor call back.
+// effectHandler carries out the core's effects. Its methods must not block or call notify.
 type effectHandler interface {
 	send(a *attempt)
 	cancel(a *attempt)
-	attemptTimedOut(a *attempt) // its time is up; an answer no longer matters
+	attemptTimedOut(a *attempt) // its answer is ignored from now on
 	jobEnded(j *job, outcome jobOutcome, retryAfter float64, answer *diskproto.Answer)
-	jobSettled(j *job) // of a job that the client ended: nothing of it can land any more
+	jobSettled(j *job)
 	fetchList()
-	renewLease()             // ask for a lease at once
-	setLeaseEnd(end float64) // the lease's end, by the host's clock
-	retire(node string)      // close the connection once it has nothing out
+	renewLease()             // requests a lease at once
+	setLeaseEnd(end float64) // ms on the host's clock
+	retire(node string)      // closes the connection once it has no outstanding attempt
 	warn(text string)
 }
 
-// core owns the module's instance and everything that the module was told and
-// has said. It is a core: times and events in, effects out, no I/O.
+// core owns the policy's instance, the open jobs, their attempts and the node list. It gets
+// times and events as arguments and does no I/O. Times are in ms on the host's clock.
 type core struct {
 	scheduler       policy.Scheduler
 	effects         effectHandler
@@ -124,41 +126,42 @@
 	jobs            map[string]*job
 	timers          timerQueue
 	lastSeq         uint64
-	startTimes      map[incarnationKey]float64 // when a node's incarnation started, on this clock
-	listSeen        bool
-	nodes           map[string]inventory.Node
-	demand          *rates.Meter
-	planLimits      map[string]float64 // units a second of a plan's volumes, over all hosts
-	regions         *regionState       // nil: there is one
+	startTimes      map[incarnationKey]float64 // on this clock
+	listSeen        bool                       // a node list was received
+	nodes           map[string]inventory.Node  // by address
+	demand          *rates.Meter               // rates of submitted requests, by volume
+	planLimits      map[string]float64         // units/s of each volume of a plan, over all hosts
+	regions         *regionState               // nil: the service has one region
 	dedupScopes     map[string]policy.DedupScope
 	latencyTargets  map[string]float64 // by class, ms
 	hostIndex       int
 	zone            string
-	settingsVersion uint64             // of the settings in force
-	limitedRequests uint64             // requests that were let go of unsent while their volume asked for more than its limit
-	limitWarnedAt   map[string]float64 // when that was last said of a volume
-	// Sends and Resends count attempts; for operators.
+	settingsVersion uint64
+	limitedRequests uint64             // requests that ended unsent while their volume requested more than its limit
+	limitWarnedAt   map[string]float64 // when that was last logged, by volume
+	// sends counts all attempts, resends those after the first of a job.
 	sends, resends uint64
 	counters       coreMetrics
 }
 
+// incarnationKey identifies one run of a disk server process.
 type incarnationKey struct {
 	addr        string
 	incarnation uint64
 }
 
-// rateWindowSeconds is how many seconds a measured rate looks back on: long enough for the
-// spread to mean something, short against the hours for which layouts are made.
-const rateWindowSeconds = 300
+// rateTimeConstantSeconds is the time constant, s, of the exponentially weighted rates of volumes. It is
+// short against the hours for which layouts are planned.
+const rateTimeConstantSeconds = 300
 
 func newCore(now float64, s *settings.Settings, hostIndex int, zone string, seed uint64, effects effectHandler) *core {
-	h := &core{regions: newRegionState(s, hostIndex), hostIndex: hostIndex, zone: zone, limitWarnedAt: map[string]float64{}, now: now, demand: rates.New(now, rateWindowSeconds),
+	h := &core{regions: newRegionState(s, hostIndex), hostIndex: hostIndex, zone: zone, limitWarnedAt: map[string]float64{}, now: now, demand: rates.New(now, rateTimeConstantSeconds),
 		effects: effects, jobs: map[string]*job{}, startTimes: map[incarnationKey]float64{}, nodes: map[string]inventory.Node{}, counters: newCoreMetrics()}
 	h.scheduler = policy.New(h.applySettings(s), seed)
 	return h
 }
 
-// applySettings takes what the core itself needs of settings and returns what the module does.
+// applySettings stores the settings that the core itself uses and returns those of the policy.
 func (h *core) applySettings(s *settings.Settings) policy.Settings {
 	s = s.Held()
 	h.settingsVersion, h.planLimits, h.dedupScopes, h.latencyTargets = s.Version, map[string]float64{}, map[string]policy.DedupScope{}, map[string]float64{}
@@ -186,7 +189,7 @@
 	return policySettings
 }
 
-// updateSettings brings other settings for the requests that are taken from now on.
+// updateSettings passes new settings to the policy; they apply to requests submitted from now on.
 func (h *core) updateSettings(now float64, s *settings.Settings) {
 	h.advance(now)
 	policySettings := h.applySettings(s)
@@ -196,10 +199,10 @@
 	h.notify(policy.SettingsChanged{Settings: policySettings})
 }
 
-// advance moves the clock, which never goes back.
+// advance moves the clock forward; an earlier time leaves it as it is.
 func (h *core) advance(now float64) { h.now = max(h.now, now) }
 
-// submit hands a request to the module.
+// submit assigns a new job its ID and passes it to the policy.
 func (h *core) submit(now float64, j *job) {
 	h.advance(now)
 	h.lastSeq++
@@ -219,10 +222,9 @@
 	h.notify(j.req)
 }
 
-// notify gives the module an event and carries out what it says.
+// notify passes an event to the policy and performs the actions that it returns. It must not be
+// called while an action is performed: the slice of actions is valid until the next event only.
 func (h *core) notify(ev policy.Event) {
-	// The slice of actions is the module's and is overwritten by the next event;
-	// carrying an action out never tells the module anything by itself.
 	for _, a := range h.scheduler.Handle(h.now, ev) {
 		h.perform(a)
 	}
@@ -247,7 +249,7 @@
 	case policy.SetTimer:
 		h.timers.Push(&timer{Due: h.now + a.Delay, Value: timerEvent{name: a.Name}})
 	case policy.FetchList:
-		h.effects.fetchList() // Subscribe needs nothing: the client always is
+		h.effects.fetchList() // policy.Subscribe needs no action, since the inventory client is always subscribed
 	case policy.CloseIdle:
 		h.effects.retire(a.Node)
 	case policy.Log:
@@ -258,7 +260,7 @@
 func (h *core) send(s policy.Send) {
 	j := h.jobs[s.ID]
 	if j == nil || j.ended {
-		h.effects.warn("send for a request that is over: " + s.ID)
+		h.effects.warn("policy sent an attempt for a request that has ended: " + s.ID)
 		return
 	}
 	answerBy := j.req.Expires
@@ -281,13 +283,13 @@
 	if maySend {
 		h.effects.send(a)
 	} else {
-		a.timer.Due, a.timer.Value.cancelled = h.now, true // the module is in the midst of an event
+		a.timer.Due, a.timer.Value.cancelled = h.now, true // reported by the next runDue, since the policy is handling an event
 	}
 	h.timers.Push(&a.timer)
 }
 
-// withdraw takes back an attempt that waits for its connection still; the outcome comes with
-// the next tick, for the module is in the middle of an event.
+// withdraw ends an attempt that still waits for its connection. Its outcome is reported by the
+// next runDue, since the policy is handling an event.
 func (h *core) withdraw(a *attempt) {
 	if !a.outcomeKnown && a.drop() {
 		a.withdrawn = true
@@ -301,10 +303,10 @@
 	h.timers.Push(&a.timer)
 }
 
-// cancel stops waiting for an attempt; the outcome comes with the next tick, for
-// the module is in the middle of an event.
+// cancel stops waiting for an attempt. Its outcome is reported by the next runDue, since the
+// policy is handling an event.
 func (h *core) cancel(j *job, number int) {
-	for _, timer := range h.timers.All() { // rare: the module's own time-outs do most
+	for _, timer := range h.timers.All() { // linear, but rare: most attempts end by their own timeouts
 		if a := timer.Value.attempt; a != nil && a.job == j && a.number == number {
 			h.timers.Remove(timer)
 			timer.Due, timer.Value.cancelled = h.now, true
@@ -315,7 +317,7 @@
 	}
 }
 
-// finishUnserved is a final answer by the module.
+// finishUnserved ends a job that the policy refused or failed.
 func (h *core) finishUnserved(id string, outcome jobOutcome, retryAfter float64, cause policy.Reason) {
 	j := h.jobs[id]
 	if j == nil || j.ended {
@@ -329,12 +331,11 @@
 	h.removeIfDone(j)
 }
 
-// limitWarnInterval is how often a volume that its limit holds back is named in the log, ms.
+// limitWarnInterval is the least time, ms, between two warnings that a volume exceeds its limit.
 const limitWarnInterval = 60_000
 
-// recordLimited says, now and then, that a limit is what holds a volume back: a request of it
-// was never sent, and the volume asks this host for more than the host's part. It
-// decides nothing.
+// recordLimited counts and logs a job that was never sent while its volume requested more from
+// this host than the host's part of the limit. It has no effect on scheduling.
 func (h *core) recordLimited(j *job) {
 	limit := h.planLimits[j.req.Plan]
 	if limit == 0 || j.attempts > 0 {
@@ -350,11 +351,12 @@
 		return
 	}
 	h.limitWarnedAt[j.req.Volume] = h.now
-	h.effects.warn(fmt.Sprintf("volume %s of plan %s asks this host for %.1f units a second, its limit lets it have %.1f here; requests wait and are refused for that",
+	h.effects.warn(fmt.Sprintf("volume %s of plan %s requests %.1f units/s from this host, more than the %.1f units/s that its limit allows here: requests are delayed or refused",
 		j.req.Volume, j.req.Plan, demand, hostLimit))
 }
 
-// removeIfDone forgets a job that is over and has nothing out.
+// removeIfDone removes a job that has ended and has no outstanding attempt. If an attempt may
+// still take effect at its disk server, the job is settled at effectDeadline, else at once.
 func (h *core) removeIfDone(j *job) {
 	if !j.ended || j.outstanding > 0 {
 		return
@@ -372,7 +374,7 @@
 	h.effects.jobSettled(j)
 }
 
-// abort ends a request from the client's side.
+// abort ends a job without a result from the policy. Outstanding attempts may complete.
 func (h *core) abort(now float64, j *job) {
 	h.advance(now)
 	if j.ended || h.jobs[j.id] != j {
@@ -385,20 +387,21 @@
 	h.removeIfDone(j)
 }
 
+// policyResults maps the results of disk servers to those of attempts.
 var policyResults = map[diskproto.Result]policy.Result{
 	diskproto.OK:         policy.Served,
-	diskproto.Miscompare: policy.Served, // it ran, and said no
+	diskproto.Miscompare: policy.Served, // the comparison was executed
 	diskproto.Failed:     policy.ServerError,
 	diskproto.Full:       policy.Rejected,
 	diskproto.Draining:   policy.Rejected,
 	diskproto.Expired:    policy.Rejected,
 	diskproto.WrongShard: policy.NotSent,
-	diskproto.Fenced:     policy.Served, // the server has done its work, which was to say no
+	diskproto.Fenced:     policy.Served, // the server is healthy and applied the fence
 	diskproto.Stale:      policy.NotSent,
 }
 
-// receiveAnswer brings a disk server's answer. Of an attempt that is over already
-// (timed out) it comes too late and changes nothing.
+// receiveAnswer ends an attempt with a disk server's answer. An answer to an attempt that has
+// ended already is ignored.
 func (h *core) receiveAnswer(now float64, a *attempt, answer *diskproto.Answer) {
 	h.advance(now)
 	if a.outcomeKnown {
@@ -420,7 +423,7 @@
 	h.endAttempt(a, result, policy.Outcome{FromOthers: answer.Others, Use: float64(answer.Use), Report: report})
 }
 
-// failAttempt ends an attempt without an answer.
+// failAttempt ends an attempt without an answer, unless it has ended already.
 func (h *core) failAttempt(now float64, a *attempt, result policy.Result) {
 	h.advance(now)
 	if a.outcomeKnown {
@@ -443,10 +446,10 @@
 	h.removeIfDone(j)
 }
 
-// nextDue is when tick has something to do, +Inf if never.
+// nextDue returns the time of the earliest timer, +Inf if there is none.
 func (h *core) nextDue() float64 { return h.timers.NextDue() }
 
-// runDue does what has come due.
+// runDue handles the timers that are due.
 func (h *core) runDue(now float64) {
 	h.advance(now)
 	for timer := h.timers.PopDue(h.now); timer != nil; timer = h.timers.PopDue(h.now) {
@@ -463,29 +466,29 @@
 	}
 }
 
-// expireAttempt ends an attempt whose time is up. If it was still waiting for a
-// connection, nothing of it left the host. One that began in time goes on.
+// expireAttempt handles an attempt's timer: it ends the attempt, unless that began in time and its
+// answer is not due yet. An attempt that still waits for a connection has certainly not been sent.
 func (h *core) expireAttempt(a *attempt, cancelled bool) {
 	switch {
 	case a.withdrawn:
 		h.endAttempt(a, policy.NotSent, policy.Outcome{})
-	case a.serverConn == nil && cancelled && a.drop(): // it was not to go
+	case a.serverConn == nil && cancelled && a.drop(): // it had no valid lease or generation
 		h.endAttempt(a, policy.NotSent, policy.Outcome{})
 	case a.drop():
 		h.endAttempt(a, policy.NoConnection, policy.Outcome{})
-	case a.state.Load() == attemptDropped: // by the back: its outcome is on its way
+	case a.state.Load() == attemptDropped: // by the connection, which has posted the outcome
 	case !cancelled && h.now < a.answerBy:
 		h.resetTimer(a, a.answerBy)
 	case cancelled:
 		a.job.effectDeadline = max(a.job.effectDeadline, a.answerBy)
 		h.endAttempt(a, policy.Cancelled, policy.Outcome{})
-	default: // its deadline has passed at the server too: it can't begin any more
+	default: // it can no longer take effect: its deadline has passed at the server too
 		h.effects.attemptTimedOut(a)
 		h.endAttempt(a, policy.NoAnswer, policy.Outcome{})
 	}
 }
 
-// updateNodes brings the node updateNodes.
+// updateNodes applies a node list, full or of changes, and passes it to the policy.
 func (h *core) updateNodes(now float64, list inventory.List) {
 	h.advance(now)
 	if list.Kind == inventory.Failed {
@@ -512,7 +515,7 @@
 	}
 }
 
-// reportNodes tells the module of nodes, of all there are where full.
+// reportNodes passes nodes to the policy; full says that they are all.
 func (h *core) reportNodes(full bool, list []inventory.Node) {
 	nodes := make([]policy.Node, len(list))
 	for i, n := range list {
@@ -523,12 +526,13 @@
 
 func compareAddr(a, b inventory.Node) int { return strings.Compare(a.Addr, b.Addr) }
 
+// policyHealth maps health values of the inventory to the policy's.
 var policyHealth = map[string]policy.Health{
 	inventory.Ready: policy.Ready, inventory.Draining: policy.Draining, inventory.Gone: policy.Removed,
 }
 
-// startTime turns an age into a time on this clock, once for each incarnation: the
-// module takes another time for another start.
+// startTime returns a node's start on the core's clock; 0 stands for long ago. It is computed from
+// the age once for each incarnation, since the policy takes a different time for a new start.
 func (h *core) startTime(n inventory.Node) float64 {
 	if n.AgeMS <= 0 || faultinject.Active(faultinject.StartUnheard) {
 		return 0
--- a/internal/control/gateway/host.go
+++ b/internal/control/gateway/host.go
@@ -20,7 +20,7 @@
 	"merlinhitch/policy"
 )
 
-// host is the shell of a host core: one goroutine, one order of events.
+// host runs a core on a goroutine of its own, which handles posted events in order.
 type host struct {
 	environment   env.Environment
 	core          *core
@@ -33,14 +33,14 @@
 	queue     []event
 	stopped   bool
 	wake      env.Parker
-	stopBegun env.Gate // open as stop begins
+	stopBegun env.Gate // opened when stop begins
 	done      env.Gate
 
-	leaseEndBits atomic.Uint64 // bits of the lease's end; without regions it never ends
-	requestLease func()        // has a lease asked for at once
+	leaseEndBits atomic.Uint64 // float64 bits of the lease's end, ms; +Inf without regions
+	requestLease func()        // starts a lease request at once
 	alarm        env.WakeTimer
 	bufferPool   sync.Pool
-	unflushed    pendingWrites // what the present batch of events left to be written
+	unflushed    pendingWrites // queues with data buffered by the current batch of events
 }
 
 type eventKind int
@@ -62,7 +62,7 @@
 	attempt  *attempt
 	answer   *diskproto.Answer
 	result   policy.Result
-	buffer   *[]byte // what the answer's data lies in, given back once it is handled
+	buffer   *[]byte // holds the answer's data; returned to the pool once the event is handled
 	list     inventory.List
 	grant    *region.Grant
 	run      func(*core)
@@ -83,9 +83,9 @@
 	return h
 }
 
-// post hands an event to the goroutine; it never blocks. What waits is bounded by
-// what is open: one event for each request, one for each attempt.
-// It tells whether the host still takes events.
+// post queues an event and never blocks; it returns false if the host has stopped. The queue needs
+// no bound of its own, since open jobs are bounded and each has one event for its submission and
+// one for each attempt.
 func (h *host) post(e event) bool {
 	h.mu.Lock()
 	if h.stopped {
@@ -98,7 +98,7 @@
 	return true
 }
 
-// maxFlushDelay is how long what a batch of events left to be written may be held, ms.
+// maxFlushDelay is how long, ms, a batch of events may hold data before it is written.
 const maxFlushDelay = 2
 
 func (h *host) run() {
@@ -127,15 +127,15 @@
 	}
 }
 
-// runDue does what has come due and tells the time: also between the events of a batch, for
-// what is owed by a time goes before new work.
+// runDue runs the core's due timers and returns the time, ms. It is called between events too, so
+// that a long batch does not delay timers.
 func (h *host) runDue() (now float64) {
 	now = env.MS(h.environment.Now())
 	h.core.runDue(now)
 	return now
 }
 
-// getBuffer returns room for an answer's data.
+// getBuffer returns a buffer for an answer's data.
 func (h *host) getBuffer() *[]byte {
 	if b, ok := h.bufferPool.Get().(*[]byte); ok {
 		return b
@@ -143,15 +143,15 @@
 	return new([]byte)
 }
 
-// putBuffer returns room for an answer's data.
+// putBuffer gives a buffer back to the pool; nil is ignored.
 func (h *host) putBuffer(b *[]byte) {
 	if b != nil {
 		h.bufferPool.Put(b)
 	}
 }
 
-// flushAfterBatch has what o holds written at the end of the batch: many answers then go
-// out in one call of the system. On the host's goroutine only.
+// flushAfterBatch starts the writing of buffered data at the end of the batch of events, so that
+// several messages share a write. It must be called on the host's goroutine.
 func (h *host) flushAfterBatch(writes *writequeue.Queue) { h.unflushed = append(h.unflushed, writes) }
 
 func (h *host) handle(now float64, e *event) {
@@ -162,7 +162,7 @@
 		j := e.attempt.job
 		j.dataBuffer = e.buffer
 		h.core.receiveAnswer(now, e.attempt, e.answer)
-		h.putBuffer(j.dataBuffer) // the data was copied, or is not wanted, or was taken over
+		h.putBuffer(j.dataBuffer) // nil if the command took the buffer over
 		j.dataBuffer = nil
 	case eventAttemptFailed:
 		h.core.failAttempt(now, e.attempt, e.result)
@@ -177,7 +177,7 @@
 	}
 }
 
-// setAlarm has the goroutine woken when the core next has something to do.
+// setAlarm wakes the goroutine at the core's next timer.
 func (h *host) setAlarm() {
 	due := h.core.nextDue()
 	if faultinject.Active(faultinject.WakeupLost) && h.alarm.Due() > 0 && due >= h.alarm.Due() {
@@ -186,7 +186,8 @@
 	h.alarm.Set(h.environment, env.MS(h.environment.Now()), due, h.wake.Unpark)
 }
 
-// runAndWait runs f on the host's goroutine and waits for it; false if the host stopped.
+// runAndWait runs f on the host's goroutine and waits for it. It returns false if the host stopped
+// first.
 func (h *host) runAndWait(f func(*core)) bool {
 	var ready env.Gate
 	h.post(event{kind: eventRun, run: func(c *core) { f(c); ready.Open() }})
@@ -194,7 +195,7 @@
 	return ready.Opened()
 }
 
-// stop ends the goroutine and the back's connections.
+// stop ends the goroutine and the connections to disk servers.
 func (h *host) stop() {
 	h.mu.Lock()
 	if !h.stopped {
@@ -209,7 +210,7 @@
 	h.pool.close()
 }
 
-// The effects of the core, on the host's goroutine.
+// The methods of effectHandler. They are called on the host's goroutine.
 
 func (h *host) send(a *attempt)            { h.pool.send(a) }
 func (h *host) cancel(a *attempt)          { h.pool.cancel(a) }
@@ -220,7 +221,7 @@
 func (h *host) renewLease()                { h.requestLease() }
 func (h *host) setLeaseEnd(end float64)    { h.leaseEndBits.Store(math.Float64bits(end)) }
 
-// leaseValid tells whether the host may take work now; without a lease it may not.
+// leaseValid reports whether the host holds a lease now. Without one it must not accept commands.
 func (h *host) leaseValid() bool {
 	return env.MS(h.environment.Now()) < math.Float64frombits(h.leaseEndBits.Load())
 }
@@ -231,6 +232,8 @@
 
 func (h *host) jobSettled(j *job) { j.owner.jobSettled() }
 
+// sortedByTag returns the attempts in the order in which they were sent, so that the order of their
+// outcomes is deterministic.
 func sortedByTag(outstanding map[uint32]*attempt) []*attempt {
 	var sorted []*attempt
 	for _, a := range outstanding {
