--- a/internal/control/gateway/announcer.go
+++ b/internal/control/gateway/announcer.go
@@ -53,40 +53,40 @@
 	defaultMoveTimeMS      = 2000
 )
 
-func newAnnouncer(cfg Config, s *settings.Settings, h *host, list *inventory.Client) (*announcer, error) {
-	a := &announcer{config: cfg, host: h, inventoryClient: list, log: cfg.Log, core: announce.New(announce.DefaultConfig),
+func newAnnouncer(config Config, s *settings.Settings, h *host, inventoryClient *inventory.Client) (*announcer, error) {
+	a := &announcer{config: config, host: h, inventoryClient: inventoryClient, log: config.Log, core: announce.New(announce.DefaultConfig),
 		readyNodes: map[string]int{}, levels: map[string]announce.Level{}}
 	var peers []bgp.Neighbour
 	for i := range s.Announce.Routers {
-		r := &s.Announce.Routers[i]
-		if len(r.Hosts) > 0 && !slices.Contains(r.Hosts, cfg.Self) {
+		router := &s.Announce.Routers[i]
+		if len(router.Hosts) > 0 && !slices.Contains(router.Hosts, config.Self) {
 			continue
 		}
 		times := bgp.DefaultTimes
 		times.Hold = s.Announce.HoldTime
-		peers = append(peers, bgp.Neighbour{Addr: r.Addr, PeerConfig: bgp.PeerConfig{Name: r.Name, LocalAS: s.Announce.AS, PeerAS: r.AS, ID: cfg.RouterID,
-			Passive: r.Passive, Families: []bgp.Family{bgp.IPv4, bgp.IPv6}, Hop4: cfg.NextHop4, Hop6: cfg.NextHop6, Times: times}})
+		peers = append(peers, bgp.Neighbour{Addr: router.Addr, PeerConfig: bgp.PeerConfig{Name: router.Name, LocalAS: s.Announce.AS, PeerAS: router.AS, ID: config.RouterID,
+			Passive: router.Passive, Families: []bgp.Family{bgp.IPv4, bgp.IPv6}, Hop4: config.NextHop4, Hop6: config.NextHop6, Times: times}})
 	}
 	var err error
-	if a.speaker, err = bgp.StartSpeaker(cfg.Environment, cfg.Log, cfg.BGPListen, peers); err != nil {
+	if a.speaker, err = bgp.StartSpeaker(config.Environment, config.Log, config.BGPListen, peers); err != nil {
 		return nil, err
 	}
 	a.applySettings(s)
-	cfg.Environment.Go(a.run)
+	config.Environment.Go(a.run)
 	return a, nil
 }
 
-func valueOr(v, other float64) float64 {
-	if v == 0 {
-		return other
+func valueOr(value, fallback float64) float64 {
+	if value == 0 {
+		return fallback
 	}
-	return v
+	return value
 }
 
 func announceConfig(a *settings.Announce) announce.Config {
-	d := announce.DefaultConfig
-	return announce.Config{Steady: valueOr(a.Steady, d.Steady), SteadyMost: valueOr(a.SteadyMost, d.SteadyMost), ResortMost: valueOr(a.ResortMost, d.ResortMost),
-		HalfLife: valueOr(a.HalfLife, d.HalfLife), ListBound: valueOr(a.ListBound, d.ListBound), BeatBound: valueOr(a.BeatBound, d.BeatBound)}
+	defaults := announce.DefaultConfig
+	return announce.Config{Steady: valueOr(a.Steady, defaults.Steady), SteadyMost: valueOr(a.SteadyMost, defaults.SteadyMost), ResortMost: valueOr(a.ResortMost, defaults.ResortMost),
+		HalfLife: valueOr(a.HalfLife, defaults.HalfLife), ListBound: valueOr(a.ListBound, defaults.ListBound), BeatBound: valueOr(a.BeatBound, defaults.BeatBound)}
 }
 
 // applySettings takes settings: their groups and times. Routers are those of the start.
@@ -97,33 +97,33 @@
 		s = &settings.Settings{Announce: &settings.Announce{}} // nothing is announced any more
 	}
 	a.settings, a.prefixes, a.announcedShards = s, map[string][]netip.Prefix{}, map[int]bool{}
-	at := map[string]*settings.Volume{}
+	volumes := map[string]*settings.Volume{}
 	for i := range s.Volumes {
-		if v := &s.Volumes[i]; slices.Contains(v.Hosts, a.config.Self) {
-			at[v.Name] = v
+		if volume := &s.Volumes[i]; slices.Contains(volume.Hosts, a.config.Self) {
+			volumes[volume.Name] = volume
 		}
 	}
-	var list []announce.Group
+	var groups []announce.Group
 	for _, g := range s.Announce.Groups {
-		k := announce.Group{Name: g.Name}
+		group := announce.Group{Name: g.Name}
 		for _, name := range g.Volumes {
-			if v := at[name]; v != nil {
-				k.Shards = append(k.Shards, v.Layout...)
+			if volume := volumes[name]; volume != nil {
+				group.Shards = append(group.Shards, volume.Layout...)
 			}
 		}
-		slices.Sort(k.Shards)
-		k.Shards = slices.Compact(k.Shards)
-		for _, sh := range k.Shards {
-			a.announcedShards[sh] = true
+		slices.Sort(group.Shards)
+		group.Shards = slices.Compact(group.Shards)
+		for _, shard := range group.Shards {
+			a.announcedShards[shard] = true
 		}
-		for _, p := range g.Prefixes {
-			a.prefixes[g.Name] = append(a.prefixes[g.Name], netip.MustParsePrefix(p)) // checked with the settings
+		for _, prefix := range g.Prefixes {
+			a.prefixes[g.Name] = append(a.prefixes[g.Name], netip.MustParsePrefix(prefix)) // checked with the settings
 		}
-		list = append(list, k)
+		groups = append(groups, group)
 	}
 	now := env.MS(a.config.Environment.Now())
 	a.core.Configure(now, announceConfig(s.Announce))
-	a.core.Groups(now, list)
+	a.core.Groups(now, groups)
 	a.publish()
 }
 
@@ -138,8 +138,8 @@
 func (a *announcer) evaluate() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	w := a.config.Environment
-	now := w.Now()
+	environment := a.config.Environment
+	now := environment.Now()
 	if !a.heartbeatPending {
 		a.heartbeatPending = true
 		a.host.post(event{kind: eventRun, run: a.recordHeartbeat})
@@ -152,36 +152,36 @@
 			}
 		}
 	}
-	ms := env.MS(now)
-	answers, ready := map[int]bool{}, map[int]bool{}
+	nowMS := env.MS(now)
+	answeringShards, readyShards := map[int]bool{}, map[int]bool{}
 	for addr, shard := range a.readyNodes {
-		ready[shard] = true
-		if at, open := a.host.pool.lastRead(addr); open && env.MS(now-at) <= valueOr(a.settings.Announce.AnswerTime, defaultAnswerTimeoutMS) {
-			answers[shard] = true
+		readyShards[shard] = true
+		if readAt, open := a.host.pool.lastRead(addr); open && env.MS(now-readAt) <= valueOr(a.settings.Announce.AnswerTime, defaultAnswerTimeoutMS) {
+			answeringShards[shard] = true
 		}
 	}
 	if a.listReceived {
-		a.core.List(ms, ready)
+		a.core.List(nowMS, readyShards)
 	}
 	if since, lost := a.inventoryClient.Lost(); lost {
 		a.core.ListLost(env.MS(since))
 	}
-	a.core.Beat(ms, a.lastHeartbeat)
-	a.core.Answers(ms, answers)
+	a.core.Beat(nowMS, a.lastHeartbeat)
+	a.core.Answers(nowMS, answeringShards)
 	a.publish()
 }
 
 // recordHeartbeat is the host core's sign of life, on its goroutine; it brings the nodes.
 func (a *announcer) recordHeartbeat(c *core) {
-	nodes := make(map[string]int, len(c.nodes))
+	readyNodes := make(map[string]int, len(c.nodes))
 	for addr, n := range c.nodes {
 		if c.effectiveHealth(n) == policy.Ready {
-			nodes[addr] = n.Shard
+			readyNodes[addr] = n.Shard
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.heartbeatPending, a.lastHeartbeat, a.readyNodes, a.listReceived = false, env.MS(a.config.Environment.Now()), nodes, c.listSeen
+	a.heartbeatPending, a.lastHeartbeat, a.readyNodes, a.listReceived = false, env.MS(a.config.Environment.Now()), readyNodes, c.listSeen
 }
 
 // Paths of the levels: a last resort is behind any other in each way that routers
@@ -197,8 +197,8 @@
 	levels := map[string]announce.Level{}
 	for _, s := range a.core.States() {
 		levels[s.Group] = s.Level
-		if was := a.levels[s.Group]; was != s.Level {
-			a.log.Info("announcement changed", zap.String("group", s.Group), zap.Stringer("from", was), zap.Stringer("to", s.Level), zap.String("reason", string(s.Reason)))
+		if previous := a.levels[s.Group]; previous != s.Level {
+			a.log.Info("announcement changed", zap.String("group", s.Group), zap.Stringer("from", previous), zap.Stringer("to", s.Level), zap.String("reason", string(s.Reason)))
 		}
 		if s.Level == announce.Withdrawn {
 			continue
@@ -216,10 +216,10 @@
 }
 
 // setStopPhase brings a phase of a graceful setStopPhase, and tells it at once.
-func (a *announcer) setStopPhase(p announce.StopPhase) {
+func (a *announcer) setStopPhase(phase announce.StopPhase) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.core.Stop(env.MS(a.config.Environment.Now()), p)
+	a.core.Stop(env.MS(a.config.Environment.Now()), phase)
 	a.publish()
 }
 
@@ -228,19 +228,19 @@
 func (a *announcer) drainClients(wait func(time.Duration)) {
 	a.setStopPhase(announce.Leaving)
 	a.mu.Lock()
-	most := valueOr(a.settings.Announce.MoveTime, defaultMoveTimeMS)
+	moveTime := valueOr(a.settings.Announce.MoveTime, defaultMoveTimeMS)
 	a.mu.Unlock()
-	wait(env.Duration(most))
+	wait(env.Duration(moveTime))
 	a.setStopPhase(announce.Left)
 }
 
 // close ends the announcer; with a text in peace, without one at once.
-func (a *announcer) close(text string) {
+func (a *announcer) close(message string) {
 	a.stopped.Open()
-	if text == "" {
+	if message == "" {
 		a.speaker.Kill()
 	} else {
-		a.speaker.Close(text)
+		a.speaker.Close(message)
 	}
 	a.done.Wait(a.config.Environment)
 }
@@ -268,8 +268,8 @@
 	var out Routes
 	for _, s := range a.core.States() {
 		g := GroupRoutes{State: s, Level: s.Level.String(), Prefixes: a.prefixes[s.Group], ForMS: now - s.Since}
-		if up := s.Up - now; up < 1e12 {
-			g.RiseIn = &up
+		if riseIn := s.Up - now; riseIn < 1e12 {
+			g.RiseIn = &riseIn
 		}
 		out.Groups = append(out.Groups, g)
 	}
--- a/internal/control/gateway/frontend.go
+++ b/internal/control/gateway/frontend.go
@@ -34,17 +34,17 @@
 	disk   *scsi.Disk
 }
 
-func newActiveSettings(s *settings.Settings, self int) *activeSettings {
+func newActiveSettings(s *settings.Settings, hostIndex int) *activeSettings {
 	s = s.Held()
-	v := &activeSettings{Settings: s, unitsByTarget: map[string]*logicalUnit{}, hostCounts: map[string]int{}}
+	active := &activeSettings{Settings: s, unitsByTarget: map[string]*logicalUnit{}, hostCounts: map[string]int{}}
 	for i := range s.Volumes {
-		vol := &s.Volumes[i]
-		if slices.Contains(vol.Hosts, self) {
-			v.unitsByTarget[s.TargetName(vol)] = &logicalUnit{vol, vol.Disk()}
-			v.hostCounts[vol.Name] = s.Through(self, vol)
+		volume := &s.Volumes[i]
+		if slices.Contains(volume.Hosts, hostIndex) {
+			active.unitsByTarget[s.TargetName(volume)] = &logicalUnit{volume, volume.Disk()}
+			active.hostCounts[volume.Name] = s.Through(hostIndex, volume)
 		}
 	}
-	return v
+	return active
 }
 
 // frontend accepts initiators.
@@ -87,18 +87,18 @@
 	clientWriteLimit = 16 << 20
 )
 
-func newFrontend(w env.Environment, h *host, v *activeSettings, l net.Listener, log *zap.Logger) *frontend {
-	f := &frontend{environment: w, host: h, log: log, listener: l, sessions: map[sessionKey]*conn{}}
+func newFrontend(environment env.Environment, h *host, active *activeSettings, listener net.Listener, log *zap.Logger) *frontend {
+	f := &frontend{environment: environment, host: h, log: log, listener: listener, sessions: map[sessionKey]*conn{}}
 	f.keeper, f.answerers = newReservationCache(f), newResponders(h)
-	f.settings.Store(v)
-	f.nextTSIH.Store(uint32(w.RandomUint64()))
-	f.tasks.Go(w, f.accept)
+	f.settings.Store(active)
+	f.nextTSIH.Store(uint32(environment.RandomUint64()))
+	f.tasks.Go(environment, f.accept)
 	return f
 }
 
 func (f *frontend) accept() {
 	for {
-		c, err := f.listener.Accept()
+		netConn, err := f.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -106,15 +106,15 @@
 		full := f.conns.Len() >= f.settings.Load().Target.MaxSessions
 		if f.stopping || full {
 			f.mu.Unlock()
-			c.Close()
+			netConn.Close()
 			if full {
-				f.log.Warn("connection refused: too many", zap.Stringer("peer", c.RemoteAddr()))
+				f.log.Warn("connection refused: too many", zap.Stringer("peer", netConn.RemoteAddr()))
 			}
 			continue
 		}
-		k := newConn(f, c)
-		f.conns.Add(k)
-		f.tasks.Go(f.environment, k.run)
+		c := newConn(f, netConn)
+		f.conns.Add(c)
+		f.tasks.Go(f.environment, c.run)
 		f.mu.Unlock()
 	}
 }
@@ -129,15 +129,15 @@
 }
 
 // reserveMemory takes memory for a command's data; false when the bound is reached.
-func (f *frontend) reserveMemory(n int) bool {
-	if f.memoryBytes.Add(int64(n)) <= int64(f.settings.Load().Target.Memory) {
+func (f *frontend) reserveMemory(bytes int) bool {
+	if f.memoryBytes.Add(int64(bytes)) <= int64(f.settings.Load().Target.Memory) {
 		return true
 	}
-	f.memoryBytes.Add(-int64(n))
+	f.memoryBytes.Add(-int64(bytes))
 	return false
 }
 
-func (f *frontend) releaseMemory(n int) { f.memoryBytes.Add(-int64(n)) }
+func (f *frontend) releaseMemory(bytes int) { f.memoryBytes.Add(-int64(bytes)) }
 
 // registerSession enters a session; the one whose place it takes is closed, and the
 // caller waits for its end.
@@ -190,21 +190,21 @@
 	closeAfterFlush bool // what waits to be sent still goes out before the close
 }
 
-func newConn(f *frontend, c net.Conn) *conn {
-	k := &conn{frontend: f, netConn: c, log: f.log.With(zap.Stringer("peer", c.RemoteAddr()))}
+func newConn(f *frontend, netConn net.Conn) *conn {
+	c := &conn{frontend: f, netConn: netConn, log: f.log.With(zap.Stringer("peer", netConn.RemoteAddr()))}
 	if n := uint32(len(f.answerers)); n > 0 {
-		k.answerer = f.answerers[f.nextAnswerer.Add(1)%n]
+		c.answerer = f.answerers[f.nextAnswerer.Add(1)%n]
 	}
-	k.out = writequeue.New(f.environment, c, clientWriteLimit, env.Duration(f.settings.Load().Target.WriteTime))
-	k.out.OnBytesChanged = func(delta int) { f.memoryBytes.Add(int64(delta)) }
-	return k
+	c.out = writequeue.New(f.environment, netConn, clientWriteLimit, env.Duration(f.settings.Load().Target.WriteTime))
+	c.out.OnBytesChanged = func(delta int) { f.memoryBytes.Add(int64(delta)) }
+	return c
 }
 
 func (c *conn) run() {
-	r := iscsi.NewReader(bufio.NewReaderSize(c.netConn, clientReadBufferBytes), maxRecvDataSegment)
-	err := c.login(r)
+	reader := iscsi.NewReader(bufio.NewReaderSize(c.netConn, clientReadBufferBytes), maxRecvDataSegment)
+	err := c.login(reader)
 	if err == nil {
-		err = c.serveFullFeature(r)
+		err = c.serveFullFeature(reader)
 	}
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 		c.log.Info("session over", zap.Error(err))
@@ -216,26 +216,26 @@
 }
 
 // sendPDU sends a PDU, or holds it while the host core is in a batch. Held: mu.
-func (c *conn) sendPDU(p *iscsi.PDU) {
-	c.out.Buffer(func(b []byte) []byte { return p.Append(b, c.digests) })
+func (c *conn) sendPDU(pdu *iscsi.PDU) {
+	c.out.Buffer(func(b []byte) []byte { return pdu.Append(b, c.digests) })
 	if !c.batching {
 		c.out.Flush()
 	}
 }
 
 // login runs the login phase within its time.
-func (c *conn) login(r *iscsi.Reader) error {
-	v := c.frontend.settings.Load()
-	c.netConn.SetReadDeadline(c.frontend.environment.Deadline(env.Duration(v.Target.LoginTime)))
-	l := iscsi.NewLogin(c.targetPolicy(v), c.assignTSIH)
+func (c *conn) login(reader *iscsi.Reader) error {
+	active := c.frontend.settings.Load()
+	c.netConn.SetReadDeadline(c.frontend.environment.Deadline(env.Duration(active.Target.LoginTime)))
+	login := iscsi.NewLogin(c.targetPolicy(active), c.assignTSIH)
 	for {
-		p, err := r.Next()
+		pdu, err := reader.Next()
 		if err != nil {
 			return err
 		}
-		reply, done, err := l.Handle(p)
+		reply, done, err := login.Handle(pdu)
 		if done {
-			c.beginFullFeature(v, l)
+			c.beginFullFeature(active, login)
 		}
 		c.mu.Lock()
 		c.sendPDU(reply)
@@ -249,83 +249,83 @@
 		}
 	}
 	c.netConn.SetReadDeadline(time.Time{})
-	pr := l.Params()
+	params := login.Params()
 	c.mu.Lock()
-	c.digests = iscsi.Digests{Header: pr.HeaderDigest, Data: pr.DataDigest}
+	c.digests = iscsi.Digests{Header: params.HeaderDigest, Data: params.DataDigest}
 	c.mu.Unlock()
-	r.Digests = c.digests
+	reader.Digests = c.digests
 	return nil
 }
 
 // assignTSIH gives the session its handle, which is never 0.
 func (c *conn) assignTSIH() uint16 {
 	for {
-		if h := uint16(c.frontend.nextTSIH.Add(1)); h != 0 {
-			c.tsih = h
-			return h
+		if tsih := uint16(c.frontend.nextTSIH.Add(1)); tsih != 0 {
+			c.tsih = tsih
+			return tsih
 		}
 	}
 }
 
-func (c *conn) targetPolicy(v *activeSettings) *iscsi.TargetPolicy {
-	p := iscsi.DefaultParams()
-	p.MaxRecv, p.MaxBurst, p.FirstBurst, p.InitialR2T, p.MaxR2T = maxRecvDataSegment, maxTransferBytes, maxRecvDataSegment, false, 4
-	tp := &iscsi.TargetPolicy{Params: p, Window: uint32(v.Target.Window), PortalGroup: 1,
+func (c *conn) targetPolicy(active *activeSettings) *iscsi.TargetPolicy {
+	params := iscsi.DefaultParams()
+	params.MaxRecv, params.MaxBurst, params.FirstBurst, params.InitialR2T, params.MaxR2T = maxRecvDataSegment, maxTransferBytes, maxRecvDataSegment, false, 4
+	policy := &iscsi.TargetPolicy{Params: params, Window: uint32(active.Target.Window), PortalGroup: 1,
 		Random: func(b []byte) { env.FillRandom(c.frontend.environment, b) },
 		Admit: func(_, target string) iscsi.LoginStatus {
-			if target != "" && v.unitsByTarget[target] == nil {
+			if target != "" && active.unitsByTarget[target] == nil {
 				return iscsi.LoginNotFound
 			}
 			return iscsi.LoginOK
 		}}
-	if len(v.Target.Chap) > 0 {
-		tp.Secret = func(user string) (string, bool) {
-			i := slices.IndexFunc(v.Target.Chap, func(k settings.Chap) bool { return k.User == user })
+	if len(active.Target.Chap) > 0 {
+		policy.Secret = func(user string) (string, bool) {
+			i := slices.IndexFunc(active.Target.Chap, func(chap settings.Chap) bool { return chap.User == user })
 			if i < 0 {
 				return "no such user: no secret is this long", false
 			}
-			return v.Target.Chap[i].Secret, true
+			return active.Target.Chap[i].Secret, true
 		}
 	}
-	if m := v.Target.Mutual; m != nil {
-		tp.Mutual = iscsi.Credentials{User: m.User, Secret: m.Secret}
+	if mutual := active.Target.Mutual; mutual != nil {
+		policy.Mutual = iscsi.Credentials{User: mutual.User, Secret: mutual.Secret}
 	}
-	return tp
+	return policy
 }
 
 // beginFullFeature enters the full feature phase. A session that this one replaces is ended
 // first, with all its tasks.
-func (c *conn) beginFullFeature(v *activeSettings, l *iscsi.Login) {
-	c.logicalUnit = v.unitsByTarget[l.Target]
-	if !l.Discovery {
-		c.key = sessionKey{l.Initiator, l.Target, l.ISID}
+func (c *conn) beginFullFeature(active *activeSettings, login *iscsi.Login) {
+	c.logicalUnit = active.unitsByTarget[login.Target]
+	if !login.Discovery {
+		c.key = sessionKey{login.Initiator, login.Target, login.ISID}
 		c.initiatorPort = nexusOf(c.key, c.frontend.host.hostIndex)
 		if old := c.frontend.registerSession(c.key, c); old != nil {
 			old.log.Info("session reinstated by a new login")
 			old.out.Abort()
 			old.ended.Wait(c.frontend.environment)
 		}
-		c.log = c.log.With(zap.String("volume", c.logicalUnit.volume.Name), zap.Uint16("session", l.TSIH))
+		c.log = c.log.With(zap.String("volume", c.logicalUnit.volume.Name), zap.Uint16("session", login.TSIH))
 	}
-	s := l.Session()
-	s.Out, s.Reserve, s.Release, s.MaxTransfer = c.sendPDU, c.frontend.reserveMemory, c.frontend.releaseMemory, maxTransferBytes
-	s.Targets = func(name string) []iscsi.Key { return c.sendTargets(v, name) }
+	session := login.Session()
+	session.Out, session.Reserve, session.Release, session.MaxTransfer = c.sendPDU, c.frontend.reserveMemory, c.frontend.releaseMemory, maxTransferBytes
+	session.Targets = func(name string) []iscsi.Key { return c.sendTargets(active, name) }
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.session, c.receivedSincePing = s, true
-	c.schedulePing(v)
+	c.session, c.receivedSincePing = session, true
+	c.schedulePing(active)
 }
 
 // sendTargets answers SendTargets with the names that this host serves.
-func (c *conn) sendTargets(v *activeSettings, name string) []iscsi.Key {
+func (c *conn) sendTargets(active *activeSettings, name string) []iscsi.Key {
 	var names []string
-	for t := range v.unitsByTarget {
+	for t := range active.unitsByTarget {
 		if name == "All" || name == t {
 			names = append(names, t)
 		}
 	}
 	if name == "" && c.logicalUnit != nil {
-		names = []string{v.TargetName(c.logicalUnit.volume)}
+		names = []string{active.TargetName(c.logicalUnit.volume)}
 	}
 	slices.Sort(names)
 	var keys []iscsi.Key
@@ -338,12 +338,12 @@
 
 // schedulePing asks silent clients for a sign of life; one that gives none is closed.
 // Held: mu.
-func (c *conn) schedulePing(v *activeSettings) {
+func (c *conn) schedulePing(active *activeSettings) {
 	if c.closed {
 		return
 	}
-	every := env.Duration(v.Target.PingEvery)
-	c.pingTimer = c.frontend.environment.AfterFunc(every, func() {
+	interval := env.Duration(active.Target.PingEvery)
+	c.pingTimer = c.frontend.environment.AfterFunc(interval, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if !c.receivedSincePing && !c.session.Ping() {
@@ -352,23 +352,23 @@
 			return
 		}
 		c.receivedSincePing = false
-		c.schedulePing(v)
+		c.schedulePing(active)
 	})
 }
 
-func (c *conn) serveFullFeature(r *iscsi.Reader) error {
+func (c *conn) serveFullFeature(reader *iscsi.Reader) error {
 	for {
-		p, err := r.Next()
-		var dd *iscsi.DataDigestError
-		if errors.As(err, &dd) {
-			c.rejectDataDigest(p)
+		pdu, err := reader.Next()
+		var digestErr *iscsi.DataDigestError
+		if errors.As(err, &digestErr) {
+			c.rejectDataDigest(pdu)
 			c.closeWhenFlushed()
 			return err
 		}
 		if err != nil {
 			return err
 		}
-		stop, err := c.handlePDU(p)
+		stop, err := c.handlePDU(pdu)
 		if err != nil || stop {
 			c.closeWhenFlushed()
 			return err
@@ -376,10 +376,10 @@
 	}
 }
 
-func (c *conn) rejectDataDigest(p *iscsi.PDU) {
+func (c *conn) rejectDataDigest(pdu *iscsi.PDU) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.session.Reject(p, iscsi.RejectDataDigest)
+	c.session.Reject(pdu, iscsi.RejectDataDigest)
 }
 
 // closeWhenFlushed closes the connection once its last words are out.
@@ -393,12 +393,12 @@
 // handlePDU takes one PDU under the session's lock; what it brings is handed on
 // before the lock is given up, so that the host core sees a session's commands
 // in their order.
-func (c *conn) handlePDU(p *iscsi.PDU) (stop bool, err error) {
+func (c *conn) handlePDU(pdu *iscsi.PDU) (stop bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.receivedSincePing = true
 	c.session.Now = env.MS(c.frontend.environment.Now())
-	events, err := c.session.Handle(p)
+	events, err := c.session.Handle(pdu)
 	for _, e := range events {
 		switch {
 		case e.Ready != nil:
@@ -409,8 +409,8 @@
 			stop = true
 		}
 	}
-	if p.Opcode() == iscsi.OpCommand && err == nil {
-		c.limitDataWait(p.ITT())
+	if pdu.Opcode() == iscsi.OpCommand && err == nil {
+		c.limitDataWait(pdu.ITT())
 	}
 	return stop, err
 }
@@ -418,66 +418,66 @@
 // limitDataWait ends a write whose data does not come in time: nothing of it was sent
 // on, so its failure is certain.
 func (c *conn) limitDataWait(itt uint32) {
-	t := c.session.Task(itt)
-	if t == nil || t.Delivered() || c.logicalUnit == nil {
+	task := c.session.Task(itt)
+	if task == nil || task.Delivered() || c.logicalUnit == nil {
 		return
 	}
-	v := c.frontend.settings.Load()
-	k := v.Class(scsi.Write, int(t.Length), c.currentOrLoginUnit(v).volume.Plan)
-	if k == nil {
+	active := c.frontend.settings.Load()
+	class := active.Class(scsi.Write, int(task.Length), c.currentOrLoginUnit(active).volume.Plan)
+	if class == nil {
 		return
 	}
-	c.frontend.environment.AfterFunc(env.Duration(k.Deadline), func() {
+	c.frontend.environment.AfterFunc(env.Duration(class.Deadline), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if !c.closed && c.session.Task(itt) == t && !t.Delivered() {
-			c.session.Expire(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.CommandAborted.Fixed()})
+		if !c.closed && c.session.Task(itt) == task && !task.Delivered() {
+			c.session.Expire(task, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.CommandAborted.Fixed()})
 		}
 	})
 }
 
 // handleAbort ends tasks from the client's side. The function's response waits until
 // none of them can take effect any more.
-func (c *conn) handleAbort(a *iscsi.Abort) {
-	g := &abortWait{conn: c, abort: a, pending: 1}
-	if a.Wide() && c.logicalUnit != nil {
-		g.pending++
-		c.frontend.host.post(event{kind: eventRun, run: func(*core) { c.resetOtherSessions(g) }})
+func (c *conn) handleAbort(abort *iscsi.Abort) {
+	wait := &abortWait{conn: c, abort: abort, pending: 1}
+	if abort.Wide() && c.logicalUnit != nil {
+		wait.pending++
+		c.frontend.host.post(event{kind: eventRun, run: func(*core) { c.resetOtherSessions(wait) }})
 	}
-	for _, t := range a.Tasks {
+	for _, t := range abort.Tasks {
 		if u, ok := t.User.(abandonable); ok {
-			g.pending++
-			u.abandon(g)
+			wait.pending++
+			u.abandon(wait)
 		}
 	}
-	g.commandDone()
+	wait.commandDone()
 }
 
 // resetOtherSessions ends the tasks of the target's other sessions, whose clients are told
 // by a unit attention; a cold reset closes every session. On the host's goroutine,
 // so that two resets at once don't wait for each other.
-func (c *conn) resetOtherSessions(g *abortWait) {
-	cold := g.abort.Function == iscsi.TargetColdReset
-	for _, o := range c.frontend.allConns() {
-		if o == c || o.key.target != c.key.target {
+func (c *conn) resetOtherSessions(wait *abortWait) {
+	cold := wait.abort.Function == iscsi.TargetColdReset
+	for _, other := range c.frontend.allConns() {
+		if other == c || other.key.target != c.key.target {
 			continue
 		}
 		if cold {
-			o.out.Abort()
+			other.out.Abort()
 			continue
 		}
-		for _, t := range o.resetTasks() {
+		for _, t := range other.resetTasks() {
 			if u, ok := t.User.(abandonable); ok {
 				c.mu.Lock()
-				g.pending++
+				wait.pending++
 				c.mu.Unlock()
-				u.abandon(g)
+				u.abandon(wait)
 			}
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	g.commandDone()
+	wait.commandDone()
 	if cold {
 		c.closeAfterFlush = true
 		c.out.Finish()
@@ -499,7 +499,7 @@
 type abandonable interface {
 	// abandon ends it from the client's side; g, if any, hears when nothing of it can
 	// take effect any more. The session's conn.mu is held.
-	abandon(g *abortWait)
+	abandon(wait *abortWait)
 }
 
 // abortWait counts the commands that a task management function waits for.
--- a/internal/control/gateway/gateway.go
+++ b/internal/control/gateway/gateway.go
@@ -75,14 +75,14 @@
 		cfg.Log = zap.NewNop()
 	}
 	cfg.Log = cfg.Log.With(zap.String("host", cfg.Name))
-	st, err := settings.Open(cfg.Snapshot, cfg.SettingsKey)
+	store, err := settings.Open(cfg.Snapshot, cfg.SettingsKey)
 	if err != nil {
 		return nil, err
 	}
-	g := &Gateway{cfg: cfg, store: st}
+	g := &Gateway{cfg: cfg, store: store}
 	if cfg.History != "" {
 		if g.recorder, err = startRecorder(g, cfg.History); err != nil {
-			st.Close()
+			store.Close()
 			return nil, err
 		}
 	}
@@ -90,10 +90,10 @@
 		g.Kill()
 		return nil, err
 	}
-	st.Allow(g.checkSettings)
-	st.Watch(g.applySettings)
-	if s := st.Get(); s != nil {
-		g.applySettings(s)
+	store.Allow(g.checkSettings)
+	store.Watch(g.applySettings)
+	if current := store.Get(); current != nil {
+		g.applySettings(current)
 		if g.startErr != nil {
 			g.Kill()
 			return nil, g.startErr
@@ -109,53 +109,53 @@
 		return nil
 	}
 	network, addr := "tcp", g.cfg.Admin
-	if p, ok := strings.CutPrefix(addr, "unix:"); ok {
-		network, addr = "unix", p
-		os.Remove(p) // a socket that a killed process left
+	if path, ok := strings.CutPrefix(addr, "unix:"); ok {
+		network, addr = "unix", path
+		os.Remove(path) // a socket that a killed process left
 	}
 	if network == "tcp" && g.cfg.Keys == nil && !isLoopback(addr) {
 		return errors.New("gateway: an admin address that others reach needs keys")
 	}
-	l, err := g.cfg.Environment.Listen(network, addr)
+	listener, err := g.cfg.Environment.Listen(network, addr)
 	if err != nil {
 		return err
 	}
-	if g.adminListener = l; network == "unix" {
+	if g.adminListener = listener; network == "unix" {
 		if err := os.Chmod(addr, 0o600); err != nil {
 			return err
 		}
 	} else if g.cfg.Keys != nil {
-		l = tls.NewListener(l, g.cfg.Keys.Server(false))
+		listener = tls.NewListener(listener, g.cfg.Keys.Server(false))
 	}
 	mux := http.NewServeMux()
-	record := settings.Handler(g.store, author, func() int64 { return g.cfg.Environment.Deadline(0).UnixMilli() })
-	mux.Handle("/settings", record)
-	mux.Handle("/settings/", record)
+	settingsHandler := settings.Handler(g.store, author, func() int64 { return g.cfg.Environment.Deadline(0).UnixMilli() })
+	mux.Handle("/settings", settingsHandler)
+	mux.Handle("/settings/", settingsHandler)
 	mux.HandleFunc("GET /routes", func(w http.ResponseWriter, _ *http.Request) { settings.Reply(w, http.StatusOK, g.Routes()) })
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { settings.Reply(w, http.StatusOK, g.Status()) })
 	mux.HandleFunc("GET /rates", func(w http.ResponseWriter, _ *http.Request) { settings.Reply(w, http.StatusOK, g.Rates()) })
 	mux.HandleFunc("POST /keys/reload", g.reloadKeys)
-	mux.Handle("GET /metrics", metrics.Handler(func() (metrics.Reading, bool) { r, ok := g.readState(); return r.Reading, ok }))
+	mux.Handle("GET /metrics", metrics.Handler(func() (metrics.Reading, bool) { state, ok := g.readState(); return state.Reading, ok }))
 	mux.HandleFunc("GET /history", g.serveHistory)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { settings.Reply(w, http.StatusOK, "lives") })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if why := g.notReadyReason(); why != "" {
-			settings.Reply(w, http.StatusServiceUnavailable, why)
+		if reason := g.notReadyReason(); reason != "" {
+			settings.Reply(w, http.StatusServiceUnavailable, reason)
 			return
 		}
 		settings.Reply(w, http.StatusOK, "ready")
 	})
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) {
-		r, ok := g.readState()
+		state, ok := g.readState()
 		if !ok {
 			settings.Reply(w, http.StatusServiceUnavailable, "no settings are in force")
 			return
 		}
-		settings.Reply(w, http.StatusOK, map[string]any{"status": r.status, "module": r.View, "settings_version": r.Version, "serves": r.Leased})
+		settings.Reply(w, http.StatusOK, map[string]any{"status": state.status, "module": state.View, "settings_version": state.Version, "serves": state.Leased})
 	})
 	g.adminServer = &http.Server{Handler: g.authorize(mux), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, ConnContext: withSocketUser,
 		ErrorLog: zap.NewStdLog(g.cfg.Log)}
-	go g.adminServer.Serve(l) // ends with Close; its error says only that
+	go g.adminServer.Serve(listener) // ends with Close; its error says only that
 	return nil
 }
 
@@ -191,14 +191,14 @@
 }
 
 // checkSettings lists what keeps settings from coming into force at this host.
-func (g *Gateway) checkSettings(_, s *settings.Settings) (out []settings.Fault) {
+func (g *Gateway) checkSettings(_, s *settings.Settings) (faults []settings.Fault) {
 	if g.cfg.Self >= s.Hosts {
-		out = append(out, settings.Fault{Path: "hosts", Reason: fmt.Sprintf("is %d, and this is host %d", s.Hosts, g.cfg.Self)})
+		faults = append(faults, settings.Fault{Path: "hosts", Reason: fmt.Sprintf("is %d, and this is host %d", s.Hosts, g.cfg.Self)})
 	}
 	if s.Announce != nil && g.cfg.RouterID == 0 {
-		out = append(out, settings.Fault{Path: "announce", Reason: "needs a router identifier, which this host was not given"})
+		faults = append(faults, settings.Fault{Path: "announce", Reason: "needs a router identifier, which this host was not given"})
 	}
-	return out
+	return faults
 }
 
 func (g *Gateway) startServing(s *settings.Settings) error {
@@ -208,26 +208,26 @@
 	if s.Announce != nil && g.cfg.RouterID == 0 {
 		return errors.New("gateway: the settings ask for announcements, which need a router identifier")
 	}
-	l, err := g.cfg.Environment.Listen("tcp", g.cfg.Listen)
+	listener, err := g.cfg.Environment.Listen("tcp", g.cfg.Listen)
 	if err != nil {
 		return err
 	}
 	h := newHost(g.cfg.Environment, s, g.cfg.Self, g.cfg.Name, g.cfg.Zone, g.cfg.Keys, g.cfg.Log)
-	g.inventoryClient = inventory.Follow(g.cfg.Environment, g.cfg.Inventory, func(l inventory.List) {
-		h.post(event{kind: eventNodeList, list: l})
+	g.inventoryClient = inventory.Follow(g.cfg.Environment, g.cfg.Inventory, func(list inventory.List) {
+		h.post(event{kind: eventNodeList, list: list})
 	})
 	h.fetchNodeList = g.inventoryClient.Fetch
 	if s.Regions != nil {
 		g.leaseRenewer = newLeaseRenewer(g.cfg.Environment, h, g.cfg.Inventory, s.Regions, g.cfg.Log)
 	}
-	g.host, g.listenAddr = h, l.Addr()
-	g.frontend = newFrontend(g.cfg.Environment, h, newActiveSettings(s, g.cfg.Self), l, g.cfg.Log)
+	g.host, g.listenAddr = h, listener.Addr()
+	g.frontend = newFrontend(g.cfg.Environment, h, newActiveSettings(s, g.cfg.Self), listener, g.cfg.Log)
 	if s.Announce != nil {
 		if g.announcer, err = newAnnouncer(g.cfg, s, h, g.inventoryClient); err != nil {
 			return err // Start ends the rest
 		}
 	}
-	g.cfg.Log.Info("serving", zap.Stringer("listen", l.Addr()), zap.Uint64("settings", s.Version))
+	g.cfg.Log.Info("serving", zap.Stringer("listen", listener.Addr()), zap.Uint64("settings", s.Version))
 	return nil
 }
 
@@ -260,33 +260,33 @@
 
 // Status reads the present figures.
 func (g *Gateway) Status() Status {
-	s, _ := g.readStatus(func(*core) {})
-	return s
+	status, _ := g.readStatus(func(*core) {})
+	return status
 }
 
 // readStatus reads the present figures and, in the same moment of the host core, more; false if
 // there is no host, or no longer.
-func (g *Gateway) readStatus(more func(*core)) (s Status, ok bool) {
+func (g *Gateway) readStatus(inspect func(*core)) (status Status, ok bool) {
 	g.mu.Lock()
 	f, h := g.frontend, g.host
 	g.mu.Unlock()
-	s.Zone = g.cfg.Zone
+	status.Zone = g.cfg.Zone
 	if f == nil {
-		return s, false
+		return status, false
 	}
 	f.mu.Lock()
-	s.Sessions = len(f.sessions)
+	status.Sessions = len(f.sessions)
 	f.mu.Unlock()
-	s.Open, s.Memory = int(f.openRequests.Load()), f.memoryBytes.Load()
+	status.Open, status.Memory = int(f.openRequests.Load()), f.memoryBytes.Load()
 	h.pool.mu.Lock()
-	s.ConnectedServers = len(h.pool.connByServer)
+	status.ConnectedServers = len(h.pool.connByServer)
 	h.pool.mu.Unlock()
 	ok = h.runAndWait(func(c *core) {
-		more(c)
-		s.Figures = c.counters.totals()
-		s.Requests, s.Sends, s.Resends, s.LimitHeld, s.Nodes, s.ListSeen = c.lastSeq, c.sends, c.resends, c.limitedRequests, len(c.nodes), c.listSeen
+		inspect(c)
+		status.Figures = c.counters.totals()
+		status.Requests, status.Sends, status.Resends, status.LimitHeld, status.Nodes, status.ListSeen = c.lastSeq, c.sends, c.resends, c.limitedRequests, len(c.nodes), c.listSeen
 	})
-	return s, ok
+	return status, ok
 }
 
 // Rates is what each volume asked this host for.
@@ -313,12 +313,12 @@
 
 // Freeze has the host core stand still until the gate is open, as a fault of
 // the program might; for drills.
-func (g *Gateway) Freeze(until *env.Gate) {
+func (g *Gateway) Freeze(release *env.Gate) {
 	g.mu.Lock()
 	h := g.host
 	g.mu.Unlock()
 	if h != nil {
-		h.post(event{kind: eventRun, run: func(*core) { env.WaitAny(h.environment, until, &h.stopBegun) }})
+		h.post(event{kind: eventRun, run: func(*core) { env.WaitAny(h.environment, release, &h.stopBegun) }})
 	}
 }
 
@@ -333,18 +333,18 @@
 	f, a := g.frontend, g.announcer
 	g.mu.Unlock()
 	if a != nil {
-		a.drainClients(func(most time.Duration) { g.waitUntil(ctx, most, func() bool { return len(f.allConns()) == 0 }) })
+		a.drainClients(func(timeout time.Duration) { g.waitUntil(ctx, timeout, func() bool { return len(f.allConns()) == 0 }) })
 	}
 	if f != nil {
 		f.stopAccepting()
-		stop := f.settings.Load().Target.StopTime
+		stopTime := f.settings.Load().Target.StopTime
 		for _, c := range f.allConns() {
-			c.requestLogout(uint16(min(stop/1000+1, 3600)))
+			c.requestLogout(uint16(min(stopTime/1000+1, 3600)))
 		}
-		g.waitUntil(ctx, env.Duration(stop), func() bool { return len(f.allConns()) == 0 })
+		g.waitUntil(ctx, env.Duration(stopTime), func() bool { return len(f.allConns()) == 0 })
 		longest := 0.0
-		for _, k := range f.settings.Load().Classes {
-			longest = max(longest, k.Deadline)
+		for _, class := range f.settings.Load().Classes {
+			longest = max(longest, class.Deadline)
 		}
 		g.waitUntil(ctx, env.Duration(longest), func() bool {
 			for _, c := range f.allConns() {
@@ -359,9 +359,9 @@
 }
 
 // waitUntil looks until done, for at most so long.
-func (g *Gateway) waitUntil(ctx context.Context, most time.Duration, done func() bool) {
-	end := g.cfg.Environment.Now() + most
-	for !done() && g.cfg.Environment.Now() < end && ctx.Err() == nil {
+func (g *Gateway) waitUntil(ctx context.Context, timeout time.Duration, done func() bool) {
+	deadline := g.cfg.Environment.Now() + timeout
+	for !done() && g.cfg.Environment.Now() < deadline && ctx.Err() == nil {
 		env.SleepContext(ctx, g.cfg.Environment, stopPollInterval)
 	}
 }
@@ -370,14 +370,14 @@
 func (g *Gateway) Kill() { g.shutdown("") }
 
 // shutdown ends everything; with a text, routers are told it.
-func (g *Gateway) shutdown(text string) {
+func (g *Gateway) shutdown(message string) {
 	g.mu.Lock()
 	if g.stopped {
 		g.mu.Unlock()
 		return
 	}
 	g.stopped = true
-	f, h, l, a, lease := g.frontend, g.host, g.inventoryClient, g.announcer, g.leaseRenewer
+	f, h, inventoryClient, a, renewer := g.frontend, g.host, g.inventoryClient, g.announcer, g.leaseRenewer
 	g.mu.Unlock()
 	if g.adminServer != nil {
 		g.adminServer.Close()
@@ -387,14 +387,14 @@
 	}
 	g.store.Close() // what it refuses from now on was not accepted
 	if a != nil {
-		a.close(text)
+		a.close(message)
 	}
 	if f != nil {
 		h.stop() // first, so that nothing more goes to disk servers
 		f.abortAll()
-		l.Close()
-		if lease != nil {
-			lease.close()
+		inventoryClient.Close()
+		if renewer != nil {
+			renewer.close()
 		}
 	}
 }
--- a/internal/control/gateway/metrics.go
+++ b/internal/control/gateway/metrics.go
@@ -36,17 +36,17 @@
 }
 
 // countsFor are the counts that a request goes to.
-func (t *coreMetrics) countsFor(q *policy.Request) *requestCounts {
-	k := classPlan{q.Class, q.Plan}
-	c := t.byClassPlan[k]
+func (t *coreMetrics) countsFor(request *policy.Request) *requestCounts {
+	key := classPlan{request.Class, request.Plan}
+	c := t.byClassPlan[key]
 	if c == nil {
-		h := t.latency[q.Class]
-		if h == nil {
-			h = metrics.Latency(q.Class)
-			t.latency[q.Class] = h
+		histogram := t.latency[request.Class]
+		if histogram == nil {
+			histogram = metrics.Latency(request.Class)
+			t.latency[request.Class] = histogram
 		}
-		c = &requestCounts{metrics.Ends{Class: q.Class, Plan: q.Plan}, h}
-		t.byClassPlan[k] = c
+		c = &requestCounts{metrics.Ends{Class: request.Class, Plan: request.Plan}, histogram}
+		t.byClassPlan[key] = c
 	}
 	return c
 }
@@ -60,8 +60,8 @@
 }
 
 // recordEnd notes the end of a request.
-func (c *requestCounts) recordEnd(j *job, how jobOutcome, now float64) {
-	switch how {
+func (c *requestCounts) recordEnd(j *job, outcome jobOutcome, now float64) {
+	switch outcome {
 	case jobServed:
 		c.Served++
 		c.Units += j.req.Units
@@ -84,7 +84,7 @@
 const maxCountedNodes = 4096
 
 // recordAttempt notes the end of an attempt.
-func (t *coreMetrics) recordAttempt(node string, r policy.Result, listed map[string]inventory.Node) {
+func (t *coreMetrics) recordAttempt(node string, result policy.Result, listed map[string]inventory.Node) {
 	a := t.attempts[node]
 	if a == nil {
 		if len(t.attempts) >= maxCountedNodes {
@@ -93,7 +93,7 @@
 		a = &metrics.Attempts{}
 		t.attempts[node] = a
 	}
-	a[r]++
+	a[result]++
 }
 
 // stateReading is all that /metrics and /state show, of one moment.
@@ -103,43 +103,43 @@
 }
 
 // readState copies the tally on the host's goroutine.
-func (g *Gateway) readState() (r stateReading, ok bool) {
-	r.status, ok = g.readStatus(func(c *core) {
-		r.Attempts = make(map[string]metrics.Attempts, len(c.counters.attempts))
-		for _, e := range c.counters.byClassPlan {
-			r.Ends = append(r.Ends, e.Ends)
+func (g *Gateway) readState() (reading stateReading, ok bool) {
+	reading.status, ok = g.readStatus(func(c *core) {
+		reading.Attempts = make(map[string]metrics.Attempts, len(c.counters.attempts))
+		for _, counts := range c.counters.byClassPlan {
+			reading.Ends = append(reading.Ends, counts.Ends)
 		}
-		for n, a := range c.counters.attempts {
-			r.Attempts[n] = *a
+		for node, attempts := range c.counters.attempts {
+			reading.Attempts[node] = *attempts
 		}
 		for _, class := range slices.Sorted(maps.Keys(c.counters.latency)) {
-			r.Latency = append(r.Latency, c.counters.latency[class])
+			reading.Latency = append(reading.Latency, c.counters.latency[class])
 		}
-		r.View, r.Version, r.Leased = c.scheduler.View(c.now), c.settingsVersion, g.host.leaseValid()
+		reading.View, reading.Version, reading.Leased = c.scheduler.View(c.now), c.settingsVersion, g.host.leaseValid()
 	})
-	r.LimitHeld, r.Open, r.Bytes = r.status.LimitHeld, r.status.Open, r.status.Memory
-	r.Sessions, r.Connections = r.status.Sessions, r.status.ConnectedServers
-	return r, ok
+	reading.LimitHeld, reading.Open, reading.Bytes = reading.status.LimitHeld, reading.status.Open, reading.status.Memory
+	reading.Sessions, reading.Connections = reading.status.Sessions, reading.status.ConnectedServers
+	return reading, ok
 }
 
 // notReadyReason says what keeps the gateway from serving, "" if nothing does.
 func (g *Gateway) notReadyReason() string {
 	g.mu.Lock()
-	stopped, failed := g.stopped, g.startErr
+	stopped, startErr := g.stopped, g.startErr
 	g.mu.Unlock()
 	switch {
 	case stopped:
 		return "it is stopping"
-	case failed != nil:
-		return failed.Error()
+	case startErr != nil:
+		return startErr.Error()
 	}
-	r, ok := g.readState()
+	reading, ok := g.readState()
 	switch {
 	case !ok:
 		return "no settings are in force"
-	case !r.status.ListSeen:
+	case !reading.status.ListSeen:
 		return "no node list was seen"
-	case !r.Leased:
+	case !reading.Leased:
 		return "no lease"
 	}
 	g.mu.Lock()
@@ -151,13 +151,13 @@
 	if stopping {
 		return "it is stopping"
 	}
-	for _, s := range r.View.Shards {
+	for _, s := range reading.View.Shards {
 		if s.Node == "" {
 			return "shard " + strconv.Itoa(s.Shard) + " has no node"
 		}
 	}
-	if want := f.settings.Load().Shards; len(r.View.Shards) < want {
-		return strconv.Itoa(want-len(r.View.Shards)) + " shards have never had a node"
+	if want := f.settings.Load().Shards; len(reading.View.Shards) < want {
+		return strconv.Itoa(want-len(reading.View.Shards)) + " shards have never had a node"
 	}
 	return ""
 }
--- a/internal/control/gateway/peer_linux.go
+++ b/internal/control/gateway/peer_linux.go
@@ -12,9 +12,9 @@
 		return 0, false
 	}
 	var cred *syscall.Ucred
-	if cerr := raw.Control(func(fd uintptr) {
+	if controlErr := raw.Control(func(fd uintptr) {
 		cred, err = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
-	}); cerr != nil || err != nil {
+	}); controlErr != nil || err != nil {
 		return 0, false
 	}
 	return cred.Uid, true
--- a/internal/control/gateway/recorder.go
+++ b/internal/control/gateway/recorder.go
@@ -27,45 +27,45 @@
 const flushIntervalSeconds = 10
 
 func startRecorder(g *Gateway, dir string) (*recorder, error) {
-	st, err := history.Open(dir)
+	store, err := history.Open(dir)
 	if err != nil {
 		return nil, err
 	}
-	r := &recorder{gateway: g, store: st, previous: map[history.Key]history.Counts{}}
+	r := &recorder{gateway: g, store: store, previous: map[history.Key]history.Counts{}}
 	r.tasks.Go(g.cfg.Environment, r.run)
 	return r, nil
 }
 
 func (r *recorder) run() {
-	w := r.gateway.cfg.Environment
-	for n := 1; env.Sleep(w, time.Second, &r.stopped); n++ {
-		r.recordSecond(w.Deadline(0).Unix(), n%flushIntervalSeconds == 0)
+	environment := r.gateway.cfg.Environment
+	for n := 1; env.Sleep(environment, time.Second, &r.stopped); n++ {
+		r.recordSecond(environment.Deadline(0).Unix(), n%flushIntervalSeconds == 0)
 	}
-	r.recordSecond(w.Deadline(0).Unix(), true)
+	r.recordSecond(environment.Deadline(0).Unix(), true)
 }
 
 // recordSecond adds what was counted since the last.
-func (r *recorder) recordSecond(at int64, flush bool) {
-	now, ok := r.gateway.readState()
+func (r *recorder) recordSecond(unixSeconds int64, flush bool) {
+	state, ok := r.gateway.readState()
 	if !ok {
 		return
 	}
 	var rows []history.Row
-	for i := range now.Ends {
-		e := &now.Ends[i]
-		c := history.Counts{Taken: e.Taken, Served: e.Served, InAim: e.InAim, Refused: e.Refused, Failed: e.Failed, Latency: e.Times[:], Reasons: e.Reasons[:]}
-		k := history.Key{Class: e.Class, Plan: e.Plan}
-		was := r.previous[k]
-		r.previous[k] = c
-		rows = append(rows, history.Row{At: at, Span: 1, Key: k, Counts: c.Since(&was)})
+	for i := range state.Ends {
+		ends := &state.Ends[i]
+		counts := history.Counts{Taken: ends.Taken, Served: ends.Served, InAim: ends.InAim, Refused: ends.Refused, Failed: ends.Failed, Latency: ends.Times[:], Reasons: ends.Reasons[:]}
+		key := history.Key{Class: ends.Class, Plan: ends.Plan}
+		previous := r.previous[key]
+		r.previous[key] = counts
+		rows = append(rows, history.Row{At: unixSeconds, Span: 1, Key: key, Counts: counts.Since(&previous)})
 	}
 	history.Sort(rows)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	err := r.store.Add(rows)
 	if flush {
-		if e := r.store.Flush(); err == nil {
-			err = e
+		if flushErr := r.store.Flush(); err == nil {
+			err = flushErr
 		}
 	}
 	if err != nil {
@@ -92,8 +92,8 @@
 		return
 	}
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
-	to, e := strconv.ParseInt(r.URL.Query().Get("to"), 10, 64)
-	if err != nil || e != nil || to < from {
+	to, toErr := strconv.ParseInt(r.URL.Query().Get("to"), 10, 64)
+	if err != nil || toErr != nil || to < from {
 		settings.Reply(w, http.StatusUnprocessableEntity, "from and to must be seconds since 1970, in order")
 		return
 	}
--- a/internal/control/gateway/regional.go
+++ b/internal/control/gateway/regional.go
@@ -33,11 +33,11 @@
 // volumeLimit is a limited volume's: its hosts in this region, and its limit.
 type volumeLimit struct{ hosts, limit int }
 
-func newRegionState(s *settings.Settings, self int) *regionState {
+func newRegionState(s *settings.Settings, hostIndex int) *regionState {
 	if s.Regions == nil {
 		return nil
 	}
-	r := &regionState{Host: region.NewHost(s.Regions.Config(), region.ID(s.Regions.Hosts[self])), self: region.ID(s.Regions.Hosts[self]),
+	r := &regionState{Host: region.NewHost(s.Regions.Config(), region.ID(s.Regions.Hosts[hostIndex])), self: region.ID(s.Regions.Hosts[hostIndex]),
 		clockDrift: s.Regions.Drift, volumeLimits: map[string]volumeLimit{}}
 	r.applySettings(s)
 	return r
@@ -64,20 +64,20 @@
 }
 
 // setLimitShare enters a request's part of its limit.
-func (r *regionState) setLimitShare(now float64, q *policy.Request) {
-	limit, ok := r.limitIndexes[q.Plan]
+func (r *regionState) setLimitShare(now float64, request *policy.Request) {
+	limit, ok := r.limitIndexes[request.Plan]
 	if !ok {
 		return
 	}
-	r.volumeLimits[q.Volume] = volumeLimit{max(q.Hosts, 1), limit}
-	q.Fraction, q.FractionSince = r.regionShare(now, limit)
+	r.volumeLimits[request.Volume] = volumeLimit{max(request.Hosts, 1), limit}
+	request.Fraction, request.FractionSince = r.regionShare(now, limit)
 }
 
 // applyGrant brings what the inventory applyGrant.
-func (h *core) applyGrant(now float64, g *region.Grant) {
+func (h *core) applyGrant(now float64, grant *region.Grant) {
 	h.advance(now)
 	r := h.regions
-	if r == nil || !r.Told(h.now, *g) {
+	if r == nil || !r.Told(h.now, *grant) {
 		return
 	}
 	h.effects.setLeaseEnd(r.Until())
@@ -103,21 +103,21 @@
 func (h *core) notifyHomes() {
 	r := h.regions
 	r.notifiedHeld, r.notifiedTerm = r.Holds(h.now), r.Known().Term
-	all := make([]inventory.Node, 0, len(h.nodes))
+	nodes := make([]inventory.Node, 0, len(h.nodes))
 	for _, n := range h.nodes {
-		all = append(all, n)
+		nodes = append(nodes, n)
 	}
-	slices.SortFunc(all, compareAddr)
-	h.reportNodes(true, all)
+	slices.SortFunc(nodes, compareAddr)
+	h.reportNodes(true, nodes)
 	volumes := make([]string, 0, len(r.volumeLimits))
 	for v := range r.volumeLimits {
 		volumes = append(volumes, v)
 	}
 	slices.Sort(volumes)
 	for _, v := range volumes {
-		p := r.volumeLimits[v]
-		share, _ := r.regionShare(h.now, p.limit)
-		h.notify(policy.VolumeChanged{Volume: v, Hosts: p.hosts, Fraction: share})
+		limit := r.volumeLimits[v]
+		share, _ := r.regionShare(h.now, limit.limit)
+		h.notify(policy.VolumeChanged{Volume: v, Hosts: limit.hosts, Fraction: share})
 	}
 }
 
@@ -182,10 +182,10 @@
 // lost without harm.
 const renewalsPerLease = 6
 
-func newLeaseRenewer(w env.Environment, h *host, addr string, r *settings.Regions, log *zap.Logger) *leaseRenewer {
-	l := &leaseRenewer{environment: w, host: h, caller: inventory.NewCaller(w, func() string { return addr }), interval: env.Duration(r.Lease / renewalsPerLease), log: log}
+func newLeaseRenewer(environment env.Environment, h *host, inventoryAddr string, r *settings.Regions, log *zap.Logger) *leaseRenewer {
+	l := &leaseRenewer{environment: environment, host: h, caller: inventory.NewCaller(environment, func() string { return inventoryAddr }), interval: env.Duration(r.Lease / renewalsPerLease), log: log}
 	h.requestLease = l.renewNow
-	w.Go(l.run)
+	environment.Go(l.run)
 	return l
 }
 
@@ -193,25 +193,25 @@
 	defer l.done.Open()
 	refused := false
 	for {
-		var id, knows uint64
-		if !l.host.runAndWait(func(c *core) { id, knows = c.regions.Ask(c.now), c.regions.Known().Term }) {
+		var askID, knownTerm uint64
+		if !l.host.runAndWait(func(c *core) { askID, knownTerm = c.regions.Ask(c.now), c.regions.Known().Term }) {
 			return
 		}
-		a, err := l.caller.Ask(inventory.Ask{Op: "lease", Ask: id, From: knows}, 2*l.interval)
+		answer, err := l.caller.Ask(inventory.Ask{Op: "lease", Ask: askID, From: knownTerm}, 2*l.interval)
 		switch {
-		case err == nil && a.Kind == inventory.Granted:
+		case err == nil && answer.Kind == inventory.Granted:
 			refused = false
-			l.host.post(event{kind: eventLeaseGranted, grant: a.Grant})
+			l.host.post(event{kind: eventLeaseGranted, grant: answer.Grant})
 		case err == nil && !refused:
 			refused = true
-			l.log.Warn("no lease is granted", zap.String("reason", a.Reason))
+			l.log.Warn("no lease is granted", zap.String("reason", answer.Reason))
 		}
 		l.host.pool.refreshClocks()
 		l.mu.Lock()
 		l.wake = &env.Gate{}
-		soon := l.wake
+		wake := l.wake
 		l.mu.Unlock()
-		env.Sleep(l.environment, l.interval, soon)
+		env.Sleep(l.environment, l.interval, wake)
 		if l.stopped.Opened() {
 			return
 		}
