--- a/internal/control/scheduler/connectionends_test.go
+++ b/internal/control/scheduler/connectionends_test.go
@@ -15,8 +15,8 @@
 	"merlinhitch/policy"
 )
 
-// timeoutHookConn is a connection on which a request lands just as its reader was told that the
-// time is over.
+// timeoutHookConn calls onTimeout after each read that timed out, so that a test can send a request
+// just after the reader's deadline.
 type timeoutHookConn struct {
 	*net.TCPConn
 	onTimeout func()
@@ -30,12 +30,12 @@
 	return n, err
 }
 
-// A request that lands in the moment in which its idle connection is to end was taken: it
-// is served, and at a stop with the connection's last answer.
+// A request that arrives while its idle connection is being closed must be served. If the scheduler
+// is stopping, the response closes the connection.
 func TestARequestLandsAsItsConnectionEnds(t *testing.T) {
 	for name, endIdle := range map[string]func(sc *harness){
-		"a stop": func(h *harness) { h.scheduler.frontend.finish() },
-		"for another's sake": func(h *harness) {
+		"stop": func(h *harness) { h.scheduler.frontend.finish() },
+		"eviction": func(h *harness) {
 			h.scheduler.frontend.mu.Lock()
 			defer h.scheduler.frontend.mu.Unlock()
 			h.scheduler.frontend.forEachIdle(func(c *client) { c.beginClose(h.scheduler.loop.now()) })
@@ -58,7 +58,7 @@
 				if got := sender.roundTrip("GET /up HTTP/1.1\r\n\r\n"); got.status != 200 {
 					t.Fatal(got)
 				}
-				h.waitFor("it is idle", func() bool {
+				h.waitFor("the connection is idle", func() bool {
 					idle := 0
 					h.scheduler.frontend.mu.Lock()
 					defer h.scheduler.frontend.mu.Unlock()
@@ -66,19 +66,18 @@
 					return idle == 1
 				})
 				endIdle(h)
-				if got := sender.readResponse(0); got.status != 200 || got.closeConn != (name == "a stop") {
-					t.Errorf("%+v", got)
+				if got := sender.readResponse(0); got.status != 200 || got.closeConn != (name == "stop") {
+					t.Errorf("got %+v, want status 200, and closeConn only at a stop", got)
 				}
 				if !written.Opened() {
-					t.Error("nothing was crossed")
+					t.Error("read did not time out, so no request was sent during the close")
 				}
 			})
 		})
 	}
 }
 
-// A connection that is accepted just after the idle ones were told to end ends too, and at
-// once.
+// A connection that is accepted just after finish has closed the idle ones is closed at once too.
 func TestAConnectionAcceptedAfterTheOthersEnded(t *testing.T) {
 	runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
 		gate, reached := h.newGate(), h.newGate()
@@ -89,19 +88,19 @@
 		})
 		client := h.connect()
 		defer client.conn.Close()
-		h.waitFor("the hook", reached.Opened)
+		h.waitFor("the accept is blocked", reached.Opened)
 		h.scheduler.frontend.finish()
 		gate.Open()
 		if got := client.readResponse(h.environment.Now()); got.status != 0 || got.elapsed > firstByteTimeout/2 {
-			t.Errorf("%+v", got)
+			t.Errorf("got %+v, want a close within half of firstByteTimeout", got)
 		}
 	})
 }
 
 var errNoDescriptors = &net.OpError{Op: "accept", Err: syscall.EMFILE}
 
-// Where descriptors run out, the accept loop goes on once there are some, and a disk server
-// is not blamed for a dial that this machine had no descriptor for: the attempt waits.
+// When file descriptors run out, the accept loop resumes once there are some again, and a dial that
+// fails for lack of one is not counted against the disk server: the attempt waits.
 func TestFileDescriptorExhaustion(t *testing.T) {
 	runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
 		var mu sync.Mutex
@@ -123,27 +122,26 @@
 			return nil
 		})
 		firstClient := h.connect()
-		for range 2 { // one more is accepted after the refusals
+		for range 2 { // at least one is accepted after the failed accepts
 			if got := h.connect().roundTrip("GET /up HTTP/1.1\r\n\r\n"); got.status != 200 {
-				t.Errorf("%+v", got)
+				t.Errorf("GET /up: got %+v, want status 200", got)
 			}
 		}
 		got := firstClient.roundTrip(strings.Replace(h.getRequest(), "0.480", "1.900", 1))
 		if c := h.counters(); got.status != 200 || c.Sends != 1 || c.Outcomes[policy.NotSent] != 0 || c.Outcomes[policy.NoConnection] != 0 {
-			t.Errorf("%+v, %+v", got, c)
+			t.Errorf("got %+v, want status 200; counters %+v, want one attempt and no failed one", got, c)
 		}
 		if mu.Lock(); refusalsLeft >= 0 {
-			t.Errorf("%d refusals were not met", refusalsLeft)
+			t.Errorf("%d of 5 failing accepts were not called", refusalsLeft)
 		}
 		mu.Unlock()
 		if !errors.Is(errNoDescriptors, syscall.EMFILE) {
-			t.Error("the hook is wrong")
+			t.Error("errNoDescriptors does not wrap EMFILE")
 		}
 	})
 }
 
-// What was taken before SIGTERM and has longer than there is until the kill gets its answer
-// all the same, and nothing begins for it afterwards.
+// A request taken before SIGTERM with a deadline after the kill is answered before the kill.
 func TestAStopAnswersWhatHasLonger(t *testing.T) {
 	neverRespond := func(standin.HTTPAsk) standin.HTTPAnswer { return standin.HTTPAnswer{} }
 	runSimulated(t, neverRespond, func(h *harness) {
@@ -154,14 +152,14 @@
 		startedAt := h.environment.Now()
 		h.environment.Go(h.scheduler.Drain)
 		if got := client.readResponse(startedAt); got.status != 504 || got.elapsed > 3700*time.Millisecond {
-			t.Errorf("%+v", got)
+			t.Errorf("got %+v, want status 504 within 3.7 s", got)
 		}
 		h.scheduler.Wait()
 		if duration := h.environment.Now() - startedAt; duration > 3700*time.Millisecond {
-			t.Error("ended after", duration)
+			t.Error("want the drain to end within 3.7 s, ended after", duration)
 		}
 		if k := h.scheduler.core; k.counters.Failed != 1 || k.counters.Refused != 1 {
-			t.Errorf("%+v", k.counters)
+			t.Errorf("got counters %+v, want Failed 1 and Refused 1", k.counters)
 		}
 		h.scheduler = h.startScheduler(fullListJSON(7))
 	})
--- a/internal/control/scheduler/faultscenario_test.go
+++ b/internal/control/scheduler/faultscenario_test.go
@@ -21,40 +21,42 @@
 	"merlinhitch/internal/simulation/world"
 )
 
-// A rough day from end to end, judged only by what passed on the sockets: clients, disk
-// servers and discovery write down what they sent and got, and when.
+// This file runs a scheduler against clients, disk servers and a discovery service with many kinds
+// of faults. Each of them records what it sends and receives, and the trace is checked against rules
+// that hold from end to end.
 
+// traceKind is the kind of a traceEvent.
 type traceKind string
 
 const (
-	requestSent      traceKind = "asked"    // a client sent a request whole
-	responseReceived traceKind = "answered" // it has its answer, status 0: the connection ended without one
-	clientClosed     traceKind = "left"     // its client closed the connection
-	attemptReceived  traceKind = "attempt"  // a disk server got an attempt whole
-	drainAnnounced   traceKind = "told"     // the scheduler was told that a disk server is leaving
+	requestSent      traceKind = "request"    // a client sent a complete request
+	responseReceived traceKind = "response"   // the client got the response; status 0: the connection ended without one
+	clientClosed     traceKind = "disconnect" // the client closed the connection before the response
+	attemptReceived  traceKind = "attempt"    // a disk server got a complete attempt
+	drainAnnounced   traceKind = "drain"      // from here on the scheduler must know that a disk server drains
 )
 
-// traceEvent is one line of a day's trail.
+// traceEvent is one event of a trace. Fields that do not apply to its kind are zero.
 type traceEvent struct {
 	occurredAt time.Duration
 	kind       traceKind
-	id         string // of the request
+	id         string // request id
 	class      string
 	server     string
 	status     int
 	body       string
-	executed   bool          // the attempt took effect
-	timeout    time.Duration // what a client gives, and what a disk server is told
+	executed   bool          // the disk server executed the attempt
+	timeout    time.Duration // Request-Timeout of the request or attempt
 }
 
-// traceRules are what a trail is held to.
+// traceRules are the rules that a trace must satisfy.
 type traceRules struct {
-	drainGrace, dedupWindow, slack time.Duration
-	maxTimeoutExcess               time.Duration     // a disk server is told so much more than its client has left, at the most
-	effects                        map[string]string // by class: safe, keyed, unsafe
+	drainGrace, dedupWindow, slack time.Duration     // slack is added to each time limit
+	maxTimeoutExcess               time.Duration     // limit of an attempt's timeout beyond the time that its client has left
+	effects                        map[string]string // by class: safe, keyed (idempotent by key) or unsafe
 }
 
-// violations names what in a trail breaks a rule.
+// violations describes each violation of a rule in a trace.
 func (r *traceRules) violations(trace []traceEvent) (found []string) {
 	report := func(e traceEvent, description string) {
 		found = append(found, fmt.Sprintf("%s %s at %s: %s", e.kind, e.id, e.occurredAt, description))
@@ -67,7 +69,7 @@
 			leaving[e.server] = e.occurredAt
 		}
 		if announcedAt, draining := leaving[e.server]; draining && e.kind == attemptReceived && e.occurredAt > announcedAt+r.drainGrace+r.slack {
-			report(e, "sent to a disk server that was leaving")
+			report(e, "sent to a draining disk server")
 		}
 	}
 	for id, es := range byID {
@@ -78,6 +80,7 @@
 	return found
 }
 
+// checkRequest reports the violations in the events of one request.
 func (r *traceRules) checkRequest(events []traceEvent, report func(traceEvent, string)) {
 	var request, firstExecuted, disconnect, response *traceEvent
 	executions := 0
@@ -89,37 +92,37 @@
 		case clientClosed:
 			disconnect = e
 			if request != nil && e.occurredAt > request.occurredAt+request.timeout+r.slack {
-				report(*e, "no answer in its time")
+				report(*e, "not answered by its deadline")
 			}
 		case responseReceived:
 			if response != nil {
-				report(*e, "a second answer")
+				report(*e, "second response")
 			}
 			if response = e; e.status == 0 {
-				report(*e, "no answer")
+				report(*e, "connection ended without a response")
 			}
 			if request != nil && e.occurredAt > request.occurredAt+request.timeout+r.slack {
-				report(*e, "answered late")
+				report(*e, "response after the deadline")
 			}
 			if e.status == 200 && e.body != e.id {
-				report(*e, "another's answer: "+e.body)
+				report(*e, "response to another request: "+e.body)
 			}
 		case attemptReceived:
 			if request == nil {
-				report(*e, "nobody asked for it")
+				report(*e, "attempt without a request")
 				continue
 			}
 			if e.timeout > request.occurredAt+request.timeout-e.occurredAt+r.maxTimeoutExcess {
-				report(*e, "told more time than its client has")
+				report(*e, "Request-Timeout exceeds the client's time left")
 			}
 			if disconnect != nil && e.occurredAt > disconnect.occurredAt+r.slack {
-				report(*e, "its client had gone")
+				report(*e, "sent after the client disconnected")
 			}
 			if response != nil && e.occurredAt > response.occurredAt+r.slack {
-				report(*e, "it was answered before")
+				report(*e, "sent after the response")
 			}
 			if firstExecuted != nil && r.effects[request.class] == "keyed" && e.occurredAt > firstExecuted.occurredAt+r.dedupWindow+r.slack {
-				report(*e, "repeats are not dropped any more")
+				report(*e, "retry after the idempotency key expired")
 			}
 			if e.executed {
 				executions++
@@ -133,19 +136,19 @@
 	case request != nil && disconnect == nil && response == nil:
 		report(*request, "never answered")
 	case request != nil && executions > 1 && r.effects[request.class] == "unsafe":
-		report(*request, "its effect happened again")
+		report(*request, "unsafe request executed more than once")
 	case response != nil && response.status == 503 && executions > 0 && r.effects[request.class] == "unsafe":
-		report(*response, "refused although it ran")
+		report(*response, "unsafe request refused after it was executed")
 	case response != nil && response.status == 200 && executions == 0:
-		report(*response, "served by nobody")
+		report(*response, "response without an execution")
 	}
 }
 
 var scenarioRules = traceRules{drainGrace: 500 * time.Millisecond, dedupWindow: 700 * time.Millisecond, slack: 100 * time.Millisecond,
 	maxTimeoutExcess: 150 * time.Millisecond, effects: map[string]string{"look": "safe", "book": "keyed", "pay": "unsafe"}}
 
-// realTimeSlack holds on a machine that is busy with much else; the virtual world's days are
-// held to the exact one.
+// realTimeSlack replaces the slack of scenarioRules in runs on real time, where a busy machine
+// delays timers.
 const realTimeSlack = 500 * time.Millisecond
 
 const scenarioSettings = `{"balancers":1,"me":0,"tick_ms":2,
@@ -158,7 +161,7 @@
 "safety":{"answer_slack_ms":8,"stop_sending_within_ms":500},
 "extra":{"unit_mean":2,"largest":6,"slots_total":3}}`
 
-// slowDialEnv is a world in which one connection in three comes up late.
+// slowDialEnv delays one dial in three by up to 240 ms.
 type slowDialEnv struct {
 	env.Environment
 	mu  sync.Mutex
@@ -177,7 +180,7 @@
 	return conn, err
 }
 
-// faultScenario plays one and keeps its trail.
+// faultScenario runs the scenario once and records its trace.
 type faultScenario struct {
 	environment   env.Environment
 	seed          uint64
@@ -189,14 +192,15 @@
 	rng          *rand.Rand
 	requestCount int
 
-	realTime      bool   // the machine's own clock: its timers slip while it is busy
-	serverList    string // the whole list
-	watchesSilent bool   // open watches say nothing, new ones do
+	realTime      bool   // runs on the machine's clock, whose timers may be late
+	serverList    string // JSON of the current full list
+	watchesSilent bool   // open watches send nothing; new ones get the list
 	watches       []net.Conn
 
-	stopTime time.Duration // when SIGTERM came, 0: not yet
+	stopTime time.Duration // when the drain was begun; 0: not yet
 }
 
+// record appends an event to the trace, with the current time.
 func (s *faultScenario) record(e traceEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,13 +208,15 @@
 	s.trace = append(s.trace, e)
 }
 
+// randN returns a random number below n.
 func (s *faultScenario) randN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.IntN(n)
 }
 
-// diskServerHandler is what a disk server does with an attempt, some of it wrong.
+// diskServerHandler returns a disk server's handler of attempts, which injects a fault into 8 of 20
+// responses.
 func (s *faultScenario) diskServerHandler(server string) func(standin.HTTPAsk) standin.HTTPAnswer {
 	return func(request standin.HTTPAsk) standin.HTTPAnswer {
 		id := request.Fields.Get("request-id")
@@ -232,12 +238,12 @@
 		case 3:
 			return standin.HTTPAnswer{After: delay, Raw: response[:len(response)-3], Reset: true}
 		case 4:
-			if s.realTime { // a timer that slips would make the copy as late as no rest can bear
+			if s.realTime { // a late timer could send the surplus after quarantineTime
 				return standin.HTTPAnswer{After: delay, Raw: append(slices.Clone(response), response...)}
 			}
 			return standin.HTTPAnswer{After: delay, Raw: response, Behind: response, Late: 5 * time.Millisecond}
 		case 5:
-			return standin.HTTPAnswer{} // it never answers
+			return standin.HTTPAnswer{} // no response
 		case 6:
 			return standin.HTTPAnswer{After: delay, Raw: []byte("HTTP/1.1 200 OK\r\n\r\n" + id), Close: true}
 		case 7:
@@ -247,14 +253,15 @@
 	}
 }
 
-// runClient asks until the day ends; one request in six it gives up by closing.
+// runClient sends requests until endTime or until nothing listens. It disconnects before the
+// response in one request of six.
 func (s *faultScenario) runClient(endTime time.Duration) {
 	var client *testClient
 	for s.environment.Now() < endTime {
 		if client == nil {
 			netConn, err := s.environment.Dial(context.Background(), "tcp", s.schedulerAddr, time.Second)
 			if err != nil {
-				return // nobody listens any more
+				return // the scheduler no longer listens
 			}
 			client = &testClient{s.environment, netConn, bufio.NewReader(netConn)}
 		}
@@ -273,7 +280,7 @@
 		startedAt := s.environment.Now()
 		s.record(traceEvent{kind: requestSent, id: id, class: class, timeout: requestTimeout})
 		if _, err := io.WriteString(client.conn, rawRequest); err != nil {
-			s.removeRequest(id) // the connection ended between two requests
+			s.removeRequest(id) // the connection was closed between two requests
 			client.conn.Close()
 			client = nil
 			continue
@@ -286,7 +293,7 @@
 			continue
 		}
 		got := client.readResponse(startedAt)
-		if got.status == 0 && s.connectionsEnding() && !s.attemptSeen(id) { // it crossed the close, and was never read
+		if got.status == 0 && s.connectionsEnding() && !s.attemptSeen(id) { // sent during the close and never read
 			s.removeRequest(id)
 		} else {
 			s.record(traceEvent{kind: responseReceived, id: id, status: got.status, body: got.body})
@@ -302,28 +309,29 @@
 	}
 }
 
-// connectionsEnding tells that the scheduler takes nothing new any more and ends its connections: before
-// that each request is owed its answer.
+// connectionsEnding reports whether the drain has begun to close idle connections. Before that each
+// request must be answered.
 func (s *faultScenario) connectionsEnding() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stopTime > 0 && s.environment.Now() > s.stopTime+env.Duration(gracePeriod(scenarioConfig("a:1"))-finishLeadMS)
 }
 
-// attemptSeen tells whether an attempt of a request came to a disk server.
+// attemptSeen reports whether a disk server got an attempt of a request.
 func (s *faultScenario) attemptSeen(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.ContainsFunc(s.trace, func(e traceEvent) bool { return e.id == id && e.kind == attemptReceived })
 }
 
+// removeRequest removes a request that the scheduler cannot have read from the trace.
 func (s *faultScenario) removeRequest(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.trace = slices.DeleteFunc(s.trace, func(e traceEvent) bool { return e.id == id && e.kind == requestSent })
 }
 
-// serveWatch answers watches with the whole list, and says it anew when it changes.
+// serveWatch sends the full list on a new watch and keeps it for later lists.
 func (s *faultScenario) serveWatch(_ int, _ string, conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -332,6 +340,8 @@
 	s.watches = append(s.watches, conn)
 }
 
+// publishList sends a new list on the open watches, unless they are silent, and records the drain of
+// each host in leaving.
 func (s *faultScenario) publishList(list string, leaving ...string) {
 	s.mu.Lock()
 	s.serverList = list
@@ -342,14 +352,14 @@
 	}
 	s.mu.Unlock()
 	for _, host := range leaving {
-		if s.watchesSilent { // it counts as told 6 s after the silence began
+		if s.watchesSilent { // discovery takes a change as delivered 6 s after the silence began
 			env.Sleep(s.environment, 5900*time.Millisecond, nil)
 		}
 		s.record(traceEvent{kind: drainAnnounced, server: host})
 	}
 }
 
-// scenarioConfig is the configuration of a day's scheduler.
+// scenarioConfig returns the configuration of the scenario's scheduler.
 func scenarioConfig(discoveryAddr string) *Config {
 	configJSON := strings.Replace(testConfig("127.0.0.1:0", discoveryAddr, fullListJSON(0)), testSettings, scenarioSettings, 1)
 	config, err := ParseConfig([]byte(configJSON), func(string) string { return "" })
@@ -359,8 +369,9 @@
 	return config
 }
 
-// run plays the day in a world: late connections, clients that leave, spoilt answers, a
-// drain, a cold disk server, a silent watch with a drain in it, SIGHUP and SIGTERM.
+// run executes the scenario: slow dials, clients that disconnect, faulty responses, a drain of a disk
+// server and a cold one, a reload, a second drain that only new watches report, and a drain of the
+// scheduler.
 func (s *faultScenario) run() error {
 	firstDiscovery := startFakeDiscovery(s.environment, s.serveWatch)
 	defer firstDiscovery.close()
@@ -413,7 +424,8 @@
 	return &faultScenario{environment: e, seed: seed, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// check judges a day and that it was one.
+// check fails the test for violations in the trace, and if the trace has too few events of a kind to
+// show anything.
 func (s *faultScenario) check(t *testing.T) {
 	t.Helper()
 	slices.SortStableFunc(s.trace, func(a, b traceEvent) int { return cmp.Compare(a.occurredAt, b.occurredAt) })
@@ -430,9 +442,9 @@
 		counts[fmt.Sprint(e.kind, e.status)]++
 		counts[string(e.kind)+e.server]++
 	}
-	for key, minimum := range map[string]int{"asked0": 200, "answered200": 100, "answered503": 5, "left0": 20, "attempts0": 10, "attempts3": 5, "attempts4": 5, "tolds0": 1, "tolds1": 1} {
+	for key, minimum := range map[string]int{"request0": 200, "response200": 100, "response503": 5, "disconnect0": 20, "attempts0": 10, "attempts3": 5, "attempts4": 5, "drains0": 1, "drains1": 1} {
 		if counts[key] < minimum {
-			t.Errorf("seed %d: %d of %q: no rough day", s.seed, counts[key], key)
+			t.Errorf("seed %d: got only %d events %q, too few for the scenario", s.seed, counts[key], key)
 		}
 	}
 }
@@ -464,8 +476,7 @@
 	scenario.check(t)
 }
 
-// The judge finds each kind of break in a day that was doctored, and none in one that keeps
-// the rules.
+// Each rule must find its violation in a corrupted trace, and none in a valid one.
 func TestTraceRulesFindViolations(t *testing.T) {
 	ms := time.Millisecond
 	validTrace := func() []traceEvent {
@@ -490,32 +501,32 @@
 		t.Fatal(found)
 	}
 	for want, corrupt := range map[string]func(trace []traceEvent) []traceEvent{
-		"never answered":                   func(trace []traceEvent) []traceEvent { return slices.Delete(trace, 2, 3) },
-		"no answer":                        func(trace []traceEvent) []traceEvent { trace[2].status = 0; return trace },
-		"answered late":                    func(trace []traceEvent) []traceEvent { trace[2].occurredAt = 1200 * ms; return trace },
-		"no answer in its time":            func(trace []traceEvent) []traceEvent { trace[9].occurredAt = 1800 * ms; return trace },
-		"told more time than its client":   func(trace []traceEvent) []traceEvent { trace[1].timeout = 1200 * ms; return trace },
-		"a second answer":                  func(trace []traceEvent) []traceEvent { return append(trace, trace[2]) },
-		"another's answer":                 func(trace []traceEvent) []traceEvent { trace[7].body = "1"; return trace },
-		"served by nobody":                 func(trace []traceEvent) []traceEvent { return slices.Delete(trace, 1, 2) },
-		"its effect happened again":        func(trace []traceEvent) []traceEvent { return slices.Insert(trace, 2, trace[1]) },
-		"refused although it ran":          func(trace []traceEvent) []traceEvent { trace[12].executed = true; return trace },
-		"repeats are not dropped any more": func(trace []traceEvent) []traceEvent { trace[4].occurredAt = -400 * ms; return trace },
-		"its client had gone":              func(trace []traceEvent) []traceEvent { trace[10].occurredAt = 720 * ms; return trace },
-		"it was answered before": func(trace []traceEvent) []traceEvent {
+		"never answered":                                 func(trace []traceEvent) []traceEvent { return slices.Delete(trace, 2, 3) },
+		"connection ended without a response":            func(trace []traceEvent) []traceEvent { trace[2].status = 0; return trace },
+		"response after the deadline":                    func(trace []traceEvent) []traceEvent { trace[2].occurredAt = 1200 * ms; return trace },
+		"not answered by its deadline":                   func(trace []traceEvent) []traceEvent { trace[9].occurredAt = 1800 * ms; return trace },
+		"Request-Timeout exceeds the client's time left": func(trace []traceEvent) []traceEvent { trace[1].timeout = 1200 * ms; return trace },
+		"second response":                                func(trace []traceEvent) []traceEvent { return append(trace, trace[2]) },
+		"response to another request":                    func(trace []traceEvent) []traceEvent { trace[7].body = "1"; return trace },
+		"response without an execution":                  func(trace []traceEvent) []traceEvent { return slices.Delete(trace, 1, 2) },
+		"unsafe request executed more than once":         func(trace []traceEvent) []traceEvent { return slices.Insert(trace, 2, trace[1]) },
+		"unsafe request refused after it was executed":   func(trace []traceEvent) []traceEvent { trace[12].executed = true; return trace },
+		"retry after the idempotency key expired":        func(trace []traceEvent) []traceEvent { trace[4].occurredAt = -400 * ms; return trace },
+		"sent after the client disconnected":             func(trace []traceEvent) []traceEvent { trace[10].occurredAt = 720 * ms; return trace },
+		"sent after the response": func(trace []traceEvent) []traceEvent {
 			return append(trace, traceEvent{occurredAt: 900 * ms, kind: attemptReceived, id: "4", server: "s1"})
 		},
-		"sent to a disk server that was leaving": func(trace []traceEvent) []traceEvent {
+		"sent to a draining disk server": func(trace []traceEvent) []traceEvent {
 			trace[5].occurredAt = -200 * ms
 			return slices.Insert(trace, 0, trace[5])
 		},
-		"nobody asked for it": func(trace []traceEvent) []traceEvent {
+		"attempt without a request": func(trace []traceEvent) []traceEvent {
 			return append(trace, traceEvent{kind: attemptReceived, id: "9"})
 		},
 	} {
 		got := scenarioRules.violations(corrupt(validTrace()))
 		if !slices.ContainsFunc(got, func(s string) bool { return strings.Contains(s, want) }) {
-			t.Errorf("%s was not found: %q", want, got)
+			t.Errorf("want a violation %q, got %q", want, got)
 		}
 	}
 }
--- a/internal/control/scheduler/harness_test.go
+++ b/internal/control/scheduler/harness_test.go
@@ -43,9 +43,11 @@
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":%d,"health":%q,"share":1.0,"born_ms":0}`, host, address, shard, health)
 }
 
+// ok200 is a complete response of a disk server.
 const ok200 = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-// harness is one scheduler, a simulated disk server and discovery in a virtual world.
+// harness runs a scheduler with a simulated disk server and discovery service, in a simulated
+// environment (runSimulated) or on sockets (runOnSockets).
 type harness struct {
 	t             *testing.T
 	environment   env.Environment
@@ -55,12 +57,12 @@
 	schedulerAddr string
 	requestCount  int
 
-	gates   []*env.Gate // opened at the end
+	gates   []*env.Gate // opened when the test ends
 	mu      sync.Mutex
-	clients []*testClient // all clients: one that nothing refers to is closed by the garbage collector
+	clients []*testClient // keeps them referenced: the garbage collector closes unreferenced connections
 }
 
-// runSimulated runs f on a scene whose disk server does as it is told.
+// runSimulated runs test in a simulated environment. The disk server answers with respond.
 func runSimulated(t *testing.T, respond func(standin.HTTPAsk) standin.HTTPAnswer, test func(*harness)) {
 	t.Helper()
 	sim := world.New(1)
@@ -99,7 +101,7 @@
 	return s
 }
 
-// testClient is a client's connection.
+// testClient is a client connection to the scheduler.
 type testClient struct {
 	environment env.Environment
 	conn        net.Conn
@@ -118,7 +120,7 @@
 	return client
 }
 
-// getRequest is a read with an id of its own; more are further fields.
+// getRequest returns a read request with an unused id. Each of headerLines ends with CRLF.
 func (h *harness) getRequest(headerLines ...string) string {
 	h.requestCount++
 	return h.formatRequest("GET", "card-read", fmt.Sprintf("%016x", h.requestCount), "0.480", "", headerLines...)
@@ -133,7 +135,8 @@
 		method, class, id, timeout, contentLength, strings.Join(headerLines, ""), body)
 }
 
-// clientResponse is an answer; status 0 if the connection ended without one.
+// clientResponse is a response of the scheduler; status 0 means that the connection ended, or
+// the read timed out, before a complete response.
 type clientResponse struct {
 	status    int
 	body      string
@@ -148,6 +151,7 @@
 	return c.readResponse(startedAt)
 }
 
+// readResponse reads the next response. Its elapsed time counts from startedAt.
 func (c *testClient) readResponse(startedAt time.Duration) clientResponse {
 	c.conn.SetReadDeadline(c.environment.Deadline(20 * time.Second))
 	response, body, err := http1.ReadWholeResponse(c.reader, responseLimits)
@@ -160,6 +164,7 @@
 	return clientResponse{response.Status, string(body), response.Fields, response.Close(), c.environment.Now() - startedAt}
 }
 
+// respondWith returns a disk server's handler that sends rawResponse after 20 ms.
 func respondWith(rawResponse string) func(standin.HTTPAsk) standin.HTTPAnswer {
 	return func(standin.HTTPAsk) standin.HTTPAnswer {
 		return standin.HTTPAnswer{After: 20 * time.Millisecond, Raw: []byte(rawResponse)}
@@ -170,7 +175,7 @@
 	runSimulated(t, respondWith(ok200), func(h *harness) {
 		client := h.connect()
 		if got := client.roundTrip("GET /up HTTP/1.1\r\n\r\n"); got.status != 200 {
-			t.Error("not ready:", got)
+			t.Error("GET /up: want status 200, got", got)
 		}
 		for range 3 {
 			if got := client.roundTrip(h.getRequest()); got.status != 200 || got.body != "hi" || got.closeConn {
@@ -186,24 +191,25 @@
 		if len(received) != 4 || last.Conn != 0 || last.Method != "PUT" || last.Target != "/txn-write/00000003b4d60021/7f3a9c21e0b4d655" ||
 			string(last.Body) != "block" || last.Fields.Get("request-id") != "00000000000000aa" ||
 			last.Fields.Get("idempotency-key") != "k1" || last.Fields.Get("request-timeout") == "" {
-			t.Errorf("%d requests, the last %+v %q", len(received), last.Request, last.Body)
+			t.Errorf("disk server got %d requests, want 4 on one connection; the last: %+v, body %q, want the client's PUT", len(received), last.Request, last.Body)
 		}
 	})
 }
 
-// An answer that is not whole and alone is a failed attempt: never a client's answer.
+// A malformed or truncated response, or one followed by other bytes, must fail the attempt and not
+// reach the client.
 func TestMalformedResponsesAreNotForwarded(t *testing.T) {
 	for name, rawResponse := range map[string]string{
 		"noise":            "\x00\x7f\x01 noise\r\n\r\n",
-		"head never ends":  "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("y", 40<<10),
-		"3 GB":             "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nhihihi",
-		"3 GB in chunks":   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nc0000000\r\nhihihi",
-		"negative":         "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi",
+		"oversized head":   "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("y", 40<<10),
+		"3 GB body":        "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nhihihi",
+		"3 GB chunk":       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nc0000000\r\nhihihi",
+		"negative length":  "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi",
 		"two lengths":      "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 1\r\n\r\nhi",
-		"less than it is":  "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nhi",
-		"more than it is":  "HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\nhi",
-		"chunk too long":   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nhi\r\n0\r\n\r\n",
-		"no length at all": "HTTP/1.1 200 OK\r\n\r\nhi",
+		"length too small": "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nhi",
+		"length too large": "HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\nhi",
+		"overlong chunk":   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nhi\r\n0\r\n\r\n",
+		"no length":        "HTTP/1.1 200 OK\r\n\r\nhi",
 	} {
 		t.Run(name, func(t *testing.T) {
 			respond := func(request standin.HTTPAsk) standin.HTTPAnswer {
@@ -214,9 +220,10 @@
 			}
 			runSimulated(t, respond, func(h *harness) {
 				got := h.connect().roundTrip(strings.Replace(h.getRequest(), "0.480", "1.900", 1))
-				// Both are seen only when their time is up, and then it is late: a body without
-				// length lasts to the close (RFC 9112, 6.3), and this connection stays open.
-				if name == "more than it is" || name == "no length at all" {
+				// These end only with the attempt's timeout, too late for a retry: the disk server
+				// keeps the connection open, and a body without a length extends to the close
+				// (RFC 9112, section 6.3).
+				if name == "length too large" || name == "no length" {
 					if got.status != 503 || h.scheduler.core.counters.Outcomes[policy.NoAnswer] != 1 {
 						t.Error(got)
 					}
@@ -230,8 +237,8 @@
 	}
 }
 
-// What comes behind a good answer, at once or some milliseconds late, is nobody's: its
-// connection takes nothing more.
+// Bytes that follow a complete response, at once or a few milliseconds later, must not be taken for
+// the response to the next request.
 func TestSurplusBytesAreDiscarded(t *testing.T) {
 	for _, delay := range []time.Duration{0, 5 * time.Millisecond} {
 		respond := func(request standin.HTTPAsk) standin.HTTPAnswer {
@@ -244,52 +251,53 @@
 			for range 20 {
 				got := client.roundTrip(h.getRequest())
 				if want := fmt.Sprintf("%016x", h.requestCount); got.status != 200 || got.body != want {
-					t.Errorf("%s late: %+v, want %s", delay, got, want)
+					t.Errorf("surplus after %s: got %+v, want status 200 with body %s", delay, got, want)
 				}
 			}
 		})
 	}
 }
 
-// Who sends what is no request, or nothing, gets an error or a close within 3 s.
+// A client that sends an invalid or incomplete request, or nothing, gets an error or a close within
+// 3 s, and nothing is forwarded.
 func TestBadClientsGetAnErrorOrAClose(t *testing.T) {
 	runSimulated(t, respondWith(ok200), func(h *harness) {
 		valid := h.getRequest()
 		for name, rawRequest := range map[string]string{
 			"noise":         "\x16\x03\x01\x00\xff\r\n\r\n",
 			"nothing":       "",
-			"head never":    "GET /card-read HTTP/1.1\r\nA: b\r\n",
-			"half a body":   h.formatRequest("PUT", "txn-write", "00000000000000b0", "0.4", "") + "x",
-			"huge":          strings.Replace(valid, "Host:", "Content-Length: 60000000\r\nHost:", 1),
+			"partial head":  "GET /card-read HTTP/1.1\r\nA: b\r\n",
+			"stray byte":    h.formatRequest("PUT", "txn-write", "00000000000000b0", "0.4", "") + "x",
+			"huge length":   strings.Replace(valid, "Host:", "Content-Length: 60000000\r\nHost:", 1),
 			"both lengths":  strings.Replace(valid, "Host:", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\nHost:", 1) + "0\r\n\r\n",
-			"class":         strings.Replace(valid, "card-read", "card-reed", 1),
-			"plan":          strings.Replace(valid, "gold", "lead", 1),
-			"no deadline":   strings.Replace(valid, "0.480", "soon", 1),
-			"nan":           strings.Replace(valid, "0.480", "NaN", 1),
-			"negative":      strings.Replace(valid, "0.480", "-1", 1),
+			"unknown class": strings.Replace(valid, "card-read", "card-reed", 1),
+			"unknown plan":  strings.Replace(valid, "gold", "lead", 1),
+			"bad timeout":   strings.Replace(valid, "0.480", "soon", 1),
+			"NaN timeout":   strings.Replace(valid, "0.480", "NaN", 1),
+			"timeout < 0":   strings.Replace(valid, "0.480", "-1", 1),
 			"no id":         strings.Replace(valid, "Request-Id", "Requested", 1),
 			"two ids":       strings.Replace(valid, "Host:", "Request-Id: 00000000000000cc\r\nHost:", 1),
-			"units":         strings.Replace(valid, "units=2", "units=1e9", 1),
-			"shard":         strings.Replace(valid, "shard=0", "shard=99", 1),
-			"volume":        strings.Replace(valid, "00000003b4d60021", "..", 1),
+			"units range":   strings.Replace(valid, "units=2", "units=1e9", 1),
+			"shard range":   strings.Replace(valid, "shard=0", "shard=99", 1),
+			"volume name":   strings.Replace(valid, "00000003b4d60021", "..", 1),
 			"no key":        h.formatRequest("PUT", "txn-write", "00000000000000b1", "0.4", "x"),
-			"read a body":   h.formatRequest("GET", "card-read", "00000000000000b2", "0.4", "x"),
-			"other method":  h.formatRequest("DELETE", "card-read", "00000000000000b3", "0.4", ""),
-			"length repeat": strings.Replace(valid, "Host:", "Content-Length: 0\r\nContent-Length: 0\r\nHost:", 1),
+			"GET with body": h.formatRequest("GET", "card-read", "00000000000000b2", "0.4", "x"),
+			"bad method":    h.formatRequest("DELETE", "card-read", "00000000000000b3", "0.4", ""),
+			"two lengths":   strings.Replace(valid, "Host:", "Content-Length: 0\r\nContent-Length: 0\r\nHost:", 1),
 		} {
 			got := h.connect().roundTrip(rawRequest)
 			if got.status != 0 && got.status < 400 || got.elapsed > 3*time.Second {
-				t.Errorf("%s: %+v", name, got)
+				t.Errorf("%s: got %+v, want an error status or a close within 3 s", name, got)
 			}
 		}
 		if forwarded := len(h.diskServer.Asked()); forwarded > 0 {
-			t.Errorf("%d of them came to the disk server: %+v", forwarded, h.diskServer.Asked()[0].Request)
+			t.Errorf("disk server got %d requests, want 0; the first: %+v", forwarded, h.diskServer.Asked()[0].Request)
 		}
 	})
 }
 
-// Who had an answer may write slowly; who has not is turned away within 3 s, however it
-// spreads its bytes.
+// A client may write slowly once it has had a response. Before that, a request that is incomplete
+// after 3 s is rejected, however the client spreads its bytes.
 func TestSlowWriters(t *testing.T) {
 	runSimulated(t, respondWith(ok200), func(h *harness) {
 		writeSlowly := func(client *testClient, rawRequest string, duration time.Duration) clientResponse {
@@ -307,22 +315,22 @@
 			t.Fatal(got)
 		}
 		if got := writeSlowly(client, h.getRequest(), 3*time.Second); got.status != 200 {
-			t.Error("after an answer:", got)
+			t.Error("slow request after a response: want status 200, got", got)
 		}
 		if got := writeSlowly(h.connect(), h.getRequest(), 2*time.Second); got.status != 200 {
-			t.Error("a first request in time:", got)
+			t.Error("first request written in 2 s: want status 200, got", got)
 		}
 		incomplete := h.connect()
 		startedAt := h.environment.Now()
 		env.Sleep(h.environment, 900*time.Millisecond, nil)
 		io.WriteString(incomplete.conn, "GET /up HT")
 		if got := incomplete.readResponse(startedAt); got.status != 408 || got.elapsed > 3*time.Second {
-			t.Errorf("a first request that never ends: %+v", got)
+			t.Errorf("incomplete first request: got %+v, want status 408 within 3 s", got)
 		}
 	})
 }
 
-// The id of a request that is open, or was, is not served for another client.
+// A request id in use, or used before, is rejected with status 409 on another connection.
 func TestAnIdNamesOneRequest(t *testing.T) {
 	runSimulated(t, respondWith(ok200), func(h *harness) {
 		rawRequest := h.getRequest()
@@ -330,21 +338,21 @@
 		io.WriteString(owner.conn, rawRequest)
 		env.Sleep(h.environment, 5*time.Millisecond, nil)
 		if got := other.roundTrip(rawRequest); got.status != 409 {
-			t.Error("while it is open:", got)
+			t.Error("duplicate id while the request is open: want status 409, got", got)
 		}
 		if got := owner.readResponse(0); got.status != 200 {
-			t.Error("its own:", got)
+			t.Error("original request: want status 200, got", got)
 		}
 		if got := h.connect().roundTrip(rawRequest); got.status != 409 {
-			t.Error("after it:", got)
+			t.Error("duplicate id after the response: want status 409, got", got)
 		}
 		if n := len(h.diskServer.Asked()); n != 1 {
-			t.Errorf("sent %d times", n)
+			t.Errorf("sent %d times, want once", n)
 		}
 	})
 }
 
-// Connections that say nothing, or asked once and stay, keep nobody out.
+// Idle connections, with or without an earlier request, must not keep new clients out.
 func TestSilentConnectionsGiveWay(t *testing.T) {
 	runSimulated(t, respondWith(ok200), func(h *harness) {
 		for i := range 100 {
@@ -358,13 +366,13 @@
 			t.Error(got)
 		}
 		if n := h.scheduler.frontend.clientCount(); n > h.scheduler.frontend.maxClients {
-			t.Errorf("%d connections of %d", n, h.scheduler.frontend.maxClients)
+			t.Errorf("%d connections are open, want at most %d", n, h.scheduler.frontend.maxClients)
 		}
 	})
 }
 
-// After SIGTERM open connections are served until the last answers have just time, and
-// then everything ends before the kill with nothing left unanswered.
+// During a drain open connections are served almost to the end of the grace period. The scheduler
+// then ends before the kill with every request answered.
 func TestDrainServesOpenConnectionsToTheEnd(t *testing.T) {
 	runSimulated(t, respondWith(ok200), func(h *harness) {
 		client := h.connect()
@@ -376,7 +384,7 @@
 			env.Sleep(h.environment, 10*time.Millisecond, nil)
 			got := client.roundTrip(h.getRequest())
 			if got.status != 200 {
-				break // it was closed between two requests
+				break // the connection was closed between two requests
 			}
 			served, lastServedAt = served+1, h.environment.Now()-startedAt
 			if got.closeConn {
@@ -385,19 +393,19 @@
 		}
 		h.scheduler.Wait()
 		if duration := h.environment.Now() - startedAt; lastServedAt < 2500*time.Millisecond || duration > 3700*time.Millisecond {
-			t.Errorf("served %d until %s, ended after %s", served, lastServedAt, duration)
+			t.Errorf("served %d requests, the last after %s, want 2.5 s or more; ended after %s, want at most 3.7 s", served, lastServedAt, duration)
 		}
 		if _, err := h.environment.Dial(context.Background(), "tcp", h.schedulerAddr, time.Second); err == nil {
-			t.Error("it still listens")
+			t.Error("dial succeeded after the drain, want an error")
 		}
 		if counters := h.scheduler.core.counters; counters.Taken != uint64(served)+1 || counters.Served != counters.Taken {
-			t.Errorf("%d answers came, %+v", served+1, counters)
+			t.Errorf("client got %d responses, want the counters Taken and Served equal to that: %+v", served+1, counters)
 		}
 		h.scheduler = h.startScheduler(fullListJSON(7))
 	})
 }
 
-// A reload moves the watch; it goes on from the version held.
+// A reload with another discovery address opens the watch there, from the last version received.
 func TestReloadChangesDiscoveryAddress(t *testing.T) {
 	runSimulated(t, respondWith(ok200), func(h *harness) {
 		h.discovery.Say(`{"seq":9,"whole":false,"hosts":[]}`)
@@ -426,13 +434,13 @@
 		})
 		env.Sleep(h.environment, time.Millisecond, nil)
 		if len(hosts) != 1 || hosts[0] != "s1" {
-			t.Error("held:", hosts)
+			t.Error("want the servers [s1], got", hosts)
 		}
 		newDiscovery.Close()
 	})
 }
 
-// A client that leaves takes its request along; its connection leaves nothing behind.
+// A client that disconnects ends its request, and neither the request nor the connection is kept.
 func TestAClientThatLeaves(t *testing.T) {
 	runSimulated(t, respondWith(ok200), func(h *harness) {
 		client := h.connect()
@@ -441,22 +449,22 @@
 		client.conn.Close()
 		env.Sleep(h.environment, 200*time.Millisecond, nil)
 		if n := h.scheduler.frontend.clientCount(); n != 0 {
-			t.Errorf("%d connections are left", n)
+			t.Errorf("%d client connections remain, want 0", n)
 		}
 		if k := h.scheduler.core; len(k.calls) != 0 || k.counters.Gone != 1 {
-			t.Errorf("%d calls, %+v", len(k.calls), k.counters)
+			t.Errorf("%d calls remain, want 0; counters %+v, want Gone 1", len(k.calls), k.counters)
 		}
 	})
 }
 
-// Connections to disk servers are closed before the servers close them.
+// Idle connections to disk servers are closed before the servers would close them.
 func TestIdleServerConnectionsAreClosed(t *testing.T) {
 	runSimulated(t, respondWith(ok200), func(h *harness) {
 		client := h.connect()
 		client.roundTrip(h.getRequest())
 		env.Sleep(h.environment, 25*time.Second, nil)
 		if n := h.scheduler.pool.connCount; n != 0 {
-			t.Errorf("%d connections are open", n)
+			t.Errorf("%d connections to disk servers are open, want 0", n)
 		}
 		if got := h.connect().roundTrip(h.getRequest()); got.status != 200 {
 			t.Error(got)
@@ -468,7 +476,7 @@
 	valid := testConfig("127.0.0.1:5000", "127.0.0.1:8500", fullListJSON(1, entryJSON("s0", "x:1", "active", 0)))
 	getenv := func(string) string { return "" }
 	if c, err := ParseConfig([]byte(valid), getenv); err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 64 || c.Timeouts.DialTimeout != 250 || len(c.Known.Entries) != 1 {
-		t.Fatalf("%+v %v", c, err)
+		t.Fatalf("ParseConfig: got %+v, error %v, want the fields of the file", c, err)
 	}
 	for path, replacement := range map[string][2]string{
 		"listen":                             {`"listen":"127.0.0.1:5000"`, `"listen":""`},
@@ -482,7 +490,7 @@
 		invalid := strings.Replace(valid, replacement[0], replacement[1], 1)
 		_, err := ParseConfig([]byte(invalid), getenv)
 		if err == nil || !strings.HasPrefix(err.Error(), "configuration: "+path) {
-			t.Errorf("%s: %v", path, err)
+			t.Errorf("field %s: got error %v, want one that names the field", path, err)
 		}
 	}
 	var withoutListen map[string]any
--- a/internal/control/scheduler/hookedenv_test.go
+++ b/internal/control/scheduler/hookedenv_test.go
@@ -14,17 +14,17 @@
 	"merlinhitch/internal/simulation/standin"
 )
 
-// hookedEnv is the world of the machine, with real sockets, whose dials and accepts can be hookedEnv
-// at a gate, so that what else happens comes just between.
+// hookedEnv is the real environment with hooks in dials and accepts. A hook can block or fail the
+// call, so that a test can make another event happen during it.
 type hookedEnv struct {
 	*env.Real
 	mu             sync.Mutex
-	diskAddr       string // its dials are held
-	dialCount      int    // of them so far
-	onDial         func(n int) error
-	wrapServerConn func(net.Conn) net.Conn // connections to the disk server
-	onAccept       func(net.Conn) net.Conn // before the listener hands a connection over
-	acceptError    func() error            // in place of an accepted connection
+	diskAddr       string                  // only dials to this address are hooked
+	dialCount      int                     // hooked dials so far
+	onDial         func(n int) error       // called for the n-th hooked dial, from 0; an error fails the dial
+	wrapServerConn func(net.Conn) net.Conn // replaces hooked connections; nil: none is replaced
+	onAccept       func(net.Conn) net.Conn // replaces accepted connections before Accept returns; nil: none is replaced
+	acceptError    func() error            // called before Accept; an error fails it
 }
 
 func (e *hookedEnv) Dial(ctx context.Context, network, address string, timeout time.Duration) (net.Conn, error) {
@@ -49,8 +49,8 @@
 	return conn, err
 }
 
-// setDialHook has f called for each dial to the disk server before its connection is handed
-// over.
+// setDialHook makes hook run for each dial to the disk server, after the real dial and before Dial
+// returns; nil removes the hook.
 func (e *hookedEnv) setDialHook(hook func(n int) error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -83,7 +83,8 @@
 	return conn, err
 }
 
-// closeNotifyConn tells when this side of a connection ended what it sends, and when it closed.
+// closeNotifyConn opens writeClosed when its write side or the connection is closed, and closed
+// when the connection is closed.
 type closeNotifyConn struct {
 	*net.TCPConn
 	writeClosed, closed *env.Gate
@@ -100,7 +101,8 @@
 	return c.TCPConn.Close()
 }
 
-// runOnSockets plays f on a scheduler, a simulated disk server and discovery on real sockets.
+// runOnSockets runs test with a scheduler, a simulated disk server and discovery service on
+// loopback sockets. editConfig, if not nil, changes the configuration's JSON.
 func runOnSockets(t *testing.T, editConfig func(string) string, respond func(standin.HTTPAsk) standin.HTTPAnswer, test func(h *harness, hooks *hookedEnv)) {
 	t.Helper()
 	hooks := &hookedEnv{Real: env.NewReal()}
@@ -134,22 +136,22 @@
 		}
 	}()
 	h.schedulerAddr = h.scheduler.frontend.listener.Addr().String()
-	h.waitFor("discovery was heard", h.scheduler.listReceived.Opened)
-	h.waitFor("ready", h.scheduler.frontend.ready.Opened)
+	h.waitFor("the scheduler has received a server list", h.scheduler.listReceived.Opened)
+	h.waitFor("the scheduler is ready", h.scheduler.frontend.ready.Opened)
 	test(h, hooks)
 }
 
-// waitFor waits for something that is bound to come.
+// waitFor waits until satisfied returns true, and fails the test after 10 s.
 func (h *harness) waitFor(condition string, satisfied func() bool) {
 	h.t.Helper()
 	for startedAt := time.Now(); !satisfied(); time.Sleep(200 * time.Microsecond) {
 		if time.Since(startedAt) > 10*time.Second {
-			h.t.Fatal("never: " + condition)
+			h.t.Fatal("not reached within 10 s: " + condition)
 		}
 	}
 }
 
-// onLoop runs f onLoop the loop and waits for it.
+// onLoop runs f on the scheduler's loop and waits for it.
 func (h *harness) onLoop(f func()) {
 	var done env.Gate
 	h.scheduler.loop.post(h.scheduler.loop.now(), eventStop, func(float64) {
@@ -159,7 +161,7 @@
 	done.Wait(h.environment)
 }
 
-// counters are the core's, read on its loop.
+// counters returns a copy of the core's counters, read on the loop.
 func (h *harness) counters() (c Counters) {
 	h.onLoop(func() {
 		c = h.scheduler.core.counters
@@ -168,17 +170,17 @@
 	return c
 }
 
-// setAcceptHook has f called for what is accepted from now on.
+// setAcceptHook makes hook run for connections accepted from now on.
 func (h *harness) setAcceptHook(hooks *hookedEnv, hook func(net.Conn) net.Conn) {
 	hooks.mu.Lock()
 	hooks.onAccept = hook
 	hooks.mu.Unlock()
-	client := h.connect() // it is accepted by the call that was under way
+	client := h.connect() // accepted by the Accept call that began before the hook was set
 	client.roundTrip("GET /up HTTP/1.1\r\n\r\n")
 	client.conn.Close()
 }
 
-// coreCondition asks something of the coreCondition, on its loop.
+// coreCondition returns a function that evaluates condition on the loop.
 func (h *harness) coreCondition(condition func(k *core) bool) func() bool {
 	return func() (ok bool) {
 		h.onLoop(func() { ok = condition(h.scheduler.core) })
@@ -186,7 +188,8 @@
 	}
 }
 
-// blockDials has the next dials wait; it returns what tells that one came and what lets go.
+// blockDials blocks dials to the disk server from now on. dialled reports whether a dial has been
+// blocked; release unblocks them and later ones.
 func (h *harness) blockDials(hooks *hookedEnv) (dialled func() bool, release func()) {
 	gate, reached := h.newGate(), h.newGate()
 	hooks.setDialHook(func(int) error {
@@ -200,15 +203,14 @@
 	}
 }
 
-// newGate is one that opens with the scene's end at the latest.
+// newGate returns a gate that opens when the test ends, if not before.
 func (h *harness) newGate() *env.Gate {
 	gate := &env.Gate{}
 	h.gates = append(h.gates, gate)
 	return gate
 }
 
-// callsEnded tells that nothing is waited for any more: each attempt has its outcome, each dial
-// its end.
+// callsEnded reports whether no call is open and every attempt has an outcome.
 func (k *core) callsEnded() bool {
 	total := uint64(0)
 	for _, n := range k.counters.Outcomes {
@@ -217,6 +219,8 @@
 	return total == k.counters.Sends && len(k.calls) == 0
 }
 
+// quiescent returns a condition for waitFor: no call, attempt or dial is outstanding, and no
+// connection to a disk server is in quarantine.
 func quiescent(h *harness) func() bool {
 	return h.coreCondition(func(k *core) bool {
 		expectedConns := 0
--- a/internal/control/scheduler/permit_test.go
+++ b/internal/control/scheduler/permit_test.go
@@ -15,8 +15,8 @@
 	"merlinhitch/policy"
 )
 
-// An attempt that the loop let begin is looked at once more when its first byte is to go:
-// its process may have been held up in between.
+// mayBegin, called just before the write, must refuse an attempt whose client, deadline or disk
+// server's state has changed since the loop let it begin.
 func TestMayBegin(t *testing.T) {
 	list := ServerList{Seq: 1, Full: true, Entries: []ServerEntry{{Host: "s0", Health: "active", StartedMS: 7}, {Host: "s1", Health: "active"}}}
 	partialList := func(e ServerEntry) ServerList { return ServerList{Seq: 2, Entries: []ServerEntry{e}} }
@@ -25,39 +25,39 @@
 		now    float64
 		want   bool
 	}{
-		"nothing happened":  {func(*connPool, *attempt) {}, 100, true},
-		"too late to begin": {func(*connPool, *attempt) {}, 151, false},
-		"its time is over":  {func(_ *connPool, a *attempt) { a.beginBy, a.answerBy = 300, 120 }, 120, false},
-		"its client left":   {func(_ *connPool, a *attempt) { a.call.noNewAttempts.Store(true) }, 100, false},
-		"drains": {func(p *connPool, _ *attempt) {
+		"unchanged":     {func(*connPool, *attempt) {}, 100, true},
+		"after beginBy": {func(*connPool, *attempt) {}, 151, false},
+		"at answerBy":   {func(_ *connPool, a *attempt) { a.beginBy, a.answerBy = 300, 120 }, 120, false},
+		"client left":   {func(_ *connPool, a *attempt) { a.call.noNewAttempts.Store(true) }, 100, false},
+		"server drains": {func(p *connPool, _ *attempt) {
 			p.serverStates.apply(partialList(ServerEntry{Host: "s0", Health: "leaving", StartedMS: 7}))
 		}, 100, false},
-		"gone": {func(p *connPool, _ *attempt) {
+		"server removed": {func(p *connPool, _ *attempt) {
 			p.serverStates.apply(partialList(ServerEntry{Host: "s0", Health: "left", StartedMS: 7}))
 		}, 100, false},
-		"started anew": {func(p *connPool, _ *attempt) {
+		"server restarted": {func(p *connPool, _ *attempt) {
 			p.serverStates.apply(partialList(ServerEntry{Host: "s0", Health: "active", StartedMS: 9}))
 		}, 100, false},
-		"another one drains": {func(p *connPool, _ *attempt) {
+		"another server drains": {func(p *connPool, _ *attempt) {
 			p.serverStates.apply(partialList(ServerEntry{Host: "s1", Health: "leaving"}))
 		}, 100, true},
-		"not on a whole list": {func(p *connPool, _ *attempt) {
+		"missing from a full list": {func(p *connPool, _ *attempt) {
 			p.serverStates.apply(ServerList{Seq: 3, Full: true, Entries: list.Entries[1:]})
 		}, 100, false},
-		"on a whole list anew": {func(p *connPool, _ *attempt) { p.serverStates.apply(list) }, 100, true},
+		"repeated by a full list": {func(p *connPool, _ *attempt) { p.serverStates.apply(list) }, 100, true},
 	} {
 		p := &connPool{}
 		p.serverStates.apply(list)
 		a := &attempt{call: &call{}, host: "s0", beginBy: 150, answerBy: 200}
 		tt.change(p, a)
 		if got := p.mayBegin(a, tt.now, 7); got != tt.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: got %v, want the opposite", name, got)
 		}
 	}
 }
 
-// A dial that fails by this machine's own fault says nothing of the disk server: the attempt
-// waits, at a pace, and goes once there is a connection.
+// A dial that fails with a local socket error must not fail the attempt: dials are retried with a
+// pause in between until one succeeds.
 func TestOwnFaultsOfDials(t *testing.T) {
 	for _, fault := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH} {
 		runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
@@ -72,26 +72,26 @@
 			got := h.connect().roundTrip(strings.Replace(h.getRequest(), "0.480", "1.900", 1))
 			c := h.counters()
 			if got.status != 200 || c.Sends != 1 || c.Outcomes[policy.NoConnection]+c.Outcomes[policy.NotSent] != 0 {
-				t.Errorf("%v: %+v, %+v", fault, got, c)
+				t.Errorf("%v: got %+v, want status 200; counters %+v, want one attempt and no failed one", fault, got, c)
 			}
 			if n, elapsed := dialCount.Load(), time.Since(startedAt); n != 5 || elapsed < 4*dialPause {
-				t.Errorf("%v: %d dials in %s", fault, n, elapsed)
+				t.Errorf("%v: got %d dials in %s, want 5 with a pause after each failure", fault, n, elapsed)
 			}
 		})
 	}
 }
 
-// Faults of the other end count against the disk server at once.
+// Errors caused by the remote end must count against the disk server.
 func TestRemoteDialErrorsAreNotLocal(t *testing.T) {
 	for _, fault := range []error{syscall.ECONNREFUSED, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.ECONNRESET} {
 		if localSocketError(&net.OpError{Op: "dial", Err: fault}) {
-			t.Errorf("%v is taken for this machine's own", fault)
+			t.Errorf("%v: got a local socket error, want a remote one", fault)
 		}
 	}
 }
 
-// Where every connection that there may be is busy, who waits for one gets the next that
-// ends elsewhere, in the order in which they came; no disk server is blamed meanwhile.
+// At the connection limit, attempts wait until connections to other disk servers end, and none of
+// them fails meanwhile.
 func TestWaitingForRoom(t *testing.T) {
 	const limit = 3
 	var gates [8]env.Gate
@@ -131,11 +131,11 @@
 		done.Wait(h.environment)
 		for i, code := range status {
 			if code != 200 {
-				t.Errorf("request %d: %d", i, code)
+				t.Errorf("request %d: got status %d, want 200", i, code)
 			}
 		}
 		if c := h.scheduler.core.counters; c.Sends != uint64(len(gates)) || c.Outcomes[policy.NoConnection]+c.Outcomes[policy.NotSent] != 0 {
-			t.Errorf("%+v", c)
+			t.Errorf("got counters %+v, want one attempt for each request and no failed one", c)
 		}
 		for _, server := range diskServers {
 			server.Close()
@@ -143,7 +143,8 @@
 	})
 }
 
-// blockedWriteConn is a connection that is held up just before a request is written on it.
+// blockedWriteConn blocks in SetDeadline, which is called just before a request is written, until
+// gate opens.
 type blockedWriteConn struct {
 	*net.TCPConn
 	reached, gate *env.Gate
@@ -157,8 +158,8 @@
 	return c.TCPConn.SetDeadline(t)
 }
 
-// blockWrites holds up each request to the disk server just before it is written: reached opens
-// once one is there, and it goes on once gate is open.
+// blockWrites blocks each request to the disk server just before its write. reached opens when the
+// first one is blocked; opening gate releases them all.
 func (h *harness) blockWrites(hooks *hookedEnv) (reached, gate *env.Gate) {
 	reached, gate = new(env.Gate), new(env.Gate)
 	h.gates = append(h.gates, gate)
@@ -169,70 +170,70 @@
 	return reached, gate
 }
 
-// What happens while the goroutine that writes is held up holds for its first byte: nothing
-// is sent for a client that left, to a disk server that drains, or too late to begin.
+// If an exchange's goroutine is delayed before its write, nothing may be sent for a client that left
+// meanwhile, to a disk server that drains by then, or after the attempt's deadline to begin.
 func TestHeldUpBeforeTheFirstByte(t *testing.T) {
 	for name, change := range map[string]func(h *harness, p *testClient){
 		"client leaves": func(h *harness, client *testClient) {
 			client.conn.Close()
-			h.waitFor("its leaving was seen", func() bool { return h.counters().Gone == 1 })
+			h.waitFor("the core counts the disconnect", func() bool { return h.counters().Gone == 1 })
 		},
 		"server drains": func(h *harness, _ *testClient) {
 			h.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", h.diskServer.Addr, "leaving", 0)))
-			h.waitFor("the list was read", func() bool { return !h.scheduler.pool.serverStates.allows("s0", 0) })
+			h.waitFor("the server state is draining", func() bool { return !h.scheduler.pool.serverStates.allows("s0", 0) })
 		},
-		"time to begin is over": func(h *harness, _ *testClient) { env.Sleep(h.environment, 320*time.Millisecond, nil) },
+		"beginBy passes": func(h *harness, _ *testClient) { env.Sleep(h.environment, 320*time.Millisecond, nil) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
 				reached, gate := h.blockWrites(hooks)
 				client := h.connect()
 				fmt.Fprint(client.conn, h.getRequest())
-				h.waitFor("the write was reached", reached.Opened)
+				h.waitFor("a write is blocked", reached.Opened)
 				change(h, client)
 				gate.Open()
-				h.waitFor("the attempt was taken back", func() bool { return h.counters().Outcomes[policy.NotSent] > 0 })
-				if n := len(h.diskServer.Asked()); n > 0 && name != "time to begin is over" {
-					t.Errorf("%d requests came to the disk server", n)
+				h.waitFor("the attempt ends as not sent", func() bool { return h.counters().Outcomes[policy.NotSent] > 0 })
+				if n := len(h.diskServer.Asked()); n > 0 && name != "beginBy passes" {
+					t.Errorf("disk server got %d requests, want 0", n)
 				}
 			})
 		})
 	}
 }
 
-// longTimeouts makes settings under which an attempt has all of its request's time, also on a
-// machine that is busy with much else.
+// longTimeouts raises the dial timeout and the latency target so far that attempts do not time out
+// on a busy machine.
 var longTimeouts = strings.NewReplacer(`"dial_timeout_ms":250`, `"dial_timeout_ms":9000`, `"aim_ms":300`, `"aim_ms":9000`)
 
-// A disk server is told no more time than its client has left, by not even half a millisecond.
+// Request-Timeout is rounded down, so that a disk server never assumes more time than the client has.
 func TestRequestTimeoutIsRoundedDown(t *testing.T) {
 	for left, want := range map[float64]string{8849.9: "8.849", 8850: "8.850", 1.9: "0.001", 0.2: "0.001"} {
 		a := &attempt{call: &call{forwardedRequest: forwardedRequest{method: "GET", target: "/"}}}
 		if got := string(a.encodeRequest(left)); !strings.Contains(got, "Request-Timeout: "+want+"\r\n") {
-			t.Errorf("%v ms: %q", left, got)
+			t.Errorf("%v ms left: got request %q", left, got)
 		}
 	}
 }
 
-// The time that a disk server is told is reckoned when it is written.
+// Request-Timeout must be computed at the write, not before a delay of the goroutine that writes.
 func TestTheTimeToldIsThatOfTheWrite(t *testing.T) {
 	runOnSockets(t, longTimeouts.Replace, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
 		reached, gate := h.blockWrites(hooks)
 		fmt.Fprint(h.connect().conn, strings.Replace(h.getRequest(), "0.480", "9.000", 1))
-		h.waitFor("the write was reached", reached.Opened)
+		h.waitFor("a write is blocked", reached.Opened)
 		startedAt := h.environment.Now()
 		env.Sleep(h.environment, 150*time.Millisecond, nil)
 		delay := h.environment.Now() - startedAt
 		gate.Open()
-		h.waitFor("it came to the disk server", func() bool { return len(h.diskServer.Asked()) > 0 })
+		h.waitFor("the disk server has received the request", func() bool { return len(h.diskServer.Asked()) > 0 })
 		timeout, err := time.ParseDuration(h.diskServer.Asked()[0].Fields.Get("request-timeout") + "s")
 		if limit := 9*time.Second - delay; err != nil || timeout > limit {
-			t.Errorf("told %s, %s are left", timeout, limit)
+			t.Errorf("got Request-Timeout %s, want at most %s", timeout, limit)
 		}
 	})
 }
 
-// A timer that comes due while one event is handled goes before the next event.
+// A timer that comes due while an event is handled must fire before the next event.
 func TestTimersGoBetweenEvents(t *testing.T) {
 	k, _ := newTestCore(t)
 	l := newLoop(env.NewReal())
@@ -256,11 +257,11 @@
 	done.Wait(l.environment)
 	l.stop()
 	if len(firedBefore) != 1 || !firedBefore[0] {
-		t.Error("the second event came before the timer:", firedBefore)
+		t.Error("timer fired before the second event: want [true], got", firedBefore)
 	}
 }
 
-// timerRecorder notes that the test's timer fired.
+// timerRecorder records that the timer named "test" fired, and hides it from the policy.
 type timerRecorder struct {
 	policy.Scheduler
 	fired *bool
@@ -274,8 +275,8 @@
 	return r.Scheduler.Handle(now, ev)
 }
 
-// A stop waits for the loop to give the last answers, also where it is held up past the time
-// that the program had: what ends the connections comes behind them.
+// Drain must wait for the loop to answer the open requests before it closes the connections, even
+// if the loop is delayed past exitLeadMS before the kill.
 func TestTheLastAnswersComeBeforeTheEnd(t *testing.T) {
 	neverRespond := func(standin.HTTPAsk) standin.HTTPAnswer { return standin.HTTPAnswer{} }
 	runSimulated(t, neverRespond, func(h *harness) {
@@ -292,7 +293,7 @@
 			gate.Open()
 		})
 		if got := client.readResponse(h.environment.Now()); got.status != 503 && got.status != 504 {
-			t.Errorf("%+v", got)
+			t.Errorf("got %+v, want status 503 or 504", got)
 		}
 		h.scheduler.Wait()
 		h.scheduler = h.startScheduler(fullListJSON(7))
--- a/internal/control/scheduler/waitingattempts_test.go
+++ b/internal/control/scheduler/waitingattempts_test.go
@@ -13,15 +13,15 @@
 	"merlinhitch/policy"
 )
 
-// A client that leaves while its attempt waits for a connection takes it along, however it
-// leaves and whatever it sent ahead.
+// If the client disconnects while its attempt waits for a connection, nothing is sent to the disk
+// server, however the client disconnects and whatever it pipelined before.
 func TestNoAttemptAfterClientDisconnects(t *testing.T) {
 	for name, disconnect := range map[string]func(c *net.TCPConn){
-		"close":            func(conn *net.TCPConn) { conn.Close() },
-		"reset":            func(conn *net.TCPConn) { conn.SetLinger(0); conn.Close() },
-		"half a close":     func(conn *net.TCPConn) { conn.CloseWrite() },
-		"behind a request": func(conn *net.TCPConn) { io.WriteString(conn, "GET /up HTTP/1.1\r\n\r\n"); conn.Close() },
-		"behind half of one": func(conn *net.TCPConn) {
+		"close":                           func(conn *net.TCPConn) { conn.Close() },
+		"reset":                           func(conn *net.TCPConn) { conn.SetLinger(0); conn.Close() },
+		"half-close":                      func(conn *net.TCPConn) { conn.CloseWrite() },
+		"close after a pipelined request": func(conn *net.TCPConn) { io.WriteString(conn, "GET /up HTTP/1.1\r\n\r\n"); conn.Close() },
+		"close after part of a pipelined request": func(conn *net.TCPConn) {
 			io.WriteString(conn, "GET /up HT")
 			conn.Close()
 		},
@@ -32,22 +32,21 @@
 				client := h.connect()
 				defer client.conn.Close()
 				io.WriteString(client.conn, strings.Replace(h.getRequest(), "0.480", "30", 1))
-				h.waitFor("the dial", dialled)
+				h.waitFor("a dial is blocked", dialled)
 				disconnect(client.conn.(*net.TCPConn))
-				h.waitFor("it is gone", h.coreCondition(func(k *core) bool { return k.counters.Gone == 1 }))
-				h.waitFor("its attempt is over", h.coreCondition(func(k *core) bool { return k.counters.Outcomes[policy.NotSent] == 1 }))
+				h.waitFor("the core counts the disconnect", h.coreCondition(func(k *core) bool { return k.counters.Gone == 1 }))
+				h.waitFor("the attempt ends as not sent", h.coreCondition(func(k *core) bool { return k.counters.Outcomes[policy.NotSent] == 1 }))
 				release()
-				h.waitFor("all is over", quiescent(h))
+				h.waitFor("no call, attempt or dial is outstanding", quiescent(h))
 				if n := len(h.diskServer.Asked()); n != 0 {
-					t.Errorf("%d attempts for a client that had gone", n)
+					t.Errorf("disk server got %d requests of a disconnected client, want 0", n)
 				}
 			})
 		})
 	}
 }
 
-// A client that has gone before its request is read is not served at all: its connection
-// waited to be accepted.
+// A request whose client disconnected before the connection was accepted is not served.
 func TestClientDisconnectsBeforeAccept(t *testing.T) {
 	runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
 		gate, reached, closed := h.newGate(), h.newGate(), h.newGate()
@@ -57,20 +56,20 @@
 			return &closeNotifyConn{conn.(*net.TCPConn), &env.Gate{}, closed}
 		})
 		client := h.connect()
-		h.waitFor("the hook", reached.Opened)
+		h.waitFor("the accept is blocked", reached.Opened)
 		io.WriteString(client.conn, h.getRequest())
 		client.conn.Close()
 		gate.Open()
-		h.waitFor("it is closed here", closed.Opened)
-		h.waitFor("all is over", quiescent(h))
+		h.waitFor("the scheduler has closed the connection", closed.Opened)
+		h.waitFor("no call, attempt or dial is outstanding", quiescent(h))
 		if n := len(h.diskServer.Asked()); n != 0 || h.counters().Taken != 0 {
-			t.Errorf("%d attempts, %+v", n, h.counters())
+			t.Errorf("disk server got %d requests, want 0; counters %+v, want Taken 0", n, h.counters())
 		}
 	})
 }
 
-// What waits for its connection is taken back when its disk server is told to leave, is
-// gone, or has started anew: it is decided again.
+// An attempt that waits for a connection is cancelled when its disk server drains, is removed or
+// restarts, and the policy decides again.
 func TestListChangeCancelsWaitingAttempts(t *testing.T) {
 	for name, editEntry := range map[string]func(string) string{
 		"leaving": func(entry string) string { return strings.Replace(entry, "active", "leaving", 1) },
@@ -85,30 +84,29 @@
 				client := h.connect()
 				rawRequest := strings.Replace(h.getRequest(), "0.480", "1.900", 1)
 				io.WriteString(client.conn, rawRequest)
-				h.waitFor("the dial", dialled)
+				h.waitFor("a dial is blocked", dialled)
 				h.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, editEntry(entryJSON("s0", h.diskServer.Addr, "active", 0))))
-				h.waitFor("it is taken back", h.coreCondition(func(k *core) bool { return k.counters.Outcomes[policy.NotSent] > 0 }))
+				h.waitFor("the attempt ends as not sent", h.coreCondition(func(k *core) bool { return k.counters.Outcomes[policy.NotSent] > 0 }))
 				if name != "restarted" {
 					release()
-					h.waitFor("the dial is over", h.coreCondition(func(k *core) bool {
+					h.waitFor("the dial has ended", h.coreCondition(func(k *core) bool {
 						return len(h.scheduler.pool.servers) == 0 || h.scheduler.pool.servers["s0"].expectedConns == 0
 					}))
 					if got := client.readResponse(0); got.status != 503 || len(h.diskServer.Asked()) != 0 {
-						t.Errorf("%+v, %d attempts", got, len(h.diskServer.Asked()))
+						t.Errorf("got %+v, want status 503; disk server got %d requests, want 0", got, len(h.diskServer.Asked()))
 					}
 					return
 				}
-				release() // it may go to the new process, as the module decides now
+				release() // the policy may resend to the new process
 				if got := client.readResponse(0); got.status != 200 {
-					t.Errorf("%+v", got)
+					t.Errorf("got %+v, want status 200", got)
 				}
 			})
 		})
 	}
 }
 
-// An attempt that waits for a connection to an address that is another's by then goes to
-// the one that its disk server has now.
+// If a disk server's address changes during a dial, the attempt that waits goes to the new address.
 func TestAddressChangesDuringDial(t *testing.T) {
 	runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
 		newServer, err := standin.ServeHTTPDisk(hooks.Real, respondWith(ok200))
@@ -119,17 +117,17 @@
 		dialled, release := h.blockDials(hooks)
 		client := h.connect()
 		io.WriteString(client.conn, strings.Replace(h.getRequest(), "0.480", "1.900", 1))
-		h.waitFor("the dial", dialled)
+		h.waitFor("a dial is blocked", dialled)
 		h.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", newServer.Addr, "active", 0)))
-		h.waitFor("the list", h.coreCondition(func(k *core) bool { return k.servers["s0"].Address == newServer.Addr }))
+		h.waitFor("the core has the new address", h.coreCondition(func(k *core) bool { return k.servers["s0"].Address == newServer.Addr }))
 		release()
 		if got := client.readResponse(0); got.status != 200 || len(h.diskServer.Asked()) != 0 || len(newServer.Asked()) != 1 {
-			t.Errorf("%+v, %d at the old address, %d at the new", got, len(h.diskServer.Asked()), len(newServer.Asked()))
+			t.Errorf("got %+v, want status 200; %d requests at the old address, want 0; %d at the new, want 1", got, len(h.diskServer.Asked()), len(newServer.Asked()))
 		}
 	})
 }
 
-// Settings that leave out the times of connections get usual ones.
+// Settings without connection timeouts get the defaults, under which connections are reused.
 func TestDefaultConnectionTimeouts(t *testing.T) {
 	removeTimeouts := func(config string) string {
 		return strings.Replace(config, `"dial_timeout_ms":250,"conn_idle_ms":30000`, `"x":0`, 1)
@@ -140,10 +138,10 @@
 			if got := client.roundTrip(h.getRequest()); got.status != 200 {
 				t.Error(got)
 			}
-			h.waitFor("the connection is free", h.coreCondition(func(*core) bool { return len(h.scheduler.pool.servers["s0"].idle) == 1 }))
+			h.waitFor("the connection is idle", h.coreCondition(func(*core) bool { return len(h.scheduler.pool.servers["s0"].idle) == 1 }))
 		}
 		if requests := h.diskServer.Asked(); requests[len(requests)-1].Conn != 0 {
-			t.Error("a connection was not used again")
+			t.Error("got a request on a new connection, want the first one to be reused")
 		}
 		h.onLoop(func() {
 			if p := h.scheduler.pool; p.dialTimeout != defaultDialTimeout || p.maxIdle != defaultConnIdle*idleKeepFraction {
@@ -153,8 +151,8 @@
 	})
 }
 
-// A repeat that waits for its connection past the time in which repeats are dropped does
-// not begin.
+// A retry that waits for a connection until its idempotency key has expired must not be sent, since
+// the disk server may no longer recognize it as a duplicate.
 func TestRetryIsNotSentAfterItsKeyExpired(t *testing.T) {
 	shortenKeyTTL := func(config string) string {
 		config = strings.Replace(config, `"key_ttl_ms":6000`, `"key_ttl_ms":150`, 1)
@@ -164,7 +162,7 @@
 	runOnSockets(t, shortenKeyTTL, respond, func(h *harness, hooks *hookedEnv) {
 		secondDial, gate := h.newGate(), h.newGate()
 		hooks.setDialHook(func(n int) error {
-			if n > 0 { // the first goes
+			if n > 0 { // the first dial is not blocked
 				secondDial.Open()
 				gate.Wait(hooks)
 			}
@@ -172,28 +170,28 @@
 		})
 		client := h.connect()
 		io.WriteString(client.conn, h.formatRequest("PUT", "txn-write", "00000000000000aa", "1.900", "x", "Idempotency-Key: k1\r\n"))
-		h.waitFor("the repeat's dial", secondDial.Opened)
+		h.waitFor("the retry's dial is blocked", secondDial.Opened)
 		windowEnd := 0.0
 		h.onLoop(func() { windowEnd = h.scheduler.core.calls["00000000000000aa"].req.Expires - 1900 + 160 })
-		h.waitFor("its window is over", func() bool { return h.scheduler.loop.now() > windowEnd })
+		h.waitFor("the idempotency key has expired", func() bool { return h.scheduler.loop.now() > windowEnd })
 		gate.Open()
 		if got := client.readResponse(0); got.status != 504 {
-			t.Errorf("%+v", got)
+			t.Errorf("got %+v, want status 504", got)
 		}
-		h.waitFor("all is over", quiescent(h))
+		h.waitFor("no call, attempt or dial is outstanding", quiescent(h))
 		if n := len(h.diskServer.Asked()); n != 1 {
-			t.Errorf("sent %d times", n)
+			t.Errorf("sent %d times, want once", n)
 		}
 	})
 }
 
-// An attempt for a host that no list names is over at once: nothing left this machine.
+// An attempt for a host that is not in the server list ends at once as not sent.
 func TestAttemptForUnknownHost(t *testing.T) {
 	runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
 		h.onLoop(func() { delete(h.scheduler.pool.servers, "s0") })
 		got := h.connect().roundTrip(h.getRequest())
 		if got.status != 503 || h.counters().Outcomes[policy.NotSent] == 0 || h.counters().Outcomes[policy.NoConnection] > 0 {
-			t.Errorf("%+v, %+v", got, h.counters())
+			t.Errorf("got %+v, want status 503; counters %+v, want only outcomes of not sent", got, h.counters())
 		}
 	})
 }
