--- a/internal/control/gateway/command.go
+++ b/internal/control/gateway/command.go
@@ -70,7 +70,7 @@
 
 // flushPermitted tells whether a flush needs no look at the reservations.
 func (c *conn) flushPermitted(v *activeSettings) bool {
-	_, ok := c.frontend.keeper.check(c.currentUnit(v).volume.Name, c.nexus(), true)
+	_, ok := c.frontend.reservations.check(c.currentUnit(v).volume.Name, c.nexus(), true)
 	return ok
 }
 
@@ -118,7 +118,7 @@
 		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.InvalidField.Fixed()})
 		return nil, nil
 	}
-	fence, permitted := f.keeper.check(u.volume.Name, c.nexus(), io.Op.Writes() || io.Op == scsi.Flush)
+	fence, permitted := f.reservations.check(u.volume.Name, c.nexus(), io.Op.Writes() || io.Op == scsi.Flush)
 	if !permitted {
 		return u.volume, class
 	}
@@ -293,11 +293,11 @@
 		return
 	}
 	completed := completion{cmd, cmd.response(), cmd.dataBuffer, cmd.fenceOutdated && cmd.worstOutcome == jobServed}
-	if c.answerer == nil {
+	if c.responder == nil {
 		c.frontend.host.respond(&completed, c.frontend.host.flushAfterBatch)
 		return
 	}
-	c.answerer.enqueue(completed)
+	c.responder.enqueue(completed)
 }
 
 func (cmd *command) response() iscsi.Answer {
@@ -330,7 +330,7 @@
 // conflict must not deny. Held: conn.mu.
 func (c *conn) recheckReservations(t *iscsi.Task, decoded scsi.Outcome, vol *settings.Volume, class *settings.Class, maybeExecuted bool) {
 	t.User = nil // nothing of it is under way
-	c.frontend.keeper.refresh(vol, t.At+class.Deadline, func(state *reserve.State, err error) {
+	c.frontend.reservations.refresh(vol, t.At+class.Deadline, func(state *reserve.State, err error) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		switch {
--- a/internal/control/gateway/core.go
+++ b/internal/control/gateway/core.go
@@ -211,7 +211,7 @@
 	j.req.ID, j.message.Seq = j.id, h.lastSeq
 	if h.regions != nil {
 		h.regions.setLimitShare(h.now, &j.req)
-		j.dedupScope, j.message.Copied = h.dedupScopes[j.req.Class], h.regions.copied[j.req.Plan]
+		j.dedupScope, j.message.Copied = h.dedupScopes[j.req.Class], h.regions.copyBeforeAck[j.req.Plan]
 	}
 	h.jobs[j.id] = j
 	j.classCounters = h.counters.countsFor(&j.req)
--- a/internal/control/gateway/frontend.go
+++ b/internal/control/gateway/frontend.go
@@ -56,13 +56,13 @@
 	settings    atomic.Pointer[activeSettings]
 	// settingsMu is held by who looks at the view and hands requests to the host core, and
 	// alone by who changes both: a request is taken under one or the other, whole.
-	settingsMu   sync.RWMutex
-	memoryBytes  atomic.Int64 // bytes held for clients
-	openRequests atomic.Int64 // requests at the host core
-	nextTSIH     atomic.Uint32
-	nextAnswerer atomic.Uint32 // of connections at the answerers
-	keeper       *reservationCache
-	answerers    []*responder
+	settingsMu    sync.RWMutex
+	memoryBytes   atomic.Int64 // bytes held for clients
+	openRequests  atomic.Int64 // requests at the host core
+	nextTSIH      atomic.Uint32
+	nextResponder atomic.Uint32 // of connections at the answerers
+	reservations  *reservationCache
+	responders    []*responder
 
 	mu       sync.Mutex
 	conns    env.OrderedSet[*conn]
@@ -89,7 +89,7 @@
 
 func newFrontend(environment env.Environment, h *host, active *activeSettings, listener net.Listener, log *zap.Logger) *frontend {
 	f := &frontend{environment: environment, host: h, log: log, listener: listener, sessions: map[sessionKey]*conn{}}
-	f.keeper, f.answerers = newReservationCache(f), newResponders(h)
+	f.reservations, f.responders = newReservationCache(f), newResponders(h)
 	f.settings.Store(active)
 	f.nextTSIH.Store(uint32(environment.RandomUint64()))
 	f.tasks.Go(environment, f.accept)
@@ -172,8 +172,8 @@
 	log           *zap.Logger
 	key           sessionKey // set before the session is registered
 	initiatorPort reserve.Nexus
-	// answerer gives the connection's commands their answerer; nil: the host does.
-	answerer    *responder
+	// responder gives the connection's commands their responder; nil: the host does.
+	responder   *responder
 	logicalUnit *logicalUnit
 	ended       env.Gate
 
@@ -192,8 +192,8 @@
 
 func newConn(f *frontend, netConn net.Conn) *conn {
 	c := &conn{frontend: f, netConn: netConn, log: f.log.With(zap.Stringer("peer", netConn.RemoteAddr()))}
-	if n := uint32(len(f.answerers)); n > 0 {
-		c.answerer = f.answerers[f.nextAnswerer.Add(1)%n]
+	if n := uint32(len(f.responders)); n > 0 {
+		c.responder = f.responders[f.nextResponder.Add(1)%n]
 	}
 	c.out = writequeue.New(f.environment, netConn, clientWriteLimit, env.Duration(f.settings.Load().Target.WriteTime))
 	c.out.OnBytesChanged = func(delta int) { f.memoryBytes.Add(int64(delta)) }
@@ -567,7 +567,7 @@
 		c.out.Abort()
 	}
 	f.tasks.Wait(f.environment)
-	for _, a := range f.answerers {
+	for _, a := range f.responders {
 		a.close()
 	}
 }
--- a/internal/control/gateway/regional.go
+++ b/internal/control/gateway/regional.go
@@ -21,13 +21,13 @@
 // shard only the node at its home, and of its part of each limit.
 type regionState struct {
 	*region.Host
-	self         region.ID
-	limitIndexes map[string]int // of plans that have one: its number
-	copied       map[string]bool
-	volumeLimits map[string]volumeLimit // of limited volumes
-	clockDrift   float64                // a limit may fill so much too fast
-	notifiedHeld bool                   // as the module was last told
-	notifiedTerm uint64
+	self          region.ID
+	limitIndexes  map[string]int // of plans that have one: its number
+	copyBeforeAck map[string]bool
+	volumeLimits  map[string]volumeLimit // of limited volumes
+	clockDrift    float64                // a limit may fill so much too fast
+	notifiedHeld  bool                   // as the module was last told
+	notifiedTerm  uint64
 }
 
 // volumeLimit is a limited volume's: its hosts in this region, and its limit.
@@ -45,9 +45,9 @@
 
 // applySettings takes what settings say of plans.
 func (r *regionState) applySettings(s *settings.Settings) {
-	r.limitIndexes, r.copied = map[string]int{}, map[string]bool{}
+	r.limitIndexes, r.copyBeforeAck = map[string]int{}, map[string]bool{}
 	for i, p := range s.Plans {
-		r.copied[p.Name] = p.Copied != settings.AckBefore
+		r.copyBeforeAck[p.Name] = p.Copied != settings.AckBefore
 		if p.Limit > 0 {
 			r.limitIndexes[p.Name] = i
 		}
--- a/internal/control/gateway/reservations.go
+++ b/internal/control/gateway/reservations.go
@@ -317,7 +317,7 @@
 	command := &reservationCommand{conn: c, task: t, vol: vol, expires: t.At + class.Deadline}
 	t.User = command
 	if r.In {
-		c.frontend.keeper.refresh(vol, command.expires, func(state *reserve.State, err error) { command.respondIn(state, err, r) })
+		c.frontend.reservations.refresh(vol, command.expires, func(state *reserve.State, err error) { command.respondIn(state, err, r) })
 		return
 	}
 	req, known, err := reserve.ParseOut(t.CDB, r.List)
@@ -336,7 +336,7 @@
 	}
 	command.req, command.parameterBytes = req, len(r.List)
 	command.stamp = c.frontend.environment.RandomUint64()
-	c.frontend.keeper.refresh(vol, command.expires, command.tryChange)
+	c.frontend.reservations.refresh(vol, command.expires, command.tryChange)
 }
 
 // reserveErrorSense is how errors of package reserve are answered.
@@ -458,7 +458,7 @@
 }
 
 func (p *reservationCommand) swapDone(fromVersion uint64, next *reserve.State, answer *diskproto.Answer) {
-	cache := p.conn.frontend.keeper
+	cache := p.conn.frontend.reservations
 	switch {
 	case answer == nil: // refused, failed or lost: it may have been made, or still be
 		p.mayBeApplied, p.uncertainVersion = true, fromVersion
@@ -488,9 +488,9 @@
 
 // abortPreempted ends the tasks of sessions that lost their registration.
 func (f *frontend) abortPreempted(volume string, preemptor *conn) {
-	f.keeper.mu.Lock()
-	state := f.keeper.volume(volume).state
-	f.keeper.mu.Unlock()
+	f.reservations.mu.Lock()
+	state := f.reservations.volume(volume).state
+	f.reservations.mu.Unlock()
 	for _, other := range f.allConns() {
 		other.mu.Lock()
 		preempted := other != preemptor && other.logicalUnit != nil && other.logicalUnit.volume.Name == volume && other.unitAttention == &scsi.RegistrationsPreempted
