--- a/internal/control/scheduler/attemptresult_test.go
+++ b/internal/control/scheduler/attemptresult_test.go
@@ -13,10 +13,10 @@
 // Each way in which an attempt can end is told to the module as what it is: whether it may
 // have run follows from it, and with it whether a write may go again.
 func TestAttemptResults(t *testing.T) {
-	const noStart = "Not-Started: 1\r\nContent-Length: 0\r\n\r\n"
-	for name, c := range map[string]struct {
-		do   standin.HTTPAnswer
-		want policy.Result
+	const notStartedFields = "Not-Started: 1\r\nContent-Length: 0\r\n\r\n"
+	for name, tc := range map[string]struct {
+		response   standin.HTTPAnswer
+		wantResult policy.Result
 	}{
 		"a whole answer":           {standin.HTTPAnswer{Raw: []byte(ok200)}, policy.Served},
 		"a whole answer and end":   {standin.HTTPAnswer{Raw: []byte(ok200), Close: true}, policy.Served},
@@ -26,9 +26,9 @@
 		"500":                      {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
 		"404":                      {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
 		"503":                      {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
-		"503 not started":          {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 503 No\r\n" + noStart)}, policy.Rejected},
-		"504 not started":          {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 504 No\r\n" + noStart)}, policy.Rejected},
-		"500 not started":          {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 500 No\r\n" + noStart)}, policy.ServerError},
+		"503 not started":          {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 503 No\r\n" + notStartedFields)}, policy.Rejected},
+		"504 not started":          {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 504 No\r\n" + notStartedFields)}, policy.Rejected},
+		"500 not started":          {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 500 No\r\n" + notStartedFields)}, policy.ServerError},
 		"noise":                    {standin.HTTPAnswer{Raw: []byte("\x00\x01\r\n\r\n")}, policy.ServerError},
 		"its end":                  {standin.HTTPAnswer{Close: true}, policy.ConnectionLost},
 		"a reset":                  {standin.HTTPAnswer{Reset: true}, policy.ConnectionLost},
@@ -42,31 +42,31 @@
 		"a body beyond the bounds": {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxResponseBytes+1))}, policy.ServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
-			do := c.do
-			if do.After > 0 {
-				do = standin.HTTPAnswer{}
+			response := tc.response
+			if response.After > 0 {
+				response = standin.HTTPAnswer{}
 			}
 			// A write that may have run and that nothing may repeat: one attempt tells it all.
-			unsafe := func(s string) string {
-				s = strings.Replace(s, `"effect":"idempotency_key","group":"cell","key_ttl_ms":6000`, `"effect":"unsafe"`, 1)
-				return strings.Replace(s, `"attempts_cap":4`, `"attempts_cap":1`, 1)
+			makeUnsafe := func(config string) string {
+				config = strings.Replace(config, `"effect":"idempotency_key","group":"cell","key_ttl_ms":6000`, `"effect":"unsafe"`, 1)
+				return strings.Replace(config, `"attempts_cap":4`, `"attempts_cap":1`, 1)
 			}
-			runOnSockets(t, unsafe, func(standin.HTTPAsk) standin.HTTPAnswer { return do }, func(sc *harness, h *hookedEnv) {
-				within := "3" // enough for each answer, however slow the machine is
-				if c.want == policy.NoAnswer {
-					within = "0.300"
+			runOnSockets(t, makeUnsafe, func(standin.HTTPAsk) standin.HTTPAnswer { return response }, func(h *harness, hooks *hookedEnv) {
+				timeout := "3" // enough for each answer, however slow the machine is
+				if tc.wantResult == policy.NoAnswer {
+					timeout = "0.300"
 				}
-				got := sc.connect().roundTrip(sc.formatRequest("PUT", "txn-write", "00000000000000aa", within, "x"))
-				want := map[policy.Result]int{policy.Served: 200, policy.Rejected: 503}[c.want]
-				if want == 0 {
-					want = 504
+				got := h.connect().roundTrip(h.formatRequest("PUT", "txn-write", "00000000000000aa", timeout, "x"))
+				wantStatus := map[policy.Result]int{policy.Served: 200, policy.Rejected: 503}[tc.wantResult]
+				if wantStatus == 0 {
+					wantStatus = 504
 				}
-				if got.status != want {
-					t.Errorf("%+v, want %d", got, want)
+				if got.status != wantStatus {
+					t.Errorf("%+v, want %d", got, wantStatus)
 				}
-				sc.waitFor("it is over", quiescent(sc))
-				if k := sc.counters(); k.Sends != 1 || k.Outcomes[c.want] != 1 {
-					t.Errorf("%+v, want one of %d", k, c.want)
+				h.waitFor("it is over", quiescent(h))
+				if counters := h.counters(); counters.Sends != 1 || counters.Outcomes[tc.wantResult] != 1 {
+					t.Errorf("%+v, want one of %d", counters, tc.wantResult)
 				}
 			})
 		})
@@ -75,11 +75,11 @@
 
 // A disk server that can't be reached has run nothing.
 func TestConnectionRefusedByServer(t *testing.T) {
-	runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
-		sc.diskServer.Close()
-		got := sc.connect().roundTrip(sc.formatRequest("PUT", "txn-write", "00000000000000aa", "0.300", "x", "Idempotency-Key: k\r\n"))
-		if k := sc.counters(); got.status != 503 || k.Outcomes[policy.NoConnection] == 0 || k.Outcomes[policy.NoConnection] != k.Sends {
-			t.Errorf("%+v, %+v", got, k)
+	runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
+		h.diskServer.Close()
+		got := h.connect().roundTrip(h.formatRequest("PUT", "txn-write", "00000000000000aa", "0.300", "x", "Idempotency-Key: k\r\n"))
+		if counters := h.counters(); got.status != 503 || counters.Outcomes[policy.NoConnection] == 0 || counters.Outcomes[policy.NoConnection] != counters.Sends {
+			t.Errorf("%+v, %+v", got, counters)
 		}
 	})
 }
@@ -87,43 +87,43 @@
 // A reload brings classes, plans and deadlines that were not there; what is under way ends
 // under those it was taken with, and what the file leaves out is served no more.
 func TestReloadAppliesToFrontend(t *testing.T) {
-	runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
-		before := testConfig(sc.schedulerAddr, sc.discovery.Addr, fullListJSON(7))
-		after := strings.NewReplacer(`"name":"txn-write"`, `"name":"audit-write"`, `"name":"gold"`, `"name":"iron"`, `"give_up_ms":4000`, `"give_up_ms":700`,
-			`"give_up_ms":2000`, `"give_up_ms":600`, `"dial_timeout_ms":250`, `"dial_timeout_ms":400`, `"memory_mb":64`, `"memory_mb":32`).Replace(before)
-		old := sc.formatRequest("PUT", "txn-write", "00000000000000aa", "3", "x", "Idempotency-Key: k\r\n")
-		renewed := strings.NewReplacer("txn-write", "audit-write", "gold", "iron", "aa", "ab").Replace(old)
-		p := sc.connect()
-		if got := sc.connect().roundTrip(renewed); got.status != 404 {
+	runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
+		oldConfigJSON := testConfig(h.schedulerAddr, h.discovery.Addr, fullListJSON(7))
+		newConfigJSON := strings.NewReplacer(`"name":"txn-write"`, `"name":"audit-write"`, `"name":"gold"`, `"name":"iron"`, `"give_up_ms":4000`, `"give_up_ms":700`,
+			`"give_up_ms":2000`, `"give_up_ms":600`, `"dial_timeout_ms":250`, `"dial_timeout_ms":400`, `"memory_mb":64`, `"memory_mb":32`).Replace(oldConfigJSON)
+		oldRequest := h.formatRequest("PUT", "txn-write", "00000000000000aa", "3", "x", "Idempotency-Key: k\r\n")
+		newRequest := strings.NewReplacer("txn-write", "audit-write", "gold", "iron", "aa", "ab").Replace(oldRequest)
+		client := h.connect()
+		if got := h.connect().roundTrip(newRequest); got.status != 404 {
 			t.Error("before the reload:", got)
 		}
-		came, release := sc.blockDials(h)
-		fmt.Fprint(p.conn, old)
-		sc.waitFor("the dial", came)
-		c, err := ParseConfig([]byte(after), func(string) string { return "" })
+		dialled, release := h.blockDials(hooks)
+		fmt.Fprint(client.conn, oldRequest)
+		h.waitFor("the dial", dialled)
+		config, err := ParseConfig([]byte(newConfigJSON), func(string) string { return "" })
 		if err != nil {
 			t.Fatal(err)
 		}
-		sc.scheduler.Reload(c)
+		h.scheduler.Reload(config)
 		release()
-		if got := p.readResponse(0); got.status != 200 {
+		if got := client.readResponse(0); got.status != 200 {
 			t.Error("taken before the reload:", got)
 		}
-		if got := sc.connect().roundTrip(strings.Replace(renewed, "ab", "ac", 1)); got.status != 200 {
+		if got := h.connect().roundTrip(strings.Replace(newRequest, "ab", "ac", 1)); got.status != 200 {
 			t.Error("a new class and plan:", got)
 		}
-		if got := sc.connect().roundTrip(strings.Replace(old, "aa", "ad", 1)); got.status != 404 {
+		if got := h.connect().roundTrip(strings.Replace(oldRequest, "aa", "ad", 1)); got.status != 404 {
 			t.Error("a class that is gone:", got)
 		}
-		var within time.Duration
-		sc.onLoop(func() { within = sc.scheduler.pool.dialTimeout })
-		if within != 400*time.Millisecond || sc.scheduler.frontend.byteLimit.Load() != 4<<20 {
-			t.Errorf("dials within %s, %d bytes of bodies", within, sc.scheduler.frontend.byteLimit.Load())
+		var dialTimeout time.Duration
+		h.onLoop(func() { dialTimeout = h.scheduler.pool.dialTimeout })
+		if dialTimeout != 400*time.Millisecond || h.scheduler.frontend.byteLimit.Load() != 4<<20 {
+			t.Errorf("dials within %s, %d bytes of bodies", dialTimeout, h.scheduler.frontend.byteLimit.Load())
 		}
-		from := time.Now()
-		sc.scheduler.Drain()
-		if took := time.Since(from); took > 2500*time.Millisecond { // 3.7 s with those of the start
-			t.Errorf("the drain took %s", took)
+		drainStart := time.Now()
+		h.scheduler.Drain()
+		if elapsed := time.Since(drainStart); elapsed > 2500*time.Millisecond { // 3.7 s with those of the start
+			t.Errorf("the drain took %s", elapsed)
 		}
 	})
 }
--- a/internal/control/scheduler/core_test.go
+++ b/internal/control/scheduler/core_test.go
@@ -17,16 +17,16 @@
 	removedHosts []string
 }
 
-func (p *fakeEffects) send(a *attempt) { p.attempts = append(p.attempts, a) }
-func (p *fakeEffects) abandon(a *attempt) attemptProgress {
-	if p.written[a] {
+func (e *fakeEffects) send(a *attempt) { e.attempts = append(e.attempts, a) }
+func (e *fakeEffects) abandon(a *attempt) attemptProgress {
+	if e.written[a] {
 		return progressSent
 	}
 	return progressNotConnected
 }
-func (p *fakeEffects) serverListed(ServerEntry)  {}
-func (p *fakeEffects) serverRemoved(host string) { p.removedHosts = append(p.removedHosts, host) }
-func (p *fakeEffects) warn(string)               {}
+func (e *fakeEffects) serverListed(ServerEntry)  {}
+func (e *fakeEffects) serverRemoved(host string) { e.removedHosts = append(e.removedHosts, host) }
+func (e *fakeEffects) warn(string)               {}
 
 type fakeClient struct {
 	effects *fakeEffects
@@ -36,59 +36,59 @@
 func (c fakeClient) deliver(callOutcome, float64, []byte) { c.effects.deliveries[c.id]++ }
 
 func newTestCore(t interface{ Fatal(...any) }) (*core, *fakeEffects) {
-	c, err := ParseConfig([]byte(testConfig("a:1", "b:1", fullListJSON(1, entryJSON("s0", "x:1", "active", 0), entryJSON("s1", "x:2", "active", 1)))), func(string) string { return "" })
+	config, err := ParseConfig([]byte(testConfig("a:1", "b:1", fullListJSON(1, entryJSON("s0", "x:1", "active", 0), entryJSON("s1", "x:2", "active", 1)))), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &fakeEffects{written: map[*attempt]bool{}, deliveries: map[string]int{}}
-	k := newCore(1_000_000, c, p)
-	k.start(c.Known)
-	return k, p
+	effects := &fakeEffects{written: map[*attempt]bool{}, deliveries: map[string]int{}}
+	k := newCore(1_000_000, config, effects)
+	k.start(config.Known)
+	return k, effects
 }
 
-func (p *fakeEffects) newCall(k *core, id, class string, now, left float64) *call {
-	return &call{replyTo: fakeClient{p, id}, req: policy.Request{ID: id, Class: class, Plan: "gold", Volume: "v", Shard: 0, Units: 2, Expires: now + left, Hosts: 1}}
+func (e *fakeEffects) newCall(k *core, id, class string, now, timeout float64) *call {
+	return &call{replyTo: fakeClient{e, id}, req: policy.Request{ID: id, Class: class, Plan: "gold", Volume: "v", Shard: 0, Units: 2, Expires: now + timeout, Hosts: 1}}
 }
 
 // Whatever happens to attempts, each call gets one answer and each attempt one outcome,
 // and nothing is held once all is over.
 func TestOneResponsePerCall(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k, p := newTestCore(t)
-		now, asked := float64(clockAtStart), map[string]*call{}
+		k, effects := newTestCore(t)
+		now, submitted := float64(clockAtStart), map[string]*call{}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 200).Draw(t, "dt")
 			k.runDue(now)
 			var a *attempt
-			if n := len(p.attempts); n > 0 {
-				a = p.attempts[rapid.IntRange(0, n-1).Draw(t, "a")]
+			if n := len(effects.attempts); n > 0 {
+				a = effects.attempts[rapid.IntRange(0, n-1).Draw(t, "a")]
 			}
-			switch what := rapid.IntRange(0, 7).Draw(t, "what"); {
-			case what <= 2:
+			switch step := rapid.IntRange(0, 7).Draw(t, "what"); {
+			case step <= 2:
 				id := fmt.Sprint(i)
-				c := p.newCall(k, id, []string{"card-read", "txn-write"}[what%2], now, rapid.Float64Range(1, 3000).Draw(t, "left"))
-				asked[id] = c
+				c := effects.newCall(k, id, []string{"card-read", "txn-write"}[step%2], now, rapid.Float64Range(1, 3000).Draw(t, "left"))
+				submitted[id] = c
 				if !k.startCall(now, c) || k.startCall(now, c) {
 					t.Fatal("an id was not taken once")
 				}
 			case a == nil:
-			case what == 3:
-				p.written[a] = true
-			case what == 4:
+			case step == 3:
+				effects.written[a] = true
+			case step == 4:
 				k.receiveReply(now, a, reply{result: policy.Served})
-			case what == 5:
+			case step == 5:
 				k.receiveReply(now, a, reply{result: policy.Result(rapid.IntRange(1, 2).Draw(t, "result"))})
-			case what == 6:
+			case step == 6:
 				k.failAttempt(now, a, policy.ConnectionLost)
-			case what == 7 && p.deliveries[a.call.req.ID] == 0:
+			case step == 7 && effects.deliveries[a.call.req.ID] == 0:
 				k.clientGone(now, a.call)
-				p.deliveries[a.call.req.ID]++ // nobody is there to be told
+				effects.deliveries[a.call.req.ID]++ // nobody is there to be told
 			}
 		}
 		k.runDue(now + 60_000)
-		for id := range asked {
-			if p.deliveries[id] != 1 {
-				t.Fatalf("call %s has %d answers", id, p.deliveries[id])
+		for id := range submitted {
+			if effects.deliveries[id] != 1 {
+				t.Fatalf("call %s has %d answers", id, effects.deliveries[id])
 			}
 		}
 		if len(k.calls) > 0 {
@@ -106,43 +106,43 @@
 
 // What is told of an attempt whose time is up follows from whether it went out.
 func TestTimeoutResultReflectsProgress(t *testing.T) {
-	for _, went := range []bool{false, true} {
-		k, p := newTestCore(t)
-		k.startCall(clockAtStart, p.newCall(k, "a", "card-read", clockAtStart, 400))
-		if len(p.attempts) != 1 {
+	for _, sent := range []bool{false, true} {
+		k, effects := newTestCore(t)
+		k.startCall(clockAtStart, effects.newCall(k, "a", "card-read", clockAtStart, 400))
+		if len(effects.attempts) != 1 {
 			t.Fatal("not sent")
 		}
-		p.written[p.attempts[0]] = went
+		effects.written[effects.attempts[0]] = sent
 		k.runDue(clockAtStart + 460)
 		want := policy.NoConnection
-		if went {
+		if sent {
 			want = policy.NoAnswer
 		}
-		if k.counters.Outcomes[want] != 1 || p.deliveries["a"] != 1 {
-			t.Errorf("went %v: %+v", went, k.counters)
+		if k.counters.Outcomes[want] != 1 || effects.deliveries["a"] != 1 {
+			t.Errorf("went %v: %+v", sent, k.counters)
 		}
 	}
 }
 
 // What a whole list leaves out is gone, in the module too.
 func TestFullListRemovesMissingServers(t *testing.T) {
-	k, p := newTestCore(t)
+	k, effects := newTestCore(t)
 	k.updateServers(clockAtStart+1, ServerList{Seq: 2, Full: true, Entries: []ServerEntry{{Host: "s2", Address: "x:3", ShardIndex: 0, Health: "active"}}}, false)
-	if len(k.servers) != 1 || len(p.removedHosts) != 2 || p.removedHosts[0] != "s0" || p.removedHosts[1] != "s1" {
-		t.Errorf("held %v, retired %v", k.servers, p.removedHosts)
+	if len(k.servers) != 1 || len(effects.removedHosts) != 2 || effects.removedHosts[0] != "s0" || effects.removedHosts[1] != "s1" {
+		t.Errorf("held %v, retired %v", k.servers, effects.removedHosts)
 	}
-	k.startCall(clockAtStart+2, p.newCall(k, "a", "card-read", clockAtStart+2, 400))
-	if len(p.attempts) != 1 || p.attempts[0].host != "s2" {
-		t.Errorf("sent %v", p.attempts)
+	k.startCall(clockAtStart+2, effects.newCall(k, "a", "card-read", clockAtStart+2, 400))
+	if len(effects.attempts) != 1 || effects.attempts[0].host != "s2" {
+		t.Errorf("sent %v", effects.attempts)
 	}
 }
 
 // Starts are put on the core's clock exactly, so that the same start is the same time.
 func TestStartTimeConversion(t *testing.T) {
 	k, _ := newTestCore(t)
-	for born, want := range map[int64]float64{0: 0, 1_000_000 + clockAtStart - 250: clockAtStart - 250, 10: 0} {
-		if got := k.startTime(ServerEntry{StartedMS: born}); got != want {
-			t.Errorf("%d: %v, want %v", born, got, want)
+	for startedMS, want := range map[int64]float64{0: 0, 1_000_000 + clockAtStart - 250: clockAtStart - 250, 10: 0} {
+		if got := k.startTime(ServerEntry{StartedMS: startedMS}); got != want {
+			t.Errorf("%d: %v, want %v", startedMS, got, want)
 		}
 	}
 }
@@ -152,23 +152,23 @@
 // keeps that time; at this process's own start a stamp of the future counts from now.
 func TestStartsWhereWallClocksWereStepped(t *testing.T) {
 	const hour = int64(3_600_000)
-	wall := int64(1_000_000 + clockAtStart)
+	wallClockMS := int64(1_000_000 + clockAtStart)
 	for _, step := range []int64{-hour, -5000, 0, 5000, hour} {
 		k, _ := newTestCore(t)
 		spy := &recordingPolicy{Scheduler: k.scheduler}
 		k.scheduler = spy
-		one := ServerEntry{Host: "s9", Address: "x:9", ShardIndex: 0, Health: "active", StartedMS: wall + step}
-		k.updateServers(clockAtStart+10, ServerList{Seq: 1, Entries: []ServerEntry{one}}, false)
+		entry := ServerEntry{Host: "s9", Address: "x:9", ShardIndex: 0, Health: "active", StartedMS: wallClockMS + step}
+		k.updateServers(clockAtStart+10, ServerList{Seq: 1, Entries: []ServerEntry{entry}}, false)
 		if got := spy.lastNodes[0].Started; got > clockAtStart+10 || step <= 0 && got != max(float64(clockAtStart+step), 0) {
 			t.Errorf("step %d: the first list's start is %v", step, got-clockAtStart)
 		}
-		one.StartedMS++
-		k.updateServers(clockAtStart+5000, ServerList{Seq: 2, Entries: []ServerEntry{one}}, false)
+		entry.StartedMS++
+		k.updateServers(clockAtStart+5000, ServerList{Seq: 2, Entries: []ServerEntry{entry}}, false)
 		if got := spy.lastNodes[0].Started; got != clockAtStart+5000 {
 			t.Errorf("step %d: a start in service is at %v", step, got-clockAtStart)
 		}
-		one.Health = "leaving"
-		k.updateServers(clockAtStart+9000, ServerList{Seq: 3, Entries: []ServerEntry{one}}, false)
+		entry.Health = "leaving"
+		k.updateServers(clockAtStart+9000, ServerList{Seq: 3, Entries: []ServerEntry{entry}}, false)
 		if got := spy.lastNodes[0].Started; got != clockAtStart+5000 {
 			t.Errorf("step %d: it has moved to %v", step, got-clockAtStart)
 		}
@@ -177,11 +177,11 @@
 
 // The last ids are known, and no more than that are held.
 func TestIDHistoryIsBounded(t *testing.T) {
-	var r idHistory
+	var history idHistory
 	for i := range 3 * idHistorySize {
-		r.add(fmt.Sprint(i))
+		history.add(fmt.Sprint(i))
 	}
-	if len(r.set) != idHistorySize || !r.contains(fmt.Sprint(3*idHistorySize-1)) || !r.contains(fmt.Sprint(2*idHistorySize)) || r.contains(fmt.Sprint(2*idHistorySize-1)) {
-		t.Errorf("%d held", len(r.set))
+	if len(history.set) != idHistorySize || !history.contains(fmt.Sprint(3*idHistorySize-1)) || !history.contains(fmt.Sprint(2*idHistorySize)) || history.contains(fmt.Sprint(2*idHistorySize-1)) {
+		t.Errorf("%d held", len(history.set))
 	}
 }
--- a/internal/control/scheduler/largelist_test.go
+++ b/internal/control/scheduler/largelist_test.go
@@ -8,45 +8,45 @@
 	"merlinhitch/policy"
 )
 
-func makeServerList(n int, health string) ServerList {
-	l := ServerList{Seq: 1, Full: true}
-	for i := range n {
-		l.Entries = append(l.Entries, ServerEntry{Host: fmt.Sprintf("s-%08x", i*2654435761%(1<<32)), Address: fmt.Sprintf("10.1.%d.%d:5000", i/250, i%250), Site: "hall-a", ShardIndex: i, Health: health, Share: 1, StartedMS: 1764691200000})
+func makeServerList(count int, health string) ServerList {
+	list := ServerList{Seq: 1, Full: true}
+	for i := range count {
+		list.Entries = append(list.Entries, ServerEntry{Host: fmt.Sprintf("s-%08x", i*2654435761%(1<<32)), Address: fmt.Sprintf("10.1.%d.%d:5000", i/250, i%250), Site: "hall-a", ShardIndex: i, Health: health, Share: 1, StartedMS: 1764691200000})
 	}
-	return l
+	return list
 }
 
 // What a whole list of 3,200 disk servers costs to read, and to take where all is known:
 // go test -run xxx -bench List ./scheduler
 func BenchmarkLargeList(b *testing.B) {
-	l := makeServerList(3200, "active")
-	raw, err := json.MarshalIndent(l, "", "    ")
+	list := makeServerList(3200, "active")
+	encoded, err := json.MarshalIndent(list, "", "    ")
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Run("read", func(b *testing.B) {
-		b.SetBytes(int64(len(raw)))
+		b.SetBytes(int64(len(encoded)))
 		for b.Loop() {
-			var m objectReader
-			for rest := raw; ; {
-				n, what, err := m.next(rest)
+			var reader objectReader
+			for rest := encoded; ; {
+				n, item, err := reader.next(rest)
 				if err != nil {
 					b.Fatal(err)
 				}
-				if rest = rest[n:]; what == itemObject {
+				if rest = rest[n:]; item == itemObject {
 					break
 				}
 			}
-			if _, err := parseServerList(m.bytes()); err != nil {
+			if _, err := parseServerList(reader.bytes()); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
 	b.Run("known", func(b *testing.B) {
 		k, _ := newTestCore(b)
-		k.updateServers(k.now, l, false)
+		k.updateServers(k.now, list, false)
 		for b.Loop() {
-			k.updateServers(k.now, l, false)
+			k.updateServers(k.now, list, false)
 		}
 	})
 }
@@ -57,24 +57,24 @@
 	k, _ := newTestCore(t)
 	spy := &recordingPolicy{Scheduler: k.scheduler}
 	k.scheduler = spy
-	l := makeServerList(40, "active")
-	k.updateServers(k.now, l, false)
+	list := makeServerList(40, "active")
+	k.updateServers(k.now, list, false)
 	if n := len(spy.lastNodes); n != 42 { // the two of before are gone
 		t.Errorf("%d of the first list", n)
 	}
-	k.updateServers(k.now, l, false)
+	k.updateServers(k.now, list, false)
 	if n := len(spy.lastNodes); n != 0 {
 		t.Errorf("%d of the same list again", n)
 	}
-	drained := l.Entries[7]
+	drained := list.Entries[7]
 	drained.Health = "leaving"
-	k.updateServers(k.now, ServerList{Seq: 2, Entries: []ServerEntry{drained, l.Entries[7], l.Entries[8]}}, false)
+	k.updateServers(k.now, ServerList{Seq: 2, Entries: []ServerEntry{drained, list.Entries[7], list.Entries[8]}}, false)
 	if n := len(spy.lastNodes); n != 2 || spy.lastNodes[0].Health != policy.Draining || spy.lastNodes[1].Health != policy.Ready {
 		t.Error(spy.lastNodes)
 	}
-	short := ServerList{Seq: 3, Full: true, Entries: append([]ServerEntry{l.Entries[0]}, l.Entries[:39]...)}
-	k.updateServers(k.now, short, false)
-	if n := len(spy.lastNodes); n != 1 || spy.lastNodes[0].Addr != l.Entries[39].Host || spy.lastNodes[0].Health != policy.Removed {
+	shortList := ServerList{Seq: 3, Full: true, Entries: append([]ServerEntry{list.Entries[0]}, list.Entries[:39]...)}
+	k.updateServers(k.now, shortList, false)
+	if n := len(spy.lastNodes); n != 1 || spy.lastNodes[0].Addr != list.Entries[39].Host || spy.lastNodes[0].Health != policy.Removed {
 		t.Error(spy.lastNodes)
 	}
 	if len(k.servers) != 39 {
@@ -88,30 +88,30 @@
 	lastNodes []policy.Node
 }
 
-func (s *recordingPolicy) Handle(now float64, ev policy.Event) []policy.Action {
-	if l, ok := ev.(policy.NodeList); ok {
-		s.lastNodes = l.Nodes
+func (s *recordingPolicy) Handle(now float64, event policy.Event) []policy.Action {
+	if list, ok := event.(policy.NodeList); ok {
+		s.lastNodes = list.Nodes
 	}
-	return s.Scheduler.Handle(now, ev)
+	return s.Scheduler.Handle(now, event)
 }
 
 // The whole list of the largest fleet is read, however it is indented.
 func TestLargestListIsRead(t *testing.T) {
-	raw, err := json.MarshalIndent(makeServerList(3200, "active"), "", "        ")
+	encoded, err := json.MarshalIndent(makeServerList(3200, "active"), "", "        ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m objectReader
-	for rest := raw; len(rest) > 0; {
-		n, what, err := m.next(rest)
+	var reader objectReader
+	for rest := encoded; len(rest) > 0; {
+		n, item, err := reader.next(rest)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if rest = rest[n:]; what == itemObject {
+		if rest = rest[n:]; item == itemObject {
 			break
 		}
 	}
-	if l, err := parseServerList(m.bytes()); err != nil || len(l.Entries) != 3200 {
-		t.Errorf("%d bytes: %d entries, %v", len(raw), len(l.Entries), err)
+	if list, err := parseServerList(reader.bytes()); err != nil || len(list.Entries) != 3200 {
+		t.Errorf("%d bytes: %d entries, %v", len(encoded), len(list.Entries), err)
 	}
 }
--- a/internal/control/scheduler/list_test.go
+++ b/internal/control/scheduler/list_test.go
@@ -12,58 +12,58 @@
 
 // An entry that cannot be right costs itself alone.
 func TestInvalidListEntries(t *testing.T) {
-	right := entryJSON("b", "x:2", stateActive, 1)
-	for name, tt := range map[string]struct {
-		entries   []string
-		want      string // states of a and b
-		faults    int
-		malformed bool
+	valid := entryJSON("b", "x:2", stateActive, 1)
+	for name, tc := range map[string]struct {
+		entries       []string
+		wantStates    string // states of a and b
+		wantFaults    int
+		wantMalformed bool
 	}{
-		"all right":               {[]string{entryJSON("a", "x:1", stateActive, 0), right}, "active active", 0, false},
-		"no name":                 {[]string{entryJSON("", "x:1", stateActive, 0), right}, " active", 1, true},
-		"unknown state":           {[]string{entryJSON("a", "x:1", "resting", 0), right}, "leaving active", 1, true},
-		"no state":                {[]string{`{"host":"a"}`, right}, "leaving active", 1, true},
-		"twice the same":          {[]string{entryJSON("a", "x:1", stateActive, 0), right, entryJSON("a", "x:1", stateActive, 0)}, "active active", 1, false},
-		"leaving, then active":    {[]string{entryJSON("a", "x:1", stateLeaving, 0), right, entryJSON("a", "x:1", stateActive, 0)}, "leaving active", 1, false},
-		"active, then left":       {[]string{entryJSON("a", "x:1", stateActive, 0), entryJSON("a", "x:1", stateLeft, 0), right}, "left active", 1, false},
-		"three times, one leaves": {[]string{entryJSON("a", "x:1", stateActive, 0), entryJSON("a", "x:1", stateLeaving, 0), entryJSON("a", "x:1", stateActive, 0), right}, "leaving active", 2, false},
+		"all right":               {[]string{entryJSON("a", "x:1", stateActive, 0), valid}, "active active", 0, false},
+		"no name":                 {[]string{entryJSON("", "x:1", stateActive, 0), valid}, " active", 1, true},
+		"unknown state":           {[]string{entryJSON("a", "x:1", "resting", 0), valid}, "leaving active", 1, true},
+		"no state":                {[]string{`{"host":"a"}`, valid}, "leaving active", 1, true},
+		"twice the same":          {[]string{entryJSON("a", "x:1", stateActive, 0), valid, entryJSON("a", "x:1", stateActive, 0)}, "active active", 1, false},
+		"leaving, then active":    {[]string{entryJSON("a", "x:1", stateLeaving, 0), valid, entryJSON("a", "x:1", stateActive, 0)}, "leaving active", 1, false},
+		"active, then left":       {[]string{entryJSON("a", "x:1", stateActive, 0), entryJSON("a", "x:1", stateLeft, 0), valid}, "left active", 1, false},
+		"three times, one leaves": {[]string{entryJSON("a", "x:1", stateActive, 0), entryJSON("a", "x:1", stateLeaving, 0), entryJSON("a", "x:1", stateActive, 0), valid}, "leaving active", 2, false},
 	} {
-		l, err := parseServerList([]byte(fullListJSON(3, tt.entries...)))
-		state := map[string]string{}
-		for _, e := range l.Entries {
-			if _, twice := state[e.Host]; twice || e.Host == "" {
-				t.Errorf("%s: %+v", name, l.Entries)
+		list, err := parseServerList([]byte(fullListJSON(3, tc.entries...)))
+		states := map[string]string{}
+		for _, e := range list.Entries {
+			if _, duplicate := states[e.Host]; duplicate || e.Host == "" {
+				t.Errorf("%s: %+v", name, list.Entries)
 			}
-			state[e.Host] = e.Health
+			states[e.Host] = e.Health
 		}
-		if got := state["a"] + " " + state["b"]; err != nil || got != tt.want || len(l.faults) != tt.faults || l.malformed != tt.malformed {
-			t.Errorf("%s: %q, %+v, doubtful %v, %v", name, got, l.faults, l.malformed, err)
+		if got := states["a"] + " " + states["b"]; err != nil || got != tc.wantStates || len(list.faults) != tc.wantFaults || list.malformed != tc.wantMalformed {
+			t.Errorf("%s: %q, %+v, doubtful %v, %v", name, got, list.faults, list.malformed, err)
 		}
 	}
 }
 
 // Of a server that is named twice at another address the later entry counts.
 func TestLaterDuplicateEntryCounts(t *testing.T) {
-	l, err := parseServerList([]byte(fullListJSON(3, entryJSON("a", "x:1", stateActive, 0), entryJSON("a", "x:2", stateActive, 0))))
-	if err != nil || len(l.Entries) != 1 || l.Entries[0].Address != "x:2" {
-		t.Errorf("%+v, %v", l.Entries, err)
+	list, err := parseServerList([]byte(fullListJSON(3, entryJSON("a", "x:1", stateActive, 0), entryJSON("a", "x:2", stateActive, 0))))
+	if err != nil || len(list.Entries) != 1 || list.Entries[0].Address != "x:2" {
+		t.Errorf("%+v, %v", list.Entries, err)
 	}
 }
 
 // Each wrong entry has its line in the log, and the others are served.
 func TestInvalidEntriesAreLogged(t *testing.T) {
-	k, p := newTestCore(t)
-	logged, lines := observer.New(zap.InfoLevel)
-	k.log = newEventLog(zap.New(logged))
-	stamped := fmt.Sprintf(`{"host":"s3","dial":"x:5","block":0,"health":"active","born_ms":%d}`, k.zeroUnixMS+clockAtStart+3_600_000)
-	l, err := parseServerList([]byte(fullListJSON(2, entryJSON("s0", "x:1", stateActive, 0), entryJSON("s0", "x:1", stateActive, 0),
-		entryJSON("s1", "x:2", "resting", 1), entryJSON("s2", "x:4", stateActive, 1_000_000), entryJSON("s4", "x:6", stateActive, -3), stamped)))
+	k, effects := newTestCore(t)
+	logCore, logs := observer.New(zap.InfoLevel)
+	k.log = newEventLog(zap.New(logCore))
+	futureEntry := fmt.Sprintf(`{"host":"s3","dial":"x:5","block":0,"health":"active","born_ms":%d}`, k.zeroUnixMS+clockAtStart+3_600_000)
+	list, err := parseServerList([]byte(fullListJSON(2, entryJSON("s0", "x:1", stateActive, 0), entryJSON("s0", "x:1", stateActive, 0),
+		entryJSON("s1", "x:2", "resting", 1), entryJSON("s2", "x:4", stateActive, 1_000_000), entryJSON("s4", "x:6", stateActive, -3), futureEntry)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.updateServers(clockAtStart+1, l, false)
+	k.updateServers(clockAtStart+1, list, false)
 	var faults []string
-	for _, line := range lines.FilterMessage("entry of the list is wrong").All() {
+	for _, line := range logs.FilterMessage("entry of the list is wrong").All() {
 		faults = append(faults, line.ContextMap()["fault"].(string))
 	}
 	for _, want := range []string{"is named twice", `has the unknown state "resting"`, "holds shard 1000000, outside the 2 shards of the settings",
@@ -73,16 +73,16 @@
 		}
 	}
 	for i, shard := range []int{0, -1, -1, -1} {
-		c := p.newCall(k, fmt.Sprint(i), "card-read", clockAtStart+2, 400)
+		c := effects.newCall(k, fmt.Sprint(i), "card-read", clockAtStart+2, 400)
 		c.req.Shard = shard
 		k.startCall(clockAtStart+2, c)
 	}
-	for _, a := range p.attempts {
+	for _, a := range effects.attempts {
 		if a.host != "s0" && a.host != "s3" {
 			t.Error("sent to", a.host)
 		}
 	}
-	if len(p.attempts) == 0 {
+	if len(effects.attempts) == 0 {
 		t.Error("nothing was served")
 	}
 }
@@ -90,52 +90,52 @@
 // A number of shards that cannot be one is not known: the list's shards are served, and what
 // a client can have kept in memory stays bounded.
 func TestShardCountValidation(t *testing.T) {
-	for number, named := range map[int]int{-1: 0, 0: 0, 1: 1, maxShards: maxShards, maxShards + 1: 0, 1_000_000: 0} {
-		raw := strings.Replace(testConfig("a:1", "b:1", fullListJSON(1, entryJSON("s0", "x:1", stateActive, 0))), `"slots_total":2`, fmt.Sprintf(`"slots_total":%d`, number), 1)
-		c, err := ParseConfig([]byte(raw), func(string) string { return "" })
+	for configured, wantShards := range map[int]int{-1: 0, 0: 0, 1: 1, maxShards: maxShards, maxShards + 1: 0, 1_000_000: 0} {
+		configJSON := strings.Replace(testConfig("a:1", "b:1", fullListJSON(1, entryJSON("s0", "x:1", stateActive, 0))), `"slots_total":2`, fmt.Sprintf(`"slots_total":%d`, configured), 1)
+		config, err := ParseConfig([]byte(configJSON), func(string) string { return "" })
 		if err != nil {
-			t.Fatal(number, err)
+			t.Fatal(configured, err)
 		}
-		if c.Settings.Shards != named || (len(c.Ignored) > 0) != (named == 0) {
-			t.Errorf("%d: %d, %v", number, c.Settings.Shards, c.Ignored)
+		if config.Settings.Shards != wantShards || (len(config.Ignored) > 0) != (wantShards == 0) {
+			t.Errorf("%d: %d, %v", configured, config.Settings.Shards, config.Ignored)
 		}
-		bound := maxShards
-		if named > 0 {
-			bound = named
+		wantLimit := maxShards
+		if wantShards > 0 {
+			wantLimit = wantShards
 		}
-		if got := newRequestParser(&c.Settings).shardCount; got != bound {
-			t.Errorf("%d: requests may name %d shards", number, got)
+		if got := newRequestParser(&config.Settings).shardCount; got != wantLimit {
+			t.Errorf("%d: requests may name %d shards", configured, got)
 		}
-		p := &fakeEffects{written: map[*attempt]bool{}, deliveries: map[string]int{}}
-		k := newCore(1_000_000, c, p)
-		k.start(c.Known)
-		if k.startCall(clockAtStart+1, p.newCall(k, "a", "card-read", clockAtStart+1, 400)); len(p.attempts) != 1 {
-			t.Errorf("%d: nothing was sent", number)
+		effects := &fakeEffects{written: map[*attempt]bool{}, deliveries: map[string]int{}}
+		k := newCore(1_000_000, config, effects)
+		k.start(config.Known)
+		if k.startCall(clockAtStart+1, effects.newCall(k, "a", "card-read", clockAtStart+1, 400)); len(effects.attempts) != 1 {
+			t.Errorf("%d: nothing was sent", configured)
 		}
 	}
 }
 
 // A server whose shard comes with other settings is served from then on.
 func TestReloadAddsShards(t *testing.T) {
-	k, p := newTestCore(t)
+	k, effects := newTestCore(t)
 	k.updateServers(clockAtStart+1, ServerList{Seq: 2, Entries: []ServerEntry{{Host: "s9", Address: "x:9", ShardIndex: 9, Health: stateActive}}}, false)
-	ask := func(id string) {
-		c := p.newCall(k, id, "card-read", k.now, 400)
+	submit := func(id string) {
+		c := effects.newCall(k, id, "card-read", k.now, 400)
 		c.req.Shard = 9
 		k.startCall(k.now, c)
 	}
-	if ask("a"); len(p.attempts) != 0 {
+	if submit("a"); len(effects.attempts) != 0 {
 		t.Error("sent to a server of no shard")
 	}
-	c, err := ParseConfig([]byte(strings.Replace(testConfig("a:1", "b:1", fullListJSON(1)), `"slots_total":2`, `"slots_total":10`, 1)), func(string) string { return "" })
+	config, err := ParseConfig([]byte(strings.Replace(testConfig("a:1", "b:1", fullListJSON(1)), `"slots_total":2`, `"slots_total":10`, 1)), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.updateSettings(clockAtStart+2, c.Settings)
-	if ask("b"); len(p.attempts) == 0 {
+	k.updateSettings(clockAtStart+2, config.Settings)
+	if submit("b"); len(effects.attempts) == 0 {
 		t.Error("not served after the reload")
 	}
-	for _, a := range p.attempts {
+	for _, a := range effects.attempts {
 		if a.host != "s9" {
 			t.Error("sent to", a.host)
 		}
--- a/internal/control/scheduler/serverconn_test.go
+++ b/internal/control/scheduler/serverconn_test.go
@@ -23,39 +23,39 @@
 }
 
 // startRawDiskServer serves each request with its id as body, on connections that the test can reach.
-func startRawDiskServer(t *testing.T, sc *harness) *rawDiskServer {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func startRawDiskServer(t *testing.T, h *harness) *rawDiskServer {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &rawDiskServer{listener: l}
+	server := &rawDiskServer{listener: listener}
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			d.mu.Lock()
-			d.conns = append(d.conns, c)
-			d.mu.Unlock()
-			go d.serve(c)
+			server.mu.Lock()
+			server.conns = append(server.conns, conn)
+			server.mu.Unlock()
+			go server.serve(conn)
 		}
 	}()
-	sc.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", l.Addr().String(), "active", 0)))
-	sc.waitFor("the list", sc.coreCondition(func(k *core) bool { return k.servers["s0"].Address == l.Addr().String() }))
-	return d
+	h.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", listener.Addr().String(), "active", 0)))
+	h.waitFor("the list", h.coreCondition(func(k *core) bool { return k.servers["s0"].Address == listener.Addr().String() }))
+	return server
 }
 
-func (d *rawDiskServer) serve(c net.Conn) {
-	defer c.Close()
-	br := bufio.NewReader(c)
+func (d *rawDiskServer) serve(conn net.Conn) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
 	for {
-		r, err := http1.ReadRequest(br, messageLimits)
+		request, err := http1.ReadRequest(reader, messageLimits)
 		if err != nil {
 			return
 		}
-		id := r.Fields.Get("request-id")
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
+		id := request.Fields.Get("request-id")
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 	}
 }
 
@@ -69,39 +69,39 @@
 	d.listener.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, c := range d.conns {
-		c.Close()
+	for _, conn := range d.conns {
+		conn.Close()
 	}
 }
 
 // What comes on a connection to a disk server before the next request is written, bytes or
 // its end, is never taken for that request's answer and costs it no attempt.
 func TestUnexpectedInputOnIdleConnection(t *testing.T) {
-	for name, do := range map[string]func(c net.Conn){
-		"a second copy":  func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale") },
-		"half a line":    func(c net.Conn) { io.WriteString(c, "HTTP/1.1 2") },
-		"its end":        func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
-		"a reset":        func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
-		"a copy and end": func(c net.Conn) { io.WriteString(c, ok200); c.Close() },
+	for name, disturb := range map[string]func(c net.Conn){
+		"a second copy":  func(conn net.Conn) { io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale") },
+		"half a line":    func(conn net.Conn) { io.WriteString(conn, "HTTP/1.1 2") },
+		"its end":        func(conn net.Conn) { conn.(*net.TCPConn).CloseWrite() },
+		"a reset":        func(conn net.Conn) { conn.(*net.TCPConn).SetLinger(0); conn.Close() },
+		"a copy and end": func(conn net.Conn) { io.WriteString(conn, ok200); conn.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
-				d := startRawDiskServer(t, sc)
-				defer d.close()
-				p := sc.connect()
+			runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
+				diskServer := startRawDiskServer(t, h)
+				defer diskServer.close()
+				client := h.connect()
 				for i := range 3 {
-					got := p.roundTrip(sc.getRequest())
-					if want := fmt.Sprintf("%016x", sc.requestCount); got.status != 200 || got.body != want {
+					got := client.roundTrip(h.getRequest())
+					if want := fmt.Sprintf("%016x", h.requestCount); got.status != 200 || got.body != want {
 						t.Fatalf("request %d: %+v, want %s", i, got, want)
 					}
-					sc.waitFor("the connection is free", sc.coreCondition(func(k *core) bool {
-						s := sc.scheduler.pool.servers["s0"]
-						return len(s.idle) == 1 && s.expectedConns == 0
+					h.waitFor("the connection is free", h.coreCondition(func(k *core) bool {
+						server := h.scheduler.pool.servers["s0"]
+						return len(server.idle) == 1 && server.expectedConns == 0
 					}))
-					do(d.conn(i))
+					disturb(diskServer.conn(i))
 				}
-				if c := sc.counters(); c.Sends != 3 || c.Outcomes[policy.Served] != 3 {
-					t.Errorf("%+v", c)
+				if counters := h.counters(); counters.Sends != 3 || counters.Outcomes[policy.Served] != 3 {
+					t.Errorf("%+v", counters)
 				}
 			})
 		})
@@ -110,19 +110,19 @@
 
 // An answer up to the close is whole where its connection ends cleanly; a reset is no end.
 func TestResponsesDelimitedByClose(t *testing.T) {
-	const raw = "HTTP/1.1 200 OK\r\n\r\nhi"
+	const response = "HTTP/1.1 200 OK\r\n\r\nhi"
 	for _, reset := range []bool{false, true} {
-		do := func(a standin.HTTPAsk) standin.HTTPAnswer {
-			if a.Conn > 0 {
+		respond := func(request standin.HTTPAsk) standin.HTTPAnswer {
+			if request.Conn > 0 {
 				return standin.HTTPAnswer{Raw: []byte(ok200)}
 			}
-			return standin.HTTPAnswer{Raw: []byte(raw), Close: !reset, Reset: reset}
+			return standin.HTTPAnswer{Raw: []byte(response), Close: !reset, Reset: reset}
 		}
-		runOnSockets(t, nil, do, func(sc *harness, h *hookedEnv) {
-			got := sc.connect().roundTrip(strings.Replace(sc.getRequest(), "0.480", "1.900", 1))
-			c := sc.counters()
-			if got.status != 200 || got.body != "hi" || reset != (c.Sends == 2) || reset != (c.Outcomes[policy.ConnectionLost] == 1) {
-				t.Errorf("reset %v: %+v, %+v", reset, got, c)
+		runOnSockets(t, nil, respond, func(h *harness, hooks *hookedEnv) {
+			got := h.connect().roundTrip(strings.Replace(h.getRequest(), "0.480", "1.900", 1))
+			counters := h.counters()
+			if got.status != 200 || got.body != "hi" || reset != (counters.Sends == 2) || reset != (counters.Outcomes[policy.ConnectionLost] == 1) {
+				t.Errorf("reset %v: %+v, %+v", reset, got, counters)
 			}
 		})
 	}
@@ -130,28 +130,28 @@
 
 // The answer to who sent more than is read comes before the close, not a reset.
 func TestAnswersComeBeforeTheClose(t *testing.T) {
-	for name, raw := range map[string]string{
+	for name, request := range map[string]string{
 		"unreadable":   "nonsense\r\n\r\n" + strings.Repeat("x", 60<<10),
 		"wrong class":  "GET /nothing/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\n\r\n" + strings.Repeat("x", 60<<10),
 		"asked to end": "GET /up HTTP/1.1\r\nConnection: close\r\n\r\n" + strings.Repeat("x", 60<<10),
 	} {
 		t.Run(name, func(t *testing.T) {
-			runOnSockets(t, nil, respondWith(ok200), func(sc *harness, h *hookedEnv) {
-				ended := sc.newGate()
-				sc.setAcceptHook(h, func(c net.Conn) net.Conn {
-					return &closeNotifyConn{c.(*net.TCPConn), ended, &env.Gate{}}
+			runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
+				writeClosed := h.newGate()
+				h.setAcceptHook(hooks, func(conn net.Conn) net.Conn {
+					return &closeNotifyConn{conn.(*net.TCPConn), writeClosed, &env.Gate{}}
 				})
-				p := sc.connect()
-				defer p.conn.Close()
-				if _, err := io.WriteString(p.conn, raw); err != nil {
+				client := h.connect()
+				defer client.conn.Close()
+				if _, err := io.WriteString(client.conn, request); err != nil {
 					t.Fatal(err)
 				}
-				sc.waitFor("the end", ended.Opened) // only then does the client look
-				got := p.readResponse(0)
+				h.waitFor("the end", writeClosed.Opened) // only then does the client look
+				got := client.readResponse(0)
 				if got.status == 0 || !got.closeConn {
 					t.Errorf("%+v", got)
 				}
-				if _, err := p.reader.ReadByte(); err != io.EOF {
+				if _, err := client.reader.ReadByte(); err != io.EOF {
 					t.Error("no clean end behind the answer:", err)
 				}
 			})
