--- a/internal/control/scheduler/connectionends_test.go
+++ b/internal/control/scheduler/connectionends_test.go
@@ -44,12 +44,12 @@
 		t.Run(name, func(t *testing.T) {
 			runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
 				var sender *testClient
-				written := h.newGate()
+				sent := h.newGate()
 				h.setAcceptHook(hooks, func(conn net.Conn) net.Conn {
 					return &timeoutHookConn{conn.(*net.TCPConn), func() {
-						if !written.Opened() {
+						if !sent.Opened() {
 							io.WriteString(sender.conn, h.getRequest())
-							written.Open()
+							sent.Open()
 						}
 					}}
 				})
@@ -69,7 +69,7 @@
 				if got := sender.readResponse(0); got.status != 200 || got.closeConn != (name == "stop") {
 					t.Errorf("got %+v, want status 200, and closeConn only at a stop", got)
 				}
-				if !written.Opened() {
+				if !sent.Opened() {
 					t.Error("read did not time out, so no request was sent during the close")
 				}
 			})
@@ -132,7 +132,7 @@
 			t.Errorf("got %+v, want status 200; counters %+v, want one attempt and no failed one", got, c)
 		}
 		if mu.Lock(); refusalsLeft >= 0 {
-			t.Errorf("%d of 5 failing accepts were not called", refusalsLeft)
+			t.Errorf("%d of the 5 failing accepts are left, want all used and a later accept to succeed", refusalsLeft)
 		}
 		mu.Unlock()
 		if !errors.Is(errNoDescriptors, syscall.EMFILE) {
--- a/internal/control/scheduler/faultscenario_test.go
+++ b/internal/control/scheduler/faultscenario_test.go
@@ -21,9 +21,9 @@
 	"merlinhitch/internal/simulation/world"
 )
 
-// This file runs a scheduler against clients, disk servers and a discovery service with many kinds
-// of faults. Each of them records what it sends and receives, and the trace is checked against rules
-// that hold from end to end.
+// The tests in this file run a scheduler against clients, disk servers and a discovery service with
+// many kinds of faults. Each of these records what it sends or receives, and the trace is checked
+// against rules that must hold from end to end.
 
 // traceKind is the kind of a traceEvent.
 type traceKind string
@@ -62,19 +62,19 @@
 		found = append(found, fmt.Sprintf("%s %s at %s: %s", e.kind, e.id, e.occurredAt, description))
 	}
 	byID := map[string][]traceEvent{}
-	leaving := map[string]time.Duration{}
+	announcements := map[string]time.Duration{}
 	for _, e := range trace {
 		byID[e.id] = append(byID[e.id], e)
 		if e.kind == drainAnnounced {
-			leaving[e.server] = e.occurredAt
+			announcements[e.server] = e.occurredAt
 		}
-		if announcedAt, draining := leaving[e.server]; draining && e.kind == attemptReceived && e.occurredAt > announcedAt+r.drainGrace+r.slack {
+		if announcedAt, draining := announcements[e.server]; draining && e.kind == attemptReceived && e.occurredAt > announcedAt+r.drainGrace+r.slack {
 			report(e, "sent to a draining disk server")
 		}
 	}
-	for id, es := range byID {
+	for id, events := range byID {
 		if id != "" {
-			r.checkRequest(es, report)
+			r.checkRequest(events, report)
 		}
 	}
 	return found
@@ -324,7 +324,7 @@
 	return slices.ContainsFunc(s.trace, func(e traceEvent) bool { return e.id == id && e.kind == attemptReceived })
 }
 
-// removeRequest removes a request that the scheduler cannot have read from the trace.
+// removeRequest removes from the trace a request that the scheduler cannot have read.
 func (s *faultScenario) removeRequest(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -424,8 +424,8 @@
 	return &faultScenario{environment: e, seed: seed, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// check fails the test for violations in the trace, and if the trace has too few events of a kind to
-// show anything.
+// check fails the test for each violation in the trace, and for too few events of a kind, since the
+// rules would then be checked against almost nothing.
 func (s *faultScenario) check(t *testing.T) {
 	t.Helper()
 	slices.SortStableFunc(s.trace, func(a, b traceEvent) int { return cmp.Compare(a.occurredAt, b.occurredAt) })
--- a/internal/control/scheduler/harness_test.go
+++ b/internal/control/scheduler/harness_test.go
@@ -30,9 +30,9 @@
 "safety":{"answer_slack_ms":8,"stop_sending_within_ms":500},
 "extra":{"unit_mean":2,"largest":6,"slots_total":2}}`
 
-func testConfig(listen, discovery, known string) string {
+func testConfig(listenAddr, discoveryAddr, knownList string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
-"limits":{"cores":1,"memory_mb":64,"sockets":64},"known":%s,"settings":%s}`, listen, discovery, known, testSettings)
+"limits":{"cores":1,"memory_mb":64,"sockets":64},"known":%s,"settings":%s}`, listenAddr, discoveryAddr, knownList, testSettings)
 }
 
 func fullListJSON(seq int, entries ...string) string {
--- a/internal/control/scheduler/hookedenv_test.go
+++ b/internal/control/scheduler/hookedenv_test.go
@@ -21,7 +21,7 @@
 	mu             sync.Mutex
 	diskAddr       string                  // only dials to this address are hooked
 	dialCount      int                     // hooked dials so far
-	onDial         func(n int) error       // called for the n-th hooked dial, from 0; an error fails the dial
+	onDial         func(index int) error   // called for each hooked dial with its index; an error fails the dial
 	wrapServerConn func(net.Conn) net.Conn // replaces hooked connections; nil: none is replaced
 	onAccept       func(net.Conn) net.Conn // replaces accepted connections before Accept returns; nil: none is replaced
 	acceptError    func() error            // called before Accept; an error fails it
@@ -51,7 +51,7 @@
 
 // setDialHook makes hook run for each dial to the disk server, after the real dial and before Dial
 // returns; nil removes the hook.
-func (e *hookedEnv) setDialHook(hook func(n int) error) {
+func (e *hookedEnv) setDialHook(hook func(index int) error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.onDial = hook
--- a/internal/control/scheduler/permit_test.go
+++ b/internal/control/scheduler/permit_test.go
@@ -210,7 +210,7 @@
 	for left, want := range map[float64]string{8849.9: "8.849", 8850: "8.850", 1.9: "0.001", 0.2: "0.001"} {
 		a := &attempt{call: &call{forwardedRequest: forwardedRequest{method: "GET", target: "/"}}}
 		if got := string(a.encodeRequest(left)); !strings.Contains(got, "Request-Timeout: "+want+"\r\n") {
-			t.Errorf("%v ms left: got request %q", left, got)
+			t.Errorf("%v ms left: got request %q, want Request-Timeout in whole ms rounded down, at least 1 ms", left, got)
 		}
 	}
 }
