--- a/internal/control/gateway/command.go
+++ b/internal/control/gateway/command.go
@@ -35,7 +35,7 @@
 	class         *settings.Class
 	fence         uint64 // version of the reservations that it was judged by
 	fenceOutdated bool   // a disk server knows a later one
-	waitingAbort  *abortWait
+	abortWait     *abortWait
 	aborted       bool
 	unsentAborted bool
 }
@@ -210,9 +210,9 @@
 
 // abandon ends the command from the client's side; g, if any, hears when nothing
 // of it can take effect any more. Held: conn.mu.
-func (cmd *command) abandon(g *abortWait) {
+func (cmd *command) abandon(wait *abortWait) {
 	cmd.conn.frontend.host.post(event{kind: eventRun, run: func(h *core) {
-		cmd.waitingAbort, cmd.aborted = g, true
+		cmd.abortWait, cmd.aborted = wait, true
 		for _, j := range cmd.jobs {
 			h.abort(h.now, j)
 		}
@@ -374,12 +374,12 @@
 }
 
 func (cmd *command) notifyAbort() {
-	g := cmd.waitingAbort
-	cmd.waitingAbort = nil
-	if g == nil {
+	wait := cmd.abortWait
+	cmd.abortWait = nil
+	if wait == nil {
 		return
 	}
-	g.conn.mu.Lock()
-	defer g.conn.mu.Unlock()
-	g.commandDone()
+	wait.conn.mu.Lock()
+	defer wait.conn.mu.Unlock()
+	wait.commandDone()
 }
--- a/internal/control/gateway/reservations.go
+++ b/internal/control/gateway/reservations.go
@@ -347,24 +347,24 @@
 
 // reservationCommand is a PERSISTENT RESERVE command under way.
 type reservationCommand struct {
-	conn             *conn
-	task             *iscsi.Task
-	vol              *settings.Volume
-	expires          float64
-	req              reserve.Request
-	parameterBytes   int
-	stamp            uint64
-	swaps            int
-	mayBeApplied     bool   // an own change may have been made, or may still be,
-	uncertainVersion uint64 // to this version
+	conn           *conn
+	task           *iscsi.Task
+	vol            *settings.Volume
+	expires        float64
+	req            reserve.Request
+	parameterBytes int
+	stamp          uint64
+	swaps          int
+	mayBeApplied   bool   // an own change may have been made, or may still be,
+	baseVersion    uint64 // to this version
 	// Guarded by c.mu:
-	ended        bool
-	waitingAbort *abortWait // that waits for the end
+	ended     bool
+	abortWait *abortWait // that waits for the end
 }
 
 // abandon has an abort wait until the change is made, or certainly is not.
-func (p *reservationCommand) abandon(g *abortWait) {
-	p.waitingAbort = g
+func (p *reservationCommand) abandon(wait *abortWait) {
+	p.abortWait = wait
 	if p.ended {
 		p.notifyAbort()
 	}
@@ -372,12 +372,12 @@
 
 // notifyAbort tells an abort that waits, from a goroutine that holds no lock.
 func (p *reservationCommand) notifyAbort() {
-	if g := p.waitingAbort; g != nil {
-		p.waitingAbort = nil
+	if wait := p.abortWait; wait != nil {
+		p.abortWait = nil
 		p.conn.frontend.environment.AfterFunc(0, func() {
-			g.conn.mu.Lock()
-			defer g.conn.mu.Unlock()
-			g.commandDone()
+			wait.conn.mu.Lock()
+			defer wait.conn.mu.Unlock()
+			wait.commandDone()
 		})
 	}
 }
@@ -428,7 +428,7 @@
 	case p.mayBeApplied && state.Stamp == p.stamp:
 		p.succeed()
 		return
-	case p.mayBeApplied && state.Version != p.uncertainVersion:
+	case p.mayBeApplied && state.Version != p.baseVersion:
 		// Others have changed it since: whether this change came before theirs can't be
 		// told, and their state says nothing of it.
 		p.fail()
@@ -461,7 +461,7 @@
 	cache := p.conn.frontend.reservations
 	switch {
 	case answer == nil: // refused, failed or lost: it may have been made, or still be
-		p.mayBeApplied, p.uncertainVersion = true, fromVersion
+		p.mayBeApplied, p.baseVersion = true, fromVersion
 		fallthrough
 	case answer.Result != diskproto.OK:
 		cache.refresh(p.vol, p.expires, p.tryChange)
