--- a/internal/control/gateway/adminauth.go
+++ b/internal/control/gateway/adminauth.go
@@ -14,17 +14,19 @@
 	"merlinhitch/internal/control/settings"
 )
 
-// caller is at the other end of a call of the admin API.
+// caller is the authenticated sender of a request to the admin API.
 type caller struct {
 	name string
 	role keys.Role
 }
 
+// callerKey is the context key of the caller.
 type callerKey struct{}
 
+// socketUserKey is the context key of the socketUser.
 type socketUserKey struct{}
 
-// withSocketUser notes the user at the other end of a Unix socket.
+// withSocketUser adds the user of a Unix socket's peer process to the context.
 func withSocketUser(ctx context.Context, c net.Conn) context.Context {
 	if conn, ok := c.(*net.UnixConn); ok {
 		uid, known := peerUID(conn)
@@ -33,15 +35,17 @@
 	return ctx
 }
 
+// socketUser is the user of a Unix socket's peer process.
 type socketUser struct {
 	uid   uint32
 	known bool
 }
 
-// authorize finds out who calls and holds them to their role: whoever shows a certificate to
-// that in it, as of now and not only as of when the connection began; users of a Unix
-// socket and callers in clear from this machine to all, the first only if they are the
-// gateway's own user or root.
+// authorize identifies the caller and refuses requests that its role does not allow. The role is
+// that of the client certificate, which is checked at each request, not only when the
+// connection is made. Callers over a Unix socket, who must be root or the gateway's own user
+// where the system reports it, and over unencrypted TCP, which is served on loopback addresses
+// only, have the role Administer.
 func (g *Gateway) authorize(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requester, err := g.identify(r)
@@ -57,19 +61,21 @@
 			required = keys.Read
 		}
 		if !requester.role.May(required) {
-			settings.Reply(w, http.StatusForbidden, map[string]string{"error": fmt.Sprintf("%s has the role %q, this needs %q", requester.name, requester.role, required)})
+			settings.Reply(w, http.StatusForbidden, map[string]string{"error": fmt.Sprintf("%s has the role %q, the request needs %q", requester.name, requester.role, required)})
 			return
 		}
 		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), callerKey{}, requester)))
 	})
 }
 
+// identify returns the caller of a request. A name in the query parameter who is recorded as
+// claimed; with a certificate, it is ignored.
 func (g *Gateway) identify(r *http.Request) (caller, error) {
 	claimed := r.URL.Query().Get("who")
 	claimed = claimed[:min(len(claimed), maxClaimedNameBytes)]
 	if r.TLS != nil {
 		if len(r.TLS.PeerCertificates) == 0 {
-			return caller{}, errors.New("no certificate")
+			return caller{}, errors.New("no client certificate was presented")
 		}
 		certificate := r.TLS.PeerCertificates[0]
 		if err := g.cfg.Keys.Check(certificate); err != nil {
@@ -80,7 +86,7 @@
 	}
 	if user, unix := r.Context().Value(socketUserKey{}).(socketUser); unix {
 		if user.known && user.uid != 0 && int(user.uid) != os.Getuid() {
-			return caller{}, fmt.Errorf("uid %d is not the gateway's", user.uid)
+			return caller{}, fmt.Errorf("uid %d is neither root nor the gateway's user", user.uid)
 		}
 		name := fmt.Sprintf("uid %d", user.uid)
 		if claimed != "" {
@@ -94,10 +100,11 @@
 	return caller{"unnamed at " + r.RemoteAddr, keys.Administer}, nil
 }
 
-// maxClaimedNameBytes bounds a claimed name, in bytes.
+// maxClaimedNameBytes is the length to which a claimed name is cut.
 const maxClaimedNameBytes = 200
 
-// author is who calls, as the record has it.
+// author returns the caller as the author of a change of settings. Without the role Administer,
+// it may not change settings that hold secrets.
 func author(r *http.Request) settings.Author {
 	requester, _ := r.Context().Value(callerKey{}).(caller)
 	a := settings.Author{Who: requester.name}
@@ -107,8 +114,7 @@
 	return a
 }
 
-// reloadKeys reads the host's keys again and makes its connections anew, one by one as
-// each has nothing out.
+// reloadKeys serves POST /keys/reload.
 func (g *Gateway) reloadKeys(w http.ResponseWriter, r *http.Request) {
 	if err := g.ReloadKeys(); err != nil {
 		settings.Reply(w, http.StatusConflict, map[string]string{"error": err.Error()})
@@ -117,10 +123,11 @@
 	settings.Reply(w, http.StatusOK, map[string]string{"expires": g.cfg.Keys.Expires().UTC().Format("2006-01-02T15:04:05Z")})
 }
 
-// ReloadKeys reads the host's keys again. If they don't fit the old ones stay.
+// ReloadKeys reads the host's keys again and replaces each connection to a disk server once it has
+// no outstanding attempt. On an error the old keys stay in use.
 func (g *Gateway) ReloadKeys() error {
 	if g.cfg.Keys == nil {
-		return errors.New("gateway: it was started without keys")
+		return errors.New("gateway: keys cannot be reloaded: started without keys")
 	}
 	if err := g.cfg.Keys.Reload(); err != nil {
 		return err
@@ -135,7 +142,7 @@
 	return nil
 }
 
-// isLoopback tells whether an address is reached from this machine alone.
+// isLoopback reports whether an address can be reached from this machine only.
 func isLoopback(addr string) bool {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/control/gateway/command.go
+++ b/internal/control/gateway/command.go
@@ -14,33 +14,34 @@
 	"merlinhitch/policy"
 )
 
-// command is one SCSI command that needs disks: its parts, and what is gathered
-// for its one answer. Once it is at the host, its fields are the host goroutine's.
+// command is one SCSI command that accesses disk servers. It has one job for each of its parts and
+// collects their results for one response. Once the jobs are submitted, its fields belong to the
+// host's goroutine.
 type command struct {
 	conn          *conn
 	task          *iscsi.Task
 	jobs          []*job
 	firstJob      job
 	inlineJobs    [1]*job
-	unfinished    int // parts without an end
-	unsettled     int // parts of which something may still take effect
+	unfinished    int // jobs without a result
+	unsettled     int // jobs of which an attempt may still take effect
 	worstOutcome  jobOutcome
 	retryAfter    float64
 	miscompared   bool
 	data          []byte
-	dataBuffer    *[]byte // what data lies in, if it is borrowed
+	dataBuffer    *[]byte // pooled buffer that holds data; nil: data is not pooled
 	blockSize     int
-	reservedBytes int // bytes reserved for what it reads
+	reservedBytes int // memory reserved for the data that it reads
 	decoded       scsi.Outcome
 	class         *settings.Class
-	fence         uint64 // version of the reservations that it was judged by
-	fenceOutdated bool   // a disk server knows a later one
+	fence         uint64 // version of the reservations that permitted it
+	fenceOutdated bool   // a disk server knows a newer version
 	abortWait     *abortWait
 	aborted       bool
 	unsentAborted bool
 }
 
-// handleCommand turns a command with all its data into requests. Held: conn.mu.
+// handleCommand executes a command whose data has arrived completely. The caller holds conn.mu.
 func (c *conn) handleCommand(t *iscsi.Task) {
 	if c.unitAttention != nil && scsi.TakesAttention(t.CDB) {
 		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: c.unitAttention.Fixed()})
@@ -61,26 +62,26 @@
 	case decoded.IO == nil:
 		c.respond(t, iscsi.Answer{Data: decoded.Data, Out: decoded.Out})
 	case decoded.IO.Op == scsi.Flush && c.flushPermitted(v):
-		// Every write that was acknowledged is on its disk server already.
+		// Nothing is to be flushed: acknowledged writes are on their disk servers.
 		c.respond(t, iscsi.Answer{})
 	default:
 		c.startCommand(t, decoded)
 	}
 }
 
-// flushPermitted tells whether a flush needs no look at the reservations.
+// flushPermitted reports whether the cached reservations permit a flush.
 func (c *conn) flushPermitted(v *activeSettings) bool {
 	_, ok := c.frontend.reservations.check(c.currentUnit(v).volume.Name, c.nexus(), true)
 	return ok
 }
 
-// currentUnit is the session's unit as settings have it, nil if they have it here no more: its
-// commands are then answered as those of a unit that there isn't, while what was taken
-// before ends as it would have.
+// currentUnit returns the session's unit under the current settings, nil if they no longer have it
+// on this host. New commands are then answered as for a missing unit; commands accepted before
+// are completed.
 func (c *conn) currentUnit(v *activeSettings) *logicalUnit { return v.unitsByTarget[c.key.target] }
 
-// currentOrLoginUnit is the session's unit as settings have it or, if they don't, as they had it at its
-// login: for what was begun before.
+// currentOrLoginUnit returns the session's unit under the current settings, or as it was at the login
+// if they no longer have it, for commands accepted before.
 func (c *conn) currentOrLoginUnit(v *activeSettings) *logicalUnit {
 	if u := c.currentUnit(v); u != nil {
 		return u
@@ -90,15 +91,15 @@
 
 func (c *conn) respond(t *iscsi.Task, a iscsi.Answer) { c.session.Respond(t, a) }
 
-// startCommand hands the command's parts to the host core. Held: conn.mu.
+// startCommand submits a command. The caller holds conn.mu.
 func (c *conn) startCommand(t *iscsi.Task, decoded scsi.Outcome) {
 	if vol, class := c.submit(t, decoded); class != nil {
 		c.recheckReservations(t, decoded, vol, class, false)
 	}
 }
 
-// submit hands them over under the settings in force, or answers the command itself. It
-// returns a volume and a class where the reservations must be looked at first.
+// submit posts the command's jobs under the current settings, or answers the command itself. If the
+// cached reservations forbid it, submit does neither and returns the volume and the class.
 func (c *conn) submit(t *iscsi.Task, decoded scsi.Outcome) (*settings.Volume, *settings.Class) {
 	f := c.frontend
 	f.settingsMu.RLock()
@@ -127,7 +128,7 @@
 		cmd.reservedBytes = size
 	}
 	if !f.host.leaseValid() || int(f.openRequests.Load()) >= v.Limits.MaxOpen || !f.reserveMemory(cmd.reservedBytes) {
-		c.respond(t, iscsi.Answer{Status: scsi.Busy}) // not taken: nothing was sent
+		c.respond(t, iscsi.Answer{Status: scsi.Busy}) // not accepted: nothing was sent
 		return nil, nil
 	}
 	cmd.split(v, u.volume, class, io)
@@ -139,7 +140,7 @@
 	return nil, nil
 }
 
-// split makes one request for each run of blocks on one shard.
+// split adds one job for each run of blocks on one shard.
 func (cmd *command) split(v *activeSettings, vol *settings.Volume, class *settings.Class, io *scsi.IO) {
 	if io.Op == scsi.Unmap {
 		cmd.splitUnmap(v, vol, class, io)
@@ -164,7 +165,7 @@
 	}
 }
 
-// splitUnmap gathers the runs of each shard into one request.
+// splitUnmap collects the runs of each shard in jobs of at most maxRunsPerRequest runs.
 func (cmd *command) splitUnmap(v *activeSettings, vol *settings.Volume, class *settings.Class, io *scsi.IO) {
 	byShard := map[int]*job{}
 	for _, r := range io.Unmaps {
@@ -179,9 +180,10 @@
 	}
 }
 
-const maxRunsPerRequest = 64 // of one frame
+// maxRunsPerRequest bounds the runs in one frame.
+const maxRunsPerRequest = 64
 
-// addJob makes one part's request.
+// addJob adds the job of one part, of size bytes.
 func (cmd *command) addJob(v *activeSettings, vol *settings.Volume, class *settings.Class, op scsi.Op, shard int, extent uint64, size int) *job {
 	c := cmd.conn
 	key := vol.Key(extent)
@@ -206,10 +208,11 @@
 	return j
 }
 
+// diskEffects maps the effects of classes to those of the disk protocol.
 var diskEffects = map[string]byte{"safe": diskproto.Safe, "keyed": diskproto.Keyed, "unsafe": diskproto.Unsafe}
 
-// abandon ends the command from the client's side; g, if any, hears when nothing
-// of it can take effect any more. Held: conn.mu.
+// abandon aborts the command's jobs. wait, if not nil, is told when no attempt of them can take
+// effect any more. The caller holds conn.mu.
 func (cmd *command) abandon(wait *abortWait) {
 	cmd.conn.frontend.host.post(event{kind: eventRun, run: func(h *core) {
 		cmd.abortWait, cmd.aborted = wait, true
@@ -222,12 +225,12 @@
 	}})
 }
 
-// jobEnded is the end of one part. On the host's goroutine.
+// jobEnded collects the result of one part. It is called on the host's goroutine.
 func (cmd *command) jobEnded(j *job, outcome jobOutcome, retryAfter float64, answer *diskproto.Answer) {
 	cmd.conn.frontend.openRequests.Add(-1)
 	cmd.unfinished--
 	if j.abortedUnsent {
-		outcome = jobRefused // it was never sent
+		outcome = jobRefused // not jobAborted, which would suppress the response
 	}
 	if outcome == jobRefused || outcome == jobFailed {
 		cmd.abortUnsent()
@@ -241,7 +244,7 @@
 	} else if answer != nil {
 		cmd.miscompared = cmd.miscompared || answer.Result == diskproto.Miscompare
 		if cmd.reservedBytes > 0 && !cmd.gather(j, answer.Data) {
-			cmd.worstOutcome = max(cmd.worstOutcome, jobFailed) // a server that answers less than was asked
+			cmd.worstOutcome = max(cmd.worstOutcome, jobFailed) // the answer has the wrong length
 		}
 	}
 	if cmd.unfinished == 0 {
@@ -249,8 +252,8 @@
 	}
 }
 
-// abortUnsent ends the parts that were never sent, once the command can't be GOOD any
-// more. The module is in the middle of an event: it hears of it next.
+// abortUnsent aborts the parts that were never sent, once the command can no longer succeed. It
+// posts an event for that, since the policy is handling one.
 func (cmd *command) abortUnsent() {
 	if cmd.unfinished == 0 || cmd.unsentAborted {
 		return
@@ -266,8 +269,8 @@
 	}})
 }
 
-// gather puts a part's data in its place; false if it isn't what was asked for. A
-// sole part's data is the command's, with what it lies in.
+// gather copies a part's data to its place in the response; it returns false if the data has the
+// wrong length. If the command has only one part, its data and buffer are used without a copy.
 func (cmd *command) gather(j *job, data []byte) bool {
 	if len(data) != int(j.message.Blocks)*cmd.blockSize {
 		return false
@@ -283,8 +286,8 @@
 	return true
 }
 
-// complete hands on the one answer: GOOD only if all parts were. A refusal promises
-// that nothing ran, which a served part of a write would belie.
+// complete passes the command's response to the connection's responder, or gives it itself if there
+// is none. An aborted command gets no response.
 func (cmd *command) complete() {
 	c := cmd.conn
 	c.frontend.releaseMemory(cmd.reservedBytes)
@@ -300,6 +303,8 @@
 	c.responder.enqueue(completed)
 }
 
+// response returns GOOD only if all parts were served. BUSY tells the client that nothing was
+// executed, so a command with a part that may have been ends with COMMAND ABORTED instead.
 func (cmd *command) response() iscsi.Answer {
 	switch {
 	case cmd.worstOutcome == jobServed && cmd.miscompared:
@@ -312,24 +317,25 @@
 	return iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.CommandAborted.Fixed()}
 }
 
-// mayHaveExecuted tells whether a part that is not safe to repeat was served while
-// another was refused: the client must not be told that nothing happened.
+// mayHaveExecuted reports whether, in a command of several parts, one that is not idempotent was
+// sent.
 func (cmd *command) mayHaveExecuted() bool {
 	return len(cmd.jobs) > 1 && slices.ContainsFunc(cmd.jobs, func(j *job) bool {
 		return j.message.Effect != diskproto.Safe && j.attempts > 0
 	})
 }
 
-// mayBePartlyWritten tells whether a part of a write was done before another met the fence.
+// mayBePartlyWritten reports whether the command is a write of several parts, some of which may have
+// been executed although a fence stopped another.
 func (cmd *command) mayBePartlyWritten() bool {
 	return len(cmd.jobs) > 1 && cmd.decoded.IO.Op.Writes()
 }
 
-// recheckReservations looks a volume's reservations up and then starts the command anew, or says
-// that they stand in its way. partly: some of it may have been done already, which a
-// conflict must not deny. Held: conn.mu.
+// recheckReservations reads a volume's reservations and restarts the command if they permit it. If
+// not, it answers RESERVATION CONFLICT, or BUSY if they could not be read. A command that may have
+// been executed in part ends with COMMAND ABORTED instead of either. The caller holds conn.mu.
 func (c *conn) recheckReservations(t *iscsi.Task, decoded scsi.Outcome, vol *settings.Volume, class *settings.Class, maybeExecuted bool) {
-	t.User = nil // nothing of it is under way
+	t.User = nil // it has no jobs now, so an abort need not wait
 	c.frontend.reservations.refresh(vol, t.At+class.Deadline, func(state *reserve.State, err error) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -351,7 +357,8 @@
 	})
 }
 
-// restart starts a command anew. Held: conn.mu.
+// restart submits a command that the refreshed reservations permit. A flush needs no more than
+// that check. The caller holds conn.mu.
 func (c *conn) restart(t *iscsi.Task, decoded scsi.Outcome) {
 	if decoded.IO.Op == scsi.Flush {
 		c.respond(t, iscsi.Answer{})
@@ -360,19 +367,19 @@
 	c.startCommand(t, decoded)
 }
 
-// retryDelay is the advice of BUSY: tenths of a second, SAM-5 section 5.3.2.
+// retryDelay returns the retry delay timer code of BUSY, in units of 100 ms (SAM-5 section 5.3.2).
 func retryDelay(ms float64) uint16 {
 	return uint16(min(math.Ceil(ms/100), 0x3fef))
 }
 
-// jobSettled counts the parts that can't take effect any more. On the host's
-// goroutine.
+// jobSettled counts the parts that can no longer take effect. It is called on the host's goroutine.
 func (cmd *command) jobSettled() {
 	if cmd.unsettled--; cmd.unsettled == 0 && cmd.aborted {
 		cmd.notifyAbort()
 	}
 }
 
+// notifyAbort tells a waiting abort that no part can take effect any more.
 func (cmd *command) notifyAbort() {
 	wait := cmd.abortWait
 	cmd.abortWait = nil
--- a/internal/control/gateway/core.go
+++ b/internal/control/gateway/core.go
@@ -50,7 +50,7 @@
 	latencyTargetAt float64
 	dedupScope      policy.DedupScope
 	dataBuffer      *[]byte // holds the data of the answer being handled; nil once the command took it over
-	abortedUnsent   bool    // aborted before its first attempt, since another part of its command failed
+	abortedUnsent   bool    // aborted before its first attempt, since another part of its command was not served
 }
 
 // markEnded records that the job has its final result and keeps further attempts from beginning.
--- a/internal/control/gateway/reservations.go
+++ b/internal/control/gateway/reservations.go
@@ -15,46 +15,46 @@
 	"merlinhitch/policy"
 )
 
-// reservationCache knows what this host has been told of its volumes' reservations. The truth is
-// the record at the disk server of a volume's first extent; docs/reservations.md has
-// the protocol. What is allowed by an old state is stopped by the fence at the disk
-// servers; what an old state forbids is looked up anew before it is said.
+// reservationCache holds the last known state of persistent reservations of each volume. The
+// authoritative state is the record at the disk server of a volume's first extent;
+// docs/reservations.md describes the protocol. The cached state may be old: a command that it
+// wrongly permits is stopped by the fence at the disk servers, and one that it forbids is
+// refused only after the record was read again.
 type reservationCache struct {
 	front   *frontend
 	mu      sync.Mutex
-	volumes map[string]*volumeReservations // volumes of which a record was seen
+	volumes map[string]*volumeReservations // by name; a missing one is unreserved as far as is known
 }
 
-// volumeReservations is one volume's.
+// volumeReservations is the cached state of one volume.
 type volumeReservations struct {
 	state       *reserve.State
-	reading     bool
-	waiters     []stateWaiter // of the read that is under way
-	nextWaiters []stateWaiter // that came while it was: they need one begun after them
-	polling     bool
+	reading     bool          // a read of the record is in progress
+	waiters     []stateWaiter // for the read in progress
+	nextWaiters []stateWaiter // for the next read, since they came after the current one began
+	polling     bool          // the record is read once per pollInterval
 }
 
-// stateWaiter hears of a state read after it began to wait, on no particular goroutine.
+// stateWaiter waits for a state that is read after it began to wait. receive may be called on any
+// goroutine.
 type stateWaiter struct {
 	expires float64
 	receive func(*reserve.State, error)
 }
 
-// Lease is how old the state that a host acts on may be while it has registered
-// initiators: so late at most do they hear of a pre-emption. Nothing relies on it for
-// safety: the fence does that.
+// pollInterval is how often the record is read while initiators are registered, so that they learn
+// of a preemption. Safety does not depend on it but on the fence.
 const pollInterval = time.Second
 
-// errReservationsUnavailable ends what needs a state that could not be read, or a fence that could not
-// be raised: nothing was done, and the client may try again.
-var errReservationsUnavailable = errors.New("gateway: the volume's reservations can't be read now")
+// errReservationsUnavailable is returned if the record could not be read or the fence not raised.
+var errReservationsUnavailable = errors.New("gateway: reservation record not read or fence not raised")
 
 func newReservationCache(f *frontend) *reservationCache {
 	return &reservationCache{front: f, volumes: map[string]*volumeReservations{}}
 }
 
-// volume returns a volume's; unseen it is the zero state, which every fence that was
-// ever raised refuses. Held: mu.
+// volume returns the entry of a volume, adding it if need be. A new entry has the zero state, whose
+// version is below every fence that was ever raised. The caller holds mu.
 func (k *reservationCache) volume(volume string) *volumeReservations {
 	g := k.volumes[volume]
 	if g == nil {
@@ -64,8 +64,8 @@
 	return g
 }
 
-// check tells whether a nexus may write or read, as far as this host knows, and the
-// version by which disk servers hold it to that.
+// check reports whether the cached state permits a nexus to write or read, and the version of that
+// state, which disk servers compare with their fence.
 func (k *reservationCache) check(volume string, n reserve.Nexus, write bool) (fence uint64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -76,8 +76,8 @@
 	return g.state.Version, g.state.May(n, write)
 }
 
-// refresh reads the record, in a read that begins after this call, has every shard of
-// the volume refuse what is older, and then tells.
+// refresh reads the record, in a read that begins after this call, raises the fence at every shard
+// of the volume to its version, and then calls receive.
 func (k *reservationCache) refresh(vol *settings.Volume, expires float64, receive func(*reserve.State, error)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -91,7 +91,7 @@
 	k.startRead(vol, g)
 }
 
-// startRead begins a startRead for those that wait. Held: mu.
+// startRead starts a read for the current waiters. The caller holds mu.
 func (k *reservationCache) startRead(vol *settings.Volume, g *volumeReservations) {
 	g.reading = true
 	latest := 0.0
@@ -124,7 +124,7 @@
 	return state, nil
 }
 
-// finishRead ends a read, and begins the next where some still wait.
+// finishRead passes the result to the waiters and starts the next read if there are more.
 func (k *reservationCache) finishRead(vol *settings.Volume, state *reserve.State, err error) {
 	k.mu.Lock()
 	g := k.volume(vol.Name)
@@ -139,9 +139,8 @@
 	}
 }
 
-// update takes a state that is newer than the one known: first its fence is raised at
-// every shard, so that nobody acts on an older one any more, then it counts here, and
-// initiators hear of what concerns them.
+// update installs a state that is newer than the cached one. First its fence is raised at every
+// shard, so that disk servers refuse requests that rely on an older state.
 func (k *reservationCache) update(vol *settings.Volume, state *reserve.State, expires float64, done func(error)) {
 	k.mu.Lock()
 	old := k.volume(vol.Name).state
@@ -160,6 +159,8 @@
 	})
 }
 
+// install replaces the cached state unless that is as new, sets the unit attention of sessions that
+// the change concerns, and starts polling once an initiator is registered.
 func (k *reservationCache) install(vol *settings.Volume, state *reserve.State) {
 	k.mu.Lock()
 	g := k.volume(vol.Name)
@@ -178,7 +179,7 @@
 	}
 }
 
-// poll reads the record once a lease while anybody is registered.
+// poll reads the record once per pollInterval while any initiator is registered.
 func (k *reservationCache) poll(vol *settings.Volume) {
 	k.front.environment.AfterFunc(pollInterval, func() {
 		if k.front.isStopping() {
@@ -197,7 +198,8 @@
 	})
 }
 
-// internalRequest is a request of the keeper's own at a disk server.
+// internalRequest is the owner of a job that belongs to no command. done gets the answer, nil if
+// the job was not served.
 type internalRequest struct{ done func(*diskproto.Answer) }
 
 func (e *internalRequest) jobEnded(_ *job, outcome jobOutcome, _ float64, answer *diskproto.Answer) {
@@ -209,25 +211,26 @@
 
 func (e *internalRequest) jobSettled() {}
 
-// classFor is the class that a keeper's request runs under: that of the operation on
-// blocks which it is most like.
+// classFor returns the class of an operation on one block, under which internal requests run.
 func (f *frontend) classFor(vol *settings.Volume, classOp scsi.Op) *settings.Class {
 	v := f.settings.Load()
 	return v.Class(classOp, vol.BlockSize, vol.Plan)
 }
 
-// accessRecord does something with a volume's accessRecord at the disk server of its first extent,
-// through the module like any request. end is told the answer, nil if there is none.
+// accessRecord submits an operation on a volume's reservation record, which is at the disk server
+// of its first extent. done gets the answer, nil if there is none.
 func (f *frontend) accessRecord(vol *settings.Volume, op byte, classOp scsi.Op, data []byte, fence uint64, expires float64, done func(*diskproto.Answer)) {
 	f.submitInternal(vol, vol.Layout[0], op, classOp, data, fence, expires, done)
 }
 
+// submitInternal submits an internal request to the policy. It does not call done itself but has
+// another goroutine do so, since the caller may hold a lock that done takes.
 func (f *frontend) submitInternal(vol *settings.Volume, shard int, op byte, classOp scsi.Op, data []byte, fence uint64, expires float64, done func(*diskproto.Answer)) {
 	f.settingsMu.RLock()
 	defer f.settingsMu.RUnlock()
 	class := f.classFor(vol, classOp)
 	if class == nil {
-		f.environment.AfterFunc(0, func() { done(nil) }) // the caller may hold a lock
+		f.environment.AfterFunc(0, func() { done(nil) })
 		return
 	}
 	const keySuffix = "/reservations"
@@ -244,7 +247,7 @@
 	}
 }
 
-// raiseFence raises the raiseFence at every shard of a volume.
+// raiseFence raises the fence at every shard of a volume. done gets whether all shards answered.
 func (f *frontend) raiseFence(vol *settings.Volume, version uint64, expires float64, done func(ok bool)) {
 	shards := slices.Clone(vol.Layout)
 	slices.Sort(shards)
@@ -265,19 +268,19 @@
 	}
 }
 
-// isStopping tells whether the front has ended.
+// isStopping reports whether the frontend no longer accepts connections.
 func (f *frontend) isStopping() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.stopping
 }
 
-// noticeSense is the unit attention of a notice.
+// noticeSense maps notices to unit attention conditions.
 var noticeSense = map[reserve.Notice]*scsi.Sense{
 	reserve.Preempted: &scsi.ReservationsPreempted, reserve.Released: &scsi.ReservationsReleased, reserve.RegistrationPreempted: &scsi.RegistrationsPreempted,
 }
 
-// setAttention tells the sessions of a volume what became of their nexus.
+// setAttention sets the unit attention of a volume's sessions whose nexus has a notice.
 func (f *frontend) setAttention(volume string, notices map[reserve.Nexus]reserve.Notice) {
 	if len(notices) == 0 {
 		return
@@ -293,10 +296,10 @@
 	}
 }
 
-// nexus is the session's: its initiator port and this host.
+// nexus returns the session's nexus: its initiator port and this host.
 func (c *conn) nexus() reserve.Nexus { return c.initiatorPort }
 
-// nexusOf is the nexus of a session's key at a host.
+// nexusOf returns the nexus of a session at a host. Its host number is one above the index.
 func nexusOf(key sessionKey, host int) reserve.Nexus {
 	const hex = "0123456789abcdef"
 	name := append([]byte(key.initiator), ",i,0x"...)
@@ -306,7 +309,7 @@
 	return reserve.Nexus{Initiator: string(name), Host: uint16(host + 1)}
 }
 
-// handleReservation carries out a PERSISTENT RESERVE command. Held: conn.mu.
+// handleReservation executes a PERSISTENT RESERVE command. The caller holds conn.mu.
 func (c *conn) handleReservation(v *activeSettings, t *iscsi.Task, r *scsi.Reservation) {
 	vol := c.currentUnit(v).volume
 	class := c.frontend.classFor(vol, scsi.CompareAndWrite)
@@ -339,30 +342,31 @@
 	c.frontend.reservations.refresh(vol, command.expires, command.tryChange)
 }
 
-// reserveErrorSense is how errors of package reserve are answered.
+// reserveErrorSense maps errors of package reserve to sense data.
 var reserveErrorSense = map[error]scsi.Sense{
 	reserve.ErrRelease: scsi.InvalidRelease, reserve.ErrParameter: scsi.InvalidParameter, reserve.ErrLength: scsi.ParamLength,
 	reserve.ErrRoom: scsi.RegistrationResources, reserve.ErrAction: scsi.InvalidField,
 }
 
-// reservationCommand is a PERSISTENT RESERVE command under way.
+// reservationCommand is a PERSISTENT RESERVE command in progress. A change is made by comparing
+// and swapping the record.
 type reservationCommand struct {
 	conn           *conn
 	task           *iscsi.Task
 	vol            *settings.Volume
 	expires        float64
 	req            reserve.Request
-	parameterBytes int
-	stamp          uint64
-	swaps          int
-	mayBeApplied   bool   // an own change may have been made, or may still be,
-	baseVersion    uint64 // to this version
-	// Guarded by c.mu:
+	parameterBytes int    // length of the parameter list
+	stamp          uint64 // random; identifies this command's change in a state
+	swaps          int    // attempted so far
+	mayBeApplied   bool   // a swap may have taken effect, or may still do so
+	baseVersion    uint64 // version that this swap replaces
+	// Guarded by conn.mu:
 	ended     bool
-	abortWait *abortWait // that waits for the end
+	abortWait *abortWait // of an abort that waits for the end; nil: none
 }
 
-// abandon has an abort wait until the change is made, or certainly is not.
+// abandon makes an abort wait until the command has ended, since its change can't be withdrawn.
 func (p *reservationCommand) abandon(wait *abortWait) {
 	p.abortWait = wait
 	if p.ended {
@@ -370,7 +374,8 @@
 	}
 }
 
-// notifyAbort tells an abort that waits, from a goroutine that holds no lock.
+// notifyAbort tells a waiting abort that the command has ended. It does so on another goroutine,
+// since the caller holds conn.mu, which may be the lock of the abort too.
 func (p *reservationCommand) notifyAbort() {
 	if wait := p.abortWait; wait != nil {
 		p.abortWait = nil
@@ -382,8 +387,8 @@
 	}
 }
 
-// maxSwaps bounds how often a change that lost against another is made anew: 64
-// initiators that register at once lose 63 times at most.
+// maxSwaps bounds the swaps of a command, each of which may lose against a concurrent change. If 64
+// initiators register at once, each loses at most 63 times.
 const maxSwaps = 128
 
 func (p *reservationCommand) respond(a iscsi.Answer) {
@@ -396,7 +401,7 @@
 	}
 }
 
-// fail ends the command without a result that is known.
+// fail ends the command with COMMAND ABORTED if its change may have been made, else with BUSY.
 func (p *reservationCommand) fail() {
 	if p.mayBeApplied {
 		p.respond(iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.CommandAborted.Fixed()})
@@ -405,6 +410,7 @@
 	p.respond(iscsi.Answer{Status: scsi.Busy})
 }
 
+// respondIn answers PERSISTENT RESERVE IN from a state that was just read.
 func (p *reservationCommand) respondIn(state *reserve.State, err error, r *scsi.Reservation) {
 	if err != nil {
 		p.fail()
@@ -418,7 +424,8 @@
 	p.respond(iscsi.Answer{Data: data[:min(len(data), r.Alloc)]})
 }
 
-// tryChange makes the change on a state that was just read.
+// tryChange applies the change to a state that was just read and swaps the record. Where an earlier
+// swap has no known result, the state's stamp or unchanged version shows what became of it.
 func (p *reservationCommand) tryChange(state *reserve.State, err error) {
 	if err != nil {
 		p.fail()
@@ -429,8 +436,8 @@
 		p.succeed()
 		return
 	case p.mayBeApplied && state.Version != p.baseVersion:
-		// Others have changed it since: whether this change came before theirs can't be
-		// told, and their state says nothing of it.
+		// Another change was made since. The state does not show whether this one
+		// came before it.
 		p.fail()
 		return
 	}
@@ -457,10 +464,11 @@
 	})
 }
 
+// swapDone handles the answer to a swap of the record at fromVersion.
 func (p *reservationCommand) swapDone(fromVersion uint64, next *reserve.State, answer *diskproto.Answer) {
 	cache := p.conn.frontend.reservations
 	switch {
-	case answer == nil: // refused, failed or lost: it may have been made, or still be
+	case answer == nil: // it may have taken effect, or may still do so
 		p.mayBeApplied, p.baseVersion = true, fromVersion
 		fallthrough
 	case answer.Result != diskproto.OK:
@@ -477,8 +485,8 @@
 	})
 }
 
-// succeed answers GOOD: every shard refuses by now what the change forbids. Tasks of
-// pre-empted nexus at this host end with it where that was asked for.
+// succeed answers GOOD. By now every shard refuses what the change forbids. PREEMPT AND ABORT also
+// ends the tasks of preempted sessions at this host.
 func (p *reservationCommand) succeed() {
 	if p.req.Action == reserve.PreemptAbort {
 		p.conn.frontend.abortPreempted(p.vol.Name, p.conn)
@@ -486,7 +494,7 @@
 	p.respond(iscsi.Answer{Out: p.parameterBytes})
 }
 
-// abortPreempted ends the tasks of sessions that lost their registration.
+// abortPreempted ends the tasks of a volume's sessions whose registration was preempted.
 func (f *frontend) abortPreempted(volume string, preemptor *conn) {
 	f.reservations.mu.Lock()
 	state := f.reservations.volume(volume).state
--- a/internal/control/gateway/responder.go
+++ b/internal/control/gateway/responder.go
@@ -8,10 +8,9 @@
 	"merlinhitch/internal/runtime/writequeue"
 )
 
-// responder gives commands their answers on a goroutine of its own: the session's part
-// of an answer and the copy of its data cost as much as the module's decision, and need
-// not wait for the next one. A connection has one responder, so that its answers keep
-// their order.
+// responder builds and buffers the responses of commands on a goroutine of its own, which takes the
+// copying of data off the host's goroutine. Each connection has one responder, so that its
+// responses keep their order.
 type responder struct {
 	host *host
 
@@ -21,27 +20,25 @@
 	wake   env.Parker
 	done   env.Gate
 
-	unflushed pendingWrites // what the present batch left to be written
+	unflushed pendingWrites // queues with data buffered by the current batch
 }
 
-// completion is a command whose parts are all over.
+// completion is a command whose parts have all ended, with its response.
 type completion struct {
 	cmd           *command
 	answer        iscsi.Answer
-	dataBuffer    *[]byte // what the answer's data lies in, given back once it is copied
+	dataBuffer    *[]byte // pooled buffer of the answer's data, returned once it is copied
 	fenceOutdated bool
 }
 
-// maxResponders bounds the answerers of a host: more than a few find nothing to do, for
-// the module hands out one answer after the other.
+// maxResponders bounds the responders of a host. More would be idle, since one core feeds them all.
 const maxResponders = 4
 
-// maxUnflushed is the number of answers after which what is held goes out: enough for few
-// calls of the system, not so many that the first waits for the last.
+// maxUnflushed is the number of responses after which buffered data is written: large enough to save
+// system calls, small enough not to delay the first response.
 const maxUnflushed = 16
 
-// newResponders returns none where there is one processor: a hand-over would then cost
-// what it saves.
+// newResponders returns none if there is one processor, where another goroutine saves nothing.
 func newResponders(h *host) []*responder {
 	n := min(h.environment.Processors(), maxResponders)
 	if n == 1 {
@@ -55,7 +52,7 @@
 	return list
 }
 
-// enqueue hands an answer over. What waits is bounded by what is open at the host.
+// enqueue queues a response. The queue is bounded by the number of open jobs.
 func (r *responder) enqueue(completed completion) {
 	r.mu.Lock()
 	r.queue = append(r.queue, completed)
@@ -63,7 +60,7 @@
 	r.wake.Unpark()
 }
 
-// close ends the goroutine once it has given what it was handed, and waits for it.
+// close waits until the goroutine has handled all queued responses and ended.
 func (r *responder) close() {
 	r.mu.Lock()
 	r.closed = true
@@ -98,10 +95,10 @@
 	}
 }
 
-// pendingWrites are queues that hold what is still to be written.
+// pendingWrites lists write queues with buffered data that is not being written yet.
 type pendingWrites []*writequeue.Queue
 
-// flush has it written, and forgets the queues.
+// flush starts the writing and empties the list.
 func (w *pendingWrites) flush() {
 	for _, queue := range *w {
 		queue.Flush()
@@ -110,7 +107,8 @@
 	*w = (*w)[:0]
 }
 
-// respond ends a command at its session; later has what that leaves be written.
+// respond gives a command's response to its session and passes the connection's write queue to
+// flushLater. If a fence stopped the command, it rechecks the reservations instead.
 func (h *host) respond(completed *completion, flushLater func(*writequeue.Queue)) {
 	c := completed.cmd.conn
 	c.mu.Lock()
--- a/internal/control/gateway/timers.go
+++ b/internal/control/gateway/timers.go
@@ -2,16 +2,16 @@
 
 import "merlinhitch/internal/runtime/timerqueue"
 
-// timer is something to do at a time.
+// timer is a timer of the core; its due time is in ms on the host's clock.
 type timer = timerqueue.Timer[timerEvent]
 
-// timerQueue holds what is awaited, by time.
+// timerQueue holds the core's timers, ordered by due time.
 type timerQueue = timerqueue.Queue[timerEvent]
 
-// timerEvent says what to do. Exactly one of a, j and name is there.
+// timerEvent is what a timer is for. Exactly one of attempt, job and name is set.
 type timerEvent struct {
-	attempt   *attempt // its time-out, or what cancelled it
+	attempt   *attempt // its timeout or, if cancelled, its cancellation
 	cancelled bool
-	job       *job   // its last possible landing
-	name      string // the module's timer
+	job       *job   // its effectDeadline
+	name      string // a timer that the policy set, or leaseTimerName
 }
