--- a/internal/control/gateway/announcer.go
+++ b/internal/control/gateway/announcer.go
@@ -16,10 +16,9 @@
 	"merlinhitch/policy"
 )
 
-// announcer is the shell of package announce: it looks, several times a second and
-// from a goroutine of its own, at what the gateway can serve, and hands what the core
-// decides to the speaker. It asks the host core for a sign of life and never waits
-// for it, so a core that hangs is seen.
+// announcer drives package announce: on its own goroutine it regularly collects what the gateway
+// can serve and passes the resulting routes to the BGP speaker. It requests heartbeats from the
+// host's core but never waits for them, so that a hung core is detected.
 type announcer struct {
 	config          Config
 	host            *host
@@ -32,21 +31,21 @@
 	mu               sync.Mutex
 	core             *announce.Core
 	settings         *settings.Settings
-	prefixes         map[string][]netip.Prefix
-	announcedShards  map[int]bool // shards of any group
-	heartbeatPending bool         // the host core was asked and has not answered yet
-	lastHeartbeat    float64
-	readyNodes       map[string]int // ready nodes, with their shards
-	listReceived     bool
+	prefixes         map[string][]netip.Prefix // by group
+	announcedShards  map[int]bool              // shards of all groups
+	heartbeatPending bool                      // requested from the host's core, not answered yet
+	lastHeartbeat    float64                   // ms
+	readyNodes       map[string]int            // shards of the ready nodes, by address, as of the last heartbeat
+	listReceived     bool                      // as of the last heartbeat
 	nextProbeAt      time.Duration
-	levels           map[string]announce.Level
+	levels           map[string]announce.Level // last published, by group
 }
 
-// evaluateInterval is how often the announcer looks; with the time for an answer it bounds
-// how late a loss is seen.
+// evaluateInterval is the time between evaluations. Together with the answer timeout it bounds how
+// late the loss of a disk server is detected.
 const evaluateInterval = 40 * time.Millisecond
 
-// Times for what settings leave open, ms.
+// Defaults for times that the settings omit, ms.
 const (
 	defaultProbeIntervalMS = 150
 	defaultAnswerTimeoutMS = 500
@@ -89,12 +88,12 @@
 		HalfLife: valueOr(a.HalfLife, defaults.HalfLife), ListBound: valueOr(a.ListBound, defaults.ListBound), BeatBound: valueOr(a.BeatBound, defaults.BeatBound)}
 }
 
-// applySettings takes settings: their groups and times. Routers are those of the start.
+// applySettings applies the groups and times of settings. The routers stay those of the start.
 func (a *announcer) applySettings(s *settings.Settings) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if s.Announce == nil {
-		s = &settings.Settings{Announce: &settings.Announce{}} // nothing is announced any more
+		s = &settings.Settings{Announce: &settings.Announce{}} // withdraws everything
 	}
 	a.settings, a.prefixes, a.announcedShards = s, map[string][]netip.Prefix{}, map[int]bool{}
 	volumes := map[string]*settings.Volume{}
@@ -117,7 +116,7 @@
 			a.announcedShards[shard] = true
 		}
 		for _, prefix := range g.Prefixes {
-			a.prefixes[g.Name] = append(a.prefixes[g.Name], netip.MustParsePrefix(prefix)) // checked with the settings
+			a.prefixes[g.Name] = append(a.prefixes[g.Name], netip.MustParsePrefix(prefix)) // validated with the settings
 		}
 		groups = append(groups, group)
 	}
@@ -134,7 +133,8 @@
 	}
 }
 
-// evaluate gathers what there is to know, and decides.
+// evaluate passes the state of disk servers, node list and heartbeat to package announce and
+// publishes the routes that result. It also requests heartbeats and probes disk servers.
 func (a *announcer) evaluate() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -171,7 +171,8 @@
 	a.publish()
 }
 
-// recordHeartbeat is the host core's sign of life, on its goroutine; it brings the nodes.
+// recordHeartbeat records a heartbeat of the host's core and its ready nodes. It runs on the host's
+// goroutine.
 func (a *announcer) recordHeartbeat(c *core) {
 	readyNodes := make(map[string]int, len(c.nodes))
 	for addr, n := range c.nodes {
@@ -184,14 +185,14 @@
 	a.heartbeatPending, a.lastHeartbeat, a.readyNodes, a.listReceived = false, env.MS(a.config.Environment.Now()), readyNodes, c.listSeen
 }
 
-// Paths of the levels: a last resort is behind any other in each way that routers
-// compare.
+// Path attributes of the levels. The last resort is less preferred in every attribute that routers
+// may compare: MED, length of the AS path, and GRACEFUL_SHUTDOWN (RFC 8326).
 var (
 	fullPath       = bgp.Path{MED: 100}
 	lastResortPath = bgp.Path{MED: 1000, Prepend: 3, Shutdown: true}
 )
 
-// publish hands what is decided to the speaker. Held: mu.
+// publish sets the speaker's routes to the levels that package announce has decided. mu is held.
 func (a *announcer) publish() {
 	var routes []bgp.Route
 	levels := map[string]announce.Level{}
@@ -215,7 +216,7 @@
 	a.speaker.Set(routes)
 }
 
-// setStopPhase brings a phase of a graceful setStopPhase, and tells it at once.
+// setStopPhase enters a phase of a graceful stop and publishes its routes at once.
 func (a *announcer) setStopPhase(phase announce.StopPhase) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -223,8 +224,8 @@
 	a.publish()
 }
 
-// drainClients is the first part of a graceful stop: clients are asked to go elsewhere, get
-// so long for it as the settings say, and then find no way here any more.
+// drainClients is the first step of a graceful stop. It announces all groups as a last resort, so
+// that clients move to other gateways, calls wait with the configured time and then withdraws them.
 func (a *announcer) drainClients(wait func(time.Duration)) {
 	a.setStopPhase(announce.Leaving)
 	a.mu.Lock()
@@ -234,7 +235,8 @@
 	a.setStopPhase(announce.Left)
 }
 
-// close ends the announcer; with a text in peace, without one at once.
+// close stops the announcer. With a message, the BGP sessions are closed with it (RFC 9003); if it
+// is empty, their connections are just closed.
 func (a *announcer) close(message string) {
 	a.stopped.Open()
 	if message == "" {
@@ -245,20 +247,19 @@
 	a.done.Wait(a.config.Environment)
 }
 
-// Routes is what operators see of the announcements.
+// Routes are the announcements of a gateway and its BGP sessions, as shown to operators.
 type Routes struct {
 	Groups []GroupRoutes    `json:"groups"`
 	Peers  []bgp.PeerStatus `json:"peers"`
 }
 
-// GroupRoutes is one group's announcement.
+// GroupRoutes is the announcement of an address group.
 type GroupRoutes struct {
 	announce.State
 	Level    string         `json:"level"`
 	Prefixes []netip.Prefix `json:"prefixes"`
-	ForMS    float64        `json:"for_ms"` // at this level
-	// RiseIn is the time until the level may rise, ms; absent where nothing now known
-	// would let it.
+	ForMS    float64        `json:"for_ms"` // time at this level, ms
+	// RiseIn is the time until the level may rise, ms; nil if it cannot rise in the present state.
 	RiseIn *float64 `json:"up_in_ms,omitempty"`
 }
 
--- a/internal/control/gateway/frontend.go
+++ b/internal/control/gateway/frontend.go
@@ -20,15 +20,15 @@
 	"merlinhitch/internal/storage/reserve"
 )
 
-// activeSettings is the settings as the front uses them. A new activeSettings replaces the old as a
-// whole; what was taken under the old one ends under it.
+// activeSettings is one version of the settings with the lookups that the frontend needs. It
+// is replaced as a whole: commands accepted under a version are completed under it.
 type activeSettings struct {
 	*settings.Settings
-	unitsByTarget map[string]*logicalUnit // by target name
-	hostCounts    map[string]int          // by volume: how many hosts of this one's region it comes through
+	unitsByTarget map[string]*logicalUnit // volumes that this host serves, by target name
+	hostCounts    map[string]int          // by volume name: hosts that share its limit with this one (settings.Through)
 }
 
-// logicalUnit is one volume as a logical logicalUnit.
+// logicalUnit is a volume with its SCSI description.
 type logicalUnit struct {
 	volume *settings.Volume
 	disk   *scsi.Disk
@@ -47,22 +47,23 @@
 	return active
 }
 
-// frontend accepts initiators.
+// frontend owns the listener for initiators and their connections.
 type frontend struct {
 	environment env.Environment
 	host        *host
 	log         *zap.Logger
 	listener    net.Listener
 	settings    atomic.Pointer[activeSettings]
-	// settingsMu is held by who looks at the view and hands requests to the host core, and
-	// alone by who changes both: a request is taken under one or the other, whole.
+	// settingsMu is read-locked while a command's requests are built and submitted to the
+	// core, and write-locked while frontend and core get new settings, so that all requests
+	// of a command are handled under one version.
 	settingsMu    sync.RWMutex
-	memoryBytes   atomic.Int64 // bytes held for clients
-	openRequests  atomic.Int64 // requests at the host core
+	memoryBytes   atomic.Int64 // data buffers of commands and unsent PDUs
+	openRequests  atomic.Int64 // requests submitted to the core that have not ended
 	nextTSIH      atomic.Uint32
-	nextResponder atomic.Uint32 // of connections at the answerers
+	nextResponder atomic.Uint32 // counts connections, for round-robin assignment to responders
 	reservations  *reservationCache
-	responders    []*responder
+	responders    []*responder // empty: the host's goroutine sends the responses
 
 	mu       sync.Mutex
 	conns    env.OrderedSet[*conn]
@@ -71,7 +72,7 @@
 	tasks    env.WaitGroup
 }
 
-// sessionKey is the identity of a session: a login with the same takes its place
+// sessionKey identifies a session. A login with the key of an open session replaces it
 // (session reinstatement, RFC 7143 section 6.3.5).
 type sessionKey struct {
 	initiator, target string
@@ -80,10 +81,10 @@
 
 const (
 	clientReadBufferBytes = 4 << 10
-	maxRecvDataSegment    = 256 << 10 // MaxRecvDataSegmentLength that we declare
-	maxTransferBytes      = 1 << 20
-	// clientWriteLimit bounds what waits for one client to read: one whole window of small
-	// reads or a few large ones; past it the client is closed.
+	maxRecvDataSegment    = 256 << 10 // declared MaxRecvDataSegmentLength, bytes
+	maxTransferBytes      = 1 << 20   // limit of a command's data and of a burst, bytes
+	// clientWriteLimit bounds the bytes that are queued for one client, beyond which its
+	// connection is closed. It is enough for a window of small reads or a few large ones.
 	clientWriteLimit = 16 << 20
 )
 
@@ -119,7 +120,7 @@
 	}
 }
 
-// applySettings puts settings in force for what is taken from now on.
+// applySettings applies settings to the frontend and the core, for commands accepted from now on.
 func (f *frontend) applySettings(s *settings.Settings) {
 	f.settingsMu.Lock()
 	defer f.settingsMu.Unlock()
@@ -128,7 +129,8 @@
 	f.settings.Store(newActiveSettings(s, f.host.hostIndex))
 }
 
-// reserveMemory takes memory for a command's data; false when the bound is reached.
+// reserveMemory accounts for a command's data. It returns false if that would exceed the
+// configured memory.
 func (f *frontend) reserveMemory(bytes int) bool {
 	if f.memoryBytes.Add(int64(bytes)) <= int64(f.settings.Load().Target.Memory) {
 		return true
@@ -139,8 +141,8 @@
 
 func (f *frontend) releaseMemory(bytes int) { f.memoryBytes.Add(-int64(bytes)) }
 
-// registerSession enters a session; the one whose place it takes is closed, and the
-// caller waits for its end.
+// registerSession makes c the connection of its session and returns the one it replaces, which
+// the caller must abort and wait for.
 func (f *frontend) registerSession(key sessionKey, c *conn) (old *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,18 +166,17 @@
 	return f.conns.All()
 }
 
-// conn is one connection of an initiator, which is also its session.
+// conn is a connection of an initiator. A session has exactly one connection.
 type conn struct {
 	frontend      *frontend
 	netConn       net.Conn
 	out           *writequeue.Queue
 	log           *zap.Logger
-	key           sessionKey // set before the session is registered
+	key           sessionKey // zero in a discovery session; set before the session is registered
 	initiatorPort reserve.Nexus
-	// responder gives the connection's commands their responder; nil: the host does.
-	responder   *responder
-	logicalUnit *logicalUnit
-	ended       env.Gate
+	responder     *responder   // sends the responses; nil: the host's goroutine does
+	logicalUnit   *logicalUnit // as of the login; nil in a discovery session
+	ended         env.Gate
 
 	mu                sync.Mutex
 	session           *iscsi.Session
@@ -184,10 +185,9 @@
 	closed            bool
 	pingTimer         env.Timer
 	receivedSincePing bool
-	batching          bool // the host core releases the write queue
-	// unitAttention is told to the next command that asks: a unit unitAttention condition.
-	unitAttention   *scsi.Sense
-	closeAfterFlush bool // what waits to be sent still goes out before the close
+	batching          bool        // sendPDU leaves the flush of out to its caller
+	unitAttention     *scsi.Sense // pending condition, reported to the next command that takes it
+	closeAfterFlush   bool        // queued PDUs are still written before the connection is closed
 }
 
 func newConn(f *frontend, netConn net.Conn) *conn {
@@ -215,7 +215,7 @@
 	c.ended.Open()
 }
 
-// sendPDU sends a PDU, or holds it while the host core is in a batch. Held: mu.
+// sendPDU queues a PDU and, unless responses are being batched, starts to write it. mu is held.
 func (c *conn) sendPDU(pdu *iscsi.PDU) {
 	c.out.Buffer(func(b []byte) []byte { return pdu.Append(b, c.digests) })
 	if !c.batching {
@@ -223,7 +223,7 @@
 	}
 }
 
-// login runs the login phase within its time.
+// login runs the login phase, which must end within the configured time.
 func (c *conn) login(reader *iscsi.Reader) error {
 	active := c.frontend.settings.Load()
 	c.netConn.SetReadDeadline(c.frontend.environment.Deadline(env.Duration(active.Target.LoginTime)))
@@ -257,7 +257,7 @@
 	return nil
 }
 
-// assignTSIH gives the session its handle, which is never 0.
+// assignTSIH assigns the target session identifying handle; 0 is reserved for new sessions.
 func (c *conn) assignTSIH() uint16 {
 	for {
 		if tsih := uint16(c.frontend.nextTSIH.Add(1)); tsih != 0 {
@@ -282,7 +282,7 @@
 		policy.Secret = func(user string) (string, bool) {
 			i := slices.IndexFunc(active.Target.Chap, func(chap settings.Chap) bool { return chap.User == user })
 			if i < 0 {
-				return "no such user: no secret is this long", false
+				return "no such user: no secret is this long", false // hashed nevertheless, so that the time does not reveal unknown users
 			}
 			return active.Target.Chap[i].Secret, true
 		}
@@ -293,8 +293,8 @@
 	return policy
 }
 
-// beginFullFeature enters the full feature phase. A session that this one replaces is ended
-// first, with all its tasks.
+// beginFullFeature enters the full feature phase, once a session that this one replaces has
+// ended with all its tasks.
 func (c *conn) beginFullFeature(active *activeSettings, login *iscsi.Login) {
 	c.logicalUnit = active.unitsByTarget[login.Target]
 	if !login.Discovery {
@@ -316,7 +316,7 @@
 	c.schedulePing(active)
 }
 
-// sendTargets answers SendTargets with the names that this host serves.
+// sendTargets returns the answer to a SendTargets request: the targets that this host serves.
 func (c *conn) sendTargets(active *activeSettings, name string) []iscsi.Key {
 	var names []string
 	for t := range active.unitsByTarget {
@@ -336,8 +336,8 @@
 	return keys
 }
 
-// schedulePing asks silent clients for a sign of life; one that gives none is closed.
-// Held: mu.
+// schedulePing checks after each ping interval whether the client has sent anything. If not, it
+// pings the client, or closes the connection if the previous ping is still unanswered. mu is held.
 func (c *conn) schedulePing(active *activeSettings) {
 	if c.closed {
 		return
@@ -382,7 +382,7 @@
 	c.session.Reject(pdu, iscsi.RejectDataDigest)
 }
 
-// closeWhenFlushed closes the connection once its last words are out.
+// closeWhenFlushed closes the connection once the queued PDUs are written.
 func (c *conn) closeWhenFlushed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -390,9 +390,8 @@
 	c.out.Finish()
 }
 
-// handlePDU takes one PDU under the session's lock; what it brings is handed on
-// before the lock is given up, so that the host core sees a session's commands
-// in their order.
+// handlePDU processes one PDU. Its commands and aborts are passed on before mu is released, so
+// that the core receives a session's commands in order. stop reports a logout.
 func (c *conn) handlePDU(pdu *iscsi.PDU) (stop bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -415,8 +414,8 @@
 	return stop, err
 }
 
-// limitDataWait ends a write whose data does not come in time: nothing of it was sent
-// on, so its failure is certain.
+// limitDataWait fails a command whose write data is not complete by its class's deadline. None of
+// it was sent to a disk server, so the failure is certain.
 func (c *conn) limitDataWait(itt uint32) {
 	task := c.session.Task(itt)
 	if task == nil || task.Delivered() || c.logicalUnit == nil {
@@ -436,8 +435,8 @@
 	})
 }
 
-// handleAbort ends tasks from the client's side. The function's response waits until
-// none of them can take effect any more.
+// handleAbort performs a task management function, whose tasks have already left the session.
+// Its response is sent once none of them can take effect any more. mu is held.
 func (c *conn) handleAbort(abort *iscsi.Abort) {
 	wait := &abortWait{conn: c, abort: abort, pending: 1}
 	if abort.Wide() && c.logicalUnit != nil {
@@ -453,9 +452,9 @@
 	wait.commandDone()
 }
 
-// resetOtherSessions ends the tasks of the target's other sessions, whose clients are told
-// by a unit attention; a cold reset closes every session. On the host's goroutine,
-// so that two resets at once don't wait for each other.
+// resetOtherSessions aborts the tasks of the target's other sessions, which get a unit attention
+// condition. A cold reset closes all of the target's sessions instead, this one last. It runs on
+// the host's goroutine: two connections that reset each other would deadlock on their mutexes.
 func (c *conn) resetOtherSessions(wait *abortWait) {
 	cold := wait.abort.Function == iscsi.TargetColdReset
 	for _, other := range c.frontend.allConns() {
@@ -484,7 +483,7 @@
 	}
 }
 
-// resetTasks ends the session's tasks for a function of another.
+// resetTasks removes and returns the session's tasks, for a reset by another session.
 func (c *conn) resetTasks() []*iscsi.Task {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -495,29 +494,28 @@
 	return c.session.Reset()
 }
 
-// abandonable is what a task's User is while something of it may still take effect.
+// abandonable is implemented by a task's User that may still take effect.
 type abandonable interface {
-	// abandon ends it from the client's side; g, if any, hears when nothing of it can
-	// take effect any more. The session's conn.mu is held.
+	// abandon aborts the command and calls wait.commandDone, unless wait is nil, once the
+	// command can no longer take effect.
 	abandon(wait *abortWait)
 }
 
-// abortWait counts the commands that a task management function waits for.
-// Its count is guarded by the conn's lock, or all is on one goroutine before.
+// abortWait delays the response of a task management function until its commands are done.
 type abortWait struct {
 	conn    *conn
 	abort   *iscsi.Abort
-	pending int
+	pending int // commands and steps to wait for; guarded by conn.mu
 }
 
-// commandDone takes commandDone off. Held: conn.mu.
+// commandDone counts one command or step as done. conn.mu is held.
 func (g *abortWait) commandDone() {
 	if g.pending--; g.pending == 0 && !g.conn.closed {
 		g.conn.session.Finish(g.abort)
 	}
 }
 
-// close ends the session: its tasks are the client's to send again.
+// close ends the session and abandons its tasks, which the client may send again.
 func (c *conn) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -536,7 +534,7 @@
 	}
 }
 
-// requestLogout tells the client that the service stops.
+// requestLogout asks the client to log out within the given time, as the gateway is stopping.
 func (c *conn) requestLogout(seconds uint16) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -545,14 +543,14 @@
 	}
 }
 
-// hasOpenCommands tells whether commands are still unanswered.
+// hasOpenCommands reports whether commands have not been answered yet.
 func (c *conn) hasOpenCommands() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.session != nil && !c.closed && c.session.Open() > 0
 }
 
-// stopAccepting takes no new connection.
+// stopAccepting closes the listener and refuses connections that are still being accepted.
 func (f *frontend) stopAccepting() {
 	f.mu.Lock()
 	f.stopping = true
@@ -560,7 +558,8 @@
 	f.listener.Close()
 }
 
-// abortAll closes every connection and waits for the goroutines.
+// abortAll closes all connections without writing queued PDUs and waits for the frontend's
+// goroutines to end.
 func (f *frontend) abortAll() {
 	f.stopAccepting()
 	for _, c := range f.allConns() {
--- a/internal/control/gateway/gateway.go
+++ b/internal/control/gateway/gateway.go
@@ -24,32 +24,31 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// Config says where a gateway stands.
+// Config configures a gateway.
 type Config struct {
 	Environment env.Environment
 	Log         *zap.Logger
-	Name        string // told to disk servers
-	Self        int    // this host's number in the service
-	Zone        string
-	Listen      string // for initiators
-	Inventory   string // address of the node list
-	Admin       string // of the admin API: host:port, unix:PATH, or none
-	Snapshot    string // file of the saved settings, or none; its record lies beside it
-	// History is a folder for what the host counted, or none.
-	History string
-	// Keys of this host; nil: the admin API is served in clear, to this machine alone, and
-	// disk servers are spoken to in clear.
+	Name        string // of this host, sent to disk servers
+	Self        int    // index of this host in the settings
+	Zone        string // hall of this host
+	Listen      string // listen address for initiators, host:port
+	Inventory   string // address of the inventory, host:port
+	Admin       string // listen address of the admin API, host:port or unix:PATH; "": none
+	Snapshot    string // file of the saved settings, with the log of changes beside it; "": none
+	History     string // directory for the history of counters; "": none
+	// Keys are the host's TLS keys. If nil, the admin API is served without TLS, on loopback
+	// or a Unix socket only, and connections to disk servers do not use TLS.
 	Keys        *keys.Holder
-	SettingsKey *settings.Key // seals secrets in them; nil: there must be none
-	// For announcements: the identifier, the next hops told for IPv4 and IPv6 (a
-	// family without one is not announced), and where routers may dial, or nowhere.
-	RouterID           uint32
+	SettingsKey *settings.Key // seals the secrets in saved settings; if nil, they must have none
+	// RouterID is the BGP identifier, 0 if the host announces nothing.
+	RouterID uint32
+	// NextHop4 and NextHop6 are the announced next hops. A family without one is not announced.
 	NextHop4, NextHop6 netip.Addr
-	BGPListen          string
+	BGPListen          string // listen address for routers; "": the gateway only dials
 }
 
-// Gateway is a running host. Without settings it waits for them at the admin API
-// and takes no initiator.
+// Gateway is one running gateway. Until the admin API has received settings, it serves no
+// initiators.
 type Gateway struct {
 	cfg           Config
 	store         *settings.Store
@@ -60,16 +59,17 @@
 	frontend        *frontend
 	host            *host
 	inventoryClient *inventory.Client
-	leaseRenewer    *leaseRenewer // nil in a service of one region
+	leaseRenewer    *leaseRenewer // nil if the first settings have no regions
 	recorder        *recorder     // nil: no history is kept
-	announcer       *announcer    // nil where nothing is to be announced at the start
+	announcer       *announcer    // nil if the first settings announce nothing
 	listenAddr      net.Addr
 	stopped         bool
 	ready           env.Gate
-	startErr        error
+	startErr        error // why the first settings could not be applied
 }
 
-// Start starts a gateway.
+// Start starts a gateway with the saved settings. Without any it waits for settings at the admin
+// API.
 func Start(cfg Config) (*Gateway, error) {
 	if cfg.Log == nil {
 		cfg.Log = zap.NewNop()
@@ -111,10 +111,10 @@
 	network, addr := "tcp", g.cfg.Admin
 	if path, ok := strings.CutPrefix(addr, "unix:"); ok {
 		network, addr = "unix", path
-		os.Remove(path) // a socket that a killed process left
+		os.Remove(path) // a stale socket of a killed process would make Listen fail
 	}
 	if network == "tcp" && g.cfg.Keys == nil && !isLoopback(addr) {
-		return errors.New("gateway: an admin address that others reach needs keys")
+		return errors.New("gateway: an admin address other than loopback or a Unix socket requires keys")
 	}
 	listener, err := g.cfg.Environment.Listen(network, addr)
 	if err != nil {
@@ -155,11 +155,11 @@
 	})
 	g.adminServer = &http.Server{Handler: g.authorize(mux), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, ConnContext: withSocketUser,
 		ErrorLog: zap.NewStdLog(g.cfg.Log)}
-	go g.adminServer.Serve(listener) // ends with Close; its error says only that
+	go g.adminServer.Serve(listener) // returns an error only after Close
 	return nil
 }
 
-// Admin is the address of the admin API.
+// Admin returns the listen address of the admin API, nil if there is none.
 func (g *Gateway) Admin() net.Addr {
 	if g.adminListener == nil {
 		return nil
@@ -167,8 +167,8 @@
 	return g.adminListener.Addr()
 }
 
-// applySettings brings settings into force. The first start the gateway; later ones hold for
-// commands taken from then on.
+// applySettings applies settings. The first start the frontend, later ones apply to commands
+// accepted from then on.
 func (g *Gateway) applySettings(s *settings.Settings) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -190,23 +190,23 @@
 	g.ready.Open()
 }
 
-// checkSettings lists what keeps settings from coming into force at this host.
+// checkSettings returns the faults for which this host rejects new settings.
 func (g *Gateway) checkSettings(_, s *settings.Settings) (faults []settings.Fault) {
 	if g.cfg.Self >= s.Hosts {
-		faults = append(faults, settings.Fault{Path: "hosts", Reason: fmt.Sprintf("is %d, and this is host %d", s.Hosts, g.cfg.Self)})
+		faults = append(faults, settings.Fault{Path: "hosts", Reason: fmt.Sprintf("is %d, which does not include this host's number %d", s.Hosts, g.cfg.Self)})
 	}
 	if s.Announce != nil && g.cfg.RouterID == 0 {
-		faults = append(faults, settings.Fault{Path: "announce", Reason: "needs a router identifier, which this host was not given"})
+		faults = append(faults, settings.Fault{Path: "announce", Reason: "needs a router identifier, but none is configured on this host"})
 	}
 	return faults
 }
 
 func (g *Gateway) startServing(s *settings.Settings) error {
 	if g.cfg.Self >= s.Hosts {
-		return errors.New("gateway: the settings know no host of this number")
+		return errors.New("gateway: this host's number is not below the settings' number of hosts")
 	}
 	if s.Announce != nil && g.cfg.RouterID == 0 {
-		return errors.New("gateway: the settings ask for announcements, which need a router identifier")
+		return errors.New("gateway: the settings enable announcements, but no router identifier is configured")
 	}
 	listener, err := g.cfg.Environment.Listen("tcp", g.cfg.Listen)
 	if err != nil {
@@ -224,48 +224,48 @@
 	g.frontend = newFrontend(g.cfg.Environment, h, newActiveSettings(s, g.cfg.Self), listener, g.cfg.Log)
 	if s.Announce != nil {
 		if g.announcer, err = newAnnouncer(g.cfg, s, h, g.inventoryClient); err != nil {
-			return err // Start ends the rest
+			return err // if called from Start, that stops what was started here
 		}
 	}
 	g.cfg.Log.Info("serving", zap.Stringer("listen", listener.Addr()), zap.Uint64("settings", s.Version))
 	return nil
 }
 
-// Ready is open once the gateway serves initiators.
+// Ready returns a gate that opens once the gateway serves initiators.
 func (g *Gateway) Ready() *env.Gate { return &g.ready }
 
-// Addr is the address for initiators, nil before Ready.
+// Addr returns the listen address for initiators, nil until settings have been applied.
 func (g *Gateway) Addr() net.Addr {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.listenAddr
 }
 
-// Settings is the store of the settings.
+// Settings returns the gateway's settings store.
 func (g *Gateway) Settings() *settings.Store { return g.store }
 
-// Status is what an operator asks for first.
+// Status is a gateway's overview for operators. Counters start with the gateway.
 type Status struct {
-	Sessions, Open   int
-	Memory           int64
-	Requests         uint64 // taken since the start
-	Sends, Resends   uint64
-	LimitHeld        uint64 // requests let go of unsent because of their volume's limit
-	Nodes            int
-	ListSeen         bool
-	ConnectedServers int
-	Zone             string       // hall that the host stands in
-	Figures          roll.Figures // of requests since the start
+	Sessions, Open   int          // open sessions; requests at the core
+	Memory           int64        // data buffers of commands and unsent PDUs, bytes
+	Requests         uint64       // requests accepted
+	Sends, Resends   uint64       // attempts; those after a request's first
+	LimitHeld        uint64       // requests that ended unsent while their volume exceeded its limit
+	Nodes            int          // nodes on the list
+	ListSeen         bool         // a node list was received
+	ConnectedServers int          // disk servers with a connection
+	Zone             string       // hall of the host
+	Figures          roll.Figures // results of requests
 }
 
-// Status reads the present figures.
+// Status returns the current status. Before settings have been applied it holds only the zone.
 func (g *Gateway) Status() Status {
 	status, _ := g.readStatus(func(*core) {})
 	return status
 }
 
-// readStatus reads the present figures and, in the same moment of the host core, more; false if
-// there is no host, or no longer.
+// readStatus reads the status and calls inspect between the same two events of the core. ok is
+// false before settings have been applied and after the host has stopped.
 func (g *Gateway) readStatus(inspect func(*core)) (status Status, ok bool) {
 	g.mu.Lock()
 	f, h := g.frontend, g.host
@@ -289,7 +289,7 @@
 	return status, ok
 }
 
-// Rates is what each volume asked this host for.
+// Rates returns the demand for each volume at this host.
 func (g *Gateway) Rates() (out []rates.Rate) {
 	g.mu.Lock()
 	h := g.host
@@ -300,7 +300,7 @@
 	return out
 }
 
-// Routes is what this gateway announces, to whom, and why.
+// Routes returns the announced address groups, with the reasons, and the state of the routers.
 func (g *Gateway) Routes() Routes {
 	g.mu.Lock()
 	a := g.announcer
@@ -311,8 +311,8 @@
 	return a.routes()
 }
 
-// Freeze has the host core stand still until the gate is open, as a fault of
-// the program might; for drills.
+// Freeze blocks the core until the gate opens or the gateway stops. Drills use it to simulate a
+// hung core.
 func (g *Gateway) Freeze(release *env.Gate) {
 	g.mu.Lock()
 	h := g.host
@@ -324,10 +324,10 @@
 
 const stopPollInterval = 20 * time.Millisecond
 
-// Stop ends the gateway gracefully: clients are led elsewhere where addresses are
-// announced, and the announcement ends; no new login, what was taken is answered,
-// clients are asked to log out and get so long for it as the settings say. It
-// ends at once when ctx does.
+// Stop stops the gateway gracefully. It gives clients time to move to other gateways if addresses
+// are announced, then withdraws them, accepts no more connections, asks clients to log out within
+// the configured time and waits for open commands up to the longest deadline of a class. When ctx
+// ends, it stops waiting.
 func (g *Gateway) Stop(ctx context.Context) {
 	g.mu.Lock()
 	f, a := g.frontend, g.announcer
@@ -358,7 +358,7 @@
 	g.shutdown("graceful stop")
 }
 
-// waitUntil looks until done, for at most so long.
+// waitUntil polls done until it returns true, the timeout passes or ctx ends.
 func (g *Gateway) waitUntil(ctx context.Context, timeout time.Duration, done func() bool) {
 	deadline := g.cfg.Environment.Now() + timeout
 	for !done() && g.cfg.Environment.Now() < deadline && ctx.Err() == nil {
@@ -366,10 +366,11 @@
 	}
 }
 
-// Kill ends the gateway at once. What it held is the clients' to try again.
+// Kill stops the gateway at once. Open commands get no answer.
 func (g *Gateway) Kill() { g.shutdown("") }
 
-// shutdown ends everything; with a text, routers are told it.
+// shutdown stops everything. Routers are notified with the message, or their connections are just
+// closed if it is empty.
 func (g *Gateway) shutdown(message string) {
 	g.mu.Lock()
 	if g.stopped {
@@ -385,7 +386,7 @@
 	if g.recorder != nil {
 		g.recorder.close()
 	}
-	g.store.Close() // what it refuses from now on was not accepted
+	g.store.Close() // settings that arrive from now on are refused
 	if a != nil {
 		a.close(message)
 	}
--- a/internal/control/gateway/metrics.go
+++ b/internal/control/gateway/metrics.go
@@ -14,28 +14,27 @@
 	"merlinhitch/policy"
 )
 
-// classPlan is a class and a plan, of which settings bound the number.
+// classPlan is the key of request counters. The settings bound the number of classes and plans.
 type classPlan struct{ class, plan string }
 
-// requestCounts are what is counted of a class and a plan.
+// requestCounts are the request counters of a class and plan.
 type requestCounts struct {
 	metrics.Ends
-	latency prometheus.Histogram // the class's
+	latency prometheus.Histogram // of the class, over all plans
 }
 
-// coreMetrics is what a host core counts for operators: a few additions for each request, and
-// nothing that grows with volumes or connections.
+// coreMetrics are the counters of a core. Their number does not grow with volumes or connections.
 type coreMetrics struct {
 	byClassPlan map[classPlan]*requestCounts
 	latency     map[string]prometheus.Histogram // by class
-	attempts    map[string]*metrics.Attempts    // by node of the list
+	attempts    map[string]*metrics.Attempts    // by node address
 }
 
 func newCoreMetrics() coreMetrics {
 	return coreMetrics{byClassPlan: map[classPlan]*requestCounts{}, latency: map[string]prometheus.Histogram{}, attempts: map[string]*metrics.Attempts{}}
 }
 
-// countsFor are the counts that a request goes to.
+// countsFor returns the counters of a request's class and plan.
 func (t *coreMetrics) countsFor(request *policy.Request) *requestCounts {
 	key := classPlan{request.Class, request.Plan}
 	c := t.byClassPlan[key]
@@ -51,7 +50,7 @@
 	return c
 }
 
-// totals sums over classes and plans.
+// totals returns the sums over all classes and plans.
 func (t *coreMetrics) totals() (f roll.Figures) {
 	for _, c := range t.byClassPlan {
 		f = f.Add(roll.Figures{Taken: c.Taken, Served: c.Served, InAim: c.InAim, Refused: c.Refused, Failed: c.Failed})
@@ -59,7 +58,7 @@
 	return f
 }
 
-// recordEnd notes the end of a request.
+// recordEnd counts the result of a job that ended at now, ms.
 func (c *requestCounts) recordEnd(j *job, outcome jobOutcome, now float64) {
 	switch outcome {
 	case jobServed:
@@ -79,11 +78,11 @@
 	}
 }
 
-// maxCountedNodes bounds the nodes that are counted. A node that left the list keeps its counters
-// until there are so many: it may come back under its address.
+// maxCountedNodes is the number of nodes at which the counters of nodes that left the list are
+// deleted. Until then they are kept, since a node may return under its address.
 const maxCountedNodes = 4096
 
-// recordAttempt notes the end of an attempt.
+// recordAttempt counts the result of an attempt at a node. listed are the nodes on the list.
 func (t *coreMetrics) recordAttempt(node string, result policy.Result, listed map[string]inventory.Node) {
 	a := t.attempts[node]
 	if a == nil {
@@ -96,13 +95,13 @@
 	a[result]++
 }
 
-// stateReading is all that /metrics and /state show, of one moment.
+// stateReading is the data of /metrics and /state.
 type stateReading struct {
 	metrics.Reading
 	status Status
 }
 
-// readState copies the tally on the host's goroutine.
+// readState copies the core's counters and the status. ok is as for readStatus.
 func (g *Gateway) readState() (reading stateReading, ok bool) {
 	reading.status, ok = g.readStatus(func(c *core) {
 		reading.Attempts = make(map[string]metrics.Attempts, len(c.counters.attempts))
@@ -122,14 +121,14 @@
 	return reading, ok
 }
 
-// notReadyReason says what keeps the gateway from serving, "" if nothing does.
+// notReadyReason returns why the gateway is not ready to serve, "" if it is.
 func (g *Gateway) notReadyReason() string {
 	g.mu.Lock()
 	stopped, startErr := g.stopped, g.startErr
 	g.mu.Unlock()
 	switch {
 	case stopped:
-		return "it is stopping"
+		return "gateway is stopping"
 	case startErr != nil:
 		return startErr.Error()
 	}
@@ -138,7 +137,7 @@
 	case !ok:
 		return "no settings are in force"
 	case !reading.status.ListSeen:
-		return "no node list was seen"
+		return "no node list was received"
 	case !reading.Leased:
 		return "no lease"
 	}
@@ -149,7 +148,7 @@
 	stopping := f.stopping
 	f.mu.Unlock()
 	if stopping {
-		return "it is stopping"
+		return "gateway is stopping"
 	}
 	for _, s := range reading.View.Shards {
 		if s.Node == "" {
--- a/internal/control/gateway/peer_linux.go
+++ b/internal/control/gateway/peer_linux.go
@@ -5,7 +5,8 @@
 	"syscall"
 )
 
-// peerUID is the user at the other end of a Unix socket (SO_PEERCRED, unix(7)).
+// peerUID returns the user id of the process at the other end of a Unix socket (SO_PEERCRED,
+// unix(7)), and whether it is known.
 func peerUID(c *net.UnixConn) (uint32, bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/control/gateway/peer_other.go
+++ b/internal/control/gateway/peer_other.go
@@ -4,5 +4,5 @@
 
 import "net"
 
-// peerUID is not known on this system.
+// peerUID returns false, since this system does not provide the user id.
 func peerUID(*net.UnixConn) (uint32, bool) { return 0, false }
--- a/internal/control/gateway/recorder.go
+++ b/internal/control/gateway/recorder.go
@@ -13,17 +13,17 @@
 	"merlinhitch/internal/storage/history"
 )
 
-// recorder keeps a host's counters as history, once a second.
+// recorder writes a gateway's request counters to its history once a second.
 type recorder struct {
 	gateway  *Gateway
 	mu       sync.Mutex
-	store    *history.Store
-	previous map[history.Key]history.Counts
+	store    *history.Store                 // guarded by mu
+	previous map[history.Key]history.Counts // totals as of the previous second
 	stopped  env.Gate
 	tasks    env.WaitGroup
 }
 
-// flushIntervalSeconds is how many seconds may be lost in a crash.
+// flushIntervalSeconds bounds the seconds of history that a crash loses.
 const flushIntervalSeconds = 10
 
 func startRecorder(g *Gateway, dir string) (*recorder, error) {
@@ -44,7 +44,7 @@
 	r.recordSecond(environment.Deadline(0).Unix(), true)
 }
 
-// recordSecond adds what was counted since the last.
+// recordSecond adds the counts since the previous call to the history.
 func (r *recorder) recordSecond(unixSeconds int64, flush bool) {
 	state, ok := r.gateway.readState()
 	if !ok {
@@ -73,7 +73,7 @@
 	}
 }
 
-// readRows returns rows from what is written.
+// readRows returns the history from one time to before another, in seconds since 1970.
 func (r *recorder) readRows(from, to int64) ([]history.Row, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,7 +85,7 @@
 	r.tasks.Wait(r.gateway.cfg.Environment)
 }
 
-// serveHistory serves /serveHistory?from=&to=, in seconds since 1970.
+// serveHistory serves /history?from=&to=, with times in seconds since 1970.
 func (g *Gateway) serveHistory(w http.ResponseWriter, r *http.Request) {
 	if g.recorder == nil {
 		settings.Reply(w, http.StatusNotFound, "no history is kept")
@@ -99,7 +99,7 @@
 	}
 	rows, err := g.recorder.readRows(from, to)
 	if err != nil {
-		w.Header().Set("Warning", `199 - "`+err.Error()+`"`) // RFC 9111 section 5.5: rows of the sound files
+		w.Header().Set("Warning", `199 - "`+err.Error()+`"`) // RFC 9111 section 5.5; the rows of undamaged files are still returned
 	}
 	settings.Reply(w, http.StatusOK, rows)
 }
--- a/internal/control/gateway/regional.go
+++ b/internal/control/gateway/regional.go
@@ -16,21 +16,21 @@
 	"merlinhitch/policy"
 )
 
-// regionState is what a host core of a service over two regions knows of them. What it
-// decides is package region's; the module hears of it as a node list that has for each
-// shard only the node at its home, and of its part of each limit.
+// regionState is the state of a core in a service with two regions. Package region decides on
+// leases, homes of shards and shares of limits. The core passes them on to the policy: nodes outside
+// the home region of their shard are reported as draining, and limits as the region's share.
 type regionState struct {
 	*region.Host
 	self          region.ID
-	limitIndexes  map[string]int // of plans that have one: its number
-	copyBeforeAck map[string]bool
-	volumeLimits  map[string]volumeLimit // of limited volumes
-	clockDrift    float64                // a limit may fill so much too fast
-	notifiedHeld  bool                   // as the module was last told
-	notifiedTerm  uint64
+	limitIndexes  map[string]int         // by plan, for those with a limit: its index in region records
+	copyBeforeAck map[string]bool        // by plan: writes are acknowledged once the other region has a copy
+	volumeLimits  map[string]volumeLimit // by volume, for those that had a request under a limited plan
+	clockDrift    float64                // maximum relative error of a host's clock
+	notifiedHeld  bool                   // whether the host held a lease when notifyHomes last ran
+	notifiedTerm  uint64                 // term of the region record that notifyHomes last reported
 }
 
-// volumeLimit is a limited volume's: its hosts in this region, and its limit.
+// volumeLimit is the number of hosts in this region that serve a volume, and the index of its limit.
 type volumeLimit struct{ hosts, limit int }
 
 func newRegionState(s *settings.Settings, hostIndex int) *regionState {
@@ -43,7 +43,7 @@
 	return r
 }
 
-// applySettings takes what settings say of plans.
+// applySettings applies the plans of settings.
 func (r *regionState) applySettings(s *settings.Settings) {
 	r.limitIndexes, r.copyBeforeAck = map[string]int{}, map[string]bool{}
 	for i, p := range s.Plans {
@@ -54,16 +54,18 @@
 	}
 }
 
-// minLimitShare stands for a share of minLimitShare: no request ever fits it.
+// minLimitShare replaces a share of 0: the policy takes a fraction of 0 as the whole limit. No
+// request fits into it.
 const minLimitShare = 1e-9
 
-// regionShare is what this region's hosts have of a limit, by clocks that may run fast.
+// regionShare returns the region's share of a limit, reduced by the maximum clock drift, and since
+// when it has been no smaller, ms.
 func (r *regionState) regionShare(now float64, limit int) (share, since float64) {
 	share, since = r.Share(now, limit)
 	return max(share*(1-r.clockDrift), minLimitShare), since
 }
 
-// setLimitShare enters a request's part of its limit.
+// setLimitShare sets a request's fraction of its plan's limit to the region's share.
 func (r *regionState) setLimitShare(now float64, request *policy.Request) {
 	limit, ok := r.limitIndexes[request.Plan]
 	if !ok {
@@ -73,7 +75,8 @@
 	request.Fraction, request.FractionSince = r.regionShare(now, limit)
 }
 
-// applyGrant brings what the inventory applyGrant.
+// applyGrant applies a lease granted by the inventory. The policy is notified if the host had no
+// lease or the term has changed.
 func (h *core) applyGrant(now float64, grant *region.Grant) {
 	h.advance(now)
 	r := h.regions
@@ -88,18 +91,19 @@
 	h.notifyHomes()
 }
 
-// leaseTimerName is the timer at the end of a lease.
+// leaseTimerName names the timer at the end of a lease.
 const leaseTimerName = "/lease"
 
-// checkLease looks whether the lease has run out.
+// checkLease updates the policy if the lease has expired.
 func (h *core) checkLease() {
 	if r := h.regions; r.notifiedHeld && !r.Holds(h.now) {
 		h.notifyHomes()
-		h.effects.warn("no lease: nothing is sent until the inventory grants one")
+		h.effects.warn("lease expired: no requests are sent until the inventory grants a new one")
 	}
 }
 
-// notifyHomes tells the module where shards are at home now, and its parts of limits.
+// notifyHomes reports all nodes to the policy, with their health under the current homes of shards,
+// and the region's shares of limits.
 func (h *core) notifyHomes() {
 	r := h.regions
 	r.notifiedHeld, r.notifiedTerm = r.Holds(h.now), r.Known().Term
@@ -121,8 +125,8 @@
 	}
 }
 
-// effectiveHealth is a node's as the module is told it: one that is not at its shard's home is
-// as good as draining.
+// effectiveHealth returns a node's health as reported to the policy: a ready node outside the home
+// region of its shard is reported as draining.
 func (h *core) effectiveHealth(n inventory.Node) policy.Health {
 	if r := h.regions; r != nil && n.Health == inventory.Ready {
 		if home, ok := r.May(h.now, n.Shard); !ok || home.Region != n.Region {
@@ -132,8 +136,9 @@
 	return policyHealth[n.Health]
 }
 
-// stampGeneration has an attempt carry its shard's generation and end with the lease; false if it
-// must not go.
+// stampGeneration sets an attempt's generation to that of its shard and limits its deadline to the
+// end of the lease. It returns false if the attempt must not be sent: the host has no lease, the
+// node is not in the shard's home region, or a repeat could be executed in both regions.
 func (h *core) stampGeneration(a *attempt) bool {
 	r, j := h.regions, a.job
 	if r == nil {
@@ -156,7 +161,9 @@
 	return true
 }
 
-// refusedStale takes note of a disk server that knows a later generation.
+// refusedStale records that a disk server refused an attempt since it knows a later generation of
+// the shard. Nothing is sent to the shard until a lease brings a later generation than the
+// refused one.
 func (h *core) refusedStale(a *attempt) {
 	if r := h.regions; r != nil {
 		r.Refused(a.job.req.Shard, a.generation)
@@ -165,7 +172,7 @@
 	}
 }
 
-// leaseRenewer asks the inventory for leases, from a goroutine of its own.
+// leaseRenewer requests leases from the inventory, on its own goroutine.
 type leaseRenewer struct {
 	environment env.Environment
 	host        *host
@@ -173,13 +180,13 @@
 	interval    time.Duration
 	log         *zap.Logger
 	mu          sync.Mutex
-	wake        *env.Gate
+	wake        *env.Gate // ends the wait before the next request; guarded by mu
 	stopped     env.Gate
 	done        env.Gate
 }
 
-// renewalsPerLease is how many times a lease is renewed in its own length: two questions may be
-// lost without harm.
+// renewalsPerLease is the number of renewal intervals in the length of a lease. A request that times
+// out takes two of them, so one may be lost without the lease expiring.
 const renewalsPerLease = 6
 
 func newLeaseRenewer(environment env.Environment, h *host, inventoryAddr string, r *settings.Regions, log *zap.Logger) *leaseRenewer {
@@ -218,7 +225,7 @@
 	}
 }
 
-// renewNow ends the wait before the next question.
+// renewNow ends the wait before the next lease request.
 func (l *leaseRenewer) renewNow() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
