--- a/internal/control/gateway/command.go
+++ b/internal/control/gateway/command.go
@@ -42,97 +42,99 @@
 }
 
 // handleCommand executes a command whose data has arrived completely. The caller holds conn.mu.
-func (c *conn) handleCommand(t *iscsi.Task) {
-	if c.unitAttention != nil && scsi.TakesAttention(t.CDB) {
-		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: c.unitAttention.Fixed()})
+func (c *conn) handleCommand(task *iscsi.Task) {
+	if c.unitAttention != nil && scsi.TakesAttention(task.CDB) {
+		c.respond(task, iscsi.Answer{Status: scsi.CheckCondition, Sense: c.unitAttention.Fixed()})
 		c.unitAttention = nil
 		return
 	}
-	v := c.frontend.settings.Load()
+	active := c.frontend.settings.Load()
 	var disk *scsi.Disk
-	if u := c.currentUnit(v); t.LUN == 0 && u != nil {
-		disk = u.disk
+	if unit := c.currentUnit(active); task.LUN == 0 && unit != nil {
+		disk = unit.disk
 	}
-	decoded := scsi.Decode(disk, t.CDB, t.Data, []uint64{0})
+	decoded := scsi.Decode(disk, task.CDB, task.Data, []uint64{0})
 	switch {
 	case decoded.Sense != nil:
-		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: decoded.Sense.Fixed()})
+		c.respond(task, iscsi.Answer{Status: scsi.CheckCondition, Sense: decoded.Sense.Fixed()})
 	case decoded.Reserve != nil:
-		c.handleReservation(v, t, decoded.Reserve)
+		c.handleReservation(active, task, decoded.Reserve)
 	case decoded.IO == nil:
-		c.respond(t, iscsi.Answer{Data: decoded.Data, Out: decoded.Out})
-	case decoded.IO.Op == scsi.Flush && c.flushPermitted(v):
+		c.respond(task, iscsi.Answer{Data: decoded.Data, Out: decoded.Out})
+	case decoded.IO.Op == scsi.Flush && c.flushPermitted(active):
 		// Nothing is to be flushed: acknowledged writes are on their disk servers.
-		c.respond(t, iscsi.Answer{})
+		c.respond(task, iscsi.Answer{})
 	default:
-		c.startCommand(t, decoded)
+		c.startCommand(task, decoded)
 	}
 }
 
 // flushPermitted reports whether the cached reservations permit a flush.
-func (c *conn) flushPermitted(v *activeSettings) bool {
-	_, ok := c.frontend.reservations.check(c.currentUnit(v).volume.Name, c.nexus(), true)
+func (c *conn) flushPermitted(active *activeSettings) bool {
+	_, ok := c.frontend.reservations.check(c.currentUnit(active).volume.Name, c.nexus(), true)
 	return ok
 }
 
 // currentUnit returns the session's unit under the current settings, nil if they no longer have it
 // on this host. New commands are then answered as for a missing unit; commands accepted before
 // are completed.
-func (c *conn) currentUnit(v *activeSettings) *logicalUnit { return v.unitsByTarget[c.key.target] }
+func (c *conn) currentUnit(active *activeSettings) *logicalUnit {
+	return active.unitsByTarget[c.key.target]
+}
 
 // currentOrLoginUnit returns the session's unit under the current settings, or as it was at the login
 // if they no longer have it, for commands accepted before.
-func (c *conn) currentOrLoginUnit(v *activeSettings) *logicalUnit {
-	if u := c.currentUnit(v); u != nil {
-		return u
+func (c *conn) currentOrLoginUnit(active *activeSettings) *logicalUnit {
+	if unit := c.currentUnit(active); unit != nil {
+		return unit
 	}
 	return c.logicalUnit
 }
 
-func (c *conn) respond(t *iscsi.Task, a iscsi.Answer) { c.session.Respond(t, a) }
+func (c *conn) respond(task *iscsi.Task, answer iscsi.Answer) { c.session.Respond(task, answer) }
 
 // startCommand submits a command. The caller holds conn.mu.
-func (c *conn) startCommand(t *iscsi.Task, decoded scsi.Outcome) {
-	if vol, class := c.submit(t, decoded); class != nil {
-		c.recheckReservations(t, decoded, vol, class, false)
+func (c *conn) startCommand(task *iscsi.Task, decoded scsi.Outcome) {
+	if volume, class := c.submit(task, decoded); class != nil {
+		c.recheckReservations(task, decoded, volume, class, false)
 	}
 }
 
 // submit posts the command's jobs under the current settings, or answers the command itself. If the
 // cached reservations forbid it, submit does neither and returns the volume and the class.
-func (c *conn) submit(t *iscsi.Task, decoded scsi.Outcome) (*settings.Volume, *settings.Class) {
+func (c *conn) submit(task *iscsi.Task, decoded scsi.Outcome) (*settings.Volume, *settings.Class) {
 	f := c.frontend
 	f.settingsMu.RLock()
 	defer f.settingsMu.RUnlock()
-	v, io := f.settings.Load(), decoded.IO
-	u := c.currentUnit(v)
-	if u == nil {
-		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.NoSuchLUN.Fixed()})
+	active, io := f.settings.Load(), decoded.IO
+	unit := c.currentUnit(active)
+	if unit == nil {
+		c.respond(task, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.NoSuchLUN.Fixed()})
 		return nil, nil
 	}
-	size := int(io.Blocks) * u.volume.BlockSize
+	size := int(io.Blocks) * unit.volume.BlockSize
 	if io.Op == scsi.Unmap {
 		size = 0
 	}
-	class := v.Class(io.Op, size, u.volume.Plan)
+	class := active.Class(io.Op, size, unit.volume.Plan)
 	if class == nil {
-		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.InvalidField.Fixed()})
+		c.respond(task, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.InvalidField.Fixed()})
 		return nil, nil
 	}
-	fence, permitted := f.reservations.check(u.volume.Name, c.nexus(), io.Op.Writes() || io.Op == scsi.Flush)
+	fence, permitted := f.reservations.check(unit.volume.Name, c.nexus(), io.Op.Writes() || io.Op == scsi.Flush)
 	if !permitted {
-		return u.volume, class
+		return unit.volume, class
 	}
-	cmd := &command{conn: c, task: t, blockSize: u.volume.BlockSize, decoded: decoded, class: class, fence: fence}
+	cmd := &command{conn: c, task: task, blockSize: unit.volume.BlockSize, decoded: decoded, class: class, fence: fence}
 	if io.Op == scsi.Read {
 		cmd.reservedBytes = size
 	}
-	if !f.host.leaseValid() || int(f.openRequests.Load()) >= v.Limits.MaxOpen || !f.reserveMemory(cmd.reservedBytes) {
-		c.respond(t, iscsi.Answer{Status: scsi.Busy}) // not accepted: nothing was sent
+	if !f.host.leaseValid() || int(f.openRequests.Load()) >= active.Limits.MaxOpen || !f.reserveMemory(cmd.reservedBytes) {
+		c.respond(task, iscsi.Answer{Status: scsi.Busy}) // not accepted: nothing was sent
 		return nil, nil
 	}
-	cmd.split(v, u.volume, class, io)
-	t.User = cmd
+	cmd.split(active, unit.volume, class, io)
+	task.User = cmd
 	f.openRequests.Add(int64(len(cmd.jobs)))
 	for _, j := range cmd.jobs {
 		f.host.post(event{kind: eventSubmit, job: j})
@@ -141,24 +143,24 @@
 }
 
 // split adds one job for each run of blocks on one shard.
-func (cmd *command) split(v *activeSettings, vol *settings.Volume, class *settings.Class, io *scsi.IO) {
+func (cmd *command) split(active *activeSettings, volume *settings.Volume, class *settings.Class, io *scsi.IO) {
 	if io.Op == scsi.Unmap {
-		cmd.splitUnmap(v, vol, class, io)
+		cmd.splitUnmap(active, volume, class, io)
 		return
 	}
 	taskData := cmd.task.Data
 	if len(taskData) > io.Out {
 		taskData = taskData[:io.Out]
 	}
-	for p := range vol.Parts(io.LBA, io.Blocks) {
-		start := int(p.LBA-io.LBA) * vol.BlockSize
-		size := int(p.Blocks) * vol.BlockSize
+	for part := range volume.Parts(io.LBA, io.Blocks) {
+		start := int(part.LBA-io.LBA) * volume.BlockSize
+		size := int(part.Blocks) * volume.BlockSize
 		data := taskData
 		if io.Op == scsi.Write || io.Compare {
 			data = taskData[start : start+size]
 		}
-		j := cmd.addJob(v, vol, class, io.Op, p.Shard, p.Extent, size)
-		j.message.LBA, j.message.Blocks, j.message.Data = p.LBA, p.Blocks, data
+		j := cmd.addJob(active, volume, class, io.Op, part.Shard, part.Extent, size)
+		j.message.LBA, j.message.Blocks, j.message.Data = part.LBA, part.Blocks, data
 		if faultinject.Active(faultinject.ExtentMissed) && len(cmd.jobs) > 1 && io.Op == scsi.Write {
 			j.message.LBA--
 		}
@@ -166,16 +168,16 @@
 }
 
 // splitUnmap collects the runs of each shard in jobs of at most maxRunsPerRequest runs.
-func (cmd *command) splitUnmap(v *activeSettings, vol *settings.Volume, class *settings.Class, io *scsi.IO) {
+func (cmd *command) splitUnmap(active *activeSettings, volume *settings.Volume, class *settings.Class, io *scsi.IO) {
 	byShard := map[int]*job{}
-	for _, r := range io.Unmaps {
-		for p := range vol.Parts(r.LBA, r.Blocks) {
-			j := byShard[p.Shard]
+	for _, run := range io.Unmaps {
+		for part := range volume.Parts(run.LBA, run.Blocks) {
+			j := byShard[part.Shard]
 			if j == nil || len(j.message.Runs) == maxRunsPerRequest {
-				j = cmd.addJob(v, vol, class, io.Op, p.Shard, p.Extent, 0)
-				byShard[p.Shard] = j
+				j = cmd.addJob(active, volume, class, io.Op, part.Shard, part.Extent, 0)
+				byShard[part.Shard] = j
 			}
-			j.message.Runs = append(j.message.Runs, diskproto.Run{LBA: p.LBA, Blocks: p.Blocks})
+			j.message.Runs = append(j.message.Runs, diskproto.Run{LBA: part.LBA, Blocks: part.Blocks})
 		}
 	}
 }
@@ -184,10 +186,10 @@
 const maxRunsPerRequest = 64
 
 // addJob adds the job of one part, of size bytes.
-func (cmd *command) addJob(v *activeSettings, vol *settings.Volume, class *settings.Class, op scsi.Op, shard int, extent uint64, size int) *job {
+func (cmd *command) addJob(active *activeSettings, volume *settings.Volume, class *settings.Class, op scsi.Op, shard int, extent uint64, size int) *job {
 	c := cmd.conn
-	key := vol.Key(extent)
-	units := v.Units(size)
+	key := volume.Key(extent)
+	units := active.Units(size)
 	j := &cmd.firstJob // most commands have one part
 	if len(cmd.jobs) > 0 {
 		j = &job{}
@@ -195,10 +197,10 @@
 		cmd.jobs = cmd.inlineJobs[:0]
 	}
 	j.owner = cmd
-	j.req = policy.Request{Class: class.Name, Plan: vol.Plan, Volume: vol.Name, Shard: shard, Units: units,
-		Key: key, Hosts: v.hostCounts[vol.Name], Write: op.Writes(), Expires: cmd.task.At + class.Deadline}
+	j.req = policy.Request{Class: class.Name, Plan: volume.Plan, Volume: volume.Name, Shard: shard, Units: units,
+		Key: key, Hosts: active.hostCounts[volume.Name], Write: op.Writes(), Expires: cmd.task.At + class.Deadline}
 	j.message = diskproto.Do{Op: byte(op), Effect: diskEffects[class.Effect], Shard: uint32(shard), Host: c.frontend.host.pool.hostID,
-		Origin: uint64(c.tsih)<<32 | uint64(cmd.task.ITT), Fence: cmd.fence, Units: units, Plan: vol.Plan, Volume: vol.Name, Key: key}
+		Origin: uint64(c.tsih)<<32 | uint64(cmd.task.ITT), Fence: cmd.fence, Units: units, Plan: volume.Plan, Volume: volume.Name, Key: key}
 	if faultinject.Active(faultinject.KeyForgotten) {
 		j.req.Key += fmt.Sprint(c.frontend.openRequests.Load())
 	}
@@ -214,10 +216,10 @@
 // abandon aborts the command's jobs. wait, if not nil, is told when no attempt of them can take
 // effect any more. The caller holds conn.mu.
 func (cmd *command) abandon(wait *abortWait) {
-	cmd.conn.frontend.host.post(event{kind: eventRun, run: func(h *core) {
+	cmd.conn.frontend.host.post(event{kind: eventRun, run: func(c *core) {
 		cmd.abortWait, cmd.aborted = wait, true
 		for _, j := range cmd.jobs {
-			h.abort(h.now, j)
+			c.abort(c.now, j)
 		}
 		if cmd.unsettled == 0 || faultinject.Active(faultinject.AbortAtOnce) {
 			cmd.notifyAbort()
@@ -259,11 +261,11 @@
 		return
 	}
 	cmd.unsentAborted = true
-	cmd.conn.frontend.host.post(event{kind: eventRun, run: func(h *core) {
+	cmd.conn.frontend.host.post(event{kind: eventRun, run: func(c *core) {
 		for _, j := range cmd.jobs {
 			if j.attempts == 0 && !j.ended {
 				j.abortedUnsent = true
-				h.abort(h.now, j)
+				c.abort(c.now, j)
 			}
 		}
 	}})
@@ -334,37 +336,37 @@
 // recheckReservations reads a volume's reservations and restarts the command if they permit it. If
 // not, it answers RESERVATION CONFLICT, or BUSY if they could not be read. A command that may have
 // been executed in part ends with COMMAND ABORTED instead of either. The caller holds conn.mu.
-func (c *conn) recheckReservations(t *iscsi.Task, decoded scsi.Outcome, vol *settings.Volume, class *settings.Class, maybeExecuted bool) {
-	t.User = nil // it has no jobs now, so an abort need not wait
-	c.frontend.reservations.refresh(vol, t.At+class.Deadline, func(state *reserve.State, err error) {
+func (c *conn) recheckReservations(task *iscsi.Task, decoded scsi.Outcome, volume *settings.Volume, class *settings.Class, maybeExecuted bool) {
+	task.User = nil // it has no jobs now, so an abort need not wait
+	c.frontend.reservations.refresh(volume, task.At+class.Deadline, func(state *reserve.State, err error) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		switch {
 		case c.closed:
 		case err != nil && maybeExecuted:
-			c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.CommandAborted.Fixed()})
+			c.respond(task, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.CommandAborted.Fixed()})
 		case err != nil:
-			c.respond(t, iscsi.Answer{Status: scsi.Busy})
+			c.respond(task, iscsi.Answer{Status: scsi.Busy})
 		case state.May(c.nexus(), decoded.IO.Op.Writes() || decoded.IO.Op == scsi.Flush):
-			if c.session.Task(t.ITT) == t {
-				c.restart(t, decoded)
+			if c.session.Task(task.ITT) == task {
+				c.restart(task, decoded)
 			}
 		case maybeExecuted:
-			c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.CommandAborted.Fixed()})
+			c.respond(task, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.CommandAborted.Fixed()})
 		default:
-			c.respond(t, iscsi.Answer{Status: scsi.Conflict})
+			c.respond(task, iscsi.Answer{Status: scsi.Conflict})
 		}
 	})
 }
 
 // restart submits a command that the refreshed reservations permit. A flush needs no more than
 // that check. The caller holds conn.mu.
-func (c *conn) restart(t *iscsi.Task, decoded scsi.Outcome) {
+func (c *conn) restart(task *iscsi.Task, decoded scsi.Outcome) {
 	if decoded.IO.Op == scsi.Flush {
-		c.respond(t, iscsi.Answer{})
+		c.respond(task, iscsi.Answer{})
 		return
 	}
-	c.startCommand(t, decoded)
+	c.startCommand(task, decoded)
 }
 
 // retryDelay returns the retry delay timer code of BUSY, in units of 100 ms (SAM-5 section 5.3.2).
--- a/internal/control/gateway/reservations.go
+++ b/internal/control/gateway/reservations.go
@@ -21,9 +21,9 @@
 // wrongly permits is stopped by the fence at the disk servers, and one that it forbids is
 // refused only after the record was read again.
 type reservationCache struct {
-	front   *frontend
-	mu      sync.Mutex
-	volumes map[string]*volumeReservations // by name; a missing one is unreserved as far as is known
+	frontend *frontend
+	mu       sync.Mutex
+	volumes  map[string]*volumeReservations // by name; a missing one is unreserved as far as is known
 }
 
 // volumeReservations is the cached state of one volume.
@@ -50,61 +50,61 @@
 var errReservationsUnavailable = errors.New("gateway: reservation record not read or fence not raised")
 
 func newReservationCache(f *frontend) *reservationCache {
-	return &reservationCache{front: f, volumes: map[string]*volumeReservations{}}
+	return &reservationCache{frontend: f, volumes: map[string]*volumeReservations{}}
 }
 
-// volume returns the entry of a volume, adding it if need be. A new entry has the zero state, whose
+// entry returns the entry of a volume, adding it if need be. A new entry has the zero state, whose
 // version is below every fence that was ever raised. The caller holds mu.
-func (k *reservationCache) volume(volume string) *volumeReservations {
-	g := k.volumes[volume]
-	if g == nil {
-		g = &volumeReservations{state: &reserve.State{}}
-		k.volumes[volume] = g
+func (k *reservationCache) entry(volumeName string) *volumeReservations {
+	entry := k.volumes[volumeName]
+	if entry == nil {
+		entry = &volumeReservations{state: &reserve.State{}}
+		k.volumes[volumeName] = entry
 	}
-	return g
+	return entry
 }
 
 // check reports whether the cached state permits a nexus to write or read, and the version of that
 // state, which disk servers compare with their fence.
-func (k *reservationCache) check(volume string, n reserve.Nexus, write bool) (fence uint64, ok bool) {
+func (k *reservationCache) check(volumeName string, nexus reserve.Nexus, write bool) (fence uint64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	g := k.volumes[volume]
-	if g == nil {
+	entry := k.volumes[volumeName]
+	if entry == nil {
 		return 0, true
 	}
-	return g.state.Version, g.state.May(n, write)
+	return entry.state.Version, entry.state.May(nexus, write)
 }
 
 // refresh reads the record, in a read that begins after this call, raises the fence at every shard
 // of the volume to its version, and then calls receive.
-func (k *reservationCache) refresh(vol *settings.Volume, expires float64, receive func(*reserve.State, error)) {
+func (k *reservationCache) refresh(volume *settings.Volume, expires float64, receive func(*reserve.State, error)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	g := k.volume(vol.Name)
+	entry := k.entry(volume.Name)
 	w := stateWaiter{expires, receive}
-	if g.reading {
-		g.nextWaiters = append(g.nextWaiters, w)
+	if entry.reading {
+		entry.nextWaiters = append(entry.nextWaiters, w)
 		return
 	}
-	g.waiters = append(g.waiters, w)
-	k.startRead(vol, g)
+	entry.waiters = append(entry.waiters, w)
+	k.startRead(volume, entry)
 }
 
 // startRead starts a read for the current waiters. The caller holds mu.
-func (k *reservationCache) startRead(vol *settings.Volume, g *volumeReservations) {
-	g.reading = true
+func (k *reservationCache) startRead(volume *settings.Volume, entry *volumeReservations) {
+	entry.reading = true
 	latest := 0.0
-	for _, w := range g.waiters {
+	for _, w := range entry.waiters {
 		latest = max(latest, w.expires)
 	}
-	k.front.accessRecord(vol, diskproto.OpRecord, scsi.Read, nil, 0, latest, func(answer *diskproto.Answer) {
+	k.frontend.accessRecord(volume, diskproto.OpRecord, scsi.Read, nil, 0, latest, func(answer *diskproto.Answer) {
 		state, err := parseRecord(answer)
 		if err != nil {
-			k.finishRead(vol, nil, err)
+			k.finishRead(volume, nil, err)
 			return
 		}
-		k.update(vol, state, latest, func(err error) { k.finishRead(vol, state, err) })
+		k.update(volume, state, latest, func(err error) { k.finishRead(volume, state, err) })
 	})
 }
 
@@ -125,13 +125,13 @@
 }
 
 // finishRead passes the result to the waiters and starts the next read if there are more.
-func (k *reservationCache) finishRead(vol *settings.Volume, state *reserve.State, err error) {
+func (k *reservationCache) finishRead(volume *settings.Volume, state *reserve.State, err error) {
 	k.mu.Lock()
-	g := k.volume(vol.Name)
-	waiting := g.waiters
-	g.waiters, g.nextWaiters, g.reading = g.nextWaiters, nil, false
-	if len(g.waiters) > 0 {
-		k.startRead(vol, g)
+	entry := k.entry(volume.Name)
+	waiting := entry.waiters
+	entry.waiters, entry.nextWaiters, entry.reading = entry.nextWaiters, nil, false
+	if len(entry.waiters) > 0 {
+		k.startRead(volume, entry)
 	}
 	k.mu.Unlock()
 	for _, w := range waiting {
@@ -141,58 +141,58 @@
 
 // update installs a state that is newer than the cached one. First its fence is raised at every
 // shard, so that disk servers refuse requests that rely on an older state.
-func (k *reservationCache) update(vol *settings.Volume, state *reserve.State, expires float64, done func(error)) {
+func (k *reservationCache) update(volume *settings.Volume, state *reserve.State, expires float64, done func(error)) {
 	k.mu.Lock()
-	old := k.volume(vol.Name).state
+	old := k.entry(volume.Name).state
 	k.mu.Unlock()
 	if state.Version <= old.Version {
 		done(nil)
 		return
 	}
-	k.front.raiseFence(vol, state.Version, expires, func(ok bool) {
+	k.frontend.raiseFence(volume, state.Version, expires, func(ok bool) {
 		if !ok {
 			done(errReservationsUnavailable)
 			return
 		}
-		k.install(vol, state)
+		k.install(volume, state)
 		done(nil)
 	})
 }
 
 // install replaces the cached state unless that is as new, sets the unit attention of sessions that
 // the change concerns, and starts polling once an initiator is registered.
-func (k *reservationCache) install(vol *settings.Volume, state *reserve.State) {
+func (k *reservationCache) install(volume *settings.Volume, state *reserve.State) {
 	k.mu.Lock()
-	g := k.volume(vol.Name)
-	old := g.state
+	entry := k.entry(volume.Name)
+	old := entry.state
 	if state.Version <= old.Version {
 		k.mu.Unlock()
 		return
 	}
-	g.state = state
-	startPolling := !g.polling && len(state.Registrations) > 0
-	g.polling = g.polling || startPolling
+	entry.state = state
+	startPolling := !entry.polling && len(state.Registrations) > 0
+	entry.polling = entry.polling || startPolling
 	k.mu.Unlock()
-	k.front.setAttention(vol.Name, reserve.Notices(old, state))
+	k.frontend.setAttention(volume.Name, reserve.Notices(old, state))
 	if startPolling {
-		k.poll(vol)
+		k.poll(volume)
 	}
 }
 
 // poll reads the record once per pollInterval while any initiator is registered.
-func (k *reservationCache) poll(vol *settings.Volume) {
-	k.front.environment.AfterFunc(pollInterval, func() {
-		if k.front.isStopping() {
+func (k *reservationCache) poll(volume *settings.Volume) {
+	k.frontend.environment.AfterFunc(pollInterval, func() {
+		if k.frontend.isStopping() {
 			return
 		}
-		k.refresh(vol, env.MS(k.front.environment.Now()+pollInterval), func(*reserve.State, error) {
+		k.refresh(volume, env.MS(k.frontend.environment.Now()+pollInterval), func(*reserve.State, error) {
 			k.mu.Lock()
-			g := k.volume(vol.Name)
-			g.polling = len(g.state.Registrations) > 0
-			continuePolling := g.polling
+			entry := k.entry(volume.Name)
+			entry.polling = len(entry.state.Registrations) > 0
+			continuePolling := entry.polling
 			k.mu.Unlock()
 			if continuePolling {
-				k.poll(vol)
+				k.poll(volume)
 			}
 		})
 	})
@@ -212,33 +212,33 @@
 func (e *internalRequest) jobSettled() {}
 
 // classFor returns the class of an operation on one block, under which internal requests run.
-func (f *frontend) classFor(vol *settings.Volume, classOp scsi.Op) *settings.Class {
-	v := f.settings.Load()
-	return v.Class(classOp, vol.BlockSize, vol.Plan)
+func (f *frontend) classFor(volume *settings.Volume, classOp scsi.Op) *settings.Class {
+	active := f.settings.Load()
+	return active.Class(classOp, volume.BlockSize, volume.Plan)
 }
 
 // accessRecord submits an operation on a volume's reservation record, which is at the disk server
 // of its first extent. done gets the answer, nil if there is none.
-func (f *frontend) accessRecord(vol *settings.Volume, op byte, classOp scsi.Op, data []byte, fence uint64, expires float64, done func(*diskproto.Answer)) {
-	f.submitInternal(vol, vol.Layout[0], op, classOp, data, fence, expires, done)
+func (f *frontend) accessRecord(volume *settings.Volume, op byte, classOp scsi.Op, data []byte, fence uint64, expires float64, done func(*diskproto.Answer)) {
+	f.submitInternal(volume, volume.Layout[0], op, classOp, data, fence, expires, done)
 }
 
 // submitInternal submits an internal request to the policy. It does not call done itself but has
 // another goroutine do so, since the caller may hold a lock that done takes.
-func (f *frontend) submitInternal(vol *settings.Volume, shard int, op byte, classOp scsi.Op, data []byte, fence uint64, expires float64, done func(*diskproto.Answer)) {
+func (f *frontend) submitInternal(volume *settings.Volume, shard int, op byte, classOp scsi.Op, data []byte, fence uint64, expires float64, done func(*diskproto.Answer)) {
 	f.settingsMu.RLock()
 	defer f.settingsMu.RUnlock()
-	class := f.classFor(vol, classOp)
+	class := f.classFor(volume, classOp)
 	if class == nil {
 		f.environment.AfterFunc(0, func() { done(nil) })
 		return
 	}
 	const keySuffix = "/reservations"
 	j := &job{}
-	j.req = policy.Request{Class: class.Name, Plan: vol.Plan, Volume: vol.Name, Shard: shard, Units: 1, Key: vol.Name + keySuffix,
-		Hosts: f.settings.Load().hostCounts[vol.Name], Write: classOp.Writes(), Expires: expires}
-	j.message = diskproto.Do{Op: op, Effect: diskEffects[class.Effect], Shard: uint32(shard), Host: f.host.pool.hostID, Units: 1, Plan: vol.Plan,
-		Volume: vol.Name, Key: j.req.Key, Fence: fence, Data: data}
+	j.req = policy.Request{Class: class.Name, Plan: volume.Plan, Volume: volume.Name, Shard: shard, Units: 1, Key: volume.Name + keySuffix,
+		Hosts: f.settings.Load().hostCounts[volume.Name], Write: classOp.Writes(), Expires: expires}
+	j.message = diskproto.Do{Op: op, Effect: diskEffects[class.Effect], Shard: uint32(shard), Host: f.host.pool.hostID, Units: 1, Plan: volume.Plan,
+		Volume: volume.Name, Key: j.req.Key, Fence: fence, Data: data}
 	f.openRequests.Add(1)
 	j.owner = &internalRequest{func(answer *diskproto.Answer) { f.openRequests.Add(-1); done(answer) }}
 	if !f.host.post(event{kind: eventSubmit, job: j}) {
@@ -248,14 +248,14 @@
 }
 
 // raiseFence raises the fence at every shard of a volume. done gets whether all shards answered.
-func (f *frontend) raiseFence(vol *settings.Volume, version uint64, expires float64, done func(ok bool)) {
-	shards := slices.Clone(vol.Layout)
+func (f *frontend) raiseFence(volume *settings.Volume, version uint64, expires float64, done func(ok bool)) {
+	shards := slices.Clone(volume.Layout)
 	slices.Sort(shards)
 	shards = slices.Compact(shards)
 	var mu sync.Mutex
 	remaining, allRaised := len(shards), true
 	for _, shard := range shards {
-		f.submitInternal(vol, shard, diskproto.OpFence, scsi.Read, nil, version, expires, func(answer *diskproto.Answer) {
+		f.submitInternal(volume, shard, diskproto.OpFence, scsi.Read, nil, version, expires, func(answer *diskproto.Answer) {
 			mu.Lock()
 			remaining--
 			allRaised = allRaised && answer != nil
@@ -281,15 +281,15 @@
 }
 
 // setAttention sets the unit attention of a volume's sessions whose nexus has a notice.
-func (f *frontend) setAttention(volume string, notices map[reserve.Nexus]reserve.Notice) {
+func (f *frontend) setAttention(volumeName string, notices map[reserve.Nexus]reserve.Notice) {
 	if len(notices) == 0 {
 		return
 	}
 	for _, c := range f.allConns() {
 		c.mu.Lock()
-		if c.logicalUnit != nil && c.logicalUnit.volume.Name == volume && !c.closed {
-			if n, ok := notices[c.nexus()]; ok {
-				c.unitAttention = noticeSense[n]
+		if c.logicalUnit != nil && c.logicalUnit.volume.Name == volumeName && !c.closed {
+			if notice, ok := notices[c.nexus()]; ok {
+				c.unitAttention = noticeSense[notice]
 			}
 		}
 		c.mu.Unlock()
@@ -310,36 +310,36 @@
 }
 
 // handleReservation executes a PERSISTENT RESERVE command. The caller holds conn.mu.
-func (c *conn) handleReservation(v *activeSettings, t *iscsi.Task, r *scsi.Reservation) {
-	vol := c.currentUnit(v).volume
-	class := c.frontend.classFor(vol, scsi.CompareAndWrite)
+func (c *conn) handleReservation(active *activeSettings, task *iscsi.Task, reservation *scsi.Reservation) {
+	volume := c.currentUnit(active).volume
+	class := c.frontend.classFor(volume, scsi.CompareAndWrite)
 	if class == nil {
-		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.InvalidOpcode.Fixed()})
+		c.respond(task, iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.InvalidOpcode.Fixed()})
 		return
 	}
-	command := &reservationCommand{conn: c, task: t, vol: vol, expires: t.At + class.Deadline}
-	t.User = command
-	if r.In {
-		c.frontend.reservations.refresh(vol, command.expires, func(state *reserve.State, err error) { command.respondIn(state, err, r) })
+	command := &reservationCommand{conn: c, task: task, volume: volume, expires: task.At + class.Deadline}
+	task.User = command
+	if reservation.In {
+		c.frontend.reservations.refresh(volume, command.expires, func(state *reserve.State, err error) { command.respondIn(state, err, reservation) })
 		return
 	}
-	req, known, err := reserve.ParseOut(t.CDB, r.List)
+	req, known, err := reserve.ParseOut(task.CDB, reservation.List)
 	if !known || err != nil {
 		sense := scsi.InvalidField
 		if err != nil {
 			sense = reserveErrorSense[err]
 		}
 		command.ended = true
-		c.respond(t, iscsi.Answer{Status: scsi.CheckCondition, Sense: sense.Fixed()})
+		c.respond(task, iscsi.Answer{Status: scsi.CheckCondition, Sense: sense.Fixed()})
 		return
 	}
 	req.Nexus = c.nexus()
-	for _, h := range vol.Hosts {
+	for _, h := range volume.Hosts {
 		req.Hosts = append(req.Hosts, uint16(h+1))
 	}
-	command.req, command.parameterBytes = req, len(r.List)
+	command.req, command.parameterBytes = req, len(reservation.List)
 	command.stamp = c.frontend.environment.RandomUint64()
-	c.frontend.reservations.refresh(vol, command.expires, command.tryChange)
+	c.frontend.reservations.refresh(volume, command.expires, command.tryChange)
 }
 
 // reserveErrorSense maps errors of package reserve to sense data.
@@ -353,7 +353,7 @@
 type reservationCommand struct {
 	conn           *conn
 	task           *iscsi.Task
-	vol            *settings.Volume
+	volume         *settings.Volume
 	expires        float64
 	req            reserve.Request
 	parameterBytes int    // length of the parameter list
@@ -391,13 +391,13 @@
 // initiators register at once, each loses at most 63 times.
 const maxSwaps = 128
 
-func (p *reservationCommand) respond(a iscsi.Answer) {
+func (p *reservationCommand) respond(answer iscsi.Answer) {
 	p.conn.mu.Lock()
 	defer p.conn.mu.Unlock()
 	p.ended = true
 	p.notifyAbort()
 	if !p.conn.closed {
-		p.conn.respond(p.task, a)
+		p.conn.respond(p.task, answer)
 	}
 }
 
@@ -411,17 +411,17 @@
 }
 
 // respondIn answers PERSISTENT RESERVE IN from a state that was just read.
-func (p *reservationCommand) respondIn(state *reserve.State, err error, r *scsi.Reservation) {
+func (p *reservationCommand) respondIn(state *reserve.State, err error, reservation *scsi.Reservation) {
 	if err != nil {
 		p.fail()
 		return
 	}
-	data, ok := state.In(r.Action)
+	data, ok := state.In(reservation.Action)
 	if !ok {
 		p.respond(iscsi.Answer{Status: scsi.CheckCondition, Sense: scsi.InvalidField.Fixed()})
 		return
 	}
-	p.respond(iscsi.Answer{Data: data[:min(len(data), r.Alloc)]})
+	p.respond(iscsi.Answer{Data: data[:min(len(data), reservation.Alloc)]})
 }
 
 // tryChange applies the change to a state that was just read and swaps the record. Where an earlier
@@ -459,7 +459,7 @@
 	}
 	next.Stamp = p.stamp
 	swap := &diskproto.Swap{Expected: state.Version, Persist: next.Persist, New: diskproto.Record{Version: next.Version, Bytes: next.Append(nil)}}
-	p.conn.frontend.accessRecord(p.vol, diskproto.OpSwapRecord, scsi.CompareAndWrite, swap.Append(nil), next.Version, p.expires, func(answer *diskproto.Answer) {
+	p.conn.frontend.accessRecord(p.volume, diskproto.OpSwapRecord, scsi.CompareAndWrite, swap.Append(nil), next.Version, p.expires, func(answer *diskproto.Answer) {
 		p.swapDone(state.Version, next, answer)
 	})
 }
@@ -472,11 +472,11 @@
 		p.mayBeApplied, p.baseVersion = true, fromVersion
 		fallthrough
 	case answer.Result != diskproto.OK:
-		cache.refresh(p.vol, p.expires, p.tryChange)
+		cache.refresh(p.volume, p.expires, p.tryChange)
 		return
 	}
 	p.mayBeApplied = true
-	cache.update(p.vol, next, p.expires, func(err error) {
+	cache.update(p.volume, next, p.expires, func(err error) {
 		if err != nil {
 			p.fail()
 			return
@@ -489,19 +489,19 @@
 // ends the tasks of preempted sessions at this host.
 func (p *reservationCommand) succeed() {
 	if p.req.Action == reserve.PreemptAbort {
-		p.conn.frontend.abortPreempted(p.vol.Name, p.conn)
+		p.conn.frontend.abortPreempted(p.volume.Name, p.conn)
 	}
 	p.respond(iscsi.Answer{Out: p.parameterBytes})
 }
 
 // abortPreempted ends the tasks of a volume's sessions whose registration was preempted.
-func (f *frontend) abortPreempted(volume string, preemptor *conn) {
+func (f *frontend) abortPreempted(volumeName string, preemptor *conn) {
 	f.reservations.mu.Lock()
-	state := f.reservations.volume(volume).state
+	state := f.reservations.entry(volumeName).state
 	f.reservations.mu.Unlock()
 	for _, other := range f.allConns() {
 		other.mu.Lock()
-		preempted := other != preemptor && other.logicalUnit != nil && other.logicalUnit.volume.Name == volume && other.unitAttention == &scsi.RegistrationsPreempted
+		preempted := other != preemptor && other.logicalUnit != nil && other.logicalUnit.volume.Name == volumeName && other.unitAttention == &scsi.RegistrationsPreempted
 		if _, registered := state.Key(other.nexus()); preempted && !registered && other.session != nil && !other.closed {
 			for _, t := range other.session.Reset() {
 				if u, ok := t.User.(abandonable); ok {
