--- a/internal/control/scheduler/attemptresult_test.go
+++ b/internal/control/scheduler/attemptresult_test.go
@@ -10,49 +10,49 @@
 	"merlinhitch/policy"
 )
 
-// Each way in which an attempt can end is told to the module as what it is: whether it may
-// have run follows from it, and with it whether a write may go again.
+// Each end of an attempt must be reported to the policy with its own result, which decides whether
+// the request may have been executed and whether a write may be sent again.
 func TestAttemptResults(t *testing.T) {
 	const notStartedFields = "Not-Started: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, tc := range map[string]struct {
 		response   standin.HTTPAnswer
 		wantResult policy.Result
 	}{
-		"a whole answer":           {standin.HTTPAnswer{Raw: []byte(ok200)}, policy.Served},
-		"a whole answer and end":   {standin.HTTPAnswer{Raw: []byte(ok200), Close: true}, policy.Served},
-		"in chunks":                {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nX: y\r\n\r\n")}, policy.Served},
-		"after 1xx":                {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 102 Wait\r\n\r\n" + ok200)}, policy.Served},
-		"up to the close":          {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\nhi"), Close: true}, policy.Served},
-		"500":                      {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
-		"404":                      {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
-		"503":                      {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
-		"503 not started":          {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 503 No\r\n" + notStartedFields)}, policy.Rejected},
-		"504 not started":          {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 504 No\r\n" + notStartedFields)}, policy.Rejected},
-		"500 not started":          {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 500 No\r\n" + notStartedFields)}, policy.ServerError},
-		"noise":                    {standin.HTTPAnswer{Raw: []byte("\x00\x01\r\n\r\n")}, policy.ServerError},
-		"its end":                  {standin.HTTPAnswer{Close: true}, policy.ConnectionLost},
-		"a reset":                  {standin.HTTPAnswer{Reset: true}, policy.ConnectionLost},
-		"half a head and end":      {standin.HTTPAnswer{Raw: []byte(ok200[:12]), Close: true}, policy.ConnectionLost},
-		"half a body and end":      {standin.HTTPAnswer{Raw: []byte(ok200[:len(ok200)-1]), Close: true}, policy.ConnectionLost},
-		"half a body and reset":    {standin.HTTPAnswer{Raw: []byte(ok200[:len(ok200)-1]), Reset: true}, policy.ConnectionLost},
-		"chunks without the last":  {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n"), Close: true}, policy.ConnectionLost},
-		"up to a reset":            {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\nhi"), Reset: true}, policy.ConnectionLost},
-		"nothing":                  {standin.HTTPAnswer{After: time.Hour}, policy.NoAnswer},
-		"a body that never ends":   {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\nhi")}, policy.NoAnswer},
-		"a body beyond the bounds": {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxResponseBytes+1))}, policy.ServerError},
+		"complete response":               {standin.HTTPAnswer{Raw: []byte(ok200)}, policy.Served},
+		"complete response, then close":   {standin.HTTPAnswer{Raw: []byte(ok200), Close: true}, policy.Served},
+		"chunked response":                {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nX: y\r\n\r\n")}, policy.Served},
+		"response after 1xx":              {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 102 Wait\r\n\r\n" + ok200)}, policy.Served},
+		"body delimited by close":         {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\nhi"), Close: true}, policy.Served},
+		"500":                             {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
+		"404":                             {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
+		"503":                             {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
+		"503, not started":                {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 503 No\r\n" + notStartedFields)}, policy.Rejected},
+		"504, not started":                {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 504 No\r\n" + notStartedFields)}, policy.Rejected},
+		"500, not started":                {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 500 No\r\n" + notStartedFields)}, policy.ServerError},
+		"malformed response":              {standin.HTTPAnswer{Raw: []byte("\x00\x01\r\n\r\n")}, policy.ServerError},
+		"close":                           {standin.HTTPAnswer{Close: true}, policy.ConnectionLost},
+		"reset":                           {standin.HTTPAnswer{Reset: true}, policy.ConnectionLost},
+		"partial head, then close":        {standin.HTTPAnswer{Raw: []byte(ok200[:12]), Close: true}, policy.ConnectionLost},
+		"partial body, then close":        {standin.HTTPAnswer{Raw: []byte(ok200[:len(ok200)-1]), Close: true}, policy.ConnectionLost},
+		"partial body, then reset":        {standin.HTTPAnswer{Raw: []byte(ok200[:len(ok200)-1]), Reset: true}, policy.ConnectionLost},
+		"no last chunk":                   {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n"), Close: true}, policy.ConnectionLost},
+		"body without length, then reset": {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\nhi"), Reset: true}, policy.ConnectionLost},
+		"no response":                     {standin.HTTPAnswer{After: time.Hour}, policy.NoAnswer},
+		"body without length, no close":   {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\nhi")}, policy.NoAnswer},
+		"body over the limit":             {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxResponseBytes+1))}, policy.ServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			response := tc.response
 			if response.After > 0 {
 				response = standin.HTTPAnswer{}
 			}
-			// A write that may have run and that nothing may repeat: one attempt tells it all.
+			// A write that must not be repeated: the response follows from its only attempt.
 			makeUnsafe := func(config string) string {
 				config = strings.Replace(config, `"effect":"idempotency_key","group":"cell","key_ttl_ms":6000`, `"effect":"unsafe"`, 1)
 				return strings.Replace(config, `"attempts_cap":4`, `"attempts_cap":1`, 1)
 			}
 			runOnSockets(t, makeUnsafe, func(standin.HTTPAsk) standin.HTTPAnswer { return response }, func(h *harness, hooks *hookedEnv) {
-				timeout := "3" // enough for each answer, however slow the machine is
+				timeout := "3" // seconds; enough for each response on a slow machine
 				if tc.wantResult == policy.NoAnswer {
 					timeout = "0.300"
 				}
@@ -62,30 +62,30 @@
 					wantStatus = 504
 				}
 				if got.status != wantStatus {
-					t.Errorf("%+v, want %d", got, wantStatus)
+					t.Errorf("got response %+v, want status %d", got, wantStatus)
 				}
-				h.waitFor("it is over", quiescent(h))
+				h.waitFor("all attempts and dials have ended", quiescent(h))
 				if counters := h.counters(); counters.Sends != 1 || counters.Outcomes[tc.wantResult] != 1 {
-					t.Errorf("%+v, want one of %d", counters, tc.wantResult)
+					t.Errorf("got counters %+v, want one attempt with result %d", counters, tc.wantResult)
 				}
 			})
 		})
 	}
 }
 
-// A disk server that can't be reached has run nothing.
+// An attempt whose connection is refused must count as not executed.
 func TestConnectionRefusedByServer(t *testing.T) {
 	runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
 		h.diskServer.Close()
 		got := h.connect().roundTrip(h.formatRequest("PUT", "txn-write", "00000000000000aa", "0.300", "x", "Idempotency-Key: k\r\n"))
 		if counters := h.counters(); got.status != 503 || counters.Outcomes[policy.NoConnection] == 0 || counters.Outcomes[policy.NoConnection] != counters.Sends {
-			t.Errorf("%+v, %+v", got, counters)
+			t.Errorf("got response %+v with counters %+v, want status 503 and NoConnection for every attempt", got, counters)
 		}
 	})
 }
 
-// A reload brings classes, plans and deadlines that were not there; what is under way ends
-// under those it was taken with, and what the file leaves out is served no more.
+// After a reload, new classes and plans must be served and removed ones refused, new timeouts must
+// apply, and a request that is already open must end under the settings it arrived with.
 func TestReloadAppliesToFrontend(t *testing.T) {
 	runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
 		oldConfigJSON := testConfig(h.schedulerAddr, h.discovery.Addr, fullListJSON(7))
@@ -95,11 +95,11 @@
 		newRequest := strings.NewReplacer("txn-write", "audit-write", "gold", "iron", "aa", "ab").Replace(oldRequest)
 		client := h.connect()
 		if got := h.connect().roundTrip(newRequest); got.status != 404 {
-			t.Error("before the reload:", got)
+			t.Error("class not configured before the reload: want status 404, got", got)
 		}
 		dialled, release := h.blockDials(hooks)
 		fmt.Fprint(client.conn, oldRequest)
-		h.waitFor("the dial", dialled)
+		h.waitFor("a dial has started", dialled)
 		config, err := ParseConfig([]byte(newConfigJSON), func(string) string { return "" })
 		if err != nil {
 			t.Fatal(err)
@@ -107,23 +107,23 @@
 		h.scheduler.Reload(config)
 		release()
 		if got := client.readResponse(0); got.status != 200 {
-			t.Error("taken before the reload:", got)
+			t.Error("request open during the reload: want status 200, got", got)
 		}
 		if got := h.connect().roundTrip(strings.Replace(newRequest, "ab", "ac", 1)); got.status != 200 {
-			t.Error("a new class and plan:", got)
+			t.Error("new class and plan: want status 200, got", got)
 		}
 		if got := h.connect().roundTrip(strings.Replace(oldRequest, "aa", "ad", 1)); got.status != 404 {
-			t.Error("a class that is gone:", got)
+			t.Error("removed class: want status 404, got", got)
 		}
 		var dialTimeout time.Duration
 		h.onLoop(func() { dialTimeout = h.scheduler.pool.dialTimeout })
 		if dialTimeout != 400*time.Millisecond || h.scheduler.frontend.byteLimit.Load() != 4<<20 {
-			t.Errorf("dials within %s, %d bytes of bodies", dialTimeout, h.scheduler.frontend.byteLimit.Load())
+			t.Errorf("got a dial timeout of %s and a limit of %d body bytes, want 400 ms and 4194304", dialTimeout, h.scheduler.frontend.byteLimit.Load())
 		}
 		drainStart := time.Now()
 		h.scheduler.Drain()
-		if elapsed := time.Since(drainStart); elapsed > 2500*time.Millisecond { // 3.7 s with those of the start
-			t.Errorf("the drain took %s", elapsed)
+		if elapsed := time.Since(drainStart); elapsed > 2500*time.Millisecond { // 3.7 s with the first settings
+			t.Errorf("drain took %s, want at most 2.5 s", elapsed)
 		}
 	})
 }
--- a/internal/control/scheduler/discovery_test.go
+++ b/internal/control/scheduler/discovery_test.go
@@ -19,7 +19,8 @@
 	"merlinhitch/internal/simulation/world"
 )
 
-// fakeDiscovery is discovery that does with each connection what a test says.
+// fakeDiscovery is a discovery service that passes the first request of each connection to handle.
+// It records the targets and times of the requests.
 type fakeDiscovery struct {
 	environment  env.Environment
 	listener     net.Listener
@@ -79,7 +80,7 @@
 
 func encodeChunk(data string) []byte { return fmt.Appendf(nil, "%x\r\n%s\r\n", len(data), data) }
 
-// receivedLists is what a watch receivedLists, and when.
+// receivedLists holds the lists that a discoveryClient passed on, and when.
 type receivedLists struct {
 	lists []ServerList
 	times []time.Duration
@@ -92,7 +93,8 @@
 	return r.times[len(r.times)-1]
 }
 
-// runWatch plays f on a watch of an agent, in a virtual world.
+// runWatch runs test in a simulated environment with a discoveryClient, which starts at version 7,
+// and the fakeDiscovery that it watches.
 func runWatch(t *testing.T, handle func(number int, target string, conn net.Conn), test func(environment env.Environment, client *discoveryClient, received *receivedLists, discovery *fakeDiscovery)) {
 	t.Helper()
 	sim := world.New(1)
@@ -116,21 +118,22 @@
 	return fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[]}`, seq)
 }
 
-// What a silent watch misses is known within 6 s of when it fell silent, whatever the next
-// one meets.
+// A change missed by a silent watch must arrive within 6 s of the start of the silence, whatever
+// happens to the next watch.
 func TestSilentWatchIsReplacedInTime(t *testing.T) {
-	// Each is what the second watch meets; the first falls silent at once, the third works.
+	// The first watch falls silent after one message, the second is handled as given here (nil:
+	// it works), and the third works.
 	for name, handleSecond := range map[string]func(environment env.Environment, conn net.Conn){
-		"works":        nil,
-		"says nothing": func(env.Environment, net.Conn) {},
-		"a head alone": func(_ env.Environment, conn net.Conn) { conn.Write([]byte(watchResponseHead)) },
-		"is closed":    func(_ env.Environment, conn net.Conn) { conn.Close() },
-		"is no HTTP":   func(_ env.Environment, conn net.Conn) { conn.Write([]byte("nonsense\r\n\r\n")) },
-		"answers 503": func(_ env.Environment, conn net.Conn) {
+		"works":       nil,
+		"no response": func(env.Environment, net.Conn) {},
+		"head only":   func(_ env.Environment, conn net.Conn) { conn.Write([]byte(watchResponseHead)) },
+		"closed":      func(_ env.Environment, conn net.Conn) { conn.Close() },
+		"not HTTP":    func(_ env.Environment, conn net.Conn) { conn.Write([]byte("nonsense\r\n\r\n")) },
+		"status 503": func(_ env.Environment, conn net.Conn) {
 			conn.Write([]byte("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"))
 		},
-		"is half a head": func(_ env.Environment, conn net.Conn) { conn.Write([]byte(watchResponseHead[:20])) },
-		"drips": func(environment env.Environment, conn net.Conn) { // bytes that are no line are no sign of life
+		"partial head": func(_ env.Environment, conn net.Conn) { conn.Write([]byte(watchResponseHead[:20])) },
+		"spaces only": func(environment env.Environment, conn net.Conn) { // bytes without a newline are no sign of life
 			conn.Write([]byte(watchResponseHead))
 			for range 100 {
 				if _, err := conn.Write(encodeChunk(" ")); err != nil {
@@ -162,14 +165,14 @@
 					env.Sleep(environment, 10*time.Millisecond, nil)
 				}
 				if delay := received.lastTime() - silentSince; len(received.lists) < 2 || delay > 5900*time.Millisecond {
-					t.Errorf("%d messages, the last %s after the silence; asked %v at %v", len(received.lists), delay, discovery.targets, discovery.requestTimes)
+					t.Errorf("got %d lists, the last %s after the silence began, want at least 2 within 5.9 s; requests %v at %v", len(received.lists), delay, discovery.targets, discovery.requestTimes)
 				}
 			})
 		})
 	}
 }
 
-// A watch that says an empty line every 2 s is kept.
+// A watch that sends only an empty line every 2 s must stay open.
 func TestEmptyLinesKeepWatchOpen(t *testing.T) {
 	var environment env.Environment
 	handle := func(number int, _ string, conn net.Conn) {
@@ -185,22 +188,22 @@
 		environment = process
 		env.Sleep(environment, 30*time.Second, nil)
 		if len(discovery.conns) != 1 || len(received.lists) != 1 || received.lists[0].Seq != 7 {
-			t.Errorf("%d watches, %+v", len(discovery.conns), received.lists)
+			t.Errorf("got %d watches and lists %+v, want one watch and one list of version 7", len(discovery.conns), received.lists)
 		}
 	})
 }
 
-// A message that can't be read, or goes back in the versions, costs one fetch of the whole
-// list, and then the watch goes on from there. Where it lasts, the rate is bounded.
+// An unreadable message, or one whose version goes back, must cause one fetch of the full list,
+// from which the watch continues. If it recurs, the rate of requests must stay bounded.
 func TestUnreadableMessageCausesFullFetch(t *testing.T) {
 	for name, message := range map[string]string{
-		"noise":         "nonsense\n",
-		"another type":  `{"seq":"x"}` + "\n",
-		"health":        `{"seq":9,"hosts":[{"host":"s","health":"well"}]}` + "\n",
-		"back":          emptyPartialListJSON(3) + "\n",
-		"too long":      `{"seq":9,"hosts":[` + strings.Repeat(" ", maxMessageBytes) + "]}\n",
-		"closed by it":  `{"seq":9]` + "\n" + `}`,
-		"an array only": "[]\n",
+		"not JSON":            "nonsense\n",
+		"wrong type":          `{"seq":"x"}` + "\n",
+		"unknown state":       `{"seq":9,"hosts":[{"host":"s","health":"well"}]}` + "\n",
+		"older version":       emptyPartialListJSON(3) + "\n",
+		"too long":            `{"seq":9,"hosts":[` + strings.Repeat(" ", maxMessageBytes) + "]}\n",
+		"mismatched brackets": `{"seq":9]` + "\n" + `}`,
+		"array":               "[]\n",
 	} {
 		for _, repeated := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, repeated), func(t *testing.T) {
@@ -220,10 +223,10 @@
 					env.Sleep(environment, 1900*time.Millisecond, nil)
 					want := []string{discoveryPath + "?stream=1&index=7", discoveryPath, discoveryPath + "?stream=1&index=11"}
 					if len(discovery.targets) < 3 || !slices.Equal(discovery.targets[:3], want) || len(received.lists) == 0 || received.lists[0].Seq != 11 || !received.lists[0].Full {
-						t.Fatalf("asked %q, told %+v", discovery.targets, received.lists)
+						t.Fatalf("got requests %q and lists %+v, want a watch, a fetch of the full list and a watch from version 11", discovery.targets, received.lists)
 					}
 					if requestTotal := len(discovery.targets); !repeated && requestTotal != 3 || requestTotal > 25 {
-						t.Errorf("asked %d times", requestTotal)
+						t.Errorf("got %d requests, want 3, or at most 25 if the message recurs", requestTotal)
 					}
 				})
 			})
@@ -231,7 +234,7 @@
 	}
 }
 
-// Messages may be indented and come in any pieces: an object is one message.
+// Each JSON object must be handled as one message, however it is indented or split into chunks.
 func TestIndentedAndSplitMessages(t *testing.T) {
 	first := ServerList{Seq: 9, Entries: []ServerEntry{{Host: `a "\}{`, Address: "x:1", Health: "active", Share: 1}}}
 	second := ServerList{Seq: 10, Full: true, Entries: []ServerEntry{{Host: "b", Address: "x:2", Health: "leaving", Share: 1}}}
@@ -256,7 +259,7 @@
 				runWatch(t, handle, func(environment env.Environment, client *discoveryClient, received *receivedLists, discovery *fakeDiscovery) {
 					env.Sleep(environment, time.Second, nil)
 					if len(received.lists) != 2 || received.lists[0].Entries[0] != first.Entries[0] || !received.lists[1].Full || received.lists[1].Entries[0] != second.Entries[0] {
-						t.Errorf("%+v", received.lists)
+						t.Errorf("got lists %+v, want the two that were sent", received.lists)
 					}
 				})
 			})
@@ -264,7 +267,8 @@
 	}
 }
 
-// A move during a dial, during a silence, or twice at once ends at the last address.
+// If the address of discovery changes twice while a watch is silent or open, the client must end up
+// at the last one.
 func TestSetAddressDuringWatch(t *testing.T) {
 	sendVersion := func(seq int) func(int, string, net.Conn) {
 		return func(_ int, _ string, conn net.Conn) {
@@ -283,7 +287,7 @@
 				client.setAddress(third.listener.Addr().String())
 				env.Sleep(environment, time.Second, nil)
 				if len(received.lists) == 0 || received.lists[len(received.lists)-1].Seq != 10 || received.lastTime()-movedAt > 500*time.Millisecond {
-					t.Errorf("%+v after %s", received.lists, received.lastTime()-movedAt)
+					t.Errorf("got lists %+v, the last one %s after the change, want version 10 within 500 ms", received.lists, received.lastTime()-movedAt)
 				}
 				second.close()
 				third.close()
@@ -292,7 +296,8 @@
 	}
 }
 
-// However a stream is cut, the same messages come of it, and what is taken is bounded.
+// However a stream is split, objectReader must return the same items, and next must consume at least
+// one byte and no more than it was given.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte("{\"seq\":1}\n\n{\"a\":\"}\\\"\"}"), 3)
 	f.Add([]byte("[]"), 1)
@@ -306,7 +311,7 @@
 						return append(items, "unreadable")
 					}
 					if n <= 0 || n > len(data) {
-						t.Fatal("no progress")
+						t.Fatal("next consumed no byte or more than it was given")
 					}
 					if data = data[n:]; item != itemPartial {
 						items = append(items, fmt.Sprint(item, string(reader.bytes())))
@@ -318,14 +323,13 @@
 		cutAt := min(max(cut, 0), len(input))
 		want := split(input)
 		if got := split(input[:cutAt], input[cutAt:]); !slices.Equal(want, got) {
-			t.Fatalf("%q cut at %d: %q, whole %q", input, cutAt, got, want)
+			t.Fatalf("%q split at %d: got items %q, want %q as without a split", input, cutAt, got, want)
 		}
 	})
 }
 
-// A new process sends nothing by the list it was started with until discovery was heard:
-// what that knows counts as told from the first moment. Where discovery is silent, it is
-// waited for no longer than readyWait.
+// A new process must not send requests by its configured list, which may be out of date, before
+// discovery answers or readyTimeout has passed.
 func TestStartWaitsForDiscovery(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		var environment env.Environment
@@ -354,10 +358,10 @@
 			upResponse := h.connect().roundTrip("GET /up HTTP/1.1\r\n\r\n")
 			got := h.connect().roundTrip(strings.Replace(h.getRequest(), "0.480", "30", 1))
 			if upResponse.status != 503 || got.status != 200 || got.elapsed > readyTimeout+100*time.Millisecond {
-				t.Errorf("silent %v: %+v, %+v", silent, upResponse, got)
+				t.Errorf("discovery silent %v: got response %+v to /up and %+v to the request, want status 503, and status 200 within 1.6 s", silent, upResponse, got)
 			}
 			if configuredCount, discoveredCount := len(configuredServer.Asked()), len(discoveredServer.Asked()); silent != (configuredCount == 1) || silent == (discoveredCount == 1) {
-				t.Errorf("silent %v: %d by the old list, %d by the new", silent, configuredCount, discoveredCount)
+				t.Errorf("discovery silent %v: got %d requests by the configured list and %d by that of discovery, want 1 and 0 if silent, otherwise 0 and 1", silent, configuredCount, discoveredCount)
 			}
 			h.scheduler.Close()
 			discovery.close()
--- a/internal/control/scheduler/largelist_test.go
+++ b/internal/control/scheduler/largelist_test.go
@@ -8,6 +8,8 @@
 	"merlinhitch/policy"
 )
 
+// makeServerList returns a full list of count servers, each with a shard of its own, in an order
+// not sorted by host.
 func makeServerList(count int, health string) ServerList {
 	list := ServerList{Seq: 1, Full: true}
 	for i := range count {
@@ -16,15 +18,15 @@
 	return list
 }
 
-// What a whole list of 3,200 disk servers costs to read, and to take where all is known:
-// go test -run xxx -bench List ./scheduler
+// BenchmarkLargeList measures parsing a full list of 3,200 disk servers, and applying one that
+// repeats the known state: go test -run xxx -bench LargeList ./internal/control/scheduler
 func BenchmarkLargeList(b *testing.B) {
 	list := makeServerList(3200, "active")
 	encoded, err := json.MarshalIndent(list, "", "    ")
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Run("read", func(b *testing.B) {
+	b.Run("parse", func(b *testing.B) {
 		b.SetBytes(int64(len(encoded)))
 		for b.Loop() {
 			var reader objectReader
@@ -42,7 +44,7 @@
 			}
 		}
 	})
-	b.Run("known", func(b *testing.B) {
+	b.Run("apply unchanged", func(b *testing.B) {
 		k, _ := newTestCore(b)
 		k.updateServers(k.now, list, false)
 		for b.Loop() {
@@ -51,20 +53,20 @@
 	})
 }
 
-// The module is told what a list changes: nothing where it repeats what is known, in whatever
-// form, and the last of two entries of one server.
+// The policy must get only what a list changes: nothing if it repeats the known state, duplicate
+// entries in order if their states differ, and the servers that a full list leaves out.
 func TestOnlyChangesComeToTheModule(t *testing.T) {
 	k, _ := newTestCore(t)
 	spy := &recordingPolicy{Scheduler: k.scheduler}
 	k.scheduler = spy
 	list := makeServerList(40, "active")
 	k.updateServers(k.now, list, false)
-	if n := len(spy.lastNodes); n != 42 { // the two of before are gone
-		t.Errorf("%d of the first list", n)
+	if n := len(spy.lastNodes); n != 42 { // 40 listed and 2 removed
+		t.Errorf("first list: %d nodes passed to the policy, want 42", n)
 	}
 	k.updateServers(k.now, list, false)
 	if n := len(spy.lastNodes); n != 0 {
-		t.Errorf("%d of the same list again", n)
+		t.Errorf("repeated list: %d nodes passed to the policy, want none", n)
 	}
 	drained := list.Entries[7]
 	drained.Health = "leaving"
@@ -78,11 +80,11 @@
 		t.Error(spy.lastNodes)
 	}
 	if len(k.servers) != 39 {
-		t.Errorf("%d are held", len(k.servers))
+		t.Errorf("core has %d servers, want 39", len(k.servers))
 	}
 }
 
-// recordingPolicy keeps the nodes of the last list.
+// recordingPolicy records the nodes of the last list passed to the policy.
 type recordingPolicy struct {
 	policy.Scheduler
 	lastNodes []policy.Node
@@ -95,7 +97,7 @@
 	return s.Scheduler.Handle(now, event)
 }
 
-// The whole list of the largest fleet is read, however it is indented.
+// The full list of the largest fleet must be accepted even if it is indented widely.
 func TestLargestListIsRead(t *testing.T) {
 	encoded, err := json.MarshalIndent(makeServerList(3200, "active"), "", "        ")
 	if err != nil {
@@ -112,6 +114,6 @@
 		}
 	}
 	if list, err := parseServerList(reader.bytes()); err != nil || len(list.Entries) != 3200 {
-		t.Errorf("%d bytes: %d entries, %v", len(encoded), len(list.Entries), err)
+		t.Errorf("list of %d bytes: got %d entries and error %v, want 3200 entries", len(encoded), len(list.Entries), err)
 	}
 }
--- a/internal/control/scheduler/list_test.go
+++ b/internal/control/scheduler/list_test.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// An entry that cannot be right costs itself alone.
+// An invalid entry must not affect the other entries of a list.
 func TestInvalidListEntries(t *testing.T) {
 	valid := entryJSON("b", "x:2", stateActive, 1)
 	for name, tc := range map[string]struct {
@@ -19,38 +19,39 @@
 		wantFaults    int
 		wantMalformed bool
 	}{
-		"all right":               {[]string{entryJSON("a", "x:1", stateActive, 0), valid}, "active active", 0, false},
-		"no name":                 {[]string{entryJSON("", "x:1", stateActive, 0), valid}, " active", 1, true},
-		"unknown state":           {[]string{entryJSON("a", "x:1", "resting", 0), valid}, "leaving active", 1, true},
-		"no state":                {[]string{`{"host":"a"}`, valid}, "leaving active", 1, true},
-		"twice the same":          {[]string{entryJSON("a", "x:1", stateActive, 0), valid, entryJSON("a", "x:1", stateActive, 0)}, "active active", 1, false},
-		"leaving, then active":    {[]string{entryJSON("a", "x:1", stateLeaving, 0), valid, entryJSON("a", "x:1", stateActive, 0)}, "leaving active", 1, false},
-		"active, then left":       {[]string{entryJSON("a", "x:1", stateActive, 0), entryJSON("a", "x:1", stateLeft, 0), valid}, "left active", 1, false},
-		"three times, one leaves": {[]string{entryJSON("a", "x:1", stateActive, 0), entryJSON("a", "x:1", stateLeaving, 0), entryJSON("a", "x:1", stateActive, 0), valid}, "leaving active", 2, false},
+		"valid":                      {[]string{entryJSON("a", "x:1", stateActive, 0), valid}, "active active", 0, false},
+		"no name":                    {[]string{entryJSON("", "x:1", stateActive, 0), valid}, " active", 1, true},
+		"unknown state":              {[]string{entryJSON("a", "x:1", "resting", 0), valid}, "leaving active", 1, true},
+		"no state":                   {[]string{`{"host":"a"}`, valid}, "leaving active", 1, true},
+		"duplicate":                  {[]string{entryJSON("a", "x:1", stateActive, 0), valid, entryJSON("a", "x:1", stateActive, 0)}, "active active", 1, false},
+		"leaving, then active":       {[]string{entryJSON("a", "x:1", stateLeaving, 0), valid, entryJSON("a", "x:1", stateActive, 0)}, "leaving active", 1, false},
+		"active, then left":          {[]string{entryJSON("a", "x:1", stateActive, 0), entryJSON("a", "x:1", stateLeft, 0), valid}, "left active", 1, false},
+		"three entries, one leaving": {[]string{entryJSON("a", "x:1", stateActive, 0), entryJSON("a", "x:1", stateLeaving, 0), entryJSON("a", "x:1", stateActive, 0), valid}, "leaving active", 2, false},
 	} {
 		list, err := parseServerList([]byte(fullListJSON(3, tc.entries...)))
 		states := map[string]string{}
 		for _, e := range list.Entries {
 			if _, duplicate := states[e.Host]; duplicate || e.Host == "" {
-				t.Errorf("%s: %+v", name, list.Entries)
+				t.Errorf("%s: got entries %+v, want one for each named host", name, list.Entries)
 			}
 			states[e.Host] = e.Health
 		}
 		if got := states["a"] + " " + states["b"]; err != nil || got != tc.wantStates || len(list.faults) != tc.wantFaults || list.malformed != tc.wantMalformed {
-			t.Errorf("%s: %q, %+v, doubtful %v, %v", name, got, list.faults, list.malformed, err)
+			t.Errorf("%s: got states %q, faults %+v, malformed %v and error %v, want those of the test case", name, got, list.faults, list.malformed, err)
 		}
 	}
 }
 
-// Of a server that is named twice at another address the later entry counts.
+// Of two entries of a server with the same state, the later one must count.
 func TestLaterDuplicateEntryCounts(t *testing.T) {
 	list, err := parseServerList([]byte(fullListJSON(3, entryJSON("a", "x:1", stateActive, 0), entryJSON("a", "x:2", stateActive, 0))))
 	if err != nil || len(list.Entries) != 1 || list.Entries[0].Address != "x:2" {
-		t.Errorf("%+v, %v", list.Entries, err)
+		t.Errorf("got entries %+v and error %v, want one entry with address x:2", list.Entries, err)
 	}
 }
 
-// Each wrong entry has its line in the log, and the others are served.
+// Each fault of an entry must be logged, and requests must go only to servers whose entries can be
+// used.
 func TestInvalidEntriesAreLogged(t *testing.T) {
 	k, effects := newTestCore(t)
 	logCore, logs := observer.New(zap.InfoLevel)
@@ -69,7 +70,7 @@
 	for _, want := range []string{"is named twice", `has the unknown state "resting"`, "holds shard 1000000, outside the 2 shards of the settings",
 		"holds shard -3, outside the 2 shards of the settings", "start time is 3600 s in the future"} {
 		if !slices.Contains(faults, want) {
-			t.Errorf("no line %q among %q", want, faults)
+			t.Errorf("fault %q is not logged, got %q", want, faults)
 		}
 	}
 	for i, shard := range []int{0, -1, -1, -1} {
@@ -79,16 +80,16 @@
 	}
 	for _, a := range effects.attempts {
 		if a.host != "s0" && a.host != "s3" {
-			t.Error("sent to", a.host)
+			t.Error("attempt sent to a server other than s0 and s3:", a.host)
 		}
 	}
 	if len(effects.attempts) == 0 {
-		t.Error("nothing was served")
+		t.Error("no attempt was sent, want some to s0 or s3")
 	}
 }
 
-// A number of shards that cannot be one is not known: the list's shards are served, and what
-// a client can have kept in memory stays bounded.
+// An invalid shard count must be ignored: shards of the list are served, and requests may name at
+// most maxShards shards, which bounds the memory that clients can occupy.
 func TestShardCountValidation(t *testing.T) {
 	for configured, wantShards := range map[int]int{-1: 0, 0: 0, 1: 1, maxShards: maxShards, maxShards + 1: 0, 1_000_000: 0} {
 		configJSON := strings.Replace(testConfig("a:1", "b:1", fullListJSON(1, entryJSON("s0", "x:1", stateActive, 0))), `"slots_total":2`, fmt.Sprintf(`"slots_total":%d`, configured), 1)
@@ -97,25 +98,25 @@
 			t.Fatal(configured, err)
 		}
 		if config.Settings.Shards != wantShards || (len(config.Ignored) > 0) != (wantShards == 0) {
-			t.Errorf("%d: %d, %v", configured, config.Settings.Shards, config.Ignored)
+			t.Errorf("slots_total %d: got %d shards and ignored settings %v, want an invalid number ignored", configured, config.Settings.Shards, config.Ignored)
 		}
 		wantLimit := maxShards
 		if wantShards > 0 {
 			wantLimit = wantShards
 		}
 		if got := newRequestParser(&config.Settings).shardCount; got != wantLimit {
-			t.Errorf("%d: requests may name %d shards", configured, got)
+			t.Errorf("slots_total %d: requests may name %d shards, want the valid number or else maxShards", configured, got)
 		}
 		effects := &fakeEffects{written: map[*attempt]bool{}, deliveries: map[string]int{}}
 		k := newCore(1_000_000, config, effects)
 		k.start(config.Known)
 		if k.startCall(clockAtStart+1, effects.newCall(k, "a", "card-read", clockAtStart+1, 400)); len(effects.attempts) != 1 {
-			t.Errorf("%d: nothing was sent", configured)
+			t.Errorf("slots_total %d: want one attempt sent", configured)
 		}
 	}
 }
 
-// A server whose shard comes with other settings is served from then on.
+// A server of a shard outside the settings must get requests once a reload adds its shard.
 func TestReloadAddsShards(t *testing.T) {
 	k, effects := newTestCore(t)
 	k.updateServers(clockAtStart+1, ServerList{Seq: 2, Entries: []ServerEntry{{Host: "s9", Address: "x:9", ShardIndex: 9, Health: stateActive}}}, false)
@@ -125,7 +126,7 @@
 		k.startCall(k.now, c)
 	}
 	if submit("a"); len(effects.attempts) != 0 {
-		t.Error("sent to a server of no shard")
+		t.Error("attempt sent to a server of a shard outside the settings, want none")
 	}
 	config, err := ParseConfig([]byte(strings.Replace(testConfig("a:1", "b:1", fullListJSON(1)), `"slots_total":2`, `"slots_total":10`, 1)), func(string) string { return "" })
 	if err != nil {
@@ -133,11 +134,11 @@
 	}
 	k.updateSettings(clockAtStart+2, config.Settings)
 	if submit("b"); len(effects.attempts) == 0 {
-		t.Error("not served after the reload")
+		t.Error("no attempt was sent after the reload, want one to s9")
 	}
 	for _, a := range effects.attempts {
 		if a.host != "s9" {
-			t.Error("sent to", a.host)
+			t.Error("attempt after the reload sent to a server other than s9:", a.host)
 		}
 	}
 }
--- a/internal/control/scheduler/readahead_test.go
+++ b/internal/control/scheduler/readahead_test.go
@@ -15,7 +15,8 @@
 	"merlinhitch/internal/simulation/standin"
 )
 
-// A client that leaves is seen behind much that it sent ahead: nothing of that is sent on.
+// A client's disconnect must be noticed behind more pipelined data than reservedReadAhead, and
+// none of that data may be sent as requests.
 func TestALeaverBehindManyRequests(t *testing.T) {
 	var gate env.Gate
 	respond := func(standin.HTTPAsk) standin.HTTPAnswer {
@@ -30,18 +31,18 @@
 			pipelined.WriteString(strings.Replace(h.getRequest(), "0.480", "19.0", 1))
 		}
 		io.WriteString(client.conn, pipelined.String())
-		h.waitFor("the first went out", func() bool { return len(h.diskServer.Asked()) == 1 })
+		h.waitFor("the disk server has received the first request", func() bool { return len(h.diskServer.Asked()) == 1 })
 		client.conn.Close()
-		h.waitFor("its leaving was seen", func() bool { return h.counters().Gone == 1 })
+		h.waitFor("the core has counted the disconnect", func() bool { return h.counters().Gone == 1 })
 		gate.Open()
-		h.waitFor("its connection is gone", func() bool { return h.scheduler.frontend.clientCount() == 0 })
+		h.waitFor("the client's connection has been removed", func() bool { return h.scheduler.frontend.clientCount() == 0 })
 		if counters := h.counters(); counters.Sends != 1 || h.scheduler.frontend.readAhead.used.Load() != 0 {
-			t.Errorf("%+v, %d bytes are held", counters, h.scheduler.frontend.readAhead.used.Load())
+			t.Errorf("got counters %+v and %d bytes of read-ahead, want 1 send and 0 bytes", counters, h.scheduler.frontend.readAhead.used.Load())
 		}
 	})
 }
 
-// Where clients together sent too much ahead, each may still send sureAhead.
+// With the budget of all clients exhausted, each client may still buffer reservedReadAhead bytes.
 func TestReadAheadBudget(t *testing.T) {
 	var budget readAheadBudget
 	budget.limit.Store(40 << 10)
@@ -54,20 +55,20 @@
 		fill(first, readAheadChunk)
 	}
 	if !first.full() || second.full() {
-		t.Errorf("full: %v, %v", first.full(), second.full())
+		t.Errorf("full: got %v for the first client and %v for the second, want true and false", first.full(), second.full())
 	}
 	for range reservedReadAhead / readAheadChunk {
 		fill(second, readAheadChunk)
 	}
 	if !second.full() {
-		t.Error("the second one goes on")
+		t.Error("second client is not full after reservedReadAhead bytes, want full")
 	}
 	if first.discard(); second.full() || budget.used.Load() != reservedReadAhead {
-		t.Errorf("%d bytes are held after one left", budget.used.Load())
+		t.Errorf("after the first client's data was discarded: got %d bytes in use, want reservedReadAhead, and the second client not full", budget.used.Load())
 	}
 }
 
-// failingListenEnv is a world in which the first tries to listen fail.
+// failingListenEnv is an environment whose first failuresLeft calls of Listen fail with listenErr.
 type failingListenEnv struct {
 	*env.Real
 	listenErr    error
@@ -81,15 +82,15 @@
 	return e.Real.Listen(network, address)
 }
 
-// A start waits for an address that is still taken, and for a machine short of memory; any
-// other fault ends it at once.
+// listen must be retried while the address is in use or buffers or file descriptors are short; any
+// other error must be returned at once.
 func TestListenIsTriedAgain(t *testing.T) {
 	for errno, wantRetry := range map[error]bool{syscall.EADDRINUSE: true, syscall.ENOBUFS: true, syscall.EMFILE: true, syscall.EINVAL: false} {
 		failing := &failingListenEnv{Real: env.NewReal(), listenErr: errno, failuresLeft: 3}
 		startedAt := time.Now()
 		listener, err := listen(failing, "127.0.0.1:0", zap.NewNop())
 		if got := err == nil; got != wantRetry || wantRetry && time.Since(startedAt) < 3*listenRetryInterval {
-			t.Error(fmt.Errorf("%w: %v", errno, err))
+			t.Error(fmt.Errorf("listening failed three times with %w: got error %v, want one only if the fault is not retried, and a wait of 20 ms before each retry", errno, err))
 		}
 		if err == nil {
 			listener.Close()
@@ -97,8 +98,8 @@
 	}
 }
 
-// Requests that came together are answered one after the other, each as soon as the one before
-// it is, also where nothing more comes.
+// Requests that arrive in one write must be answered in order, each as soon as the one before it,
+// without waiting for further input.
 func TestRequestsThatCameTogether(t *testing.T) {
 	runSimulated(t, respondWith(ok200), func(h *harness) {
 		client, count := h.connect(), 6
@@ -110,13 +111,13 @@
 		io.WriteString(client.conn, pipelined.String())
 		for i := range count {
 			if got := client.readResponse(sentAt); got.status != 200 || got.elapsed > time.Duration(i+1)*40*time.Millisecond {
-				t.Fatalf("answer %d: %+v", i, got)
+				t.Fatalf("response %d: got %+v, want status 200 within 40 ms per request", i, got)
 			}
 		}
 	})
 }
 
-// A client that sends requests ahead and reads slowly gets every answer whole, however much
+// A client that pipelines requests and reads slowly must get every response whole, however large
 // they are together.
 func TestLargeAnswersToASlowReader(t *testing.T) {
 	const requestTotal, bodyBytes = 12, 900 << 10
@@ -126,17 +127,17 @@
 		for range requestTotal {
 			io.WriteString(client.conn, strings.Replace(h.getRequest(), "0.480", "19.0", 1))
 		}
-		env.Sleep(h.environment, 300*time.Millisecond, nil) // it reads nothing meanwhile
+		env.Sleep(h.environment, 300*time.Millisecond, nil) // the client reads nothing in this time
 		for i := range requestTotal {
 			if got := client.readResponse(client.environment.Now()); got.status != 200 || len(got.body) != bodyBytes {
-				t.Fatalf("answer %d: %d, %d bytes", i, got.status, len(got.body))
+				t.Fatalf("response %d: got status %d with %d bytes, want status 200 with 921600 bytes", i, got.status, len(got.body))
 			}
 		}
 	})
 }
 
-// slowListenEnv is a world in which a request comes as soon as the scheduler listens, and the
-// scheduler's start is held up behind that.
+// slowListenEnv is an environment in which a client sends a request as soon as the listener is
+// open, and Listen returns only after a delay.
 type slowListenEnv struct {
 	*env.Real
 	request string
@@ -156,8 +157,8 @@
 	return listener, err
 }
 
-// A request that lay in the listener's queue while the scheduler started has its time from
-// when it came: the disk server is told no more than the client has left.
+// The timeout of a request that waits in the listen queue while the scheduler starts must run from
+// its arrival: the disk server must not be given more time than the client has left.
 func TestARequestThatCameDuringTheStart(t *testing.T) {
 	runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
 		slowEnv := &slowListenEnv{Real: hooks.Real, request: strings.Replace(h.getRequest(), "0.480", "9.000", 1), delay: 300 * time.Millisecond}
@@ -172,16 +173,16 @@
 		}
 		defer scheduler.Close()
 		defer slowEnv.conn.Close()
-		h.waitFor("it came to the disk server", func() bool { return len(h.diskServer.Asked()) == 1 })
+		h.waitFor("the disk server has received the request", func() bool { return len(h.diskServer.Asked()) == 1 })
 		timeout, err := time.ParseDuration(h.diskServer.Asked()[0].Fields.Get("request-timeout") + "s")
 		if err != nil || timeout > 9*time.Second-slowEnv.delay {
-			t.Errorf("told %s", timeout)
+			t.Errorf("got a forwarded timeout of %s, want at most 8.7 s", timeout)
 		}
 	})
 }
 
-// A request that has less time than the one before it on its connection is answered in its
-// time: the one before it gets its answer by then.
+// A pipelined request with less time than the one before it must be answered in its own time, so
+// the one before it must be answered by then too.
 func TestLessTimeBehindMore(t *testing.T) {
 	neverRespond := func(standin.HTTPAsk) standin.HTTPAnswer { return standin.HTTPAnswer{} }
 	runSimulated(t, neverRespond, func(h *harness) {
@@ -190,15 +191,15 @@
 		sentAt := h.environment.Now()
 		io.WriteString(client.conn, longRequest)
 		env.Sleep(h.environment, 20*time.Millisecond, nil)
-		io.WriteString(client.conn, h.getRequest()+h.getRequest()) // of 0.48 s
+		io.WriteString(client.conn, h.getRequest()+h.getRequest()) // timeouts of 0.48 s
 		for i := range 3 {
 			got := client.readResponse(sentAt)
 			if got.status != 503 && got.status != 504 || got.elapsed > 520*time.Millisecond {
-				t.Errorf("answer %d: %+v", i, got)
+				t.Errorf("response %d: got %+v, want status 503 or 504 within 520 ms", i, got)
 			}
 		}
 		if got := client.roundTrip(h.getRequest()); got.status == 0 {
-			t.Error("the connection does not go on")
+			t.Error("got no response to a further request on the connection, want one")
 		}
 	})
 }
--- a/internal/control/scheduler/reusestats_test.go
+++ b/internal/control/scheduler/reusestats_test.go
@@ -8,7 +8,8 @@
 	"merlinhitch/internal/simulation/standin"
 )
 
-// Ages at which connections break are avoided, others are not, and they are tried again.
+// Idle times after which connections break must be avoided, others must not, and an avoided one
+// must be tried again once its counts have decayed.
 func TestIdleTimesThatBreakAreAvoided(t *testing.T) {
 	var stats reuseStats
 	for i := range 10 {
@@ -17,15 +18,15 @@
 		stats.record(now, 300, i%2 == 0)
 	}
 	if stats.likelyBroken(10, 20) || !stats.likelyBroken(10, 300) || stats.likelyBroken(10, 100_000) || stats.likelyBroken(10, 0) {
-		t.Errorf("%+v", stats.buckets)
+		t.Errorf("got buckets %+v, want only those of 300 ms avoided", stats.buckets)
 	}
 	if stats.likelyBroken(10+5*reuseDecayTime, 300) {
-		t.Error("never tried again")
+		t.Error("connections idle for 300 ms are still replaced after 5 decay times, want them tried again")
 	}
 }
 
-// A disk server that drops connections which were idle for 100 ms, and says so only to the
-// next request, costs few attempts.
+// A disk server that drops connections idle for over 100 ms, and closes them only at the next
+// request, must cause few retries.
 func TestSilentlyDroppedConnections(t *testing.T) {
 	lastRequestAt := map[int]time.Duration{}
 	respond := func(request standin.HTTPAsk) standin.HTTPAnswer {
@@ -44,12 +45,13 @@
 			env.Sleep(h.environment, 150*time.Millisecond, nil)
 		}
 		if resends := h.scheduler.core.counters.Resends; resends > 10 {
-			t.Errorf("%d of 100 were sent again", resends)
+			t.Errorf("%d of 100 requests were sent again, want at most 10", resends)
 		}
 	})
 }
 
-// An answer larger than requests may be is passed on whole, to the bound of answers.
+// A response larger than the limit for requests must be forwarded whole, and its bytes must no
+// longer be reserved afterwards.
 func TestLargeResponses(t *testing.T) {
 	body := make([]byte, 400_000)
 	for i := range body {
@@ -62,7 +64,7 @@
 			t.Error(got.status, len(got.body))
 		}
 		if pool := h.scheduler.pool; pool.replyBytes.Load() != 0 || h.scheduler.frontend.answerBytes.Load() != 0 {
-			t.Errorf("%d and %d bytes are still counted", pool.replyBytes.Load(), h.scheduler.frontend.answerBytes.Load())
+			t.Errorf("got %d bytes from disk servers and %d bytes to clients still reserved, want none", pool.replyBytes.Load(), h.scheduler.frontend.answerBytes.Load())
 		}
 	})
 }
--- a/internal/control/scheduler/serverconn_test.go
+++ b/internal/control/scheduler/serverconn_test.go
@@ -15,14 +15,15 @@
 	"merlinhitch/policy"
 )
 
-// rawDiskServer lets a test speak on a disk server's connections itself.
+// rawDiskServer is a disk server whose connections a test can use directly.
 type rawDiskServer struct {
 	listener net.Listener
 	mu       sync.Mutex
 	conns    []net.Conn
 }
 
-// startRawDiskServer serves each request with its id as body, on connections that the test can reach.
+// startRawDiskServer starts a disk server that returns each request's ID as the body, and lists it
+// as s0.
 func startRawDiskServer(t *testing.T, h *harness) *rawDiskServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,7 +43,7 @@
 		}
 	}()
 	h.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", listener.Addr().String(), "active", 0)))
-	h.waitFor("the list", h.coreCondition(func(k *core) bool { return k.servers["s0"].Address == listener.Addr().String() }))
+	h.waitFor("the core has applied the list", h.coreCondition(func(k *core) bool { return k.servers["s0"].Address == listener.Addr().String() }))
 	return server
 }
 
@@ -74,15 +75,15 @@
 	}
 }
 
-// What comes on a connection to a disk server before the next request is written, bytes or
-// its end, is never taken for that request's answer and costs it no attempt.
+// Bytes or an end of stream that arrive on an idle connection to a disk server must not be taken
+// for the response to the next request, nor cost it an attempt.
 func TestUnexpectedInputOnIdleConnection(t *testing.T) {
 	for name, disturb := range map[string]func(c net.Conn){
-		"a second copy":  func(conn net.Conn) { io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale") },
-		"half a line":    func(conn net.Conn) { io.WriteString(conn, "HTTP/1.1 2") },
-		"its end":        func(conn net.Conn) { conn.(*net.TCPConn).CloseWrite() },
-		"a reset":        func(conn net.Conn) { conn.(*net.TCPConn).SetLinger(0); conn.Close() },
-		"a copy and end": func(conn net.Conn) { io.WriteString(conn, ok200); conn.Close() },
+		"second response":             func(conn net.Conn) { io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale") },
+		"partial status line":         func(conn net.Conn) { io.WriteString(conn, "HTTP/1.1 2") },
+		"end of stream":               func(conn net.Conn) { conn.(*net.TCPConn).CloseWrite() },
+		"reset":                       func(conn net.Conn) { conn.(*net.TCPConn).SetLinger(0); conn.Close() },
+		"second response, then close": func(conn net.Conn) { io.WriteString(conn, ok200); conn.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
@@ -92,23 +93,24 @@
 				for i := range 3 {
 					got := client.roundTrip(h.getRequest())
 					if want := fmt.Sprintf("%016x", h.requestCount); got.status != 200 || got.body != want {
-						t.Fatalf("request %d: %+v, want %s", i, got, want)
+						t.Fatalf("request %d: got %+v, want status 200 and body %s", i, got, want)
 					}
-					h.waitFor("the connection is free", h.coreCondition(func(k *core) bool {
+					h.waitFor("the connection to the disk server is idle", h.coreCondition(func(k *core) bool {
 						server := h.scheduler.pool.servers["s0"]
 						return len(server.idle) == 1 && server.expectedConns == 0
 					}))
 					disturb(diskServer.conn(i))
 				}
 				if counters := h.counters(); counters.Sends != 3 || counters.Outcomes[policy.Served] != 3 {
-					t.Errorf("%+v", counters)
+					t.Errorf("got counters %+v, want 3 attempts, all served", counters)
 				}
 			})
 		})
 	}
 }
 
-// An answer up to the close is whole where its connection ends cleanly; a reset is no end.
+// A response delimited by the close of its connection is complete if the connection is closed, but
+// not if it is reset: then the attempt is lost and the request is sent again.
 func TestResponsesDelimitedByClose(t *testing.T) {
 	const response = "HTTP/1.1 200 OK\r\n\r\nhi"
 	for _, reset := range []bool{false, true} {
@@ -122,18 +124,19 @@
 			got := h.connect().roundTrip(strings.Replace(h.getRequest(), "0.480", "1.900", 1))
 			counters := h.counters()
 			if got.status != 200 || got.body != "hi" || reset != (counters.Sends == 2) || reset != (counters.Outcomes[policy.ConnectionLost] == 1) {
-				t.Errorf("reset %v: %+v, %+v", reset, got, counters)
+				t.Errorf("reset %v: got response %+v with counters %+v, want status 200, and 2 attempts with one lost if reset", reset, got, counters)
 			}
 		})
 	}
 }
 
-// The answer to who sent more than is read comes before the close, not a reset.
+// A client that sent more than the scheduler reads must get the response and a clean end of stream,
+// not a reset that discards the response.
 func TestAnswersComeBeforeTheClose(t *testing.T) {
 	for name, request := range map[string]string{
-		"unreadable":   "nonsense\r\n\r\n" + strings.Repeat("x", 60<<10),
-		"wrong class":  "GET /nothing/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\n\r\n" + strings.Repeat("x", 60<<10),
-		"asked to end": "GET /up HTTP/1.1\r\nConnection: close\r\n\r\n" + strings.Repeat("x", 60<<10),
+		"malformed request": "nonsense\r\n\r\n" + strings.Repeat("x", 60<<10),
+		"unknown class":     "GET /nothing/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\n\r\n" + strings.Repeat("x", 60<<10),
+		"close requested":   "GET /up HTTP/1.1\r\nConnection: close\r\n\r\n" + strings.Repeat("x", 60<<10),
 	} {
 		t.Run(name, func(t *testing.T) {
 			runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
@@ -146,13 +149,13 @@
 				if _, err := io.WriteString(client.conn, request); err != nil {
 					t.Fatal(err)
 				}
-				h.waitFor("the end", writeClosed.Opened) // only then does the client look
+				h.waitFor("the scheduler has ended its side of the connection", writeClosed.Opened) // the client reads only after that
 				got := client.readResponse(0)
 				if got.status == 0 || !got.closeConn {
-					t.Errorf("%+v", got)
+					t.Errorf("got %+v, want a response that closes the connection", got)
 				}
 				if _, err := client.reader.ReadByte(); err != io.EOF {
-					t.Error("no clean end behind the answer:", err)
+					t.Error("read after the response: want EOF, got", err)
 				}
 			})
 		})
