--- a/internal/control/gateway/command.go
+++ b/internal/control/gateway/command.go
@@ -21,12 +21,12 @@
 	conn          *conn
 	task          *iscsi.Task
 	jobs          []*job
-	firstJob      job
-	inlineJobs    [1]*job
-	unfinished    int // jobs without a result
-	unsettled     int // jobs of which an attempt may still take effect
+	firstJob      job     // jobs[0], in the same allocation
+	inlineJobs    [1]*job // backs jobs if there is one
+	unfinished    int     // jobs without a result
+	unsettled     int     // jobs of which an attempt may still take effect
 	worstOutcome  jobOutcome
-	retryAfter    float64
+	retryAfter    float64 // ms, the largest of its jobs'
 	miscompared   bool
 	data          []byte
 	dataBuffer    *[]byte // pooled buffer that holds data; nil: data is not pooled
@@ -37,8 +37,8 @@
 	fence         uint64 // version of the reservations that permitted it
 	fenceOutdated bool   // a disk server knows a newer version
 	abortWait     *abortWait
-	aborted       bool
-	unsentAborted bool
+	aborted       bool // by the client or the end of its session
+	unsentAborted bool // abortUnsent was called
 }
 
 // handleCommand executes a command whose data has arrived completely. The caller holds conn.mu.
--- a/internal/control/gateway/connpool.go
+++ b/internal/control/gateway/connpool.go
@@ -72,7 +72,7 @@
 	conn        net.Conn
 	writes      *writequeue.Queue
 	waiting     []*attempt          // for the handshake
-	outstanding map[uint32]*attempt // sent and not answered, by tag
+	outstanding map[uint32]*attempt // sent, neither answered nor timed out, by tag
 	lastTag     uint32
 	lastReadAt  time.Duration
 	serverClock float64 // us, as last received; a lower bound of the server's clock at clockReadAt
@@ -150,12 +150,14 @@
 	return at, open
 }
 
+// usable reports whether the connection takes new attempts, now or once it is established.
 func (sc *serverConn) usable() bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return !sc.closed && !sc.retired
 }
 
+// send begins an attempt, or keeps it until the handshake is complete.
 func (sc *serverConn) send(a *attempt) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -294,6 +296,8 @@
 	return nil
 }
 
+// handleFrame handles one frame from the server. It returns errRetired if the connection was retired
+// and has no outstanding attempt left.
 func (sc *serverConn) handleFrame(frame diskproto.Frame) error {
 	sc.mu.Lock()
 	sc.lastReadAt = sc.pool.environment.Now()
@@ -337,7 +341,7 @@
 	return errRetired.errorIf(finished)
 }
 
-// retiredError is returned when a retired connection has no outstanding attempt left.
+// retiredError is the type of errRetired, which ends the reading of a retired connection.
 type retiredError struct{}
 
 var errRetired retiredError
@@ -425,6 +429,7 @@
 	}
 }
 
+// cancel asks the server to cancel an attempt that was sent.
 func (p *connPool) cancel(a *attempt) {
 	sc := a.serverConn
 	if sc == nil {
--- a/internal/control/gateway/core.go
+++ b/internal/control/gateway/core.go
@@ -86,10 +86,11 @@
 	timer        timer
 }
 
+// The states of an attempt.
 const (
-	attemptWaiting int32 = iota
-	attemptSent
-	attemptDropped
+	attemptWaiting int32 = iota // for its connection
+	attemptSent                 // claimed by its connection
+	attemptDropped              // it will not be sent
 )
 
 // claim is called by the connection pool and reports whether the attempt may still be sent.
@@ -257,6 +258,7 @@
 	}
 }
 
+// send issues an attempt. One that stampGeneration refuses ends as not sent by the next runDue.
 func (h *core) send(s policy.Send) {
 	j := h.jobs[s.ID]
 	if j == nil || j.ended {
@@ -435,6 +437,7 @@
 	h.endAttempt(a, result, policy.Outcome{})
 }
 
+// endAttempt reports an attempt's outcome to the policy.
 func (h *core) endAttempt(a *attempt, result policy.Result, outcome policy.Outcome) {
 	a.outcomeKnown = true
 	h.timers.Remove(&a.timer)
@@ -472,7 +475,7 @@
 	switch {
 	case a.withdrawn:
 		h.endAttempt(a, policy.NotSent, policy.Outcome{})
-	case a.serverConn == nil && cancelled && a.drop(): // it had no valid lease or generation
+	case a.serverConn == nil && cancelled && a.drop(): // stampGeneration refused it
 		h.endAttempt(a, policy.NotSent, policy.Outcome{})
 	case a.drop():
 		h.endAttempt(a, policy.NoConnection, policy.Outcome{})
--- a/internal/control/gateway/host.go
+++ b/internal/control/gateway/host.go
@@ -43,6 +43,7 @@
 	unflushed    pendingWrites // queues with data buffered by the current batch of events
 }
 
+// eventKind says which of an event's fields are set and what handle does.
 type eventKind int
 
 const (
@@ -50,7 +51,7 @@
 	eventAnswered
 	eventAttemptFailed
 	eventNodeList
-	eventRun
+	eventRun // calls a function with the core
 	eventLeaseGranted
 	eventSettings
 	eventStop
