--- a/internal/control/scheduler/attemptresult_test.go
+++ b/internal/control/scheduler/attemptresult_test.go
@@ -120,9 +120,9 @@
 		if dialTimeout != 400*time.Millisecond || h.scheduler.frontend.byteLimit.Load() != 4<<20 {
 			t.Errorf("got a dial timeout of %s and a limit of %d body bytes, want 400 ms and 4194304", dialTimeout, h.scheduler.frontend.byteLimit.Load())
 		}
-		drainStart := time.Now()
+		drainStartedAt := time.Now()
 		h.scheduler.Drain()
-		if elapsed := time.Since(drainStart); elapsed > 2500*time.Millisecond { // 3.7 s with the first settings
+		if elapsed := time.Since(drainStartedAt); elapsed > 2500*time.Millisecond { // 3.7 s with the first settings
 			t.Errorf("drain took %s, want at most 2.5 s", elapsed)
 		}
 	})
--- a/internal/control/scheduler/core_test.go
+++ b/internal/control/scheduler/core_test.go
@@ -67,24 +67,24 @@
 			if n := len(effects.attempts); n > 0 {
 				a = effects.attempts[rapid.IntRange(0, n-1).Draw(t, "attempt")]
 			}
-			switch step := rapid.IntRange(0, 7).Draw(t, "step"); {
-			case step <= 2:
+			switch action := rapid.IntRange(0, 7).Draw(t, "action"); {
+			case action <= 2:
 				id := fmt.Sprint(i)
-				c := effects.newCall(k, id, []string{"card-read", "txn-write"}[step%2], now, rapid.Float64Range(1, 3000).Draw(t, "timeout"))
+				c := effects.newCall(k, id, []string{"card-read", "txn-write"}[action%2], now, rapid.Float64Range(1, 3000).Draw(t, "timeout"))
 				submitted[id] = c
 				if !k.startCall(now, c) || k.startCall(now, c) {
 					t.Fatal("starting a call twice: want it accepted the first time and rejected the second")
 				}
 			case a == nil:
-			case step == 3:
+			case action == 3:
 				effects.written[a] = true
-			case step == 4:
+			case action == 4:
 				k.receiveReply(now, a, reply{result: policy.Served})
-			case step == 5:
+			case action == 5:
 				k.receiveReply(now, a, reply{result: policy.Result(rapid.IntRange(1, 2).Draw(t, "result"))})
-			case step == 6:
+			case action == 6:
 				k.failAttempt(now, a, policy.ConnectionLost)
-			case step == 7 && effects.deliveries[a.call.req.ID] == 0:
+			case action == 7 && effects.deliveries[a.call.req.ID] == 0:
 				k.clientGone(now, a.call)
 				effects.deliveries[a.call.req.ID]++ // a client that left gets no response
 			}
--- a/internal/control/scheduler/discovery_test.go
+++ b/internal/control/scheduler/discovery_test.go
@@ -29,10 +29,10 @@
 	conns        []net.Conn
 	targets      []string
 	requestTimes []time.Duration
-	handle       func(n int, target string, c net.Conn)
+	handle       func(connNumber int, target string, conn net.Conn)
 }
 
-func startFakeDiscovery(environment env.Environment, handle func(number int, target string, conn net.Conn)) *fakeDiscovery {
+func startFakeDiscovery(environment env.Environment, handle func(connNumber int, target string, conn net.Conn)) *fakeDiscovery {
 	listener, err := environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -45,16 +45,16 @@
 				return
 			}
 			discovery.mu.Lock()
-			number := len(discovery.conns)
+			connNumber := len(discovery.conns)
 			discovery.conns = append(discovery.conns, conn)
 			discovery.mu.Unlock()
-			discovery.tasks.Go(environment, func() { discovery.serve(number, conn) })
+			discovery.tasks.Go(environment, func() { discovery.serve(connNumber, conn) })
 		}
 	})
 	return discovery
 }
 
-func (f *fakeDiscovery) serve(number int, conn net.Conn) {
+func (f *fakeDiscovery) serve(connNumber int, conn net.Conn) {
 	request, err := http1.ReadRequest(bufio.NewReader(conn), messageLimits)
 	if err != nil {
 		return
@@ -63,7 +63,7 @@
 	f.targets = append(f.targets, request.Target)
 	f.requestTimes = append(f.requestTimes, f.environment.Now())
 	f.mu.Unlock()
-	f.handle(number, request.Target, conn)
+	f.handle(connNumber, request.Target, conn)
 }
 
 func (f *fakeDiscovery) close() {
@@ -95,7 +95,7 @@
 
 // runWatch runs test in a simulated environment with a discoveryClient, which starts at version 7,
 // and the fakeDiscovery that it watches.
-func runWatch(t *testing.T, handle func(number int, target string, conn net.Conn), test func(environment env.Environment, client *discoveryClient, received *receivedLists, discovery *fakeDiscovery)) {
+func runWatch(t *testing.T, handle func(connNumber int, target string, conn net.Conn), test func(environment env.Environment, client *discoveryClient, received *receivedLists, discovery *fakeDiscovery)) {
 	t.Helper()
 	sim := world.New(1)
 	err := sim.Run("n0", 10*time.Minute, func(process *world.Process) {
@@ -146,13 +146,13 @@
 		t.Run(name, func(t *testing.T) {
 			var environment env.Environment
 			silentSince := time.Duration(0)
-			handle := func(number int, _ string, conn net.Conn) {
+			handle := func(connNumber int, _ string, conn net.Conn) {
 				switch {
-				case number == 0:
+				case connNumber == 0:
 					conn.Write([]byte(watchResponseHead))
 					conn.Write(encodeChunk(emptyPartialListJSON(7) + "\n"))
 					silentSince = environment.Now()
-				case number == 1 && handleSecond != nil:
+				case connNumber == 1 && handleSecond != nil:
 					handleSecond(environment, conn)
 				default:
 					conn.Write([]byte(watchResponseHead))
@@ -175,7 +175,7 @@
 // A watch that sends only an empty line every 2 s must stay open.
 func TestEmptyLinesKeepWatchOpen(t *testing.T) {
 	var environment env.Environment
-	handle := func(number int, _ string, conn net.Conn) {
+	handle := func(connNumber int, _ string, conn net.Conn) {
 		conn.Write([]byte(watchResponseHead))
 		for range 20 {
 			if _, err := conn.Write(encodeChunk("\n")); err != nil {
--- a/internal/control/scheduler/readahead_test.go
+++ b/internal/control/scheduler/readahead_test.go
@@ -86,9 +86,9 @@
 // other error must be returned at once.
 func TestListenIsTriedAgain(t *testing.T) {
 	for errno, wantRetry := range map[error]bool{syscall.EADDRINUSE: true, syscall.ENOBUFS: true, syscall.EMFILE: true, syscall.EINVAL: false} {
-		failing := &failingListenEnv{Real: env.NewReal(), listenErr: errno, failuresLeft: 3}
+		failingEnv := &failingListenEnv{Real: env.NewReal(), listenErr: errno, failuresLeft: 3}
 		startedAt := time.Now()
-		listener, err := listen(failing, "127.0.0.1:0", zap.NewNop())
+		listener, err := listen(failingEnv, "127.0.0.1:0", zap.NewNop())
 		if got := err == nil; got != wantRetry || wantRetry && time.Since(startedAt) < 3*listenRetryInterval {
 			t.Error(fmt.Errorf("listening failed three times with %w: got error %v, want one only if the fault is not retried, and a wait of 20 ms before each retry", errno, err))
 		}
@@ -120,15 +120,15 @@
 // A client that pipelines requests and reads slowly must get every response whole, however large
 // they are together.
 func TestLargeAnswersToASlowReader(t *testing.T) {
-	const requestTotal, bodyBytes = 12, 900 << 10
+	const requests, bodyBytes = 12, 900 << 10
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", bodyBytes, strings.Repeat("x", bodyBytes))
 	runOnSockets(t, nil, respondWith(response), func(h *harness, _ *hookedEnv) {
 		client := h.connect()
-		for range requestTotal {
+		for range requests {
 			io.WriteString(client.conn, strings.Replace(h.getRequest(), "0.480", "19.0", 1))
 		}
 		env.Sleep(h.environment, 300*time.Millisecond, nil) // the client reads nothing in this time
-		for i := range requestTotal {
+		for i := range requests {
 			if got := client.readResponse(client.environment.Now()); got.status != 200 || len(got.body) != bodyBytes {
 				t.Fatalf("response %d: got status %d with %d bytes, want status 200 with 921600 bytes", i, got.status, len(got.body))
 			}
--- a/internal/control/scheduler/serverconn_test.go
+++ b/internal/control/scheduler/serverconn_test.go
@@ -78,7 +78,7 @@
 // Bytes or an end of stream that arrive on an idle connection to a disk server must not be taken
 // for the response to the next request, nor cost it an attempt.
 func TestUnexpectedInputOnIdleConnection(t *testing.T) {
-	for name, disturb := range map[string]func(c net.Conn){
+	for name, disturb := range map[string]func(conn net.Conn){
 		"second response":             func(conn net.Conn) { io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale") },
 		"partial status line":         func(conn net.Conn) { io.WriteString(conn, "HTTP/1.1 2") },
 		"end of stream":               func(conn net.Conn) { conn.(*net.TCPConn).CloseWrite() },
