--- a/cmd/merlinhitch/serve.go
+++ b/cmd/merlinhitch/serve.go
@@ -68,7 +68,7 @@
 
 // config builds the gateway's configuration from the arguments.
 func (c *gatewayCmd) config(log *zap.Logger) (gateway.Config, error) {
-	cfg := gateway.Config{Environment: env.NewReal(), Log: log, Name: c.Name, Self: c.Self, Zone: c.Zone,
+	cfg := gateway.Config{Environment: env.NewReal(), Log: log, Name: c.Name, HostIndex: c.Self, Zone: c.Zone,
 		Listen: c.Listen, Inventory: c.Inventory, Admin: c.Admin, Snapshot: c.Snapshot, History: c.History, BGPListen: c.BGPListen}
 	var err error
 	if c.Keys != "" {
--- a/internal/control/gateway/adminauth.go
+++ b/internal/control/gateway/adminauth.go
@@ -78,7 +78,7 @@
 			return caller{}, errors.New("no client certificate was presented")
 		}
 		certificate := r.TLS.PeerCertificates[0]
-		if err := g.cfg.Keys.Check(certificate); err != nil {
+		if err := g.config.Keys.Check(certificate); err != nil {
 			return caller{}, err
 		}
 		name, role := keys.Name(certificate)
@@ -120,16 +120,16 @@
 		settings.Reply(w, http.StatusConflict, map[string]string{"error": err.Error()})
 		return
 	}
-	settings.Reply(w, http.StatusOK, map[string]string{"expires": g.cfg.Keys.Expires().UTC().Format("2006-01-02T15:04:05Z")})
+	settings.Reply(w, http.StatusOK, map[string]string{"expires": g.config.Keys.Expires().UTC().Format("2006-01-02T15:04:05Z")})
 }
 
 // ReloadKeys reads the host's keys again and replaces each connection to a disk server once it has
 // no outstanding attempt. On an error the old keys stay in use.
 func (g *Gateway) ReloadKeys() error {
-	if g.cfg.Keys == nil {
+	if g.config.Keys == nil {
 		return errors.New("gateway: keys cannot be reloaded: started without keys")
 	}
-	if err := g.cfg.Keys.Reload(); err != nil {
+	if err := g.config.Keys.Reload(); err != nil {
 		return err
 	}
 	g.mu.Lock()
@@ -138,7 +138,7 @@
 	if h != nil {
 		h.pool.renewConns()
 	}
-	g.cfg.Log.Info("keys reloaded", zap.Time("expires", g.cfg.Keys.Expires()))
+	g.config.Log.Info("keys reloaded", zap.Time("expires", g.config.Keys.Expires()))
 	return nil
 }
 
--- a/internal/control/gateway/announcer.go
+++ b/internal/control/gateway/announcer.go
@@ -58,7 +58,7 @@
 	var peers []bgp.Neighbour
 	for i := range s.Announce.Routers {
 		router := &s.Announce.Routers[i]
-		if len(router.Hosts) > 0 && !slices.Contains(router.Hosts, config.Self) {
+		if len(router.Hosts) > 0 && !slices.Contains(router.Hosts, config.HostIndex) {
 			continue
 		}
 		times := bgp.DefaultTimes
@@ -98,7 +98,7 @@
 	a.settings, a.prefixes, a.announcedShards = s, map[string][]netip.Prefix{}, map[int]bool{}
 	volumes := map[string]*settings.Volume{}
 	for i := range s.Volumes {
-		if volume := &s.Volumes[i]; slices.Contains(volume.Hosts, a.config.Self) {
+		if volume := &s.Volumes[i]; slices.Contains(volume.Hosts, a.config.HostIndex) {
 			volumes[volume.Name] = volume
 		}
 	}
--- a/internal/control/gateway/core.go
+++ b/internal/control/gateway/core.go
@@ -42,10 +42,10 @@
 	ended           bool        // it has its final result
 	noNewAttempts   atomic.Bool // ended, for other goroutines: no attempt may begin
 	lastAttempt     *attempt
-	effectDeadline  float64        // an attempt without an answer may take effect until then
-	settled         bool           // its owner was told that no attempt can take effect any more
-	generation      uint64         // of the shard's home at the first attempt; 0: not known
-	classCounters   *requestCounts // counters of its class and plan
+	effectDeadline  float64          // an attempt without an answer may take effect until then
+	settled         bool             // its owner was told that no attempt can take effect any more
+	generation      uint64           // of the shard's home at the first attempt; 0: not known
+	classCounters   *requestCounters // counters of its class and plan
 	submittedAt     float64
 	latencyTargetAt float64
 	dedupScope      policy.DedupScope
@@ -142,7 +142,7 @@
 	limitWarnedAt   map[string]float64 // when that was last logged, by volume
 	// sends counts all attempts, resends those after the first of a job.
 	sends, resends uint64
-	counters       coreMetrics
+	counters       coreCounters
 }
 
 // incarnationKey identifies one run of a disk server process.
@@ -157,7 +157,7 @@
 
 func newCore(now float64, s *settings.Settings, hostIndex int, zone string, seed uint64, effects effectHandler) *core {
 	h := &core{regions: newRegionState(s, hostIndex), hostIndex: hostIndex, zone: zone, limitWarnedAt: map[string]float64{}, now: now, demand: rates.New(now, rateTimeConstantSeconds),
-		effects: effects, jobs: map[string]*job{}, startTimes: map[incarnationKey]float64{}, nodes: map[string]inventory.Node{}, counters: newCoreMetrics()}
+		effects: effects, jobs: map[string]*job{}, startTimes: map[incarnationKey]float64{}, nodes: map[string]inventory.Node{}, counters: newCoreCounters()}
 	h.scheduler = policy.New(h.applySettings(s), seed)
 	return h
 }
@@ -215,7 +215,7 @@
 		j.dedupScope, j.message.Copied = h.dedupScopes[j.req.Class], h.regions.copyBeforeAck[j.req.Plan]
 	}
 	h.jobs[j.id] = j
-	j.classCounters = h.counters.countsFor(&j.req)
+	j.classCounters = h.counters.countersFor(&j.req)
 	j.classCounters.Taken++
 	j.submittedAt = h.now
 	j.latencyTargetAt = h.now + h.latencyTargets[j.req.Class]
--- a/internal/control/gateway/gateway.go
+++ b/internal/control/gateway/gateway.go
@@ -29,7 +29,7 @@
 	Environment env.Environment
 	Log         *zap.Logger
 	Name        string // of this host, sent to disk servers
-	Self        int    // index of this host in the settings
+	HostIndex   int    // index of this host in the settings
 	Zone        string // hall of this host
 	Listen      string // listen address for initiators, host:port
 	Inventory   string // address of the inventory, host:port
@@ -50,7 +50,7 @@
 // Gateway is one running gateway. Until the admin API has received settings, it serves no
 // initiators.
 type Gateway struct {
-	cfg           Config
+	config        Config
 	store         *settings.Store
 	adminServer   *http.Server
 	adminListener net.Listener
@@ -70,18 +70,18 @@
 
 // Start starts a gateway with the saved settings. Without any it waits for settings at the admin
 // API.
-func Start(cfg Config) (*Gateway, error) {
-	if cfg.Log == nil {
-		cfg.Log = zap.NewNop()
+func Start(config Config) (*Gateway, error) {
+	if config.Log == nil {
+		config.Log = zap.NewNop()
 	}
-	cfg.Log = cfg.Log.With(zap.String("host", cfg.Name))
-	store, err := settings.Open(cfg.Snapshot, cfg.SettingsKey)
+	config.Log = config.Log.With(zap.String("host", config.Name))
+	store, err := settings.Open(config.Snapshot, config.SettingsKey)
 	if err != nil {
 		return nil, err
 	}
-	g := &Gateway{cfg: cfg, store: store}
-	if cfg.History != "" {
-		if g.recorder, err = startRecorder(g, cfg.History); err != nil {
+	g := &Gateway{config: config, store: store}
+	if config.History != "" {
+		if g.recorder, err = startRecorder(g, config.History); err != nil {
 			store.Close()
 			return nil, err
 		}
@@ -99,24 +99,24 @@
 			return nil, g.startErr
 		}
 	} else {
-		cfg.Log.Info("waiting for settings", zap.String("admin", cfg.Admin))
+		config.Log.Info("waiting for settings", zap.String("admin", config.Admin))
 	}
 	return g, nil
 }
 
 func (g *Gateway) serveAdmin() error {
-	if g.cfg.Admin == "" {
+	if g.config.Admin == "" {
 		return nil
 	}
-	network, addr := "tcp", g.cfg.Admin
+	network, addr := "tcp", g.config.Admin
 	if path, ok := strings.CutPrefix(addr, "unix:"); ok {
 		network, addr = "unix", path
 		os.Remove(path) // a stale socket of a killed process would make Listen fail
 	}
-	if network == "tcp" && g.cfg.Keys == nil && !isLoopback(addr) {
+	if network == "tcp" && g.config.Keys == nil && !isLoopback(addr) {
 		return errors.New("gateway: an admin address other than loopback or a Unix socket requires keys")
 	}
-	listener, err := g.cfg.Environment.Listen(network, addr)
+	listener, err := g.config.Environment.Listen(network, addr)
 	if err != nil {
 		return err
 	}
@@ -124,11 +124,11 @@
 		if err := os.Chmod(addr, 0o600); err != nil {
 			return err
 		}
-	} else if g.cfg.Keys != nil {
-		listener = tls.NewListener(listener, g.cfg.Keys.Server(false))
+	} else if g.config.Keys != nil {
+		listener = tls.NewListener(listener, g.config.Keys.Server(false))
 	}
 	mux := http.NewServeMux()
-	settingsHandler := settings.Handler(g.store, author, func() int64 { return g.cfg.Environment.Deadline(0).UnixMilli() })
+	settingsHandler := settings.Handler(g.store, author, func() int64 { return g.config.Environment.Deadline(0).UnixMilli() })
 	mux.Handle("/settings", settingsHandler)
 	mux.Handle("/settings/", settingsHandler)
 	mux.HandleFunc("GET /routes", func(w http.ResponseWriter, _ *http.Request) { settings.Reply(w, http.StatusOK, g.Routes()) })
@@ -154,7 +154,7 @@
 		settings.Reply(w, http.StatusOK, map[string]any{"status": state.status, "module": state.View, "settings_version": state.Version, "serves": state.Leased})
 	})
 	g.adminServer = &http.Server{Handler: g.authorize(mux), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, ConnContext: withSocketUser,
-		ErrorLog: zap.NewStdLog(g.cfg.Log)}
+		ErrorLog: zap.NewStdLog(g.config.Log)}
 	go g.adminServer.Serve(listener) // returns an error only after Close
 	return nil
 }
@@ -180,11 +180,11 @@
 		if g.announcer != nil {
 			g.announcer.applySettings(s)
 		}
-		g.cfg.Log.Info("settings changed", zap.Uint64("version", s.Version))
+		g.config.Log.Info("settings changed", zap.Uint64("version", s.Version))
 		return
 	}
 	if g.startErr = g.startServing(s); g.startErr != nil {
-		g.cfg.Log.Error("can't start", zap.Error(g.startErr))
+		g.config.Log.Error("can't start", zap.Error(g.startErr))
 		return
 	}
 	g.ready.Open()
@@ -192,42 +192,42 @@
 
 // checkSettings returns the faults for which this host rejects new settings.
 func (g *Gateway) checkSettings(_, s *settings.Settings) (faults []settings.Fault) {
-	if g.cfg.Self >= s.Hosts {
-		faults = append(faults, settings.Fault{Path: "hosts", Reason: fmt.Sprintf("is %d, which does not include this host's number %d", s.Hosts, g.cfg.Self)})
+	if g.config.HostIndex >= s.Hosts {
+		faults = append(faults, settings.Fault{Path: "hosts", Reason: fmt.Sprintf("is %d, which does not include this host's number %d", s.Hosts, g.config.HostIndex)})
 	}
-	if s.Announce != nil && g.cfg.RouterID == 0 {
+	if s.Announce != nil && g.config.RouterID == 0 {
 		faults = append(faults, settings.Fault{Path: "announce", Reason: "needs a router identifier, but none is configured on this host"})
 	}
 	return faults
 }
 
 func (g *Gateway) startServing(s *settings.Settings) error {
-	if g.cfg.Self >= s.Hosts {
+	if g.config.HostIndex >= s.Hosts {
 		return errors.New("gateway: this host's number is not below the settings' number of hosts")
 	}
-	if s.Announce != nil && g.cfg.RouterID == 0 {
+	if s.Announce != nil && g.config.RouterID == 0 {
 		return errors.New("gateway: the settings enable announcements, but no router identifier is configured")
 	}
-	listener, err := g.cfg.Environment.Listen("tcp", g.cfg.Listen)
+	listener, err := g.config.Environment.Listen("tcp", g.config.Listen)
 	if err != nil {
 		return err
 	}
-	h := newHost(g.cfg.Environment, s, g.cfg.Self, g.cfg.Name, g.cfg.Zone, g.cfg.Keys, g.cfg.Log)
-	g.inventoryClient = inventory.Follow(g.cfg.Environment, g.cfg.Inventory, func(list inventory.List) {
+	h := newHost(g.config.Environment, s, g.config.HostIndex, g.config.Name, g.config.Zone, g.config.Keys, g.config.Log)
+	g.inventoryClient = inventory.Follow(g.config.Environment, g.config.Inventory, func(list inventory.List) {
 		h.post(event{kind: eventNodeList, list: list})
 	})
 	h.fetchNodeList = g.inventoryClient.Fetch
 	if s.Regions != nil {
-		g.leaseRenewer = newLeaseRenewer(g.cfg.Environment, h, g.cfg.Inventory, s.Regions, g.cfg.Log)
+		g.leaseRenewer = newLeaseRenewer(g.config.Environment, h, g.config.Inventory, s.Regions, g.config.Log)
 	}
 	g.host, g.listenAddr = h, listener.Addr()
-	g.frontend = newFrontend(g.cfg.Environment, h, newActiveSettings(s, g.cfg.Self), listener, g.cfg.Log)
+	g.frontend = newFrontend(g.config.Environment, h, newActiveSettings(s, g.config.HostIndex), listener, g.config.Log)
 	if s.Announce != nil {
-		if g.announcer, err = newAnnouncer(g.cfg, s, h, g.inventoryClient); err != nil {
+		if g.announcer, err = newAnnouncer(g.config, s, h, g.inventoryClient); err != nil {
 			return err // if called from Start, that stops what was started here
 		}
 	}
-	g.cfg.Log.Info("serving", zap.Stringer("listen", listener.Addr()), zap.Uint64("settings", s.Version))
+	g.config.Log.Info("serving", zap.Stringer("listen", listener.Addr()), zap.Uint64("settings", s.Version))
 	return nil
 }
 
@@ -270,7 +270,7 @@
 	g.mu.Lock()
 	f, h := g.frontend, g.host
 	g.mu.Unlock()
-	status.Zone = g.cfg.Zone
+	status.Zone = g.config.Zone
 	if f == nil {
 		return status, false
 	}
@@ -360,9 +360,9 @@
 
 // waitUntil polls done until it returns true, the timeout passes or ctx ends.
 func (g *Gateway) waitUntil(ctx context.Context, timeout time.Duration, done func() bool) {
-	deadline := g.cfg.Environment.Now() + timeout
-	for !done() && g.cfg.Environment.Now() < deadline && ctx.Err() == nil {
-		env.SleepContext(ctx, g.cfg.Environment, stopPollInterval)
+	deadline := g.config.Environment.Now() + timeout
+	for !done() && g.config.Environment.Now() < deadline && ctx.Err() == nil {
+		env.SleepContext(ctx, g.config.Environment, stopPollInterval)
 	}
 }
 
--- a/internal/control/gateway/metrics.go
+++ b/internal/control/gateway/metrics.go
@@ -17,25 +17,25 @@
 // classPlan is the key of request counters. The settings bound the number of classes and plans.
 type classPlan struct{ class, plan string }
 
-// requestCounts are the request counters of a class and plan.
-type requestCounts struct {
+// requestCounters are the request counters of a class and plan.
+type requestCounters struct {
 	metrics.Ends
 	latency prometheus.Histogram // of the class, over all plans
 }
 
-// coreMetrics are the counters of a core. Their number does not grow with volumes or connections.
-type coreMetrics struct {
-	byClassPlan map[classPlan]*requestCounts
+// coreCounters are the counters of a core. Their number does not grow with volumes or connections.
+type coreCounters struct {
+	byClassPlan map[classPlan]*requestCounters
 	latency     map[string]prometheus.Histogram // by class
 	attempts    map[string]*metrics.Attempts    // by node address
 }
 
-func newCoreMetrics() coreMetrics {
-	return coreMetrics{byClassPlan: map[classPlan]*requestCounts{}, latency: map[string]prometheus.Histogram{}, attempts: map[string]*metrics.Attempts{}}
+func newCoreCounters() coreCounters {
+	return coreCounters{byClassPlan: map[classPlan]*requestCounters{}, latency: map[string]prometheus.Histogram{}, attempts: map[string]*metrics.Attempts{}}
 }
 
-// countsFor returns the counters of a request's class and plan.
-func (t *coreMetrics) countsFor(request *policy.Request) *requestCounts {
+// countersFor returns the counters of a request's class and plan.
+func (t *coreCounters) countersFor(request *policy.Request) *requestCounters {
 	key := classPlan{request.Class, request.Plan}
 	c := t.byClassPlan[key]
 	if c == nil {
@@ -44,14 +44,14 @@
 			histogram = metrics.Latency(request.Class)
 			t.latency[request.Class] = histogram
 		}
-		c = &requestCounts{metrics.Ends{Class: request.Class, Plan: request.Plan}, histogram}
+		c = &requestCounters{metrics.Ends{Class: request.Class, Plan: request.Plan}, histogram}
 		t.byClassPlan[key] = c
 	}
 	return c
 }
 
 // totals returns the sums over all classes and plans.
-func (t *coreMetrics) totals() (f roll.Figures) {
+func (t *coreCounters) totals() (f roll.Figures) {
 	for _, c := range t.byClassPlan {
 		f = f.Add(roll.Figures{Taken: c.Taken, Served: c.Served, InAim: c.InAim, Refused: c.Refused, Failed: c.Failed})
 	}
@@ -59,7 +59,7 @@
 }
 
 // recordEnd counts the result of a job that ended at now, ms.
-func (c *requestCounts) recordEnd(j *job, outcome jobOutcome, now float64) {
+func (c *requestCounters) recordEnd(j *job, outcome jobOutcome, now float64) {
 	switch outcome {
 	case jobServed:
 		c.Served++
@@ -83,7 +83,7 @@
 const maxCountedNodes = 4096
 
 // recordAttempt counts the result of an attempt at a node. listed are the nodes on the list.
-func (t *coreMetrics) recordAttempt(node string, result policy.Result, listed map[string]inventory.Node) {
+func (t *coreCounters) recordAttempt(node string, result policy.Result, listed map[string]inventory.Node) {
 	a := t.attempts[node]
 	if a == nil {
 		if len(t.attempts) >= maxCountedNodes {
--- a/internal/control/gateway/recorder.go
+++ b/internal/control/gateway/recorder.go
@@ -32,12 +32,12 @@
 		return nil, err
 	}
 	r := &recorder{gateway: g, store: store, previous: map[history.Key]history.Counts{}}
-	r.tasks.Go(g.cfg.Environment, r.run)
+	r.tasks.Go(g.config.Environment, r.run)
 	return r, nil
 }
 
 func (r *recorder) run() {
-	environment := r.gateway.cfg.Environment
+	environment := r.gateway.config.Environment
 	for n := 1; env.Sleep(environment, time.Second, &r.stopped); n++ {
 		r.recordSecond(environment.Deadline(0).Unix(), n%flushIntervalSeconds == 0)
 	}
@@ -69,7 +69,7 @@
 		}
 	}
 	if err != nil {
-		r.gateway.cfg.Log.Warn("history not written", zap.Error(err), zap.Int("failed", r.store.Failed), zap.Int("lost", r.store.Lost))
+		r.gateway.config.Log.Warn("history not written", zap.Error(err), zap.Int("failed", r.store.Failed), zap.Int("lost", r.store.Lost))
 	}
 }
 
@@ -82,7 +82,7 @@
 
 func (r *recorder) close() {
 	r.stopped.Open()
-	r.tasks.Wait(r.gateway.cfg.Environment)
+	r.tasks.Wait(r.gateway.config.Environment)
 }
 
 // serveHistory serves /history?from=&to=, with times in seconds since 1970.
--- a/internal/control/gateway/regional.go
+++ b/internal/control/gateway/regional.go
@@ -21,7 +21,7 @@
 // the home region of their shard are reported as draining, and limits as the region's share.
 type regionState struct {
 	*region.Host
-	self          region.ID
+	regionID      region.ID
 	limitIndexes  map[string]int         // by plan, for those with a limit: its index in region records
 	copyBeforeAck map[string]bool        // by plan: writes are acknowledged once the other region has a copy
 	volumeLimits  map[string]volumeLimit // by volume, for those that had a request under a limited plan
@@ -37,7 +37,7 @@
 	if s.Regions == nil {
 		return nil
 	}
-	r := &regionState{Host: region.NewHost(s.Regions.Config(), region.ID(s.Regions.Hosts[hostIndex])), self: region.ID(s.Regions.Hosts[hostIndex]),
+	r := &regionState{Host: region.NewHost(s.Regions.Config(), region.ID(s.Regions.Hosts[hostIndex])), regionID: region.ID(s.Regions.Hosts[hostIndex]),
 		clockDrift: s.Regions.Drift, volumeLimits: map[string]volumeLimit{}}
 	r.applySettings(s)
 	return r
--- a/internal/simulation/lab/fleet.go
+++ b/internal/simulation/lab/fleet.go
@@ -288,7 +288,7 @@
 	if h.list, err = f.site.wire(*f.invs[f.regionOf(h.self)].where.Load(), true, func(string) *standin.Tap { return standin.TapList(f.Rec, name) }); err != nil {
 		return err
 	}
-	h.gate, err = gateway.Start(gateway.Config{Environment: h.world, Log: f.log, Name: h.name, Self: h.self,
+	h.gate, err = gateway.Start(gateway.Config{Environment: h.world, Log: f.log, Name: h.name, HostIndex: h.self,
 		Zone: Halls[h.self%len(Halls)], Listen: "127.0.0.1:0", Inventory: h.list.Address(), Admin: f.site.admin(), Snapshot: f.snapshot(h.self),
 		RouterID: routerID(h.self), NextHop4: netip.AddrFrom4([4]byte{127, 0, 0, 1})})
 	if err != nil {
--- a/internal/simulation/lab/reservations.go
+++ b/internal/simulation/lab/reservations.go
@@ -204,7 +204,7 @@
 }
 
 func (r *reservationRig) startHost(i int) error {
-	g, err := gateway.Start(gateway.Config{Environment: r.worlds[i], Log: zap.NewNop(), Name: fmt.Sprint("h", i), Self: i, Zone: Halls[i], Listen: "127.0.0.1:0", Inventory: r.inv.Addr})
+	g, err := gateway.Start(gateway.Config{Environment: r.worlds[i], Log: zap.NewNop(), Name: fmt.Sprint("h", i), HostIndex: i, Zone: Halls[i], Listen: "127.0.0.1:0", Inventory: r.inv.Addr})
 	if err != nil {
 		return err
 	}
