--- a/cmd/merlinhitch/badday.go
+++ b/cmd/merlinhitch/badday.go
@@ -62,8 +62,8 @@
 	if err != nil {
 		return err
 	}
-	for _, violation := range result.Check.Breaks[:min(len(result.Check.Breaks), 3)] {
-		fmt.Printf("\n%s\n%s", violation, trail.Way(events, violation.Conn, violation.Tag, violation.HostID, violation.Seq))
+	for _, violation := range result.Check.Violations[:min(len(result.Check.Violations), 3)] {
+		fmt.Printf("\n%s\n%s", violation, trail.Trace(events, violation.Conn, violation.Tag, violation.HostID, violation.Seq))
 	}
 	return errReported
 }
@@ -114,12 +114,12 @@
 		return err
 	}
 	check := rules.Check(meta, events)
-	check.Table.Print(os.Stdout)
+	check.Stats.Print(os.Stdout)
 	check.Print(os.Stdout)
 	if check.OK() {
 		return nil
 	}
-	for _, violation := range check.Breaks {
+	for _, violation := range check.Violations {
 		fmt.Println(violation)
 	}
 	return errReported
@@ -141,7 +141,7 @@
 		if _, err := fmt.Sscanf(c.Request, "%d/%d", &conn, &tag); err != nil {
 			return fmt.Errorf("trail show: request %q does not have the form CONN/TAG", c.Request)
 		}
-		listing := trail.Way(events, conn, tag, 0, 0)
+		listing := trail.Trace(events, conn, tag, 0, 0)
 		if listing == "" {
 			return fmt.Errorf("trail show: %s has no command %s", filepath.Base(c.File), c.Request)
 		}
@@ -150,7 +150,7 @@
 	}
 	var text strings.Builder
 	for i := range events[:min(len(events), c.Most)] {
-		trail.Line(&text, &events[i], 0)
+		trail.WriteEvent(&text, &events[i], 0)
 	}
 	fmt.Print(text.String())
 	return nil
--- a/cmd/merlinhitch/explore.go
+++ b/cmd/merlinhitch/explore.go
@@ -114,7 +114,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Print(trail.Way(events, outcome.Failure.Conn, outcome.Failure.Tag, outcome.Failure.HostID, outcome.Failure.Seq))
+		fmt.Print(trail.Trace(events, outcome.Failure.Conn, outcome.Failure.Tag, outcome.Failure.HostID, outcome.Failure.Seq))
 	}
 	return errReported
 }
--- a/internal/control/gateway/conform_test.go
+++ b/internal/control/gateway/conform_test.go
@@ -21,7 +21,7 @@
 const unlimited = 5
 
 // conformity runs the table against a volume, through whatever stands at that address.
-func conformity(t *testing.T, r *rig, addr string) []conform.Row {
+func conformity(t *testing.T, r *rig, addr string) []conform.CheckResult {
 	t.Helper()
 	rows, err := conform.Run(context.Background(), func(ctx context.Context, who int) (*initiator.Client, error) {
 		return initiator.Dial(ctx, initiator.Config{Environment: r.world, Addr: addr, Name: "iqn.2026-11.example.client:conform", ISID: iscsi.ISID{0x80, 2, 0, 0, 0, byte(who)},
@@ -47,7 +47,7 @@
 	passed := 0
 	for _, row := range rows {
 		if row.Verdict == conform.Fail {
-			t.Errorf("%s: %s: %s", row.Clause, row.Name, row.Why)
+			t.Errorf("%s: %s: %s", row.Clause, row.Name, row.Detail)
 		} else if row.Verdict == conform.Pass {
 			passed++
 		}
--- a/internal/simulation/lab/badday.go
+++ b/internal/simulation/lab/badday.go
@@ -88,13 +88,13 @@
 
 // OK tells whether the day kept everything.
 func (r *Result) OK() bool {
-	return r.Check.OK() && len(r.Wrong) == 0 && r.Missed == 0 && r.Repeats == 0 && r.Check.Table.Commands == r.Check.Table.Final
+	return r.Check.OK() && len(r.Wrong) == 0 && r.Missed == 0 && r.Repeats == 0 && r.Check.Stats.Commands == r.Check.Stats.Finished
 }
 
 // trouble says in a few words what was not kept.
 func (r *Result) trouble() string {
-	s := fmt.Sprintf("%d commands, %d answers, %d not read back, %d twice", r.Check.Table.Commands, r.Check.Table.Final, r.Missed, r.Repeats)
-	for _, b := range r.Check.Breaks {
+	s := fmt.Sprintf("%d commands, %d answers, %d not read back, %d twice", r.Check.Stats.Commands, r.Check.Stats.Finished, r.Missed, r.Repeats)
+	for _, b := range r.Check.Violations {
 		s += "; " + b.String()
 	}
 	for _, t := range r.Wrong {
@@ -255,13 +255,13 @@
 	if res.Check = d.check; d.check == nil {
 		res.Check = rules.Check(d.fleet.Meta, events)
 	} else {
-		d.check.End()
+		d.check.Finish()
 	}
 	res.ledger = d.crowd.ledger
 	res.Wrong = d.crowd.ledger.Judge()
 	res.Blocks = d.crowd.ledger.Checked
 	res.Strays, res.Unanswered = int(d.crowd.Strays.Load()), int(d.crowd.Unanswered.Load())
-	res.Wanted = res.Check.Table.GoodputOf(d.crowd.StrayWorth)
+	res.Wanted = res.Check.Stats.GoodputWithUnseen(d.crowd.StrayWorth)
 	res.Lost = len(d.crowd.ledger.Lost)
 	if o := d.operator; o != nil {
 		res.Said, res.Losses = o.Said, d.fleet.losses
@@ -345,8 +345,8 @@
 
 // Print writes what came of the day.
 func (r *Result) Print(w io.Writer) {
-	r.Check.Table.Print(w)
-	fmt.Fprintf(w, "goodput %.3f of the worth asked for\n\n", r.Check.Table.Goodput())
+	r.Check.Stats.Print(w)
+	fmt.Fprintf(w, "goodput %.3f of the worth asked for\n\n", r.Check.Stats.Goodput())
 	r.Check.Print(w)
 	fmt.Fprintf(w, "%d blocks read and judged, %d wrong, %d not read back; %d keyed effects twice; %d frames and events on the trail; %.0f s\n",
 		r.Blocks, len(r.Wrong), r.Missed, r.Repeats, r.Events, r.Took.Seconds())
@@ -356,7 +356,7 @@
 	for _, t := range r.Wrong[:min(len(r.Wrong), 5)] {
 		fmt.Fprintln(w, "WRONG:", t)
 	}
-	for _, b := range r.Check.Breaks[:min(len(r.Check.Breaks), 5)] {
+	for _, b := range r.Check.Violations[:min(len(r.Check.Violations), 5)] {
 		fmt.Fprintln(w, "BROKEN:", b)
 	}
 }
--- a/internal/simulation/lab/changes.go
+++ b/internal/simulation/lab/changes.go
@@ -22,7 +22,7 @@
 // ChangeResult is what came of a day on which operators change the settings all the time.
 type ChangeResult struct {
 	*Result
-	Versions                  *rules.Versions
+	Versions                  *rules.VersionChecker
 	Asked                     int
 	Accepted, Merged, Refused int
 	Unknown                   int      // calls whose answer was lost
@@ -30,12 +30,12 @@
 	Faults                    []string // of the records
 	trail                     []trail.Event
 	meta                      *trail.Meta
-	hosts                     map[string][]rules.Version
+	hosts                     map[string][]rules.AppliedSettings
 }
 
 // OK tells whether all was kept.
 func (r *ChangeResult) OK() bool {
-	return r.Result.OK() && r.Versions.Broken == 0 && len(r.Faults) == 0
+	return r.Result.OK() && r.Versions.ViolationCount == 0 && len(r.Faults) == 0
 }
 
 // change is one call of an operator.
@@ -111,7 +111,7 @@
 	}
 	ch.alter(s, rng)
 	env.SleepContext(ctx, ch.f.Environment, time.Duration(float64(2*ch.gap)*rng.Float64())) // meanwhile others change things
-	c := change{host: trail.HostOf(name), why: why, asked: ch.now()}
+	c := change{host: trail.HostName(name), why: why, asked: ch.now()}
 	now, err := api.Put(ctx, s, settings.Ask{Why: why, Who: "operator", Merge: rng.IntN(2) == 0})
 	c.said = ch.now()
 	var stale *settings.StaleError
@@ -167,7 +167,7 @@
 
 // judge reads the hosts' records again and holds the trail to them.
 func (ch *changing) judge(dir string, res *Result, meta *trail.Meta, events []trail.Event) (*ChangeResult, error) {
-	out := &ChangeResult{Result: res, Asked: len(ch.made), trail: events, meta: meta, hosts: map[string][]rules.Version{}}
+	out := &ChangeResult{Result: res, Asked: len(ch.made), trail: events, meta: meta, hosts: map[string][]rules.AppliedSettings{}}
 	by := map[string]map[string]change{}
 	for _, c := range ch.made {
 		if by[c.host] == nil {
@@ -219,7 +219,7 @@
 			if err != nil {
 				return err
 			}
-			v := rules.Version{Set: s}
+			v := rules.AppliedSettings{Settings: s}
 			if x.Seq > 1 {
 				c, known := made[x.Why]
 				switch {
@@ -231,7 +231,7 @@
 					r.Faults = append(r.Faults, fmt.Sprintf("%s: change %s is version %d in the record and was answered %d", name, x.Why, x.Version, c.version))
 				}
 				seen[x.Why] = true
-				v.Asked, v.Taken = c.asked, c.said
+				v.RequestedAt, v.AppliedBy = c.asked, c.said
 			}
 			r.hosts[name] = append(r.hosts[name], v)
 		}
@@ -251,13 +251,13 @@
 		r.Asked, r.Accepted, r.Merged, r.Refused, r.Unknown, r.Records, len(r.Faults))
 	fmt.Fprintln(w, r.Versions.Summary())
 	fmt.Fprintf(w, "goodput %.3f; %d blocks read and judged, %d wrong, %d not read back; %d keyed effects twice; %.0f s\n",
-		r.Check.Table.Goodput(), r.Blocks, len(r.Wrong), r.Missed, r.Repeats, r.Took.Seconds())
-	for _, list := range [][]string{r.Faults, r.Versions.Breaks, r.Wrong} {
+		r.Check.Stats.Goodput(), r.Blocks, len(r.Wrong), r.Missed, r.Repeats, r.Took.Seconds())
+	for _, list := range [][]string{r.Faults, r.Versions.Violations, r.Wrong} {
 		for _, t := range list[:min(len(list), 5)] {
 			fmt.Fprintln(w, "BROKEN:", t)
 		}
 	}
-	for _, b := range r.Check.Breaks[:min(len(r.Check.Breaks), 5)] {
+	for _, b := range r.Check.Violations[:min(len(r.Check.Violations), 5)] {
 		fmt.Fprintln(w, "BROKEN:", b)
 	}
 }
--- a/internal/simulation/lab/changes_test.go
+++ b/internal/simulation/lab/changes_test.go
@@ -28,21 +28,21 @@
 		t.Fatal("not kept, or too little happened")
 	}
 	for name, doctor := range map[string]func(e *trail.Event) bool{
-		"a version that never was": func(e *trail.Event) bool { e.Under = 9999; return true },
+		"a version that never was": func(e *trail.Event) bool { e.SettingsVersion = 9999; return true },
 		"another plan":             func(e *trail.Event) bool { e.Plan += "x"; return true },
 		"another effect":           func(e *trail.Event) bool { e.Effect = (e.Effect + 1) % 3; return true },
 		"more time":                func(e *trail.Event) bool { e.Deadline += 60e6; return true },
 		"more units":               func(e *trail.Event) bool { e.Units++; return e.Op == "read" || e.Op == "write" },
 		"an old version": func(e *trail.Event) bool {
-			was := e.Under
-			e.Under = 1
+			was := e.SettingsVersion
+			e.SettingsVersion = 1
 			return was > 3
 		},
 		"a version to come": func(e *trail.Event) bool {
-			list := r.hosts[trail.HostOf(e.Host)]
+			list := r.hosts[trail.HostName(e.Host)]
 			last := list[len(list)-1]
-			e.Under = last.Set.Version
-			return last.Asked > e.T
+			e.SettingsVersion = last.Settings.Version
+			return last.RequestedAt > e.Time
 		},
 	} {
 		found := false
@@ -54,7 +54,7 @@
 			events := append([]trail.Event(nil), r.trail...)
 			events[i] = e
 			v := rules.CheckVersions(r.meta, events, r.hosts)
-			if found = v.Broken > 0; found || i > len(r.trail)/2 {
+			if found = v.ViolationCount > 0; found || i > len(r.trail)/2 {
 				break
 			}
 		}
--- a/internal/simulation/lab/experiment.go
+++ b/internal/simulation/lab/experiment.go
@@ -213,18 +213,18 @@
 	if err != nil {
 		return row, nil, err
 	}
-	t := out.Check.Table
+	t := out.Check.Stats
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	row = ExperimentRow{Hosts: int32(c.Hosts), Servers: int32(c.Servers), Rate: c.Rate, Load: c.load, Layout: c.Layout, Trouble: c.trouble, Figure: c.figure,
-		Value: c.value, Seed: c.Seed, Commands: int64(t.Commands), Goodput: t.Goodput(), Worst: t.WorstPlan(), Worst10: t.WorstSpan(10), Back: c.back(t),
+		Value: c.value, Seed: c.Seed, Commands: int64(t.Commands), Goodput: t.Goodput(), Worst: t.WorstPlanGoodput(), Worst10: t.WorstWindowGoodput(10), Back: c.back(t),
 		P50: ms(whole, 50), P99: ms(whole, 99), P999: ms(whole, 99.9), StepsPer: float64(out.Steps) / float64(max(t.Commands, 1)),
 		CPU: float64((w.Now()-begin)/time.Microsecond) / float64(max(t.Commands, 1)), Digest: out.Scene.Digest}
 	if out.Failure != nil {
 		row.Failure = out.Failure.Error()
 	}
-	for _, at := range slices.Sorted(maps.Keys(t.Seconds)) {
+	for _, at := range slices.Sorted(maps.Keys(t.PerSecond)) {
 		s := SecondRow{Hosts: row.Hosts, Servers: row.Servers, Load: c.load, Layout: c.Layout, Trouble: c.trouble, Value: c.value, Seed: c.Seed,
-			Second: int32(at), Due: t.Seconds[at].Due, Worth: t.Seconds[at].Worth}
+			Second: int32(at), Due: t.PerSecond[at].Offered, Worth: t.PerSecond[at].Served}
 		if h := bySecond[at]; h != nil {
 			s.P50, s.P99 = ms(h, 50), ms(h, 99)
 		}
@@ -238,7 +238,7 @@
 
 // back is when goodput was again that of the time before the first trouble, within a
 // twentieth.
-func (c cell) back(t *rules.Table) float64 {
+func (c cell) back(t *rules.Stats) float64 {
 	if len(c.Script) == 0 {
 		return 0
 	}
@@ -246,9 +246,9 @@
 	for _, s := range c.Script {
 		first, last = min(first, s.At), max(last, s.At+s.Len)
 	}
-	before := t.Between(0, int64(first/time.Second))
+	before := t.GoodputBetween(0, int64(first/time.Second))
 	for at := int64(last / time.Second); at+backSpan <= int64(c.span/time.Second); at++ {
-		if t.Between(at, at+backSpan) >= 0.95*before {
+		if t.GoodputBetween(at, at+backSpan) >= 0.95*before {
 			return math.Max(float64(at)-last.Seconds(), 0)
 		}
 	}
--- a/internal/simulation/lab/experiment_test.go
+++ b/internal/simulation/lab/experiment_test.go
@@ -115,7 +115,7 @@
 	}
 	s := Draw(1, 170, 47, 10*time.Second, 760, true)
 	out := kept(t, s)
-	if n := out.Check.Table.Commands; n < 7000 {
+	if n := out.Check.Stats.Commands; n < 7000 {
 		t.Fatalf("%d commands", n)
 	}
 }
--- a/internal/simulation/lab/explore.go
+++ b/internal/simulation/lab/explore.go
@@ -219,8 +219,8 @@
 	}
 	opt.live = func(f *Fleet) *rules.Checker {
 		fleet, out.Check = f, rules.New(f.Meta)
-		out.Check.Table.Ended = s.ended
-		f.Rec.Tell(func(e *trail.Event) {
+		out.Check.Stats.OnAnswer = s.ended
+		f.Rec.SetObserver(func(e *trail.Event) {
 			if s.heard != nil {
 				s.heard(e)
 			}
@@ -328,7 +328,7 @@
 	if o.Failure != nil || o.Check.OK() {
 		return
 	}
-	b := o.Check.Breaks[0]
+	b := o.Check.Violations[0]
 	o.Failure = &Failure{Kind: fmt.Sprintf("rule %d", b.Rule), Text: b.String(), At: w.Now(), Conn: b.Conn, Tag: b.Tag, HostID: b.HostID, Seq: b.Seq}
 	w.Halt(o.Failure)
 }
@@ -356,7 +356,7 @@
 			o.Failure = &Failure{Kind: kind, Text: fmt.Sprintf(format, args...), At: now}
 		}
 	}
-	o.Goodput, o.Reads = res.Check.Table.Goodput(), res.Blocks
+	o.Goodput, o.Reads = res.Check.Stats.Goodput(), res.Blocks
 	o.Lost, o.Said, o.Outages = res.Lost, res.Said, outages(res)
 	var wrong []string
 	if o.Blocks, o.Unknown, wrong = res.ledger.Linear(); len(res.Wrong) > 0 {
@@ -365,14 +365,14 @@
 		fail(failLinear, "%s", wrong[0])
 	}
 	if !res.Check.OK() {
-		b := res.Check.Breaks[0]
+		b := res.Check.Violations[0]
 		fail(fmt.Sprintf("rule %d", b.Rule), "%s", b)
 	}
 	if res.Repeats > 0 {
 		fail(failTwice, "%d keyed effects took place once more", res.Repeats)
 	}
-	if t := res.Check.Table; t.Commands != t.Final {
-		fail(failAnswers, "%d of %d commands have no end", t.Commands-t.Final, t.Commands)
+	if t := res.Check.Stats; t.Commands != t.Finished {
+		fail(failAnswers, "%d of %d commands have no end", t.Commands-t.Finished, t.Commands)
 	}
 	if res.Missed > 0 {
 		fail(failUnread, "%d blocks could not be read back", res.Missed)
@@ -390,7 +390,7 @@
 		calm = max(calm, end)
 	}
 	if o.Recovery = 1; calm+recoverySpan <= span {
-		if o.Recovery = res.Check.Table.Between(int64(calm/time.Second), int64(span/time.Second)); o.Recovery < recovered {
+		if o.Recovery = res.Check.Stats.GoodputBetween(int64(calm/time.Second), int64(span/time.Second)); o.Recovery < recovered {
 			fail(failRecovery, "goodput is %.3f of the worth asked for later than %v after the last trouble", o.Recovery, settleIn)
 		}
 	}
@@ -567,7 +567,7 @@
 	e.Checks += o.Checks
 	e.Blocks, e.Unknown, e.Reads = e.Blocks+o.Blocks, e.Unknown+o.Unknown, e.Reads+o.Reads
 	e.Virtual += o.Took
-	e.Goodput += (o.Check.Table.Goodput() - e.Goodput) / float64(e.Played)
+	e.Goodput += (o.Check.Stats.Goodput() - e.Goodput) / float64(e.Played)
 	for _, t := range o.Scene.Script {
 		e.Kinds[t.Kind]++
 	}
--- a/internal/simulation/lab/fleet.go
+++ b/internal/simulation/lab/fleet.go
@@ -381,7 +381,7 @@
 	h.clients = nil
 	f.old = append(f.old, clients, list)
 	f.mu.Unlock()
-	f.Rec.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Died, Host: h.name})
+	f.Rec.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Killed, Host: h.name})
 	if !f.site.crash(at, false) {
 		gate.Kill()
 	}
--- a/internal/simulation/lab/layouts.go
+++ b/internal/simulation/lab/layouts.go
@@ -306,13 +306,13 @@
 }
 
 func (r *LayoutRow) add(layout, name string, seed uint64, res *Result, steps int) {
-	t := res.Check.Table
+	t := res.Check.Stats
 	r.Layout, r.Day = layout, name
 	r.Runs++
 	r.Steps += steps
-	r.Goodput, r.Plan, r.Span = append(r.Goodput, t.Goodput()), append(r.Plan, t.WorstPlan()), append(r.Span, t.WorstSpan(10))
-	for _, x := range t.Rows {
-		r.Refused, r.Failed, r.Asks = r.Refused+x.Refused, r.Failed+x.Failed, r.Asks+x.Asked
+	r.Goodput, r.Plan, r.Span = append(r.Goodput, t.Goodput()), append(r.Plan, t.WorstPlanGoodput()), append(r.Span, t.WorstWindowGoodput(10))
+	for _, x := range t.ByClass {
+		r.Refused, r.Failed, r.Asks = r.Refused+x.Refused, r.Failed+x.Failed, r.Asks+x.Issued
 	}
 	if !res.OK() {
 		r.Bad++
--- a/internal/simulation/lab/limits.go
+++ b/internal/simulation/lab/limits.go
@@ -103,10 +103,10 @@
 	for i := range events {
 		e := &events[i]
 		switch {
-		case e.T < from || e.T > to:
+		case e.Time < from || e.Time > to:
 		case e.Kind == trail.Do && e.Attempt == 0 && e.Session != 0:
 			r.Passed += e.Units
-			last = e.T
+			last = e.Time
 		case e.Kind == trail.Command:
 			r.Asked += set.Units(int(e.Blocks) * set.Volumes[0].BlockSize)
 		}
--- a/internal/simulation/lab/regioncost.go
+++ b/internal/simulation/lab/regioncost.go
@@ -112,27 +112,27 @@
 		r.Failed = append(r.Failed, fmt.Sprintf("seed %d: %v", o.Scene.Seed, o.Failure))
 	}
 	r.Outages, r.Writes = append(r.Outages, o.Outages...), r.Writes+o.Lost
-	t := o.Check.Table
+	t := o.Check.Stats
 	day := int64(costDay / time.Second)
 	calm, n := 0.0, 0.0
 	for s := int64(5); s < int64(costLoss/time.Second); s++ {
-		if x := t.Seconds[s]; x != nil {
-			calm, n = calm+x.Due, n+1
+		if x := t.PerSecond[s]; x != nil {
+			calm, n = calm+x.Offered, n+1
 		}
 	}
 	lost, back := 0.0, time.Duration(-1)
 	for s := range day {
-		x := t.Seconds[s]
-		if x == nil || x.Due == 0 {
+		x := t.PerSecond[s]
+		if x == nil || x.Offered == 0 {
 			r.curve[s]++
 			continue
 		}
-		r.curve[s] += x.Worth / x.Due
+		r.curve[s] += x.Served / x.Offered
 		if s < int64(costLoss/time.Second) {
 			continue
 		}
-		lost += x.Due - x.Worth
-		if back < 0 && s > int64(costLoss/time.Second)+1 && t.Between(s, s+3) >= backAt {
+		lost += x.Offered - x.Served
+		if back < 0 && s > int64(costLoss/time.Second)+1 && t.GoodputBetween(s, s+3) >= backAt {
 			back = time.Duration(s)*time.Second - costLoss
 		}
 	}
@@ -170,7 +170,7 @@
 		}
 	}
 	s.heard = func(e *trail.Event) {
-		at := time.Duration(e.T) * time.Microsecond
+		at := time.Duration(e.Time) * time.Microsecond
 		if e.Kind == trail.Do && e.Attempt == 0 && n.limited[e.Volume] && at >= costLoss && at < costLoss+costGone {
 			n.units += e.Units
 		}
--- a/internal/simulation/lab/regionday.go
+++ b/internal/simulation/lab/regionday.go
@@ -245,9 +245,9 @@
 // outages are the times for which shards of a lost region were not served, of those that
 // were served in the other before theirs came back.
 func outages(res *Result) (out []time.Duration) {
-	homes := res.Check.Homes()
+	homes := res.Check.HomeHistory()
 	for _, l := range res.Losses {
-		last := map[int]rules.Served{} // by shard, before the loss
+		last := map[int]rules.FirstServed{} // by shard, before the loss
 		for _, s := range homes {
 			at := time.Duration(s.At) * time.Microsecond
 			if was, ok := last[s.Shard]; ok && was.Region == l.Region && s.Region != l.Region && at > l.At && at < l.Back {
@@ -306,9 +306,9 @@
 	e := &Explored{Outages: outages(r), Lost: r.Lost, Said: r.Said}
 	e.PrintRegions(w)
 	writes := 0
-	for k, row := range r.Check.Table.Rows {
+	for k, row := range r.Check.Stats.ByClass {
 		if k.Class == "txn-write" || k.Class == "claim-write" {
-			writes += row.Asked
+			writes += row.Issued
 		}
 	}
 	fmt.Fprintf(w, "%d keyed writes asked for, %d took effect more than once at the disk servers of both regions\n", writes, r.Repeats)
--- a/internal/simulation/lab/regions.go
+++ b/internal/simulation/lab/regions.go
@@ -361,7 +361,7 @@
 	f.mu.Lock()
 	h := f.hosts[i]
 	f.mu.Unlock()
-	f.Rec.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Still, Host: h.name, Deadline: int64((f.Environment.Now() + still) / time.Microsecond)})
+	f.Rec.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Stalled, Host: h.name, Deadline: int64((f.Environment.Now() + still) / time.Microsecond)})
 	if p, ok := h.world.(*world.Process); ok {
 		if !p.Dead() {
 			p.Stall(still)
--- a/internal/simulation/lab/regions_test.go
+++ b/internal/simulation/lab/regions_test.go
@@ -65,14 +65,14 @@
 		{"the leading region's inventory old, all else well", 60, []Strike{{Kind: "region_cut", At: 3 * second, Len: 10 * second},
 			{Kind: "inventory_old", At: 30 * second, Len: 8 * second, Seed: hit(0, true)}}, tookOver},
 		{"nobody reaches an inventory", 60, []Strike{{Kind: "inventory_cut", At: 5 * second, Len: 15 * second}},
-			func(o *Outcome) bool { return o.Check.Table.Between(10, 18) < 0.05 }},
+			func(o *Outcome) bool { return o.Check.Stats.GoodputBetween(10, 18) < 0.05 }},
 		{"a host stands still for 30 s while its region is taken over", 80, []Strike{{Kind: "lease_stall", At: 8 * second, Len: 30 * second, Seed: 3},
 			{Kind: "region_cut", At: 7 * second, Len: 20 * second}}, tookOver},
 		{"lost at opening time, and back while the peak lasts", 80, []Strike{{Kind: "opening", At: 8 * second, Len: 40 * second, Seed: hit(1, false)}},
 			func(o *Outcome) bool { return tookOver(o) && o.Said["return"] > 0 }},
 		{"lost again while it recovers", 80, []Strike{{Kind: "region_loss_two", At: 8 * second, Len: 36 * second, Seed: hit(1, true)}}, tookOver},
 		{"shards moved to and fro", 50, []Strike{{Kind: "moves", At: 3 * second, Len: 20 * second, Seed: 5}},
-			func(o *Outcome) bool { return len(o.Check.Homes()) > 8 }},
+			func(o *Outcome) bool { return len(o.Check.HomeHistory()) > 8 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -90,7 +90,7 @@
 
 // tookOver tells whether a shard was served in both regions, one after the other.
 func tookOver(o *Outcome) bool {
-	return slices.ContainsFunc(o.Check.Homes(), func(s rules.Served) bool { return s.Region != int(homeOf(s.Shard)) })
+	return slices.ContainsFunc(o.Check.HomeHistory(), func(s rules.FirstServed) bool { return s.Region != int(homeOf(s.Shard)) })
 }
 
 // Writes that are acknowledged before their copy may be lost with a region, but no more of
--- a/internal/simulation/lab/routing.go
+++ b/internal/simulation/lab/routing.go
@@ -159,8 +159,8 @@
 	r.Runs++
 	r.Wanted = append(r.Wanted, res.Wanted)
 	r.Strays, r.Unanswered = r.Strays+res.Strays, r.Unanswered+res.Unanswered
-	for _, x := range res.Check.Table.Rows {
-		r.Refused, r.Failed, r.Asked = r.Refused+x.Refused, r.Failed+x.Failed, r.Asked+x.Asked
+	for _, x := range res.Check.Stats.ByClass {
+		r.Refused, r.Failed, r.Asked = r.Refused+x.Refused, r.Failed+x.Failed, r.Asked+x.Issued
 	}
 	r.Asked += res.Strays
 	if !res.OK() {
--- a/internal/simulation/lab/strikes.go
+++ b/internal/simulation/lab/strikes.go
@@ -115,7 +115,7 @@
 		return
 	}
 	p.Stall(still)
-	d.fleet.Rec.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Still, Host: h.name,
+	d.fleet.Rec.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Stalled, Host: h.name,
 		Deadline: int64((d.fleet.Environment.Now() + still) / time.Microsecond)})
 }
 
@@ -124,7 +124,7 @@
 	i := rng.IntN(d.opt.Hosts)
 	h := d.fleet.hosts[i]
 	p, name := h.world.(*world.Process), h.name
-	p.DieAfterWrites(1+rng.IntN(200), func() { d.fleet.Rec.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Died, Host: name}) })
+	p.DieAfterWrites(1+rng.IntN(200), func() { d.fleet.Rec.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Killed, Host: name}) })
 	d.fleet.after(len/2, func() {
 		if p.Dead() {
 			d.fleet.KillHost(i, 500*time.Millisecond)
--- a/internal/simulation/lab/sweep.go
+++ b/internal/simulation/lab/sweep.go
@@ -79,12 +79,12 @@
 func (r *SweepRow) add(kind string, seed uint64, res *Result) {
 	r.Kind = kind
 	r.Runs++
-	r.Commands += res.Check.Table.Commands
+	r.Commands += res.Check.Stats.Commands
 	r.BlocksBad += len(res.Wrong) + res.Missed
 	for i, n := range res.Check.Checks {
 		r.Checks[i] += n
 	}
-	r.Goodputs = append(r.Goodputs, res.Check.Table.Goodput())
+	r.Goodputs = append(r.Goodputs, res.Check.Stats.Goodput())
 	if res.OK() {
 		return
 	}
--- a/internal/simulation/lab/virtual_test.go
+++ b/internal/simulation/lab/virtual_test.go
@@ -188,7 +188,7 @@
 		case trail.Do:
 			until[k] = e.Deadline
 		case trail.Answer:
-			if by, ok := until[k]; ok && e.T > by {
+			if by, ok := until[k]; ok && e.Time > by {
 				n++
 			}
 		}
@@ -202,7 +202,7 @@
 	for seed := range uint64(4) {
 		s := strike(seed+1, 15, Strike{Kind: "host_torn", At: 2 * time.Second, Len: 4 * time.Second},
 			Strike{Kind: "host_torn", At: 5 * time.Second, Len: 4 * time.Second})
-		if !slices.ContainsFunc(passed(t, s), func(e trail.Event) bool { return e.Kind == trail.Died }) {
+		if !slices.ContainsFunc(passed(t, s), func(e trail.Event) bool { return e.Kind == trail.Killed }) {
 			t.Fatal("no host died: the case was not caused")
 		}
 	}
@@ -280,8 +280,8 @@
 	}
 	asked := func(r *Result) map[string]int {
 		out := map[string]int{}
-		for k, row := range r.Check.Table.Rows {
-			out[k.Class+" "+k.Plan] = row.Asked
+		for k, row := range r.Check.Stats.ByClass {
+			out[k.Class+" "+k.Plan] = row.Issued
 		}
 		return out
 	}
@@ -292,7 +292,7 @@
 			t.Errorf("%s: %d asked on sockets, %d in the world", k, n, b[k])
 		}
 	}
-	if g, h := real.Check.Table.Goodput(), virt.Check.Table.Goodput(); g < 0.9 || h < 0.9 {
+	if g, h := real.Check.Stats.Goodput(), virt.Check.Stats.Goodput(); g < 0.9 || h < 0.9 {
 		t.Errorf("goodput of a calm day: %.3f on sockets, %.3f in the world", g, h)
 	}
 }
--- a/internal/simulation/standin/tap.go
+++ b/internal/simulation/standin/tap.go
@@ -40,7 +40,7 @@
 }
 
 func newTap(rec *trail.Recorder, r tapper) *Tap {
-	t := &Tap{rec: rec, tapper: r, conn: rec.Conn()}
+	t := &Tap{rec: rec, tapper: r, conn: rec.NextConn()}
 	t.note(trail.Event{Kind: trail.Open, Dir: trail.Up})
 	return t
 }
@@ -97,7 +97,7 @@
 	for len(b) > 0 {
 		n := t.tapper.cut(up, b)
 		if n < 0 || n == 0 && len(b) > tapFrame {
-			t.note(trail.Event{Kind: trail.Broken, Dir: dir(up), Bytes: int64(len(b))})
+			t.note(trail.Event{Kind: trail.Malformed, Dir: dir(up), Bytes: int64(len(b))})
 			return nil
 		}
 		if n == 0 {
@@ -163,7 +163,7 @@
 	}
 	p, err := r.Next()
 	if err != nil {
-		return []trail.Event{{Kind: trail.Broken, Detail: err.Error()}}
+		return []trail.Event{{Kind: trail.Malformed, Detail: err.Error()}}
 	}
 	if up {
 		return c.up(p)
@@ -185,9 +185,9 @@
 			e.Advice = e.Length // nothing is still to come
 		}
 	case iscsi.OpDataOut:
-		e.Kind, e.Length = trail.Data, uint32(len(p.Data))
+		e.Kind, e.Length = trail.DataOut, uint32(len(p.Data))
 	case iscsi.OpTaskReq:
-		e.Kind, e.Ref, e.Status = trail.Manage, p.Word(iscsi.AtTTT), int32(p.Flags()&0x7f)
+		e.Kind, e.RefTag, e.Status = trail.TaskRequest, p.Word(iscsi.AtTTT), int32(p.Flags()&0x7f)
 	case iscsi.OpLogoutReq:
 		e.Kind = trail.Logout
 	default:
@@ -215,7 +215,7 @@
 		}
 		e.Kind, e.Status = trail.Status, int32(p.BHS[3])
 	case iscsi.OpTaskResp:
-		e.Kind, e.Status = trail.Managed, int32(p.BHS[2])
+		e.Kind, e.Status = trail.TaskResponse, int32(p.BHS[2])
 	default:
 		return nil
 	}
@@ -303,7 +303,7 @@
 func (d *diskTap) frame(_ bool, b []byte) []trail.Event {
 	f, err := diskproto.NewReader(bufio.NewReader(bytes.NewReader(b))).Next()
 	if err != nil {
-		return []trail.Event{{Kind: trail.Broken, Detail: err.Error()}}
+		return []trail.Event{{Kind: trail.Malformed, Detail: err.Error()}}
 	}
 	e := trail.Event{Tag: f.Tag}
 	switch f.Kind {
@@ -317,16 +317,16 @@
 	case diskproto.KindDo:
 		var m diskproto.Do
 		if err := m.Parse(f.Body); err != nil {
-			return []trail.Event{{Kind: trail.Broken, Detail: err.Error()}}
+			return []trail.Event{{Kind: trail.Malformed, Detail: err.Error()}}
 		}
 		e.Kind, e.Op, e.Effect, e.Attempt, e.Shard = trail.Do, scsi.Op(m.Op).String(), int32(m.Effect), uint32(m.Attempt), int32(m.Shard)
-		e.Seq, e.Deadline, e.Units, e.Volume, e.Key, e.Gen = m.Seq, int64(m.Deadline), m.Units, m.Volume, m.Key, m.Gen
-		e.LBA, e.Blocks, e.Length, e.Under, e.Plan = m.LBA, m.Blocks, uint32(len(m.Data)), m.Under, m.Plan
-		e.Session, e.Ref = uint32(m.Origin>>32), uint32(m.Origin)
+		e.Seq, e.Deadline, e.Units, e.Volume, e.Key, e.Generation = m.Seq, int64(m.Deadline), m.Units, m.Volume, m.Key, m.Gen
+		e.LBA, e.Blocks, e.Length, e.SettingsVersion, e.Plan = m.LBA, m.Blocks, uint32(len(m.Data)), m.Under, m.Plan
+		e.Session, e.RefTag = uint32(m.Origin>>32), uint32(m.Origin)
 	case diskproto.KindAnswer:
 		var m diskproto.Answer
 		if err := m.Parse(f.Body); err != nil {
-			return []trail.Event{{Kind: trail.Broken, Detail: err.Error()}}
+			return []trail.Event{{Kind: trail.Malformed, Detail: err.Error()}}
 		}
 		e.Kind, e.Status, e.Dropped, e.Length = trail.Answer, int32(m.Result), m.Dropped, uint32(len(m.Data))
 	case diskproto.KindBye:
@@ -343,7 +343,7 @@
 // TapList reads a connection between that host and the inventory.
 func TapList(rec *trail.Recorder, host string) *Tap { return newTap(rec, &listTap{host}) }
 
-func (l *listTap) who(e *trail.Event) { e.Link, e.Host = trail.LinkList, l.host }
+func (l *listTap) who(e *trail.Event) { e.Link, e.Host = trail.LinkInventory, l.host }
 
 func (l *listTap) cut(_ bool, b []byte) int { return bytes.IndexByte(b, '\n') + 1 }
 
@@ -353,7 +353,7 @@
 	}
 	var m inventory.List
 	if json.Unmarshal(b, &m) != nil {
-		return []trail.Event{{Kind: trail.Broken}}
+		return []trail.Event{{Kind: trail.Malformed}}
 	}
 	return []trail.Event{{Kind: trail.List, Detail: string(bytes.TrimSpace(b))}}
 }
--- a/internal/verify/conform/conform.go
+++ b/internal/verify/conform/conform.go
@@ -19,9 +19,9 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// Blocks is the number of blocks, from the first of the unit, that the checks
+// OverwrittenBlocks is the number of blocks, from the first of the unit, that the checks
 // overwrite; the last blocks are read only.
-const Blocks = 128
+const OverwrittenBlocks = 128
 
 // Verdict is what came of a check.
 type Verdict int
@@ -37,12 +37,12 @@
 
 func (v Verdict) String() string { return verdicts[v] }
 
-// Row is a check and its result.
-type Row struct {
+// CheckResult is a check and its result.
+type CheckResult struct {
 	Clause  string
 	Name    string
 	Verdict Verdict
-	Why     string
+	Detail  string
 }
 
 // check is a row of the table.
@@ -77,7 +77,7 @@
 // Run runs the table against a unit; dial opens a session of one of two initiators, 0
 // or 1, and is called again where a check has cost the one before. An error is of what
 // the table needs to begin with.
-func Run(ctx context.Context, dial func(ctx context.Context, who int) (*initiator.Client, error)) ([]Row, error) {
+func Run(ctx context.Context, dial func(ctx context.Context, who int) (*initiator.Client, error)) ([]CheckResult, error) {
 	t := &target{ctx: ctx}
 	var err error
 	if t.s, err = dial(ctx, 0); err != nil {
@@ -91,9 +91,9 @@
 	if err := t.learn(); err != nil {
 		return nil, err
 	}
-	var rows []Row
+	var rows []CheckResult
 	for _, c := range table {
-		row := Row{Clause: c.clause, Name: c.name}
+		row := CheckResult{Clause: c.clause, Name: c.name}
 		if !t.has(c.needs) {
 			row.Verdict = NotOffered
 			rows = append(rows, row)
@@ -102,7 +102,7 @@
 		within, cancel := context.WithTimeout(ctx, each)
 		t.ctx = within
 		if err := c.run(t); err != nil {
-			row.Verdict, row.Why = Fail, err.Error()
+			row.Verdict, row.Detail = Fail, err.Error()
 		}
 		cancel()
 		rows = append(rows, row)
@@ -144,8 +144,8 @@
 		return errors.New("conform: READ CAPACITY (16) gives no size")
 	}
 	t.blocks, t.size = binary.BigEndian.Uint64(r.Data)+1, int(binary.BigEndian.Uint32(r.Data[8:]))
-	if t.blocks < 2*Blocks {
-		return fmt.Errorf("conform: a unit of %d blocks is too small, %d are needed", t.blocks, 2*Blocks)
+	if t.blocks < 2*OverwrittenBlocks {
+		return fmt.Errorf("conform: a unit of %d blocks is too small, %d are needed", t.blocks, 2*OverwrittenBlocks)
 	}
 	if r, err = t.do(inquiry(1, 0xb0, 255), nil, 255); err != nil {
 		return err
@@ -245,12 +245,12 @@
 }
 
 // Print writes the table for people.
-func Print(w io.Writer, rows []Row) error {
+func Print(w io.Writer, rows []CheckResult) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	count := [3]int{}
 	for _, r := range rows {
 		count[r.Verdict]++
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\n", r.Verdict, r.Clause, r.Name, r.Why)
+		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\n", r.Verdict, r.Clause, r.Name, r.Detail)
 	}
 	if err := tw.Flush(); err != nil {
 		return err
--- a/internal/verify/conform/table.go
+++ b/internal/verify/conform/table.go
@@ -491,7 +491,7 @@
 		}},
 		{"SBC-3 Block Limits page", "COMPARE AND WRITE up to the limit at every address", []byte{0x89}, func(t *target) error {
 			n := t.limits.compare
-			for lba := uint64(0); lba+uint64(n) <= Blocks; lba++ {
+			for lba := uint64(0); lba+uint64(n) <= OverwrittenBlocks; lba++ {
 				old, err := t.good(rw(0x88, lba, n), nil, int(n)*t.size)
 				if err != nil {
 					return err
@@ -605,11 +605,11 @@
 	}
 	return append(out,
 		check{"RFC 7143 sequence errors", "a gap in DataSN costs the command, not the session", []byte{0x8a}, func(t *target) error {
-			old, err := t.fill(16, Blocks)
+			old, err := t.fill(16, OverwrittenBlocks)
 			if err != nil {
 				return err
 			}
-			r, err := t.s.DoAt(t.ctx, 0, rw(0x8a, 0, Blocks), pattern(99, Blocks*t.size), 0, 3)
+			r, err := t.s.DoAt(t.ctx, 0, rw(0x8a, 0, OverwrittenBlocks), pattern(99, OverwrittenBlocks*t.size), 0, 3)
 			if err != nil {
 				return err
 			}
@@ -676,7 +676,7 @@
 	const n = 1000
 	got := make(chan error, n)
 	for i := range n {
-		lba := uint64(i % Blocks)
+		lba := uint64(i % OverwrittenBlocks)
 		t.s.Submit(0, rw(0x8a, lba, 1), pattern(byte(i), t.size), 0, func(r iscsi.Result, err error) {
 			if err == nil && r.Status != scsi.Good {
 				err = errors.New(ending(r))
--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -22,8 +22,8 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// Margin is what a frame may take between a host and the relay beside it, us.
-const Margin = 20_000
+// MaxRelayDelay is what a frame may take between a host and the relay beside it, us.
+const MaxRelayDelay = 20_000
 
 // Rule numbers one of the seven.
 type Rule int
@@ -46,10 +46,10 @@
 
 func (r Rule) String() string { return names[r] }
 
-// Break is one breach of a rule.
-type Break struct {
+// Violation is one breach of a rule.
+type Violation struct {
 	Rule Rule
-	T    int64 // us
+	Time int64 // us
 	Text string
 	// Conn and Tag name the command, HostID and Seq the request, where one is
 	// concerned.
@@ -57,8 +57,8 @@
 	HostID, Seq uint64
 }
 
-func (b Break) String() string {
-	return fmt.Sprintf("rule %d (%s) at %.3f s: %s", b.Rule, b.Rule, float64(b.T)/1e6, b.Text)
+func (b Violation) String() string {
+	return fmt.Sprintf("rule %d (%s) at %.3f s: %s", b.Rule, b.Rule, float64(b.Time)/1e6, b.Text)
 }
 
 // keepBreaks bounds the breaches that are kept; all are counted.
@@ -66,13 +66,13 @@
 
 // Checker is the state of a check.
 type Checker struct {
-	meta   *trail.Meta
-	set    *settings.Settings
-	vols   map[string]*settings.Volume
-	plans  map[string]*settings.Plan
-	Checks [9]int
-	Broken [9]int
-	Breaks []Break
+	meta            *trail.Meta
+	set             *settings.Settings
+	vols            map[string]*settings.Volume
+	plans           map[string]*settings.Plan
+	Checks          [9]int
+	ViolationCounts [9]int
+	Violations      []Violation
 
 	conns    map[uint32]*conn
 	sessions map[sessionKey]*conn
@@ -84,7 +84,7 @@
 	chains   map[chainKey][]*request
 	served   map[int32][]servedUnder // by shard, where there are two regions
 	last     int64
-	Table    *Table
+	Stats    *Stats
 	layouts  map[string][]*settings.Volume
 }
 
@@ -156,9 +156,9 @@
 	takenAt []int64
 	resent  []int64
 	diedAt  int64
-	ended   bool    // it was killed: what it had dialled may still open
-	lost    []Break // commands dropped by the host, unless it died
-	still   []span  // when it stood still
+	ended   bool        // it was killed: what it had dialled may still open
+	lost    []Violation // commands dropped by the host, unless it died
+	still   []span      // when it stood still
 }
 
 // span is a time during which a host did nothing, us.
@@ -200,7 +200,7 @@
 	c := &Checker{meta: m, set: m.Settings, vols: map[string]*settings.Volume{}, plans: map[string]*settings.Plan{},
 		conns: map[uint32]*conn{}, sessions: map[sessionKey]*conn{}, requests: map[requestKey]*request{},
 		hosts: map[string]*host{}, starts: map[string]int64{}, pushes: map[string][]push{},
-		served: map[int32][]servedUnder{}, stores: map[string]*store{}, chains: map[chainKey][]*request{}, layouts: map[string][]*settings.Volume{}, Table: newTable()}
+		served: map[int32][]servedUnder{}, stores: map[string]*store{}, chains: map[chainKey][]*request{}, layouts: map[string][]*settings.Volume{}, Stats: newTable()}
 	for i := range c.set.Volumes {
 		c.vols[c.set.Volumes[i].Name] = &c.set.Volumes[i]
 	}
@@ -216,15 +216,15 @@
 	for i := range events {
 		c.Feed(&events[i])
 	}
-	c.End()
+	c.Finish()
 	return c
 }
 
-func (c *Checker) broke(b Break, format string, args ...any) {
+func (c *Checker) broke(b Violation, format string, args ...any) {
 	b.Text = fmt.Sprintf(format, args...)
-	c.Broken[b.Rule]++
-	if len(c.Breaks) < keepBreaks {
-		c.Breaks = append(c.Breaks, b)
+	c.ViolationCounts[b.Rule]++
+	if len(c.Violations) < keepBreaks {
+		c.Violations = append(c.Violations, b)
 	}
 }
 
@@ -239,23 +239,23 @@
 
 // Feed takes the next event.
 func (c *Checker) Feed(e *trail.Event) {
-	c.last = max(c.last, e.T)
+	c.last = max(c.last, e.Time)
 	switch e.Link {
 	case trail.LinkClient:
 		c.client(e)
 	case trail.LinkDisk:
 		c.disk(e)
-	case trail.LinkList:
+	case trail.LinkInventory:
 		c.list(e)
 	case trail.LinkFault:
 		h := c.host(e.Host)
-		if e.Kind == trail.Died {
+		if e.Kind == trail.Killed {
 			if !h.ended { // once
-				h.diedAt, h.ended = e.T, true
+				h.diedAt, h.ended = e.Time, true
 			}
 			break
 		}
-		h.still = append(h.still, span{e.T, e.Deadline})
+		h.still = append(h.still, span{e.Time, e.Deadline})
 	}
 }
 
@@ -273,17 +273,17 @@
 		c.sessions[sessionKey{e.Host, e.Session}] = k
 	case trail.Command:
 		c.command(k, e)
-	case trail.Data:
+	case trail.DataOut:
 		if cmd := k.open[e.Tag]; cmd != nil && cmd.missing > 0 {
 			if cmd.missing -= int64(e.Length); cmd.missing <= 0 {
-				c.taken(cmd, e.T)
+				c.taken(cmd, e.Time)
 			}
 		}
 	case trail.Status:
 		c.status(k, e)
-	case trail.Managed:
+	case trail.TaskResponse:
 		c.managed(k, e)
-	case trail.Manage:
+	case trail.TaskRequest:
 		c.manage(k, e)
 	case trail.Close:
 		c.closeClient(k, e)
@@ -291,10 +291,10 @@
 }
 
 func (c *Checker) command(k *conn, e *trail.Event) {
-	cmd := &command{conn: k, tag: e.Tag, op: scsi.OpByName(e.Op), lba: e.LBA, blocks: e.Blocks, at: e.T,
+	cmd := &command{conn: k, tag: e.Tag, op: scsi.OpByName(e.Op), lba: e.LBA, blocks: e.Blocks, at: e.Time,
 		missing: int64(e.Length) - int64(e.Advice), parts: 1}
 	if k.open[e.Tag] != nil {
-		c.broke(Break{Rule: Answers, T: e.T, Conn: k.id, Tag: e.Tag}, "the client used tag %d twice: the trail can't be read", e.Tag)
+		c.broke(Violation{Rule: Answers, Time: e.Time, Conn: k.id, Tag: e.Tag}, "the client used tag %d twice: the trail can't be read", e.Tag)
 	}
 	k.open[e.Tag] = cmd
 	if k.volume == nil || cmd.op == 0 {
@@ -309,9 +309,9 @@
 		}
 		cmd.parts = max(cmd.parts, parts)
 	}
-	c.Table.asked(cmd)
+	c.Stats.asked(cmd)
 	if cmd.missing <= 0 {
-		c.taken(cmd, e.T)
+		c.taken(cmd, e.Time)
 	}
 }
 
@@ -336,25 +336,25 @@
 
 func (c *Checker) status(k *conn, e *trail.Event) {
 	cmd := k.open[e.Tag]
-	at := Break{T: e.T, Conn: k.id, Tag: e.Tag}
+	at := Violation{Time: e.Time, Conn: k.id, Tag: e.Tag}
 	if cmd == nil {
 		at.Rule = Answers
 		c.broke(at, "an answer to %s for a command that is over or was never sent (tag %d)", e.Peer, e.Tag)
 		return
 	}
 	c.Checks[Answers]++
-	if due := c.finalFor(cmd); e.T > due {
+	if due := c.finalFor(cmd); e.Time > due {
 		at.Rule = Answers
-		c.broke(at, "%s of %s answered %.1f ms after its client's time was up", cmd.op, k.volume.Name, float64(e.T-due)/1000)
+		c.broke(at, "%s of %s answered %.1f ms after its client's time was up", cmd.op, k.volume.Name, float64(e.Time-due)/1000)
 	}
 	if cmd.class != nil {
-		c.Table.answered(cmd, e)
+		c.Stats.answered(cmd, e)
 	}
 	if byte(e.Status) == scsi.Busy {
 		c.refused(cmd, e)
 	}
-	c.passedOver(cmd, e.T)
-	c.over(cmd, e.T)
+	c.passedOver(cmd, e.Time)
+	c.over(cmd, e.Time)
 }
 
 // keepEnded bounds how many ended commands of a connection are remembered.
@@ -386,7 +386,7 @@
 		}
 		c.Checks[Effects]++
 		if i := slices.IndexFunc(r.attempts, (*attempt).mayHaveRun); i >= 0 {
-			c.broke(Break{Rule: Effects, T: e.T, Conn: cmd.conn.id, Tag: cmd.tag, HostID: r.key.host, Seq: r.key.seq},
+			c.broke(Violation{Rule: Effects, Time: e.Time, Conn: cmd.conn.id, Tag: cmd.tag, HostID: r.key.host, Seq: r.key.seq},
 				"%s (%s) refused although attempt %d may have run", r.class.Name, r.class.Effect, i)
 		}
 	}
@@ -396,7 +396,7 @@
 
 // outAt tells whether the attempt could still run or be answered at t.
 func (a *attempt) outAt(t int64) bool {
-	return !a.answered && a.lostAt == 0 && t < a.deadline-Margin
+	return !a.answered && a.lostAt == 0 && t < a.deadline-MaxRelayDelay
 }
 
 // Functions that end tasks, by number; the others only ask.
@@ -411,7 +411,7 @@
 		return
 	}
 	for _, cmd := range sorted(k.open) {
-		if e.Status == 1 && cmd.tag != e.Ref {
+		if e.Status == 1 && cmd.tag != e.RefTag {
 			continue
 		}
 		cmd.aborted = true
@@ -426,18 +426,18 @@
 			continue
 		}
 		if cmd.class != nil {
-			c.Table.gaveUp(cmd)
+			c.Stats.gaveUp(cmd)
 		}
 		for _, r := range cmd.requests {
 			c.Checks[Effects]++
 			for i, a := range r.attempts {
-				if !a.answered && e.T < a.deadline-Margin && cmd.op.Writes() {
-					c.broke(Break{Rule: Effects, T: e.T, Conn: k.id, Tag: cmd.tag, HostID: r.key.host, Seq: r.key.seq},
+				if !a.answered && e.Time < a.deadline-MaxRelayDelay && cmd.op.Writes() {
+					c.broke(Violation{Rule: Effects, Time: e.Time, Conn: k.id, Tag: cmd.tag, HostID: r.key.host, Seq: r.key.seq},
 						"an abort was answered while attempt %d of the %s may still take effect", i, cmd.op)
 				}
 			}
 		}
-		c.over(cmd, e.T)
+		c.over(cmd, e.Time)
 	}
 	delete(k.asked, e.Tag)
 }
@@ -456,14 +456,14 @@
 func (c *Checker) closeClient(k *conn, e *trail.Event) {
 	for _, cmd := range sorted(k.open) {
 		if cmd.class != nil {
-			c.Table.gaveUp(cmd)
+			c.Stats.gaveUp(cmd)
 		}
 		if e.Dir == trail.Down && cmd.class != nil && !cmd.aborted {
 			h := c.host(k.host)
-			h.lost = append(h.lost, Break{Rule: Answers, T: e.T, Conn: k.id, Tag: cmd.tag,
+			h.lost = append(h.lost, Violation{Rule: Answers, Time: e.Time, Conn: k.id, Tag: cmd.tag,
 				Text: fmt.Sprintf("%s closed the connection that %s of %s waited on", k.host, cmd.op, k.volume.Name)})
 		}
-		c.over(cmd, e.T+leaving)
+		c.over(cmd, e.Time+leaving)
 	}
 }
 
@@ -487,11 +487,11 @@
 	case trail.Bye:
 		c.Checks[Cold]++
 		if e.Status != 0 && mostlyTold(c.pushes[e.Peer]) {
-			c.broke(Break{Rule: Cold, T: e.T}, "server %s was pushed over", c.server(e.Peer))
+			c.broke(Violation{Rule: Cold, Time: e.Time}, "server %s was pushed over", c.server(e.Peer))
 		}
 	case trail.Close:
 		for _, a := range k.links {
-			a.lostAt = e.T
+			a.lostAt = e.Time
 		}
 		delete(c.conns, e.Conn)
 	}
@@ -513,7 +513,7 @@
 		c.requests[key] = r
 		c.join(r, e)
 	}
-	at := Break{T: e.T, HostID: e.HostID, Seq: e.Seq}
+	at := Violation{Time: e.Time, HostID: e.HostID, Seq: e.Seq}
 	if r.cmd != nil {
 		at.Conn, at.Tag = r.cmd.conn.id, r.cmd.tag
 	}
@@ -528,7 +528,7 @@
 	if e.Attempt > 0 {
 		c.budget(e, at)
 	}
-	a := &attempt{req: r, at: e.T, server: e.Peer, deadline: e.Deadline, gen: e.Gen}
+	a := &attempt{req: r, at: e.Time, server: e.Peer, deadline: e.Deadline, gen: e.Generation}
 	r.attempts = append(r.attempts, a)
 	k.links[e.Tag] = a
 }
@@ -539,7 +539,7 @@
 	if k == nil {
 		return
 	}
-	cmd := k.open[e.Ref]
+	cmd := k.open[e.RefTag]
 	if cmd == nil {
 		return
 	}
@@ -552,7 +552,7 @@
 }
 
 // afterEnd: nothing is sent for a request that is over (rule 1).
-func (c *Checker) afterEnd(r *request, e *trail.Event, at Break) {
+func (c *Checker) afterEnd(r *request, e *trail.Event, at Violation) {
 	at.Rule = Answers
 	c.Checks[Answers]++
 	over, what := int64(math.MaxInt64), "command that never was"
@@ -563,37 +563,37 @@
 	case k == nil:
 		over = 0
 	default:
-		over, what = k.ended[e.Ref], "command that was over, or never was"
+		over, what = k.ended[e.RefTag], "command that was over, or never was"
 	}
-	if c.host(e.Host).awake(over) < e.T-Margin {
-		c.broke(at, "%s sent attempt %d for a %s (session %d, tag %d)", e.Host, e.Attempt, what, e.Session, e.Ref)
+	if c.host(e.Host).awake(over) < e.Time-MaxRelayDelay {
+		c.broke(at, "%s sent attempt %d for a %s (session %d, tag %d)", e.Host, e.Attempt, what, e.Session, e.RefTag)
 	}
 }
 
 // drain is rule 3.
-func (c *Checker) drain(e *trail.Event, at Break) {
+func (c *Checker) drain(e *trail.Event, at Violation) {
 	told, off := c.host(e.Host).told[e.Peer]
 	if !off {
 		return
 	}
 	at.Rule = Drains
-	if late := e.T - c.host(e.Host).awake(told) - int64(c.set.Rules.DrainGrace*1000); late > 0 {
+	if late := e.Time - c.host(e.Host).awake(told) - int64(c.set.Rules.DrainGrace*1000); late > 0 {
 		c.broke(at, "%s sent to %s %.1f ms after the grace", e.Host, c.server(e.Peer), float64(late)/1000)
 	}
 }
 
 // coldPush is rule 4, on every window that ends with a send.
-func (c *Checker) coldPush(e *trail.Event, at Break) {
+func (c *Checker) coldPush(e *trail.Event, at Violation) {
 	start, ok := c.starts[e.Peer]
 	ru := &c.set.Rules
-	age := float64(e.T-start) / 1000
+	age := float64(e.Time-start) / 1000
 	if !ok || age >= ru.ColdTime {
 		return
 	}
 	c.Checks[Cold]++
 	window := int64(ru.FallTime * 1000)
-	ps := slices.DeleteFunc(c.pushes[e.Peer], func(p push) bool { return p.at <= e.T-window })
-	ps = append(ps, push{e.T, e.Units, c.host(e.Host).started[e.Peer] == start})
+	ps := slices.DeleteFunc(c.pushes[e.Peer], func(p push) bool { return p.at <= e.Time-window })
+	ps = append(ps, push{e.Time, e.Units, c.host(e.Host).started[e.Peer] == start})
 	c.pushes[e.Peer] = ps
 	total := 0.0
 	for _, p := range ps {
@@ -620,7 +620,7 @@
 }
 
 // limit is rule 5, on the first send of each request.
-func (c *Checker) limit(e *trail.Event, at Break) {
+func (c *Checker) limit(e *trail.Event, at Violation) {
 	v := c.vols[e.Volume]
 	if v == nil {
 		return
@@ -632,11 +632,11 @@
 	c.Checks[Limits]++
 	s := c.stores[e.Volume]
 	if s == nil {
-		s = &store{level: p.Burst, at: e.T}
+		s = &store{level: p.Burst, at: e.Time}
 		c.stores[e.Volume] = s
 	}
-	s.level = min(s.level+p.Limit*float64(e.T-s.at)/1e6, p.Burst) - e.Units
-	s.at = e.T
+	s.level = min(s.level+p.Limit*float64(e.Time-s.at)/1e6, p.Burst) - e.Units
+	s.at = e.Time
 	if s.level < -p.Slack-1e-6 {
 		at.Rule = Limits
 		c.broke(at, "volume %s is %.2f units below its limit, %.2f are allowed", e.Volume, -s.level, p.Slack)
@@ -644,14 +644,14 @@
 }
 
 // repeat is rule 2 at each send after the first.
-func (c *Checker) repeat(r *request, e *trail.Event, at Break) {
+func (c *Checker) repeat(r *request, e *trail.Event, at Violation) {
 	if len(r.attempts) == 0 || r.class == nil {
 		return
 	}
 	at.Rule = Effects
 	c.Checks[Effects]++
 	if !c.set.Limits.Copies {
-		if i := slices.IndexFunc(r.attempts, func(a *attempt) bool { return a.outAt(e.T) }); i >= 0 {
+		if i := slices.IndexFunc(r.attempts, func(a *attempt) bool { return a.outAt(e.Time) }); i >= 0 {
 			c.broke(at, "attempt %d of a %s sent while attempt %d is out", e.Attempt, r.class.Name, i)
 		}
 	}
@@ -664,7 +664,7 @@
 		c.broke(at, "attempt %d of unsafe %s sent although attempt %d may have run", e.Attempt, r.class.Name, i)
 		return
 	}
-	if age := float64(e.T-ran.at) / 1000; age > r.class.Window+Margin/1000 {
+	if age := float64(e.Time-ran.at) / 1000; age > r.class.Window+MaxRelayDelay/1000 {
 		c.broke(at, "attempt %d of %s sent %.0f ms after attempt %d, repeats are dropped for %.0f ms", e.Attempt, r.class.Name, age, i, r.class.Window)
 	}
 	if !c.sameGroup(r.class.Group, ran.server, e.Peer) {
@@ -687,7 +687,7 @@
 
 // order is rule 6. Within a connection the order taken is known exactly; between
 // connections only that no two run at once, and that the key rests.
-func (c *Checker) order(r *request, e *trail.Event, at Break) {
+func (c *Checker) order(r *request, e *trail.Event, at Violation) {
 	if r.class == nil || !r.class.Ordered {
 		return
 	}
@@ -696,7 +696,7 @@
 	ck := chainKey{e.Host, e.Key}
 	live := c.chains[ck][:0]
 	for _, o := range c.chains[ck] {
-		if o == r || !o.rested(e.T, c.set.Rules.KeyRest) {
+		if o == r || !o.rested(e.Time, c.set.Rules.KeyRest) {
 			live = append(live, o)
 		}
 		if o != r {
@@ -708,7 +708,7 @@
 		return
 	}
 	if by, yes := r.cmd.passed[e.Key]; yes {
-		c.broke(at, "%s of key %s (tag %d) sent %.1f ms after a later one of the same connection", r.class.Name, e.Key, r.cmd.tag, float64(e.T-by)/1000)
+		c.broke(at, "%s of key %s (tag %d) sent %.1f ms after a later one of the same connection", r.class.Name, e.Key, r.cmd.tag, float64(e.Time-by)/1000)
 	}
 	for _, cmd := range r.cmd.conn.taken {
 		if cmd == r.cmd {
@@ -718,7 +718,7 @@
 			if cmd.passed == nil {
 				cmd.passed = map[string]int64{}
 			}
-			cmd.passed[e.Key] = e.T
+			cmd.passed[e.Key] = e.Time
 		}
 	}
 }
@@ -732,8 +732,8 @@
 		return
 	}
 	for key, by := range cmd.passed {
-		if t > by+Margin {
-			c.broke(Break{Rule: Order, T: by, Conn: cmd.conn.id, Tag: cmd.tag},
+		if t > by+MaxRelayDelay {
+			c.broke(Violation{Rule: Order, Time: by, Conn: cmd.conn.id, Tag: cmd.tag},
 				"a later command of key %s was sent %.1f ms before tag %d was over", key, float64(t-by)/1000, cmd.tag)
 		}
 	}
@@ -775,13 +775,13 @@
 }
 
 // between checks that o leaves the key free for r.
-func (c *Checker) between(o, r *request, e *trail.Event, at Break) {
+func (c *Checker) between(o, r *request, e *trail.Event, at Violation) {
 	for i, a := range o.attempts {
 		switch {
-		case a.outAt(e.T):
+		case a.outAt(e.Time):
 			c.broke(at, "%s of key %s sent while attempt %d of an earlier one is out", r.class.Name, e.Key, i)
-		case !a.answered && e.T < a.endAt()+int64(c.set.Rules.KeyRest*1000)-Margin:
-			c.broke(at, "%s of key %s sent %.1f ms after a lost attempt, the key rests %.0f ms", r.class.Name, e.Key, float64(e.T-a.endAt())/1000, c.set.Rules.KeyRest)
+		case !a.answered && e.Time < a.endAt()+int64(c.set.Rules.KeyRest*1000)-MaxRelayDelay:
+			c.broke(at, "%s of key %s sent %.1f ms after a lost attempt, the key rests %.0f ms", r.class.Name, e.Key, float64(e.Time-a.endAt())/1000, c.set.Rules.KeyRest)
 		}
 	}
 }
@@ -800,7 +800,7 @@
 		return false
 	}
 	for _, a := range r.attempts {
-		if !a.answered && t < a.endAt()+int64(rest*1000)+Margin {
+		if !a.answered && t < a.endAt()+int64(rest*1000)+MaxRelayDelay {
 			return false
 		}
 	}
@@ -808,7 +808,7 @@
 }
 
 // budget is rule 7 at each attempt beyond a request's first.
-func (c *Checker) budget(e *trail.Event, at Break) {
+func (c *Checker) budget(e *trail.Event, at Violation) {
 	b := c.set.Rules.Budget
 	if b == nil {
 		return
@@ -816,8 +816,8 @@
 	c.Checks[Budget]++
 	h := c.host(e.Host)
 	span := int64(b.Span * 1000)
-	h.resent = append(slices.DeleteFunc(h.resent, func(t int64) bool { return t <= e.T-span+Margin }), e.T)
-	h.takenAt = dropBefore(h.takenAt, e.T-span-Margin)
+	h.resent = append(slices.DeleteFunc(h.resent, func(t int64) bool { return t <= e.Time-span+MaxRelayDelay }), e.Time)
+	h.takenAt = dropBefore(h.takenAt, e.Time-span-MaxRelayDelay)
 	if most := b.Free + b.Share*float64(len(h.takenAt)); float64(len(h.resent)) > most+1e-9 {
 		at.Rule = Budget
 		c.broke(at, "%s has sent %d further attempts within %.0f ms, %.1f are allowed", e.Host, len(h.resent), b.Span, most)
@@ -840,7 +840,7 @@
 	}
 	if a.result == diskproto.OK || a.result == diskproto.Miscompare {
 		a.req.served = true
-		c.home(a, e.T)
+		c.home(a, e.Time)
 	}
 }
 
@@ -851,18 +851,18 @@
 	at     int64
 }
 
-// Served is when a shard was first served in a region under a generation.
-type Served struct {
+// FirstServed is when a shard was first served in a region under a generation.
+type FirstServed struct {
 	Shard, Region int
-	Gen           uint64
+	Generation    uint64
 	At            int64 // us
 }
 
-// Homes lists where shards were served, each in the order of time.
-func (c *Checker) Homes() (out []Served) {
+// HomeHistory lists where shards were served, each in the order of time.
+func (c *Checker) HomeHistory() (out []FirstServed) {
 	for _, shard := range slices.Sorted(maps.Keys(c.served)) {
 		for _, s := range c.served[shard] {
-			out = append(out, Served{int(shard), s.region, s.gen, s.at})
+			out = append(out, FirstServed{int(shard), s.region, s.gen, s.at})
 		}
 	}
 	return out
@@ -880,7 +880,7 @@
 	for _, s := range list {
 		known = known || s.gen == a.gen && s.region == at.Region
 		if s.region != at.Region && s.gen >= a.gen && s.at < a.at {
-			c.broke(Break{Rule: Homes, T: t, HostID: a.req.key.host, Seq: a.req.key.seq},
+			c.broke(Violation{Rule: Homes, Time: t, HostID: a.req.key.host, Seq: a.req.key.seq},
 				"shard %d was served in region %d under generation %d, %.1f ms after region %d had served it under %d",
 				at.Shard, at.Region, a.gen, float64(a.at-s.at)/1000, s.region, s.gen)
 		}
@@ -897,7 +897,7 @@
 	switch e.Kind {
 	case trail.Close:
 		if e.Dir == trail.Up {
-			h.diedAt = e.T // the host's end closed; it comes again if it lives
+			h.diedAt = e.Time // the host's end closed; it comes again if it lives
 		}
 	case trail.Open:
 		if !h.ended {
@@ -906,7 +906,7 @@
 	case trail.List:
 		var l inventory.List
 		if json.Unmarshal([]byte(e.Detail), &l) == nil {
-			c.told(h, &l, e.T)
+			c.told(h, &l, e.Time)
 		}
 	}
 }
@@ -945,26 +945,26 @@
 	}
 }
 
-// End closes the books: what is overdue now stays so.
-func (c *Checker) End() {
+// Finish closes the books: what is overdue now stays so.
+func (c *Checker) Finish() {
 	for _, id := range sortedConns(c.conns) {
 		k := c.conns[id]
 		for _, cmd := range sorted(k.open) {
 			if !cmd.aborted && c.last > c.finalFor(cmd) {
-				c.broke(Break{Rule: Answers, T: c.last, Conn: k.id, Tag: cmd.tag}, "%s of %s never got its final answer", cmd.op, k.volume.Name)
+				c.broke(Violation{Rule: Answers, Time: c.last, Conn: k.id, Tag: cmd.tag}, "%s of %s never got its final answer", cmd.op, k.volume.Name)
 			}
 		}
 	}
 	for _, h := range c.hosts {
 		const together = 2_000_000 // a dying host closes everything within that
 		for _, b := range h.lost {
-			if h.diedAt == 0 || h.diedAt < b.T-together || h.diedAt > b.T+together {
-				c.Broken[b.Rule]++
-				c.Breaks = append(c.Breaks, b)
+			if h.diedAt == 0 || h.diedAt < b.Time-together || h.diedAt > b.Time+together {
+				c.ViolationCounts[b.Rule]++
+				c.Violations = append(c.Violations, b)
 			}
 		}
 	}
-	slices.SortStableFunc(c.Breaks, func(a, b Break) int { return cmp.Compare(a.T, b.T) })
+	slices.SortStableFunc(c.Violations, func(a, b Violation) int { return cmp.Compare(a.Time, b.Time) })
 }
 
 func sortedConns(m map[uint32]*conn) []uint32 {
@@ -977,4 +977,4 @@
 }
 
 // OK tells whether no rule was broken.
-func (c *Checker) OK() bool { return len(c.Breaks) == 0 }
+func (c *Checker) OK() bool { return len(c.Violations) == 0 }
--- a/internal/verify/rules/rules_test.go
+++ b/internal/verify/rules/rules_test.go
@@ -43,7 +43,7 @@
 }
 
 func (t *tape) add(at float64, e trail.Event) *trail.Event {
-	e.T = int64(at * ms)
+	e.Time = int64(at * ms)
 	if e.Host == "" {
 		e.Host = host
 	}
@@ -70,7 +70,7 @@
 func (t *tape) do(at float64, node string, dtag uint32, seq uint64, n uint32, conn, tag uint32, volume int, deadline float64) {
 	v := t.meta.Settings.Volumes[volume]
 	t.add(at, trail.Event{Link: trail.LinkDisk, Conn: 900, Peer: node, HostID: hostID, Dir: trail.Up, Kind: trail.Do, Tag: dtag, Seq: seq,
-		Attempt: n, Session: conn, Ref: tag, Volume: v.Name, Key: v.Name + "/0", Units: 1, Deadline: int64((at + deadline) * ms)})
+		Attempt: n, Session: conn, RefTag: tag, Volume: v.Name, Key: v.Name + "/0", Units: 1, Deadline: int64((at + deadline) * ms)})
 }
 
 func (t *tape) answer(at float64, node string, dtag uint32, r diskproto.Result) {
@@ -79,7 +79,7 @@
 
 func (t *tape) list(at float64, kind string, nodes ...inventory.Node) {
 	l := inventory.List{Kind: kind, Generation: 1, Nodes: nodes}
-	t.add(at, trail.Event{Link: trail.LinkList, Conn: 901, Dir: trail.Down, Kind: trail.List, Detail: strings.TrimSpace(string(inventory.Line(l)))})
+	t.add(at, trail.Event{Link: trail.LinkInventory, Conn: 901, Dir: trail.Down, Kind: trail.List, Detail: strings.TrimSpace(string(inventory.Line(l)))})
 }
 
 func node(addr, health string, shard int, age float64) inventory.Node {
@@ -87,7 +87,7 @@
 }
 
 func (t *tape) check() *rules.Checker {
-	slices.SortStableFunc(t.events, func(a, b trail.Event) int { return int(a.T - b.T) })
+	slices.SortStableFunc(t.events, func(a, b trail.Event) int { return int(a.Time - b.Time) })
 	return rules.Check(t.meta, t.events)
 }
 
@@ -133,7 +133,7 @@
 
 func TestGoodTrailHolds(t *testing.T) {
 	c := good().check()
-	for _, b := range c.Breaks {
+	for _, b := range c.Violations {
 		t.Error(b)
 	}
 	for r := rules.Answers; r <= rules.Budget; r++ {
@@ -141,8 +141,8 @@
 			t.Errorf("rule %d was never checked", r)
 		}
 	}
-	if c.Table.Commands != 6 || c.Table.Final != 6 {
-		t.Errorf("%d commands, %d final answers", c.Table.Commands, c.Table.Final)
+	if c.Stats.Commands != 6 || c.Stats.Finished != 6 {
+		t.Errorf("%d commands, %d final answers", c.Stats.Commands, c.Stats.Finished)
 	}
 }
 
@@ -154,8 +154,8 @@
 		spoil func(t *tape)
 	}{
 		{"an answer is left out", rules.Answers, func(t *tape) {
-			t.drop(func(e *trail.Event) bool { return e.Kind == trail.Status && e.T == 921*ms })
-			t.add(9000, trail.Event{Link: trail.LinkList, Conn: 901, Kind: trail.Open})
+			t.drop(func(e *trail.Event) bool { return e.Kind == trail.Status && e.Time == 921*ms })
+			t.add(9000, trail.Event{Link: trail.LinkInventory, Conn: 901, Kind: trail.Open})
 		}},
 		{"a second answer", rules.Answers, func(t *tape) { t.status(25, 1, 1, scsi.Good) }},
 		{"an answer after the client's time", rules.Answers, func(t *tape) {
@@ -191,7 +191,7 @@
 		}},
 		{"keyed repeated in another cell", rules.Effects, func(t *tape) {
 			for i := range t.events {
-				if e := &t.events[i]; e.Kind == trail.Do && e.T == 800*ms {
+				if e := &t.events[i]; e.Kind == trail.Do && e.Time == 800*ms {
 					e.Peer = nodeC
 				}
 			}
@@ -206,8 +206,8 @@
 		{"an abort answered too early", rules.Effects, func(t *tape) {
 			t.command(1000, 2, 50, scsi.Write, 0, 1)
 			t.do(1001, nodeB, 60, 60, 0, 2, 50, 1, 3000)
-			t.add(1100, trail.Event{Link: trail.LinkClient, Conn: 2, Dir: trail.Up, Kind: trail.Manage, Session: 2, Tag: 51, Ref: 50, Status: 1})
-			t.add(1101, trail.Event{Link: trail.LinkClient, Conn: 2, Dir: trail.Down, Kind: trail.Managed, Session: 2, Tag: 51})
+			t.add(1100, trail.Event{Link: trail.LinkClient, Conn: 2, Dir: trail.Up, Kind: trail.TaskRequest, Session: 2, Tag: 51, RefTag: 50, Status: 1})
+			t.add(1101, trail.Event{Link: trail.LinkClient, Conn: 2, Dir: trail.Down, Kind: trail.TaskResponse, Session: 2, Tag: 51})
 		}},
 		{"sent to a draining node", rules.Drains, func(t *tape) {
 			t.command(1500, 2, 50, scsi.Read, 0, 1)
@@ -297,13 +297,13 @@
 			if c.OK() {
 				t.Fatal("accepted")
 			}
-			for r := range c.Broken {
-				if c.Broken[r] > 0 && rules.Rule(r) != k.rule {
-					t.Errorf("also breaks rule %d: %v", r, c.Breaks)
+			for r := range c.ViolationCounts {
+				if c.ViolationCounts[r] > 0 && rules.Rule(r) != k.rule {
+					t.Errorf("also breaks rule %d: %v", r, c.Violations)
 				}
 			}
-			if c.Broken[k.rule] == 0 {
-				t.Errorf("not for rule %d: %v", k.rule, c.Breaks)
+			if c.ViolationCounts[k.rule] == 0 {
+				t.Errorf("not for rule %d: %v", k.rule, c.Violations)
 			}
 		})
 		seen[k.rule] = true
@@ -323,10 +323,10 @@
 	tp := good()
 	tp.command(1000, 2, 50, scsi.Read, 0, 1)
 	tp.add(1010, trail.Event{Link: trail.LinkClient, Conn: 2, Dir: trail.Down, Kind: trail.Close, Session: 2})
-	tp.add(1011, trail.Event{Link: trail.LinkList, Conn: 901, Dir: trail.Up, Kind: trail.Close})
+	tp.add(1011, trail.Event{Link: trail.LinkInventory, Conn: 901, Dir: trail.Up, Kind: trail.Close})
 	c := tp.check()
-	if !c.OK() || c.Table.Commands != c.Table.Final {
-		t.Errorf("%d of %d, %v", c.Table.Final, c.Table.Commands, c.Breaks)
+	if !c.OK() || c.Stats.Commands != c.Stats.Finished {
+		t.Errorf("%d of %d, %v", c.Stats.Finished, c.Stats.Commands, c.Violations)
 	}
 }
 
@@ -342,14 +342,14 @@
 		t.Fatal(err)
 	}
 	got := rules.Check(m, events)
-	if fmt.Sprint(got.Checks, got.Broken) != fmt.Sprint(want.Checks, want.Broken) || !slices.Equal(events, tp.events) {
+	if fmt.Sprint(got.Checks, got.ViolationCounts) != fmt.Sprint(want.Checks, want.ViolationCounts) || !slices.Equal(events, tp.events) {
 		t.Error("the trail read is not the one written")
 	}
-	way := trail.Way(events, 2, 1, 0, 0)
+	way := trail.Trace(events, 2, 1, 0, 0)
 	if strings.Count(way, "\n") != 5 || !strings.Contains(way, "attempt 1") {
 		t.Errorf("way of the repeated write:\n%s", way)
 	}
-	if byRequest := trail.Way(events, 0, 0, hostID, 4); byRequest != way {
+	if byRequest := trail.Trace(events, 0, 0, hostID, 4); byRequest != way {
 		t.Errorf("by its request:\n%s", byRequest)
 	}
 }
--- a/internal/verify/rules/table.go
+++ b/internal/verify/rules/table.go
@@ -14,76 +14,78 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// Table counts commands by class and plan, as their clients saw them.
-type Table struct {
-	Rows            map[RowKey]*Row
-	Commands, Final int // that need disks, and of those with an answer or given up
-	// Seconds is what was due and served of the commands of each second.
-	Seconds map[int64]*Sum
-	// Ended, if set, is told of each command with an answer: when it was asked, how long
+// Stats counts commands by class and plan, as their clients saw them.
+type Stats struct {
+	ByClass            map[ClassPlan]*ClassStats
+	Commands, Finished int // that need disks, and of those with an answer or given up
+	// PerSecond is what was due and served of the commands of each second.
+	PerSecond map[int64]*ValueSum
+	// OnAnswer, if set, is told of each command with an answer: when it was asked, how long
 	// it took, both us, and whether it was served.
-	Ended func(at, took int64, served bool)
+	OnAnswer func(at, took int64, served bool)
 }
 
-// Sum is worth asked for and served.
-type Sum struct{ Due, Worth float64 }
+// ValueSum is worth asked for and served.
+type ValueSum struct{ Offered, Served float64 }
 
-func (s Sum) part() float64 {
-	if s.Due == 0 {
+func (s ValueSum) part() float64 {
+	if s.Offered == 0 {
 		return 0
 	}
-	return s.Worth / s.Due
+	return s.Served / s.Offered
 }
 
-// RowKey names a row.
-type RowKey struct{ Class, Plan string }
+// ClassPlan names a row.
+type ClassPlan struct{ Class, Plan string }
 
-// Row is one class of one plan. Latencies are in microseconds.
-type Row struct {
-	Asked, InTime, Late, Refused, Failed, GaveUp int
-	Worth, Due                                   float64
-	Latency                                      *hdrhistogram.Histogram
+// ClassStats is one class of one plan. Latencies are in microseconds.
+type ClassStats struct {
+	Issued, WithinTarget, Late, Refused, Failed, Abandoned int
+	ServedValue, OfferedValue                              float64
+	Latency                                                *hdrhistogram.Histogram
 }
 
-func newTable() *Table { return &Table{Rows: map[RowKey]*Row{}, Seconds: map[int64]*Sum{}} }
+func newTable() *Stats {
+	return &Stats{ByClass: map[ClassPlan]*ClassStats{}, PerSecond: map[int64]*ValueSum{}}
+}
 
 const longest = 600_000_000 // us that a histogram holds
 
-func (t *Table) row(cmd *command) *Row {
-	k := RowKey{cmd.class.Name, cmd.plan}
-	r := t.Rows[k]
+func (t *Stats) row(cmd *command) *ClassStats {
+	k := ClassPlan{cmd.class.Name, cmd.plan}
+	r := t.ByClass[k]
 	if r == nil {
-		r = &Row{Latency: hdrhistogram.New(1, longest, 3)}
-		t.Rows[k] = r
+		r = &ClassStats{Latency: hdrhistogram.New(1, longest, 3)}
+		t.ByClass[k] = r
 	}
 	return r
 }
 
-func (t *Table) asked(cmd *command) {
+func (t *Stats) asked(cmd *command) {
 	if cmd.class == nil {
 		return
 	}
 	t.Commands++
 	r := t.row(cmd)
-	r.Asked++
-	r.Due += cmd.class.Worth
-	t.second(cmd).Due += cmd.class.Worth
+	r.Issued++
+	r.OfferedValue += cmd.class.Worth
+	t.second(cmd).Offered += cmd.class.Worth
 }
 
-func (t *Table) second(cmd *command) *Sum {
+func (t *Stats) second(cmd *command) *ValueSum {
 	at := cmd.at / 1e6
-	if t.Seconds[at] == nil {
-		t.Seconds[at] = &Sum{}
+	if t.PerSecond[at] == nil {
+		t.PerSecond[at] = &ValueSum{}
 	}
-	return t.Seconds[at]
+	return t.PerSecond[at]
 }
 
-func (t *Table) answered(cmd *command, e *trail.Event) {
-	t.Final++
+func (t *Stats) answered(cmd *command, e *trail.Event) {
+	t.Finished++
 	r := t.row(cmd)
-	took := e.T - cmd.at
-	if t.Ended != nil {
-		t.Ended(cmd.at, took, e.Status == int32(scsi.Good))
+	took := e.Time - cmd.at
+	if t.OnAnswer != nil {
+		t.OnAnswer(cmd.at, took, e.Status == int32(scsi.Good))
 	}
 	miscompare := e.Sense>>16 == uint32(scsi.Miscompare.Key) && e.Status == int32(scsi.CheckCondition)
 	switch {
@@ -91,13 +93,13 @@
 		r.Latency.RecordValue(min(max(took, 1), longest)) // in range by the line itself
 		worth := cmd.class.Worth
 		if float64(took) <= cmd.class.Aim*1000 {
-			r.InTime++
+			r.WithinTarget++
 		} else {
 			r.Late++
 			worth *= cmd.class.LateWorth
 		}
-		r.Worth += worth
-		t.second(cmd).Worth += worth
+		r.ServedValue += worth
+		t.second(cmd).Served += worth
 	case e.Status == int32(scsi.Busy):
 		r.Refused++
 	default:
@@ -105,40 +107,40 @@
 	}
 }
 
-func (t *Table) gaveUp(cmd *command) {
-	t.Final++
-	t.row(cmd).GaveUp++
+func (t *Stats) gaveUp(cmd *command) {
+	t.Finished++
+	t.row(cmd).Abandoned++
 }
 
 // keys lists the rows by class and plan.
-func (t *Table) keys() []RowKey {
-	return slices.SortedFunc(maps.Keys(t.Rows), func(a, b RowKey) int {
+func (t *Stats) keys() []ClassPlan {
+	return slices.SortedFunc(maps.Keys(t.ByClass), func(a, b ClassPlan) int {
 		return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Plan, b.Plan))
 	})
 }
 
 // Goodput is the worth served over the worth asked for.
-func (t *Table) Goodput() float64 { return t.GoodputOf(0) }
+func (t *Stats) Goodput() float64 { return t.GoodputWithUnseen(0) }
 
-// GoodputOf counts more worth as asked for than the sockets show.
-func (t *Table) GoodputOf(strays float64) float64 {
-	all := Sum{Due: strays}
+// GoodputWithUnseen counts more worth as asked for than the sockets show.
+func (t *Stats) GoodputWithUnseen(strays float64) float64 {
+	all := ValueSum{Offered: strays}
 	for _, k := range t.keys() { // in order: sums of floats depend on it
-		all.Worth, all.Due = all.Worth+t.Rows[k].Worth, all.Due+t.Rows[k].Due
+		all.Served, all.Offered = all.Served+t.ByClass[k].ServedValue, all.Offered+t.ByClass[k].OfferedValue
 	}
 	return all.part()
 }
 
-// WorstPlan is the goodput of the plan that fares worst.
-func (t *Table) WorstPlan() float64 {
-	plans := map[string]*Sum{}
+// WorstPlanGoodput is the goodput of the plan that fares worst.
+func (t *Stats) WorstPlanGoodput() float64 {
+	plans := map[string]*ValueSum{}
 	for _, k := range t.keys() {
-		r := t.Rows[k]
+		r := t.ByClass[k]
 		if plans[k.Plan] == nil {
-			plans[k.Plan] = &Sum{}
+			plans[k.Plan] = &ValueSum{}
 		}
-		plans[k.Plan].Due += r.Due
-		plans[k.Plan].Worth += r.Worth
+		plans[k.Plan].Offered += r.OfferedValue
+		plans[k.Plan].Served += r.ServedValue
 	}
 	worst := 1.0
 	for _, s := range plans {
@@ -147,18 +149,18 @@
 	return worst
 }
 
-// WorstSpan is the least goodput over so many seconds in a row in which anything
+// WorstWindowGoodput is the least goodput over so many seconds in a row in which anything
 // was asked for in the first and the last.
-func (t *Table) WorstSpan(seconds int64) float64 {
+func (t *Stats) WorstWindowGoodput(seconds int64) float64 {
 	worst, any := 1.0, false
-	for from := range t.Seconds {
-		if t.Seconds[from+seconds-1] == nil {
+	for from := range t.PerSecond {
+		if t.PerSecond[from+seconds-1] == nil {
 			continue
 		}
-		var sum Sum
+		var sum ValueSum
 		for s := from; s < from+seconds; s++ {
-			if x := t.Seconds[s]; x != nil {
-				sum.Due, sum.Worth = sum.Due+x.Due, sum.Worth+x.Worth
+			if x := t.PerSecond[s]; x != nil {
+				sum.Offered, sum.Served = sum.Offered+x.Offered, sum.Served+x.Served
 			}
 		}
 		worst, any = min(worst, sum.part()), true
@@ -169,29 +171,29 @@
 	return worst
 }
 
-// Between is the goodput of what was asked in the seconds from..to, to left out; 1 if
+// GoodputBetween is the goodput of what was asked in the seconds from..to, to left out; 1 if
 // nothing was.
-func (t *Table) Between(from, to int64) float64 {
-	var sum Sum
+func (t *Stats) GoodputBetween(from, to int64) float64 {
+	var sum ValueSum
 	for s := from; s < to; s++ {
-		if x := t.Seconds[s]; x != nil {
-			sum.Due, sum.Worth = sum.Due+x.Due, sum.Worth+x.Worth
+		if x := t.PerSecond[s]; x != nil {
+			sum.Offered, sum.Served = sum.Offered+x.Offered, sum.Served+x.Served
 		}
 	}
-	if sum.Due == 0 {
+	if sum.Offered == 0 {
 		return 1
 	}
 	return sum.part()
 }
 
 // Print writes the table.
-func (t *Table) Print(w io.Writer) error {
+func (t *Stats) Print(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "class\tplan\tasked\tin time\tlate\trefused\tfailed\tgave up\tp50 ms\tp99 ms\t")
 	for _, k := range t.keys() {
-		r := t.Rows[k]
-		fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", k.Class, k.Plan, r.Asked, r.InTime, r.Late,
-			r.Refused, r.Failed, r.GaveUp, float64(r.Latency.ValueAtQuantile(50))/1000, float64(r.Latency.ValueAtQuantile(99))/1000)
+		r := t.ByClass[k]
+		fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", k.Class, k.Plan, r.Issued, r.WithinTarget, r.Late,
+			r.Refused, r.Failed, r.Abandoned, float64(r.Latency.ValueAtQuantile(50))/1000, float64(r.Latency.ValueAtQuantile(99))/1000)
 	}
 	return tw.Flush()
 }
@@ -206,8 +208,8 @@
 	for r := Answers; r <= last; r++ {
 		verdict := "holds"
 		switch {
-		case c.Broken[r] > 0:
-			verdict = fmt.Sprintf("BROKEN %d times", c.Broken[r])
+		case c.ViolationCounts[r] > 0:
+			verdict = fmt.Sprintf("BROKEN %d times", c.ViolationCounts[r])
 		case c.Checks[r] == 0:
 			verdict = "nothing to check"
 		}
@@ -216,6 +218,6 @@
 	if err := tw.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(w, "%d commands, %d final answers\n", c.Table.Commands, c.Table.Final)
+	_, err := fmt.Fprintf(w, "%d commands, %d final answers\n", c.Stats.Commands, c.Stats.Finished)
 	return err
 }
--- a/internal/verify/rules/versions.go
+++ b/internal/verify/rules/versions.go
@@ -10,26 +10,26 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// Version is settings as they were in force at a host: from a time after Asked and not
+// AppliedSettings is settings as they were in force at a host: from a time after Asked and not
 // after Taken, the begin and the end of the call that brought them, until the next came.
 // Times are in us of the trail.
-type Version struct {
-	Set          *settings.Settings
-	Asked, Taken int64
+type AppliedSettings struct {
+	Settings               *settings.Settings
+	RequestedAt, AppliedBy int64
 }
 
-// Versions judges from the sockets' trail whether each command was decided under one
+// VersionChecker judges from the sockets' trail whether each command was decided under one
 // version of the settings, whole, and under one that was in force while it was taken. It
 // shares nothing with the program's own bookkeeping but the number in each command to a
 // disk server.
-type Versions struct {
-	Commands int // with an attempt, and so with a version
-	Unsent   int // that have none, judged by every version that they may have met
-	Checks   int
-	Breaks   []string
-	Broken   int
+type VersionChecker struct {
+	Commands       int // with an attempt, and so with a version
+	WithoutAttempt int // that have none, judged by every version that they may have met
+	Checks         int
+	Violations     []string
+	ViolationCount int
 
-	hosts map[string]map[uint64]Version
+	hosts map[string]map[uint64]AppliedSettings
 	after map[string]map[uint64]int64 // by host and version: when the next was surely in force
 	sizes map[string]int
 }
@@ -45,17 +45,17 @@
 }
 
 // CheckVersions reads a trail. The versions are by host, without the number of its start.
-func CheckVersions(m *trail.Meta, events []trail.Event, hosts map[string][]Version) *Versions {
-	v := &Versions{hosts: map[string]map[uint64]Version{}, after: map[string]map[uint64]int64{}, sizes: map[string]int{}}
+func CheckVersions(m *trail.Meta, events []trail.Event, hosts map[string][]AppliedSettings) *VersionChecker {
+	v := &VersionChecker{hosts: map[string]map[uint64]AppliedSettings{}, after: map[string]map[uint64]int64{}, sizes: map[string]int{}}
 	for i := range m.Settings.Volumes {
 		v.sizes[m.Settings.Volumes[i].Name] = m.Settings.Volumes[i].BlockSize
 	}
 	for name, list := range hosts {
-		v.hosts[name], v.after[name] = map[uint64]Version{}, map[uint64]int64{}
+		v.hosts[name], v.after[name] = map[uint64]AppliedSettings{}, map[uint64]int64{}
 		for _, x := range list {
-			v.hosts[name][x.Set.Version] = x
-			if x.Set.Version > 1 {
-				v.after[name][x.Set.Version-1] = x.Taken
+			v.hosts[name][x.Settings.Version] = x
+			if x.Settings.Version > 1 {
+				v.after[name][x.Settings.Version-1] = x.AppliedBy
 			}
 		}
 	}
@@ -69,7 +69,7 @@
 	tag     uint32
 }
 
-func (v *Versions) read(events []trail.Event) {
+func (v *VersionChecker) read(events []trail.Event) {
 	open := map[commandKey]*judged{}
 	volumes := map[uint32]string{}
 	for i := range events {
@@ -82,55 +82,55 @@
 			if op == 0 || volumes[e.Conn] == "" {
 				continue
 			}
-			open[commandKey{e.Host, e.Session, e.Tag}] = &judged{host: e.Host, volume: volumes[e.Conn], op: op, blocks: e.Blocks, at: e.T}
+			open[commandKey{e.Host, e.Session, e.Tag}] = &judged{host: e.Host, volume: volumes[e.Conn], op: op, blocks: e.Blocks, at: e.Time}
 		case e.Link == trail.LinkClient && e.Kind == trail.Status:
 			k := commandKey{e.Host, e.Session, e.Tag}
 			if c := open[k]; c != nil {
 				v.answer(c, e)
 				delete(open, k)
 			}
-		case e.Link == trail.LinkDisk && e.Kind == trail.Do && e.Ref|e.Session != 0:
-			if c := open[commandKey{e.Host, e.Session, e.Ref}]; c != nil && c.volume == e.Volume {
+		case e.Link == trail.LinkDisk && e.Kind == trail.Do && e.RefTag|e.Session != 0:
+			if c := open[commandKey{e.Host, e.Session, e.RefTag}]; c != nil && c.volume == e.Volume {
 				v.attempt(c, e)
 			}
 		}
 	}
 }
 
-func (v *Versions) broke(e *trail.Event, format string, args ...any) {
-	v.Broken++
-	if len(v.Breaks) < keepBreaks {
-		v.Breaks = append(v.Breaks, fmt.Sprintf("%.3f s, %s: ", float64(e.T)/1e6, e.Host)+fmt.Sprintf(format, args...))
+func (v *VersionChecker) broke(e *trail.Event, format string, args ...any) {
+	v.ViolationCount++
+	if len(v.Violations) < keepBreaks {
+		v.Violations = append(v.Violations, fmt.Sprintf("%.3f s, %s: ", float64(e.Time)/1e6, e.Host)+fmt.Sprintf(format, args...))
 	}
 }
 
 // attempt holds one command to a disk server to the version that it names.
-func (v *Versions) attempt(c *judged, e *trail.Event) {
+func (v *VersionChecker) attempt(c *judged, e *trail.Event) {
 	v.Checks++
 	if c.under == 0 {
-		c.under, c.first = e.Under, e.T
+		c.under, c.first = e.SettingsVersion, e.Time
 		v.Commands++
 	}
-	host := trail.HostOf(e.Host)
-	x, known := v.hosts[host][e.Under]
+	host := trail.HostName(e.Host)
+	x, known := v.hosts[host][e.SettingsVersion]
 	switch {
 	case !known:
-		v.broke(e, "attempt under version %d, which was never accepted", e.Under)
+		v.broke(e, "attempt under version %d, which was never accepted", e.SettingsVersion)
 		return
-	case e.Under != c.under:
-		v.broke(e, "one part of a command under version %d, another under %d", c.under, e.Under)
+	case e.SettingsVersion != c.under:
+		v.broke(e, "one part of a command under version %d, another under %d", c.under, e.SettingsVersion)
 		return
-	case x.Asked > e.T:
-		v.broke(e, "attempt under version %d, which was asked for only at %.3f s", e.Under, float64(x.Asked)/1e6)
+	case x.RequestedAt > e.Time:
+		v.broke(e, "attempt under version %d, which was asked for only at %.3f s", e.SettingsVersion, float64(x.RequestedAt)/1e6)
 	}
-	if next, superseded := v.after[host][e.Under]; superseded && next < c.at-Margin {
-		v.broke(e, "command of %.3f s under version %d, which another had replaced by %.3f s", float64(c.at)/1e6, e.Under, float64(next)/1e6)
+	if next, superseded := v.after[host][e.SettingsVersion]; superseded && next < c.at-MaxRelayDelay {
+		v.broke(e, "command of %.3f s under version %d, which another had replaced by %.3f s", float64(c.at)/1e6, e.SettingsVersion, float64(next)/1e6)
 	}
-	v.judge(c, e, x.Set)
+	v.judge(c, e, x.Settings)
 }
 
 // judge compares what an attempt says with what its version says of the command.
-func (v *Versions) judge(c *judged, e *trail.Event, set *settings.Settings) {
+func (v *VersionChecker) judge(c *judged, e *trail.Event, set *settings.Settings) {
 	i := slices.IndexFunc(set.Volumes, func(x settings.Volume) bool { return x.Name == c.volume })
 	if i < 0 {
 		v.broke(e, "attempt for %s, which version %d does not have", c.volume, set.Version)
@@ -152,7 +152,7 @@
 	if want := map[string]int32{"unsafe": 0, "keyed": 1, "safe": 2}; e.Effect != want[k.Effect] {
 		v.broke(e, "attempt of effect %d, class %s of version %d is %s", e.Effect, k.Name, set.Version, k.Effect)
 	}
-	if most := c.first + int64(k.Deadline*1000) + Margin; e.Deadline > most {
+	if most := c.first + int64(k.Deadline*1000) + MaxRelayDelay; e.Deadline > most {
 		v.broke(e, "attempt that may begin until %.3f s, class %s of version %d ends by %.3f s", float64(e.Deadline)/1e6, k.Name, set.Version, float64(most)/1e6)
 	}
 	if c.op == scsi.Read || c.op == scsi.Write {
@@ -164,31 +164,31 @@
 
 // answer holds a final answer to its command's version; one of which nothing was sent to
 // the kindest of those that it may have been taken under.
-func (v *Versions) answer(c *judged, e *trail.Event) {
+func (v *VersionChecker) answer(c *judged, e *trail.Event) {
 	v.Checks++
-	host := trail.HostOf(c.host)
+	host := trail.HostName(c.host)
 	most, found := int64(math.MinInt64), false
 	for n, x := range v.hosts[host] {
-		if c.under != 0 && n != c.under || x.Asked > e.T {
+		if c.under != 0 && n != c.under || x.RequestedAt > e.Time {
 			continue
 		}
-		if next, superseded := v.after[host][n]; c.under == 0 && superseded && next < c.at-Margin {
+		if next, superseded := v.after[host][n]; c.under == 0 && superseded && next < c.at-MaxRelayDelay {
 			continue
 		}
 		found = true
-		most = max(most, v.due(c, x.Set))
+		most = max(most, v.due(c, x.Settings))
 	}
 	if c.under == 0 {
-		v.Unsent++
+		v.WithoutAttempt++
 	}
-	if found && e.T > most+Margin {
+	if found && e.Time > most+MaxRelayDelay {
 		v.broke(e, "answer to a command of %.3f s that was due by %.3f s (version %d)", float64(c.at)/1e6, float64(most)/1e6, c.under)
 	}
 }
 
 // due is when a command's answer is by some settings; what they have no class for is
 // answered at once.
-func (v *Versions) due(c *judged, set *settings.Settings) int64 {
+func (v *VersionChecker) due(c *judged, set *settings.Settings) int64 {
 	slack := int64(set.Rules.AnswerSlack * 1000)
 	i := slices.IndexFunc(set.Volumes, func(x settings.Volume) bool { return x.Name == c.volume })
 	if i < 0 {
@@ -202,10 +202,10 @@
 }
 
 // Summary is what was judged, in a line.
-func (v *Versions) Summary() string {
+func (v *VersionChecker) Summary() string {
 	total := 0
 	for _, list := range v.hosts {
 		total += len(list)
 	}
-	return fmt.Sprintf("%d commands each under one of %d versions at %d hosts, %d more answered unsent, %d checks, %d broken", v.Commands, total, len(v.hosts), v.Unsent, v.Checks, v.Broken)
+	return fmt.Sprintf("%d commands each under one of %d versions at %d hosts, %d more answered unsent, %d checks, %d broken", v.Commands, total, len(v.hosts), v.WithoutAttempt, v.Checks, v.ViolationCount)
 }
--- a/internal/verify/trail/show.go
+++ b/internal/verify/trail/show.go
@@ -8,9 +8,9 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// Way prints everything that passed for one command: named by its connection and
+// Trace prints everything that passed for one command: named by its connection and
 // tag, or by one of its requests. "" if there is nothing.
-func Way(events []Event, conn, tag uint32, hostID, seq uint64) string {
+func Trace(events []Event, conn, tag uint32, hostID, seq uint64) string {
 	if conn == 0 {
 		conn, tag = owner(events, hostID, seq)
 	}
@@ -20,9 +20,9 @@
 	for i := range events {
 		if e := &events[i]; w.takes(e) {
 			if begin < 0 {
-				begin = e.T
+				begin = e.Time
 			}
-			Line(&b, e, begin)
+			WriteEvent(&b, e, begin)
 		}
 	}
 	return b.String()
@@ -43,10 +43,10 @@
 		if e.Kind == Login || e.Kind == Command {
 			w.host, w.session = e.Host, e.Session
 		}
-		return e.Tag == w.tag && e.Kind != Login || e.Kind == Close || e.Kind == Manage && e.Ref == w.tag
+		return e.Tag == w.tag && e.Kind != Login || e.Kind == Close || e.Kind == TaskRequest && e.RefTag == w.tag
 	case e.Link == LinkDisk && e.Kind == Do:
 		key := [2]uint64{e.HostID, e.Seq}
-		if w.conn != 0 && e.Host == w.host && e.Session == w.session && e.Ref == w.tag {
+		if w.conn != 0 && e.Host == w.host && e.Session == w.session && e.RefTag == w.tag {
 			w.seqs[key] = true
 		}
 		if w.seqs[key] {
@@ -74,7 +74,7 @@
 		}
 		for k := i; k >= 0; k-- {
 			c := &events[k]
-			if c.Kind == Command && c.Host == e.Host && c.Session == e.Session && c.Tag == e.Ref {
+			if c.Kind == Command && c.Host == e.Host && c.Session == e.Session && c.Tag == e.RefTag {
 				return c.Conn, c.Tag
 			}
 		}
@@ -82,19 +82,19 @@
 	return 0, 0
 }
 
-// Line prints one event, its time counted from begin.
-func Line(b *strings.Builder, e *Event, begin int64) {
-	fmt.Fprintf(b, "%10.3f ms  %-6s %s %-4s %-8s ", float64(e.T-begin)/1000, e.Link, e.Host, e.Dir, e.Kind)
+// WriteEvent prints one event, its time counted from begin.
+func WriteEvent(b *strings.Builder, e *Event, begin int64) {
+	fmt.Fprintf(b, "%10.3f ms  %-6s %s %-4s %-8s ", float64(e.Time-begin)/1000, e.Link, e.Host, e.Dir, e.Kind)
 	switch e.Kind {
 	case Command:
 		fmt.Fprintf(b, "%d/%d %s of %s, block %d, %d blocks, %d bytes", e.Conn, e.Tag, e.Op, e.Volume, e.LBA, e.Blocks, e.Length)
-	case Data:
+	case DataOut:
 		fmt.Fprintf(b, "%d/%d %d bytes", e.Conn, e.Tag, e.Length)
 	case Status:
 		fmt.Fprintf(b, "%d/%d %s", e.Conn, e.Tag, statusText(e))
-	case Manage:
-		fmt.Fprintf(b, "%d/%d function %d on task %d", e.Conn, e.Tag, e.Status, e.Ref)
-	case Managed:
+	case TaskRequest:
+		fmt.Fprintf(b, "%d/%d function %d on task %d", e.Conn, e.Tag, e.Status, e.RefTag)
+	case TaskResponse:
 		fmt.Fprintf(b, "%d/%d response %d", e.Conn, e.Tag, e.Status)
 	case Do:
 		fmt.Fprintf(b, "%s request %d attempt %d: %s of %s, key %s, %.0f units, deadline at %.3f ms, tag %d", e.Peer, e.Seq, e.Attempt,
--- a/internal/verify/trail/trail.go
+++ b/internal/verify/trail/trail.go
@@ -19,38 +19,38 @@
 
 // Links: which socket an event passed on.
 const (
-	LinkClient = "client"
-	LinkDisk   = "disk"
-	LinkList   = "list"
-	LinkFault  = "fault" // no socket: what was done to a program, as judges must know it
+	LinkClient    = "client"
+	LinkDisk      = "disk"
+	LinkInventory = "list"
+	LinkFault     = "fault" // no socket: what was done to a program, as judges must know it
 )
 
 // Kinds of events. Opens and closes carry in Dir who did it.
 const (
-	Open    = "open"
-	Close   = "close"
-	Login   = "login"   // client: a session began
-	Command = "command" // client: a SCSI command
-	Data    = "data"    // client: Data-Out
-	Status  = "status"  // client: a command's final answer
-	Manage  = "manage"  // client: a task management function
-	Managed = "managed" // client: its response
-	Logout  = "logout"  // client
-	Hello   = "hello"   // disk: a host says who it is
-	Do      = "do"      // disk: an attempt
-	Answer  = "answer"  // disk: its end
-	Bye     = "bye"     // disk: the server takes no more
-	List    = "list"    // list: what the host is told
-	Broken  = "broken"  // any: bytes that are no frame
-	Still   = "still"   // fault: a host stands still until Deadline
-	Died    = "died"    // fault: a host was ended
-	Up      = "up"      // towards the service: client to host, host to server
-	Down    = "down"    // back
+	Open         = "open"
+	Close        = "close"
+	Login        = "login"   // client: a session began
+	Command      = "command" // client: a SCSI command
+	DataOut      = "data"    // client: Data-Out
+	Status       = "status"  // client: a command's final answer
+	TaskRequest  = "manage"  // client: a task management function
+	TaskResponse = "managed" // client: its response
+	Logout       = "logout"  // client
+	Hello        = "hello"   // disk: a host says who it is
+	Do           = "do"      // disk: an attempt
+	Answer       = "answer"  // disk: its end
+	Bye          = "bye"     // disk: the server takes no more
+	List         = "list"    // list: what the host is told
+	Malformed    = "broken"  // any: bytes that are no frame
+	Stalled      = "still"   // fault: a host stands still until Deadline
+	Killed       = "died"    // fault: a host was ended
+	Up           = "up"      // towards the service: client to host, host to server
+	Down         = "down"    // back
 )
 
 // Event is one frame, or the beginning or end of a connection.
 type Event struct {
-	T     int64  `parquet:"t"` // us since the run began
+	Time  int64  `parquet:"t"` // us since the run began
 	Link  string `parquet:"link,dict"`
 	Conn  uint32 `parquet:"conn"` // of the trail, never used twice
 	Host  string `parquet:"host,dict"`
@@ -62,7 +62,7 @@
 	// Of commands.
 	Session uint32 `parquet:"session"`
 	Tag     uint32 `parquet:"tag"` // initiator task tag, or tag of a disk frame
-	Ref     uint32 `parquet:"ref"` // task that a function names
+	RefTag  uint32 `parquet:"ref"` // task that a function names
 	Op      string `parquet:"op,dict"`
 	Volume  string `parquet:"volume,dict"`
 	LBA     uint64 `parquet:"lba"`
@@ -73,19 +73,19 @@
 	Advice  uint32 `parquet:"advice"` // retry delay, 100 ms
 
 	// Of attempts.
-	HostID   uint64  `parquet:"host_id"`
-	Seq      uint64  `parquet:"seq"`
-	Attempt  uint32  `parquet:"attempt"`
-	Effect   int32   `parquet:"effect"`
-	Shard    int32   `parquet:"shard"`
-	Units    float64 `parquet:"units"`
-	Key      string  `parquet:"key,dict"`
-	Gen      uint64  `parquet:"gen"`   // of the shard's home, as the host knows it
-	Under    uint64  `parquet:"under"` // version of the settings that the request was taken under
-	Plan     string  `parquet:"plan,dict"`
-	Deadline int64   `parquet:"deadline"` // us of the same clock
-	Dropped  bool    `parquet:"dropped"`
-	Detail   string  `parquet:"detail,dict"` // of a list: its line
+	HostID          uint64  `parquet:"host_id"`
+	Seq             uint64  `parquet:"seq"`
+	Attempt         uint32  `parquet:"attempt"`
+	Effect          int32   `parquet:"effect"`
+	Shard           int32   `parquet:"shard"`
+	Units           float64 `parquet:"units"`
+	Key             string  `parquet:"key,dict"`
+	Generation      uint64  `parquet:"gen"`   // of the shard's home, as the host knows it
+	SettingsVersion uint64  `parquet:"under"` // version of the settings that the request was taken under
+	Plan            string  `parquet:"plan,dict"`
+	Deadline        int64   `parquet:"deadline"` // us of the same clock
+	Dropped         bool    `parquet:"dropped"`
+	Detail          string  `parquet:"detail,dict"` // of a list: its line
 }
 
 // Server describes a disk server, by the address that hosts know.
@@ -110,8 +110,8 @@
 	Layouts map[string][][]int `json:"layouts,omitempty"`
 }
 
-// HostOf is the host of which a process is one start: "h0" of "h0#2".
-func HostOf(process string) string {
+// HostName is the host of which a process is one start: "h0" of "h0#2".
+func HostName(process string) string {
 	name, _, _ := strings.Cut(process, "#")
 	return name
 }
@@ -132,16 +132,16 @@
 // NewRecorder reads time from now.
 func NewRecorder(now func() int64) *Recorder { return &Recorder{Now: now} }
 
-// Tell has f told of each event as it is entered, from now on; without keep the events
+// SetObserver has f told of each event as it is entered, from now on; without keep the events
 // are not gathered.
-func (r *Recorder) Tell(f func(*Event), keep bool) {
+func (r *Recorder) SetObserver(f func(*Event), keep bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tell, r.drop = f, !keep
 }
 
-// Conn returns a number for a new connection.
-func (r *Recorder) Conn() uint32 {
+// NextConn returns a number for a new connection.
+func (r *Recorder) NextConn() uint32 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.nextConn++
@@ -152,7 +152,7 @@
 func (r *Recorder) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e.T = r.Now()
+	e.Time = r.Now()
 	if r.off {
 		return
 	}
--- a/internal/verify/trail/trail_test.go
+++ b/internal/verify/trail/trail_test.go
@@ -13,7 +13,7 @@
 func sample() (*Meta, []Event) {
 	var events []Event
 	for i := range 500 {
-		events = append(events, Event{T: int64(i), Link: LinkDisk, Conn: uint32(i % 7), Host: "h0#1", Peer: "127.0.0.1:1", Dir: Up, Kind: Do,
+		events = append(events, Event{Time: int64(i), Link: LinkDisk, Conn: uint32(i % 7), Host: "h0#1", Peer: "127.0.0.1:1", Dir: Up, Kind: Do,
 			Seq: uint64(i), Units: 1.5, Key: "v/1", Effect: 1})
 	}
 	return &Meta{Settings: settings.Example(1, 3), Seed: 5, Servers: map[string]Server{"127.0.0.1:1": {Name: "d0"}}}, events
@@ -49,7 +49,7 @@
 	for range 4 {
 		go func() {
 			for range 1000 {
-				r.Add(Event{Conn: r.Conn()})
+				r.Add(Event{Conn: r.NextConn()})
 			}
 			done <- struct{}{}
 		}()
@@ -59,7 +59,7 @@
 	}
 	events := r.Stop()
 	r.Add(Event{}) // after the end: not recorded
-	if len(events) != 4000 || !slices.IsSortedFunc(events, func(a, b Event) int { return int(a.T - b.T) }) {
-		t.Errorf("%d events, in order of time: %v", len(events), slices.IsSortedFunc(events, func(a, b Event) int { return int(a.T - b.T) }))
+	if len(events) != 4000 || !slices.IsSortedFunc(events, func(a, b Event) int { return int(a.Time - b.Time) }) {
+		t.Errorf("%d events, in order of time: %v", len(events), slices.IsSortedFunc(events, func(a, b Event) int { return int(a.Time - b.Time) }))
 	}
 }
