--- a/internal/control/gateway/frontend.go
+++ b/internal/control/gateway/frontend.go
@@ -143,12 +143,12 @@
 
 // registerSession makes c the connection of its session and returns the one it replaces, which
 // the caller must abort and wait for.
-func (f *frontend) registerSession(key sessionKey, c *conn) (old *conn) {
+func (f *frontend) registerSession(key sessionKey, c *conn) (replaced *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	old = f.sessions[key]
+	replaced = f.sessions[key]
 	f.sessions[key] = c
-	return old
+	return replaced
 }
 
 func (f *frontend) removeConn(c *conn) {
@@ -300,10 +300,10 @@
 	if !login.Discovery {
 		c.key = sessionKey{login.Initiator, login.Target, login.ISID}
 		c.initiatorPort = nexusOf(c.key, c.frontend.host.hostIndex)
-		if old := c.frontend.registerSession(c.key, c); old != nil {
-			old.log.Info("session reinstated by a new login")
-			old.out.Abort()
-			old.ended.Wait(c.frontend.environment)
+		if replaced := c.frontend.registerSession(c.key, c); replaced != nil {
+			replaced.log.Info("session reinstated by a new login")
+			replaced.out.Abort()
+			replaced.ended.Wait(c.frontend.environment)
 		}
 		c.log = c.log.With(zap.String("volume", c.logicalUnit.volume.Name), zap.Uint16("session", login.TSIH))
 	}
@@ -509,9 +509,9 @@
 }
 
 // commandDone counts one command or step as done. conn.mu is held.
-func (g *abortWait) commandDone() {
-	if g.pending--; g.pending == 0 && !g.conn.closed {
-		g.conn.session.Finish(g.abort)
+func (w *abortWait) commandDone() {
+	if w.pending--; w.pending == 0 && !w.conn.closed {
+		w.conn.session.Finish(w.abort)
 	}
 }
 
--- a/internal/control/gateway/metrics.go
+++ b/internal/control/gateway/metrics.go
@@ -35,24 +35,24 @@
 }
 
 // countersFor returns the counters of a request's class and plan.
-func (t *coreCounters) countersFor(request *policy.Request) *requestCounters {
+func (cc *coreCounters) countersFor(request *policy.Request) *requestCounters {
 	key := classPlan{request.Class, request.Plan}
-	c := t.byClassPlan[key]
+	c := cc.byClassPlan[key]
 	if c == nil {
-		histogram := t.latency[request.Class]
+		histogram := cc.latency[request.Class]
 		if histogram == nil {
 			histogram = metrics.Latency(request.Class)
-			t.latency[request.Class] = histogram
+			cc.latency[request.Class] = histogram
 		}
 		c = &requestCounters{metrics.Ends{Class: request.Class, Plan: request.Plan}, histogram}
-		t.byClassPlan[key] = c
+		cc.byClassPlan[key] = c
 	}
 	return c
 }
 
 // totals returns the sums over all classes and plans.
-func (t *coreCounters) totals() (f roll.Figures) {
-	for _, c := range t.byClassPlan {
+func (cc *coreCounters) totals() (f roll.Figures) {
+	for _, c := range cc.byClassPlan {
 		f = f.Add(roll.Figures{Taken: c.Taken, Served: c.Served, InAim: c.InAim, Refused: c.Refused, Failed: c.Failed})
 	}
 	return f
@@ -83,14 +83,14 @@
 const maxCountedNodes = 4096
 
 // recordAttempt counts the result of an attempt at a node. listed are the nodes on the list.
-func (t *coreCounters) recordAttempt(node string, result policy.Result, listed map[string]inventory.Node) {
-	a := t.attempts[node]
+func (cc *coreCounters) recordAttempt(node string, result policy.Result, listed map[string]inventory.Node) {
+	a := cc.attempts[node]
 	if a == nil {
-		if len(t.attempts) >= maxCountedNodes {
-			maps.DeleteFunc(t.attempts, func(n string, _ *metrics.Attempts) bool { _, ok := listed[n]; return !ok })
+		if len(cc.attempts) >= maxCountedNodes {
+			maps.DeleteFunc(cc.attempts, func(n string, _ *metrics.Attempts) bool { _, ok := listed[n]; return !ok })
 		}
 		a = &metrics.Attempts{}
-		t.attempts[node] = a
+		cc.attempts[node] = a
 	}
 	a[result]++
 }
--- a/internal/control/gateway/regional.go
+++ b/internal/control/gateway/regions.go
@@ -189,8 +189,8 @@
 // out takes two of them, so one may be lost without the lease expiring.
 const renewalsPerLease = 6
 
-func newLeaseRenewer(environment env.Environment, h *host, inventoryAddr string, r *settings.Regions, log *zap.Logger) *leaseRenewer {
-	l := &leaseRenewer{environment: environment, host: h, caller: inventory.NewCaller(environment, func() string { return inventoryAddr }), interval: env.Duration(r.Lease / renewalsPerLease), log: log}
+func newLeaseRenewer(environment env.Environment, h *host, inventoryAddr string, regions *settings.Regions, log *zap.Logger) *leaseRenewer {
+	l := &leaseRenewer{environment: environment, host: h, caller: inventory.NewCaller(environment, func() string { return inventoryAddr }), interval: env.Duration(regions.Lease / renewalsPerLease), log: log}
 	h.requestLease = l.renewNow
 	environment.Go(l.run)
 	return l
@@ -198,7 +198,7 @@
 
 func (l *leaseRenewer) run() {
 	defer l.done.Open()
-	refused := false
+	refusalLogged := false
 	for {
 		var askID, knownTerm uint64
 		if !l.host.runAndWait(func(c *core) { askID, knownTerm = c.regions.Ask(c.now), c.regions.Known().Term }) {
@@ -207,10 +207,10 @@
 		answer, err := l.caller.Ask(inventory.Ask{Op: "lease", Ask: askID, From: knownTerm}, 2*l.interval)
 		switch {
 		case err == nil && answer.Kind == inventory.Granted:
-			refused = false
+			refusalLogged = false
 			l.host.post(event{kind: eventLeaseGranted, grant: answer.Grant})
-		case err == nil && !refused:
-			refused = true
+		case err == nil && !refusalLogged:
+			refusalLogged = true
 			l.log.Warn("no lease is granted", zap.String("reason", answer.Reason))
 		}
 		l.host.pool.refreshClocks()
