--- a/internal/verify/conform/conform.go
+++ b/internal/verify/conform/conform.go
@@ -33,9 +33,9 @@
 	NotOffered // the target does not list what the check needs
 )
 
-var verdicts = [...]string{"pass", "FAIL", "not offered"}
+var verdictNames = [...]string{"pass", "FAIL", "not offered"}
 
-func (v Verdict) String() string { return verdicts[v] }
+func (v Verdict) String() string { return verdictNames[v] }
 
 // CheckResult is a check and its result.
 type CheckResult struct {
@@ -48,31 +48,31 @@
 // check is a row of the table.
 type check struct {
 	clause, name string
-	needs        []byte // operation codes without which the target is not asked
+	opcodes      []byte // operation codes without which the target is not asked
 	run          func(t *target) error
 }
 
 // target is a unit under test.
 type target struct {
-	ctx     context.Context
-	s       *initiator.Client
-	other   *initiator.Client // of another initiator
-	blocks  uint64
-	size    int
-	offered map[[2]byte]bool // opcode and service action
-	limits  limits
+	ctx          context.Context
+	session      *initiator.Client
+	otherSession *initiator.Client // of another initiator
+	blocks       uint64
+	blockSize    int
+	supported    map[[2]byte]bool // opcode and service action
+	blockLimits  blockLimits
 }
 
-// limits are those of the Block Limits page; 0: none stated.
-type limits struct {
-	compare, unmapBlocks, unmapRuns uint32
-	transfer                        uint32
-	same                            uint64
-	wsnz                            bool
+// blockLimits are those of the Block Limits page; 0: none stated.
+type blockLimits struct {
+	compareAndWrite, unmapBlocks, unmapDescriptors uint32
+	transfer                                       uint32
+	writeSame                                      uint64
+	wsnz                                           bool
 }
 
-// each is the time that one check gets.
-const each = 20 * time.Second
+// checkTimeout is the time that one check gets.
+const checkTimeout = 20 * time.Second
 
 // Run runs the table against a unit; dial opens a session of one of two initiators, 0
 // or 1, and is called again where a check has cost the one before. An error is of what
@@ -80,26 +80,26 @@
 func Run(ctx context.Context, dial func(ctx context.Context, who int) (*initiator.Client, error)) ([]CheckResult, error) {
 	t := &target{ctx: ctx}
 	var err error
-	if t.s, err = dial(ctx, 0); err != nil {
+	if t.session, err = dial(ctx, 0); err != nil {
 		return nil, err
 	}
-	defer func() { t.s.Close() }()
-	if t.other, err = dial(ctx, 1); err != nil {
+	defer func() { t.session.Close() }()
+	if t.otherSession, err = dial(ctx, 1); err != nil {
 		return nil, err
 	}
-	defer func() { t.other.Close() }()
-	if err := t.learn(); err != nil {
+	defer func() { t.otherSession.Close() }()
+	if err := t.discover(); err != nil {
 		return nil, err
 	}
 	var rows []CheckResult
-	for _, c := range table {
+	for _, c := range checks {
 		row := CheckResult{Clause: c.clause, Name: c.name}
-		if !t.has(c.needs) {
+		if !t.supportsAll(c.opcodes) {
 			row.Verdict = NotOffered
 			rows = append(rows, row)
 			continue
 		}
-		within, cancel := context.WithTimeout(ctx, each)
+		within, cancel := context.WithTimeout(ctx, checkTimeout)
 		t.ctx = within
 		if err := c.run(t); err != nil {
 			row.Verdict, row.Detail = Fail, err.Error()
@@ -109,8 +109,8 @@
 		if ctx.Err() != nil {
 			return rows, ctx.Err()
 		}
-		if t.s.Done().Opened() {
-			if t.s, err = dial(ctx, 0); err != nil {
+		if t.session.Done().Opened() {
+			if t.session, err = dial(ctx, 0); err != nil {
 				return rows, err
 			}
 		}
@@ -118,48 +118,48 @@
 	return rows, nil
 }
 
-func (t *target) has(ops []byte) bool {
+func (t *target) supportsAll(ops []byte) bool {
 	for _, op := range ops {
-		if !t.offered[[2]byte{op, 0}] {
+		if !t.supported[[2]byte{op, 0}] {
 			return false
 		}
 	}
 	return true
 }
 
-// learn asks for what the checks are made for: size, limits, operation codes.
-func (t *target) learn() error {
+// discover asks for what the checks are made for: size, limits, operation codes.
+func (t *target) discover() error {
 	for range 3 { // a unit attention may come first
-		if r, err := t.do(tur(), nil, 0); err != nil {
+		if r, err := t.do(testUnitReadyCDB(), nil, 0); err != nil {
 			return err
 		} else if r.Status == scsi.Good {
 			break
 		}
 	}
-	r, err := t.do(capacity16(32), nil, 32)
+	r, err := t.do(readCapacity16CDB(32), nil, 32)
 	if err != nil {
 		return err
 	}
 	if r.Status != scsi.Good || len(r.Data) < 32 {
 		return errors.New("conform: READ CAPACITY (16) gives no size")
 	}
-	t.blocks, t.size = binary.BigEndian.Uint64(r.Data)+1, int(binary.BigEndian.Uint32(r.Data[8:]))
+	t.blocks, t.blockSize = binary.BigEndian.Uint64(r.Data)+1, int(binary.BigEndian.Uint32(r.Data[8:]))
 	if t.blocks < 2*OverwrittenBlocks {
 		return fmt.Errorf("conform: a unit of %d blocks is too small, %d are needed", t.blocks, 2*OverwrittenBlocks)
 	}
-	if r, err = t.do(inquiry(1, 0xb0, 255), nil, 255); err != nil {
+	if r, err = t.do(inquiryCDB(1, 0xb0, 255), nil, 255); err != nil {
 		return err
 	}
 	if b := r.Data; r.Status == scsi.Good && len(b) >= 44 {
 		be := binary.BigEndian
-		t.limits = limits{compare: uint32(b[5]), transfer: be.Uint32(b[8:]), unmapBlocks: be.Uint32(b[20:]), unmapRuns: be.Uint32(b[24:]), same: be.Uint64(b[36:]), wsnz: b[4]&1 != 0}
+		t.blockLimits = blockLimits{compareAndWrite: uint32(b[5]), transfer: be.Uint32(b[8:]), unmapBlocks: be.Uint32(b[20:]), unmapDescriptors: be.Uint32(b[24:]), writeSame: be.Uint64(b[36:]), wsnz: b[4]&1 != 0}
 	}
-	return t.learnCodes()
+	return t.discoverOpcodes()
 }
 
-func (t *target) learnCodes() error {
-	t.offered = map[[2]byte]bool{}
-	r, err := t.do(rsoc(0, 0, 0, 1<<16), nil, 1<<16)
+func (t *target) discoverOpcodes() error {
+	t.supported = map[[2]byte]bool{}
+	r, err := t.do(supportedOpcodesCDB(0, 0, 0, 1<<16), nil, 1<<16)
 	if err != nil {
 		return err
 	}
@@ -170,9 +170,9 @@
 		k := [2]byte{b[0], 0}
 		if b[5]&1 != 0 {
 			k[1] = b[3]
-			t.offered[[2]byte{b[0], 0}] = true
+			t.supported[[2]byte{b[0], 0}] = true
 		}
-		t.offered[k] = true
+		t.supported[k] = true
 		n := 8
 		if b[5]&2 != 0 {
 			n += 12
@@ -183,44 +183,44 @@
 }
 
 func (t *target) do(cdb, out []byte, in int) (iscsi.Result, error) {
-	return t.s.Do(t.ctx, cdb, out, in)
+	return t.session.Do(t.ctx, cdb, out, in)
 }
 
-// good asks for GOOD and returns the data.
-func (t *target) good(cdb, out []byte, in int) ([]byte, error) {
+// expectGood asks for GOOD and returns the data.
+func (t *target) expectGood(cdb, out []byte, in int) ([]byte, error) {
 	r, err := t.do(cdb, out, in)
 	if err != nil {
 		return nil, err
 	}
 	if r.Status != scsi.Good {
-		return nil, fmt.Errorf("%x: %s", cdb, ending(r))
+		return nil, fmt.Errorf("%x: %s", cdb, describe(r))
 	}
 	return r.Data, nil
 }
 
-// refused asks for CHECK CONDITION with that sense.
-func (t *target) refused(want scsi.Sense, cdb, out []byte, in int) error {
+// expectSense asks for CHECK CONDITION with that sense.
+func (t *target) expectSense(want scsi.Sense, cdb, out []byte, in int) error {
 	r, err := t.do(cdb, out, in)
 	if err != nil {
 		return err
 	}
 	if s, ok := scsi.ParseSense(r.Sense); r.Status != scsi.CheckCondition || !ok || s != want {
-		return fmt.Errorf("%x: %s, want %v", cdb, ending(r), want)
+		return fmt.Errorf("%x: %s, want %v", cdb, describe(r), want)
 	}
 	return nil
 }
 
-func ending(r iscsi.Result) string {
+func describe(r iscsi.Result) string {
 	if s, ok := scsi.ParseSense(r.Sense); ok {
 		return fmt.Sprintf("status %02x, %v", r.Status, s)
 	}
 	return fmt.Sprintf("status %02x", r.Status)
 }
 
-// fill writes a pattern to the first blocks and returns it.
-func (t *target) fill(seed byte, blocks int) ([]byte, error) {
-	b := pattern(seed, blocks*t.size)
-	_, err := t.good(rw(0x8a, 0, uint32(blocks)), b, 0)
+// writePattern writes a pattern to the first blocks and returns it.
+func (t *target) writePattern(seed byte, blocks int) ([]byte, error) {
+	b := pattern(seed, blocks*t.blockSize)
+	_, err := t.expectGood(blockCDB(0x8a, 0, uint32(blocks)), b, 0)
 	return b, err
 }
 
@@ -232,9 +232,9 @@
 	return b
 }
 
-// holds reads blocks back.
-func (t *target) holds(lba uint64, want []byte) error {
-	got, err := t.good(rw(0x88, lba, uint32(len(want)/t.size)), nil, len(want))
+// expectData reads blocks back.
+func (t *target) expectData(lba uint64, want []byte) error {
+	got, err := t.expectGood(blockCDB(0x88, lba, uint32(len(want)/t.blockSize)), nil, len(want))
 	if err != nil {
 		return err
 	}
--- a/internal/verify/conform/reservations.go
+++ b/internal/verify/conform/reservations.go
@@ -16,11 +16,11 @@
 	keyB uint64 = 0xb2
 )
 
-func reserveIn(action byte, alloc uint16) []byte {
+func reserveInCDB(action byte, alloc uint16) []byte {
 	return []byte{0x5e, action, 0, 0, 0, 0, 0, byte(alloc >> 8), byte(alloc), 0}
 }
 
-func reserveOut(action, typ byte, key, service uint64, flags byte) (cdb, list []byte) {
+func reserveOutCDB(action, typ byte, key, service uint64, flags byte) (cdb, list []byte) {
 	list = make([]byte, 24)
 	binary.BigEndian.PutUint64(list, key)
 	binary.BigEndian.PutUint64(list[8:], service)
@@ -36,12 +36,12 @@
 	actClear
 	actPreempt
 	actPreemptAbort
-	actIgnore
+	actRegisterAndIgnore
 )
 
-// on does something over one of the two sessions; a unit attention that waits there is
+// doPastAttention does something over one of the two sessions; a unit attention that waits there is
 // taken first.
-func (t *target) on(s *initiator.Client, cdb, out []byte, in int) (iscsi.Result, error) {
+func (t *target) doPastAttention(s *initiator.Client, cdb, out []byte, in int) (iscsi.Result, error) {
 	for {
 		r, err := s.Do(t.ctx, cdb, out, in)
 		if sense, ok := scsi.ParseSense(r.Sense); err == nil && ok && sense.Key == 6 {
@@ -51,39 +51,39 @@
 	}
 }
 
-func (t *target) want(s *initiator.Client, status byte, cdb, out []byte) error {
-	r, err := t.on(s, cdb, out, 0)
+func (t *target) expectStatus(s *initiator.Client, status byte, cdb, out []byte) error {
+	r, err := t.doPastAttention(s, cdb, out, 0)
 	if err == nil && r.Status != status {
-		err = fmt.Errorf("%x: %s, want status %02x", cdb, ending(r), status)
+		err = fmt.Errorf("%x: %s, want status %02x", cdb, describe(r), status)
 	}
 	return err
 }
 
-func (t *target) out(s *initiator.Client, status, action, typ byte, key, service uint64) error {
-	cdb, list := reserveOut(action, typ, key, service, 0)
-	return t.want(s, status, cdb, list)
+func (t *target) expectReserveOut(s *initiator.Client, status, action, typ byte, key, service uint64) error {
+	cdb, list := reserveOutCDB(action, typ, key, service, 0)
+	return t.expectStatus(s, status, cdb, list)
 }
 
-// clean leaves no registration behind.
-func (t *target) clean() error {
-	if err := t.out(t.s, scsi.Good, actIgnore, 0, 0, keyA); err != nil {
+// clearRegistrations leaves no registration behind.
+func (t *target) clearRegistrations() error {
+	if err := t.expectReserveOut(t.session, scsi.Good, actRegisterAndIgnore, 0, 0, keyA); err != nil {
 		return err
 	}
-	return t.out(t.s, scsi.Good, actClear, 0, keyA, 0)
+	return t.expectReserveOut(t.session, scsi.Good, actClear, 0, keyA, 0)
 }
 
-// both registers the two initiators.
-func (t *target) both() error {
-	if err := t.clean(); err != nil {
+// registerBoth registers the two initiators.
+func (t *target) registerBoth() error {
+	if err := t.clearRegistrations(); err != nil {
 		return err
 	}
-	return errors.Join(t.out(t.s, scsi.Good, actRegister, 0, 0, keyA), t.out(t.other, scsi.Good, actRegister, 0, 0, keyB))
+	return errors.Join(t.expectReserveOut(t.session, scsi.Good, actRegister, 0, 0, keyA), t.expectReserveOut(t.otherSession, scsi.Good, actRegister, 0, 0, keyB))
 }
 
-func (t *target) keys() ([]uint64, error) {
-	r, err := t.on(t.s, reserveIn(0, 1024), nil, 1024)
+func (t *target) readKeys() ([]uint64, error) {
+	r, err := t.doPastAttention(t.session, reserveInCDB(0, 1024), nil, 1024)
 	if err != nil || r.Status != scsi.Good || len(r.Data) < 8 {
-		return nil, errors.Join(err, fmt.Errorf("READ KEYS: %s", ending(r)))
+		return nil, errors.Join(err, fmt.Errorf("READ KEYS: %s", describe(r)))
 	}
 	var out []uint64
 	for b := r.Data[8:]; len(b) >= 8; b = b[8:] {
@@ -92,11 +92,11 @@
 	return out, nil
 }
 
-// held is the key and the type of the reservation, 0 where there is none.
-func (t *target) held() (key uint64, typ byte, err error) {
-	r, err := t.on(t.s, reserveIn(1, 64), nil, 64)
+// readReservation is the key and the type of the reservation, 0 where there is none.
+func (t *target) readReservation() (key uint64, typ byte, err error) {
+	r, err := t.doPastAttention(t.session, reserveInCDB(1, 64), nil, 64)
 	if err != nil || r.Status != scsi.Good || len(r.Data) < 8 {
-		return 0, 0, errors.Join(err, fmt.Errorf("READ RESERVATION: %s", ending(r)))
+		return 0, 0, errors.Join(err, fmt.Errorf("READ RESERVATION: %s", describe(r)))
 	}
 	if len(r.Data) < 24 {
 		return 0, 0, nil
@@ -104,130 +104,130 @@
 	return binary.BigEndian.Uint64(r.Data[8:]), r.Data[21] & 0xf, nil
 }
 
-// types, with whether others may read, whether registrants may do all.
-var types = []struct {
-	code              byte
-	name              string
-	reads, registered bool
+// reservationTypes, with whether others may read, whether registrants may do all.
+var reservationTypes = []struct {
+	code                          byte
+	name                          string
+	othersRead, registrantsAccess bool
 }{
 	{1, "write exclusive", true, false}, {3, "exclusive access", false, false}, {5, "write exclusive, registrants only", true, true},
 	{6, "exclusive access, registrants only", false, true}, {7, "write exclusive, all registrants", true, true}, {8, "exclusive access, all registrants", false, true},
 }
 
-func reservations() (out []check) {
+func reservationChecks() (out []check) {
 	needs := []byte{0x5e, 0x5f}
 	add := func(name string, run func(t *target) error) {
 		out = append(out, check{"SPC-4 PERSISTENT RESERVE", name, needs, func(t *target) error {
-			return errors.Join(run(t), t.clean())
+			return errors.Join(run(t), t.clearRegistrations())
 		}})
 	}
 	add("REPORT CAPABILITIES names the types", func(t *target) error {
-		r, err := t.on(t.s, reserveIn(2, 64), nil, 64)
+		r, err := t.doPastAttention(t.session, reserveInCDB(2, 64), nil, 64)
 		if err == nil && (len(r.Data) != 8 || r.Data[1] != 8 || r.Data[3]&0x80 == 0) {
-			err = fmt.Errorf("%s %x", ending(r), r.Data)
+			err = fmt.Errorf("%s %x", describe(r), r.Data)
 		}
 		return err
 	})
 	add("a service action that there is none of is refused", func(t *target) error {
-		return errors.Join(t.refused(scsi.InvalidField, reserveIn(0x1f, 64), nil, 64), t.refused(scsi.InvalidField, []byte{0x5f, 0x1f, 0, 0, 0, 0, 0, 0, 24, 0}, make([]byte, 24), 0))
+		return errors.Join(t.expectSense(scsi.InvalidField, reserveInCDB(0x1f, 64), nil, 64), t.expectSense(scsi.InvalidField, []byte{0x5f, 0x1f, 0, 0, 0, 0, 0, 0, 24, 0}, make([]byte, 24), 0))
 	})
 	add("a parameter list of another length is refused", func(t *target) error {
-		cdb, list := reserveOut(actRegister, 0, 0, keyA, 0)
+		cdb, list := reserveOutCDB(actRegister, 0, 0, keyA, 0)
 		cdb[8] = 16
-		return t.refused(scsi.ParamLength, cdb, list[:16], 0)
+		return t.expectSense(scsi.ParamLength, cdb, list[:16], 0)
 	})
 	add("what is registered is read, with a generation that counts", func(t *target) error {
-		if err := t.both(); err != nil {
+		if err := t.registerBoth(); err != nil {
 			return err
 		}
-		k, err := t.keys()
+		k, err := t.readKeys()
 		if err == nil && (len(k) != 2 || k[0]+k[1] != keyA+keyB) {
 			err = fmt.Errorf("%x", k)
 		}
 		return err
 	})
 	add("REGISTER with a wrong key is a conflict", func(t *target) error {
-		return errors.Join(t.both(), t.out(t.other, scsi.Conflict, actRegister, 0, keyA, 7))
+		return errors.Join(t.registerBoth(), t.expectReserveOut(t.otherSession, scsi.Conflict, actRegister, 0, keyA, 7))
 	})
 	add("REGISTER with a key where none is registered is a conflict", func(t *target) error {
-		return errors.Join(t.clean(), t.out(t.other, scsi.Conflict, actRegister, 0, keyB, keyB))
+		return errors.Join(t.clearRegistrations(), t.expectReserveOut(t.otherSession, scsi.Conflict, actRegister, 0, keyB, keyB))
 	})
 	add("REGISTER AND IGNORE takes whatever there is", func(t *target) error {
-		if err := errors.Join(t.both(), t.out(t.other, scsi.Good, actIgnore, 0, 0, 7)); err != nil {
+		if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.otherSession, scsi.Good, actRegisterAndIgnore, 0, 0, 7)); err != nil {
 			return err
 		}
-		return errors.Join(t.out(t.other, scsi.Good, actRegister, 0, 7, 0))
+		return errors.Join(t.expectReserveOut(t.otherSession, scsi.Good, actRegister, 0, 7, 0))
 	})
 	add("RESERVE without being registered is a conflict", func(t *target) error {
-		return errors.Join(t.clean(), t.out(t.other, scsi.Conflict, actReserve, 1, keyB, 0))
+		return errors.Join(t.clearRegistrations(), t.expectReserveOut(t.otherSession, scsi.Conflict, actReserve, 1, keyB, 0))
 	})
 	add("RESERVE of a type that there is none of is refused", func(t *target) error {
-		if err := t.both(); err != nil {
+		if err := t.registerBoth(); err != nil {
 			return err
 		}
-		cdb, list := reserveOut(actReserve, 2, keyA, 0, 0)
-		return t.refused(scsi.InvalidField, cdb, list, 0)
+		cdb, list := reserveOutCDB(actReserve, 2, keyA, 0, 0)
+		return t.expectSense(scsi.InvalidField, cdb, list, 0)
 	})
 	add("RESERVE once more with the same type is GOOD, with another a conflict", func(t *target) error {
-		return errors.Join(t.both(), t.out(t.s, scsi.Good, actReserve, 1, keyA, 0), t.out(t.s, scsi.Good, actReserve, 1, keyA, 0), t.out(t.s, scsi.Conflict, actReserve, 3, keyA, 0))
+		return errors.Join(t.registerBoth(), t.expectReserveOut(t.session, scsi.Good, actReserve, 1, keyA, 0), t.expectReserveOut(t.session, scsi.Good, actReserve, 1, keyA, 0), t.expectReserveOut(t.session, scsi.Conflict, actReserve, 3, keyA, 0))
 	})
 	add("RELEASE of another type is refused, by another nexus does nothing", func(t *target) error {
-		if err := errors.Join(t.both(), t.out(t.s, scsi.Good, actReserve, 1, keyA, 0), t.out(t.other, scsi.Good, actRelease, 1, keyB, 0)); err != nil {
+		if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.session, scsi.Good, actReserve, 1, keyA, 0), t.expectReserveOut(t.otherSession, scsi.Good, actRelease, 1, keyB, 0)); err != nil {
 			return err
 		}
-		if _, typ, err := t.held(); err != nil || typ != 1 {
+		if _, typ, err := t.readReservation(); err != nil || typ != 1 {
 			return errors.Join(err, errors.New("released by another"))
 		}
-		cdb, list := reserveOut(actRelease, 3, keyA, 0, 0)
-		return t.refused(scsi.InvalidRelease, cdb, list, 0)
+		cdb, list := reserveOutCDB(actRelease, 3, keyA, 0, 0)
+		return t.expectSense(scsi.InvalidRelease, cdb, list, 0)
 	})
-	for _, y := range types {
-		add(y.name+": who may read and write", func(t *target) error { return t.rights(y.code, y.reads, y.registered) })
+	for _, y := range reservationTypes {
+		add(y.name+": who may read and write", func(t *target) error { return t.checkAccess(y.code, y.othersRead, y.registrantsAccess) })
 	}
 	add("CLEAR removes all, and tells the others", func(t *target) error {
-		if err := errors.Join(t.both(), t.out(t.s, scsi.Good, actReserve, 1, keyA, 0), t.out(t.s, scsi.Good, actClear, 0, keyA, 0)); err != nil {
+		if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.session, scsi.Good, actReserve, 1, keyA, 0), t.expectReserveOut(t.session, scsi.Good, actClear, 0, keyA, 0)); err != nil {
 			return err
 		}
-		if k, err := t.keys(); err != nil || len(k) != 0 {
+		if k, err := t.readKeys(); err != nil || len(k) != 0 {
 			return errors.Join(err, fmt.Errorf("%x", k))
 		}
-		return t.attention(scsi.ReservationsPreempted)
+		return t.expectAttention(scsi.ReservationsPreempted)
 	})
 	for _, action := range []byte{actPreempt, actPreemptAbort} {
 		add(fmt.Sprintf("PREEMPT (action %d) takes the reservation over, and tells the other", action), func(t *target) error {
-			if err := errors.Join(t.both(), t.out(t.other, scsi.Good, actReserve, 1, keyB, 0), t.out(t.s, scsi.Good, action, 3, keyA, keyB)); err != nil {
+			if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.otherSession, scsi.Good, actReserve, 1, keyB, 0), t.expectReserveOut(t.session, scsi.Good, action, 3, keyA, keyB)); err != nil {
 				return err
 			}
-			key, typ, err := t.held()
+			key, typ, err := t.readReservation()
 			if err != nil || key != keyA || typ != 3 {
 				return errors.Join(err, fmt.Errorf("key %x, type %d", key, typ))
 			}
-			if err := t.attention(scsi.RegistrationsPreempted); err != nil {
+			if err := t.expectAttention(scsi.RegistrationsPreempted); err != nil {
 				return err
 			}
-			return t.want(t.other, scsi.Conflict, rw(0x88, 0, 1), nil)
+			return t.expectStatus(t.otherSession, scsi.Conflict, blockCDB(0x88, 0, 1), nil)
 		})
 	}
 	add("PREEMPT of a key that is not registered is a conflict", func(t *target) error {
-		return errors.Join(t.both(), t.out(t.s, scsi.Conflict, actPreempt, 1, keyA, 0x77))
+		return errors.Join(t.registerBoth(), t.expectReserveOut(t.session, scsi.Conflict, actPreempt, 1, keyA, 0x77))
 	})
 	add("unregistering the holder releases", func(t *target) error {
-		if err := errors.Join(t.both(), t.out(t.other, scsi.Good, actReserve, 3, keyB, 0), t.out(t.other, scsi.Good, actRegister, 0, keyB, 0)); err != nil {
+		if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.otherSession, scsi.Good, actReserve, 3, keyB, 0), t.expectReserveOut(t.otherSession, scsi.Good, actRegister, 0, keyB, 0)); err != nil {
 			return err
 		}
-		_, typ, err := t.held()
+		_, typ, err := t.readReservation()
 		if err == nil && typ != 0 {
 			err = fmt.Errorf("still type %d", typ)
 		}
 		return err
 	})
 	add("READ FULL STATUS names the holder", func(t *target) error {
-		if err := errors.Join(t.both(), t.out(t.s, scsi.Good, actReserve, 1, keyA, 0)); err != nil {
+		if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.session, scsi.Good, actReserve, 1, keyA, 0)); err != nil {
 			return err
 		}
-		r, err := t.on(t.s, reserveIn(3, 4096), nil, 4096)
+		r, err := t.doPastAttention(t.session, reserveInCDB(3, 4096), nil, 4096)
 		if err != nil || len(r.Data) < 8 {
-			return errors.Join(err, errors.New(ending(r)))
+			return errors.Join(err, errors.New(describe(r)))
 		}
 		holders, n := 0, 0
 		for b := r.Data[8:]; len(b) >= 24; n++ {
@@ -244,12 +244,12 @@
 	return out
 }
 
-// rights tries what the holder, another registrant and who is not registered may do.
-func (t *target) rights(typ byte, reads, registered bool) error {
-	if err := errors.Join(t.both(), t.out(t.s, scsi.Good, actReserve, typ, keyA, 0)); err != nil {
+// checkAccess tries what the holder, another registrant and who is not registered may do.
+func (t *target) checkAccess(typ byte, reads, registered bool) error {
+	if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.session, scsi.Good, actReserve, typ, keyA, 0)); err != nil {
 		return err
 	}
-	block := pattern(typ, t.size)
+	block := pattern(typ, t.blockSize)
 	status := func(ok bool) byte {
 		if ok {
 			return scsi.Good
@@ -257,20 +257,20 @@
 		return scsi.Conflict
 	}
 	return errors.Join(
-		t.want(t.s, scsi.Good, rw(0x8a, 0, 1), block),
-		t.want(t.other, status(registered), rw(0x8a, 0, 1), block),
-		t.want(t.other, status(reads || registered), rw(0x88, 0, 1), nil),
-		t.out(t.other, scsi.Good, actRegister, 0, keyB, 0),
-		t.want(t.other, scsi.Conflict, rw(0x8a, 0, 1), block),
-		t.want(t.other, status(reads), rw(0x88, 0, 1), nil),
-		t.want(t.other, scsi.Good, tur(), nil))
+		t.expectStatus(t.session, scsi.Good, blockCDB(0x8a, 0, 1), block),
+		t.expectStatus(t.otherSession, status(registered), blockCDB(0x8a, 0, 1), block),
+		t.expectStatus(t.otherSession, status(reads || registered), blockCDB(0x88, 0, 1), nil),
+		t.expectReserveOut(t.otherSession, scsi.Good, actRegister, 0, keyB, 0),
+		t.expectStatus(t.otherSession, scsi.Conflict, blockCDB(0x8a, 0, 1), block),
+		t.expectStatus(t.otherSession, status(reads), blockCDB(0x88, 0, 1), nil),
+		t.expectStatus(t.otherSession, scsi.Good, testUnitReadyCDB(), nil))
 }
 
-// attention asks for a unit attention of that sense at the other initiator, which may
+// expectAttention asks for a unit expectAttention of that sense at the other initiator, which may
 // come with its second command where another is told first.
-func (t *target) attention(want scsi.Sense) error {
+func (t *target) expectAttention(want scsi.Sense) error {
 	for range 3 {
-		r, err := t.other.Do(t.ctx, tur(), nil, 0)
+		r, err := t.otherSession.Do(t.ctx, testUnitReadyCDB(), nil, 0)
 		if err != nil {
 			return err
 		}
--- a/internal/verify/conform/table.go
+++ b/internal/verify/conform/table.go
@@ -13,20 +13,20 @@
 
 // Command blocks, as SPC-4 and SBC-3 lay them out.
 
-func tur() []byte { return make([]byte, 6) }
+func testUnitReadyCDB() []byte { return make([]byte, 6) }
 
-func inquiry(evpd, page byte, alloc uint16) []byte {
+func inquiryCDB(evpd, page byte, alloc uint16) []byte {
 	return []byte{0x12, evpd, page, byte(alloc >> 8), byte(alloc), 0}
 }
 
-func capacity16(alloc uint32) []byte {
+func readCapacity16CDB(alloc uint32) []byte {
 	b := make([]byte, 16)
 	b[0], b[1] = 0x9e, 0x10
 	binary.BigEndian.PutUint32(b[10:], alloc)
 	return b
 }
 
-func rsoc(options, op byte, sa uint16, alloc uint32) []byte {
+func supportedOpcodesCDB(options, op byte, sa uint16, alloc uint32) []byte {
 	b := make([]byte, 12)
 	b[0], b[1], b[2], b[3] = 0xa3, 0x0c, options, op
 	binary.BigEndian.PutUint16(b[4:], sa)
@@ -34,22 +34,22 @@
 	return b
 }
 
-func reportLUNs(sel byte, alloc uint32) []byte {
+func reportLUNsCDB(sel byte, alloc uint32) []byte {
 	b := make([]byte, 12)
 	b[0], b[2] = 0xa0, sel
 	binary.BigEndian.PutUint32(b[6:], alloc)
 	return b
 }
 
-func modeSense(long bool, dbd, pc, page byte, alloc uint16) []byte {
+func modeSenseCDB(long bool, dbd, pc, page byte, alloc uint16) []byte {
 	if long {
 		return []byte{0x5a, dbd << 3, pc<<6 | page, 0, 0, 0, 0, byte(alloc >> 8), byte(alloc), 0}
 	}
 	return []byte{0x1a, dbd << 3, pc<<6 | page, 0, byte(alloc), 0}
 }
 
-// rw is a command with an address and a number of blocks, in the form of its opcode.
-func rw(op byte, lba uint64, n uint32) []byte {
+// blockCDB is a command with an address and a number of blocks, in the form of its opcode.
+func blockCDB(op byte, lba uint64, n uint32) []byte {
 	be := binary.BigEndian
 	switch op >> 5 {
 	case 0:
@@ -74,20 +74,20 @@
 	return b
 }
 
-func flagged(cdb []byte, flags byte) []byte {
+func withFlags(cdb []byte, flags byte) []byte {
 	b := slices.Clone(cdb)
 	b[1] |= flags
 	return b
 }
 
-func swap(lba uint64, n byte) []byte {
-	b := rw(0x89, lba, 0)
+func compareAndWriteCDB(lba uint64, n byte) []byte {
+	b := blockCDB(0x89, lba, 0)
 	b[13] = n
 	return b
 }
 
-// unmapList is an UNMAP with its parameter list.
-func unmapList(runs ...[2]uint64) (cdb, out []byte) {
+// unmapCDB is an UNMAP with its parameter list.
+func unmapCDB(runs ...[2]uint64) (cdb, out []byte) {
 	out = make([]byte, 8, 8+16*len(runs))
 	binary.BigEndian.PutUint16(out, uint16(6+16*len(runs)))
 	binary.BigEndian.PutUint16(out[2:], uint16(16*len(runs)))
@@ -104,26 +104,26 @@
 
 // The forms of commands that differ in size only.
 var (
-	reads    = []byte{0x08, 0x28, 0xa8, 0x88}
-	writes   = []byte{0x0a, 0x2a, 0xaa, 0x8a}
-	verifies = []byte{0x2f, 0xaf, 0x8f}
-	sames    = []byte{0x41, 0x93}
-	flushes  = []byte{0x35, 0x91}
-	names    = map[byte]string{0x08: "READ (6)", 0x28: "READ (10)", 0xa8: "READ (12)", 0x88: "READ (16)", 0x0a: "WRITE (6)", 0x2a: "WRITE (10)", 0xaa: "WRITE (12)",
+	readOps      = []byte{0x08, 0x28, 0xa8, 0x88}
+	writeOps     = []byte{0x0a, 0x2a, 0xaa, 0x8a}
+	verifyOps    = []byte{0x2f, 0xaf, 0x8f}
+	writeSameOps = []byte{0x41, 0x93}
+	syncCacheOps = []byte{0x35, 0x91}
+	opNames      = map[byte]string{0x08: "READ (6)", 0x28: "READ (10)", 0xa8: "READ (12)", 0x88: "READ (16)", 0x0a: "WRITE (6)", 0x2a: "WRITE (10)", 0xaa: "WRITE (12)",
 		0x8a: "WRITE (16)", 0x2f: "VERIFY (10)", 0xaf: "VERIFY (12)", 0x8f: "VERIFY (16)", 0x41: "WRITE SAME (10)", 0x93: "WRITE SAME (16)",
 		0x35: "SYNCHRONIZE CACHE (10)", 0x91: "SYNCHRONIZE CACHE (16)"}
 )
 
-var table = slices.Concat(primary(), forms(), blocks(), reservations(), transport())
+var checks = slices.Concat(primaryChecks(), formChecks(), diskChecks(), reservationChecks(), transportChecks())
 
-// primary are the commands of every device (SPC-4).
-func primary() []check {
+// primaryChecks are the commands of every device (SPC-4).
+func primaryChecks() []check {
 	return []check{
-		{"SPC-4 TEST UNIT READY", "TEST UNIT READY is GOOD", nil, func(t *target) error { _, err := t.good(tur(), nil, 0); return err }},
+		{"SPC-4 TEST UNIT READY", "TEST UNIT READY is GOOD", nil, func(t *target) error { _, err := t.expectGood(testUnitReadyCDB(), nil, 0); return err }},
 		{"SPC-4 operation codes", "an operation code that is not offered is refused", nil, func(t *target) error {
 			for op := 0xff; op >= 0xc0; op-- {
-				if !t.offered[[2]byte{byte(op), 0}] {
-					return t.refused(scsi.InvalidOpcode, append([]byte{byte(op)}, make([]byte, 15)...), nil, 0)
+				if !t.supported[[2]byte{byte(op), 0}] {
+					return t.expectSense(scsi.InvalidOpcode, append([]byte{byte(op)}, make([]byte, 15)...), nil, 0)
 				}
 			}
 			return nil
@@ -131,94 +131,96 @@
 		{"SAM-5 CONTROL byte", "NACA in the CONTROL byte is taken or refused as a field", nil, func(t *target) error {
 			r, err := t.do([]byte{0, 0, 0, 0, 0, 4}, nil, 0)
 			if s, _ := scsi.ParseSense(r.Sense); err == nil && r.Status != scsi.Good && s != scsi.InvalidField {
-				err = errors.New(ending(r))
+				err = errors.New(describe(r))
 			}
 			return err
 		}},
 		{"SPC-4 INQUIRY", "standard INQUIRY: a disk, and as long as it says", nil, func(t *target) error {
-			b, err := t.good(inquiry(0, 0, 255), nil, 255)
+			b, err := t.expectGood(inquiryCDB(0, 0, 255), nil, 255)
 			if err == nil && (len(b) < 36 || b[0] != 0 || len(b) != int(b[4])+5) {
 				err = fmt.Errorf("%x", b)
 			}
 			return err
 		}},
 		{"SPC-4 INQUIRY", "INQUIRY is cut to the allocation length", nil, func(t *target) error {
-			b, err := t.good(inquiry(0, 0, 5), nil, 5)
+			b, err := t.expectGood(inquiryCDB(0, 0, 5), nil, 5)
 			if err == nil && len(b) != 5 {
 				err = fmt.Errorf("%d bytes", len(b))
 			}
 			return err
 		}},
-		{"SPC-4 INQUIRY", "a page code without EVPD is refused", nil, func(t *target) error { return t.refused(scsi.InvalidField, inquiry(0, 0x83, 255), nil, 255) }},
-		{"SPC-4 INQUIRY", "a page that is not listed is refused", nil, func(t *target) error { return t.refused(scsi.InvalidField, inquiry(1, 0x7f, 255), nil, 255) }},
-		{"SPC-4 Supported VPD Pages", "every listed page has its own code and length", nil, vpdPages},
+		{"SPC-4 INQUIRY", "a page code without EVPD is refused", nil, func(t *target) error { return t.expectSense(scsi.InvalidField, inquiryCDB(0, 0x83, 255), nil, 255) }},
+		{"SPC-4 INQUIRY", "a page that is not listed is refused", nil, func(t *target) error { return t.expectSense(scsi.InvalidField, inquiryCDB(1, 0x7f, 255), nil, 255) }},
+		{"SPC-4 Supported VPD Pages", "every listed page has its own code and length", nil, checkVPDPages},
 		{"SPC-4 Device Identification", "the identification page names the unit", nil, func(t *target) error {
-			b, err := t.good(inquiry(1, 0x83, 1024), nil, 1024)
+			b, err := t.expectGood(inquiryCDB(1, 0x83, 1024), nil, 1024)
 			if err == nil && (len(b) < 8 || b[5]&0x30 != 0) {
 				err = fmt.Errorf("no designator of the unit: %x", b)
 			}
 			return err
 		}},
 		{"SPC-4 REPORT LUNS", "REPORT LUNS lists unit 0", nil, func(t *target) error {
-			b, err := t.good(reportLUNs(0, 256), nil, 256)
+			b, err := t.expectGood(reportLUNsCDB(0, 256), nil, 256)
 			if err == nil && (len(b) < 16 || binary.BigEndian.Uint32(b) < 8 || !bytes.Equal(b[8:16], make([]byte, 8))) {
 				err = fmt.Errorf("%x", b)
 			}
 			return err
 		}},
-		{"SPC-4 REPORT LUNS", "REPORT LUNS with room for less than one is refused", nil, func(t *target) error { return t.refused(scsi.InvalidField, reportLUNs(0, 8), nil, 8) }},
-		{"SPC-4 REPORT LUNS", "REPORT LUNS with a reserved selection is refused", nil, func(t *target) error { return t.refused(scsi.InvalidField, reportLUNs(0x60, 256), nil, 256) }},
+		{"SPC-4 REPORT LUNS", "REPORT LUNS with room for less than one is refused", nil, func(t *target) error { return t.expectSense(scsi.InvalidField, reportLUNsCDB(0, 8), nil, 8) }},
+		{"SPC-4 REPORT LUNS", "REPORT LUNS with a reserved selection is refused", nil, func(t *target) error { return t.expectSense(scsi.InvalidField, reportLUNsCDB(0x60, 256), nil, 256) }},
 		{"SPC-4 REQUEST SENSE", "REQUEST SENSE without anything to tell", nil, func(t *target) error {
-			b, err := t.good([]byte{3, 0, 0, 0, 252, 0}, nil, 252)
+			b, err := t.expectGood([]byte{3, 0, 0, 0, 252, 0}, nil, 252)
 			if s, ok := scsi.ParseSense(b); err == nil && (!ok || s.Key != 0) {
 				err = fmt.Errorf("%x", b)
 			}
 			return err
 		}},
 		{"SPC-4 MODE SENSE (6)", "MODE SENSE (6), all pages, as long as it says", []byte{0x1a}, func(t *target) error {
-			b, err := t.good(modeSense(false, 0, 0, 0x3f, 255), nil, 255)
+			b, err := t.expectGood(modeSenseCDB(false, 0, 0, 0x3f, 255), nil, 255)
 			if err == nil && (len(b) < 4 || len(b) != int(b[0])+1) {
 				err = fmt.Errorf("%x", b)
 			}
 			return err
 		}},
 		{"SPC-4 MODE SENSE (10)", "MODE SENSE (10), all pages, as long as it says", []byte{0x5a}, func(t *target) error {
-			b, err := t.good(modeSense(true, 0, 0, 0x3f, 1024), nil, 1024)
+			b, err := t.expectGood(modeSenseCDB(true, 0, 0, 0x3f, 1024), nil, 1024)
 			if err == nil && (len(b) < 8 || len(b) != int(binary.BigEndian.Uint16(b))+2) {
 				err = fmt.Errorf("%x", b)
 			}
 			return err
 		}},
 		{"SPC-4 MODE SENSE (6)", "DBD leaves out the block descriptor", []byte{0x1a}, func(t *target) error {
-			b, err := t.good(modeSense(false, 1, 0, 0x3f, 255), nil, 255)
+			b, err := t.expectGood(modeSenseCDB(false, 1, 0, 0x3f, 255), nil, 255)
 			if err == nil && (len(b) < 4 || b[3] != 0) {
 				err = fmt.Errorf("%x", b)
 			}
 			return err
 		}},
 		{"SPC-4 MODE SENSE (6)", "saved values: given, or refused as not saved", []byte{0x1a}, func(t *target) error {
-			r, err := t.do(modeSense(false, 0, 3, 0x3f, 255), nil, 255)
+			r, err := t.do(modeSenseCDB(false, 0, 3, 0x3f, 255), nil, 255)
 			if s, _ := scsi.ParseSense(r.Sense); err == nil && r.Status != scsi.Good && s != scsi.SavingUnsupported {
-				err = errors.New(ending(r))
+				err = errors.New(describe(r))
 			}
 			return err
 		}},
 		{"SPC-4 MODE SENSE (6)", "a mode page that is not there is refused", []byte{0x1a}, func(t *target) error {
-			return t.refused(scsi.InvalidField, modeSense(false, 0, 0, 0x29, 255), nil, 255)
+			return t.expectSense(scsi.InvalidField, modeSenseCDB(false, 0, 0, 0x29, 255), nil, 255)
 		}},
-		{"SPC-4 REPORT SUPPORTED OPERATION CODES", "each operation code that is listed is described alone", []byte{0xa3}, listedCodes},
-		{"SPC-4 command timeouts descriptor", "RCTD brings timeouts descriptors", []byte{0xa3}, timeouts},
+		{"SPC-4 REPORT SUPPORTED OPERATION CODES", "each operation code that is listed is described alone", []byte{0xa3}, checkListedOpcodes},
+		{"SPC-4 command timeouts descriptor", "RCTD brings timeouts descriptors", []byte{0xa3}, checkTimeoutDescriptors},
 		{"SPC-4 REPORT SUPPORTED OPERATION CODES", "option 001b for a code with service actions is refused", []byte{0xa3}, func(t *target) error {
-			return t.refused(scsi.InvalidField, rsoc(1, 0xa3, 0, 64), nil, 64)
+			return t.expectSense(scsi.InvalidField, supportedOpcodesCDB(1, 0xa3, 0, 64), nil, 64)
 		}},
 		{"SPC-4 REPORT SUPPORTED OPERATION CODES", "option 010b for a code without service actions is refused", []byte{0xa3}, func(t *target) error {
-			return t.refused(scsi.InvalidField, rsoc(2, 0x12, 0, 64), nil, 64)
+			return t.expectSense(scsi.InvalidField, supportedOpcodesCDB(2, 0x12, 0, 64), nil, 64)
+		}},
+		{"SPC-4 REPORT SUPPORTED OPERATION CODES", "a reserved option is refused", []byte{0xa3}, func(t *target) error {
+			return t.expectSense(scsi.InvalidField, supportedOpcodesCDB(4, 0x12, 0, 64), nil, 64)
 		}},
-		{"SPC-4 REPORT SUPPORTED OPERATION CODES", "a reserved option is refused", []byte{0xa3}, func(t *target) error { return t.refused(scsi.InvalidField, rsoc(4, 0x12, 0, 64), nil, 64) }},
 		{"SPC-4 REPORT SUPPORTED OPERATION CODES", "a code that is not offered is said to be so", []byte{0xa3}, func(t *target) error {
 			for op := 0xff; op >= 0xc0; op-- {
-				if !t.offered[[2]byte{byte(op), 0}] {
-					b, err := t.good(rsoc(1, byte(op), 0, 64), nil, 64)
+				if !t.supported[[2]byte{byte(op), 0}] {
+					b, err := t.expectGood(supportedOpcodesCDB(1, byte(op), 0, 64), nil, 64)
 					if err == nil && (len(b) < 4 || b[1]&7 != 1) {
 						err = fmt.Errorf("%x", b)
 					}
@@ -230,8 +232,8 @@
 	}
 }
 
-func vpdPages(t *target) error {
-	list, err := t.good(inquiry(1, 0, 255), nil, 255)
+func checkVPDPages(t *target) error {
+	list, err := t.expectGood(inquiryCDB(1, 0, 255), nil, 255)
 	if err != nil {
 		return err
 	}
@@ -239,7 +241,7 @@
 		return fmt.Errorf("the list: %x", list)
 	}
 	for _, page := range list[4:] {
-		b, err := t.good(inquiry(1, page, 4096), nil, 4096)
+		b, err := t.expectGood(inquiryCDB(1, page, 4096), nil, 4096)
 		if err != nil {
 			return err
 		}
@@ -250,15 +252,15 @@
 	return nil
 }
 
-func listedCodes(t *target) error {
-	for k := range t.offered {
+func checkListedOpcodes(t *target) error {
+	for k := range t.supported {
 		option, sa := byte(1), uint16(0)
-		if actions[k[0]] {
+		if hasServiceActions[k[0]] {
 			if option, sa = 2, uint16(k[1]); sa == 0 {
 				continue // stands for the code, not for an action
 			}
 		}
-		b, err := t.good(rsoc(option, k[0], sa, 64), nil, 64)
+		b, err := t.expectGood(supportedOpcodesCDB(option, k[0], sa, 64), nil, 64)
 		if err != nil {
 			return err
 		}
@@ -269,18 +271,18 @@
 	return nil
 }
 
-// actions are the operation codes that have service actions (SPC-4 table 34).
-var actions = map[byte]bool{0x9e: true, 0x9f: true, 0xa3: true, 0xa4: true, 0x5e: true, 0x5f: true, 0x83: true, 0x84: true, 0x7f: true}
+// hasServiceActions are the operation codes that have service hasServiceActions (SPC-4 table 34).
+var hasServiceActions = map[byte]bool{0x9e: true, 0x9f: true, 0xa3: true, 0xa4: true, 0x5e: true, 0x5f: true, 0x83: true, 0x84: true, 0x7f: true}
 
-func timeouts(t *target) error {
-	b, err := t.good(rsoc(0x81, 0x12, 0, 64), nil, 64)
+func checkTimeoutDescriptors(t *target) error {
+	b, err := t.expectGood(supportedOpcodesCDB(0x81, 0x12, 0, 64), nil, 64)
 	if err != nil {
 		return err
 	}
 	if len(b) < 4 || b[1]&0x80 == 0 || len(b) != 4+int(b[3])+12 || b[4+int(b[3])+1] != 10 {
 		return fmt.Errorf("of one: %x", b)
 	}
-	all, err := t.good(rsoc(0x80, 0, 0, 1<<16), nil, 1<<16)
+	all, err := t.expectGood(supportedOpcodesCDB(0x80, 0, 0, 1<<16), nil, 1<<16)
 	if err != nil {
 		return err
 	}
@@ -292,165 +294,165 @@
 	return nil
 }
 
-// forms are the checks of every form of READ, WRITE, VERIFY, WRITE SAME and
+// formChecks are the checks of every form of READ, WRITE, VERIFY, WRITE SAME and
 // SYNCHRONIZE CACHE.
-func forms() (out []check) {
+func formChecks() (out []check) {
 	add := func(op byte, name string, run func(t *target) error) {
-		out = append(out, check{"SBC-3 " + names[op], names[op] + ": " + name, []byte{op}, run})
+		out = append(out, check{"SBC-3 " + opNames[op], opNames[op] + ": " + name, []byte{op}, run})
 	}
-	for _, op := range reads {
+	for _, op := range readOps {
 		add(op, "what was written", func(t *target) error {
-			want, err := t.fill(op, 8)
+			want, err := t.writePattern(op, 8)
 			if err != nil {
 				return err
 			}
-			got, err := t.good(rw(op, 0, 8), nil, 8*t.size)
+			got, err := t.expectGood(blockCDB(op, 0, 8), nil, 8*t.blockSize)
 			if err == nil && !bytes.Equal(got, want) {
 				err = errors.New("not what was written")
 			}
 			return err
 		})
-		beyond(add, op, func(t *target) (out []byte, in int) { return nil, t.size })
+		addRangeChecks(add, op, func(t *target) (out []byte, in int) { return nil, t.blockSize })
 	}
-	for _, op := range writes {
+	for _, op := range writeOps {
 		add(op, "is read back", func(t *target) error {
-			b := pattern(op, 5*t.size)
-			if _, err := t.good(rw(op, 3, 5), b, 0); err != nil {
+			b := pattern(op, 5*t.blockSize)
+			if _, err := t.expectGood(blockCDB(op, 3, 5), b, 0); err != nil {
 				return err
 			}
-			return t.holds(3, b)
+			return t.expectData(3, b)
 		})
-		beyond(add, op, func(t *target) (out []byte, in int) { return make([]byte, t.size), 0 })
+		addRangeChecks(add, op, func(t *target) (out []byte, in int) { return make([]byte, t.blockSize), 0 })
 	}
-	for _, op := range verifies {
-		add(op, "without comparing is GOOD", func(t *target) error { _, err := t.good(rw(op, 0, 8), nil, 0); return err })
+	for _, op := range verifyOps {
+		add(op, "without comparing is GOOD", func(t *target) error { _, err := t.expectGood(blockCDB(op, 0, 8), nil, 0); return err })
 		add(op, "BYTCHK 01b with the same data is GOOD", func(t *target) error {
-			b, err := t.fill(op, 4)
+			b, err := t.writePattern(op, 4)
 			if err == nil {
-				_, err = t.good(flagged(rw(op, 0, 4), 2), b, 0)
+				_, err = t.expectGood(withFlags(blockCDB(op, 0, 4), 2), b, 0)
 			}
 			return err
 		})
 		add(op, "BYTCHK 01b with other data is a MISCOMPARE", func(t *target) error {
-			b, err := t.fill(op, 4)
+			b, err := t.writePattern(op, 4)
 			if err != nil {
 				return err
 			}
-			b[3*t.size]++
-			return t.refused(scsi.Miscompare, flagged(rw(op, 0, 4), 2), b, 0)
+			b[3*t.blockSize]++
+			return t.expectSense(scsi.Miscompare, withFlags(blockCDB(op, 0, 4), 2), b, 0)
 		})
 		add(op, "BYTCHK 10b is refused", func(t *target) error {
-			return t.refused(scsi.InvalidField, flagged(rw(op, 0, 1), 4), make([]byte, t.size), 0)
+			return t.expectSense(scsi.InvalidField, withFlags(blockCDB(op, 0, 1), 4), make([]byte, t.blockSize), 0)
 		})
-		beyond(add, op, func(*target) (out []byte, in int) { return nil, 0 })
+		addRangeChecks(add, op, func(*target) (out []byte, in int) { return nil, 0 })
 	}
-	for _, op := range sames {
+	for _, op := range writeSameOps {
 		add(op, "fills each block", func(t *target) error {
-			b := pattern(op, t.size)
-			if _, err := t.good(rw(op, 2, 6), b, 0); err != nil {
+			b := pattern(op, t.blockSize)
+			if _, err := t.expectGood(blockCDB(op, 2, 6), b, 0); err != nil {
 				return err
 			}
-			return t.holds(2, bytes.Repeat(b, 6))
+			return t.expectData(2, bytes.Repeat(b, 6))
 		})
 		add(op, "of no blocks is refused where WSNZ is set", func(t *target) error {
-			if !t.limits.wsnz {
+			if !t.blockLimits.wsnz {
 				return nil
 			}
-			return t.refused(scsi.InvalidField, rw(op, 0, 0), make([]byte, t.size), 0)
+			return t.expectSense(scsi.InvalidField, blockCDB(op, 0, 0), make([]byte, t.blockSize), 0)
 		})
 		add(op, "of more than the limit is refused", func(t *target) error {
-			if t.limits.same == 0 || t.limits.same+1 > t.blocks || t.limits.same >= 0xffff && op == 0x41 {
+			if t.blockLimits.writeSame == 0 || t.blockLimits.writeSame+1 > t.blocks || t.blockLimits.writeSame >= 0xffff && op == 0x41 {
 				return nil
 			}
-			return t.refused(scsi.InvalidField, rw(op, 0, uint32(t.limits.same+1)), make([]byte, t.size), 0)
+			return t.expectSense(scsi.InvalidField, blockCDB(op, 0, uint32(t.blockLimits.writeSame+1)), make([]byte, t.blockSize), 0)
 		})
-		beyond(add, op, func(t *target) (out []byte, in int) { return make([]byte, t.size), 0 })
+		addRangeChecks(add, op, func(t *target) (out []byte, in int) { return make([]byte, t.blockSize), 0 })
 	}
-	for _, op := range flushes {
+	for _, op := range syncCacheOps {
 		add(op, "of all and of a part is GOOD", func(t *target) error {
-			_, err := t.good(rw(op, 0, 0), nil, 0)
+			_, err := t.expectGood(blockCDB(op, 0, 0), nil, 0)
 			if err == nil {
-				_, err = t.good(rw(op, 4, 4), nil, 0)
+				_, err = t.expectGood(blockCDB(op, 4, 4), nil, 0)
 			}
 			return err
 		})
-		beyond(add, op, func(*target) (out []byte, in int) { return nil, 0 })
+		addRangeChecks(add, op, func(*target) (out []byte, in int) { return nil, 0 })
 	}
 	return out
 }
 
-// beyond are the checks of an address that every form with one must pass.
-func beyond(add func(byte, string, func(*target) error), op byte, data func(*target) ([]byte, int)) {
+// addRangeChecks are the checks of an address that every form with one must pass.
+func addRangeChecks(add func(byte, string, func(*target) error), op byte, data func(*target) ([]byte, int)) {
 	add(op, "the last block is reached, the one after is out of range", func(t *target) error {
 		out, in := data(t)
 		if op < 0x20 && t.blocks > 1<<21 || op != 0x88 && op != 0x8a && op != 0x8f && op != 0x93 && op != 0x91 && t.blocks > 1<<32 {
 			return nil // the form can't name it
 		}
 		if op == 0x88 || op == 0x28 || op == 0xa8 || op == 0x08 {
-			if _, err := t.good(rw(op, t.blocks-1, 1), out, in); err != nil {
+			if _, err := t.expectGood(blockCDB(op, t.blocks-1, 1), out, in); err != nil {
 				return err
 			}
 		}
 		if op < 0x20 && t.blocks == 1<<21 {
 			return nil
 		}
-		return t.refused(scsi.LBAOutOfRange, rw(op, t.blocks, 1), out, in)
+		return t.expectSense(scsi.LBAOutOfRange, blockCDB(op, t.blocks, 1), out, in)
 	})
 	if op >= 0x80 && op < 0xa0 {
 		add(op, "an address that wraps around is out of range", func(t *target) error {
 			out, in := data(t)
-			return t.refused(scsi.LBAOutOfRange, rw(op, 1<<64-1, 1), out, in)
+			return t.expectSense(scsi.LBAOutOfRange, blockCDB(op, 1<<64-1, 1), out, in)
 		})
 	}
 	if op >= 0x20 && op != 0x35 && op != 0x91 {
 		add(op, "protection information that is not kept is refused", func(t *target) error {
 			out, in := data(t)
-			return t.refused(scsi.InvalidField, flagged(rw(op, 0, 1), 0x20), out, in)
+			return t.expectSense(scsi.InvalidField, withFlags(blockCDB(op, 0, 1), 0x20), out, in)
 		})
 		if op != 0x41 && op != 0x93 {
-			add(op, "no blocks is no error", func(t *target) error { _, err := t.good(rw(op, 0, 0), nil, 0); return err })
+			add(op, "no blocks is no error", func(t *target) error { _, err := t.expectGood(blockCDB(op, 0, 0), nil, 0); return err })
 		}
 	}
 	if op == 0xa8 || op == 0x88 || op == 0xaa || op == 0x8a {
 		add(op, "more than the maximum transfer length is refused", func(t *target) error {
-			if t.limits.transfer == 0 || uint64(t.limits.transfer)+1 > t.blocks {
+			if t.blockLimits.transfer == 0 || uint64(t.blockLimits.transfer)+1 > t.blocks {
 				return nil
 			}
 			out, in := data(t)
-			return t.refused(scsi.InvalidField, rw(op, 0, t.limits.transfer+1), out, in)
+			return t.expectSense(scsi.InvalidField, blockCDB(op, 0, t.blockLimits.transfer+1), out, in)
 		})
 	}
 }
 
-// blocks are the other commands of a disk (SBC-3).
-func blocks() []check {
+// diskChecks are the other commands of a disk (SBC-3).
+func diskChecks() []check {
 	return []check{
 		{"SBC-3 READ CAPACITY (10)", "READ CAPACITY (10) agrees with (16)", []byte{0x25}, func(t *target) error {
-			b, err := t.good(rw(0x25, 0, 0), nil, 8)
-			if err == nil && (len(b) != 8 || uint64(binary.BigEndian.Uint32(b)) != min(t.blocks-1, 1<<32-1) || int(binary.BigEndian.Uint32(b[4:])) != t.size) {
+			b, err := t.expectGood(blockCDB(0x25, 0, 0), nil, 8)
+			if err == nil && (len(b) != 8 || uint64(binary.BigEndian.Uint32(b)) != min(t.blocks-1, 1<<32-1) || int(binary.BigEndian.Uint32(b[4:])) != t.blockSize) {
 				err = fmt.Errorf("%x", b)
 			}
 			return err
 		}},
 		{"SBC-3 PRE-FETCH", "PRE-FETCH is GOOD or CONDITION MET, beyond the end out of range", []byte{0x34, 0x90}, func(t *target) error {
 			for _, op := range []byte{0x34, 0x90} {
-				r, err := t.do(rw(op, 0, 8), nil, 0)
+				r, err := t.do(blockCDB(op, 0, 8), nil, 0)
 				if err == nil && r.Status != scsi.Good && r.Status != 0x04 {
-					err = errors.New(ending(r))
+					err = errors.New(describe(r))
 				}
-				if err = errors.Join(err, t.refused(scsi.LBAOutOfRange, rw(op, t.blocks, 1), nil, 0)); err != nil {
+				if err = errors.Join(err, t.expectSense(scsi.LBAOutOfRange, blockCDB(op, t.blocks, 1), nil, 0)); err != nil {
 					return err
 				}
 			}
 			return nil
 		}},
 		{"SBC-3 GET LBA STATUS", "GET LBA STATUS begins at the address and stays in the unit", nil, func(t *target) error {
-			if !t.offered[[2]byte{0x9e, 0x12}] {
+			if !t.supported[[2]byte{0x9e, 0x12}] {
 				return nil
 			}
-			cdb := rw(0x9e, 5, 64)
+			cdb := blockCDB(0x9e, 5, 64)
 			cdb[1] = 0x12
-			b, err := t.good(cdb, nil, 64)
+			b, err := t.expectGood(cdb, nil, 64)
 			if err != nil {
 				return err
 			}
@@ -458,205 +460,205 @@
 				return fmt.Errorf("%x", b)
 			}
 			binary.BigEndian.PutUint64(cdb[2:], t.blocks)
-			return t.refused(scsi.LBAOutOfRange, cdb, nil, 64)
+			return t.expectSense(scsi.LBAOutOfRange, cdb, nil, 64)
 		}},
 		{"SBC-3 READ CAPACITY (16)", "READ CAPACITY (16) is cut to the allocation length", nil, func(t *target) error {
-			b, err := t.good(capacity16(12), nil, 12)
+			b, err := t.expectGood(readCapacity16CDB(12), nil, 12)
 			if err == nil && len(b) != 12 {
 				err = fmt.Errorf("%d bytes", len(b))
 			}
 			return err
 		}},
 		{"SBC-3 COMPARE AND WRITE", "COMPARE AND WRITE writes where it matches", []byte{0x89}, func(t *target) error {
-			b, err := t.fill(9, 4)
+			b, err := t.writePattern(9, 4)
 			if err != nil {
 				return err
 			}
-			next := pattern(77, t.size)
-			if _, err := t.good(swap(1, 1), append(slices.Clone(b[t.size:2*t.size]), next...), 0); err != nil {
+			next := pattern(77, t.blockSize)
+			if _, err := t.expectGood(compareAndWriteCDB(1, 1), append(slices.Clone(b[t.blockSize:2*t.blockSize]), next...), 0); err != nil {
 				return err
 			}
-			copy(b[t.size:], next)
-			return t.holds(0, b)
+			copy(b[t.blockSize:], next)
+			return t.expectData(0, b)
 		}},
 		{"SBC-3 COMPARE AND WRITE", "COMPARE AND WRITE changes nothing where it does not", []byte{0x89}, func(t *target) error {
-			b, err := t.fill(10, 4)
+			b, err := t.writePattern(10, 4)
 			if err != nil {
 				return err
 			}
-			if err := t.refused(scsi.Miscompare, swap(1, 1), pattern(78, 2*t.size), 0); err != nil {
+			if err := t.expectSense(scsi.Miscompare, compareAndWriteCDB(1, 1), pattern(78, 2*t.blockSize), 0); err != nil {
 				return err
 			}
-			return t.holds(0, b)
+			return t.expectData(0, b)
 		}},
 		{"SBC-3 Block Limits page", "COMPARE AND WRITE up to the limit at every address", []byte{0x89}, func(t *target) error {
-			n := t.limits.compare
+			n := t.blockLimits.compareAndWrite
 			for lba := uint64(0); lba+uint64(n) <= OverwrittenBlocks; lba++ {
-				old, err := t.good(rw(0x88, lba, n), nil, int(n)*t.size)
+				old, err := t.expectGood(blockCDB(0x88, lba, n), nil, int(n)*t.blockSize)
 				if err != nil {
 					return err
 				}
-				if _, err := t.good(swap(lba, byte(n)), append(slices.Clone(old), old...), 0); err != nil {
+				if _, err := t.expectGood(compareAndWriteCDB(lba, byte(n)), append(slices.Clone(old), old...), 0); err != nil {
 					return err
 				}
 			}
 			return nil
 		}},
 		{"SBC-3 Block Limits page", "COMPARE AND WRITE above the limit is refused", []byte{0x89}, func(t *target) error {
-			n := t.limits.compare + 1
+			n := t.blockLimits.compareAndWrite + 1
 			if n > 255 {
 				return nil
 			}
-			return t.refused(scsi.InvalidField, swap(0, byte(n)), make([]byte, 2*int(n)*t.size), 0)
+			return t.expectSense(scsi.InvalidField, compareAndWriteCDB(0, byte(n)), make([]byte, 2*int(n)*t.blockSize), 0)
 		}},
 		{"SBC-3 UNMAP", "UNMAP of two runs reads as zeros where LBPRZ is set", []byte{0x42}, func(t *target) error {
-			b, err := t.fill(11, 16)
+			b, err := t.writePattern(11, 16)
 			if err != nil {
 				return err
 			}
-			cdb, out := unmapList([2]uint64{2, 3}, [2]uint64{8, 1})
-			if _, err := t.good(cdb, out, 0); err != nil {
+			cdb, out := unmapCDB([2]uint64{2, 3}, [2]uint64{8, 1})
+			if _, err := t.expectGood(cdb, out, 0); err != nil {
 				return err
 			}
-			c, err := t.good(capacity16(32), nil, 32)
+			c, err := t.expectGood(readCapacity16CDB(32), nil, 32)
 			if err != nil || len(c) < 15 || c[14]&0x40 == 0 {
 				return err
 			}
-			clear(b[2*t.size : 5*t.size])
-			clear(b[8*t.size : 9*t.size])
-			return t.holds(0, b)
+			clear(b[2*t.blockSize : 5*t.blockSize])
+			clear(b[8*t.blockSize : 9*t.blockSize])
+			return t.expectData(0, b)
 		}},
 		{"SBC-3 UNMAP", "UNMAP without runs is GOOD", []byte{0x42}, func(t *target) error {
-			cdb, out := unmapList()
-			_, err := t.good(cdb, out, 0)
+			cdb, out := unmapCDB()
+			_, err := t.expectGood(cdb, out, 0)
 			return err
 		}},
 		{"SBC-3 UNMAP", "UNMAP beyond the end is out of range", []byte{0x42}, func(t *target) error {
-			cdb, out := unmapList([2]uint64{t.blocks - 1, 2})
-			return t.refused(scsi.LBAOutOfRange, cdb, out, 0)
+			cdb, out := unmapCDB([2]uint64{t.blocks - 1, 2})
+			return t.expectSense(scsi.LBAOutOfRange, cdb, out, 0)
 		}},
 		{"SBC-3 UNMAP", "UNMAP with more runs than the limit is refused", []byte{0x42}, func(t *target) error {
-			if t.limits.unmapRuns == 0 || t.limits.unmapRuns > 1000 {
+			if t.blockLimits.unmapDescriptors == 0 || t.blockLimits.unmapDescriptors > 1000 {
 				return nil
 			}
-			cdb, out := unmapList(make([][2]uint64, t.limits.unmapRuns+1)...)
-			return t.refused(scsi.InvalidParameter, cdb, out, 0)
+			cdb, out := unmapCDB(make([][2]uint64, t.blockLimits.unmapDescriptors+1)...)
+			return t.expectSense(scsi.InvalidParameter, cdb, out, 0)
 		}},
 		{"SBC-3 UNMAP", "UNMAP with a list shorter than its head is refused", []byte{0x42}, func(t *target) error {
-			cdb, out := unmapList([2]uint64{0, 1})
+			cdb, out := unmapCDB([2]uint64{0, 1})
 			cdb[8] = 4
-			return t.refused(scsi.ParamLength, cdb, out[:4], 0)
+			return t.expectSense(scsi.ParamLength, cdb, out[:4], 0)
 		}},
 		{"SBC-3 WRITE SAME (16)", "WRITE SAME with UNMAP reads as zeros", []byte{0x93}, func(t *target) error {
-			if _, err := t.fill(12, 4); err != nil {
+			if _, err := t.writePattern(12, 4); err != nil {
 				return err
 			}
-			if _, err := t.good(flagged(rw(0x93, 0, 4), 8), make([]byte, t.size), 0); err != nil {
+			if _, err := t.expectGood(withFlags(blockCDB(0x93, 0, 4), 8), make([]byte, t.blockSize), 0); err != nil {
 				return err
 			}
-			return t.holds(0, make([]byte, 4*t.size))
+			return t.expectData(0, make([]byte, 4*t.blockSize))
 		}},
 	}
 }
 
-// transport are the checks of iSCSI itself (RFC 7143).
-func transport() (out []check) {
+// transportChecks are the checks of iSCSI itself (RFC 7143).
+func transportChecks() (out []check) {
 	const clause = "RFC 7143 11.4.5"
 	for _, op := range []byte{0x28, 0xa8, 0x88} {
-		out = append(out, check{clause, names[op] + ": residual underflow where more is expected", []byte{op}, func(t *target) error {
-			return t.residual(rw(op, 0, 1), nil, t.size+100, 100, true)
-		}}, check{clause, names[op] + ": residual overflow where less is expected", []byte{op}, func(t *target) error {
-			return t.residual(rw(op, 0, 2), nil, t.size, t.size, false)
+		out = append(out, check{clause, opNames[op] + ": residual underflow where more is expected", []byte{op}, func(t *target) error {
+			return t.expectResidual(blockCDB(op, 0, 1), nil, t.blockSize+100, 100, true)
+		}}, check{clause, opNames[op] + ": residual overflow where less is expected", []byte{op}, func(t *target) error {
+			return t.expectResidual(blockCDB(op, 0, 2), nil, t.blockSize, t.blockSize, false)
 		}})
 	}
 	for _, op := range []byte{0x2a, 0xaa, 0x8a} {
-		out = append(out, check{clause, names[op] + ": residual underflow, and the CDB's blocks are written", []byte{op}, func(t *target) error {
-			old, err := t.fill(13, 4)
+		out = append(out, check{clause, opNames[op] + ": residual underflow, and the CDB's blocks are written", []byte{op}, func(t *target) error {
+			old, err := t.writePattern(13, 4)
 			if err != nil {
 				return err
 			}
-			b := pattern(op, t.size+100)
-			if err := t.residual(rw(op, 1, 1), b, 0, 100, true); err != nil {
+			b := pattern(op, t.blockSize+100)
+			if err := t.expectResidual(blockCDB(op, 1, 1), b, 0, 100, true); err != nil {
 				return err
 			}
-			copy(old[t.size:2*t.size], b)
-			return t.holds(0, old)
-		}}, check{clause, names[op] + ": residual overflow, and no more than came is written", []byte{op}, func(t *target) error {
-			old, err := t.fill(14, 4)
+			copy(old[t.blockSize:2*t.blockSize], b)
+			return t.expectData(0, old)
+		}}, check{clause, opNames[op] + ": residual overflow, and no more than came is written", []byte{op}, func(t *target) error {
+			old, err := t.writePattern(14, 4)
 			if err != nil {
 				return err
 			}
-			b := pattern(op, t.size)
-			if err := t.residual(rw(op, 1, 2), b, 0, t.size, false); err != nil {
+			b := pattern(op, t.blockSize)
+			if err := t.expectResidual(blockCDB(op, 1, 2), b, 0, t.blockSize, false); err != nil {
 				return err
 			}
-			copy(old[t.size:], b)
-			return t.holds(0, old)
-		}}, check{clause, names[op] + ": no data at all is an overflow, and nothing is written", []byte{op}, func(t *target) error {
-			old, err := t.fill(15, 4)
+			copy(old[t.blockSize:], b)
+			return t.expectData(0, old)
+		}}, check{clause, opNames[op] + ": no data at all is an overflow, and nothing is written", []byte{op}, func(t *target) error {
+			old, err := t.writePattern(15, 4)
 			if err != nil {
 				return err
 			}
-			if err := t.residual(rw(op, 1, 1), nil, 0, t.size, false); err != nil {
+			if err := t.expectResidual(blockCDB(op, 1, 1), nil, 0, t.blockSize, false); err != nil {
 				return err
 			}
-			return t.holds(0, old)
+			return t.expectData(0, old)
 		}})
 	}
 	return append(out,
 		check{"RFC 7143 sequence errors", "a gap in DataSN costs the command, not the session", []byte{0x8a}, func(t *target) error {
-			old, err := t.fill(16, OverwrittenBlocks)
+			old, err := t.writePattern(16, OverwrittenBlocks)
 			if err != nil {
 				return err
 			}
-			r, err := t.s.DoAt(t.ctx, 0, rw(0x8a, 0, OverwrittenBlocks), pattern(99, OverwrittenBlocks*t.size), 0, 3)
+			r, err := t.session.DoAt(t.ctx, 0, blockCDB(0x8a, 0, OverwrittenBlocks), pattern(99, OverwrittenBlocks*t.blockSize), 0, 3)
 			if err != nil {
 				return err
 			}
 			if r.Status != scsi.CheckCondition {
-				return errors.New(ending(r))
+				return errors.New(describe(r))
 			}
-			return t.holds(0, old)
+			return t.expectData(0, old)
 		}},
 		check{"SAM-5 incorrect logical unit", "a unit that is not there is refused, INQUIRY says so", nil, func(t *target) error {
-			r, err := t.s.DoAt(t.ctx, 7<<48, inquiry(0, 0, 36), nil, 36, 0)
+			r, err := t.session.DoAt(t.ctx, 7<<48, inquiryCDB(0, 0, 36), nil, 36, 0)
 			if err != nil {
 				return err
 			}
 			if r.Status != scsi.Good || len(r.Data) < 1 || r.Data[0]>>5 == 0 {
-				return fmt.Errorf("INQUIRY: %s, %x", ending(r), r.Data)
+				return fmt.Errorf("INQUIRY: %s, %x", describe(r), r.Data)
 			}
-			if r, err = t.s.DoAt(t.ctx, 7<<48, tur(), nil, 0, 0); err != nil {
+			if r, err = t.session.DoAt(t.ctx, 7<<48, testUnitReadyCDB(), nil, 0, 0); err != nil {
 				return err
 			}
 			if s, _ := scsi.ParseSense(r.Sense); s != scsi.NoSuchLUN {
-				return errors.New(ending(r))
+				return errors.New(describe(r))
 			}
 			return nil
 		}},
-		check{"RFC 7143 11.6", "an unknown task management function is answered so", nil, func(t *target) error { return t.manage(iscsi.TaskFunction(77), 5) }},
-		check{"RFC 7143 11.6", "LOGICAL UNIT RESET is answered", nil, func(t *target) error { return t.manage(iscsi.LUNReset, 0) }},
-		check{"RFC 7143 11.6", "TASK REASSIGN is refused at recovery level 0", nil, func(t *target) error { return t.manage(iscsi.TaskReassign, 4) }},
-		check{"RFC 7143 4.2.2.1", "a thousand writes at once end GOOD", []byte{0x8a}, thousand},
-		check{"RFC 7143 11.6", "every abort is answered, whatever it meets", []byte{0x8a}, aborts},
+		check{"RFC 7143 11.6", "an unknown task management function is answered so", nil, func(t *target) error { return t.expectTaskResponse(iscsi.TaskFunction(77), 5) }},
+		check{"RFC 7143 11.6", "LOGICAL UNIT RESET is answered", nil, func(t *target) error { return t.expectTaskResponse(iscsi.LUNReset, 0) }},
+		check{"RFC 7143 11.6", "TASK REASSIGN is refused at recovery level 0", nil, func(t *target) error { return t.expectTaskResponse(iscsi.TaskReassign, 4) }},
+		check{"RFC 7143 4.2.2.1", "a thousand writes at once end GOOD", []byte{0x8a}, checkManyWrites},
+		check{"RFC 7143 11.6", "every abort is answered, whatever it meets", []byte{0x8a}, checkAborts},
 	)
 }
 
-// residual asks for GOOD with that residual.
-func (t *target) residual(cdb, out []byte, in, want int, under bool) error {
+// expectResidual asks for GOOD with that expectResidual.
+func (t *target) expectResidual(cdb, out []byte, in, want int, under bool) error {
 	r, err := t.do(cdb, out, in)
 	if err != nil {
 		return err
 	}
 	if r.Status != scsi.Good || r.Underflow != under || r.Overflow == under || int(r.Residual) != want {
-		return fmt.Errorf("%s, residual %d, underflow %v, overflow %v; want %d", ending(r), r.Residual, r.Underflow, r.Overflow, want)
+		return fmt.Errorf("%s, residual %d, underflow %v, overflow %v; want %d", describe(r), r.Residual, r.Underflow, r.Overflow, want)
 	}
 	return nil
 }
 
-func (t *target) manage(f iscsi.TaskFunction, want byte) error {
+func (t *target) expectTaskResponse(f iscsi.TaskFunction, want byte) error {
 	got := make(chan error, 1)
-	t.s.Manage(f, func(code byte, err error) {
+	t.session.Manage(f, func(code byte, err error) {
 		if err == nil && code != want {
 			err = fmt.Errorf("response %d, want %d", code, want)
 		}
@@ -670,16 +672,16 @@
 	}
 }
 
-// thousand submits more than any window holds; the initiator keeps to the window that
+// checkManyWrites submits more than any window holds; the initiator keeps to the window that
 // it is told, so there is no ground to refuse one.
-func thousand(t *target) error {
+func checkManyWrites(t *target) error {
 	const n = 1000
 	got := make(chan error, n)
 	for i := range n {
 		lba := uint64(i % OverwrittenBlocks)
-		t.s.Submit(0, rw(0x8a, lba, 1), pattern(byte(i), t.size), 0, func(r iscsi.Result, err error) {
+		t.session.Submit(0, blockCDB(0x8a, lba, 1), pattern(byte(i), t.blockSize), 0, func(r iscsi.Result, err error) {
 			if err == nil && r.Status != scsi.Good {
-				err = errors.New(ending(r))
+				err = errors.New(describe(r))
 			}
 			got <- err
 		})
@@ -704,12 +706,12 @@
 	return nil
 }
 
-func aborts(t *target) error {
+func checkAborts(t *target) error {
 	const n = 64
 	done := make(chan byte, n)
 	for i := range n {
-		h := t.s.Submit(0, rw(0x8a, uint64(i), 1), pattern(byte(i), t.size), 0, func(iscsi.Result, error) {})
-		if !t.s.Abort(h, func(code byte) { done <- code }) {
+		h := t.session.Submit(0, blockCDB(0x8a, uint64(i), 1), pattern(byte(i), t.blockSize), 0, func(iscsi.Result, error) {})
+		if !t.session.Abort(h, func(code byte) { done <- code }) {
 			done <- 0 // it never went out
 		}
 	}
--- a/internal/verify/rules/rules_test.go
+++ b/internal/verify/rules/rules_test.go
@@ -17,8 +17,8 @@
 
 const ms = 1000 // us
 
-// tape builds a trail by hand. Times are in ms.
-type tape struct {
+// trailBuilder builds a trail by hand. Times are in ms.
+type trailBuilder struct {
 	meta   *trail.Meta
 	events []trail.Event
 }
@@ -32,17 +32,17 @@
 )
 
 // Volumes of the example: 0 is basico on one host; 1 is normal; 3 is basico.
-func newTape() *tape {
+func newBuilder() *trailBuilder {
 	s := settings.Example(1, 3)
 	for i := range s.Volumes {
 		s.Volumes[i].Layout = []int{0}
 	}
-	return &tape{meta: &trail.Meta{Settings: s, Servers: map[string]trail.Server{
+	return &trailBuilder{meta: &trail.Meta{Settings: s, Servers: map[string]trail.Server{
 		nodeA: {Name: "a", Shard: 0, Zone: "x", Rate: 100}, nodeB: {Name: "b", Shard: 0, Zone: "x", Rate: 100},
 		nodeC: {Name: "c", Shard: 1, Zone: "y", Rate: 100}}}}
 }
 
-func (t *tape) add(at float64, e trail.Event) *trail.Event {
+func (t *trailBuilder) add(at float64, e trail.Event) *trail.Event {
 	e.Time = int64(at * ms)
 	if e.Host == "" {
 		e.Host = host
@@ -51,33 +51,33 @@
 	return &t.events[len(t.events)-1]
 }
 
-func (t *tape) login(at float64, conn uint32, volume int) {
+func (t *trailBuilder) login(at float64, conn uint32, volume int) {
 	t.add(at, trail.Event{Link: trail.LinkClient, Conn: conn, Dir: trail.Down, Kind: trail.Login, Session: conn, Volume: t.meta.Settings.Volumes[volume].Name})
 }
 
-func (t *tape) command(at float64, conn, tag uint32, op scsi.Op, lba uint64, blocks uint32) {
+func (t *trailBuilder) command(at float64, conn, tag uint32, op scsi.Op, lba uint64, blocks uint32) {
 	n := blocks * 4096
 	t.add(at, trail.Event{Link: trail.LinkClient, Conn: conn, Dir: trail.Up, Kind: trail.Command, Session: conn, Tag: tag,
 		Op: op.String(), LBA: lba, Blocks: blocks, Length: n, Advice: n})
 }
 
-func (t *tape) status(at float64, conn, tag uint32, status byte) {
+func (t *trailBuilder) status(at float64, conn, tag uint32, status byte) {
 	t.add(at, trail.Event{Link: trail.LinkClient, Conn: conn, Dir: trail.Down, Kind: trail.Status, Session: conn, Tag: tag, Status: int32(status)})
 }
 
-// do is attempt n of request seq, part of conn's command tag; its deadline is so
+// attempt is attempt n of request seq, part of conn's command tag; its deadline is so
 // many ms later.
-func (t *tape) do(at float64, node string, dtag uint32, seq uint64, n uint32, conn, tag uint32, volume int, deadline float64) {
+func (t *trailBuilder) attempt(at float64, node string, dtag uint32, seq uint64, n uint32, conn, tag uint32, volume int, deadline float64) {
 	v := t.meta.Settings.Volumes[volume]
 	t.add(at, trail.Event{Link: trail.LinkDisk, Conn: 900, Peer: node, HostID: hostID, Dir: trail.Up, Kind: trail.Do, Tag: dtag, Seq: seq,
 		Attempt: n, Session: conn, RefTag: tag, Volume: v.Name, Key: v.Name + "/0", Units: 1, Deadline: int64((at + deadline) * ms)})
 }
 
-func (t *tape) answer(at float64, node string, dtag uint32, r diskproto.Result) {
+func (t *trailBuilder) answer(at float64, node string, dtag uint32, r diskproto.Result) {
 	t.add(at, trail.Event{Link: trail.LinkDisk, Conn: 900, Peer: node, HostID: hostID, Dir: trail.Down, Kind: trail.Answer, Tag: dtag, Status: int32(r)})
 }
 
-func (t *tape) list(at float64, kind string, nodes ...inventory.Node) {
+func (t *trailBuilder) list(at float64, kind string, nodes ...inventory.Node) {
 	l := inventory.List{Kind: kind, Generation: 1, Nodes: nodes}
 	t.add(at, trail.Event{Link: trail.LinkInventory, Conn: 901, Dir: trail.Down, Kind: trail.List, Detail: strings.TrimSpace(string(inventory.Line(l)))})
 }
@@ -86,53 +86,53 @@
 	return inventory.Node{Addr: addr, Health: health, Shard: shard, Incarnation: 1, AgeMS: age}
 }
 
-func (t *tape) check() *rules.Checker {
+func (t *trailBuilder) check() *rules.Checker {
 	slices.SortStableFunc(t.events, func(a, b trail.Event) int { return int(a.Time - b.Time) })
 	return rules.Check(t.meta, t.events)
 }
 
-// good is a trail on which every rule has something to check, and holds.
-func good() *tape {
-	t := newTape()
+// validTrail is a trail on which every rule has something to check, and holds.
+func validTrail() *trailBuilder {
+	t := newBuilder()
 	t.list(0, inventory.Full, node(nodeA, inventory.Ready, 0, 0), node(nodeC, inventory.Ready, 1, 500))
 	t.login(1, 1, 0) // basico: limited, claim-write is ordered
 	t.login(1, 2, 1) // normal: txn-write is keyed
 	// A read that is served.
 	t.command(10, 1, 1, scsi.Read, 0, 1)
-	t.do(11, nodeA, 1, 1, 0, 1, 1, 0, 1900)
+	t.attempt(11, nodeA, 1, 1, 0, 1, 1, 0, 1900)
 	t.answer(20, nodeA, 1, diskproto.OK)
 	t.status(21, 1, 1, scsi.Good)
 	// Two ordered writes of one key, one after the other.
 	t.command(30, 1, 2, scsi.Write, 0, 1)
 	t.command(31, 1, 3, scsi.Write, 0, 1)
-	t.do(32, nodeA, 2, 2, 0, 1, 2, 0, 1000)
+	t.attempt(32, nodeA, 2, 2, 0, 1, 2, 0, 1000)
 	t.answer(40, nodeA, 2, diskproto.OK)
 	t.status(41, 1, 2, scsi.Good)
-	t.do(42, nodeA, 3, 3, 0, 1, 3, 0, 1000)
+	t.attempt(42, nodeA, 3, 3, 0, 1, 3, 0, 1000)
 	t.answer(50, nodeA, 3, diskproto.OK)
 	t.status(51, 1, 3, scsi.Good)
 	// A keyed write whose first attempt is lost in time and repeated in the window.
 	t.command(60, 2, 1, scsi.Write, 0, 1)
-	t.do(61, nodeA, 4, 4, 0, 2, 1, 1, 700)
-	t.do(800, nodeA, 5, 4, 1, 2, 1, 1, 700)
+	t.attempt(61, nodeA, 4, 4, 0, 2, 1, 1, 700)
+	t.attempt(800, nodeA, 5, 4, 1, 2, 1, 1, 700)
 	t.answer(810, nodeA, 5, diskproto.OK)
 	t.status(811, 2, 1, scsi.Good)
 	// A cold node gets a little.
 	t.command(820, 2, 2, scsi.Read, 0, 1)
-	t.do(821, nodeC, 6, 5, 0, 2, 2, 1, 1900)
+	t.attempt(821, nodeC, 6, 5, 0, 2, 2, 1, 1900)
 	t.answer(830, nodeC, 6, diskproto.OK)
 	t.status(831, 2, 2, scsi.Good)
 	// A drain, with one send inside the grace.
 	t.list(900, inventory.Delta, node(nodeA, inventory.Draining, 0, 0), node(nodeB, inventory.Ready, 0, 0))
 	t.command(910, 2, 3, scsi.Read, 0, 1)
-	t.do(911, nodeA, 7, 6, 0, 2, 3, 1, 1900)
+	t.attempt(911, nodeA, 7, 6, 0, 2, 3, 1, 1900)
 	t.answer(920, nodeA, 7, diskproto.OK)
 	t.status(921, 2, 3, scsi.Good)
 	return t
 }
 
 func TestGoodTrailHolds(t *testing.T) {
-	c := good().check()
+	c := validTrail().check()
 	for _, b := range c.Violations {
 		t.Error(b)
 	}
@@ -151,138 +151,138 @@
 	cases := []struct {
 		name  string
 		rule  rules.Rule
-		spoil func(t *tape)
+		spoil func(t *trailBuilder)
 	}{
-		{"an answer is left out", rules.Answers, func(t *tape) {
+		{"an answer is left out", rules.Answers, func(t *trailBuilder) {
 			t.drop(func(e *trail.Event) bool { return e.Kind == trail.Status && e.Time == 921*ms })
 			t.add(9000, trail.Event{Link: trail.LinkInventory, Conn: 901, Kind: trail.Open})
 		}},
-		{"a second answer", rules.Answers, func(t *tape) { t.status(25, 1, 1, scsi.Good) }},
-		{"an answer after the client's time", rules.Answers, func(t *tape) {
+		{"a second answer", rules.Answers, func(t *trailBuilder) { t.status(25, 1, 1, scsi.Good) }},
+		{"an answer after the client's time", rules.Answers, func(t *trailBuilder) {
 			t.command(1000, 2, 50, scsi.Read, 0, 1)
 			t.status(1000+2000+101, 2, 50, scsi.Busy)
 		}},
-		{"sent after the final answer", rules.Answers, func(t *tape) { t.do(100, nodeA, 60, 1, 1, 1, 1, 0, 1900) }},
-		{"sent for a command that never was", rules.Answers, func(t *tape) { t.do(100, nodeA, 60, 600, 0, 1, 99, 0, 1900) }},
-		{"the host hangs up on a client", rules.Answers, func(t *tape) {
+		{"sent after the final answer", rules.Answers, func(t *trailBuilder) { t.attempt(100, nodeA, 60, 1, 1, 1, 1, 0, 1900) }},
+		{"sent for a command that never was", rules.Answers, func(t *trailBuilder) { t.attempt(100, nodeA, 60, 600, 0, 1, 99, 0, 1900) }},
+		{"the host hangs up on a client", rules.Answers, func(t *trailBuilder) {
 			t.command(1000, 2, 50, scsi.Read, 0, 1)
 			t.add(1010, trail.Event{Link: trail.LinkClient, Conn: 2, Dir: trail.Down, Kind: trail.Close, Session: 2})
 		}},
-		{"unsafe sent twice", rules.Effects, func(t *tape) {
+		{"unsafe sent twice", rules.Effects, func(t *trailBuilder) {
 			t.command(1000, 2, 50, scsi.CompareAndWrite, 0, 1)
-			t.do(1001, nodeB, 60, 60, 0, 2, 50, 1, 300)
-			t.do(1400, nodeB, 61, 60, 1, 2, 50, 1, 300)
+			t.attempt(1001, nodeB, 60, 60, 0, 2, 50, 1, 300)
+			t.attempt(1400, nodeB, 61, 60, 1, 2, 50, 1, 300)
 			t.answer(1410, nodeB, 61, diskproto.OK)
 			t.status(1420, 2, 50, scsi.Good)
 		}},
-		{"unsafe refused though it may have run", rules.Effects, func(t *tape) {
+		{"unsafe refused though it may have run", rules.Effects, func(t *trailBuilder) {
 			t.command(1000, 2, 50, scsi.CompareAndWrite, 0, 1)
-			t.do(1001, nodeB, 60, 60, 0, 2, 50, 1, 300)
+			t.attempt(1001, nodeB, 60, 60, 0, 2, 50, 1, 300)
 			t.status(1420, 2, 50, scsi.Busy)
 		}},
-		{"keyed refused though it may have run", rules.Effects, func(t *tape) {
+		{"keyed refused though it may have run", rules.Effects, func(t *trailBuilder) {
 			t.command(1000, 2, 50, scsi.Write, 0, 1)
-			t.do(1001, nodeB, 60, 60, 0, 2, 50, 1, 300)
+			t.attempt(1001, nodeB, 60, 60, 0, 2, 50, 1, 300)
 			t.answer(1100, nodeB, 60, diskproto.Failed)
 			t.status(1420, 2, 50, scsi.Busy)
 		}},
-		{"keyed repeated after its window", rules.Effects, func(t *tape) {
+		{"keyed repeated after its window", rules.Effects, func(t *trailBuilder) {
 			t.meta.Settings.Classes[1].Window = 700
 		}},
-		{"keyed repeated in another cell", rules.Effects, func(t *tape) {
+		{"keyed repeated in another cell", rules.Effects, func(t *trailBuilder) {
 			for i := range t.events {
 				if e := &t.events[i]; e.Kind == trail.Do && e.Time == 800*ms {
 					e.Peer = nodeC
 				}
 			}
 		}},
-		{"two attempts at once", rules.Effects, func(t *tape) {
+		{"two attempts at once", rules.Effects, func(t *trailBuilder) {
 			t.command(1000, 2, 50, scsi.Read, 0, 1)
-			t.do(1001, nodeB, 60, 60, 0, 2, 50, 1, 1900)
-			t.do(1100, nodeB, 61, 60, 1, 2, 50, 1, 1900)
+			t.attempt(1001, nodeB, 60, 60, 0, 2, 50, 1, 1900)
+			t.attempt(1100, nodeB, 61, 60, 1, 2, 50, 1, 1900)
 			t.answer(1110, nodeB, 61, diskproto.OK)
 			t.status(1120, 2, 50, scsi.Good)
 		}},
-		{"an abort answered too early", rules.Effects, func(t *tape) {
+		{"an abort answered too early", rules.Effects, func(t *trailBuilder) {
 			t.command(1000, 2, 50, scsi.Write, 0, 1)
-			t.do(1001, nodeB, 60, 60, 0, 2, 50, 1, 3000)
+			t.attempt(1001, nodeB, 60, 60, 0, 2, 50, 1, 3000)
 			t.add(1100, trail.Event{Link: trail.LinkClient, Conn: 2, Dir: trail.Up, Kind: trail.TaskRequest, Session: 2, Tag: 51, RefTag: 50, Status: 1})
 			t.add(1101, trail.Event{Link: trail.LinkClient, Conn: 2, Dir: trail.Down, Kind: trail.TaskResponse, Session: 2, Tag: 51})
 		}},
-		{"sent to a draining node", rules.Drains, func(t *tape) {
+		{"sent to a draining node", rules.Drains, func(t *trailBuilder) {
 			t.command(1500, 2, 50, scsi.Read, 0, 1)
-			t.do(1501, nodeA, 60, 60, 0, 2, 50, 1, 1900)
+			t.attempt(1501, nodeA, 60, 60, 0, 2, 50, 1, 1900)
 			t.answer(1510, nodeA, 60, diskproto.OK)
 			t.status(1520, 2, 50, scsi.Good)
 		}},
-		{"sent to a node that left the list", rules.Drains, func(t *tape) {
+		{"sent to a node that left the list", rules.Drains, func(t *trailBuilder) {
 			t.list(1000, inventory.Full, node(nodeB, inventory.Ready, 0, 0))
 			t.command(1800, 2, 50, scsi.Read, 0, 1)
-			t.do(1801, nodeC, 60, 60, 0, 2, 50, 1, 1900)
+			t.attempt(1801, nodeC, 60, 60, 0, 2, 50, 1, 1900)
 			t.answer(1810, nodeC, 60, diskproto.OK)
 			t.status(1820, 2, 50, scsi.Good)
 		}},
-		{"a cold node pushed", rules.Cold, func(t *tape) {
+		{"a cold node pushed", rules.Cold, func(t *trailBuilder) {
 			// At 0.83 s after a start at -0.5 s it does a third of 100 units a second;
 			// twice that for 1.5 s is borne, some 100 units.
 			for i := range uint32(30) {
 				at := 1000 + float64(i)
 				t.command(at, 2, 50+i, scsi.Read, 0, 1)
-				t.do(at, nodeC, 60+i, uint64(60+i), 0, 2, 50+i, 1, 6)
+				t.attempt(at, nodeC, 60+i, uint64(60+i), 0, 2, 50+i, 1, 6)
 				t.answer(at+100, nodeC, 60+i, diskproto.OK)
 				t.status(at+110, 2, 50+i, scsi.Good)
 				t.events[len(t.events)-3].Units = 6
 			}
 		}},
-		{"a server says that it was pushed over", rules.Cold, func(t *tape) {
+		{"a server says that it was pushed over", rules.Cold, func(t *trailBuilder) {
 			t.add(1000, trail.Event{Link: trail.LinkDisk, Conn: 900, Peer: nodeC, Dir: trail.Down, Kind: trail.Bye, Status: 1})
 		}},
-		{"a limit passed", rules.Limits, func(t *tape) {
+		{"a limit passed", rules.Limits, func(t *trailBuilder) {
 			for i := range uint32(40) { // 48 units are stored, 40 a second fill, 10 are slack
 				at := 1000 + float64(i)
 				t.command(at, 1, 50+i, scsi.Read, 0, 1)
-				t.do(at, nodeB, 60+i, uint64(60+i), 0, 1, 50+i, 0, 2)
+				t.attempt(at, nodeB, 60+i, uint64(60+i), 0, 1, 50+i, 0, 2)
 				t.events[len(t.events)-1].Units = 2
 				t.answer(at+100, nodeB, 60+i, diskproto.OK)
 				t.status(at+110, 1, 50+i, scsi.Good)
 			}
 		}},
-		{"two of a key at once", rules.Order, func(t *tape) {
+		{"two of a key at once", rules.Order, func(t *trailBuilder) {
 			t.command(1000, 1, 50, scsi.Write, 0, 1)
 			t.command(1001, 1, 51, scsi.Write, 0, 1)
-			t.do(1002, nodeB, 60, 60, 0, 1, 50, 0, 900)
-			t.do(1003, nodeB, 61, 61, 0, 1, 51, 0, 900)
+			t.attempt(1002, nodeB, 60, 60, 0, 1, 50, 0, 900)
+			t.attempt(1003, nodeB, 61, 61, 0, 1, 51, 0, 900)
 			t.answer(1010, nodeB, 60, diskproto.OK)
 			t.answer(1011, nodeB, 61, diskproto.OK)
 			t.status(1020, 1, 50, scsi.Good)
 			t.status(1021, 1, 51, scsi.Good)
 		}},
-		{"a key's requests in the wrong order", rules.Order, func(t *tape) {
+		{"a key's requests in the wrong order", rules.Order, func(t *trailBuilder) {
 			t.command(1000, 1, 50, scsi.Write, 0, 1)
 			t.command(1001, 1, 51, scsi.Write, 0, 1)
-			t.do(1003, nodeB, 61, 61, 0, 1, 51, 0, 900)
+			t.attempt(1003, nodeB, 61, 61, 0, 1, 51, 0, 900)
 			t.answer(1011, nodeB, 61, diskproto.OK)
 			t.status(1021, 1, 51, scsi.Good)
-			t.do(1030, nodeB, 60, 60, 0, 1, 50, 0, 900)
+			t.attempt(1030, nodeB, 60, 60, 0, 1, 50, 0, 900)
 			t.answer(1040, nodeB, 60, diskproto.OK)
 			t.status(1041, 1, 50, scsi.Good)
 		}},
-		{"a key that did not rest", rules.Order, func(t *tape) {
+		{"a key that did not rest", rules.Order, func(t *trailBuilder) {
 			t.command(1000, 1, 50, scsi.Write, 0, 1)
 			t.command(1001, 1, 51, scsi.Write, 0, 1)
-			t.do(1002, nodeB, 60, 60, 0, 1, 50, 0, 300)
+			t.attempt(1002, nodeB, 60, 60, 0, 1, 50, 0, 300)
 			t.status(1310, 1, 50, scsi.CheckCondition)
-			t.do(1400, nodeB, 61, 61, 0, 1, 51, 0, 300)
+			t.attempt(1400, nodeB, 61, 61, 0, 1, 51, 0, 300)
 			t.answer(1411, nodeB, 61, diskproto.OK)
 			t.status(1421, 1, 51, scsi.Good)
 		}},
-		{"more resends than the budget", rules.Budget, func(t *tape) {
+		{"more resends than the budget", rules.Budget, func(t *trailBuilder) {
 			for i := range uint32(12) {
 				at := 1000 + 10*float64(i)
 				t.command(at, 2, 50+i, scsi.Read, 0, 1)
-				t.do(at+1, nodeB, 60+2*i, uint64(60+i), 0, 2, 50+i, 1, 1900)
+				t.attempt(at+1, nodeB, 60+2*i, uint64(60+i), 0, 2, 50+i, 1, 1900)
 				t.answer(at+2, nodeB, 60+2*i, diskproto.Failed)
-				t.do(at+3, nodeB, 61+2*i, uint64(60+i), 1, 2, 50+i, 1, 1900)
+				t.attempt(at+3, nodeB, 61+2*i, uint64(60+i), 1, 2, 50+i, 1, 1900)
 				t.answer(at+4, nodeB, 61+2*i, diskproto.OK)
 				t.status(at+5, 2, 50+i, scsi.Good)
 			}
@@ -291,7 +291,7 @@
 	seen := map[rules.Rule]bool{}
 	for _, k := range cases {
 		t.Run(k.name, func(t *testing.T) {
-			tp := good()
+			tp := validTrail()
 			k.spoil(tp)
 			c := tp.check()
 			if c.OK() {
@@ -315,12 +315,12 @@
 	}
 }
 
-func (t *tape) drop(which func(*trail.Event) bool) {
+func (t *trailBuilder) drop(which func(*trail.Event) bool) {
 	t.events = slices.DeleteFunc(t.events, func(e trail.Event) bool { return which(&e) })
 }
 
 func TestDyingHostOwesNothing(t *testing.T) {
-	tp := good()
+	tp := validTrail()
 	tp.command(1000, 2, 50, scsi.Read, 0, 1)
 	tp.add(1010, trail.Event{Link: trail.LinkClient, Conn: 2, Dir: trail.Down, Kind: trail.Close, Session: 2})
 	tp.add(1011, trail.Event{Link: trail.LinkInventory, Conn: 901, Dir: trail.Up, Kind: trail.Close})
@@ -331,7 +331,7 @@
 }
 
 func TestFileRoundTrip(t *testing.T) {
-	tp := good()
+	tp := validTrail()
 	want := tp.check()
 	file := filepath.Join(t.TempDir(), "t.parquet")
 	if err := trail.Write(file, tp.meta, tp.events); err != nil {
--- a/internal/verify/rules/table.go
+++ b/internal/verify/rules/table.go
@@ -28,7 +28,7 @@
 // ValueSum is worth asked for and served.
 type ValueSum struct{ Offered, Served float64 }
 
-func (s ValueSum) part() float64 {
+func (s ValueSum) goodput() float64 {
 	if s.Offered == 0 {
 		return 0
 	}
@@ -45,52 +45,52 @@
 	Latency                                                *hdrhistogram.Histogram
 }
 
-func newTable() *Stats {
+func newStats() *Stats {
 	return &Stats{ByClass: map[ClassPlan]*ClassStats{}, PerSecond: map[int64]*ValueSum{}}
 }
 
-const longest = 600_000_000 // us that a histogram holds
+const maxLatency = 600_000_000 // us that a histogram holds
 
-func (t *Stats) row(cmd *command) *ClassStats {
+func (t *Stats) classStats(cmd *command) *ClassStats {
 	k := ClassPlan{cmd.class.Name, cmd.plan}
 	r := t.ByClass[k]
 	if r == nil {
-		r = &ClassStats{Latency: hdrhistogram.New(1, longest, 3)}
+		r = &ClassStats{Latency: hdrhistogram.New(1, maxLatency, 3)}
 		t.ByClass[k] = r
 	}
 	return r
 }
 
-func (t *Stats) asked(cmd *command) {
+func (t *Stats) recordIssued(cmd *command) {
 	if cmd.class == nil {
 		return
 	}
 	t.Commands++
-	r := t.row(cmd)
+	r := t.classStats(cmd)
 	r.Issued++
 	r.OfferedValue += cmd.class.Worth
-	t.second(cmd).Offered += cmd.class.Worth
+	t.secondOf(cmd).Offered += cmd.class.Worth
 }
 
-func (t *Stats) second(cmd *command) *ValueSum {
-	at := cmd.at / 1e6
+func (t *Stats) secondOf(cmd *command) *ValueSum {
+	at := cmd.issuedAt / 1e6
 	if t.PerSecond[at] == nil {
 		t.PerSecond[at] = &ValueSum{}
 	}
 	return t.PerSecond[at]
 }
 
-func (t *Stats) answered(cmd *command, e *trail.Event) {
+func (t *Stats) recordAnswer(cmd *command, e *trail.Event) {
 	t.Finished++
-	r := t.row(cmd)
-	took := e.Time - cmd.at
+	r := t.classStats(cmd)
+	took := e.Time - cmd.issuedAt
 	if t.OnAnswer != nil {
-		t.OnAnswer(cmd.at, took, e.Status == int32(scsi.Good))
+		t.OnAnswer(cmd.issuedAt, took, e.Status == int32(scsi.Good))
 	}
 	miscompare := e.Sense>>16 == uint32(scsi.Miscompare.Key) && e.Status == int32(scsi.CheckCondition)
 	switch {
 	case e.Status == int32(scsi.Good) || miscompare:
-		r.Latency.RecordValue(min(max(took, 1), longest)) // in range by the line itself
+		r.Latency.RecordValue(min(max(took, 1), maxLatency)) // in range by the line itself
 		worth := cmd.class.Worth
 		if float64(took) <= cmd.class.Aim*1000 {
 			r.WithinTarget++
@@ -99,7 +99,7 @@
 			worth *= cmd.class.LateWorth
 		}
 		r.ServedValue += worth
-		t.second(cmd).Served += worth
+		t.secondOf(cmd).Served += worth
 	case e.Status == int32(scsi.Busy):
 		r.Refused++
 	default:
@@ -107,13 +107,13 @@
 	}
 }
 
-func (t *Stats) gaveUp(cmd *command) {
+func (t *Stats) recordAbandoned(cmd *command) {
 	t.Finished++
-	t.row(cmd).Abandoned++
+	t.classStats(cmd).Abandoned++
 }
 
-// keys lists the rows by class and plan.
-func (t *Stats) keys() []ClassPlan {
+// sortedKeys lists the rows by class and plan.
+func (t *Stats) sortedKeys() []ClassPlan {
 	return slices.SortedFunc(maps.Keys(t.ByClass), func(a, b ClassPlan) int {
 		return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Plan, b.Plan))
 	})
@@ -125,16 +125,16 @@
 // GoodputWithUnseen counts more worth as asked for than the sockets show.
 func (t *Stats) GoodputWithUnseen(strays float64) float64 {
 	all := ValueSum{Offered: strays}
-	for _, k := range t.keys() { // in order: sums of floats depend on it
+	for _, k := range t.sortedKeys() { // in order: sums of floats depend on it
 		all.Served, all.Offered = all.Served+t.ByClass[k].ServedValue, all.Offered+t.ByClass[k].OfferedValue
 	}
-	return all.part()
+	return all.goodput()
 }
 
 // WorstPlanGoodput is the goodput of the plan that fares worst.
 func (t *Stats) WorstPlanGoodput() float64 {
 	plans := map[string]*ValueSum{}
-	for _, k := range t.keys() {
+	for _, k := range t.sortedKeys() {
 		r := t.ByClass[k]
 		if plans[k.Plan] == nil {
 			plans[k.Plan] = &ValueSum{}
@@ -144,7 +144,7 @@
 	}
 	worst := 1.0
 	for _, s := range plans {
-		worst = min(worst, s.part())
+		worst = min(worst, s.goodput())
 	}
 	return worst
 }
@@ -163,7 +163,7 @@
 				sum.Offered, sum.Served = sum.Offered+x.Offered, sum.Served+x.Served
 			}
 		}
-		worst, any = min(worst, sum.part()), true
+		worst, any = min(worst, sum.goodput()), true
 	}
 	if !any {
 		return t.Goodput()
@@ -183,14 +183,14 @@
 	if sum.Offered == 0 {
 		return 1
 	}
-	return sum.part()
+	return sum.goodput()
 }
 
 // Print writes the table.
 func (t *Stats) Print(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "class\tplan\tasked\tin time\tlate\trefused\tfailed\tgave up\tp50 ms\tp99 ms\t")
-	for _, k := range t.keys() {
+	for _, k := range t.sortedKeys() {
 		r := t.ByClass[k]
 		fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", k.Class, k.Plan, r.Issued, r.WithinTarget, r.Late,
 			r.Refused, r.Failed, r.Abandoned, float64(r.Latency.ValueAtQuantile(50))/1000, float64(r.Latency.ValueAtQuantile(99))/1000)
@@ -202,7 +202,7 @@
 func (c *Checker) Print(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	last := Budget
-	if c.set.Regions != nil {
+	if c.settings.Regions != nil {
 		last = Homes
 	}
 	for r := Answers; r <= last; r++ {
--- a/internal/verify/trail/show.go
+++ b/internal/verify/trail/show.go
@@ -12,13 +12,13 @@
 // tag, or by one of its requests. "" if there is nothing.
 func Trace(events []Event, conn, tag uint32, hostID, seq uint64) string {
 	if conn == 0 {
-		conn, tag = owner(events, hostID, seq)
+		conn, tag = findCommand(events, hostID, seq)
 	}
 	var b strings.Builder
-	w := walker{conn: conn, tag: tag, seqs: map[[2]uint64]bool{{hostID, seq}: seq != 0}, out: map[[2]uint32]bool{}}
+	w := tracer{conn: conn, tag: tag, requests: map[[2]uint64]bool{{hostID, seq}: seq != 0}, attempts: map[[2]uint32]bool{}}
 	begin := int64(-1)
 	for i := range events {
-		if e := &events[i]; w.takes(e) {
+		if e := &events[i]; w.matches(e) {
 			if begin < 0 {
 				begin = e.Time
 			}
@@ -28,16 +28,16 @@
 	return b.String()
 }
 
-// walker follows one command over the sockets.
-type walker struct {
+// tracer follows one command over the sockets.
+type tracer struct {
 	conn, tag uint32
 	host      string
 	session   uint32
-	seqs      map[[2]uint64]bool
-	out       map[[2]uint32]bool // attempts: disk connection and tag
+	requests  map[[2]uint64]bool
+	attempts  map[[2]uint32]bool // attempts: disk connection and tag
 }
 
-func (w *walker) takes(e *Event) bool {
+func (w *tracer) matches(e *Event) bool {
 	switch {
 	case e.Link == LinkClient && e.Conn == w.conn && w.conn != 0:
 		if e.Kind == Login || e.Kind == Command {
@@ -47,16 +47,16 @@
 	case e.Link == LinkDisk && e.Kind == Do:
 		key := [2]uint64{e.HostID, e.Seq}
 		if w.conn != 0 && e.Host == w.host && e.Session == w.session && e.RefTag == w.tag {
-			w.seqs[key] = true
+			w.requests[key] = true
 		}
-		if w.seqs[key] {
-			w.out[[2]uint32{e.Conn, e.Tag}] = true
+		if w.requests[key] {
+			w.attempts[[2]uint32{e.Conn, e.Tag}] = true
 		}
-		return w.seqs[key]
+		return w.requests[key]
 	case e.Link == LinkDisk && e.Kind == Answer:
-		return w.out[[2]uint32{e.Conn, e.Tag}]
+		return w.attempts[[2]uint32{e.Conn, e.Tag}]
 	case e.Link == LinkDisk && e.Kind == Close:
-		for k := range w.out {
+		for k := range w.attempts {
 			if k[0] == e.Conn {
 				return true
 			}
@@ -65,8 +65,8 @@
 	return false
 }
 
-// owner finds the command that a request was part of.
-func owner(events []Event, hostID, seq uint64) (conn, tag uint32) {
+// findCommand finds the command that a request was part of.
+func findCommand(events []Event, hostID, seq uint64) (conn, tag uint32) {
 	for i := range events {
 		e := &events[i]
 		if e.Kind != Do || e.HostID != hostID || e.Seq != seq {
--- a/internal/verify/trail/trail.go
+++ b/internal/verify/trail/trail.go
@@ -123,10 +123,10 @@
 
 	mu       sync.Mutex
 	events   []Event
-	tell     func(*Event)
-	nextConn uint32
-	off      bool
-	drop     bool
+	observer func(*Event)
+	lastConn uint32
+	stopped  bool
+	discard  bool
 }
 
 // NewRecorder reads time from now.
@@ -137,15 +137,15 @@
 func (r *Recorder) SetObserver(f func(*Event), keep bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tell, r.drop = f, !keep
+	r.observer, r.discard = f, !keep
 }
 
 // NextConn returns a number for a new connection.
 func (r *Recorder) NextConn() uint32 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.nextConn++
-	return r.nextConn
+	r.lastConn++
+	return r.lastConn
 }
 
 // Add enters an event at the present time.
@@ -153,13 +153,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e.Time = r.Now()
-	if r.off {
+	if r.stopped {
 		return
 	}
-	if r.tell != nil {
-		r.tell(&e)
+	if r.observer != nil {
+		r.observer(&e)
 	}
-	if !r.drop {
+	if !r.discard {
 		r.events = append(r.events, e)
 	}
 }
@@ -168,7 +168,7 @@
 func (r *Recorder) Stop() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.off = true
+	r.stopped = true
 	return r.events
 }
 
--- a/internal/verify/trail/trail_test.go
+++ b/internal/verify/trail/trail_test.go
@@ -10,7 +10,7 @@
 	"merlinhitch/internal/control/settings"
 )
 
-func sample() (*Meta, []Event) {
+func sampleTrail() (*Meta, []Event) {
 	var events []Event
 	for i := range 500 {
 		events = append(events, Event{Time: int64(i), Link: LinkDisk, Conn: uint32(i % 7), Host: "h0#1", Peer: "127.0.0.1:1", Dir: Up, Kind: Do,
@@ -20,7 +20,7 @@
 }
 
 func TestDamagedFiles(t *testing.T) {
-	m, events := sample()
+	m, events := sampleTrail()
 	file := filepath.Join(t.TempDir(), "t.parquet")
 	if err := Write(file, m, events); err != nil {
 		t.Fatal(err)
