--- a/internal/control/gateway/announcer_test.go
+++ b/internal/control/gateway/announcer_test.go
@@ -20,12 +20,12 @@
 )
 
 var (
-	mixed = netip.MustParsePrefix("10.9.0.1/32") // of volumes on shards 0 and 1
-	alone = netip.MustParsePrefix("10.9.0.2/32") // of volumes on shard 2
+	twoShardPrefix = netip.MustParsePrefix("10.9.0.1/32") // of volumes on shards 0 and 1
+	oneShardPrefix = netip.MustParsePrefix("10.9.0.2/32") // of volumes on shard 2
 )
 
-// announcing is a host that announces two groups to a router.
-func announcing(t *testing.T) (*rig, *standin.Router) {
+// newAnnouncingHarness is a host that announces two groups to a router.
+func newAnnouncingHarness(t *testing.T) (*harness, *standin.Router) {
 	t.Helper()
 	w := env.NewReal()
 	r, err := standin.ServeRouter(w, "127.0.0.1:0", 65010)
@@ -33,10 +33,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
-	g := newRig(t, func(s *settings.Settings) {
+	g := newHarness(t, func(s *settings.Settings) {
 		s.Announce = &settings.Announce{AS: 65001, HoldTime: 9000, Routers: []settings.Router{{Name: "r0", Addr: r.Addr, AS: r.AS}},
 			Steady: 100, SteadyMost: 100, ResortMost: 100, MoveTime: 50,
-			Groups: []settings.AddressGroup{{Name: "mixed", Prefixes: []string{mixed.String()}}, {Name: "alone", Prefixes: []string{alone.String()}}}}
+			Groups: []settings.AddressGroup{{Name: "mixed", Prefixes: []string{twoShardPrefix.String()}}, {Name: "alone", Prefixes: []string{oneShardPrefix.String()}}}}
 		for i := range s.Volumes {
 			v := &s.Volumes[i]
 			if v.Layout = []int{0, 1}; i%2 == 0 {
@@ -49,7 +49,7 @@
 	return g, r
 }
 
-func until(t *testing.T, w env.Environment, what string, ok func() bool) {
+func waitFor(t *testing.T, w env.Environment, what string, ok func() bool) {
 	t.Helper()
 	for end := w.Now() + 30*time.Second; !ok(); {
 		if w.Now() > end {
@@ -59,8 +59,8 @@
 	}
 }
 
-// level is how the router holds an address.
-func level(r *standin.Router, p netip.Prefix) announce.Level {
+// announcedLevel is how the router holds an address.
+func announcedLevel(r *standin.Router, p netip.Prefix) announce.Level {
 	path, ok := r.Held(1)[p]
 	switch {
 	case !ok:
@@ -73,19 +73,21 @@
 
 // One of two shards lost is a last resort for who needs both, nothing for the others;
 // both lost is a withdrawal; what comes back is announced again.
-func TestOnlyWhatIsLostIsWithdrawn(t *testing.T) {
-	g, r := announcing(t)
-	until(t, g.world, "both announced", func() bool { return level(r, mixed) == announce.Announced && level(r, alone) == announce.Announced })
-	g.disks[0].Net(standin.NetTrouble{Hang: true})
-	until(t, g.world, "a last resort", func() bool { return level(r, mixed) == announce.LastResort })
-	g.disks[1].Kill()
-	until(t, g.world, "a withdrawal", func() bool { return level(r, mixed) == announce.Withdrawn })
-	if level(r, alone) != announce.Announced {
+func TestLostShardsDetermineAnnouncedLevel(t *testing.T) {
+	g, r := newAnnouncingHarness(t)
+	waitFor(t, g.environment, "both announced", func() bool {
+		return announcedLevel(r, twoShardPrefix) == announce.Announced && announcedLevel(r, oneShardPrefix) == announce.Announced
+	})
+	g.diskServers[0].Net(standin.NetTrouble{Hang: true})
+	waitFor(t, g.environment, "a last resort", func() bool { return announcedLevel(r, twoShardPrefix) == announce.LastResort })
+	g.diskServers[1].Kill()
+	waitFor(t, g.environment, "a withdrawal", func() bool { return announcedLevel(r, twoShardPrefix) == announce.Withdrawn })
+	if announcedLevel(r, oneShardPrefix) != announce.Announced {
 		t.Error("a group that lost nothing was withdrawn")
 	}
-	g.disks[0].Net(standin.NetTrouble{})
-	until(t, g.world, "a last resort again", func() bool { return level(r, mixed) == announce.LastResort })
-	for _, s := range g.gate.Routes().Groups {
+	g.diskServers[0].Net(standin.NetTrouble{})
+	waitFor(t, g.environment, "a last resort again", func() bool { return announcedLevel(r, twoShardPrefix) == announce.LastResort })
+	for _, s := range g.gateway.Routes().Groups {
 		if s.Group == "mixed" && s.Reason != announce.Partly {
 			t.Errorf("%+v", s)
 		}
@@ -93,12 +95,12 @@
 }
 
 // The list says that a server drains before it refuses anything.
-func TestADrainingServerIsNoWay(t *testing.T) {
-	g, r := announcing(t)
-	until(t, g.world, "announced", func() bool { return level(r, alone) == announce.Announced })
-	g.inv.ChangeNow(func(b *inventory.Book) { b.Health(g.disks[2].Addr, inventory.Draining) })
-	until(t, g.world, "a withdrawal", func() bool { return level(r, alone) == announce.Withdrawn })
-	if level(r, mixed) != announce.Announced {
+func TestDrainingServerWithdrawsItsGroup(t *testing.T) {
+	g, r := newAnnouncingHarness(t)
+	waitFor(t, g.environment, "announced", func() bool { return announcedLevel(r, oneShardPrefix) == announce.Announced })
+	g.inventory.ChangeNow(func(b *inventory.Book) { b.Health(g.diskServers[2].Addr, inventory.Draining) })
+	waitFor(t, g.environment, "a withdrawal", func() bool { return announcedLevel(r, oneShardPrefix) == announce.Withdrawn })
+	if announcedLevel(r, twoShardPrefix) != announce.Announced {
 		t.Error("the other group was withdrawn")
 	}
 }
@@ -106,14 +108,14 @@
 // A graceful stop goes through the last resort and a withdrawal, and only then ends
 // the session.
 func TestOrderOfAGracefulStop(t *testing.T) {
-	g, r := announcing(t)
-	until(t, g.world, "announced", func() bool { return level(r, mixed) == announce.Announced })
+	g, r := newAnnouncingHarness(t)
+	waitFor(t, g.environment, "announced", func() bool { return announcedLevel(r, twoShardPrefix) == announce.Announced })
 	from := len(r.Log())
-	g.gate.Stop(context.Background())
-	until(t, g.world, "the withdrawal", func() bool { return level(r, mixed) == announce.Withdrawn })
+	g.gateway.Stop(context.Background())
+	waitFor(t, g.environment, "the withdrawal", func() bool { return announcedLevel(r, twoShardPrefix) == announce.Withdrawn })
 	var got []string
 	for _, c := range r.Log()[from:] {
-		if c.Prefix != mixed {
+		if c.Prefix != twoShardPrefix {
 			continue
 		}
 		switch {
@@ -133,47 +135,51 @@
 }
 
 // Settings change what is announced without a restart; without the section nothing is.
-func TestSettingsChangeWhatIsAnnounced(t *testing.T) {
-	g, r := announcing(t)
-	until(t, g.world, "announced", func() bool { return level(r, mixed) == announce.Announced })
+func TestSettingsChangeAnnouncedPrefixes(t *testing.T) {
+	g, r := newAnnouncingHarness(t)
+	waitFor(t, g.environment, "announced", func() bool { return announcedLevel(r, twoShardPrefix) == announce.Announced })
 	other := netip.MustParsePrefix("10.9.0.3/32")
-	s := *g.gate.Settings().Get()
+	s := *g.gateway.Settings().Get()
 	a := *s.Announce
 	a.Groups = append([]settings.AddressGroup(nil), a.Groups...)
 	a.Groups[0].Prefixes = []string{other.String()}
 	s.Announce = &a
-	if _, err := g.gate.Settings().Put(&s); err != nil {
+	if _, err := g.gateway.Settings().Put(&s); err != nil {
 		t.Fatal(err)
 	}
-	until(t, g.world, "the new address", func() bool { return level(r, other) == announce.Announced && level(r, mixed) == announce.Withdrawn })
-	s = *g.gate.Settings().Get()
+	waitFor(t, g.environment, "the new address", func() bool {
+		return announcedLevel(r, other) == announce.Announced && announcedLevel(r, twoShardPrefix) == announce.Withdrawn
+	})
+	s = *g.gateway.Settings().Get()
 	s.Announce = nil
-	if _, err := g.gate.Settings().Put(&s); err != nil {
+	if _, err := g.gateway.Settings().Put(&s); err != nil {
 		t.Fatal(err)
 	}
-	until(t, g.world, "nothing", func() bool { return len(r.Held(1)) == 0 })
+	waitFor(t, g.environment, "nothing", func() bool { return len(r.Held(1)) == 0 })
 }
 
 // Sessions that flap while the gateway's own ability flaps out of step: what the router
 // has in the end is what is true in the end, and nothing else.
-func TestFlapsOutOfStep(t *testing.T) {
-	g, r := announcing(t)
+func TestAnnouncementsConvergeAfterFlaps(t *testing.T) {
+	g, r := newAnnouncingHarness(t)
 	r.Fault(standin.RouterFault{LiveFor: 70 * time.Millisecond})
 	r.Reset()
 	for i := range 4 {
 		ups := r.Counts().Ups
-		g.disks[2].Net(standin.NetTrouble{Hang: i%2 == 0})
-		until(t, g.world, "another session", func() bool { return r.Counts().Ups > ups })
+		g.diskServers[2].Net(standin.NetTrouble{Hang: i%2 == 0})
+		waitFor(t, g.environment, "another session", func() bool { return r.Counts().Ups > ups })
 	}
-	g.disks[2].Net(standin.NetTrouble{Hang: true})
+	g.diskServers[2].Net(standin.NetTrouble{Hang: true})
 	r.Fault(standin.RouterFault{})
 	r.Reset()
-	until(t, g.world, "the truth", func() bool { return level(r, mixed) == announce.Announced && level(r, alone) == announce.Withdrawn })
-	g.disks[2].Net(standin.NetTrouble{})
-	until(t, g.world, "the way back", func() bool { return level(r, alone) == announce.Announced })
+	waitFor(t, g.environment, "the truth", func() bool {
+		return announcedLevel(r, twoShardPrefix) == announce.Announced && announcedLevel(r, oneShardPrefix) == announce.Withdrawn
+	})
+	g.diskServers[2].Net(standin.NetTrouble{})
+	waitFor(t, g.environment, "the way back", func() bool { return announcedLevel(r, oneShardPrefix) == announce.Announced })
 }
 
-func TestAnnouncingNeedsAnIdentifier(t *testing.T) {
+func TestAnnouncementsRequireRouterID(t *testing.T) {
 	w := env.NewReal()
 	gate, err := gateway.Start(gateway.Config{Environment: w, Name: "h", Listen: "127.0.0.1:0", Inventory: "127.0.0.1:1"})
 	if err != nil {
@@ -193,7 +199,7 @@
 
 // A host of a service over two regions whose lease can't be renewed withdraws its
 // addresses, though its disk servers are well, and takes no work; with another it is back.
-func TestWithoutALeaseNothingIsAnnounced(t *testing.T) {
+func TestNoAnnouncementWithoutLease(t *testing.T) {
 	w := env.NewReal()
 	r, err := standin.ServeRouter(w, "127.0.0.1:0", 65010)
 	if err != nil {
@@ -204,7 +210,7 @@
 	s.Regions = &settings.Regions{Lease: 600, Quiet: 300, Drift: 0.01, Hosts: []int{0}}
 	s.Announce = &settings.Announce{AS: 65001, HoldTime: 9000, Routers: []settings.Router{{Name: "r0", Addr: r.Addr, AS: r.AS}},
 		Steady: 100, SteadyMost: 100, ResortMost: 100, MoveTime: 50,
-		Groups: []settings.AddressGroup{{Name: "all", Prefixes: []string{mixed.String()}, Volumes: []string{s.Volumes[1].Name}}}}
+		Groups: []settings.AddressGroup{{Name: "all", Prefixes: []string{twoShardPrefix.String()}, Volumes: []string{s.Volumes[1].Name}}}}
 	saved := &standin.Saved{Record: region.Begin(0, []region.ID{0}, make([][2]float64, len(s.Plans)))}
 	serve := func(addr string, start uint64) *standin.Inventory {
 		v, err := standin.ServeRegion(w, addr, 0, s.Regions.Config(), 0, start, saved, func() string { return "" })
@@ -216,7 +222,7 @@
 	v := serve("127.0.0.1:0", 1)
 	d := &standin.DiskServer{Name: "d0", Shard: 0}
 	cell := standin.NewCell(func(string) int { return s.Volumes[0].BlockSize })
-	if err := standin.ServeDisk(w, standin.NewMachine(quickMachine(), 1, cell, standin.NewRack(6000), nil, 0, 0, false), d); err != nil {
+	if err := standin.ServeDisk(w, standin.NewMachine(fastMachineConfig(), 1, cell, standin.NewRack(6000), nil, 0, 0, false), d); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Kill)
@@ -229,9 +235,9 @@
 	if _, err := gate.Settings().Put(s); err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "announced", func() bool { return level(r, mixed) == announce.Announced })
+	waitFor(t, w, "announced", func() bool { return announcedLevel(r, twoShardPrefix) == announce.Announced })
 	v.Close()
-	until(t, w, "a withdrawal", func() bool { return level(r, mixed) == announce.Withdrawn })
+	waitFor(t, w, "a withdrawal", func() bool { return announcedLevel(r, twoShardPrefix) == announce.Withdrawn })
 	c, err := initiator.Dial(context.Background(), initiator.Config{Environment: w, Addr: gate.Addr().String(), Name: "iqn.2026-11.example.client:x",
 		Target: s.TargetName(&s.Volumes[1]), ISID: iscsi.ISID{0x80}, Params: initiator.DefaultParams(), LoginTime: 5 * time.Second})
 	if err != nil {
@@ -260,7 +266,7 @@
 	if l, err := word.Ask(inventory.Ask{Op: "lead"}, 5*time.Second); err != nil || l.Kind != inventory.Told {
 		t.Fatal(l, err) // it came back and hears nobody: an operator says that it leads
 	}
-	until(t, w, "announced again", func() bool { return level(r, mixed) == announce.Announced })
+	waitFor(t, w, "announced again", func() bool { return announcedLevel(r, twoShardPrefix) == announce.Announced })
 	if got := status(); got != scsi.Good {
 		t.Errorf("with a lease again a read is answered %#x", got)
 	}
--- a/internal/control/gateway/hostcore_test.go
+++ b/internal/control/gateway/core_test.go
@@ -12,7 +12,7 @@
 	"merlinhitch/policy"
 )
 
-func TestDuesComeInOrder(t *testing.T) {
+func TestTimerQueueOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var h timerQueue
 	var live []*timer
@@ -42,60 +42,60 @@
 	}
 }
 
-// script is a module that does what a test says, and notes what it is told.
-type script struct {
-	told []policy.Event
-	then func(policy.Event) []policy.Action
+// fakeScheduler is a module that does what a test says, and notes what it is told.
+type fakeScheduler struct {
+	events  []policy.Event
+	respond func(policy.Event) []policy.Action
 }
 
-func (s *script) Handle(_ float64, ev policy.Event) []policy.Action {
-	s.told = append(s.told, ev)
-	if s.then != nil {
-		return s.then(ev)
+func (s *fakeScheduler) Handle(_ float64, ev policy.Event) []policy.Action {
+	s.events = append(s.events, ev)
+	if s.respond != nil {
+		return s.respond(ev)
 	}
 	return nil
 }
 
-// noted is the effects of a core, as a test sees them.
-type noted struct {
-	sent    []*attempt
-	ends    []jobOutcome
-	settle  int
-	retired []string
-	forgot  int
+// fakeEffects is the effects of a core, as a test sees them.
+type fakeEffects struct {
+	attempts     []*attempt
+	outcomes     []jobOutcome
+	settledCount int
+	retiredNodes []string
+	timeoutCount int
 }
 
-func (n *noted) send(a *attempt)          { n.sent = append(n.sent, a) }
-func (n *noted) cancel(*attempt)          {}
-func (n *noted) attemptTimedOut(*attempt) { n.forgot++ }
-func (n *noted) jobEnded(_ *job, k jobOutcome, _ float64, _ *diskproto.Answer) {
-	n.ends = append(n.ends, k)
+func (n *fakeEffects) send(a *attempt)          { n.attempts = append(n.attempts, a) }
+func (n *fakeEffects) cancel(*attempt)          {}
+func (n *fakeEffects) attemptTimedOut(*attempt) { n.timeoutCount++ }
+func (n *fakeEffects) jobEnded(_ *job, k jobOutcome, _ float64, _ *diskproto.Answer) {
+	n.outcomes = append(n.outcomes, k)
 }
-func (n *noted) jobSettled(*job)     { n.settle++ }
-func (n *noted) fetchList()          {}
-func (n *noted) renewLease()         {}
-func (n *noted) setLeaseEnd(float64) {}
-func (n *noted) retire(node string)  { n.retired = append(n.retired, node) }
-func (n *noted) warn(string)         {}
-
-func newScripted(then func(policy.Event) []policy.Action) (*core, *script, *noted) {
-	n := &noted{}
+func (n *fakeEffects) jobSettled(*job)     { n.settledCount++ }
+func (n *fakeEffects) fetchList()          {}
+func (n *fakeEffects) renewLease()         {}
+func (n *fakeEffects) setLeaseEnd(float64) {}
+func (n *fakeEffects) retire(node string)  { n.retiredNodes = append(n.retiredNodes, node) }
+func (n *fakeEffects) warn(string)         {}
+
+func newTestCore(then func(policy.Event) []policy.Action) (*core, *fakeScheduler, *fakeEffects) {
+	n := &fakeEffects{}
 	h := newCore(0, settings.Example(1, 1), 0, "", 1, n)
-	s := &script{then: then}
+	s := &fakeScheduler{respond: then}
 	h.scheduler = s
 	return h, s, n
 }
 
-func sendAll(ev policy.Event) []policy.Action {
+func sendOnRequest(ev policy.Event) []policy.Action {
 	if r, ok := ev.(policy.Request); ok {
 		return []policy.Action{policy.Send{ID: r.ID, Node: "n", TimeoutAt: 500}}
 	}
 	return nil
 }
 
-func lastOutcome(s *script) policy.Outcome {
-	for i := len(s.told) - 1; i >= 0; i-- {
-		if o, ok := s.told[i].(policy.Outcome); ok {
+func lastOutcome(s *fakeScheduler) policy.Outcome {
+	for i := len(s.events) - 1; i >= 0; i-- {
+		if o, ok := s.events[i].(policy.Outcome); ok {
 			return o
 		}
 	}
@@ -104,12 +104,12 @@
 
 // An attempt whose time is up while it waits for a connection has certainly not
 // gone out, and can't go out any more; one that was claimed may have run.
-func TestTimeOutProves(t *testing.T) {
+func TestTimeoutResultDependsOnClaim(t *testing.T) {
 	for _, claimed := range []bool{false, true} {
-		h, s, n := newScripted(sendAll)
+		h, s, n := newTestCore(sendOnRequest)
 		j := &job{req: policy.Request{Expires: 2000}}
 		h.submit(100, j)
-		a := n.sent[0]
+		a := n.attempts[0]
 		if claimed && !a.claim() {
 			t.Fatal("not to be claimed")
 		}
@@ -128,62 +128,62 @@
 		if a.claim() {
 			t.Error("claimed after its time")
 		}
-		told := len(s.told)
+		told := len(s.events)
 		h.receiveAnswer(600, a, &diskproto.Answer{Result: diskproto.OK})
 		h.failAttempt(600, a, policy.ConnectionLost)
-		if len(s.told) != told || len(n.ends) != 0 {
+		if len(s.events) != told || len(n.outcomes) != 0 {
 			t.Error("a late answer was told")
 		}
 	}
 }
 
-func TestServedEndsOnce(t *testing.T) {
-	h, s, n := newScripted(sendAll)
+func TestServedJobEndsOnce(t *testing.T) {
+	h, s, n := newTestCore(sendOnRequest)
 	j := &job{req: policy.Request{Expires: 2000}}
 	h.submit(100, j)
-	n.sent[0].claim()
-	h.receiveAnswer(150, n.sent[0], &diskproto.Answer{Result: diskproto.OK})
+	n.attempts[0].claim()
+	h.receiveAnswer(150, n.attempts[0], &diskproto.Answer{Result: diskproto.OK})
 	if o := lastOutcome(s); o.Result != policy.Served || !o.Done {
 		t.Errorf("%+v", o)
 	}
 	h.abort(160, j)
 	h.perform(policy.Fail{ID: j.id})
 	h.perform(policy.Send{ID: j.id, Node: "n"})
-	if !slices.Equal(n.ends, []jobOutcome{jobServed}) || len(n.sent) != 1 || len(h.jobs) != 0 || !math.IsInf(h.nextDue(), 1) {
-		t.Errorf("ends %v, %d sends, %d jobs, next %v", n.ends, len(n.sent), len(h.jobs), h.nextDue())
+	if !slices.Equal(n.outcomes, []jobOutcome{jobServed}) || len(n.attempts) != 1 || len(h.jobs) != 0 || !math.IsInf(h.nextDue(), 1) {
+		t.Errorf("ends %v, %d sends, %d jobs, next %v", n.outcomes, len(n.attempts), len(h.jobs), h.nextDue())
 	}
 }
 
 // A job that its client ended is settled only when nothing of it can land: with
 // an attempt lost, at that attempt's deadline.
-func TestSettledAtTheDeadline(t *testing.T) {
-	h, s, n := newScripted(sendAll)
+func TestAbortedJobSettlesAtDeadline(t *testing.T) {
+	h, s, n := newTestCore(sendOnRequest)
 	j := &job{req: policy.Request{Expires: 2000}}
 	h.submit(100, j)
-	n.sent[0].claim()
+	n.attempts[0].claim()
 	h.abort(150, j)
-	if _, ok := s.told[len(s.told)-1].(policy.ClientGone); !ok || n.settle != 0 {
-		t.Fatalf("told %T, settled %d", s.told[len(s.told)-1], n.settle)
+	if _, ok := s.events[len(s.events)-1].(policy.ClientGone); !ok || n.settledCount != 0 {
+		t.Fatalf("told %T, settled %d", s.events[len(s.events)-1], n.settledCount)
 	}
-	h.failAttempt(160, n.sent[0], policy.ConnectionLost)
-	if o := lastOutcome(s); o.Result != policy.ConnectionLost || !o.Done || n.settle != 0 {
-		t.Fatalf("%+v, settled %d", o, n.settle)
+	h.failAttempt(160, n.attempts[0], policy.ConnectionLost)
+	if o := lastOutcome(s); o.Result != policy.ConnectionLost || !o.Done || n.settledCount != 0 {
+		t.Fatalf("%+v, settled %d", o, n.settledCount)
 	}
 	h.runDue(499)
-	if n.settle != 0 {
+	if n.settledCount != 0 {
 		t.Error("settled before the deadline")
 	}
 	h.runDue(500)
-	if n.settle != 1 || !math.IsInf(h.nextDue(), 1) {
-		t.Errorf("settled %d", n.settle)
+	if n.settledCount != 1 || !math.IsInf(h.nextDue(), 1) {
+		t.Errorf("settled %d", n.settledCount)
 	}
 }
 
-func TestCancel(t *testing.T) {
-	h, s, n := newScripted(sendAll)
+func TestCancelAttempt(t *testing.T) {
+	h, s, n := newTestCore(sendOnRequest)
 	j := &job{req: policy.Request{Expires: 2000}}
 	h.submit(100, j)
-	n.sent[0].claim()
+	n.attempts[0].claim()
 	h.perform(policy.CancelAttempt{ID: j.id, Attempt: 0})
 	h.runDue(101)
 	if o := lastOutcome(s); o.Result != policy.Cancelled || j.effectDeadline != 500 {
@@ -193,11 +193,11 @@
 
 // The same start is told again and again with another age; the module must take
 // it for one start, and another incarnation for another.
-func TestStartOfANode(t *testing.T) {
-	h, s, n := newScripted(nil)
+func TestNodeStartTimes(t *testing.T) {
+	h, s, n := newTestCore(nil)
 	tell := func(now, age float64, inc uint64, health string) policy.Node {
 		h.updateNodes(now, inventory.List{Kind: inventory.Delta, Nodes: []inventory.Node{{Addr: "n", Health: health, Incarnation: inc, AgeMS: age}}})
-		return s.told[len(s.told)-1].(policy.NodeList).Nodes[0]
+		return s.events[len(s.events)-1].(policy.NodeList).Nodes[0]
 	}
 	first := tell(1000, 300, 1, inventory.Ready).Started
 	if again := tell(2000, 1290, 1, inventory.Draining).Started; first != 700 || again != first {
@@ -210,13 +210,13 @@
 		t.Errorf("long ago is %v", long)
 	}
 	tell(4000, 0, 3, inventory.Gone)
-	if !slices.Equal(n.retired, []string{"n"}) || len(h.nodes) != 0 {
-		t.Errorf("retired %v, %d nodes", n.retired, len(h.nodes))
+	if !slices.Equal(n.retiredNodes, []string{"n"}) || len(h.nodes) != 0 {
+		t.Errorf("retired %v, %d nodes", n.retiredNodes, len(h.nodes))
 	}
 	h.updateNodes(5000, inventory.List{Kind: inventory.Failed})
-	if _, ok := s.told[len(s.told)-1].(policy.ListFailed); !ok {
+	if _, ok := s.events[len(s.events)-1].(policy.ListFailed); !ok {
 		t.Error("a failure was not told")
 	}
 }
 
-func (s *script) View(float64) policy.View { return policy.View{} }
+func (s *fakeScheduler) View(float64) policy.View { return policy.View{} }
--- a/internal/control/gateway/expect_test.go
+++ b/internal/control/gateway/expect_test.go
@@ -16,11 +16,11 @@
 
 // What is answered of routing is where a running gateway then sends: every expectation is
 // also played.
-func TestExpectationsAgreeWithTheGateway(t *testing.T) {
-	r := newRig(t, nil)
+func TestExpectationsMatchRouting(t *testing.T) {
+	r := newHarness(t, nil)
 	var lines []string
-	for i := range r.set.Volumes {
-		v := &r.set.Volumes[i]
+	for i := range r.settings.Volumes {
+		v := &r.settings.Volumes[i]
 		var to []string
 		shards := slices.Clone(v.Layout)
 		slices.Sort(shards)
@@ -33,62 +33,62 @@
 		lines = append(lines, fmt.Sprintf("volume %s read goes to %s when n0 draining, m0 ready at shard 0", v.Name,
 			strings.ReplaceAll(strings.Join(to, ", "), "n0", "m0")))
 	}
-	list, err := expect.Parse(strings.NewReader(strings.Join(lines, "\n")), r.set)
+	list, err := expect.Parse(strings.NewReader(strings.Join(lines, "\n")), r.settings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	slices.SortStableFunc(list, func(a, b expect.Expectation) int { return len(a.When) - len(b.When) })
 	disks := map[string]*standin.DiskServer{}
-	for i, d := range r.disks {
+	for i, d := range r.diskServers {
 		disks[expect.NodeOf(i)] = d
 	}
-	for _, a := range expect.Check(r.set, list) {
+	for _, a := range expect.Check(r.settings, list) {
 		if len(a.When) > 0 && disks["m0"] == nil {
-			disks["m0"] = r.succeed(0)
+			disks["m0"] = r.replaceDiskServer(0)
 		}
 		if !a.Held {
 			t.Error(a)
 		}
-		if got := r.played(a.Expectation, disks); got != a.Found {
+		if got := r.serversReached(a.Expectation, disks); got != a.Found {
 			t.Errorf("%s: answered %s, the gateway sent to %s", a.Text, a.Found, got)
 		}
 	}
 	t.Logf("%d expectations were played", len(list))
 }
 
-// succeed drains the server of a shard and puts another in its place.
-func (r *rig) succeed(shard int) *standin.DiskServer {
-	m := standin.NewMachine(quickMachine(), 99, r.cells[shard], standin.NewRack(6000), nil, uint32(shard), 0, false)
+// replaceDiskServer drains the server of a shard and puts another in its place.
+func (r *harness) replaceDiskServer(shard int) *standin.DiskServer {
+	m := standin.NewMachine(fastMachineConfig(), 99, r.cells[shard], standin.NewRack(6000), nil, uint32(shard), 0, false)
 	d := &standin.DiskServer{Name: "successor", Zone: "hall-a", Rack: "r", Shard: shard}
-	if err := standin.ServeDisk(r.world, m, d); err != nil {
+	if err := standin.ServeDisk(r.environment, m, d); err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(d.Kill)
-	r.inv.ChangeNow(func(b *inventory.Book) {
-		b.Health(r.disks[shard].Addr, inventory.Draining)
+	r.inventory.ChangeNow(func(b *inventory.Book) {
+		b.Health(r.diskServers[shard].Addr, inventory.Draining)
 		b.Set(inventory.Node{Addr: d.Addr, Health: inventory.Ready, Shard: shard, Zone: "hall-a", Weight: 1, Incarnation: d.Started}, 0)
 	})
-	r.await("the successor", func() bool { return r.gate.Status().Nodes == len(r.disks)+1 })
+	r.waitFor("the successor", func() bool { return r.gateway.Status().Nodes == len(r.diskServers)+1 })
 	return d
 }
 
-// played does one operation on an extent of each entry of the volume's layout and names
+// serversReached does one operation on an extent of each entry of the volume's layout and names
 // the servers that served one.
-func (r *rig) played(e expect.Expectation, disks map[string]*standin.DiskServer) string {
+func (r *harness) serversReached(e expect.Expectation, disks map[string]*standin.DiskServer) string {
 	before := map[string]int{}
 	for n, d := range disks {
 		before[n] = d.Served()
 	}
-	i := slices.IndexFunc(r.set.Volumes, func(v settings.Volume) bool { return v.Name == e.Volume })
-	c := r.client(i, 1)
-	v := &r.set.Volumes[i]
+	i := slices.IndexFunc(r.settings.Volumes, func(v settings.Volume) bool { return v.Name == e.Volume })
+	c := r.connect(i, 1)
+	v := &r.settings.Volumes[i]
 	for k := range v.Layout {
 		lba := uint64(k * v.Extent)
 		cdb, data := initiator.ReadCDB(lba, 1), []byte(nil)
 		if e.Op == scsi.Write {
 			cdb, data = initiator.WriteCDB(lba, 1), make([]byte, 4096)
 		}
-		res := r.do(c, cdb, data, 4096)
+		res := r.execute(c, cdb, data, 4096)
 		if res.Status != scsi.Good {
 			r.t.Errorf("%s: status %02x", e.Text, res.Status)
 		}
--- a/internal/control/gateway/host_test.go
+++ b/internal/control/gateway/host_test.go
@@ -17,9 +17,9 @@
 	w := env.NewReal()
 	h := newHost(w, settings.Example(1, 1), 0, "h0", "z0", nil, zap.NewNop())
 	defer h.stop()
-	module := &script{}
+	module := &fakeScheduler{}
 	fired := func() bool {
-		for _, ev := range module.told {
+		for _, ev := range module.events {
 			if timer, ok := ev.(policy.TimerFired); ok && timer.Name == "test" {
 				return true
 			}
@@ -51,7 +51,7 @@
 }
 
 // What looks at the core finds its clock at the present time, also where nothing came due.
-func TestAskedCoreKnowsTheTime(t *testing.T) {
+func TestRunAndWaitAdvancesClock(t *testing.T) {
 	w := env.NewReal()
 	h := newHost(w, settings.Example(1, 1), 0, "h0", "z0", nil, zap.NewNop())
 	defer h.stop()
--- a/internal/control/gateway/keys_test.go
+++ b/internal/control/gateway/keys_test.go
@@ -17,46 +17,46 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// keyring is an authority, the folders of its holders, and the clock of them all.
-type keyring struct {
-	t     *testing.T
-	dir   string
-	ahead atomic.Int64
-	a     *keys.Authority
+// testAuthority is an authority, the folders of its holders, and the clock of them all.
+type testAuthority struct {
+	t           *testing.T
+	dir         string
+	clockOffset atomic.Int64
+	authority   *keys.Authority
 }
 
-func newKeyring(t *testing.T) *keyring {
-	k := &keyring{t: t, dir: t.TempDir()}
+func newTestAuthority(t *testing.T) *testAuthority {
+	k := &testAuthority{t: t, dir: t.TempDir()}
 	var err error
-	if k.a, err = keys.Init(filepath.Join(k.dir, "authority"), k.now); err != nil {
+	if k.authority, err = keys.Init(filepath.Join(k.dir, "authority"), k.now); err != nil {
 		t.Fatal(err)
 	}
 	return k
 }
 
-func (k *keyring) now() time.Time { return time.Now().Add(time.Duration(k.ahead.Load())) }
+func (k *testAuthority) now() time.Time { return time.Now().Add(time.Duration(k.clockOffset.Load())) }
 
-func (k *keyring) folder(name string) string { return filepath.Join(k.dir, name) }
+func (k *testAuthority) holderDir(name string) string { return filepath.Join(k.dir, name) }
 
-func (k *keyring) issue(name string, role keys.Role, life time.Duration) {
+func (k *testAuthority) issue(name string, role keys.Role, life time.Duration) {
 	k.t.Helper()
-	if _, err := k.a.Issue(name, role, life, []string{"127.0.0.1"}, k.folder(name)); err != nil {
+	if _, err := k.authority.Issue(name, role, life, []string{"127.0.0.1"}, k.holderDir(name)); err != nil {
 		k.t.Fatal(err)
 	}
 }
 
-func (k *keyring) holder(name string, role keys.Role, life time.Duration) *keys.Holder {
+func (k *testAuthority) newHolder(name string, role keys.Role, life time.Duration) *keys.Holder {
 	k.t.Helper()
 	k.issue(name, role, life)
-	h, err := keys.Hold(k.folder(name), k.now)
+	h, err := keys.Hold(k.holderDir(name), k.now)
 	if err != nil {
 		k.t.Fatal(err)
 	}
 	return h
 }
 
-func (k *keyring) api(addr, name string, role keys.Role, life time.Duration) *settings.API {
-	api := settings.NewTLSAPI(addr, k.holder(name, role, life).Client("127.0.0.1"))
+func (k *testAuthority) newAPI(addr, name string, role keys.Role, life time.Duration) *settings.API {
+	api := settings.NewTLSAPI(addr, k.newHolder(name, role, life).Client("127.0.0.1"))
 	k.t.Cleanup(api.Close)
 	return api
 }
@@ -64,16 +64,16 @@
 // Host and disk servers speak TLS with certificates of both; keys are renewed, and the
 // authority's as well, while clients read and write: every connection is made anew and no
 // command is refused or lost.
-func TestKeysAreRotatedUnderLoad(t *testing.T) {
-	k := newKeyring(t)
-	host, disks := k.holder("host", keys.Machine, 24*time.Hour), k.holder("disks", keys.Machine, 24*time.Hour)
-	r := newKeyedRig(t, nil, func(c *gateway.Config) { c.Keys, c.Admin = host, "127.0.0.1:0" }, disks)
-	admin := k.api(r.gate.Admin().String(), "rui", keys.Administer, time.Hour)
+func TestKeyRotationUnderLoad(t *testing.T) {
+	k := newTestAuthority(t)
+	host, disks := k.newHolder("host", keys.Machine, 24*time.Hour), k.newHolder("disks", keys.Machine, 24*time.Hour)
+	r := newHarnessWithConfig(t, nil, func(c *gateway.Config) { c.Keys, c.Admin = host, "127.0.0.1:0" }, disks)
+	admin := k.newAPI(r.gateway.Admin().String(), "rui", keys.Administer, time.Hour)
 	var done atomic.Bool
 	var served atomic.Int64
 	var all sync.WaitGroup
 	for i := range 4 {
-		c := r.client(4, byte(1+i))
+		c := r.connect(4, byte(1+i))
 		all.Go(func() {
 			for n := uint64(0); !done.Load(); n++ {
 				cdb, data := initiator.ReadCDB(n%512, 1), []byte(nil)
@@ -91,7 +91,7 @@
 	}
 	more := func() { // commands go on under what was just done
 		at := served.Load() + 100
-		r.await("commands", func() bool { return served.Load() > at || t.Failed() })
+		r.waitFor("commands", func() bool { return served.Load() > at || t.Failed() })
 	}
 	reload := func() {
 		t.Helper()
@@ -106,11 +106,11 @@
 	more()
 	k.issue("host", keys.Machine, 12*time.Hour)
 	reload()
-	if err := k.a.Rotate(); err != nil {
+	if err := k.authority.Rotate(); err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range []string{"host", "disks"} {
-		if err := k.a.Hand(k.folder(f)); err != nil {
+		if err := k.authority.Hand(k.holderDir(f)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -125,50 +125,50 @@
 
 // A disk server of another authority is never spoken to, and a host of another is not let
 // in: clients are refused, and nothing runs.
-func TestStrangersAreNotSpokenTo(t *testing.T) {
-	ours, theirs := newKeyring(t), newKeyring(t)
-	r := newKeyedRig(t, oneShard, func(c *gateway.Config) { c.Keys = ours.holder("host", keys.Machine, time.Hour) },
-		theirs.holder("disks", keys.Machine, time.Hour))
-	if res := r.do(r.client(normal, 1), initiator.ReadCDB(0, 1), nil, 4096); res.Status != scsi.Busy {
+func TestOtherAuthorityIsRejected(t *testing.T) {
+	ours, theirs := newTestAuthority(t), newTestAuthority(t)
+	r := newHarnessWithConfig(t, useOneShard, func(c *gateway.Config) { c.Keys = ours.newHolder("host", keys.Machine, time.Hour) },
+		theirs.newHolder("disks", keys.Machine, time.Hour))
+	if res := r.execute(r.connect(normalVolume, 1), initiator.ReadCDB(0, 1), nil, 4096); res.Status != scsi.Busy {
 		t.Errorf("status %02x", res.Status)
 	}
-	if n := r.disks[0].Served(); n != 0 {
+	if n := r.diskServers[0].Served(); n != 0 {
 		t.Errorf("%d served", n)
 	}
 }
 
 // A host's certificate that runs out in the midst of its connections: the disk server
 // takes nothing more by them, and with a new one the host goes on.
-func TestACertificateRunsOutInTheMidst(t *testing.T) {
-	k := newKeyring(t)
-	host := k.holder("host", keys.Machine, time.Hour)
-	r := newKeyedRig(t, oneShard, func(c *gateway.Config) { c.Keys = host }, k.holder("disks", keys.Machine, 48*time.Hour))
-	c := r.client(normal, 1)
-	if res := r.do(c, initiator.ReadCDB(0, 1), nil, 4096); res.Status != scsi.Good {
+func TestCertificateExpiresDuringConnections(t *testing.T) {
+	k := newTestAuthority(t)
+	host := k.newHolder("host", keys.Machine, time.Hour)
+	r := newHarnessWithConfig(t, useOneShard, func(c *gateway.Config) { c.Keys = host }, k.newHolder("disks", keys.Machine, 48*time.Hour))
+	c := r.connect(normalVolume, 1)
+	if res := r.execute(c, initiator.ReadCDB(0, 1), nil, 4096); res.Status != scsi.Good {
 		t.Fatalf("status %02x", res.Status)
 	}
-	served := r.disks[0].Served()
-	k.ahead.Store(int64(2 * time.Hour))
-	if res := r.do(c, initiator.ReadCDB(0, 1), nil, 4096); res.Status == scsi.Good {
+	served := r.diskServers[0].Served()
+	k.clockOffset.Store(int64(2 * time.Hour))
+	if res := r.execute(c, initiator.ReadCDB(0, 1), nil, 4096); res.Status == scsi.Good {
 		t.Errorf("served under a certificate that had run out")
 	}
-	if n := r.disks[0].Served(); n != served {
+	if n := r.diskServers[0].Served(); n != served {
 		t.Errorf("%d served", n-served)
 	}
 	k.issue("host", keys.Machine, 12*time.Hour)
-	if err := r.gate.ReloadKeys(); err != nil {
+	if err := r.gateway.ReloadKeys(); err != nil {
 		t.Fatal(err)
 	}
-	r.await("service", func() bool { return r.do(c, initiator.ReadCDB(0, 1), nil, 4096).Status == scsi.Good })
+	r.waitFor("service", func() bool { return r.execute(c, initiator.ReadCDB(0, 1), nil, 4096).Status == scsi.Good })
 }
 
 // What each role may do at the admin API, and that a certificate counts as of each call.
-func TestRolesAtTheAdminAPI(t *testing.T) {
-	k := newKeyring(t)
-	r := newKeyedRig(t, func(s *settings.Settings) {
+func TestAdminAPIRoles(t *testing.T) {
+	k := newTestAuthority(t)
+	r := newHarnessWithConfig(t, func(s *settings.Settings) {
 		s.Target.Chap = []settings.Chap{{User: "posto", Secret: "a secret that is long"}}
-	}, func(c *gateway.Config) { c.Keys, c.Admin = k.holder("host", keys.Machine, time.Hour), "127.0.0.1:0" }, k.holder("disks", keys.Machine, time.Hour))
-	addr, ctx := r.gate.Admin().String(), context.Background()
+	}, func(c *gateway.Config) { c.Keys, c.Admin = k.newHolder("host", keys.Machine, time.Hour), "127.0.0.1:0" }, k.newHolder("disks", keys.Machine, time.Hour))
+	addr, ctx := r.gateway.Admin().String(), context.Background()
 	limit := func(s *settings.Settings) { s.Plans[0].Limit++ }
 	secret := func(s *settings.Settings) { s.Target.Chap[0].Secret = "another that is long" }
 	try := func(api *settings.API, f func(s *settings.Settings)) error {
@@ -184,7 +184,7 @@
 		role          keys.Role
 		get, put, sec bool
 	}{{keys.Read, true, false, false}, {keys.Operate, true, true, false}, {keys.Administer, true, true, true}, {keys.Machine, false, false, false}} {
-		api := k.api(addr, "as-"+string(x.role), x.role, time.Hour)
+		api := k.newAPI(addr, "as-"+string(x.role), x.role, time.Hour)
 		if _, err := api.Get(ctx); (err == nil) != x.get {
 			t.Errorf("%s reads: %v", x.role, err)
 		}
@@ -198,11 +198,11 @@
 			t.Errorf("%s reloads keys: %v", x.role, err)
 		}
 	}
-	log, err := r.gate.Settings().Log(1, 10)
+	log, err := r.gateway.Settings().Log(1, 10)
 	if err != nil || len(log) != 4 || log[1].Who != "as-operate" || log[3].Who != "as-administer" {
 		t.Errorf("%v, %v", log, err)
 	}
-	if _, err := settings.NewTLSAPI(addr, newKeyring(t).holder("x", keys.Administer, time.Hour).Client("127.0.0.1")).Get(ctx); err == nil {
+	if _, err := settings.NewTLSAPI(addr, newTestAuthority(t).newHolder("x", keys.Administer, time.Hour).Client("127.0.0.1")).Get(ctx); err == nil {
 		t.Error("a stranger was let in")
 	}
 	if _, err := settings.NewTLSAPI(addr, &tls.Config{InsecureSkipVerify: true}).Get(ctx); err == nil {
@@ -211,11 +211,11 @@
 	if _, err := settings.NewAPI(addr).Get(ctx); err == nil {
 		t.Error("a caller in clear was let in")
 	}
-	session := k.api(addr, "short", keys.Operate, time.Minute)
+	session := k.newAPI(addr, "short", keys.Operate, time.Minute)
 	if _, err := session.Get(ctx); err != nil {
 		t.Fatal(err)
 	}
-	k.ahead.Store(int64(2 * time.Minute))
+	k.clockOffset.Store(int64(2 * time.Minute))
 	if _, err := session.Get(ctx); err == nil || !strings.Contains(err.Error(), "run out") {
 		t.Errorf("in the midst of a session: %v", err)
 	}
@@ -223,9 +223,9 @@
 
 // The Unix socket is for the gateway's own user, and an address that others reach needs
 // keys.
-func TestTheAdminSocket(t *testing.T) {
+func TestAdminUnixSocket(t *testing.T) {
 	socket := "unix:" + filepath.Join(t.TempDir(), "admin.sock")
-	r := newKeyedRig(t, nil, func(c *gateway.Config) { c.Admin = socket }, nil)
+	r := newHarnessWithConfig(t, nil, func(c *gateway.Config) { c.Admin = socket }, nil)
 	api := settings.NewAPI(socket)
 	defer api.Close()
 	s, err := api.Get(context.Background())
@@ -236,11 +236,11 @@
 	if _, err := api.Put(context.Background(), s, settings.Ask{Why: "more", Who: "ines"}); err != nil {
 		t.Fatal(err)
 	}
-	log, err := r.gate.Settings().Log(2, 1)
+	log, err := r.gateway.Settings().Log(2, 1)
 	if err != nil || len(log) != 1 || !strings.HasPrefix(log[0].Who, "uid ") || !strings.HasSuffix(log[0].Who, ", claimed ines") {
 		t.Errorf("%+v, %v", log, err)
 	}
-	if g, err := gateway.Start(gateway.Config{Environment: r.world, Name: "h", Admin: "0.0.0.0:0", Inventory: r.inv.Addr}); err == nil {
+	if g, err := gateway.Start(gateway.Config{Environment: r.environment, Name: "h", Admin: "0.0.0.0:0", Inventory: r.inventory.Addr}); err == nil {
 		g.Kill()
 		t.Error("an admin address for everybody without keys")
 	}
--- a/internal/control/gateway/metrics_test.go
+++ b/internal/control/gateway/metrics_test.go
@@ -22,10 +22,10 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// page fetches a page of the admin API.
-func (r *rig) page(path string) (int, []byte) {
+// getAdmin fetches a getAdmin of the admin API.
+func (r *harness) getAdmin(path string) (int, []byte) {
 	r.t.Helper()
-	resp, err := http.Get("http://" + r.gate.Admin().String() + path)
+	resp, err := http.Get("http://" + r.gateway.Admin().String() + path)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -37,12 +37,12 @@
 	return resp.StatusCode, b
 }
 
-func watched(c *gateway.Config) { c.Admin = "127.0.0.1:0" }
+func enableAdmin(c *gateway.Config) { c.Admin = "127.0.0.1:0" }
 
-// families parses /metrics with a parser that the project did not write.
-func (r *rig) families() map[string]*dto.MetricFamily {
+// metricFamilies parses /metrics with a parser that the project did not write.
+func (r *harness) metricFamilies() map[string]*dto.MetricFamily {
 	r.t.Helper()
-	code, b := r.page("/metrics")
+	code, b := r.getAdmin("/metrics")
 	if code != http.StatusOK {
 		r.t.Fatalf("%d: %s", code, b)
 	}
@@ -61,8 +61,8 @@
 	return f
 }
 
-// sum adds up the samples of a family whose labels have those values.
-func sum(f *dto.MetricFamily, labels ...string) (total float64) {
+// sumSamples adds up the samples of a family whose labels have those values.
+func sumSamples(f *dto.MetricFamily, labels ...string) (total float64) {
 	for _, m := range f.GetMetric() {
 		fits := 0
 		for _, l := range m.GetLabel() {
@@ -81,26 +81,26 @@
 
 // What is counted is what clients and servers saw: by class, end, node and result.
 func TestMetricsAreExact(t *testing.T) {
-	r := newKeyedRig(t, oneShard, watched, nil)
-	a := r.stage(func(c *scene, do diskproto.Do) {
+	r := newHarnessWithConfig(t, useOneShard, enableAdmin, nil)
+	a := r.startFakeDiskServer(func(c *attemptConn, do diskproto.Do) {
 		switch {
 		case do.LBA == 9 && do.Attempt == 0:
-			c.say(diskproto.Answer{Result: diskproto.Failed})
+			c.answer(diskproto.Answer{Result: diskproto.Failed})
 		case scsi.Op(do.Op) == scsi.CompareAndWrite:
 			c.conn.Close()
 		default:
-			c.say(ok(do))
+			c.answer(okAnswer(do))
 		}
 	})
-	c := r.client(normal, 1)
+	c := r.connect(normalVolume, 1)
 	for i := range uint64(20) {
-		r.do(c, initiator.ReadCDB(i, 1), nil, 4096)
+		r.execute(c, initiator.ReadCDB(i, 1), nil, 4096)
 	}
 	for i := range uint64(5) {
-		r.do(c, initiator.WriteCDB(i, 1), make([]byte, 4096), 0)
+		r.execute(c, initiator.WriteCDB(i, 1), make([]byte, 4096), 0)
 	}
-	r.do(c, initiator.CompareAndWriteCDB(0, 1), make([]byte, 8192), 0)
-	f := r.families()
+	r.execute(c, initiator.CompareAndWriteCDB(0, 1), make([]byte, 8192), 0)
+	f := r.metricFamilies()
 	for _, x := range []struct {
 		name   string
 		labels []string
@@ -115,7 +115,7 @@
 		{"merlinhitch_attempts_total", []string{"result", "served"}, 25},
 		{"merlinhitch_attempts_total", []string{"result", "server_error"}, 1},
 		{"merlinhitch_attempts_total", []string{"result", "connection_lost"}, 1},
-		{"merlinhitch_attempts_total", nil, float64(len(a.did()))},
+		{"merlinhitch_attempts_total", nil, float64(len(a.receivedRequests()))},
 		{"merlinhitch_sessions", nil, 1},
 		{"merlinhitch_settings_version", nil, 1},
 		{"merlinhitch_serves", nil, 1},
@@ -123,7 +123,7 @@
 	} {
 		if f[x.name] == nil {
 			t.Errorf("there is no %s", x.name)
-		} else if got := sum(f[x.name], x.labels...); got != x.want {
+		} else if got := sumSamples(f[x.name], x.labels...); got != x.want {
 			t.Errorf("%s %v: %v, want %v", x.name, x.labels, got, x.want)
 		}
 	}
@@ -131,44 +131,44 @@
 
 // What is named is bounded, however many volumes there are.
 func TestMetricsAreBounded(t *testing.T) {
-	r := newKeyedRig(t, func(s *settings.Settings) {
-		oneShard(s)
+	r := newHarnessWithConfig(t, func(s *settings.Settings) {
+		useOneShard(s)
 		for len(s.Volumes) < 10000 {
 			v := s.Volumes[0]
 			v.Name = fmt.Sprintf("lot-%05d", len(s.Volumes))
 			s.Volumes = append(s.Volumes, v)
 		}
-	}, watched, nil)
+	}, enableAdmin, nil)
 	for i := 100; i < 250; i++ {
-		c := r.client(i, byte(i))
-		r.do(c, initiator.ReadCDB(0, 1), nil, 4096)
+		c := r.connect(i, byte(i))
+		r.execute(c, initiator.ReadCDB(0, 1), nil, 4096)
 		c.Logout()
 	}
-	if n := len(r.families()["merlinhitch_limit_left_units"].GetMetric()); n != 100 {
+	if n := len(r.metricFamilies()["merlinhitch_limit_left_units"].GetMetric()); n != 100 {
 		t.Errorf("%d volumes are named", n)
 	}
-	if _, b := r.page("/metrics"); len(b) > 64<<10 {
+	if _, b := r.getAdmin("/metrics"); len(b) > 64<<10 {
 		t.Errorf("%d bytes", len(b))
 	}
 }
 
 func TestHealthReadinessAndState(t *testing.T) {
-	r := newKeyedRig(t, nil, watched, nil)
+	r := newHarnessWithConfig(t, nil, enableAdmin, nil)
 	until := func(code int, text string) {
 		t.Helper()
-		r.await(text, func() bool {
-			got, b := r.page("/readyz")
+		r.waitFor(text, func() bool {
+			got, b := r.getAdmin("/readyz")
 			return got == code && strings.Contains(string(b), text)
 		})
 	}
-	if code, _ := r.page("/healthz"); code != http.StatusOK {
+	if code, _ := r.getAdmin("/healthz"); code != http.StatusOK {
 		t.Errorf("%d", code)
 	}
 	until(http.StatusOK, "ready")
-	r.inv.ChangeNow(func(b *inventory.Book) { b.Health(r.disks[1].Addr, inventory.Draining) })
+	r.inventory.ChangeNow(func(b *inventory.Book) { b.Health(r.diskServers[1].Addr, inventory.Draining) })
 	until(http.StatusServiceUnavailable, "shard 1 has no node")
-	r.do(r.client(normal, 1), initiator.ReadCDB(0, 1), nil, 4096)
-	code, b := r.page("/state")
+	r.execute(r.connect(normalVolume, 1), initiator.ReadCDB(0, 1), nil, 4096)
+	code, b := r.getAdmin("/state")
 	var state struct {
 		Module struct {
 			Shards []struct{ Node string }
--- a/internal/control/gateway/permit_test.go
+++ b/internal/control/gateway/permit_test.go
@@ -16,7 +16,7 @@
 	"merlinhitch/policy"
 )
 
-func sendBy(ev policy.Event) []policy.Action {
+func sendWithStartBy(ev policy.Event) []policy.Action {
 	if r, ok := ev.(policy.Request); ok {
 		return []policy.Action{policy.Send{ID: r.ID, Node: "n", TimeoutAt: 500, StartBy: 300}}
 	}
@@ -25,12 +25,12 @@
 
 // An attempt that waits for its connection ends when it may not begin any more; one that has
 // begun goes on to its end.
-func TestBeginByItsTimeOrNotAtAll(t *testing.T) {
+func TestWaitingAttemptFailsAfterBeginBy(t *testing.T) {
 	for _, claimed := range []bool{false, true} {
-		h, s, n := newScripted(sendBy)
+		h, s, n := newTestCore(sendWithStartBy)
 		h.submit(100, &job{req: policy.Request{Expires: 2000}})
 		if claimed {
-			n.sent[0].claim()
+			n.attempts[0].claim()
 		}
 		h.runDue(299)
 		if o := lastOutcome(s); o.Result != -1 {
@@ -48,12 +48,12 @@
 }
 
 // What is taken back before it began ends as never sent; what has begun goes on.
-func TestWithdrawnAttempts(t *testing.T) {
+func TestWithdrawAttempt(t *testing.T) {
 	for _, claimed := range []bool{false, true} {
-		h, s, n := newScripted(sendAll)
+		h, s, n := newTestCore(sendOnRequest)
 		j := &job{req: policy.Request{Expires: 2000}}
 		h.submit(100, j)
-		a := n.sent[0]
+		a := n.attempts[0]
 		if claimed {
 			a.claim()
 		}
@@ -67,7 +67,7 @@
 		}
 		h.perform(policy.Withdraw{ID: j.id, Attempt: 7}) // none of that number
 		h.runDue(102)
-		if len(n.ends) != 0 {
+		if len(n.outcomes) != 0 {
 			t.Error("the request ended")
 		}
 	}
@@ -75,28 +75,28 @@
 
 // An attempt that the back kept from going out waits for the outcome that is on its way, also
 // past its time: it has certainly not run.
-func TestAnOutcomeOnItsWay(t *testing.T) {
-	h, s, n := newScripted(sendAll)
+func TestDroppedAttemptWaitsForOutcome(t *testing.T) {
+	h, s, n := newTestCore(sendOnRequest)
 	h.submit(100, &job{req: policy.Request{Expires: 2000}})
-	n.sent[0].drop()
+	n.attempts[0].drop()
 	h.runDue(600)
 	if o := lastOutcome(s); o.Result != -1 {
 		t.Errorf("%+v", o)
 	}
-	h.failAttempt(601, n.sent[0], policy.NotSent)
+	h.failAttempt(601, n.attempts[0], policy.NotSent)
 	if o := lastOutcome(s); o.Result != policy.NotSent {
 		t.Errorf("%+v", o)
 	}
 }
 
-// nobody owns a job of which the test awaits nothing.
-type nobody struct{}
+// discardOwner owns a job of which the test awaits nothing.
+type discardOwner struct{}
 
-func (nobody) jobEnded(*job, jobOutcome, float64, *diskproto.Answer) {}
-func (nobody) jobSettled()                                           {}
+func (discardOwner) jobEnded(*job, jobOutcome, float64, *diskproto.Answer) {}
+func (discardOwner) jobSettled()                                           {}
 
 // Nothing is put on a connection for a request that is over, or too late.
-func TestPermitsWhenAConnectionIsUp(t *testing.T) {
+func TestBeginSendsOnlyPermittedAttempts(t *testing.T) {
 	w := env.NewReal()
 	for name, tt := range map[string]struct {
 		change func(a *attempt, now float64)
@@ -113,7 +113,7 @@
 		ours, theirs := net.Pipe()
 		l := &serverConn{pool: h.pool, outstanding: map[uint32]*attempt{}, conn: ours, writes: writequeue.New(w, ours, 1<<20, time.Second)}
 		now := env.MS(w.Now())
-		a := &attempt{job: &job{owner: nobody{}}, answerBy: now + 60_000, beginBy: math.Inf(1)}
+		a := &attempt{job: &job{owner: discardOwner{}}, answerBy: now + 60_000, beginBy: math.Inf(1)}
 		tt.change(a, now)
 		l.begin(a)
 		l.writes.Finish()
--- a/internal/control/gateway/regional_test.go
+++ b/internal/control/gateway/regions_test.go
@@ -10,17 +10,17 @@
 	"merlinhitch/policy"
 )
 
-// regionalCore is a host core of region 0 of a service over two, with a node of shard 0 in
+// newRegionalCore is a host core of region 0 of a service over two, with a node of shard 0 in
 // each, and a module that sends each request to the node that it is told is ready.
-func regionalCore() (*core, *script, *noted) {
+func newRegionalCore() (*core, *fakeScheduler, *fakeEffects) {
 	set := settings.Example(2, 1)
 	set.Regions = &settings.Regions{Lease: 1000, Quiet: 500, Drift: 0.1, Hosts: []int{0, 1}}
 	set.Plans[0].Copied = settings.AckBefore
-	n := &noted{}
+	n := &fakeEffects{}
 	h := newCore(0, set, 0, "", 1, n)
-	s := &script{}
+	s := &fakeScheduler{}
 	ready := map[string]bool{}
-	s.then = func(ev policy.Event) (out []policy.Action) {
+	s.respond = func(ev policy.Event) (out []policy.Action) {
 		switch ev := ev.(type) {
 		case policy.NodeList:
 			for _, x := range ev.Nodes {
@@ -40,12 +40,12 @@
 	return h, s, n
 }
 
-func grant(h *core, now float64, rec region.Record) {
+func grantLease(h *core, now float64, rec region.Record) {
 	h.advance(now)
 	h.applyGrant(now, &region.Grant{Ask: h.regions.Ask(now), Lease: 1000, Record: rec})
 }
 
-func ask(h *core, now float64, plan string) *job {
+func submitRequest(h *core, now float64, plan string) *job {
 	j := &job{req: policy.Request{Expires: now + 4000, Plan: plan, Class: "claim-write", Volume: "v", Hosts: 2}, message: diskproto.Do{Effect: diskproto.Keyed}}
 	h.submit(now, j)
 	return j
@@ -53,79 +53,79 @@
 
 // Without a lease nothing goes; with one, what goes carries the home's generation, goes to
 // the home's node, and must begin before the lease ends. At its end all stops.
-func TestLeaseAtTheHost(t *testing.T) {
-	h, s, n := regionalCore()
+func TestSendsRequireLease(t *testing.T) {
+	h, s, n := newRegionalCore()
 	rec := region.Begin(0, []region.ID{1}, [][2]float64{{0.25, 0.75}, {}, {}})
-	ask(h, 10, "basico")
-	if len(n.sent) != 0 {
+	submitRequest(h, 10, "basico")
+	if len(n.attempts) != 0 {
 		t.Fatal("sent without a lease")
 	}
-	grant(h, 100, rec)
-	j := ask(h, 200, "basico")
-	if len(n.sent) != 1 || n.sent[0].node != "b" || n.sent[0].generation != 1 || n.sent[0].answerBy != 1000 || j.message.Copied {
-		t.Fatalf("%d sent: %+v", len(n.sent), n.sent)
+	grantLease(h, 100, rec)
+	j := submitRequest(h, 200, "basico")
+	if len(n.attempts) != 1 || n.attempts[0].node != "b" || n.attempts[0].generation != 1 || n.attempts[0].answerBy != 1000 || j.message.Copied {
+		t.Fatalf("%d sent: %+v", len(n.attempts), n.attempts)
 	}
-	if q := s.told[len(s.told)-1].(policy.Request); q.Fraction < 0.22 || q.Fraction > 0.225 || q.FractionSince != 100 {
+	if q := s.events[len(s.events)-1].(policy.Request); q.Fraction < 0.22 || q.Fraction > 0.225 || q.FractionSince != 100 {
 		t.Errorf("a part of %v since %v", q.Fraction, q.FractionSince)
 	}
-	if j := ask(h, 210, "normal"); !j.message.Copied {
+	if j := submitRequest(h, 210, "normal"); !j.message.Copied {
 		t.Error("a plan that says nothing is acknowledged before its copy")
 	}
 	h.runDue(1000) // its end: 100 ms at which it was asked for, and a lease less its drift
-	ask(h, 1001, "basico")
-	if len(n.sent) != 2 {
-		t.Errorf("%d sent after the lease", len(n.sent))
+	submitRequest(h, 1001, "basico")
+	if len(n.attempts) != 2 {
+		t.Errorf("%d sent after the lease", len(n.attempts))
 	}
 }
 
 // A shard that moves is sent to where it is at home, and what may have run before is not
 // sent again there, unless it may be anywhere.
-func TestNoRepeatAcrossAMove(t *testing.T) {
+func TestNoRetryAcrossShardMove(t *testing.T) {
 	for _, everywhere := range []bool{false, true} {
-		h, s, n := regionalCore()
+		h, s, n := newRegionalCore()
 		if everywhere {
 			h.dedupScopes["claim-write"] = policy.DedupAll
 		}
 		rec := region.Begin(0, []region.ID{0}, nil)
-		grant(h, 0, rec)
-		j := ask(h, 10, "normal")
-		h.failAttempt(20, n.sent[0], policy.ConnectionLost)
+		grantLease(h, 0, rec)
+		j := submitRequest(h, 10, "normal")
+		h.failAttempt(20, n.attempts[0], policy.ConnectionLost)
 		rec = rec.Clone()
 		rec.Term, rec.Homes[0] = 9, region.Home{Region: 1, From: 1, Gen: 9, Moved: 9}
-		grant(h, 100, rec)
-		told := len(s.told)
+		grantLease(h, 100, rec)
+		told := len(s.events)
 		h.perform(policy.Send{ID: j.id, Node: "b"})
 		h.runDue(100)
-		if went := len(n.sent) == 2; went != everywhere {
+		if went := len(n.attempts) == 2; went != everywhere {
 			t.Errorf("sent into the other region: %v", went)
 		}
-		if o := lastOutcome(s); !everywhere && (len(s.told) != told+1 || o.Result != policy.NotSent) {
+		if o := lastOutcome(s); !everywhere && (len(s.events) != told+1 || o.Result != policy.NotSent) {
 			t.Errorf("the module was told %+v", o)
 		}
-		if ask(h, 110, "normal"); n.sent[len(n.sent)-1].node != "b" || n.sent[len(n.sent)-1].generation != 9 {
+		if submitRequest(h, 110, "normal"); n.attempts[len(n.attempts)-1].node != "b" || n.attempts[len(n.attempts)-1].generation != 9 {
 			t.Error("what is new does not go to the new home")
 		}
 	}
 }
 
 // A server that knows a later generation has the shard let alone until this host knows it.
-func TestStaleHostLetsTheShardAlone(t *testing.T) {
-	h, s, n := regionalCore()
+func TestStaleGenerationStopsSends(t *testing.T) {
+	h, s, n := newRegionalCore()
 	rec := region.Begin(0, []region.ID{0}, nil)
-	grant(h, 0, rec)
-	ask(h, 10, "normal")
-	n.sent[0].claim()
-	h.receiveAnswer(20, n.sent[0], &diskproto.Answer{Result: diskproto.Stale})
+	grantLease(h, 0, rec)
+	submitRequest(h, 10, "normal")
+	n.attempts[0].claim()
+	h.receiveAnswer(20, n.attempts[0], &diskproto.Answer{Result: diskproto.Stale})
 	if o := lastOutcome(s); o.Result != policy.NotSent {
 		t.Errorf("%+v", o)
 	}
-	if ask(h, 30, "normal"); len(n.sent) != 1 {
+	if submitRequest(h, 30, "normal"); len(n.attempts) != 1 {
 		t.Error("sent again under the generation that was refused")
 	}
 	rec = rec.Clone()
 	rec.Term, rec.Homes[0].Gen = 5, 5
-	grant(h, 40, rec)
-	if ask(h, 50, "normal"); len(n.sent) != 2 || n.sent[1].generation != 5 {
+	grantLease(h, 40, rec)
+	if submitRequest(h, 50, "normal"); len(n.attempts) != 2 || n.attempts[1].generation != 5 {
 		t.Error("not sent under the later generation")
 	}
 }
