--- a/internal/verify/conform/conform.go
+++ b/internal/verify/conform/conform.go
@@ -77,7 +77,7 @@
 // Run runs the table against a unit; dial opens a session of one of two initiators, 0
 // or 1, and is called again where a check has cost the one before. An error is of what
 // the table needs to begin with.
-func Run(ctx context.Context, dial func(ctx context.Context, who int) (*initiator.Client, error)) ([]CheckResult, error) {
+func Run(ctx context.Context, dial func(ctx context.Context, initiatorIndex int) (*initiator.Client, error)) ([]CheckResult, error) {
 	t := &target{ctx: ctx}
 	var err error
 	if t.session, err = dial(ctx, 0); err != nil {
@@ -91,35 +91,35 @@
 	if err := t.discover(); err != nil {
 		return nil, err
 	}
-	var rows []CheckResult
+	var results []CheckResult
 	for _, c := range checks {
-		row := CheckResult{Clause: c.clause, Name: c.name}
+		result := CheckResult{Clause: c.clause, Name: c.name}
 		if !t.supportsAll(c.opcodes) {
-			row.Verdict = NotOffered
-			rows = append(rows, row)
+			result.Verdict = NotOffered
+			results = append(results, result)
 			continue
 		}
-		within, cancel := context.WithTimeout(ctx, checkTimeout)
-		t.ctx = within
+		checkCtx, cancel := context.WithTimeout(ctx, checkTimeout)
+		t.ctx = checkCtx
 		if err := c.run(t); err != nil {
-			row.Verdict, row.Detail = Fail, err.Error()
+			result.Verdict, result.Detail = Fail, err.Error()
 		}
 		cancel()
-		rows = append(rows, row)
+		results = append(results, result)
 		if ctx.Err() != nil {
-			return rows, ctx.Err()
+			return results, ctx.Err()
 		}
 		if t.session.Done().Opened() {
 			if t.session, err = dial(ctx, 0); err != nil {
-				return rows, err
+				return results, err
 			}
 		}
 	}
-	return rows, nil
+	return results, nil
 }
 
-func (t *target) supportsAll(ops []byte) bool {
-	for _, op := range ops {
+func (t *target) supportsAll(opcodes []byte) bool {
+	for _, op := range opcodes {
 		if !t.supported[[2]byte{op, 0}] {
 			return false
 		}
@@ -167,69 +167,69 @@
 		return errors.New("conform: REPORT SUPPORTED OPERATION CODES is not offered: what is, is not known")
 	}
 	for b := r.Data[4:]; len(b) >= 8; {
-		k := [2]byte{b[0], 0}
+		key := [2]byte{b[0], 0}
 		if b[5]&1 != 0 {
-			k[1] = b[3]
+			key[1] = b[3]
 			t.supported[[2]byte{b[0], 0}] = true
 		}
-		t.supported[k] = true
-		n := 8
+		t.supported[key] = true
+		size := 8
 		if b[5]&2 != 0 {
-			n += 12
+			size += 12
 		}
-		b = b[min(n, len(b)):]
+		b = b[min(size, len(b)):]
 	}
 	return nil
 }
 
-func (t *target) do(cdb, out []byte, in int) (iscsi.Result, error) {
-	return t.session.Do(t.ctx, cdb, out, in)
+func (t *target) do(cdb, dataOut []byte, inLength int) (iscsi.Result, error) {
+	return t.session.Do(t.ctx, cdb, dataOut, inLength)
 }
 
 // expectGood asks for GOOD and returns the data.
-func (t *target) expectGood(cdb, out []byte, in int) ([]byte, error) {
-	r, err := t.do(cdb, out, in)
+func (t *target) expectGood(cdb, dataOut []byte, inLength int) ([]byte, error) {
+	result, err := t.do(cdb, dataOut, inLength)
 	if err != nil {
 		return nil, err
 	}
-	if r.Status != scsi.Good {
-		return nil, fmt.Errorf("%x: %s", cdb, describe(r))
+	if result.Status != scsi.Good {
+		return nil, fmt.Errorf("%x: %s", cdb, describe(result))
 	}
-	return r.Data, nil
+	return result.Data, nil
 }
 
 // expectSense asks for CHECK CONDITION with that sense.
-func (t *target) expectSense(want scsi.Sense, cdb, out []byte, in int) error {
-	r, err := t.do(cdb, out, in)
+func (t *target) expectSense(want scsi.Sense, cdb, dataOut []byte, inLength int) error {
+	result, err := t.do(cdb, dataOut, inLength)
 	if err != nil {
 		return err
 	}
-	if s, ok := scsi.ParseSense(r.Sense); r.Status != scsi.CheckCondition || !ok || s != want {
-		return fmt.Errorf("%x: %s, want %v", cdb, describe(r), want)
+	if sense, ok := scsi.ParseSense(result.Sense); result.Status != scsi.CheckCondition || !ok || sense != want {
+		return fmt.Errorf("%x: %s, want %v", cdb, describe(result), want)
 	}
 	return nil
 }
 
-func describe(r iscsi.Result) string {
-	if s, ok := scsi.ParseSense(r.Sense); ok {
-		return fmt.Sprintf("status %02x, %v", r.Status, s)
+func describe(result iscsi.Result) string {
+	if sense, ok := scsi.ParseSense(result.Sense); ok {
+		return fmt.Sprintf("status %02x, %v", result.Status, sense)
 	}
-	return fmt.Sprintf("status %02x", r.Status)
+	return fmt.Sprintf("status %02x", result.Status)
 }
 
 // writePattern writes a pattern to the first blocks and returns it.
 func (t *target) writePattern(seed byte, blocks int) ([]byte, error) {
-	b := pattern(seed, blocks*t.blockSize)
-	_, err := t.expectGood(blockCDB(0x8a, 0, uint32(blocks)), b, 0)
-	return b, err
+	data := pattern(seed, blocks*t.blockSize)
+	_, err := t.expectGood(blockCDB(0x8a, 0, uint32(blocks)), data, 0)
+	return data, err
 }
 
 func pattern(seed byte, n int) []byte {
-	b := make([]byte, n)
-	for i := range b {
-		b[i] = seed + byte(i) ^ byte(i>>8)*7
+	data := make([]byte, n)
+	for i := range data {
+		data[i] = seed + byte(i) ^ byte(i>>8)*7
 	}
-	return b
+	return data
 }
 
 // expectData reads blocks back.
@@ -245,16 +245,16 @@
 }
 
 // Print writes the table for people.
-func Print(w io.Writer, rows []CheckResult) error {
-	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	count := [3]int{}
-	for _, r := range rows {
-		count[r.Verdict]++
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\n", r.Verdict, r.Clause, r.Name, r.Detail)
+func Print(w io.Writer, results []CheckResult) error {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	counts := [3]int{}
+	for _, result := range results {
+		counts[result.Verdict]++
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", result.Verdict, result.Clause, result.Name, result.Detail)
 	}
-	if err := tw.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(w, "%d checks: %d pass, %d fail, %d not offered\n", len(rows), count[Pass], count[Fail], count[NotOffered])
+	_, err := fmt.Fprintf(w, "%d checks: %d pass, %d fail, %d not offered\n", len(results), counts[Pass], counts[Fail], counts[NotOffered])
 	return err
 }
--- a/internal/verify/conform/reservations.go
+++ b/internal/verify/conform/reservations.go
@@ -16,16 +16,16 @@
 	keyB uint64 = 0xb2
 )
 
-func reserveInCDB(action byte, alloc uint16) []byte {
-	return []byte{0x5e, action, 0, 0, 0, 0, 0, byte(alloc >> 8), byte(alloc), 0}
+func reserveInCDB(action byte, allocation uint16) []byte {
+	return []byte{0x5e, action, 0, 0, 0, 0, 0, byte(allocation >> 8), byte(allocation), 0}
 }
 
-func reserveOutCDB(action, typ byte, key, service uint64, flags byte) (cdb, list []byte) {
-	list = make([]byte, 24)
-	binary.BigEndian.PutUint64(list, key)
-	binary.BigEndian.PutUint64(list[8:], service)
-	list[20] = flags
-	return []byte{0x5f, action, typ, 0, 0, 0, 0, 0, 24, 0}, list
+func reserveOutCDB(action, reservationType byte, key, serviceKey uint64, flags byte) (cdb, parameters []byte) {
+	parameters = make([]byte, 24)
+	binary.BigEndian.PutUint64(parameters, key)
+	binary.BigEndian.PutUint64(parameters[8:], serviceKey)
+	parameters[20] = flags
+	return []byte{0x5f, action, reservationType, 0, 0, 0, 0, 0, 24, 0}, parameters
 }
 
 // Service actions of PERSISTENT RESERVE OUT.
@@ -41,27 +41,27 @@
 
 // doPastAttention does something over one of the two sessions; a unit attention that waits there is
 // taken first.
-func (t *target) doPastAttention(s *initiator.Client, cdb, out []byte, in int) (iscsi.Result, error) {
+func (t *target) doPastAttention(session *initiator.Client, cdb, dataOut []byte, inLength int) (iscsi.Result, error) {
 	for {
-		r, err := s.Do(t.ctx, cdb, out, in)
-		if sense, ok := scsi.ParseSense(r.Sense); err == nil && ok && sense.Key == 6 {
+		result, err := session.Do(t.ctx, cdb, dataOut, inLength)
+		if sense, ok := scsi.ParseSense(result.Sense); err == nil && ok && sense.Key == 6 {
 			continue
 		}
-		return r, err
+		return result, err
 	}
 }
 
-func (t *target) expectStatus(s *initiator.Client, status byte, cdb, out []byte) error {
-	r, err := t.doPastAttention(s, cdb, out, 0)
-	if err == nil && r.Status != status {
-		err = fmt.Errorf("%x: %s, want status %02x", cdb, describe(r), status)
+func (t *target) expectStatus(session *initiator.Client, status byte, cdb, dataOut []byte) error {
+	result, err := t.doPastAttention(session, cdb, dataOut, 0)
+	if err == nil && result.Status != status {
+		err = fmt.Errorf("%x: %s, want status %02x", cdb, describe(result), status)
 	}
 	return err
 }
 
-func (t *target) expectReserveOut(s *initiator.Client, status, action, typ byte, key, service uint64) error {
-	cdb, list := reserveOutCDB(action, typ, key, service, 0)
-	return t.expectStatus(s, status, cdb, list)
+func (t *target) expectReserveOut(session *initiator.Client, status, action, reservationType byte, key, serviceKey uint64) error {
+	cdb, parameters := reserveOutCDB(action, reservationType, key, serviceKey, 0)
+	return t.expectStatus(session, status, cdb, parameters)
 }
 
 // clearRegistrations leaves no registration behind.
@@ -81,27 +81,27 @@
 }
 
 func (t *target) readKeys() ([]uint64, error) {
-	r, err := t.doPastAttention(t.session, reserveInCDB(0, 1024), nil, 1024)
-	if err != nil || r.Status != scsi.Good || len(r.Data) < 8 {
-		return nil, errors.Join(err, fmt.Errorf("READ KEYS: %s", describe(r)))
+	result, err := t.doPastAttention(t.session, reserveInCDB(0, 1024), nil, 1024)
+	if err != nil || result.Status != scsi.Good || len(result.Data) < 8 {
+		return nil, errors.Join(err, fmt.Errorf("READ KEYS: %s", describe(result)))
 	}
-	var out []uint64
-	for b := r.Data[8:]; len(b) >= 8; b = b[8:] {
-		out = append(out, binary.BigEndian.Uint64(b))
+	var keys []uint64
+	for b := result.Data[8:]; len(b) >= 8; b = b[8:] {
+		keys = append(keys, binary.BigEndian.Uint64(b))
 	}
-	return out, nil
+	return keys, nil
 }
 
 // readReservation is the key and the type of the reservation, 0 where there is none.
-func (t *target) readReservation() (key uint64, typ byte, err error) {
-	r, err := t.doPastAttention(t.session, reserveInCDB(1, 64), nil, 64)
-	if err != nil || r.Status != scsi.Good || len(r.Data) < 8 {
-		return 0, 0, errors.Join(err, fmt.Errorf("READ RESERVATION: %s", describe(r)))
+func (t *target) readReservation() (key uint64, reservationType byte, err error) {
+	result, err := t.doPastAttention(t.session, reserveInCDB(1, 64), nil, 64)
+	if err != nil || result.Status != scsi.Good || len(result.Data) < 8 {
+		return 0, 0, errors.Join(err, fmt.Errorf("READ RESERVATION: %s", describe(result)))
 	}
-	if len(r.Data) < 24 {
+	if len(result.Data) < 24 {
 		return 0, 0, nil
 	}
-	return binary.BigEndian.Uint64(r.Data[8:]), r.Data[21] & 0xf, nil
+	return binary.BigEndian.Uint64(result.Data[8:]), result.Data[21] & 0xf, nil
 }
 
 // reservationTypes, with whether others may read, whether registrants may do all.
@@ -245,24 +245,24 @@
 }
 
 // checkAccess tries what the holder, another registrant and who is not registered may do.
-func (t *target) checkAccess(typ byte, reads, registered bool) error {
-	if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.session, scsi.Good, actReserve, typ, keyA, 0)); err != nil {
+func (t *target) checkAccess(reservationType byte, othersRead, registrantsAccess bool) error {
+	if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.session, scsi.Good, actReserve, reservationType, keyA, 0)); err != nil {
 		return err
 	}
-	block := pattern(typ, t.blockSize)
-	status := func(ok bool) byte {
-		if ok {
+	data := pattern(reservationType, t.blockSize)
+	status := func(allowed bool) byte {
+		if allowed {
 			return scsi.Good
 		}
 		return scsi.Conflict
 	}
 	return errors.Join(
-		t.expectStatus(t.session, scsi.Good, blockCDB(0x8a, 0, 1), block),
-		t.expectStatus(t.otherSession, status(registered), blockCDB(0x8a, 0, 1), block),
-		t.expectStatus(t.otherSession, status(reads || registered), blockCDB(0x88, 0, 1), nil),
+		t.expectStatus(t.session, scsi.Good, blockCDB(0x8a, 0, 1), data),
+		t.expectStatus(t.otherSession, status(registrantsAccess), blockCDB(0x8a, 0, 1), data),
+		t.expectStatus(t.otherSession, status(othersRead || registrantsAccess), blockCDB(0x88, 0, 1), nil),
 		t.expectReserveOut(t.otherSession, scsi.Good, actRegister, 0, keyB, 0),
-		t.expectStatus(t.otherSession, scsi.Conflict, blockCDB(0x8a, 0, 1), block),
-		t.expectStatus(t.otherSession, status(reads), blockCDB(0x88, 0, 1), nil),
+		t.expectStatus(t.otherSession, scsi.Conflict, blockCDB(0x8a, 0, 1), data),
+		t.expectStatus(t.otherSession, status(othersRead), blockCDB(0x88, 0, 1), nil),
 		t.expectStatus(t.otherSession, scsi.Good, testUnitReadyCDB(), nil))
 }
 
@@ -270,11 +270,11 @@
 // come with its second command where another is told first.
 func (t *target) expectAttention(want scsi.Sense) error {
 	for range 3 {
-		r, err := t.otherSession.Do(t.ctx, testUnitReadyCDB(), nil, 0)
+		result, err := t.otherSession.Do(t.ctx, testUnitReadyCDB(), nil, 0)
 		if err != nil {
 			return err
 		}
-		if s, ok := scsi.ParseSense(r.Sense); ok && s == want {
+		if sense, ok := scsi.ParseSense(result.Sense); ok && sense == want {
 			return nil
 		}
 	}
--- a/internal/verify/conform/table.go
+++ b/internal/verify/conform/table.go
@@ -15,91 +15,91 @@
 
 func testUnitReadyCDB() []byte { return make([]byte, 6) }
 
-func inquiryCDB(evpd, page byte, alloc uint16) []byte {
-	return []byte{0x12, evpd, page, byte(alloc >> 8), byte(alloc), 0}
+func inquiryCDB(evpd, page byte, allocation uint16) []byte {
+	return []byte{0x12, evpd, page, byte(allocation >> 8), byte(allocation), 0}
 }
 
-func readCapacity16CDB(alloc uint32) []byte {
-	b := make([]byte, 16)
-	b[0], b[1] = 0x9e, 0x10
-	binary.BigEndian.PutUint32(b[10:], alloc)
-	return b
+func readCapacity16CDB(allocation uint32) []byte {
+	cdb := make([]byte, 16)
+	cdb[0], cdb[1] = 0x9e, 0x10
+	binary.BigEndian.PutUint32(cdb[10:], allocation)
+	return cdb
 }
 
-func supportedOpcodesCDB(options, op byte, sa uint16, alloc uint32) []byte {
-	b := make([]byte, 12)
-	b[0], b[1], b[2], b[3] = 0xa3, 0x0c, options, op
-	binary.BigEndian.PutUint16(b[4:], sa)
-	binary.BigEndian.PutUint32(b[6:], alloc)
-	return b
+func supportedOpcodesCDB(options, opcode byte, serviceAction uint16, allocation uint32) []byte {
+	cdb := make([]byte, 12)
+	cdb[0], cdb[1], cdb[2], cdb[3] = 0xa3, 0x0c, options, opcode
+	binary.BigEndian.PutUint16(cdb[4:], serviceAction)
+	binary.BigEndian.PutUint32(cdb[6:], allocation)
+	return cdb
 }
 
-func reportLUNsCDB(sel byte, alloc uint32) []byte {
-	b := make([]byte, 12)
-	b[0], b[2] = 0xa0, sel
-	binary.BigEndian.PutUint32(b[6:], alloc)
-	return b
+func reportLUNsCDB(selectReport byte, allocation uint32) []byte {
+	cdb := make([]byte, 12)
+	cdb[0], cdb[2] = 0xa0, selectReport
+	binary.BigEndian.PutUint32(cdb[6:], allocation)
+	return cdb
 }
 
-func modeSenseCDB(long bool, dbd, pc, page byte, alloc uint16) []byte {
-	if long {
-		return []byte{0x5a, dbd << 3, pc<<6 | page, 0, 0, 0, 0, byte(alloc >> 8), byte(alloc), 0}
+func modeSenseCDB(tenByte bool, dbd, pageControl, page byte, allocation uint16) []byte {
+	if tenByte {
+		return []byte{0x5a, dbd << 3, pageControl<<6 | page, 0, 0, 0, 0, byte(allocation >> 8), byte(allocation), 0}
 	}
-	return []byte{0x1a, dbd << 3, pc<<6 | page, 0, byte(alloc), 0}
+	return []byte{0x1a, dbd << 3, pageControl<<6 | page, 0, byte(allocation), 0}
 }
 
 // blockCDB is a command with an address and a number of blocks, in the form of its opcode.
-func blockCDB(op byte, lba uint64, n uint32) []byte {
+func blockCDB(op byte, lba uint64, blocks uint32) []byte {
 	be := binary.BigEndian
 	switch op >> 5 {
 	case 0:
-		return []byte{op, byte(lba >> 16 & 0x1f), byte(lba >> 8), byte(lba), byte(n), 0}
+		return []byte{op, byte(lba >> 16 & 0x1f), byte(lba >> 8), byte(lba), byte(blocks), 0}
 	case 1, 2:
 		b := make([]byte, 10)
 		b[0] = op
 		be.PutUint32(b[2:], uint32(lba))
-		be.PutUint16(b[7:], uint16(n))
+		be.PutUint16(b[7:], uint16(blocks))
 		return b
 	case 5:
 		b := make([]byte, 12)
 		b[0] = op
 		be.PutUint32(b[2:], uint32(lba))
-		be.PutUint32(b[6:], n)
+		be.PutUint32(b[6:], blocks)
 		return b
 	}
 	b := make([]byte, 16)
 	b[0] = op
 	be.PutUint64(b[2:], lba)
-	be.PutUint32(b[10:], n)
+	be.PutUint32(b[10:], blocks)
 	return b
 }
 
 func withFlags(cdb []byte, flags byte) []byte {
-	b := slices.Clone(cdb)
-	b[1] |= flags
-	return b
+	changed := slices.Clone(cdb)
+	changed[1] |= flags
+	return changed
 }
 
-func compareAndWriteCDB(lba uint64, n byte) []byte {
-	b := blockCDB(0x89, lba, 0)
-	b[13] = n
-	return b
+func compareAndWriteCDB(lba uint64, blocks byte) []byte {
+	cdb := blockCDB(0x89, lba, 0)
+	cdb[13] = blocks
+	return cdb
 }
 
 // unmapCDB is an UNMAP with its parameter list.
-func unmapCDB(runs ...[2]uint64) (cdb, out []byte) {
-	out = make([]byte, 8, 8+16*len(runs))
-	binary.BigEndian.PutUint16(out, uint16(6+16*len(runs)))
-	binary.BigEndian.PutUint16(out[2:], uint16(16*len(runs)))
-	for _, r := range runs {
-		out = binary.BigEndian.AppendUint64(out, r[0])
-		out = binary.BigEndian.AppendUint32(out, uint32(r[1]))
-		out = append(out, 0, 0, 0, 0)
+func unmapCDB(ranges ...[2]uint64) (cdb, parameters []byte) {
+	parameters = make([]byte, 8, 8+16*len(ranges))
+	binary.BigEndian.PutUint16(parameters, uint16(6+16*len(ranges)))
+	binary.BigEndian.PutUint16(parameters[2:], uint16(16*len(ranges)))
+	for _, r := range ranges {
+		parameters = binary.BigEndian.AppendUint64(parameters, r[0])
+		parameters = binary.BigEndian.AppendUint32(parameters, uint32(r[1]))
+		parameters = append(parameters, 0, 0, 0, 0)
 	}
 	cdb = make([]byte, 10)
 	cdb[0] = 0x42
-	binary.BigEndian.PutUint16(cdb[7:], uint16(len(out)))
-	return cdb, out
+	binary.BigEndian.PutUint16(cdb[7:], uint16(len(parameters)))
+	return cdb, parameters
 }
 
 // The forms of commands that differ in size only.
@@ -233,20 +233,20 @@
 }
 
 func checkVPDPages(t *target) error {
-	list, err := t.expectGood(inquiryCDB(1, 0, 255), nil, 255)
+	pages, err := t.expectGood(inquiryCDB(1, 0, 255), nil, 255)
 	if err != nil {
 		return err
 	}
-	if len(list) < 5 || len(list) != int(list[3])+4 || !slices.IsSorted(list[4:]) || !slices.Contains(list[4:], 0x83) {
-		return fmt.Errorf("the list: %x", list)
+	if len(pages) < 5 || len(pages) != int(pages[3])+4 || !slices.IsSorted(pages[4:]) || !slices.Contains(pages[4:], 0x83) {
+		return fmt.Errorf("the list: %x", pages)
 	}
-	for _, page := range list[4:] {
-		b, err := t.expectGood(inquiryCDB(1, page, 4096), nil, 4096)
+	for _, page := range pages[4:] {
+		data, err := t.expectGood(inquiryCDB(1, page, 4096), nil, 4096)
 		if err != nil {
 			return err
 		}
-		if len(b) < 4 || b[1] != page || len(b) != int(binary.BigEndian.Uint16(b[2:]))+4 {
-			return fmt.Errorf("page %02x: %x", page, b)
+		if len(data) < 4 || data[1] != page || len(data) != int(binary.BigEndian.Uint16(data[2:]))+4 {
+			return fmt.Errorf("page %02x: %x", page, data)
 		}
 	}
 	return nil
@@ -254,18 +254,18 @@
 
 func checkListedOpcodes(t *target) error {
 	for k := range t.supported {
-		option, sa := byte(1), uint16(0)
+		option, serviceAction := byte(1), uint16(0)
 		if hasServiceActions[k[0]] {
-			if option, sa = 2, uint16(k[1]); sa == 0 {
+			if option, serviceAction = 2, uint16(k[1]); serviceAction == 0 {
 				continue // stands for the code, not for an action
 			}
 		}
-		b, err := t.expectGood(supportedOpcodesCDB(option, k[0], sa, 64), nil, 64)
+		data, err := t.expectGood(supportedOpcodesCDB(option, k[0], serviceAction, 64), nil, 64)
 		if err != nil {
 			return err
 		}
-		if len(b) < 5 || b[1]&7 != 3 || int(b[3]) != len(b)-4 || b[4] != k[0] {
-			return fmt.Errorf("code %02x/%02x: %x", k[0], k[1], b)
+		if len(data) < 5 || data[1]&7 != 3 || int(data[3]) != len(data)-4 || data[4] != k[0] {
+			return fmt.Errorf("code %02x/%02x: %x", k[0], k[1], data)
 		}
 	}
 	return nil
@@ -275,12 +275,12 @@
 var hasServiceActions = map[byte]bool{0x9e: true, 0x9f: true, 0xa3: true, 0xa4: true, 0x5e: true, 0x5f: true, 0x83: true, 0x84: true, 0x7f: true}
 
 func checkTimeoutDescriptors(t *target) error {
-	b, err := t.expectGood(supportedOpcodesCDB(0x81, 0x12, 0, 64), nil, 64)
+	one, err := t.expectGood(supportedOpcodesCDB(0x81, 0x12, 0, 64), nil, 64)
 	if err != nil {
 		return err
 	}
-	if len(b) < 4 || b[1]&0x80 == 0 || len(b) != 4+int(b[3])+12 || b[4+int(b[3])+1] != 10 {
-		return fmt.Errorf("of one: %x", b)
+	if len(one) < 4 || one[1]&0x80 == 0 || len(one) != 4+int(one[3])+12 || one[4+int(one[3])+1] != 10 {
+		return fmt.Errorf("of one: %x", one)
 	}
 	all, err := t.expectGood(supportedOpcodesCDB(0x80, 0, 0, 1<<16), nil, 1<<16)
 	if err != nil {
@@ -645,27 +645,27 @@
 }
 
 // expectResidual asks for GOOD with that expectResidual.
-func (t *target) expectResidual(cdb, out []byte, in, want int, under bool) error {
-	r, err := t.do(cdb, out, in)
+func (t *target) expectResidual(cdb, dataOut []byte, inLength, want int, underflow bool) error {
+	result, err := t.do(cdb, dataOut, inLength)
 	if err != nil {
 		return err
 	}
-	if r.Status != scsi.Good || r.Underflow != under || r.Overflow == under || int(r.Residual) != want {
-		return fmt.Errorf("%s, residual %d, underflow %v, overflow %v; want %d", describe(r), r.Residual, r.Underflow, r.Overflow, want)
+	if result.Status != scsi.Good || result.Underflow != underflow || result.Overflow == underflow || int(result.Residual) != want {
+		return fmt.Errorf("%s, residual %d, underflow %v, overflow %v; want %d", describe(result), result.Residual, result.Underflow, result.Overflow, want)
 	}
 	return nil
 }
 
-func (t *target) expectTaskResponse(f iscsi.TaskFunction, want byte) error {
-	got := make(chan error, 1)
-	t.session.Manage(f, func(code byte, err error) {
+func (t *target) expectTaskResponse(function iscsi.TaskFunction, want byte) error {
+	response := make(chan error, 1)
+	t.session.Manage(function, func(code byte, err error) {
 		if err == nil && code != want {
 			err = fmt.Errorf("response %d, want %d", code, want)
 		}
-		got <- err
+		response <- err
 	})
 	select {
-	case err := <-got:
+	case err := <-response:
 		return err
 	case <-t.ctx.Done():
 		return errors.New("no response")
@@ -676,23 +676,23 @@
 // it is told, so there is no ground to refuse one.
 func checkManyWrites(t *target) error {
 	const n = 1000
-	got := make(chan error, n)
+	results := make(chan error, n)
 	for i := range n {
 		lba := uint64(i % OverwrittenBlocks)
 		t.session.Submit(0, blockCDB(0x8a, lba, 1), pattern(byte(i), t.blockSize), 0, func(r iscsi.Result, err error) {
 			if err == nil && r.Status != scsi.Good {
 				err = errors.New(describe(r))
 			}
-			got <- err
+			results <- err
 		})
 	}
-	bad := 0
+	failed := 0
 	var first error
 	for range n {
 		select {
-		case err := <-got:
+		case err := <-results:
 			if err != nil {
-				if bad++; first == nil {
+				if failed++; first == nil {
 					first = err
 				}
 			}
@@ -700,8 +700,8 @@
 			return errors.New("not all ended")
 		}
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d of %d, first: %w", bad, n, first)
+	if failed > 0 {
+		return fmt.Errorf("%d of %d, first: %w", failed, n, first)
 	}
 	return nil
 }
@@ -710,8 +710,8 @@
 	const n = 64
 	done := make(chan byte, n)
 	for i := range n {
-		h := t.session.Submit(0, blockCDB(0x8a, uint64(i), 1), pattern(byte(i), t.blockSize), 0, func(iscsi.Result, error) {})
-		if !t.session.Abort(h, func(code byte) { done <- code }) {
+		handle := t.session.Submit(0, blockCDB(0x8a, uint64(i), 1), pattern(byte(i), t.blockSize), 0, func(iscsi.Result, error) {})
+		if !t.session.Abort(handle, func(code byte) { done <- code }) {
 			done <- 0 // it never went out
 		}
 	}
--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -77,10 +77,10 @@
 	conns          map[uint32]*conn
 	sessions       map[sessionID]*conn
 	requests       map[requestID]*request
-	hosts          map[string]*host
+	processes      map[string]*hostProcess
 	serverStarts   map[string]int64 // server's last start, us
 	coldSends      map[string][]coldSend
-	buckets        map[string]*bucket
+	buckets        map[string]*tokenBucket
 	keyQueues      map[keyQueueID][]*request
 	firstServed    map[int32][]servedHome // by shard, where there are two regions
 	lastEventAt    int64
@@ -93,7 +93,7 @@
 	session uint32
 }
 
-type requestID struct{ host, seq uint64 }
+type requestID struct{ hostID, seq uint64 }
 
 type keyQueueID struct{ host, key string }
 
@@ -128,7 +128,7 @@
 }
 
 type request struct {
-	key      requestID
+	id       requestID
 	orderKey string
 	cmd      *command
 	class    *settings.Class
@@ -148,8 +148,8 @@
 	lostAt     int64 // connection over without an answer
 }
 
-// host is one start of a host.
-type host struct {
+// hostProcess is one start of a hostProcess.
+type hostProcess struct {
 	notReadySince map[string]int64 // server told off, by when
 	knownStarts   map[string]int64 // server's start that it was told
 	knownServers  map[string]bool
@@ -165,42 +165,42 @@
 type stall struct{ from, to int64 }
 
 // seenAt is when a host can see what comes at t.
-func (h *host) seenAt(t int64) int64 {
+func (h *hostProcess) seenAt(at int64) int64 {
 	for _, s := range h.stalls {
-		if s.from <= t && t < s.to {
+		if s.from <= at && at < s.to {
 			return s.to
 		}
 	}
-	return t
+	return at
 }
 
 // extendByStalls is the end of a time that begins at t and that the host must be awake for.
-func (h *host) extendByStalls(t, end int64) int64 {
+func (h *hostProcess) extendByStalls(start, end int64) int64 {
 	for _, s := range h.stalls {
-		if t < s.to && s.from < end {
-			end += s.to - max(s.from, t)
+		if start < s.to && s.from < end {
+			end += s.to - max(s.from, start)
 		}
 	}
 	return end
 }
 
 type coldSend struct {
-	at         int64
+	sentAt     int64
 	units      float64
 	startKnown bool // by a host that knew of the start
 }
 
-type bucket struct {
-	level float64
-	at    int64
+type tokenBucket struct {
+	level     float64
+	updatedAt int64
 }
 
 // New returns a checker of a run.
-func New(m *trail.Meta) *Checker {
-	c := &Checker{meta: m, settings: m.Settings, volumes: map[string]*settings.Volume{}, plans: map[string]*settings.Plan{},
+func New(meta *trail.Meta) *Checker {
+	c := &Checker{meta: meta, settings: meta.Settings, volumes: map[string]*settings.Volume{}, plans: map[string]*settings.Plan{},
 		conns: map[uint32]*conn{}, sessions: map[sessionID]*conn{}, requests: map[requestID]*request{},
-		hosts: map[string]*host{}, serverStarts: map[string]int64{}, coldSends: map[string][]coldSend{},
-		firstServed: map[int32][]servedHome{}, buckets: map[string]*bucket{}, keyQueues: map[keyQueueID][]*request{}, volumeVariants: map[string][]*settings.Volume{}, Stats: newStats()}
+		processes: map[string]*hostProcess{}, serverStarts: map[string]int64{}, coldSends: map[string][]coldSend{},
+		firstServed: map[int32][]servedHome{}, buckets: map[string]*tokenBucket{}, keyQueues: map[keyQueueID][]*request{}, volumeVariants: map[string][]*settings.Volume{}, Stats: newStats()}
 	for i := range c.settings.Volumes {
 		c.volumes[c.settings.Volumes[i].Name] = &c.settings.Volumes[i]
 	}
@@ -211,8 +211,8 @@
 }
 
 // Check runs a whole trail.
-func Check(m *trail.Meta, events []trail.Event) *Checker {
-	c := New(m)
+func Check(meta *trail.Meta, events []trail.Event) *Checker {
+	c := New(meta)
 	for i := range events {
 		c.Feed(&events[i])
 	}
@@ -220,19 +220,19 @@
 	return c
 }
 
-func (c *Checker) violate(b Violation, format string, args ...any) {
-	b.Text = fmt.Sprintf(format, args...)
-	c.ViolationCounts[b.Rule]++
+func (c *Checker) violate(violation Violation, format string, args ...any) {
+	violation.Text = fmt.Sprintf(format, args...)
+	c.ViolationCounts[violation.Rule]++
 	if len(c.Violations) < maxViolations {
-		c.Violations = append(c.Violations, b)
+		c.Violations = append(c.Violations, violation)
 	}
 }
 
-func (c *Checker) host(name string) *host {
-	h := c.hosts[name]
+func (c *Checker) process(name string) *hostProcess {
+	h := c.processes[name]
 	if h == nil {
-		h = &host{notReadySince: map[string]int64{}, knownStarts: map[string]int64{}, knownServers: map[string]bool{}}
-		c.hosts[name] = h
+		h = &hostProcess{notReadySince: map[string]int64{}, knownStarts: map[string]int64{}, knownServers: map[string]bool{}}
+		c.processes[name] = h
 	}
 	return h
 }
@@ -248,7 +248,7 @@
 	case trail.LinkInventory:
 		c.inventoryEvent(e)
 	case trail.LinkFault:
-		h := c.host(e.Host)
+		h := c.process(e.Host)
 		if e.Kind == trail.Killed {
 			if !h.killed { // once
 				h.diedAt, h.killed = e.Time, true
@@ -262,47 +262,47 @@
 // Client side.
 
 func (c *Checker) clientEvent(e *trail.Event) {
-	k := c.conns[e.Conn]
-	if k == nil {
-		k = &conn{id: e.Conn, host: e.Host, open: map[uint32]*command{}, endedAt: map[uint32]int64{}, aborting: map[uint32][]*command{}}
-		c.conns[e.Conn] = k
+	connection := c.conns[e.Conn]
+	if connection == nil {
+		connection = &conn{id: e.Conn, host: e.Host, open: map[uint32]*command{}, endedAt: map[uint32]int64{}, aborting: map[uint32][]*command{}}
+		c.conns[e.Conn] = connection
 	}
 	switch e.Kind {
 	case trail.Login:
-		k.volume = c.volumes[e.Volume]
-		c.sessions[sessionID{e.Host, e.Session}] = k
+		connection.volume = c.volumes[e.Volume]
+		c.sessions[sessionID{e.Host, e.Session}] = connection
 	case trail.Command:
-		c.startCommand(k, e)
+		c.startCommand(connection, e)
 	case trail.DataOut:
-		if cmd := k.open[e.Tag]; cmd != nil && cmd.missingBytes > 0 {
+		if cmd := connection.open[e.Tag]; cmd != nil && cmd.missingBytes > 0 {
 			if cmd.missingBytes -= int64(e.Length); cmd.missingBytes <= 0 {
 				c.commandArrived(cmd, e.Time)
 			}
 		}
 	case trail.Status:
-		c.checkStatus(k, e)
+		c.checkStatus(connection, e)
 	case trail.TaskResponse:
-		c.finishAbort(k, e)
+		c.finishAbort(connection, e)
 	case trail.TaskRequest:
-		c.startAbort(k, e)
+		c.startAbort(connection, e)
 	case trail.Close:
-		c.clientClosed(k, e)
+		c.clientClosed(connection, e)
 	}
 }
 
-func (c *Checker) startCommand(k *conn, e *trail.Event) {
-	cmd := &command{conn: k, tag: e.Tag, op: scsi.OpByName(e.Op), lba: e.LBA, blocks: e.Blocks, issuedAt: e.Time,
+func (c *Checker) startCommand(connection *conn, e *trail.Event) {
+	cmd := &command{conn: connection, tag: e.Tag, op: scsi.OpByName(e.Op), lba: e.LBA, blocks: e.Blocks, issuedAt: e.Time,
 		missingBytes: int64(e.Length) - int64(e.Advice), parts: 1}
-	if k.open[e.Tag] != nil {
-		c.violate(Violation{Rule: Answers, Time: e.Time, Conn: k.id, Tag: e.Tag}, "the client used tag %d twice: the trail can't be read", e.Tag)
+	if connection.open[e.Tag] != nil {
+		c.violate(Violation{Rule: Answers, Time: e.Time, Conn: connection.id, Tag: e.Tag}, "the client used tag %d twice: the trail can't be read", e.Tag)
 	}
-	k.open[e.Tag] = cmd
-	if k.volume == nil || cmd.op == 0 {
+	connection.open[e.Tag] = cmd
+	if connection.volume == nil || cmd.op == 0 {
 		return
 	}
-	size := int(cmd.blocks) * k.volume.BlockSize
-	cmd.class, cmd.plan = c.settings.Class(cmd.op, size, k.volume.Plan), k.volume.Plan
-	for _, v := range c.variants(k.volume) {
+	size := int(cmd.blocks) * connection.volume.BlockSize
+	cmd.class, cmd.plan = c.settings.Class(cmd.op, size, connection.volume.Plan), connection.volume.Plan
+	for _, v := range c.variants(connection.volume) {
 		parts := 0
 		for range v.Parts(cmd.lba, cmd.blocks) {
 			parts++
@@ -316,10 +316,10 @@
 }
 
 // commandArrived notes that the host has all of a command.
-func (c *Checker) commandArrived(cmd *command, t int64) {
-	h := c.host(cmd.conn.host)
+func (c *Checker) commandArrived(cmd *command, now int64) {
+	process := c.process(cmd.conn.host)
 	for range cmd.parts {
-		h.arrivals = append(h.arrivals, h.seenAt(t))
+		process.arrivals = append(process.arrivals, process.seenAt(now))
 	}
 	if cmd.class != nil && cmd.class.Ordered {
 		cmd.conn.orderedQueue = append(cmd.conn.orderedQueue, cmd)
@@ -331,21 +331,21 @@
 	if cmd.class == nil {
 		return math.MaxInt64
 	}
-	return c.host(cmd.conn.host).extendByStalls(cmd.issuedAt, cmd.issuedAt+int64((cmd.class.Deadline+c.settings.Rules.AnswerSlack)*1000))
+	return c.process(cmd.conn.host).extendByStalls(cmd.issuedAt, cmd.issuedAt+int64((cmd.class.Deadline+c.settings.Rules.AnswerSlack)*1000))
 }
 
-func (c *Checker) checkStatus(k *conn, e *trail.Event) {
-	cmd := k.open[e.Tag]
-	at := Violation{Time: e.Time, Conn: k.id, Tag: e.Tag}
+func (c *Checker) checkStatus(connection *conn, e *trail.Event) {
+	cmd := connection.open[e.Tag]
+	violation := Violation{Time: e.Time, Conn: connection.id, Tag: e.Tag}
 	if cmd == nil {
-		at.Rule = Answers
-		c.violate(at, "an answer to %s for a command that is over or was never sent (tag %d)", e.Peer, e.Tag)
+		violation.Rule = Answers
+		c.violate(violation, "an answer to %s for a command that is over or was never sent (tag %d)", e.Peer, e.Tag)
 		return
 	}
 	c.Checks[Answers]++
 	if due := c.answerDue(cmd); e.Time > due {
-		at.Rule = Answers
-		c.violate(at, "%s of %s answered %.1f ms after its client's time was up", cmd.op, k.volume.Name, float64(e.Time-due)/1000)
+		violation.Rule = Answers
+		c.violate(violation, "%s of %s answered %.1f ms after its client's time was up", cmd.op, connection.volume.Name, float64(e.Time-due)/1000)
 	}
 	if cmd.class != nil {
 		c.Stats.recordAnswer(cmd, e)
@@ -361,20 +361,20 @@
 const maxEndedTags = 4096
 
 // endCommand ends a command. The host knows of it at the latest at by.
-func (c *Checker) endCommand(cmd *command, by int64) {
-	k := cmd.conn
-	cmd.ended, cmd.endedAt = true, by
-	delete(k.open, cmd.tag)
-	k.endedAt[cmd.tag] = by
-	if k.endedTags = append(k.endedTags, cmd.tag); len(k.endedTags) > maxEndedTags {
-		delete(k.endedAt, k.endedTags[0])
-		k.endedTags = k.endedTags[1:]
+func (c *Checker) endCommand(cmd *command, knownBy int64) {
+	connection := cmd.conn
+	cmd.ended, cmd.endedAt = true, knownBy
+	delete(connection.open, cmd.tag)
+	connection.endedAt[cmd.tag] = knownBy
+	if connection.endedTags = append(connection.endedTags, cmd.tag); len(connection.endedTags) > maxEndedTags {
+		delete(connection.endedAt, connection.endedTags[0])
+		connection.endedTags = connection.endedTags[1:]
 	}
 	for _, r := range cmd.requests {
 		r.ended = true
 	}
 	if cmd.class != nil && cmd.class.Ordered {
-		k.orderedQueue = slices.DeleteFunc(k.orderedQueue, func(x *command) bool { return x == cmd })
+		connection.orderedQueue = slices.DeleteFunc(connection.orderedQueue, func(x *command) bool { return x == cmd })
 	}
 }
 
@@ -386,7 +386,7 @@
 		}
 		c.Checks[Effects]++
 		if i := slices.IndexFunc(r.attempts, (*attempt).mayHaveRun); i >= 0 {
-			c.violate(Violation{Rule: Effects, Time: e.Time, Conn: cmd.conn.id, Tag: cmd.tag, HostID: r.key.host, Seq: r.key.seq},
+			c.violate(Violation{Rule: Effects, Time: e.Time, Conn: cmd.conn.id, Tag: cmd.tag, HostID: r.id.hostID, Seq: r.id.seq},
 				"%s (%s) refused although attempt %d may have run", r.class.Name, r.class.Effect, i)
 		}
 	}
@@ -406,22 +406,22 @@
 
 // startAbort notes that the client gives commands up. An answer may still cross the
 // function on its way: they are over with the function's response.
-func (c *Checker) startAbort(k *conn, e *trail.Event) {
+func (c *Checker) startAbort(connection *conn, e *trail.Event) {
 	if !endsTasks(e.Status) {
 		return
 	}
-	for _, cmd := range sortedByTag(k.open) {
+	for _, cmd := range sortedByTag(connection.open) {
 		if e.Status == 1 && cmd.tag != e.RefTag {
 			continue
 		}
 		cmd.aborted = true
-		k.aborting[e.Tag] = append(k.aborting[e.Tag], cmd)
+		connection.aborting[e.Tag] = append(connection.aborting[e.Tag], cmd)
 	}
 }
 
 // finishAbort: the response promises that the tasks can have no further effect.
-func (c *Checker) finishAbort(k *conn, e *trail.Event) {
-	for _, cmd := range k.aborting[e.Tag] {
+func (c *Checker) finishAbort(connection *conn, e *trail.Event) {
+	for _, cmd := range connection.aborting[e.Tag] {
 		if cmd.ended {
 			continue
 		}
@@ -432,36 +432,36 @@
 			c.Checks[Effects]++
 			for i, a := range r.attempts {
 				if !a.answered && e.Time < a.deadline-MaxRelayDelay && cmd.op.Writes() {
-					c.violate(Violation{Rule: Effects, Time: e.Time, Conn: k.id, Tag: cmd.tag, HostID: r.key.host, Seq: r.key.seq},
+					c.violate(Violation{Rule: Effects, Time: e.Time, Conn: connection.id, Tag: cmd.tag, HostID: r.id.hostID, Seq: r.id.seq},
 						"an abort was answered while attempt %d of the %s may still take effect", i, cmd.op)
 				}
 			}
 		}
 		c.endCommand(cmd, e.Time)
 	}
-	delete(k.aborting, e.Tag)
+	delete(connection.aborting, e.Tag)
 }
 
 func sortedByTag(open map[uint32]*command) []*command {
-	var out []*command
+	var commands []*command
 	for _, cmd := range open {
-		out = append(out, cmd)
+		commands = append(commands, cmd)
 	}
-	slices.SortFunc(out, func(a, b *command) int { return cmp.Compare(a.tag, b.tag) })
-	return out
+	slices.SortFunc(commands, func(a, b *command) int { return cmp.Compare(a.tag, b.tag) })
+	return commands
 }
 
 // clientClosed ends what a connection had open. If the host closed it, it owed
 // answers, unless the host itself came to its end.
-func (c *Checker) clientClosed(k *conn, e *trail.Event) {
-	for _, cmd := range sortedByTag(k.open) {
+func (c *Checker) clientClosed(connection *conn, e *trail.Event) {
+	for _, cmd := range sortedByTag(connection.open) {
 		if cmd.class != nil {
 			c.Stats.recordAbandoned(cmd)
 		}
 		if e.Dir == trail.Down && cmd.class != nil && !cmd.aborted {
-			h := c.host(k.host)
-			h.unanswered = append(h.unanswered, Violation{Rule: Answers, Time: e.Time, Conn: k.id, Tag: cmd.tag,
-				Text: fmt.Sprintf("%s closed the connection that %s of %s waited on", k.host, cmd.op, k.volume.Name)})
+			process := c.process(connection.host)
+			process.unanswered = append(process.unanswered, Violation{Rule: Answers, Time: e.Time, Conn: connection.id, Tag: cmd.tag,
+				Text: fmt.Sprintf("%s closed the connection that %s of %s waited on", connection.host, cmd.op, connection.volume.Name)})
 		}
 		c.endCommand(cmd, e.Time+disconnectNotice)
 	}
@@ -474,23 +474,23 @@
 // Disk side.
 
 func (c *Checker) diskEvent(e *trail.Event) {
-	k := c.conns[e.Conn]
-	if k == nil {
-		k = &conn{id: e.Conn, outstanding: map[uint32]*attempt{}}
-		c.conns[e.Conn] = k
+	connection := c.conns[e.Conn]
+	if connection == nil {
+		connection = &conn{id: e.Conn, outstanding: map[uint32]*attempt{}}
+		c.conns[e.Conn] = connection
 	}
 	switch e.Kind {
 	case trail.Do:
-		c.checkAttempt(k, e)
+		c.checkAttempt(connection, e)
 	case trail.Answer:
-		c.recordResult(k, e)
+		c.recordResult(connection, e)
 	case trail.Bye:
 		c.Checks[Cold]++
 		if e.Status != 0 && startMostlyKnown(c.coldSends[e.Peer]) {
 			c.violate(Violation{Rule: Cold, Time: e.Time}, "server %s was pushed over", c.serverName(e.Peer))
 		}
 	case trail.Close:
-		for _, a := range k.outstanding {
+		for _, a := range connection.outstanding {
 			a.lostAt = e.Time
 		}
 		delete(c.conns, e.Conn)
@@ -504,214 +504,214 @@
 	return addr
 }
 
-func (c *Checker) checkAttempt(k *conn, e *trail.Event) {
-	key := requestID{e.HostID, e.Seq}
-	r := c.requests[key]
-	first := r == nil
+func (c *Checker) checkAttempt(connection *conn, e *trail.Event) {
+	id := requestID{e.HostID, e.Seq}
+	req := c.requests[id]
+	first := req == nil
 	if first {
-		r = &request{key: key, orderKey: e.Key}
-		c.requests[key] = r
-		c.assignCommand(r, e)
+		req = &request{id: id, orderKey: e.Key}
+		c.requests[id] = req
+		c.assignCommand(req, e)
 	}
-	at := Violation{Time: e.Time, HostID: e.HostID, Seq: e.Seq}
-	if r.cmd != nil {
-		at.Conn, at.Tag = r.cmd.conn.id, r.cmd.tag
+	violation := Violation{Time: e.Time, HostID: e.HostID, Seq: e.Seq}
+	if req.cmd != nil {
+		violation.Conn, violation.Tag = req.cmd.conn.id, req.cmd.tag
 	}
-	c.checkNotEnded(r, e, at)
-	c.checkDrain(e, at)
-	c.checkCold(e, at)
+	c.checkNotEnded(req, e, violation)
+	c.checkDrain(e, violation)
+	c.checkCold(e, violation)
 	if first {
-		c.checkLimit(e, at)
+		c.checkLimit(e, violation)
 	}
-	c.checkRepeat(r, e, at)
-	c.checkOrder(r, e, at)
+	c.checkRepeat(req, e, violation)
+	c.checkOrder(req, e, violation)
 	if e.Attempt > 0 {
-		c.checkBudget(e, at)
+		c.checkBudget(e, violation)
 	}
-	a := &attempt{req: r, sentAt: e.Time, server: e.Peer, deadline: e.Deadline, generation: e.Generation}
-	r.attempts = append(r.attempts, a)
-	k.outstanding[e.Tag] = a
+	sent := &attempt{req: req, sentAt: e.Time, server: e.Peer, deadline: e.Deadline, generation: e.Generation}
+	req.attempts = append(req.attempts, sent)
+	connection.outstanding[e.Tag] = sent
 }
 
 // assignCommand finds the command that a request is part of.
-func (c *Checker) assignCommand(r *request, e *trail.Event) {
-	k := c.sessions[sessionID{e.Host, e.Session}]
-	if k == nil {
+func (c *Checker) assignCommand(req *request, e *trail.Event) {
+	connection := c.sessions[sessionID{e.Host, e.Session}]
+	if connection == nil {
 		return
 	}
-	cmd := k.open[e.RefTag]
+	cmd := connection.open[e.RefTag]
 	if cmd == nil {
 		return
 	}
-	r.cmd, r.class = cmd, cmd.class
-	cmd.requests = append(cmd.requests, r)
-	if r.class != nil && r.class.Ordered {
-		ck := keyQueueID{e.Host, e.Key}
-		c.keyQueues[ck] = append(c.keyQueues[ck], r)
+	req.cmd, req.class = cmd, cmd.class
+	cmd.requests = append(cmd.requests, req)
+	if req.class != nil && req.class.Ordered {
+		queueID := keyQueueID{e.Host, e.Key}
+		c.keyQueues[queueID] = append(c.keyQueues[queueID], req)
 	}
 }
 
 // checkNotEnded: nothing is sent for a request that is over (rule 1).
-func (c *Checker) checkNotEnded(r *request, e *trail.Event, at Violation) {
-	at.Rule = Answers
+func (c *Checker) checkNotEnded(req *request, e *trail.Event, violation Violation) {
+	violation.Rule = Answers
 	c.Checks[Answers]++
-	over, what := int64(math.MaxInt64), "command that never was"
-	switch k := c.sessions[sessionID{e.Host, e.Session}]; {
-	case r.cmd != nil && r.cmd.ended:
-		over, what = r.cmd.endedAt, "command that was over"
-	case r.cmd != nil:
-	case k == nil:
-		over = 0
+	endedAt, description := int64(math.MaxInt64), "command that never was"
+	switch connection := c.sessions[sessionID{e.Host, e.Session}]; {
+	case req.cmd != nil && req.cmd.ended:
+		endedAt, description = req.cmd.endedAt, "command that was over"
+	case req.cmd != nil:
+	case connection == nil:
+		endedAt = 0
 	default:
-		over, what = k.endedAt[e.RefTag], "command that was over, or never was"
+		endedAt, description = connection.endedAt[e.RefTag], "command that was over, or never was"
 	}
-	if c.host(e.Host).seenAt(over) < e.Time-MaxRelayDelay {
-		c.violate(at, "%s sent attempt %d for a %s (session %d, tag %d)", e.Host, e.Attempt, what, e.Session, e.RefTag)
+	if c.process(e.Host).seenAt(endedAt) < e.Time-MaxRelayDelay {
+		c.violate(violation, "%s sent attempt %d for a %s (session %d, tag %d)", e.Host, e.Attempt, description, e.Session, e.RefTag)
 	}
 }
 
 // checkDrain is rule 3.
-func (c *Checker) checkDrain(e *trail.Event, at Violation) {
-	told, off := c.host(e.Host).notReadySince[e.Peer]
-	if !off {
+func (c *Checker) checkDrain(e *trail.Event, violation Violation) {
+	since, notReady := c.process(e.Host).notReadySince[e.Peer]
+	if !notReady {
 		return
 	}
-	at.Rule = Drains
-	if late := e.Time - c.host(e.Host).seenAt(told) - int64(c.settings.Rules.DrainGrace*1000); late > 0 {
-		c.violate(at, "%s sent to %s %.1f ms after the grace", e.Host, c.serverName(e.Peer), float64(late)/1000)
+	violation.Rule = Drains
+	if late := e.Time - c.process(e.Host).seenAt(since) - int64(c.settings.Rules.DrainGrace*1000); late > 0 {
+		c.violate(violation, "%s sent to %s %.1f ms after the grace", e.Host, c.serverName(e.Peer), float64(late)/1000)
 	}
 }
 
 // checkCold is rule 4, on every window that ends with a send.
-func (c *Checker) checkCold(e *trail.Event, at Violation) {
-	start, ok := c.serverStarts[e.Peer]
-	ru := &c.settings.Rules
+func (c *Checker) checkCold(e *trail.Event, violation Violation) {
+	start, known := c.serverStarts[e.Peer]
+	terms := &c.settings.Rules
 	age := float64(e.Time-start) / 1000
-	if !ok || age >= ru.ColdTime {
+	if !known || age >= terms.ColdTime {
 		return
 	}
 	c.Checks[Cold]++
-	window := int64(ru.FallTime * 1000)
-	ps := slices.DeleteFunc(c.coldSends[e.Peer], func(p coldSend) bool { return p.at <= e.Time-window })
-	ps = append(ps, coldSend{e.Time, e.Units, c.host(e.Host).knownStarts[e.Peer] == start})
-	c.coldSends[e.Peer] = ps
+	window := int64(terms.FallTime * 1000)
+	sends := slices.DeleteFunc(c.coldSends[e.Peer], func(p coldSend) bool { return p.sentAt <= e.Time-window })
+	sends = append(sends, coldSend{e.Time, e.Units, c.process(e.Host).knownStarts[e.Peer] == start})
+	c.coldSends[e.Peer] = sends
 	total := 0.0
-	for _, p := range ps {
+	for _, p := range sends {
 		total += p.units
 	}
-	warm := ru.ColdFrom + (1-ru.ColdFrom)*max(age, 0)/ru.ColdTime
-	bears := max(ru.ColdUnits, ru.FallMultiple*warm*c.meta.Servers[e.Peer].Rate*ru.FallTime/1000)
-	if total > bears+1e-6 && startMostlyKnown(ps) {
-		at.Rule = Cold
-		c.violate(at, "cold server %s was sent %.1f units within %.0f ms, it bears %.1f", c.serverName(e.Peer), total, ru.FallTime, bears)
+	capacity := terms.ColdFrom + (1-terms.ColdFrom)*max(age, 0)/terms.ColdTime
+	allowed := max(terms.ColdUnits, terms.FallMultiple*capacity*c.meta.Servers[e.Peer].Rate*terms.FallTime/1000)
+	if total > allowed+1e-6 && startMostlyKnown(sends) {
+		violation.Rule = Cold
+		c.violate(violation, "cold server %s was sent %.1f units within %.0f ms, it bears %.1f", c.serverName(e.Peer), total, terms.FallTime, allowed)
 	}
 }
 
 // startMostlyKnown tells whether two thirds of the work came from hosts that knew.
-func startMostlyKnown(ps []coldSend) bool {
-	all, told := 0.0, 0.0
-	for _, p := range ps {
-		all += p.units
+func startMostlyKnown(sends []coldSend) bool {
+	total, informed := 0.0, 0.0
+	for _, p := range sends {
+		total += p.units
 		if p.startKnown {
-			told += p.units
+			informed += p.units
 		}
 	}
-	return told >= all*2/3
+	return informed >= total*2/3
 }
 
 // checkLimit is rule 5, on the first send of each request.
-func (c *Checker) checkLimit(e *trail.Event, at Violation) {
-	v := c.volumes[e.Volume]
-	if v == nil {
+func (c *Checker) checkLimit(e *trail.Event, violation Violation) {
+	volume := c.volumes[e.Volume]
+	if volume == nil {
 		return
 	}
-	p := c.plans[v.Plan]
-	if p == nil || p.Limit <= 0 {
+	plan := c.plans[volume.Plan]
+	if plan == nil || plan.Limit <= 0 {
 		return
 	}
 	c.Checks[Limits]++
-	s := c.buckets[e.Volume]
-	if s == nil {
-		s = &bucket{level: p.Burst, at: e.Time}
-		c.buckets[e.Volume] = s
+	bucket := c.buckets[e.Volume]
+	if bucket == nil {
+		bucket = &tokenBucket{level: plan.Burst, updatedAt: e.Time}
+		c.buckets[e.Volume] = bucket
 	}
-	s.level = min(s.level+p.Limit*float64(e.Time-s.at)/1e6, p.Burst) - e.Units
-	s.at = e.Time
-	if s.level < -p.Slack-1e-6 {
-		at.Rule = Limits
-		c.violate(at, "volume %s is %.2f units below its limit, %.2f are allowed", e.Volume, -s.level, p.Slack)
+	bucket.level = min(bucket.level+plan.Limit*float64(e.Time-bucket.updatedAt)/1e6, plan.Burst) - e.Units
+	bucket.updatedAt = e.Time
+	if bucket.level < -plan.Slack-1e-6 {
+		violation.Rule = Limits
+		c.violate(violation, "volume %s is %.2f units below its limit, %.2f are allowed", e.Volume, -bucket.level, plan.Slack)
 	}
 }
 
 // checkRepeat is rule 2 at each send after the first.
-func (c *Checker) checkRepeat(r *request, e *trail.Event, at Violation) {
-	if len(r.attempts) == 0 || r.class == nil {
+func (c *Checker) checkRepeat(req *request, e *trail.Event, violation Violation) {
+	if len(req.attempts) == 0 || req.class == nil {
 		return
 	}
-	at.Rule = Effects
+	violation.Rule = Effects
 	c.Checks[Effects]++
 	if !c.settings.Limits.Copies {
-		if i := slices.IndexFunc(r.attempts, func(a *attempt) bool { return a.outstandingAt(e.Time) }); i >= 0 {
-			c.violate(at, "attempt %d of a %s sent while attempt %d is out", e.Attempt, r.class.Name, i)
+		if i := slices.IndexFunc(req.attempts, func(a *attempt) bool { return a.outstandingAt(e.Time) }); i >= 0 {
+			c.violate(violation, "attempt %d of a %s sent while attempt %d is out", e.Attempt, req.class.Name, i)
 		}
 	}
-	i := slices.IndexFunc(r.attempts, (*attempt).mayHaveRun)
-	if i < 0 || r.class.Effect == "safe" {
+	i := slices.IndexFunc(req.attempts, (*attempt).mayHaveRun)
+	if i < 0 || req.class.Effect == "safe" {
 		return
 	}
-	ran := r.attempts[i]
-	if r.class.Effect == "unsafe" {
-		c.violate(at, "attempt %d of unsafe %s sent although attempt %d may have run", e.Attempt, r.class.Name, i)
+	ran := req.attempts[i]
+	if req.class.Effect == "unsafe" {
+		c.violate(violation, "attempt %d of unsafe %s sent although attempt %d may have run", e.Attempt, req.class.Name, i)
 		return
 	}
-	if age := float64(e.Time-ran.sentAt) / 1000; age > r.class.Window+MaxRelayDelay/1000 {
-		c.violate(at, "attempt %d of %s sent %.0f ms after attempt %d, repeats are dropped for %.0f ms", e.Attempt, r.class.Name, age, i, r.class.Window)
+	if age := float64(e.Time-ran.sentAt) / 1000; age > req.class.Window+MaxRelayDelay/1000 {
+		c.violate(violation, "attempt %d of %s sent %.0f ms after attempt %d, repeats are dropped for %.0f ms", e.Attempt, req.class.Name, age, i, req.class.Window)
 	}
-	if !c.inDedupScope(r.class.Group, ran.server, e.Peer) {
-		c.violate(at, "attempt %d of %s sent to %s, outside the group of %s, where attempt %d may have run", e.Attempt, r.class.Name, c.serverName(e.Peer), c.serverName(ran.server), i)
+	if !c.inDedupScope(req.class.Group, ran.server, e.Peer) {
+		c.violate(violation, "attempt %d of %s sent to %s, outside the group of %s, where attempt %d may have run", e.Attempt, req.class.Name, c.serverName(e.Peer), c.serverName(ran.server), i)
 	}
 }
 
-func (c *Checker) inDedupScope(group, a, b string) bool {
-	x, y := c.meta.Servers[a], c.meta.Servers[b]
+func (c *Checker) inDedupScope(scope, firstAddr, secondAddr string) bool {
+	first, second := c.meta.Servers[firstAddr], c.meta.Servers[secondAddr]
 	switch {
-	case group == "all":
+	case scope == "all":
 		return true
-	case x.Region != y.Region:
+	case first.Region != second.Region:
 		return false
-	case group == "zone":
-		return x.Zone == y.Zone
+	case scope == "zone":
+		return first.Zone == second.Zone
 	}
-	return x.Shard == y.Shard
+	return first.Shard == second.Shard
 }
 
 // checkOrder is rule 6. Within a connection the checkOrder taken is known exactly; between
 // connections only that no two run at once, and that the key rests.
-func (c *Checker) checkOrder(r *request, e *trail.Event, at Violation) {
-	if r.class == nil || !r.class.Ordered {
+func (c *Checker) checkOrder(req *request, e *trail.Event, violation Violation) {
+	if req.class == nil || !req.class.Ordered {
 		return
 	}
-	at.Rule = Order
+	violation.Rule = Order
 	c.Checks[Order]++
-	ck := keyQueueID{e.Host, e.Key}
-	live := c.keyQueues[ck][:0]
-	for _, o := range c.keyQueues[ck] {
-		if o == r || !o.keyReleased(e.Time, c.settings.Rules.KeyRest) {
-			live = append(live, o)
+	queueID := keyQueueID{e.Host, e.Key}
+	unreleased := c.keyQueues[queueID][:0]
+	for _, o := range c.keyQueues[queueID] {
+		if o == req || !o.keyReleased(e.Time, c.settings.Rules.KeyRest) {
+			unreleased = append(unreleased, o)
 		}
-		if o != r {
-			c.checkKeyFree(o, r, e, at)
+		if o != req {
+			c.checkKeyFree(o, req, e, violation)
 		}
 	}
-	c.keyQueues[ck] = live
-	if len(r.attempts) > 0 {
+	c.keyQueues[queueID] = unreleased
+	if len(req.attempts) > 0 {
 		return
 	}
-	if by, yes := r.cmd.overtakenAt[e.Key]; yes {
-		c.violate(at, "%s of key %s (tag %d) sent %.1f ms after a later one of the same connection", r.class.Name, e.Key, r.cmd.tag, float64(e.Time-by)/1000)
+	if overtakenAt, overtaken := req.cmd.overtakenAt[e.Key]; overtaken {
+		c.violate(violation, "%s of key %s (tag %d) sent %.1f ms after a later one of the same connection", req.class.Name, e.Key, req.cmd.tag, float64(e.Time-overtakenAt)/1000)
 	}
-	for _, cmd := range r.cmd.conn.orderedQueue {
-		if cmd == r.cmd {
+	for _, cmd := range req.cmd.conn.orderedQueue {
+		if cmd == req.cmd {
 			break
 		}
 		if c.hasKey(cmd, e.Key) && !cmd.sentKey(e.Key) {
@@ -727,14 +727,14 @@
 // was sent was not over then. Of several parts, one may have been let go of
 // before the command's answer, which the sockets don't show; it is only held to
 // not being sent any more.
-func (c *Checker) checkOvertaken(cmd *command, t int64) {
+func (c *Checker) checkOvertaken(cmd *command, now int64) {
 	if cmd.parts != 1 {
 		return
 	}
-	for key, by := range cmd.overtakenAt {
-		if t > by+MaxRelayDelay {
-			c.violate(Violation{Rule: Order, Time: by, Conn: cmd.conn.id, Tag: cmd.tag},
-				"a later command of key %s was sent %.1f ms before tag %d was over", key, float64(t-by)/1000, cmd.tag)
+	for key, overtakenAt := range cmd.overtakenAt {
+		if now > overtakenAt+MaxRelayDelay {
+			c.violate(Violation{Rule: Order, Time: overtakenAt, Conn: cmd.conn.id, Tag: cmd.tag},
+				"a later command of key %s was sent %.1f ms before tag %d was over", key, float64(now-overtakenAt)/1000, cmd.tag)
 		}
 	}
 }
@@ -743,11 +743,11 @@
 // volume's layouts the host had when it took it.
 func (c *Checker) hasKey(cmd *command, key string) bool {
 	for _, v := range c.variants(cmd.conn.volume) {
-		has := false
+		found := false
 		for p := range v.Parts(cmd.lba, cmd.blocks) {
-			has = has || v.Key(p.Extent) == key
+			found = found || v.Key(p.Extent) == key
 		}
-		if !has {
+		if !found {
 			return false
 		}
 	}
@@ -755,16 +755,16 @@
 }
 
 // variants lists a volume under each layout that it had.
-func (c *Checker) variants(v *settings.Volume) []*settings.Volume {
-	list := c.volumeVariants[v.Name]
+func (c *Checker) variants(volume *settings.Volume) []*settings.Volume {
+	list := c.volumeVariants[volume.Name]
 	if list == nil {
-		list = []*settings.Volume{v}
-		for _, l := range c.meta.Layouts[v.Name] {
-			other := *v
-			other.Layout = l
-			list = append(list, &other)
+		list = []*settings.Volume{volume}
+		for _, l := range c.meta.Layouts[volume.Name] {
+			variant := *volume
+			variant.Layout = l
+			list = append(list, &variant)
 		}
-		c.volumeVariants[v.Name] = list
+		c.volumeVariants[volume.Name] = list
 	}
 	return list
 }
@@ -775,13 +775,13 @@
 }
 
 // checkKeyFree checks that o leaves the key free for r.
-func (c *Checker) checkKeyFree(o, r *request, e *trail.Event, at Violation) {
-	for i, a := range o.attempts {
+func (c *Checker) checkKeyFree(earlier, req *request, e *trail.Event, violation Violation) {
+	for i, a := range earlier.attempts {
 		switch {
 		case a.outstandingAt(e.Time):
-			c.violate(at, "%s of key %s sent while attempt %d of an earlier one is out", r.class.Name, e.Key, i)
+			c.violate(violation, "%s of key %s sent while attempt %d of an earlier one is out", req.class.Name, e.Key, i)
 		case !a.answered && e.Time < a.endedBy()+int64(c.settings.Rules.KeyRest*1000)-MaxRelayDelay:
-			c.violate(at, "%s of key %s sent %.1f ms after a lost attempt, the key rests %.0f ms", r.class.Name, e.Key, float64(e.Time-a.endedBy())/1000, c.settings.Rules.KeyRest)
+			c.violate(violation, "%s of key %s sent %.1f ms after a lost attempt, the key rests %.0f ms", req.class.Name, e.Key, float64(e.Time-a.endedBy())/1000, c.settings.Rules.KeyRest)
 		}
 	}
 }
@@ -795,12 +795,12 @@
 }
 
 // keyReleased tells whether a request can't hold its key any more.
-func (r *request) keyReleased(t int64, rest float64) bool {
+func (r *request) keyReleased(now int64, holdoff float64) bool {
 	if !r.ended && !r.served {
 		return false
 	}
 	for _, a := range r.attempts {
-		if !a.answered && t < a.endedBy()+int64(rest*1000)+MaxRelayDelay {
+		if !a.answered && now < a.endedBy()+int64(holdoff*1000)+MaxRelayDelay {
 			return false
 		}
 	}
@@ -808,39 +808,39 @@
 }
 
 // checkBudget is rule 7 at each attempt beyond a request's first.
-func (c *Checker) checkBudget(e *trail.Event, at Violation) {
-	b := c.settings.Rules.Budget
-	if b == nil {
+func (c *Checker) checkBudget(e *trail.Event, violation Violation) {
+	budget := c.settings.Rules.Budget
+	if budget == nil {
 		return
 	}
 	c.Checks[Budget]++
-	h := c.host(e.Host)
-	span := int64(b.Span * 1000)
-	h.retries = append(slices.DeleteFunc(h.retries, func(t int64) bool { return t <= e.Time-span+MaxRelayDelay }), e.Time)
-	h.arrivals = dropBefore(h.arrivals, e.Time-span-MaxRelayDelay)
-	if most := b.Free + b.Share*float64(len(h.arrivals)); float64(len(h.retries)) > most+1e-9 {
-		at.Rule = Budget
-		c.violate(at, "%s has sent %d further attempts within %.0f ms, %.1f are allowed", e.Host, len(h.retries), b.Span, most)
+	process := c.process(e.Host)
+	window := int64(budget.Span * 1000)
+	process.retries = append(slices.DeleteFunc(process.retries, func(t int64) bool { return t <= e.Time-window+MaxRelayDelay }), e.Time)
+	process.arrivals = dropBefore(process.arrivals, e.Time-window-MaxRelayDelay)
+	if allowed := budget.Free + budget.Share*float64(len(process.arrivals)); float64(len(process.retries)) > allowed+1e-9 {
+		violation.Rule = Budget
+		c.violate(violation, "%s has sent %d further attempts within %.0f ms, %.1f are allowed", e.Host, len(process.retries), budget.Span, allowed)
 	}
 }
 
-func dropBefore(ts []int64, t int64) []int64 {
-	i, _ := slices.BinarySearch(ts, t)
-	return ts[i:]
+func dropBefore(times []int64, cutoff int64) []int64 {
+	i, _ := slices.BinarySearch(times, cutoff)
+	return times[i:]
 }
 
-func (c *Checker) recordResult(k *conn, e *trail.Event) {
-	a := k.outstanding[e.Tag]
-	if a == nil {
+func (c *Checker) recordResult(connection *conn, e *trail.Event) {
+	sent := connection.outstanding[e.Tag]
+	if sent == nil {
 		return
 	}
-	delete(k.outstanding, e.Tag)
-	if a.lostAt == 0 {
-		a.answered, a.result = true, diskproto.Result(e.Status)
+	delete(connection.outstanding, e.Tag)
+	if sent.lostAt == 0 {
+		sent.answered, sent.result = true, diskproto.Result(e.Status)
 	}
-	if a.result == diskproto.OK || a.result == diskproto.Miscompare {
-		a.req.served = true
-		c.checkHome(a, e.Time)
+	if sent.result == diskproto.OK || sent.result == diskproto.Miscompare {
+		sent.req.served = true
+		c.checkHome(sent, e.Time)
 	}
 }
 
@@ -848,7 +848,7 @@
 type servedHome struct {
 	generation uint64
 	region     int
-	at         int64
+	servedAt   int64
 }
 
 // FirstServed is when a shard was first served in a region under a generation.
@@ -862,85 +862,85 @@
 func (c *Checker) HomeHistory() (out []FirstServed) {
 	for _, shard := range slices.Sorted(maps.Keys(c.firstServed)) {
 		for _, s := range c.firstServed[shard] {
-			out = append(out, FirstServed{int(shard), s.region, s.generation, s.at})
+			out = append(out, FirstServed{int(shard), s.region, s.generation, s.servedAt})
 		}
 	}
 	return out
 }
 
 // checkHome is rule 8, on each attempt that was served.
-func (c *Checker) checkHome(a *attempt, t int64) {
-	if a.generation == 0 {
+func (c *Checker) checkHome(served *attempt, now int64) {
+	if served.generation == 0 {
 		return
 	}
 	c.Checks[Homes]++
-	at := c.meta.Servers[a.server]
-	list := c.firstServed[int32(at.Shard)]
+	server := c.meta.Servers[served.server]
+	history := c.firstServed[int32(server.Shard)]
 	known := false
-	for _, s := range list {
-		known = known || s.generation == a.generation && s.region == at.Region
-		if s.region != at.Region && s.generation >= a.generation && s.at < a.sentAt {
-			c.violate(Violation{Rule: Homes, Time: t, HostID: a.req.key.host, Seq: a.req.key.seq},
+	for _, s := range history {
+		known = known || s.generation == served.generation && s.region == server.Region
+		if s.region != server.Region && s.generation >= served.generation && s.servedAt < served.sentAt {
+			c.violate(Violation{Rule: Homes, Time: now, HostID: served.req.id.hostID, Seq: served.req.id.seq},
 				"shard %d was served in region %d under generation %d, %.1f ms after region %d had served it under %d",
-				at.Shard, at.Region, a.generation, float64(a.sentAt-s.at)/1000, s.region, s.generation)
+				server.Shard, server.Region, served.generation, float64(served.sentAt-s.servedAt)/1000, s.region, s.generation)
 		}
 	}
 	if !known {
-		c.firstServed[int32(at.Shard)] = append(list, servedHome{a.generation, at.Region, t})
+		c.firstServed[int32(server.Shard)] = append(history, servedHome{served.generation, server.Region, now})
 	}
 }
 
 // List side.
 
 func (c *Checker) inventoryEvent(e *trail.Event) {
-	h := c.host(e.Host)
+	process := c.process(e.Host)
 	switch e.Kind {
 	case trail.Close:
 		if e.Dir == trail.Up {
-			h.diedAt = e.Time // the host's end closed; it comes again if it lives
+			process.diedAt = e.Time // the host's end closed; it comes again if it lives
 		}
 	case trail.Open:
-		if !h.killed {
-			h.diedAt = 0
+		if !process.killed {
+			process.diedAt = 0
 		}
 	case trail.List:
-		var l inventory.List
-		if json.Unmarshal([]byte(e.Detail), &l) == nil {
-			c.applyList(h, &l, e.Time)
+		var list inventory.List
+		if json.Unmarshal([]byte(e.Detail), &list) == nil {
+			c.applyList(process, &list, e.Time)
 		}
 	}
 }
 
-func (c *Checker) applyList(h *host, l *inventory.List, t int64) {
-	named := map[string]bool{}
-	for _, n := range l.Nodes {
-		named[n.Addr], h.knownServers[n.Addr] = true, true
+func (c *Checker) applyList(process *hostProcess, list *inventory.List, now int64) {
+	listed := map[string]bool{}
+	for _, n := range list.Nodes {
+		listed[n.Addr], process.knownServers[n.Addr] = true, true
 		if n.Health == inventory.Ready {
-			delete(h.notReadySince, n.Addr)
+			delete(process.notReadySince, n.Addr)
 		} else {
-			c.markNotReady(h, n.Addr, t)
+			c.markNotReady(process, n.Addr, now)
 		}
 		if n.AgeMS > 0 {
-			start := t - int64(n.AgeMS*1000)
+			start := now - int64(n.AgeMS*1000)
 			// The same start is told many times, never with the same delay.
-			if old, ok := c.serverStarts[n.Addr]; !ok || start > old+1_000_000 {
+			if previous, ok := c.serverStarts[n.Addr]; !ok || start > previous+1_000_000 {
 				c.serverStarts[n.Addr] = start
 			}
-			h.knownStarts[n.Addr] = c.serverStarts[n.Addr]
+			process.knownStarts[n.Addr] = c.serverStarts[n.Addr]
 		}
 	}
-	if l.Kind == inventory.Full {
-		for addr := range h.knownServers {
-			if !named[addr] {
-				c.markNotReady(h, addr, t)
+	if list.Kind == inventory.Full {
+		for addr := range process.knownServers {
+			if !listed[addr] {
+				c.markNotReady(process, addr, now)
 			}
 		}
 	}
 }
 
-func (c *Checker) markNotReady(h *host, addr string, t int64) {
-	if _, already := h.notReadySince[addr]; !already {
-		h.notReadySince[addr] = t
+func (c *Checker) markNotReady(process *hostProcess, addr string, now int64) {
+	if _, already := process.notReadySince[addr]; !already {
+		process.notReadySince[addr] = now
 		c.Checks[Drains]++
 	}
 }
@@ -948,17 +948,17 @@
 // Finish closes the books: what is overdue now stays so.
 func (c *Checker) Finish() {
 	for _, id := range sortedConnIDs(c.conns) {
-		k := c.conns[id]
-		for _, cmd := range sortedByTag(k.open) {
+		connection := c.conns[id]
+		for _, cmd := range sortedByTag(connection.open) {
 			if !cmd.aborted && c.lastEventAt > c.answerDue(cmd) {
-				c.violate(Violation{Rule: Answers, Time: c.lastEventAt, Conn: k.id, Tag: cmd.tag}, "%s of %s never got its final answer", cmd.op, k.volume.Name)
+				c.violate(Violation{Rule: Answers, Time: c.lastEventAt, Conn: connection.id, Tag: cmd.tag}, "%s of %s never got its final answer", cmd.op, connection.volume.Name)
 			}
 		}
 	}
-	for _, h := range c.hosts {
-		const together = 2_000_000 // a dying host closes everything within that
+	for _, h := range c.processes {
+		const closeWindow = 2_000_000 // a dying host closes everything within that
 		for _, b := range h.unanswered {
-			if h.diedAt == 0 || h.diedAt < b.Time-together || h.diedAt > b.Time+together {
+			if h.diedAt == 0 || h.diedAt < b.Time-closeWindow || h.diedAt > b.Time+closeWindow {
 				c.ViolationCounts[b.Rule]++
 				c.Violations = append(c.Violations, b)
 			}
@@ -967,13 +967,13 @@
 	slices.SortStableFunc(c.Violations, func(a, b Violation) int { return cmp.Compare(a.Time, b.Time) })
 }
 
-func sortedConnIDs(m map[uint32]*conn) []uint32 {
-	var out []uint32
-	for id := range m {
-		out = append(out, id)
+func sortedConnIDs(conns map[uint32]*conn) []uint32 {
+	var ids []uint32
+	for id := range conns {
+		ids = append(ids, id)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(ids)
+	return ids
 }
 
 // OK tells whether no rule was broken.
--- a/internal/verify/rules/table.go
+++ b/internal/verify/rules/table.go
@@ -22,7 +22,7 @@
 	PerSecond map[int64]*ValueSum
 	// OnAnswer, if set, is told of each command with an answer: when it was asked, how long
 	// it took, both us, and whether it was served.
-	OnAnswer func(at, took int64, served bool)
+	OnAnswer func(issuedAt, latency int64, served bool)
 }
 
 // ValueSum is worth asked for and served.
@@ -52,13 +52,13 @@
 const maxLatency = 600_000_000 // us that a histogram holds
 
 func (t *Stats) classStats(cmd *command) *ClassStats {
-	k := ClassPlan{cmd.class.Name, cmd.plan}
-	r := t.ByClass[k]
-	if r == nil {
-		r = &ClassStats{Latency: hdrhistogram.New(1, maxLatency, 3)}
-		t.ByClass[k] = r
+	key := ClassPlan{cmd.class.Name, cmd.plan}
+	stats := t.ByClass[key]
+	if stats == nil {
+		stats = &ClassStats{Latency: hdrhistogram.New(1, maxLatency, 3)}
+		t.ByClass[key] = stats
 	}
-	return r
+	return stats
 }
 
 func (t *Stats) recordIssued(cmd *command) {
@@ -66,44 +66,44 @@
 		return
 	}
 	t.Commands++
-	r := t.classStats(cmd)
-	r.Issued++
-	r.OfferedValue += cmd.class.Worth
+	stats := t.classStats(cmd)
+	stats.Issued++
+	stats.OfferedValue += cmd.class.Worth
 	t.secondOf(cmd).Offered += cmd.class.Worth
 }
 
 func (t *Stats) secondOf(cmd *command) *ValueSum {
-	at := cmd.issuedAt / 1e6
-	if t.PerSecond[at] == nil {
-		t.PerSecond[at] = &ValueSum{}
+	second := cmd.issuedAt / 1e6
+	if t.PerSecond[second] == nil {
+		t.PerSecond[second] = &ValueSum{}
 	}
-	return t.PerSecond[at]
+	return t.PerSecond[second]
 }
 
 func (t *Stats) recordAnswer(cmd *command, e *trail.Event) {
 	t.Finished++
-	r := t.classStats(cmd)
-	took := e.Time - cmd.issuedAt
+	stats := t.classStats(cmd)
+	latency := e.Time - cmd.issuedAt
 	if t.OnAnswer != nil {
-		t.OnAnswer(cmd.issuedAt, took, e.Status == int32(scsi.Good))
+		t.OnAnswer(cmd.issuedAt, latency, e.Status == int32(scsi.Good))
 	}
 	miscompare := e.Sense>>16 == uint32(scsi.Miscompare.Key) && e.Status == int32(scsi.CheckCondition)
 	switch {
 	case e.Status == int32(scsi.Good) || miscompare:
-		r.Latency.RecordValue(min(max(took, 1), maxLatency)) // in range by the line itself
-		worth := cmd.class.Worth
-		if float64(took) <= cmd.class.Aim*1000 {
-			r.WithinTarget++
+		stats.Latency.RecordValue(min(max(latency, 1), maxLatency)) // in range by the line itself
+		value := cmd.class.Worth
+		if float64(latency) <= cmd.class.Aim*1000 {
+			stats.WithinTarget++
 		} else {
-			r.Late++
-			worth *= cmd.class.LateWorth
+			stats.Late++
+			value *= cmd.class.LateWorth
 		}
-		r.ServedValue += worth
-		t.secondOf(cmd).Served += worth
+		stats.ServedValue += value
+		t.secondOf(cmd).Served += value
 	case e.Status == int32(scsi.Busy):
-		r.Refused++
+		stats.Refused++
 	default:
-		r.Failed++
+		stats.Failed++
 	}
 }
 
@@ -123,12 +123,12 @@
 func (t *Stats) Goodput() float64 { return t.GoodputWithUnseen(0) }
 
 // GoodputWithUnseen counts more worth as asked for than the sockets show.
-func (t *Stats) GoodputWithUnseen(strays float64) float64 {
-	all := ValueSum{Offered: strays}
+func (t *Stats) GoodputWithUnseen(unseen float64) float64 {
+	total := ValueSum{Offered: unseen}
 	for _, k := range t.sortedKeys() { // in order: sums of floats depend on it
-		all.Served, all.Offered = all.Served+t.ByClass[k].ServedValue, all.Offered+t.ByClass[k].OfferedValue
+		total.Served, total.Offered = total.Served+t.ByClass[k].ServedValue, total.Offered+t.ByClass[k].OfferedValue
 	}
-	return all.goodput()
+	return total.goodput()
 }
 
 // WorstPlanGoodput is the goodput of the plan that fares worst.
@@ -152,7 +152,7 @@
 // WorstWindowGoodput is the least goodput over so many seconds in a row in which anything
 // was asked for in the first and the last.
 func (t *Stats) WorstWindowGoodput(seconds int64) float64 {
-	worst, any := 1.0, false
+	worst, found := 1.0, false
 	for from := range t.PerSecond {
 		if t.PerSecond[from+seconds-1] == nil {
 			continue
@@ -163,9 +163,9 @@
 				sum.Offered, sum.Served = sum.Offered+x.Offered, sum.Served+x.Served
 			}
 		}
-		worst, any = min(worst, sum.goodput()), true
+		worst, found = min(worst, sum.goodput()), true
 	}
-	if !any {
+	if !found {
 		return t.Goodput()
 	}
 	return worst
@@ -188,24 +188,24 @@
 
 // Print writes the table.
 func (t *Stats) Print(w io.Writer) error {
-	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(tw, "class\tplan\tasked\tin time\tlate\trefused\tfailed\tgave up\tp50 ms\tp99 ms\t")
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "class\tplan\tasked\tin time\tlate\trefused\tfailed\tgave up\tp50 ms\tp99 ms\t")
 	for _, k := range t.sortedKeys() {
 		r := t.ByClass[k]
-		fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", k.Class, k.Plan, r.Issued, r.WithinTarget, r.Late,
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", k.Class, k.Plan, r.Issued, r.WithinTarget, r.Late,
 			r.Refused, r.Failed, r.Abandoned, float64(r.Latency.ValueAtQuantile(50))/1000, float64(r.Latency.ValueAtQuantile(99))/1000)
 	}
-	return tw.Flush()
+	return table.Flush()
 }
 
 // Print writes the rules with their checks, and what was broken.
 func (c *Checker) Print(w io.Writer) error {
-	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	last := Budget
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	lastRule := Budget
 	if c.settings.Regions != nil {
-		last = Homes
+		lastRule = Homes
 	}
-	for r := Answers; r <= last; r++ {
+	for r := Answers; r <= lastRule; r++ {
 		verdict := "holds"
 		switch {
 		case c.ViolationCounts[r] > 0:
@@ -213,9 +213,9 @@
 		case c.Checks[r] == 0:
 			verdict = "nothing to check"
 		}
-		fmt.Fprintf(tw, "rule %d\t%s\t%d checks\t%s\n", r, r, c.Checks[r], verdict)
+		fmt.Fprintf(table, "rule %d\t%s\t%d checks\t%s\n", r, r, c.Checks[r], verdict)
 	}
-	if err := tw.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(w, "%d commands, %d final answers\n", c.Stats.Commands, c.Stats.Finished)
--- a/internal/verify/rules/versions.go
+++ b/internal/verify/rules/versions.go
@@ -45,10 +45,10 @@
 }
 
 // CheckVersions reads a trail. The versions are by host, without the number of its start.
-func CheckVersions(m *trail.Meta, events []trail.Event, hosts map[string][]AppliedSettings) *VersionChecker {
+func CheckVersions(meta *trail.Meta, events []trail.Event, hosts map[string][]AppliedSettings) *VersionChecker {
 	v := &VersionChecker{applied: map[string]map[uint64]AppliedSettings{}, replacedBy: map[string]map[uint64]int64{}, blockSizes: map[string]int{}}
-	for i := range m.Settings.Volumes {
-		v.blockSizes[m.Settings.Volumes[i].Name] = m.Settings.Volumes[i].BlockSize
+	for i := range meta.Settings.Volumes {
+		v.blockSizes[meta.Settings.Volumes[i].Name] = meta.Settings.Volumes[i].BlockSize
 	}
 	for name, list := range hosts {
 		v.applied[name], v.replacedBy[name] = map[uint64]AppliedSettings{}, map[uint64]int64{}
@@ -84,14 +84,14 @@
 			}
 			open[commandKey{e.Host, e.Session, e.Tag}] = &decidedCommand{host: e.Host, volume: volumes[e.Conn], op: op, blocks: e.Blocks, issuedAt: e.Time}
 		case e.Link == trail.LinkClient && e.Kind == trail.Status:
-			k := commandKey{e.Host, e.Session, e.Tag}
-			if c := open[k]; c != nil {
-				v.checkAnswer(c, e)
-				delete(open, k)
+			key := commandKey{e.Host, e.Session, e.Tag}
+			if cmd := open[key]; cmd != nil {
+				v.checkAnswer(cmd, e)
+				delete(open, key)
 			}
 		case e.Link == trail.LinkDisk && e.Kind == trail.Do && e.RefTag|e.Session != 0:
-			if c := open[commandKey{e.Host, e.Session, e.RefTag}]; c != nil && c.volume == e.Volume {
-				v.checkAttempt(c, e)
+			if cmd := open[commandKey{e.Host, e.Session, e.RefTag}]; cmd != nil && cmd.volume == e.Volume {
+				v.checkAttempt(cmd, e)
 			}
 		}
 	}
@@ -105,100 +105,100 @@
 }
 
 // checkAttempt holds one command to a disk server to the version that it names.
-func (v *VersionChecker) checkAttempt(c *decidedCommand, e *trail.Event) {
+func (v *VersionChecker) checkAttempt(cmd *decidedCommand, e *trail.Event) {
 	v.Checks++
-	if c.version == 0 {
-		c.version, c.firstSentAt = e.SettingsVersion, e.Time
+	if cmd.version == 0 {
+		cmd.version, cmd.firstSentAt = e.SettingsVersion, e.Time
 		v.Commands++
 	}
 	host := trail.HostName(e.Host)
-	x, known := v.applied[host][e.SettingsVersion]
+	applied, known := v.applied[host][e.SettingsVersion]
 	switch {
 	case !known:
 		v.violate(e, "attempt under version %d, which was never accepted", e.SettingsVersion)
 		return
-	case e.SettingsVersion != c.version:
-		v.violate(e, "one part of a command under version %d, another under %d", c.version, e.SettingsVersion)
+	case e.SettingsVersion != cmd.version:
+		v.violate(e, "one part of a command under version %d, another under %d", cmd.version, e.SettingsVersion)
 		return
-	case x.RequestedAt > e.Time:
-		v.violate(e, "attempt under version %d, which was asked for only at %.3f s", e.SettingsVersion, float64(x.RequestedAt)/1e6)
+	case applied.RequestedAt > e.Time:
+		v.violate(e, "attempt under version %d, which was asked for only at %.3f s", e.SettingsVersion, float64(applied.RequestedAt)/1e6)
 	}
-	if next, superseded := v.replacedBy[host][e.SettingsVersion]; superseded && next < c.issuedAt-MaxRelayDelay {
-		v.violate(e, "command of %.3f s under version %d, which another had replaced by %.3f s", float64(c.issuedAt)/1e6, e.SettingsVersion, float64(next)/1e6)
+	if next, superseded := v.replacedBy[host][e.SettingsVersion]; superseded && next < cmd.issuedAt-MaxRelayDelay {
+		v.violate(e, "command of %.3f s under version %d, which another had replaced by %.3f s", float64(cmd.issuedAt)/1e6, e.SettingsVersion, float64(next)/1e6)
 	}
-	v.checkAgainst(c, e, x.Settings)
+	v.checkAgainst(cmd, e, applied.Settings)
 }
 
 // checkAgainst compares what an attempt says with what its version says of the command.
-func (v *VersionChecker) checkAgainst(c *decidedCommand, e *trail.Event, set *settings.Settings) {
-	i := slices.IndexFunc(set.Volumes, func(x settings.Volume) bool { return x.Name == c.volume })
+func (v *VersionChecker) checkAgainst(cmd *decidedCommand, e *trail.Event, inForce *settings.Settings) {
+	i := slices.IndexFunc(inForce.Volumes, func(x settings.Volume) bool { return x.Name == cmd.volume })
 	if i < 0 {
-		v.violate(e, "attempt for %s, which version %d does not have", c.volume, set.Version)
+		v.violate(e, "attempt for %s, which version %d does not have", cmd.volume, inForce.Version)
 		return
 	}
-	vol := &set.Volumes[i]
-	size := int(c.blocks) * v.blockSizes[c.volume]
-	if c.op == scsi.Unmap {
+	volume := &inForce.Volumes[i]
+	size := int(cmd.blocks) * v.blockSizes[cmd.volume]
+	if cmd.op == scsi.Unmap {
 		size = 0
 	}
-	k := set.Class(c.op, size, vol.Plan)
-	if k == nil {
-		v.violate(e, "attempt for %v of %s, which no class of version %d takes", c.op, c.volume, set.Version)
+	class := inForce.Class(cmd.op, size, volume.Plan)
+	if class == nil {
+		v.violate(e, "attempt for %v of %s, which no class of version %d takes", cmd.op, cmd.volume, inForce.Version)
 		return
 	}
-	if e.Plan != vol.Plan {
-		v.violate(e, "attempt of plan %s, version %d has %s in %s", e.Plan, set.Version, c.volume, vol.Plan)
+	if e.Plan != volume.Plan {
+		v.violate(e, "attempt of plan %s, version %d has %s in %s", e.Plan, inForce.Version, cmd.volume, volume.Plan)
 	}
-	if want := map[string]int32{"unsafe": 0, "keyed": 1, "safe": 2}; e.Effect != want[k.Effect] {
-		v.violate(e, "attempt of effect %d, class %s of version %d is %s", e.Effect, k.Name, set.Version, k.Effect)
+	if want := map[string]int32{"unsafe": 0, "keyed": 1, "safe": 2}; e.Effect != want[class.Effect] {
+		v.violate(e, "attempt of effect %d, class %s of version %d is %s", e.Effect, class.Name, inForce.Version, class.Effect)
 	}
-	if most := c.firstSentAt + int64(k.Deadline*1000) + MaxRelayDelay; e.Deadline > most {
-		v.violate(e, "attempt that may begin until %.3f s, class %s of version %d ends by %.3f s", float64(e.Deadline)/1e6, k.Name, set.Version, float64(most)/1e6)
+	if latest := cmd.firstSentAt + int64(class.Deadline*1000) + MaxRelayDelay; e.Deadline > latest {
+		v.violate(e, "attempt that may begin until %.3f s, class %s of version %d ends by %.3f s", float64(e.Deadline)/1e6, class.Name, inForce.Version, float64(latest)/1e6)
 	}
-	if c.op == scsi.Read || c.op == scsi.Write {
-		if want := set.Units(int(e.Blocks) * v.blockSizes[c.volume]); e.Units != want {
-			v.violate(e, "attempt of %v units, version %d counts %v", e.Units, set.Version, want)
+	if cmd.op == scsi.Read || cmd.op == scsi.Write {
+		if want := inForce.Units(int(e.Blocks) * v.blockSizes[cmd.volume]); e.Units != want {
+			v.violate(e, "attempt of %v units, version %d counts %v", e.Units, inForce.Version, want)
 		}
 	}
 }
 
 // checkAnswer holds a final checkAnswer to its command's version; one of which nothing was sent to
 // the kindest of those that it may have been taken under.
-func (v *VersionChecker) checkAnswer(c *decidedCommand, e *trail.Event) {
+func (v *VersionChecker) checkAnswer(cmd *decidedCommand, e *trail.Event) {
 	v.Checks++
-	host := trail.HostName(c.host)
-	most, found := int64(math.MinInt64), false
-	for n, x := range v.applied[host] {
-		if c.version != 0 && n != c.version || x.RequestedAt > e.Time {
+	host := trail.HostName(cmd.host)
+	latest, found := int64(math.MinInt64), false
+	for version, applied := range v.applied[host] {
+		if cmd.version != 0 && version != cmd.version || applied.RequestedAt > e.Time {
 			continue
 		}
-		if next, superseded := v.replacedBy[host][n]; c.version == 0 && superseded && next < c.issuedAt-MaxRelayDelay {
+		if next, superseded := v.replacedBy[host][version]; cmd.version == 0 && superseded && next < cmd.issuedAt-MaxRelayDelay {
 			continue
 		}
 		found = true
-		most = max(most, v.answerDue(c, x.Settings))
+		latest = max(latest, v.answerDue(cmd, applied.Settings))
 	}
-	if c.version == 0 {
+	if cmd.version == 0 {
 		v.WithoutAttempt++
 	}
-	if found && e.Time > most+MaxRelayDelay {
-		v.violate(e, "answer to a command of %.3f s that was due by %.3f s (version %d)", float64(c.issuedAt)/1e6, float64(most)/1e6, c.version)
+	if found && e.Time > latest+MaxRelayDelay {
+		v.violate(e, "answer to a command of %.3f s that was due by %.3f s (version %d)", float64(cmd.issuedAt)/1e6, float64(latest)/1e6, cmd.version)
 	}
 }
 
 // answerDue is when a command's answer is by some settings; what they have no class for is
 // answered at once.
-func (v *VersionChecker) answerDue(c *decidedCommand, set *settings.Settings) int64 {
-	slack := int64(set.Rules.AnswerSlack * 1000)
-	i := slices.IndexFunc(set.Volumes, func(x settings.Volume) bool { return x.Name == c.volume })
+func (v *VersionChecker) answerDue(cmd *decidedCommand, inForce *settings.Settings) int64 {
+	slack := int64(inForce.Rules.AnswerSlack * 1000)
+	i := slices.IndexFunc(inForce.Volumes, func(x settings.Volume) bool { return x.Name == cmd.volume })
 	if i < 0 {
-		return c.issuedAt + slack
+		return cmd.issuedAt + slack
 	}
-	k := set.Class(c.op, int(c.blocks)*v.blockSizes[c.volume], set.Volumes[i].Plan)
-	if k == nil {
-		return c.issuedAt + slack
+	class := inForce.Class(cmd.op, int(cmd.blocks)*v.blockSizes[cmd.volume], inForce.Volumes[i].Plan)
+	if class == nil {
+		return cmd.issuedAt + slack
 	}
-	return c.issuedAt + int64(k.Deadline*1000) + slack
+	return cmd.issuedAt + int64(class.Deadline*1000) + slack
 }
 
 // Summary is what was judged, in a line.
--- a/internal/verify/trail/show.go
+++ b/internal/verify/trail/show.go
@@ -14,22 +14,22 @@
 	if conn == 0 {
 		conn, tag = findCommand(events, hostID, seq)
 	}
-	var b strings.Builder
-	w := tracer{conn: conn, tag: tag, requests: map[[2]uint64]bool{{hostID, seq}: seq != 0}, attempts: map[[2]uint32]bool{}}
-	begin := int64(-1)
+	var text strings.Builder
+	tracer := commandTracer{conn: conn, tag: tag, requests: map[[2]uint64]bool{{hostID, seq}: seq != 0}, attempts: map[[2]uint32]bool{}}
+	start := int64(-1)
 	for i := range events {
-		if e := &events[i]; w.matches(e) {
-			if begin < 0 {
-				begin = e.Time
+		if e := &events[i]; tracer.matches(e) {
+			if start < 0 {
+				start = e.Time
 			}
-			WriteEvent(&b, e, begin)
+			WriteEvent(&text, e, start)
 		}
 	}
-	return b.String()
+	return text.String()
 }
 
-// tracer follows one command over the sockets.
-type tracer struct {
+// commandTracer follows one command over the sockets.
+type commandTracer struct {
 	conn, tag uint32
 	host      string
 	session   uint32
@@ -37,7 +37,7 @@
 	attempts  map[[2]uint32]bool // attempts: disk connection and tag
 }
 
-func (w *tracer) matches(e *Event) bool {
+func (w *commandTracer) matches(e *Event) bool {
 	switch {
 	case e.Link == LinkClient && e.Conn == w.conn && w.conn != 0:
 		if e.Kind == Login || e.Kind == Command {
@@ -72,10 +72,10 @@
 		if e.Kind != Do || e.HostID != hostID || e.Seq != seq {
 			continue
 		}
-		for k := i; k >= 0; k-- {
-			c := &events[k]
-			if c.Kind == Command && c.Host == e.Host && c.Session == e.Session && c.Tag == e.RefTag {
-				return c.Conn, c.Tag
+		for j := i; j >= 0; j-- {
+			candidate := &events[j]
+			if candidate.Kind == Command && candidate.Host == e.Host && candidate.Session == e.Session && candidate.Tag == e.RefTag {
+				return candidate.Conn, candidate.Tag
 			}
 		}
 	}
@@ -83,33 +83,33 @@
 }
 
 // WriteEvent prints one event, its time counted from begin.
-func WriteEvent(b *strings.Builder, e *Event, begin int64) {
-	fmt.Fprintf(b, "%10.3f ms  %-6s %s %-4s %-8s ", float64(e.Time-begin)/1000, e.Link, e.Host, e.Dir, e.Kind)
+func WriteEvent(text *strings.Builder, e *Event, start int64) {
+	fmt.Fprintf(text, "%10.3f ms  %-6s %s %-4s %-8s ", float64(e.Time-start)/1000, e.Link, e.Host, e.Dir, e.Kind)
 	switch e.Kind {
 	case Command:
-		fmt.Fprintf(b, "%d/%d %s of %s, block %d, %d blocks, %d bytes", e.Conn, e.Tag, e.Op, e.Volume, e.LBA, e.Blocks, e.Length)
+		fmt.Fprintf(text, "%d/%d %s of %s, block %d, %d blocks, %d bytes", e.Conn, e.Tag, e.Op, e.Volume, e.LBA, e.Blocks, e.Length)
 	case DataOut:
-		fmt.Fprintf(b, "%d/%d %d bytes", e.Conn, e.Tag, e.Length)
+		fmt.Fprintf(text, "%d/%d %d bytes", e.Conn, e.Tag, e.Length)
 	case Status:
-		fmt.Fprintf(b, "%d/%d %s", e.Conn, e.Tag, statusText(e))
+		fmt.Fprintf(text, "%d/%d %s", e.Conn, e.Tag, statusText(e))
 	case TaskRequest:
-		fmt.Fprintf(b, "%d/%d function %d on task %d", e.Conn, e.Tag, e.Status, e.RefTag)
+		fmt.Fprintf(text, "%d/%d function %d on task %d", e.Conn, e.Tag, e.Status, e.RefTag)
 	case TaskResponse:
-		fmt.Fprintf(b, "%d/%d response %d", e.Conn, e.Tag, e.Status)
+		fmt.Fprintf(text, "%d/%d response %d", e.Conn, e.Tag, e.Status)
 	case Do:
-		fmt.Fprintf(b, "%s request %d attempt %d: %s of %s, key %s, %.0f units, deadline at %.3f ms, tag %d", e.Peer, e.Seq, e.Attempt,
-			e.Op, e.Volume, e.Key, e.Units, float64(e.Deadline-begin)/1000, e.Tag)
+		fmt.Fprintf(text, "%s request %d attempt %d: %s of %s, key %s, %.0f units, deadline at %.3f ms, tag %d", e.Peer, e.Seq, e.Attempt,
+			e.Op, e.Volume, e.Key, e.Units, float64(e.Deadline-start)/1000, e.Tag)
 	case Answer:
-		fmt.Fprintf(b, "%s tag %d: %s", e.Peer, e.Tag, diskproto.Result(e.Status))
+		fmt.Fprintf(text, "%s tag %d: %s", e.Peer, e.Tag, diskproto.Result(e.Status))
 		if e.Dropped {
-			b.WriteString(", a repeat that was dropped")
+			text.WriteString(", a repeat that was dropped")
 		}
 	case List:
-		b.WriteString(e.Detail)
+		text.WriteString(e.Detail)
 	default:
-		fmt.Fprintf(b, "connection %d %s %s", e.Conn, e.Peer, e.Detail)
+		fmt.Fprintf(text, "connection %d %s %s", e.Conn, e.Peer, e.Detail)
 	}
-	b.WriteByte('\n')
+	text.WriteByte('\n')
 }
 
 func statusText(e *Event) string {
--- a/internal/verify/trail/trail.go
+++ b/internal/verify/trail/trail.go
@@ -175,22 +175,22 @@
 const metaKey = "merlinhitch"
 
 // Write writes a trail file.
-func Write(file string, m *Meta, events []Event) error {
-	b, err := json.Marshal(m)
+func Write(file string, meta *Meta, events []Event) error {
+	encoded, err := json.Marshal(meta)
 	if err != nil {
 		return err
 	}
-	f, err := os.Create(file)
+	out, err := os.Create(file)
 	if err != nil {
 		return err
 	}
-	w := parquet.NewGenericWriter[Event](f, parquet.KeyValueMetadata(metaKey, string(b)), parquet.Compression(&parquet.Zstd))
-	_, err = w.Write(events)
-	if cerr := w.Close(); err == nil {
-		err = cerr
+	writer := parquet.NewGenericWriter[Event](out, parquet.KeyValueMetadata(metaKey, string(encoded)), parquet.Compression(&parquet.Zstd))
+	_, err = writer.Write(events)
+	if closeErr := writer.Close(); err == nil {
+		err = closeErr
 	}
-	if cerr := f.Close(); err == nil {
-		err = cerr
+	if closeErr := out.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
@@ -207,43 +207,43 @@
 func (e *FileError) Unwrap() error { return e.Err }
 
 // Read reads a trail file.
-func Read(file string) (m *Meta, events []Event, err error) {
+func Read(file string) (meta *Meta, events []Event, err error) {
 	defer func() {
 		// The library panics on some damaged files.
-		if p := recover(); p != nil {
-			err = &FileError{file, fmt.Errorf("damaged: %v", p)}
+		if cause := recover(); cause != nil {
+			err = &FileError{file, fmt.Errorf("damaged: %v", cause)}
 		}
 	}()
-	f, err := os.Open(file)
+	in, err := os.Open(file)
 	if err != nil {
 		return nil, nil, err
 	}
-	defer f.Close()
-	st, err := f.Stat()
+	defer in.Close()
+	info, err := in.Stat()
 	if err != nil {
 		return nil, nil, err
 	}
-	pf, err := parquet.OpenFile(f, st.Size())
+	columns, err := parquet.OpenFile(in, info.Size())
 	if err != nil {
 		return nil, nil, &FileError{file, err}
 	}
-	text, ok := pf.Lookup(metaKey)
-	m = &Meta{}
-	if !ok || json.Unmarshal([]byte(text), m) != nil || m.Settings == nil {
+	encoded, ok := columns.Lookup(metaKey)
+	meta = &Meta{}
+	if !ok || json.Unmarshal([]byte(encoded), meta) != nil || meta.Settings == nil {
 		return nil, nil, &FileError{file, errors.New("no description of the run")}
 	}
-	r := parquet.NewGenericReader[Event](pf)
-	defer r.Close()
-	events = make([]Event, r.NumRows())
+	reader := parquet.NewGenericReader[Event](columns)
+	defer reader.Close()
+	events = make([]Event, reader.NumRows())
 	for n := 0; n < len(events); {
-		k, err := r.Read(events[n:])
-		n += k
+		count, err := reader.Read(events[n:])
+		n += count
 		if err != nil && !errors.Is(err, io.EOF) {
 			return nil, nil, &FileError{file, err}
 		}
-		if k == 0 {
+		if count == 0 {
 			return nil, nil, &FileError{file, io.ErrUnexpectedEOF}
 		}
 	}
-	return m, events, nil
+	return meta, events, nil
 }
--- a/internal/verify/trail/trail_test.go
+++ b/internal/verify/trail/trail_test.go
@@ -20,20 +20,20 @@
 }
 
 func TestDamagedFiles(t *testing.T) {
-	m, events := sampleTrail()
+	meta, events := sampleTrail()
 	file := filepath.Join(t.TempDir(), "t.parquet")
-	if err := Write(file, m, events); err != nil {
+	if err := Write(file, meta, events); err != nil {
 		t.Fatal(err)
 	}
-	got, back, err := Read(file)
-	if err != nil || got.Seed != 5 || !slices.Equal(back, events) {
+	gotMeta, gotEvents, err := Read(file)
+	if err != nil || gotMeta.Seed != 5 || !slices.Equal(gotEvents, events) {
 		t.Fatalf("%v", err)
 	}
-	whole, _ := os.ReadFile(file)
-	for n := 0; n < len(whole); n += max(len(whole)/60, 1) {
-		os.WriteFile(file, whole[:n], 0o666)
-		var fe *FileError
-		if _, _, err := Read(file); !errors.As(err, &fe) {
+	content, _ := os.ReadFile(file)
+	for n := 0; n < len(content); n += max(len(content)/60, 1) {
+		os.WriteFile(file, content[:n], 0o666)
+		var fileErr *FileError
+		if _, _, err := Read(file); !errors.As(err, &fileErr) {
 			t.Errorf("cut at %d: %v", n, err)
 		}
 	}
@@ -44,12 +44,12 @@
 
 func TestRecorderOrder(t *testing.T) {
 	now := int64(0)
-	r := NewRecorder(func() int64 { now++; return now })
+	recorder := NewRecorder(func() int64 { now++; return now })
 	done := make(chan struct{})
 	for range 4 {
 		go func() {
 			for range 1000 {
-				r.Add(Event{Conn: r.NextConn()})
+				recorder.Add(Event{Conn: recorder.NextConn()})
 			}
 			done <- struct{}{}
 		}()
@@ -57,8 +57,8 @@
 	for range 4 {
 		<-done
 	}
-	events := r.Stop()
-	r.Add(Event{}) // after the end: not recorded
+	events := recorder.Stop()
+	recorder.Add(Event{}) // after the end: not recorded
 	if len(events) != 4000 || !slices.IsSortedFunc(events, func(a, b Event) int { return int(a.Time - b.Time) }) {
 		t.Errorf("%d events, in order of time: %v", len(events), slices.IsSortedFunc(events, func(a, b Event) int { return int(a.Time - b.Time) }))
 	}
