--- a/internal/control/gateway/conformance_test.go
+++ b/internal/control/gateway/conformance_test.go
@@ -21,18 +21,18 @@
 const unlimitedVolume = 5
 
 // runConformanceChecks runs the table against a volume, through whatever stands at that address.
-func runConformanceChecks(t *testing.T, r *harness, addr string) []conform.CheckResult {
+func runConformanceChecks(t *testing.T, h *harness, addr string) []conform.CheckResult {
 	t.Helper()
-	rows, err := conform.Run(context.Background(), func(ctx context.Context, who int) (*initiator.Client, error) {
-		return initiator.Dial(ctx, initiator.Config{Environment: r.environment, Addr: addr, Name: "iqn.2026-11.example.client:conform", ISID: iscsi.ISID{0x80, 2, 0, 0, 0, byte(who)},
-			Target: r.settings.TargetName(&r.settings.Volumes[unlimitedVolume]), Params: initiator.DefaultParams()})
+	results, err := conform.Run(context.Background(), func(ctx context.Context, index int) (*initiator.Client, error) {
+		return initiator.Dial(ctx, initiator.Config{Environment: h.environment, Addr: addr, Name: "iqn.2026-11.example.client:conform", ISID: iscsi.ISID{0x80, 2, 0, 0, 0, byte(index)},
+			Target: h.settings.TargetName(&h.settings.Volumes[unlimitedVolume]), Params: initiator.DefaultParams()})
 	})
 	if err != nil {
-		var b strings.Builder
-		conform.Print(&b, rows)
-		t.Fatalf("%v\n%s", err, b.String())
+		var report strings.Builder
+		conform.Print(&report, results)
+		t.Fatalf("%v\n%s", err, report.String())
 	}
-	return rows
+	return results
 }
 
 func useSmallVolumes(s *settings.Settings) {
@@ -42,17 +42,17 @@
 }
 
 func TestConformance(t *testing.T) {
-	r := newHarness(t, useSmallVolumes)
-	rows := runConformanceChecks(t, r, r.gateway.Addr().String())
+	h := newHarness(t, useSmallVolumes)
+	results := runConformanceChecks(t, h, h.gateway.Addr().String())
 	passed := 0
-	for _, row := range rows {
-		if row.Verdict == conform.Fail {
-			t.Errorf("%s: %s: %s", row.Clause, row.Name, row.Detail)
-		} else if row.Verdict == conform.Pass {
+	for _, result := range results {
+		if result.Verdict == conform.Fail {
+			t.Errorf("%s: %s: %s", result.Clause, result.Name, result.Detail)
+		} else if result.Verdict == conform.Pass {
 			passed++
 		}
 	}
-	t.Logf("%d of %d checks pass", passed, len(rows))
+	t.Logf("%d of %d checks pass", passed, len(results))
 	if passed < 100 {
 		t.Errorf("only %d checks", passed)
 	}
@@ -61,154 +61,154 @@
 // alteration is what a spoiled target does to a command on its way in, or to a PDU on its
 // way out; cdb is the command that the PDU belongs to.
 type alteration struct {
-	alterCommand  func(p *iscsi.PDU)
-	alterResponse func(cdb []byte, p *iscsi.PDU)
+	alterCommand  func(pdu *iscsi.PDU)
+	alterResponse func(cdb []byte, pdu *iscsi.PDU)
 }
 
 // startAlteringProxy stands before the gateway and spoils what passes.
-func startAlteringProxy(t *testing.T, r *harness, d alteration) string {
+func startAlteringProxy(t *testing.T, h *harness, a alteration) string {
 	t.Helper()
-	l, err := r.environment.Listen("tcp", "127.0.0.1:0")
+	listener, err := h.environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all sync.WaitGroup
-	t.Cleanup(func() { l.Close(); all.Wait() })
-	all.Go(func() {
+	var tasks sync.WaitGroup
+	t.Cleanup(func() { listener.Close(); tasks.Wait() })
+	tasks.Go(func() {
 		for {
-			client, err := l.Accept()
+			client, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			gate, err := r.environment.Dial(context.Background(), "tcp", r.gateway.Addr().String(), time.Second)
+			target, err := h.environment.Dial(context.Background(), "tcp", h.gateway.Addr().String(), time.Second)
 			if err != nil {
 				client.Close()
 				return
 			}
 			var mu sync.Mutex
-			cdbs := map[uint32][]byte{}
-			all.Go(func() {
-				forwardPDUs(client, gate, func(p *iscsi.PDU) {
-					if p.Opcode() == iscsi.OpCommand {
+			cdbByTaskTag := map[uint32][]byte{}
+			tasks.Go(func() {
+				forwardPDUs(client, target, func(pdu *iscsi.PDU) {
+					if pdu.Opcode() == iscsi.OpCommand {
 						mu.Lock()
-						cdbs[p.ITT()] = slices.Clone(p.CDB())
+						cdbByTaskTag[pdu.ITT()] = slices.Clone(pdu.CDB())
 						mu.Unlock()
-						if d.alterCommand != nil {
-							d.alterCommand(p)
+						if a.alterCommand != nil {
+							a.alterCommand(pdu)
 						}
 					}
 				})
 			})
-			all.Go(func() {
-				forwardPDUs(gate, client, func(p *iscsi.PDU) {
+			tasks.Go(func() {
+				forwardPDUs(target, client, func(pdu *iscsi.PDU) {
 					mu.Lock()
-					cdb := cdbs[p.ITT()]
+					cdb := cdbByTaskTag[pdu.ITT()]
 					mu.Unlock()
-					if d.alterResponse != nil {
-						d.alterResponse(cdb, p)
+					if a.alterResponse != nil {
+						a.alterResponse(cdb, pdu)
 					}
 				})
 			})
 		}
 	})
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-func forwardPDUs(from, to net.Conn, spoil func(p *iscsi.PDU)) {
+func forwardPDUs(from, to net.Conn, alter func(pdu *iscsi.PDU)) {
 	defer from.Close()
 	defer to.Close()
-	r := iscsi.NewReader(bufio.NewReader(from), 1<<20)
+	reader := iscsi.NewReader(bufio.NewReader(from), 1<<20)
 	for {
-		p, err := r.Next()
+		pdu, err := reader.Next()
 		if err != nil {
 			return
 		}
-		spoil(p)
-		if _, err := to.Write(p.Append(nil, iscsi.Digests{})); err != nil {
+		alter(pdu)
+		if _, err := to.Write(pdu.Append(nil, iscsi.Digests{})); err != nil {
 			return
 		}
 	}
 }
 
-func hasStatus(p *iscsi.PDU) bool {
-	return p.Opcode() == iscsi.OpResponse || p.Opcode() == iscsi.OpDataIn && p.Flags()&1 != 0
+func hasStatus(pdu *iscsi.PDU) bool {
+	return pdu.Opcode() == iscsi.OpResponse || pdu.Opcode() == iscsi.OpDataIn && pdu.Flags()&1 != 0
 }
 
 // The table fails against a target that is spoiled in any of these ways.
 func TestConformanceDetectsFaultyTargets(t *testing.T) {
-	is := func(cdb []byte, ops ...byte) bool { return len(cdb) > 0 && slices.Contains(ops, cdb[0]) }
-	good := func(p *iscsi.PDU) { p.BHS[3], p.Data = 0, nil }
-	for name, d := range map[string]alteration{
-		"no residuals": {alterResponse: func(_ []byte, p *iscsi.PDU) {
-			if hasStatus(p) {
-				p.Set(iscsi.AtLength, 0)
+	hasOpcode := func(cdb []byte, opcodes ...byte) bool { return len(cdb) > 0 && slices.Contains(opcodes, cdb[0]) }
+	setGood := func(pdu *iscsi.PDU) { pdu.BHS[3], pdu.Data = 0, nil }
+	for name, a := range map[string]alteration{
+		"no residuals": {alterResponse: func(_ []byte, pdu *iscsi.PDU) {
+			if hasStatus(pdu) {
+				pdu.Set(iscsi.AtLength, 0)
 			}
 		}},
-		"overflow said to be underflow": {alterResponse: func(_ []byte, p *iscsi.PDU) {
-			if hasStatus(p) && p.Flags()&4 != 0 {
-				p.SetFlags(p.Flags()&^4 | 2)
+		"overflow said to be underflow": {alterResponse: func(_ []byte, pdu *iscsi.PDU) {
+			if hasStatus(pdu) && pdu.Flags()&4 != 0 {
+				pdu.SetFlags(pdu.Flags()&^4 | 2)
 			}
 		}},
-		"a miscompare is GOOD": {alterResponse: func(cdb []byte, p *iscsi.PDU) {
-			if is(cdb, 0x89) && p.BHS[3] == scsi.CheckCondition {
-				good(p)
+		"a miscompare is GOOD": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
+			if hasOpcode(cdb, 0x89) && pdu.BHS[3] == scsi.CheckCondition {
+				setGood(pdu)
 			}
 		}},
-		"one byte of data": {alterResponse: func(cdb []byte, p *iscsi.PDU) {
-			if is(cdb, 0x88) && p.Opcode() == iscsi.OpDataIn {
-				p.Data[len(p.Data)/2] ^= 1
+		"one byte of data": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
+			if hasOpcode(cdb, 0x88) && pdu.Opcode() == iscsi.OpDataIn {
+				pdu.Data[len(pdu.Data)/2] ^= 1
 			}
 		}},
-		"a page with another code": {alterResponse: func(cdb []byte, p *iscsi.PDU) {
-			if is(cdb, 0x12) && cdb[1] == 1 && p.Opcode() == iscsi.OpDataIn {
-				p.Data[1]++
+		"a page with another code": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
+			if hasOpcode(cdb, 0x12) && cdb[1] == 1 && pdu.Opcode() == iscsi.OpDataIn {
+				pdu.Data[1]++
 			}
 		}},
-		"another sense": {alterResponse: func(_ []byte, p *iscsi.PDU) {
-			if p.Opcode() == iscsi.OpResponse && len(p.Data) > 14 && p.Data[14] == 0x21 {
-				p.Data[14] = 0x24
+		"another sense": {alterResponse: func(_ []byte, pdu *iscsi.PDU) {
+			if pdu.Opcode() == iscsi.OpResponse && len(pdu.Data) > 14 && pdu.Data[14] == 0x21 {
+				pdu.Data[14] = 0x24
 			}
 		}},
-		"an abort that fails": {alterResponse: func(_ []byte, p *iscsi.PDU) {
-			if p.Opcode() == iscsi.OpTaskResp {
-				p.BHS[2] = 255
+		"an abort that fails": {alterResponse: func(_ []byte, pdu *iscsi.PDU) {
+			if pdu.Opcode() == iscsi.OpTaskResp {
+				pdu.BHS[2] = 255
 			}
 		}},
-		"no timeouts": {alterResponse: func(cdb []byte, p *iscsi.PDU) {
-			if is(cdb, 0xa3) && p.Opcode() == iscsi.OpDataIn {
-				p.Data[1] &^= 0x80
+		"no timeouts": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
+			if hasOpcode(cdb, 0xa3) && pdu.Opcode() == iscsi.OpDataIn {
+				pdu.Data[1] &^= 0x80
 			}
 		}},
-		"one block more": {alterResponse: func(cdb []byte, p *iscsi.PDU) {
-			if is(cdb, 0x25) && p.Opcode() == iscsi.OpDataIn {
-				p.Data[3]++
+		"one block more": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
+			if hasOpcode(cdb, 0x25) && pdu.Opcode() == iscsi.OpDataIn {
+				pdu.Data[3]++
 			}
 		}},
-		"a larger swap than is kept": {alterResponse: func(cdb []byte, p *iscsi.PDU) {
-			if is(cdb, 0x12) && cdb[2] == 0xb0 && p.Opcode() == iscsi.OpDataIn {
-				p.Data[5] = 64
+		"a larger swap than is kept": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
+			if hasOpcode(cdb, 0x12) && cdb[2] == 0xb0 && pdu.Opcode() == iscsi.OpDataIn {
+				pdu.Data[5] = 64
 			}
 		}},
-		"unmaps that do nothing": {alterCommand: func(p *iscsi.PDU) {
-			if p.CDB()[0] == 0x42 {
-				copy(p.BHS[32:48], make([]byte, 16))
+		"unmaps that do nothing": {alterCommand: func(pdu *iscsi.PDU) {
+			if pdu.CDB()[0] == 0x42 {
+				copy(pdu.BHS[32:48], make([]byte, 16))
 			}
 		}},
-		"unknown codes are GOOD": {alterResponse: func(cdb []byte, p *iscsi.PDU) {
-			if len(cdb) > 0 && cdb[0] >= 0xc0 && p.BHS[3] == scsi.CheckCondition {
-				good(p)
+		"unknown codes are GOOD": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
+			if len(cdb) > 0 && cdb[0] >= 0xc0 && pdu.BHS[3] == scsi.CheckCondition {
+				setGood(pdu)
 			}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, useSmallVolumes)
-			failed := 0
-			for _, row := range runConformanceChecks(t, r, startAlteringProxy(t, r, d)) {
-				if row.Verdict == conform.Fail {
-					failed++
+			h := newHarness(t, useSmallVolumes)
+			failedCount := 0
+			for _, result := range runConformanceChecks(t, h, startAlteringProxy(t, h, a)) {
+				if result.Verdict == conform.Fail {
+					failedCount++
 				}
 			}
-			if failed == 0 {
+			if failedCount == 0 {
 				t.Error("nothing was noticed")
 			}
 		})
--- a/internal/control/gateway/expect_test.go
+++ b/internal/control/gateway/expect_test.go
@@ -17,89 +17,89 @@
 // What is answered of routing is where a running gateway then sends: every expectation is
 // also played.
 func TestExpectationsMatchRouting(t *testing.T) {
-	r := newHarness(t, nil)
+	h := newHarness(t, nil)
 	var lines []string
-	for i := range r.settings.Volumes {
-		v := &r.settings.Volumes[i]
-		var to []string
-		shards := slices.Clone(v.Layout)
+	for i := range h.settings.Volumes {
+		volume := &h.settings.Volumes[i]
+		var nodes []string
+		shards := slices.Clone(volume.Layout)
 		slices.Sort(shards)
-		for _, sh := range slices.Compact(shards) {
-			to = append(to, expect.NodeOf(sh))
+		for _, shard := range slices.Compact(shards) {
+			nodes = append(nodes, expect.NodeOf(shard))
 		}
 		for _, op := range []string{"read", "write"} {
-			lines = append(lines, fmt.Sprintf("volume %s %s goes to %s", v.Name, op, strings.Join(to, ", ")))
+			lines = append(lines, fmt.Sprintf("volume %s %s goes to %s", volume.Name, op, strings.Join(nodes, ", ")))
 		}
-		lines = append(lines, fmt.Sprintf("volume %s read goes to %s when n0 draining, m0 ready at shard 0", v.Name,
-			strings.ReplaceAll(strings.Join(to, ", "), "n0", "m0")))
+		lines = append(lines, fmt.Sprintf("volume %s read goes to %s when n0 draining, m0 ready at shard 0", volume.Name,
+			strings.ReplaceAll(strings.Join(nodes, ", "), "n0", "m0")))
 	}
-	list, err := expect.Parse(strings.NewReader(strings.Join(lines, "\n")), r.settings)
+	expectations, err := expect.Parse(strings.NewReader(strings.Join(lines, "\n")), h.settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	slices.SortStableFunc(list, func(a, b expect.Expectation) int { return len(a.When) - len(b.When) })
-	disks := map[string]*standin.DiskServer{}
-	for i, d := range r.diskServers {
-		disks[expect.NodeOf(i)] = d
+	slices.SortStableFunc(expectations, func(a, b expect.Expectation) int { return len(a.When) - len(b.When) })
+	diskServers := map[string]*standin.DiskServer{}
+	for i, diskServer := range h.diskServers {
+		diskServers[expect.NodeOf(i)] = diskServer
 	}
-	for _, a := range expect.Check(r.settings, list) {
-		if len(a.When) > 0 && disks["m0"] == nil {
-			disks["m0"] = r.replaceDiskServer(0)
+	for _, answer := range expect.Check(h.settings, expectations) {
+		if len(answer.When) > 0 && diskServers["m0"] == nil {
+			diskServers["m0"] = h.replaceDiskServer(0)
 		}
-		if !a.Held {
-			t.Error(a)
+		if !answer.Held {
+			t.Error(answer)
 		}
-		if got := r.serversReached(a.Expectation, disks); got != a.Found {
-			t.Errorf("%s: answered %s, the gateway sent to %s", a.Text, a.Found, got)
+		if got := h.serversReached(answer.Expectation, diskServers); got != answer.Found {
+			t.Errorf("%s: answered %s, the gateway sent to %s", answer.Text, answer.Found, got)
 		}
 	}
-	t.Logf("%d expectations were played", len(list))
+	t.Logf("%d expectations were played", len(expectations))
 }
 
 // replaceDiskServer drains the server of a shard and puts another in its place.
-func (r *harness) replaceDiskServer(shard int) *standin.DiskServer {
-	m := standin.NewMachine(fastMachineConfig(), 99, r.cells[shard], standin.NewRack(6000), nil, uint32(shard), 0, false)
-	d := &standin.DiskServer{Name: "successor", Zone: "hall-a", Rack: "r", Shard: shard}
-	if err := standin.ServeDisk(r.environment, m, d); err != nil {
-		r.t.Fatal(err)
+func (h *harness) replaceDiskServer(shard int) *standin.DiskServer {
+	machine := standin.NewMachine(fastMachineConfig(), 99, h.cells[shard], standin.NewRack(6000), nil, uint32(shard), 0, false)
+	replacement := &standin.DiskServer{Name: "successor", Zone: "hall-a", Rack: "r", Shard: shard}
+	if err := standin.ServeDisk(h.environment, machine, replacement); err != nil {
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(d.Kill)
-	r.inventory.ChangeNow(func(b *inventory.Book) {
-		b.Health(r.diskServers[shard].Addr, inventory.Draining)
-		b.Set(inventory.Node{Addr: d.Addr, Health: inventory.Ready, Shard: shard, Zone: "hall-a", Weight: 1, Incarnation: d.Started}, 0)
+	h.t.Cleanup(replacement.Kill)
+	h.inventory.ChangeNow(func(book *inventory.Book) {
+		book.Health(h.diskServers[shard].Addr, inventory.Draining)
+		book.Set(inventory.Node{Addr: replacement.Addr, Health: inventory.Ready, Shard: shard, Zone: "hall-a", Weight: 1, Incarnation: replacement.Started}, 0)
 	})
-	r.waitFor("the successor", func() bool { return r.gateway.Status().Nodes == len(r.diskServers)+1 })
-	return d
+	h.waitFor("the successor", func() bool { return h.gateway.Status().Nodes == len(h.diskServers)+1 })
+	return replacement
 }
 
 // serversReached does one operation on an extent of each entry of the volume's layout and names
 // the servers that served one.
-func (r *harness) serversReached(e expect.Expectation, disks map[string]*standin.DiskServer) string {
-	before := map[string]int{}
-	for n, d := range disks {
-		before[n] = d.Served()
+func (h *harness) serversReached(expectation expect.Expectation, diskServers map[string]*standin.DiskServer) string {
+	servedBefore := map[string]int{}
+	for node, diskServer := range diskServers {
+		servedBefore[node] = diskServer.Served()
 	}
-	i := slices.IndexFunc(r.settings.Volumes, func(v settings.Volume) bool { return v.Name == e.Volume })
-	c := r.connect(i, 1)
-	v := &r.settings.Volumes[i]
-	for k := range v.Layout {
-		lba := uint64(k * v.Extent)
+	volumeIndex := slices.IndexFunc(h.settings.Volumes, func(volume settings.Volume) bool { return volume.Name == expectation.Volume })
+	client := h.connect(volumeIndex, 1)
+	volume := &h.settings.Volumes[volumeIndex]
+	for extent := range volume.Layout {
+		lba := uint64(extent * volume.Extent)
 		cdb, data := initiator.ReadCDB(lba, 1), []byte(nil)
-		if e.Op == scsi.Write {
+		if expectation.Op == scsi.Write {
 			cdb, data = initiator.WriteCDB(lba, 1), make([]byte, 4096)
 		}
-		res := r.execute(c, cdb, data, 4096)
-		if res.Status != scsi.Good {
-			r.t.Errorf("%s: status %02x", e.Text, res.Status)
+		result := h.execute(client, cdb, data, 4096)
+		if result.Status != scsi.Good {
+			h.t.Errorf("%s: status %02x", expectation.Text, result.Status)
 		}
 	}
-	c.Logout()
-	var to []string
-	for n, d := range disks {
-		if d.Served() > before[n] {
-			to = append(to, n)
+	client.Logout()
+	var nodes []string
+	for node, diskServer := range diskServers {
+		if diskServer.Served() > servedBefore[node] {
+			nodes = append(nodes, node)
 		}
 	}
-	slices.Sort(to)
-	return strings.Join(to, ", ")
+	slices.Sort(nodes)
+	return strings.Join(nodes, ", ")
 }
--- a/internal/control/gateway/fakedisk_test.go
+++ b/internal/control/gateway/fakedisk_test.go
@@ -18,9 +18,9 @@
 	t           *testing.T
 	listener    net.Listener
 	environment env.Environment
-	handle      func(c *attemptConn, do diskproto.Do)
+	handle      func(attempt *receivedAttempt, request diskproto.Do)
 	// handleRaw, if set, takes the connection's bytes after the greeting.
-	handleRaw func(c net.Conn)
+	handleRaw func(conn net.Conn)
 
 	mu       sync.Mutex
 	received []diskproto.Do
@@ -28,104 +28,104 @@
 	tasks    sync.WaitGroup
 }
 
-// attemptConn is one attempt's connection.
-type attemptConn struct {
+// receivedAttempt is one attempt's connection.
+type receivedAttempt struct {
 	conn net.Conn
 	tag  uint32
 }
 
-func (s *attemptConn) answer(a diskproto.Answer) { s.answerTag(s.tag, a) }
+func (r *receivedAttempt) answer(answer diskproto.Answer) { r.answerTag(r.tag, answer) }
 
-func (s *attemptConn) answerTag(tag uint32, a diskproto.Answer) {
-	s.conn.Write(diskproto.Append(nil, diskproto.KindAnswer, tag, &a))
+func (r *receivedAttempt) answerTag(tag uint32, answer diskproto.Answer) {
+	r.conn.Write(diskproto.Append(nil, diskproto.KindAnswer, tag, &answer))
 }
 
-func newFakeDiskServer(t *testing.T, w env.Environment) *fakeDiskServer {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func newFakeDiskServer(t *testing.T, environment env.Environment) *fakeDiskServer {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &fakeDiskServer{t: t, listener: l, environment: w}
-	a.tasks.Add(1)
-	go a.accept()
+	server := &fakeDiskServer{t: t, listener: listener, environment: environment}
+	server.tasks.Add(1)
+	go server.accept()
 	t.Cleanup(func() {
-		l.Close()
-		a.mu.Lock()
-		for _, c := range a.conns {
-			c.Close()
+		listener.Close()
+		server.mu.Lock()
+		for _, conn := range server.conns {
+			conn.Close()
 		}
-		a.mu.Unlock()
-		a.tasks.Wait()
+		server.mu.Unlock()
+		server.tasks.Wait()
 	})
-	return a
+	return server
 }
 
-func (a *fakeDiskServer) accept() {
-	defer a.tasks.Done()
+func (s *fakeDiskServer) accept() {
+	defer s.tasks.Done()
 	for {
-		c, err := a.listener.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		a.mu.Lock()
-		a.conns = append(a.conns, c)
-		a.tasks.Add(1)
-		a.mu.Unlock()
-		go a.serve(c)
+		s.mu.Lock()
+		s.conns = append(s.conns, conn)
+		s.tasks.Add(1)
+		s.mu.Unlock()
+		go s.serve(conn)
 	}
 }
 
-func (a *fakeDiskServer) serve(c net.Conn) {
-	defer a.tasks.Done()
-	defer c.Close()
-	br := bufio.NewReader(c)
-	r := diskproto.NewReader(br)
+func (s *fakeDiskServer) serve(conn net.Conn) {
+	defer s.tasks.Done()
+	defer conn.Close()
+	buffered := bufio.NewReader(conn)
+	reader := diskproto.NewReader(buffered)
 	for {
-		f, err := r.Next()
+		frame, err := reader.Next()
 		if err != nil {
 			return
 		}
-		switch f.Kind {
+		switch frame.Kind {
 		case diskproto.KindHello:
-			w := &diskproto.Welcome{Version: diskproto.Version, Clock: uint64(a.environment.Now() / time.Microsecond), Name: "actor"}
-			c.Write(diskproto.Append(nil, diskproto.KindWelcome, f.Tag, w))
-			a.mu.Lock()
-			raw := a.handleRaw
-			a.mu.Unlock()
-			if raw != nil {
-				raw(c)
+			welcome := &diskproto.Welcome{Version: diskproto.Version, Clock: uint64(s.environment.Now() / time.Microsecond), Name: "actor"}
+			conn.Write(diskproto.Append(nil, diskproto.KindWelcome, frame.Tag, welcome))
+			s.mu.Lock()
+			handleRaw := s.handleRaw
+			s.mu.Unlock()
+			if handleRaw != nil {
+				handleRaw(conn)
 				return
 			}
 		case diskproto.KindDo:
-			var m diskproto.Do
-			if err := m.Parse(f.Body); err != nil {
-				a.t.Error(err)
+			var request diskproto.Do
+			if err := request.Parse(frame.Body); err != nil {
+				s.t.Error(err)
 				return
 			}
-			m.Data = append([]byte(nil), m.Data...)
-			a.mu.Lock()
-			a.received = append(a.received, m)
-			a.mu.Unlock()
-			a.handle(&attemptConn{c, f.Tag}, m)
+			request.Data = append([]byte(nil), request.Data...)
+			s.mu.Lock()
+			s.received = append(s.received, request)
+			s.mu.Unlock()
+			s.handle(&receivedAttempt{conn, frame.Tag}, request)
 		}
 	}
 }
 
-func (a *fakeDiskServer) receivedRequests() []diskproto.Do {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return append([]diskproto.Do(nil), a.received...)
+func (s *fakeDiskServer) receivedRequests() []diskproto.Do {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]diskproto.Do(nil), s.received...)
 }
 
 // startFakeDiskServer puts an actor in place of every shard's disk server.
-func (r *harness) startFakeDiskServer(play func(c *attemptConn, do diskproto.Do)) *fakeDiskServer {
-	a := newFakeDiskServer(r.t, r.environment)
-	a.handle = play
-	r.inventory.ChangeNow(func(b *inventory.Book) {
-		for i, d := range r.diskServers {
-			b.Health(d.Addr, inventory.Gone)
-			b.Set(inventory.Node{Addr: a.listener.Addr().String(), Health: inventory.Ready, Shard: i, Zone: "hall-a", Weight: 1, Incarnation: 9}, 0)
+func (h *harness) startFakeDiskServer(handle func(attempt *receivedAttempt, request diskproto.Do)) *fakeDiskServer {
+	server := newFakeDiskServer(h.t, h.environment)
+	server.handle = handle
+	h.inventory.ChangeNow(func(book *inventory.Book) {
+		for i, diskServer := range h.diskServers {
+			book.Health(diskServer.Addr, inventory.Gone)
+			book.Set(inventory.Node{Addr: server.listener.Addr().String(), Health: inventory.Ready, Shard: i, Zone: "hall-a", Weight: 1, Incarnation: 9}, 0)
 		}
 	})
-	return a
+	return server
 }
--- a/internal/control/gateway/gateway_test.go
+++ b/internal/control/gateway/gateway_test.go
@@ -37,89 +37,89 @@
 	return standin.MachineConfig{Cores: 2, Queue: 64, UnitWork: 0.2, WriteX: 1, ColdFrom: 1, FallTime: 1000, FallMultiple: 2}
 }
 
-func newHarness(t *testing.T, edit func(*settings.Settings)) *harness {
-	return newHarnessWithConfig(t, edit, func(*gateway.Config) {}, nil)
+func newHarness(t *testing.T, editSettings func(*settings.Settings)) *harness {
+	return newHarnessWithConfig(t, editSettings, func(*gateway.Config) {}, nil)
 }
 
 // newHarnessWithConfig is a rig whose gateway and disk servers have keys.
-func newHarnessWithConfig(t *testing.T, edit func(*settings.Settings), more func(*gateway.Config), k *keys.Holder) *harness {
-	r := &harness{t: t, environment: env.NewReal(), settings: settings.Example(1, 3)}
-	if edit != nil {
-		edit(r.settings)
+func newHarnessWithConfig(t *testing.T, editSettings func(*settings.Settings), editConfig func(*gateway.Config), diskServerKeys *keys.Holder) *harness {
+	h := &harness{t: t, environment: env.NewReal(), settings: settings.Example(1, 3)}
+	if editSettings != nil {
+		editSettings(h.settings)
 	}
 	var err error
-	if r.inventory, err = standin.ServeInventory(r.environment, "127.0.0.1:0", 0); err != nil {
+	if h.inventory, err = standin.ServeInventory(h.environment, "127.0.0.1:0", 0); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.inventory.Close)
-	for i := range r.settings.Shards {
+	t.Cleanup(h.inventory.Close)
+	for i := range h.settings.Shards {
 		cell := standin.NewCell(func(string) int { return 4096 })
-		m := standin.NewMachine(fastMachineConfig(), uint64(i), cell, standin.NewRack(6000), nil, uint32(i), 0, false)
-		d := &standin.DiskServer{Name: "disk", Zone: "hall-a", Rack: "r", Shard: i, Keys: k}
-		if err := standin.ServeDisk(r.environment, m, d); err != nil {
+		machine := standin.NewMachine(fastMachineConfig(), uint64(i), cell, standin.NewRack(6000), nil, uint32(i), 0, false)
+		diskServer := &standin.DiskServer{Name: "disk", Zone: "hall-a", Rack: "r", Shard: i, Keys: diskServerKeys}
+		if err := standin.ServeDisk(h.environment, machine, diskServer); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(d.Kill)
-		r.diskServers, r.cells = append(r.diskServers, d), append(r.cells, cell)
-		r.inventory.ChangeNow(func(b *inventory.Book) {
-			b.Set(inventory.Node{Addr: d.Addr, Health: inventory.Ready, Shard: i, Zone: "hall-a", Weight: 1, Incarnation: d.Started}, 0)
+		t.Cleanup(diskServer.Kill)
+		h.diskServers, h.cells = append(h.diskServers, diskServer), append(h.cells, cell)
+		h.inventory.ChangeNow(func(book *inventory.Book) {
+			book.Set(inventory.Node{Addr: diskServer.Addr, Health: inventory.Ready, Shard: i, Zone: "hall-a", Weight: 1, Incarnation: diskServer.Started}, 0)
 		})
 	}
-	cfg := gateway.Config{Environment: r.environment, Name: "h0", Zone: "hall-a", Listen: "127.0.0.1:0", Inventory: r.inventory.Addr,
+	config := gateway.Config{Environment: h.environment, Name: "h0", Zone: "hall-a", Listen: "127.0.0.1:0", Inventory: h.inventory.Addr,
 		RouterID: 1, NextHop4: netip.AddrFrom4([4]byte{127, 0, 0, 1})}
-	more(&cfg)
-	r.gateway, err = gateway.Start(cfg)
+	editConfig(&config)
+	h.gateway, err = gateway.Start(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.gateway.Kill)
-	if _, err := r.gateway.Settings().Put(r.settings); err != nil {
+	t.Cleanup(h.gateway.Kill)
+	if _, err := h.gateway.Settings().Put(h.settings); err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return h
 }
 
-func (r *harness) connect(volume int, isid byte) *initiator.Client {
-	r.t.Helper()
-	c, err := r.dial(volume, isid)
+func (h *harness) connect(volume int, isid byte) *initiator.Client {
+	h.t.Helper()
+	client, err := h.dial(volume, isid)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(c.Close)
-	return c
+	h.t.Cleanup(client.Close)
+	return client
 }
 
-func (r *harness) dial(volume int, isid byte) (*initiator.Client, error) {
-	return initiator.Dial(context.Background(), initiator.Config{Environment: r.environment, Addr: r.gateway.Addr().String(),
-		Name: "iqn.2026-11.example.client:one", Target: r.settings.TargetName(&r.settings.Volumes[volume]),
+func (h *harness) dial(volume int, isid byte) (*initiator.Client, error) {
+	return initiator.Dial(context.Background(), initiator.Config{Environment: h.environment, Addr: h.gateway.Addr().String(),
+		Name: "iqn.2026-11.example.client:one", Target: h.settings.TargetName(&h.settings.Volumes[volume]),
 		ISID: iscsi.ISID{0x80, 0, 0, 0, 0, isid}, Params: initiator.DefaultParams(), LoginTime: 5 * time.Second})
 }
 
-func (r *harness) execute(c *initiator.Client, cdb, write []byte, read int) iscsi.Result {
-	r.t.Helper()
+func (h *harness) execute(client *initiator.Client, cdb, dataOut []byte, dataInBytes int) iscsi.Result {
+	h.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	res, err := c.Do(ctx, cdb, write, read)
+	result, err := client.Do(ctx, cdb, dataOut, dataInBytes)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	return res
+	return result
 }
 
 func TestReadBackAcrossShards(t *testing.T) {
-	r := newHarness(t, nil)
-	c := r.connect(4, 1) // a plan without limit, two shards in its layout
+	h := newHarness(t, nil)
+	client := h.connect(4, 1) // a plan without limit, two shards in its layout
 	want := bytes.Repeat([]byte("0123456789abcdef"), 64*4096/16)
 	for i := range want {
 		want[i] ^= byte(i / 4096)
 	}
 	// Blocks 20 to 84 span three extents on two shards.
-	if res := r.execute(c, initiator.WriteCDB(20, 64), want, 0); res.Status != scsi.Good {
-		t.Fatalf("write: status %02x sense %x", res.Status, res.Sense)
+	if result := h.execute(client, initiator.WriteCDB(20, 64), want, 0); result.Status != scsi.Good {
+		t.Fatalf("write: status %02x sense %x", result.Status, result.Sense)
 	}
-	res := r.execute(c, initiator.ReadCDB(20, 64), nil, 64*4096)
-	if res.Status != scsi.Good || !bytes.Equal(res.Data, want) {
-		t.Fatalf("read back: status %02x, %d bytes, equal %v", res.Status, len(res.Data), bytes.Equal(res.Data, want))
+	result := h.execute(client, initiator.ReadCDB(20, 64), nil, 64*4096)
+	if result.Status != scsi.Good || !bytes.Equal(result.Data, want) {
+		t.Fatalf("read back: status %02x, %d bytes, equal %v", result.Status, len(result.Data), bytes.Equal(result.Data, want))
 	}
 }
 
@@ -130,34 +130,34 @@
 
 // waitFor looks until done; what is awaited comes by itself, so the time is only a
 // bound on a test that would hang.
-func (r *harness) waitFor(what string, done func() bool) {
-	r.t.Helper()
-	end := time.Now().Add(20 * time.Second)
-	for !done() {
-		if time.Now().After(end) {
-			r.t.Fatal("waited in vain for " + what)
+func (h *harness) waitFor(condition string, satisfied func() bool) {
+	h.t.Helper()
+	deadline := time.Now().Add(20 * time.Second)
+	for !satisfied() {
+		if time.Now().After(deadline) {
+			h.t.Fatal("waited in vain for " + condition)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
 // What a limit holds back is counted.
-func TestRequestsDelayedByLimitAreCounted(t *testing.T) {
-	r := newHarness(t, nil)
-	const limited, sessions, each = 0, 4, 64
-	ends := make(chan error, sessions*each)
-	for i := range sessions {
-		c := r.connect(limited, byte(10+i))
-		for k := range each {
-			c.Submit(0, initiator.ReadCDB(uint64(k), 1), nil, 4096, func(_ iscsi.Result, err error) { ends <- err })
+func TestRequestsOverLimitAreCounted(t *testing.T) {
+	h := newHarness(t, nil)
+	const limitedVolume, sessionCount, requestsPerSession = 0, 4, 64
+	errs := make(chan error, sessionCount*requestsPerSession)
+	for i := range sessionCount {
+		client := h.connect(limitedVolume, byte(10+i))
+		for block := range requestsPerSession {
+			client.Submit(0, initiator.ReadCDB(uint64(block), 1), nil, 4096, func(_ iscsi.Result, err error) { errs <- err })
 		}
 	}
-	for range sessions * each {
-		if err := <-ends; err != nil {
+	for range sessionCount * requestsPerSession {
+		if err := <-errs; err != nil {
 			t.Fatal(err)
 		}
 	}
-	if held := r.gateway.Status().LimitHeld; held == 0 {
+	if count := h.gateway.Status().LimitHeld; count == 0 {
 		t.Error("nothing was counted")
 	}
 }
--- a/internal/control/gateway/metrics_test.go
+++ b/internal/control/gateway/metrics_test.go
@@ -23,57 +23,57 @@
 )
 
 // getAdmin fetches a getAdmin of the admin API.
-func (r *harness) getAdmin(path string) (int, []byte) {
-	r.t.Helper()
-	resp, err := http.Get("http://" + r.gateway.Admin().String() + path)
+func (h *harness) getAdmin(path string) (int, []byte) {
+	h.t.Helper()
+	response, err := http.Get("http://" + h.gateway.Admin().String() + path)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	defer resp.Body.Close()
-	b, err := io.ReadAll(resp.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	return resp.StatusCode, b
+	return response.StatusCode, body
 }
 
 func enableAdmin(c *gateway.Config) { c.Admin = "127.0.0.1:0" }
 
 // metricFamilies parses /metrics with a parser that the project did not write.
-func (r *harness) metricFamilies() map[string]*dto.MetricFamily {
-	r.t.Helper()
-	code, b := r.getAdmin("/metrics")
+func (h *harness) metricFamilies() map[string]*dto.MetricFamily {
+	h.t.Helper()
+	code, body := h.getAdmin("/metrics")
 	if code != http.StatusOK {
-		r.t.Fatalf("%d: %s", code, b)
+		h.t.Fatalf("%d: %s", code, body)
 	}
-	p := expfmt.NewTextParser(model.UTF8Validation)
-	f, err := p.TextToMetricFamilies(bytes.NewReader(b))
+	parser := expfmt.NewTextParser(model.UTF8Validation)
+	families, err := parser.TextToMetricFamilies(bytes.NewReader(body))
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	problems, err := promlint.New(bytes.NewReader(b)).Lint()
+	problems, err := promlint.New(bytes.NewReader(body)).Lint()
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	for _, p := range problems {
-		r.t.Errorf("promlint: %s: %s", p.Metric, p.Text)
+	for _, problem := range problems {
+		h.t.Errorf("promlint: %s: %s", problem.Metric, problem.Text)
 	}
-	return f
+	return families
 }
 
 // sumSamples adds up the samples of a family whose labels have those values.
-func sumSamples(f *dto.MetricFamily, labels ...string) (total float64) {
-	for _, m := range f.GetMetric() {
-		fits := 0
-		for _, l := range m.GetLabel() {
+func sumSamples(family *dto.MetricFamily, labels ...string) (total float64) {
+	for _, metric := range family.GetMetric() {
+		matches := 0
+		for _, label := range metric.GetLabel() {
 			for i := 0; i+1 < len(labels); i += 2 {
-				if l.GetName() == labels[i] && l.GetValue() == labels[i+1] {
-					fits++
+				if label.GetName() == labels[i] && label.GetValue() == labels[i+1] {
+					matches++
 				}
 			}
 		}
-		if fits*2 == len(labels) {
-			total += m.GetCounter().GetValue() + m.GetGauge().GetValue() + float64(m.GetHistogram().GetSampleCount())
+		if matches*2 == len(labels) {
+			total += metric.GetCounter().GetValue() + metric.GetGauge().GetValue() + float64(metric.GetHistogram().GetSampleCount())
 		}
 	}
 	return total
@@ -81,27 +81,27 @@
 
 // What is counted is what clients and servers saw: by class, end, node and result.
 func TestMetricsAreExact(t *testing.T) {
-	r := newHarnessWithConfig(t, useOneShard, enableAdmin, nil)
-	a := r.startFakeDiskServer(func(c *attemptConn, do diskproto.Do) {
+	h := newHarnessWithConfig(t, useOneShard, enableAdmin, nil)
+	diskServer := h.startFakeDiskServer(func(attempt *receivedAttempt, request diskproto.Do) {
 		switch {
-		case do.LBA == 9 && do.Attempt == 0:
-			c.answer(diskproto.Answer{Result: diskproto.Failed})
-		case scsi.Op(do.Op) == scsi.CompareAndWrite:
-			c.conn.Close()
+		case request.LBA == 9 && request.Attempt == 0:
+			attempt.answer(diskproto.Answer{Result: diskproto.Failed})
+		case scsi.Op(request.Op) == scsi.CompareAndWrite:
+			attempt.conn.Close()
 		default:
-			c.answer(okAnswer(do))
+			attempt.answer(okAnswer(request))
 		}
 	})
-	c := r.connect(normalVolume, 1)
+	client := h.connect(normalVolume, 1)
 	for i := range uint64(20) {
-		r.execute(c, initiator.ReadCDB(i, 1), nil, 4096)
+		h.execute(client, initiator.ReadCDB(i, 1), nil, 4096)
 	}
 	for i := range uint64(5) {
-		r.execute(c, initiator.WriteCDB(i, 1), make([]byte, 4096), 0)
+		h.execute(client, initiator.WriteCDB(i, 1), make([]byte, 4096), 0)
 	}
-	r.execute(c, initiator.CompareAndWriteCDB(0, 1), make([]byte, 8192), 0)
-	f := r.metricFamilies()
-	for _, x := range []struct {
+	h.execute(client, initiator.CompareAndWriteCDB(0, 1), make([]byte, 8192), 0)
+	families := h.metricFamilies()
+	for _, tt := range []struct {
 		name   string
 		labels []string
 		want   float64
@@ -115,60 +115,60 @@
 		{"merlinhitch_attempts_total", []string{"result", "served"}, 25},
 		{"merlinhitch_attempts_total", []string{"result", "server_error"}, 1},
 		{"merlinhitch_attempts_total", []string{"result", "connection_lost"}, 1},
-		{"merlinhitch_attempts_total", nil, float64(len(a.receivedRequests()))},
+		{"merlinhitch_attempts_total", nil, float64(len(diskServer.receivedRequests()))},
 		{"merlinhitch_sessions", nil, 1},
 		{"merlinhitch_settings_version", nil, 1},
 		{"merlinhitch_serves", nil, 1},
 		{"merlinhitch_shards_without_node", nil, 0},
 	} {
-		if f[x.name] == nil {
-			t.Errorf("there is no %s", x.name)
-		} else if got := sumSamples(f[x.name], x.labels...); got != x.want {
-			t.Errorf("%s %v: %v, want %v", x.name, x.labels, got, x.want)
+		if families[tt.name] == nil {
+			t.Errorf("there is no %s", tt.name)
+		} else if got := sumSamples(families[tt.name], tt.labels...); got != tt.want {
+			t.Errorf("%s %v: %v, want %v", tt.name, tt.labels, got, tt.want)
 		}
 	}
 }
 
 // What is named is bounded, however many volumes there are.
 func TestMetricsAreBounded(t *testing.T) {
-	r := newHarnessWithConfig(t, func(s *settings.Settings) {
+	h := newHarnessWithConfig(t, func(s *settings.Settings) {
 		useOneShard(s)
 		for len(s.Volumes) < 10000 {
-			v := s.Volumes[0]
-			v.Name = fmt.Sprintf("lot-%05d", len(s.Volumes))
-			s.Volumes = append(s.Volumes, v)
+			volume := s.Volumes[0]
+			volume.Name = fmt.Sprintf("lot-%05d", len(s.Volumes))
+			s.Volumes = append(s.Volumes, volume)
 		}
 	}, enableAdmin, nil)
 	for i := 100; i < 250; i++ {
-		c := r.connect(i, byte(i))
-		r.execute(c, initiator.ReadCDB(0, 1), nil, 4096)
-		c.Logout()
+		client := h.connect(i, byte(i))
+		h.execute(client, initiator.ReadCDB(0, 1), nil, 4096)
+		client.Logout()
 	}
-	if n := len(r.metricFamilies()["merlinhitch_limit_left_units"].GetMetric()); n != 100 {
+	if n := len(h.metricFamilies()["merlinhitch_limit_left_units"].GetMetric()); n != 100 {
 		t.Errorf("%d volumes are named", n)
 	}
-	if _, b := r.getAdmin("/metrics"); len(b) > 64<<10 {
-		t.Errorf("%d bytes", len(b))
+	if _, body := h.getAdmin("/metrics"); len(body) > 64<<10 {
+		t.Errorf("%d bytes", len(body))
 	}
 }
 
 func TestHealthReadinessAndState(t *testing.T) {
-	r := newHarnessWithConfig(t, nil, enableAdmin, nil)
-	until := func(code int, text string) {
+	h := newHarnessWithConfig(t, nil, enableAdmin, nil)
+	waitForReadiness := func(code int, text string) {
 		t.Helper()
-		r.waitFor(text, func() bool {
-			got, b := r.getAdmin("/readyz")
-			return got == code && strings.Contains(string(b), text)
+		h.waitFor(text, func() bool {
+			gotCode, body := h.getAdmin("/readyz")
+			return gotCode == code && strings.Contains(string(body), text)
 		})
 	}
-	if code, _ := r.getAdmin("/healthz"); code != http.StatusOK {
+	if code, _ := h.getAdmin("/healthz"); code != http.StatusOK {
 		t.Errorf("%d", code)
 	}
-	until(http.StatusOK, "ready")
-	r.inventory.ChangeNow(func(b *inventory.Book) { b.Health(r.diskServers[1].Addr, inventory.Draining) })
-	until(http.StatusServiceUnavailable, "shard 1 has no node")
-	r.execute(r.connect(normalVolume, 1), initiator.ReadCDB(0, 1), nil, 4096)
-	code, b := r.getAdmin("/state")
+	waitForReadiness(http.StatusOK, "ready")
+	h.inventory.ChangeNow(func(book *inventory.Book) { book.Health(h.diskServers[1].Addr, inventory.Draining) })
+	waitForReadiness(http.StatusServiceUnavailable, "shard 1 has no node")
+	h.execute(h.connect(normalVolume, 1), initiator.ReadCDB(0, 1), nil, 4096)
+	code, body := h.getAdmin("/state")
 	var state struct {
 		Module struct {
 			Shards []struct{ Node string }
@@ -176,7 +176,7 @@
 		}
 		Serves bool
 	}
-	if err := json.Unmarshal(b, &state); err != nil || code != http.StatusOK || len(state.Module.Shards) != 3 || state.Module.Shards[1].Node != "" || !state.Serves {
-		t.Errorf("%d, %v, %s", code, err, b)
+	if err := json.Unmarshal(body, &state); err != nil || code != http.StatusOK || len(state.Module.Shards) != 3 || state.Module.Shards[1].Node != "" || !state.Serves {
+		t.Errorf("%d, %v, %s", code, err, body)
 	}
 }
--- a/internal/control/gateway/permit_test.go
+++ b/internal/control/gateway/permit_test.go
@@ -16,9 +16,9 @@
 	"merlinhitch/policy"
 )
 
-func sendWithStartBy(ev policy.Event) []policy.Action {
-	if r, ok := ev.(policy.Request); ok {
-		return []policy.Action{policy.Send{ID: r.ID, Node: "n", TimeoutAt: 500, StartBy: 300}}
+func sendWithStartBy(event policy.Event) []policy.Action {
+	if request, ok := event.(policy.Request); ok {
+		return []policy.Action{policy.Send{ID: request.ID, Node: "n", TimeoutAt: 500, StartBy: 300}}
 	}
 	return nil
 }
@@ -27,22 +27,22 @@
 // begun goes on to its end.
 func TestWaitingAttemptFailsAfterBeginBy(t *testing.T) {
 	for _, claimed := range []bool{false, true} {
-		h, s, n := newTestCore(sendWithStartBy)
-		h.submit(100, &job{req: policy.Request{Expires: 2000}})
+		k, scheduler, effects := newTestCore(sendWithStartBy)
+		k.submit(100, &job{req: policy.Request{Expires: 2000}})
 		if claimed {
-			n.attempts[0].claim()
+			effects.attempts[0].claim()
 		}
-		h.runDue(299)
-		if o := lastOutcome(s); o.Result != -1 {
-			t.Errorf("claimed %v: %+v too early", claimed, o)
+		k.runDue(299)
+		if outcome := lastOutcome(scheduler); outcome.Result != -1 {
+			t.Errorf("claimed %v: %+v too early", claimed, outcome)
 		}
-		h.runDue(300)
-		if o := lastOutcome(s); claimed != (o.Result == -1) || !claimed && o.Result != policy.NoConnection {
-			t.Errorf("claimed %v: %+v", claimed, o)
+		k.runDue(300)
+		if outcome := lastOutcome(scheduler); claimed != (outcome.Result == -1) || !claimed && outcome.Result != policy.NoConnection {
+			t.Errorf("claimed %v: %+v", claimed, outcome)
 		}
-		h.runDue(500)
-		if o := lastOutcome(s); claimed && o.Result != policy.NoAnswer {
-			t.Errorf("%+v", o)
+		k.runDue(500)
+		if outcome := lastOutcome(scheduler); claimed && outcome.Result != policy.NoAnswer {
+			t.Errorf("%+v", outcome)
 		}
 	}
 }
@@ -50,24 +50,24 @@
 // What is taken back before it began ends as never sent; what has begun goes on.
 func TestWithdrawAttempt(t *testing.T) {
 	for _, claimed := range []bool{false, true} {
-		h, s, n := newTestCore(sendOnRequest)
+		k, scheduler, effects := newTestCore(sendOnRequest)
 		j := &job{req: policy.Request{Expires: 2000}}
-		h.submit(100, j)
-		a := n.attempts[0]
+		k.submit(100, j)
+		a := effects.attempts[0]
 		if claimed {
 			a.claim()
 		}
-		h.perform(policy.Withdraw{ID: j.id, Attempt: 0})
+		k.perform(policy.Withdraw{ID: j.id, Attempt: 0})
 		if !claimed && a.claim() {
 			t.Error("claimed after it was taken back")
 		}
-		h.runDue(101)
-		if o := lastOutcome(s); claimed != (o.Result == -1) || !claimed && o.Result != policy.NotSent {
-			t.Errorf("claimed %v: %+v", claimed, o)
+		k.runDue(101)
+		if outcome := lastOutcome(scheduler); claimed != (outcome.Result == -1) || !claimed && outcome.Result != policy.NotSent {
+			t.Errorf("claimed %v: %+v", claimed, outcome)
 		}
-		h.perform(policy.Withdraw{ID: j.id, Attempt: 7}) // none of that number
-		h.runDue(102)
-		if len(n.outcomes) != 0 {
+		k.perform(policy.Withdraw{ID: j.id, Attempt: 7}) // none of that number
+		k.runDue(102)
+		if len(effects.outcomes) != 0 {
 			t.Error("the request ended")
 		}
 	}
@@ -76,16 +76,16 @@
 // An attempt that the back kept from going out waits for the outcome that is on its way, also
 // past its time: it has certainly not run.
 func TestDroppedAttemptWaitsForOutcome(t *testing.T) {
-	h, s, n := newTestCore(sendOnRequest)
-	h.submit(100, &job{req: policy.Request{Expires: 2000}})
-	n.attempts[0].drop()
-	h.runDue(600)
-	if o := lastOutcome(s); o.Result != -1 {
-		t.Errorf("%+v", o)
+	k, scheduler, effects := newTestCore(sendOnRequest)
+	k.submit(100, &job{req: policy.Request{Expires: 2000}})
+	effects.attempts[0].drop()
+	k.runDue(600)
+	if outcome := lastOutcome(scheduler); outcome.Result != -1 {
+		t.Errorf("%+v", outcome)
 	}
-	h.failAttempt(601, n.attempts[0], policy.NotSent)
-	if o := lastOutcome(s); o.Result != policy.NotSent {
-		t.Errorf("%+v", o)
+	k.failAttempt(601, effects.attempts[0], policy.NotSent)
+	if outcome := lastOutcome(scheduler); outcome.Result != policy.NotSent {
+		t.Errorf("%+v", outcome)
 	}
 }
 
@@ -97,10 +97,10 @@
 
 // Nothing is put on a connection for a request that is over, or too late.
 func TestBeginSendsOnlyPermittedAttempts(t *testing.T) {
-	w := env.NewReal()
+	environment := env.NewReal()
 	for name, tt := range map[string]struct {
 		change func(a *attempt, now float64)
-		goes   bool
+		want   bool
 	}{
 		"in time":          {func(*attempt, float64) {}, true},
 		"request over":     {func(a *attempt, _ float64) { a.job.markEnded() }, false},
@@ -109,19 +109,19 @@
 		"was taken back":   {func(a *attempt, _ float64) { a.drop() }, false},
 		"has time to wait": {func(a *attempt, now float64) { a.beginBy = now + 10_000 }, true},
 	} {
-		h := newHost(w, settings.Example(1, 1), 0, "h0", "z0", nil, zap.NewNop())
-		ours, theirs := net.Pipe()
-		l := &serverConn{pool: h.pool, outstanding: map[uint32]*attempt{}, conn: ours, writes: writequeue.New(w, ours, 1<<20, time.Second)}
-		now := env.MS(w.Now())
+		h := newHost(environment, settings.Example(1, 1), 0, "h0", "z0", nil, zap.NewNop())
+		poolEnd, serverEnd := net.Pipe()
+		conn := &serverConn{pool: h.pool, outstanding: map[uint32]*attempt{}, conn: poolEnd, writes: writequeue.New(environment, poolEnd, 1<<20, time.Second)}
+		now := env.MS(environment.Now())
 		a := &attempt{job: &job{owner: discardOwner{}}, answerBy: now + 60_000, beginBy: math.Inf(1)}
 		tt.change(a, now)
-		l.begin(a)
-		l.writes.Finish()
-		got, err := io.ReadAll(theirs)
-		if err != nil || (len(got) > 0) != tt.goes {
-			t.Errorf("%s: %d bytes, %v", name, len(got), err)
+		conn.begin(a)
+		conn.writes.Finish()
+		sent, err := io.ReadAll(serverEnd)
+		if err != nil || (len(sent) > 0) != tt.want {
+			t.Errorf("%s: %d bytes, %v", name, len(sent), err)
 		}
-		if !tt.goes && a.claim() {
+		if !tt.want && a.claim() {
 			t.Errorf("%s: it may still go", name)
 		}
 		h.stop()
