--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -1,10 +1,9 @@
-// Package rules checks the seven rules on a trail: on what passed on the sockets,
-// and on nothing that a gateway says of itself. A Checker is fed events one by
-// one, with a cost for each that does not grow with the run.
+// Package rules checks a trail of socket traffic against the rules of the service. It uses no
+// information that a gateway reports about itself. A Checker takes events one at a time; the time
+// per event does not grow with the length of the run.
 //
-// Where two sockets are compared, the trail's order may differ from the host's by
-// the way between host and relay; Margin is allowed for that, and for nothing
-// else.
+// Events of two sockets may be recorded in another order than the host saw them, by the delay
+// between the host and the recording relay. Comparisons across sockets allow MaxRelayDelay for it.
 package rules
 
 import (
@@ -22,23 +21,23 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// MaxRelayDelay is what a frame may take between a host and the relay beside it, us.
+// MaxRelayDelay is the longest delay of a frame between a host and the relay beside it, in us.
 const MaxRelayDelay = 20_000
 
-// Rule numbers one of the seven.
+// Rule is the number of a rule.
 type Rule int
 
-// The rules, as the operators number them.
+// The rules, by their published numbers.
 const (
-	Answers Rule = iota + 1 // one final answer in time, nothing sent after it
-	Effects                 // no effect twice beyond what the class allows
-	Drains                  // nothing new to what drains or is gone
-	Cold                    // no cold server pushed over
-	Limits                  // no limit passed, over all hosts
-	Order                   // order by key
-	Budget                  // further attempts within the budget
-	// Homes is kept by a service over two regions beside the seven: once a shard was served
-	// in one of them under a generation, nothing is served in the other under an older one.
+	Answers Rule = iota + 1 // one final answer in time, no attempt after it
+	Effects                 // no repeated effect beyond what the class allows
+	Drains                  // no attempt to a draining or removed server after the grace period
+	Cold                    // no cold server overloaded
+	Limits                  // no volume above its rate limit, summed over all hosts
+	Order                   // requests of one key in order, one at a time
+	Budget                  // retries within the budget
+	// Homes applies to a service of two regions: once a shard was served in one region under a
+	// generation, no attempt sent later is served in the other under the same or an older one.
 	Homes
 )
 
@@ -46,13 +45,12 @@
 
 func (r Rule) String() string { return ruleNames[r] }
 
-// Violation is one breach of a rule.
+// Violation describes one violation of a rule.
 type Violation struct {
 	Rule Rule
-	Time int64 // us
+	Time int64 // us since the run began
 	Text string
-	// Conn and Tag name the command, HostID and Seq the request, where one is
-	// concerned.
+	// Conn and Tag identify the command, HostID and Seq the request; 0 where there is none.
 	Conn, Tag   uint32
 	HostID, Seq uint64
 }
@@ -61,10 +59,11 @@
 	return fmt.Sprintf("rule %d (%s) at %.3f s: %s", b.Rule, b.Rule, float64(b.Time)/1e6, b.Text)
 }
 
-// maxViolations bounds the breaches that are kept; all are counted.
+// maxViolations bounds the violations that are kept as they occur; all are counted.
 const maxViolations = 100
 
-// Checker is the state of a check.
+// Checker checks a stream of events. Checks and ViolationCounts are indexed by Rule and count the
+// checks made and the violations found.
 type Checker struct {
 	meta            *trail.Meta
 	settings        *settings.Settings
@@ -78,11 +77,11 @@
 	sessions       map[sessionID]*conn
 	requests       map[requestID]*request
 	processes      map[string]*hostProcess
-	serverStarts   map[string]int64 // server's last start, us
+	serverStarts   map[string]int64 // latest start of a server by its address, us
 	coldSends      map[string][]coldSend
 	buckets        map[string]*tokenBucket
 	keyQueues      map[keyQueueID][]*request
-	firstServed    map[int32][]servedHome // by shard, where there are two regions
+	firstServed    map[int32][]servedHome // by shard; empty unless there are two regions
 	lastEventAt    int64
 	Stats          *Stats
 	volumeVariants map[string][]*settings.Volume
@@ -102,11 +101,11 @@
 	host         string
 	volume       *settings.Volume
 	open         map[uint32]*command
-	orderedQueue []*command            // of ordered classes, in order, without an end
-	endedAt      map[uint32]int64      // when a command was over for its host, at the latest
-	endedTags    []uint32              // tags of ended, oldest first
-	aborting     map[uint32][]*command // by the tag of the function that ends them
-	outstanding  map[uint32]*attempt
+	orderedQueue []*command            // commands of ordered classes that have not ended, by arrival
+	endedAt      map[uint32]int64      // by tag: when the host knew at the latest that the command had ended
+	endedTags    []uint32              // keys of endedAt, oldest first
+	aborting     map[uint32][]*command // commands that a task management function ends, by the function's tag
+	outstanding  map[uint32]*attempt   // by tag, on a connection to a disk server
 }
 
 type command struct {
@@ -118,12 +117,12 @@
 	lba          uint64
 	blocks       uint32
 	issuedAt     int64
-	missingBytes int64 // bytes of data still to come
+	missingBytes int64 // write data that has not been sent yet
 	parts        int
 	ended        bool
 	endedAt      int64
-	aborted      bool             // by a task management function under way
-	overtakenAt  map[string]int64 // keys for which a later command was sent first
+	aborted      bool             // an outstanding task management function ends it
+	overtakenAt  map[string]int64 // by key: when a later command of the connection was sent before it
 	requests     []*request
 }
 
@@ -145,26 +144,26 @@
 	deadline   int64
 	answered   bool
 	result     diskproto.Result
-	lostAt     int64 // connection over without an answer
+	lostAt     int64 // when the connection closed before the answer; 0: it did not
 }
 
-// hostProcess is one start of a hostProcess.
+// hostProcess is one process of a host, from its start to its end.
 type hostProcess struct {
-	notReadySince map[string]int64 // server told off, by when
-	knownStarts   map[string]int64 // server's start that it was told
+	notReadySince map[string]int64 // by server: when the host was told that it drains or is gone
+	knownStarts   map[string]int64 // by server: its start as known to the host
 	knownServers  map[string]bool
 	arrivals      []int64
 	retries       []int64
-	diedAt        int64
-	killed        bool        // it was killed: what it had dialled may still open
-	unanswered    []Violation // commands dropped by the host, unless it died
-	stalls        []stall     // when it stood still
+	diedAt        int64       // when it was killed or closed its inventory connection; 0: alive
+	killed        bool        // was killed; a connection that it had dialled may still open
+	unanswered    []Violation // commands whose connection the host closed; no violation if it died then
+	stalls        []stall
 }
 
-// stall is a time during which a host did nothing, us.
+// stall is a period, in us, during which a host did not run.
 type stall struct{ from, to int64 }
 
-// seenAt is when a host can see what comes at t.
+// seenAt returns when the host can process what arrives at the given time: at the end of a stall.
 func (h *hostProcess) seenAt(at int64) int64 {
 	for _, s := range h.stalls {
 		if s.from <= at && at < s.to {
@@ -174,7 +173,7 @@
 	return at
 }
 
-// extendByStalls is the end of a time that begins at t and that the host must be awake for.
+// extendByStalls returns end, later by the time that the host was stalled between start and end.
 func (h *hostProcess) extendByStalls(start, end int64) int64 {
 	for _, s := range h.stalls {
 		if start < s.to && s.from < end {
@@ -187,15 +186,16 @@
 type coldSend struct {
 	sentAt     int64
 	units      float64
-	startKnown bool // by a host that knew of the start
+	startKnown bool // the sending host knew of the server's start
 }
 
+// tokenBucket meters a volume against the rate limit of its plan.
 type tokenBucket struct {
 	level     float64
 	updatedAt int64
 }
 
-// New returns a checker of a run.
+// New returns a Checker for the run that meta describes.
 func New(meta *trail.Meta) *Checker {
 	c := &Checker{meta: meta, settings: meta.Settings, volumes: map[string]*settings.Volume{}, plans: map[string]*settings.Plan{},
 		conns: map[uint32]*conn{}, sessions: map[sessionID]*conn{}, requests: map[requestID]*request{},
@@ -210,7 +210,7 @@
 	return c
 }
 
-// Check runs a whole trail.
+// Check checks a complete trail.
 func Check(meta *trail.Meta, events []trail.Event) *Checker {
 	c := New(meta)
 	for i := range events {
@@ -237,7 +237,7 @@
 	return h
 }
 
-// Feed takes the next event.
+// Feed processes the next event. Events must come in the order of the trail.
 func (c *Checker) Feed(e *trail.Event) {
 	c.lastEventAt = max(c.lastEventAt, e.Time)
 	switch e.Link {
@@ -250,7 +250,7 @@
 	case trail.LinkFault:
 		h := c.process(e.Host)
 		if e.Kind == trail.Killed {
-			if !h.killed { // once
+			if !h.killed { // a host may be reported killed more than once
 				h.diedAt, h.killed = e.Time, true
 			}
 			break
@@ -259,7 +259,7 @@
 	}
 }
 
-// Client side.
+// Events between clients and hosts.
 
 func (c *Checker) clientEvent(e *trail.Event) {
 	connection := c.conns[e.Conn]
@@ -294,7 +294,7 @@
 	cmd := &command{conn: connection, tag: e.Tag, op: scsi.OpByName(e.Op), lba: e.LBA, blocks: e.Blocks, issuedAt: e.Time,
 		missingBytes: int64(e.Length) - int64(e.Advice), parts: 1}
 	if connection.open[e.Tag] != nil {
-		c.violate(Violation{Rule: Answers, Time: e.Time, Conn: connection.id, Tag: e.Tag}, "the client used tag %d twice: the trail can't be read", e.Tag)
+		c.violate(Violation{Rule: Answers, Time: e.Time, Conn: connection.id, Tag: e.Tag}, "client reused tag %d of an open command: the trail cannot be interpreted", e.Tag)
 	}
 	connection.open[e.Tag] = cmd
 	if connection.volume == nil || cmd.op == 0 {
@@ -315,7 +315,7 @@
 	}
 }
 
-// commandArrived notes that the host has all of a command.
+// commandArrived records that the host has received a command and all its write data.
 func (c *Checker) commandArrived(cmd *command, now int64) {
 	process := c.process(cmd.conn.host)
 	for range cmd.parts {
@@ -326,7 +326,7 @@
 	}
 }
 
-// answerDue is the time by which a command's final answer is due.
+// answerDue returns by when the final answer of cmd must be sent, in us.
 func (c *Checker) answerDue(cmd *command) int64 {
 	if cmd.class == nil {
 		return math.MaxInt64
@@ -339,13 +339,13 @@
 	violation := Violation{Time: e.Time, Conn: connection.id, Tag: e.Tag}
 	if cmd == nil {
 		violation.Rule = Answers
-		c.violate(violation, "an answer to %s for a command that is over or was never sent (tag %d)", e.Peer, e.Tag)
+		c.violate(violation, "answer to %s for a command that had ended or was never sent (tag %d)", e.Peer, e.Tag)
 		return
 	}
 	c.Checks[Answers]++
 	if due := c.answerDue(cmd); e.Time > due {
 		violation.Rule = Answers
-		c.violate(violation, "%s of %s answered %.1f ms after its client's time was up", cmd.op, connection.volume.Name, float64(e.Time-due)/1000)
+		c.violate(violation, "%s on %s answered %.1f ms after its answer was due", cmd.op, connection.volume.Name, float64(e.Time-due)/1000)
 	}
 	if cmd.class != nil {
 		c.Stats.recordAnswer(cmd, e)
@@ -357,10 +357,10 @@
 	c.endCommand(cmd, e.Time)
 }
 
-// maxEndedTags bounds how many ended commands of a connection are remembered.
+// maxEndedTags bounds the ended commands that are remembered per connection.
 const maxEndedTags = 4096
 
-// endCommand ends a command. The host knows of it at the latest at by.
+// endCommand ends cmd. The host knows of the end by knownBy at the latest.
 func (c *Checker) endCommand(cmd *command, knownBy int64) {
 	connection := cmd.conn
 	cmd.ended, cmd.endedAt = true, knownBy
@@ -378,7 +378,8 @@
 	}
 }
 
-// checkBusy checks what a BUSY promises: that another try does no harm.
+// checkBusy checks that a command answered with BUSY can be retried by its client without a
+// repeated effect (rule 2).
 func (c *Checker) checkBusy(cmd *command, e *trail.Event) {
 	for _, r := range cmd.requests {
 		if r.class == nil || r.class.Effect == "safe" || r.class.Effect == "keyed" && r.class.Group == "all" {
@@ -387,25 +388,25 @@
 		c.Checks[Effects]++
 		if i := slices.IndexFunc(r.attempts, (*attempt).mayHaveRun); i >= 0 {
 			c.violate(Violation{Rule: Effects, Time: e.Time, Conn: cmd.conn.id, Tag: cmd.tag, HostID: r.id.hostID, Seq: r.id.seq},
-				"%s (%s) refused although attempt %d may have run", r.class.Name, r.class.Effect, i)
+				"%s (%s) answered BUSY although attempt %d may have run", r.class.Name, r.class.Effect, i)
 		}
 	}
 }
 
 func (a *attempt) mayHaveRun() bool { return !a.answered || !a.result.ProvesNothingRan() }
 
-// outstandingAt tells whether the attempt could still run or be answered at t.
+// outstandingAt reports whether the attempt could still run or be answered at t.
 func (a *attempt) outstandingAt(t int64) bool {
 	return !a.answered && a.lostAt == 0 && t < a.deadline-MaxRelayDelay
 }
 
-// Functions that end tasks, by number; the others only ask.
+// endsTasks reports whether the task management function with this iSCSI code ends tasks.
 func endsTasks(function int32) bool {
 	return function >= 1 && function <= 7 && function != 3 || function == 11
 }
 
-// startAbort notes that the client gives commands up. An answer may still cross the
-// function on its way: they are over with the function's response.
+// startAbort marks the commands that a task management function ends. Their answers may still
+// cross the function; the commands end with its response.
 func (c *Checker) startAbort(connection *conn, e *trail.Event) {
 	if !endsTasks(e.Status) {
 		return
@@ -419,7 +420,8 @@
 	}
 }
 
-// finishAbort: the response promises that the tasks can have no further effect.
+// finishAbort ends the commands of a task management function on its response, after which they
+// must not take effect any more (rule 2).
 func (c *Checker) finishAbort(connection *conn, e *trail.Event) {
 	for _, cmd := range connection.aborting[e.Tag] {
 		if cmd.ended {
@@ -433,7 +435,7 @@
 			for i, a := range r.attempts {
 				if !a.answered && e.Time < a.deadline-MaxRelayDelay && cmd.op.Writes() {
 					c.violate(Violation{Rule: Effects, Time: e.Time, Conn: connection.id, Tag: cmd.tag, HostID: r.id.hostID, Seq: r.id.seq},
-						"an abort was answered while attempt %d of the %s may still take effect", i, cmd.op)
+						"abort answered while attempt %d of the %s may still take effect", i, cmd.op)
 				}
 			}
 		}
@@ -451,8 +453,8 @@
 	return commands
 }
 
-// clientClosed ends what a connection had open. If the host closed it, it owed
-// answers, unless the host itself came to its end.
+// clientClosed ends the open commands of a client connection. If the host closed it, they are
+// violations of rule 1 unless the host died; Finish decides that.
 func (c *Checker) clientClosed(connection *conn, e *trail.Event) {
 	for _, cmd := range sortedByTag(connection.open) {
 		if cmd.class != nil {
@@ -461,17 +463,17 @@
 		if e.Dir == trail.Down && cmd.class != nil && !cmd.aborted {
 			process := c.process(connection.host)
 			process.unanswered = append(process.unanswered, Violation{Rule: Answers, Time: e.Time, Conn: connection.id, Tag: cmd.tag,
-				Text: fmt.Sprintf("%s closed the connection that %s of %s waited on", connection.host, cmd.op, connection.volume.Name)})
+				Text: fmt.Sprintf("%s closed the connection of an unanswered %s on %s", connection.host, cmd.op, connection.volume.Name)})
 		}
 		c.endCommand(cmd, e.Time+disconnectNotice)
 	}
 }
 
-// disconnectNotice is how long a host may take to learn that a client has left, us. No
-// answer is owed then, and none of the rules speaks of that time.
+// disconnectNotice is the time, in us, that a host has to notice that a client disconnected.
+// Attempts sent in that time do not violate rule 1.
 const disconnectNotice = 1_000_000
 
-// Disk side.
+// Events between hosts and disk servers.
 
 func (c *Checker) diskEvent(e *trail.Event) {
 	connection := c.conns[e.Conn]
@@ -487,7 +489,7 @@
 	case trail.Bye:
 		c.Checks[Cold]++
 		if e.Status != 0 && startMostlyKnown(c.coldSends[e.Peer]) {
-			c.violate(Violation{Rule: Cold, Time: e.Time}, "server %s was pushed over", c.serverName(e.Peer))
+			c.violate(Violation{Rule: Cold, Time: e.Time}, "server %s became overloaded", c.serverName(e.Peer))
 		}
 	case trail.Close:
 		for _, a := range connection.outstanding {
@@ -533,7 +535,7 @@
 	connection.outstanding[e.Tag] = sent
 }
 
-// assignCommand finds the command that a request is part of.
+// assignCommand finds the open command that a request is part of.
 func (c *Checker) assignCommand(req *request, e *trail.Event) {
 	connection := c.sessions[sessionID{e.Host, e.Session}]
 	if connection == nil {
@@ -551,26 +553,27 @@
 	}
 }
 
-// checkNotEnded: nothing is sent for a request that is over (rule 1).
+// checkNotEnded checks that no attempt is sent for an ended or unknown command (rule 1).
 func (c *Checker) checkNotEnded(req *request, e *trail.Event, violation Violation) {
 	violation.Rule = Answers
 	c.Checks[Answers]++
-	endedAt, description := int64(math.MaxInt64), "command that never was"
+	endedAt, description := int64(math.MaxInt64), "command that was never sent"
 	switch connection := c.sessions[sessionID{e.Host, e.Session}]; {
 	case req.cmd != nil && req.cmd.ended:
-		endedAt, description = req.cmd.endedAt, "command that was over"
+		endedAt, description = req.cmd.endedAt, "command that had ended"
 	case req.cmd != nil:
 	case connection == nil:
 		endedAt = 0
 	default:
-		endedAt, description = connection.endedAt[e.RefTag], "command that was over, or never was"
+		endedAt, description = connection.endedAt[e.RefTag], "command that had ended or was never sent"
 	}
 	if c.process(e.Host).seenAt(endedAt) < e.Time-MaxRelayDelay {
 		c.violate(violation, "%s sent attempt %d for a %s (session %d, tag %d)", e.Host, e.Attempt, description, e.Session, e.RefTag)
 	}
 }
 
-// checkDrain is rule 3.
+// checkDrain checks rule 3: no attempt to a server later than the drain grace after the host was
+// told that it drains or is gone.
 func (c *Checker) checkDrain(e *trail.Event, violation Violation) {
 	since, notReady := c.process(e.Host).notReadySince[e.Peer]
 	if !notReady {
@@ -578,11 +581,12 @@
 	}
 	violation.Rule = Drains
 	if late := e.Time - c.process(e.Host).seenAt(since) - int64(c.settings.Rules.DrainGrace*1000); late > 0 {
-		c.violate(violation, "%s sent to %s %.1f ms after the grace", e.Host, c.serverName(e.Peer), float64(late)/1000)
+		c.violate(violation, "%s sent to %s %.1f ms after the end of its drain grace", e.Host, c.serverName(e.Peer), float64(late)/1000)
 	}
 }
 
-// checkCold is rule 4, on every window that ends with a send.
+// checkCold checks rule 4: the load on a cold server over each overload window that ends with a
+// send to it.
 func (c *Checker) checkCold(e *trail.Event, violation Violation) {
 	start, known := c.serverStarts[e.Peer]
 	terms := &c.settings.Rules
@@ -603,11 +607,12 @@
 	allowed := max(terms.ColdUnits, terms.FallMultiple*capacity*c.meta.Servers[e.Peer].Rate*terms.FallTime/1000)
 	if total > allowed+1e-6 && startMostlyKnown(sends) {
 		violation.Rule = Cold
-		c.violate(violation, "cold server %s was sent %.1f units within %.0f ms, it bears %.1f", c.serverName(e.Peer), total, terms.FallTime, allowed)
+		c.violate(violation, "cold server %s was sent %.1f units within %.0f ms, at most %.1f allowed", c.serverName(e.Peer), total, terms.FallTime, allowed)
 	}
 }
 
-// startMostlyKnown tells whether two thirds of the work came from hosts that knew.
+// startMostlyKnown reports whether at least two thirds of the units came from hosts that knew of
+// the server's start.
 func startMostlyKnown(sends []coldSend) bool {
 	total, informed := 0.0, 0.0
 	for _, p := range sends {
@@ -619,7 +624,7 @@
 	return informed >= total*2/3
 }
 
-// checkLimit is rule 5, on the first send of each request.
+// checkLimit checks rule 5 on the first attempt of each request.
 func (c *Checker) checkLimit(e *trail.Event, violation Violation) {
 	volume := c.volumes[e.Volume]
 	if volume == nil {
@@ -639,11 +644,11 @@
 	bucket.updatedAt = e.Time
 	if bucket.level < -plan.Slack-1e-6 {
 		violation.Rule = Limits
-		c.violate(violation, "volume %s is %.2f units below its limit, %.2f are allowed", e.Volume, -bucket.level, plan.Slack)
+		c.violate(violation, "volume %s exceeds its limit by %.2f units, %.2f allowed", e.Volume, -bucket.level, plan.Slack)
 	}
 }
 
-// checkRepeat is rule 2 at each send after the first.
+// checkRepeat checks rule 2 on each attempt after the first.
 func (c *Checker) checkRepeat(req *request, e *trail.Event, violation Violation) {
 	if len(req.attempts) == 0 || req.class == nil {
 		return
@@ -652,7 +657,7 @@
 	c.Checks[Effects]++
 	if !c.settings.Limits.Copies {
 		if i := slices.IndexFunc(req.attempts, func(a *attempt) bool { return a.outstandingAt(e.Time) }); i >= 0 {
-			c.violate(violation, "attempt %d of a %s sent while attempt %d is out", e.Attempt, req.class.Name, i)
+			c.violate(violation, "attempt %d of a %s sent while attempt %d is outstanding", e.Attempt, req.class.Name, i)
 		}
 	}
 	i := slices.IndexFunc(req.attempts, (*attempt).mayHaveRun)
@@ -665,13 +670,14 @@
 		return
 	}
 	if age := float64(e.Time-ran.sentAt) / 1000; age > req.class.Window+MaxRelayDelay/1000 {
-		c.violate(violation, "attempt %d of %s sent %.0f ms after attempt %d, repeats are dropped for %.0f ms", e.Attempt, req.class.Name, age, i, req.class.Window)
+		c.violate(violation, "attempt %d of %s sent %.0f ms after attempt %d, beyond the dedup window of %.0f ms", e.Attempt, req.class.Name, age, i, req.class.Window)
 	}
 	if !c.inDedupScope(req.class.Group, ran.server, e.Peer) {
-		c.violate(violation, "attempt %d of %s sent to %s, outside the group of %s, where attempt %d may have run", e.Attempt, req.class.Name, c.serverName(e.Peer), c.serverName(ran.server), i)
+		c.violate(violation, "attempt %d of %s sent to %s, outside the dedup scope of %s, where attempt %d may have run", e.Attempt, req.class.Name, c.serverName(e.Peer), c.serverName(ran.server), i)
 	}
 }
 
+// inDedupScope reports whether two servers drop each other's repeats in the given scope.
 func (c *Checker) inDedupScope(scope, firstAddr, secondAddr string) bool {
 	first, second := c.meta.Servers[firstAddr], c.meta.Servers[secondAddr]
 	switch {
@@ -685,8 +691,8 @@
 	return first.Shard == second.Shard
 }
 
-// checkOrder is rule 6. Within a connection the checkOrder taken is known exactly; between
-// connections only that no two run at once, and that the key rests.
+// checkOrder checks rule 6. Within a connection it checks the order of arrival. Between
+// connections that order is not known exactly, so only overlap and the key's holdoff are checked.
 func (c *Checker) checkOrder(req *request, e *trail.Event, violation Violation) {
 	if req.class == nil || !req.class.Ordered {
 		return
@@ -708,7 +714,7 @@
 		return
 	}
 	if overtakenAt, overtaken := req.cmd.overtakenAt[e.Key]; overtaken {
-		c.violate(violation, "%s of key %s (tag %d) sent %.1f ms after a later one of the same connection", req.class.Name, e.Key, req.cmd.tag, float64(e.Time-overtakenAt)/1000)
+		c.violate(violation, "%s of key %s (tag %d) sent %.1f ms after a later command of the same connection", req.class.Name, e.Key, req.cmd.tag, float64(e.Time-overtakenAt)/1000)
 	}
 	for _, cmd := range req.cmd.conn.orderedQueue {
 		if cmd == req.cmd {
@@ -723,10 +729,9 @@
 	}
 }
 
-// checkOvertaken: a command of one part that stayed open after a later one of its key
-// was sent was not over then. Of several parts, one may have been let go of
-// before the command's answer, which the sockets don't show; it is only held to
-// not being sent any more.
+// checkOvertaken checks that cmd did not stay open after a later command of its key was sent. It
+// skips commands of several parts: the host may give up one part before the answer to the command,
+// which the sockets do not show, and checkOrder still checks that the part is not sent afterwards.
 func (c *Checker) checkOvertaken(cmd *command, now int64) {
 	if cmd.parts != 1 {
 		return
@@ -734,13 +739,13 @@
 	for key, overtakenAt := range cmd.overtakenAt {
 		if now > overtakenAt+MaxRelayDelay {
 			c.violate(Violation{Rule: Order, Time: overtakenAt, Conn: cmd.conn.id, Tag: cmd.tag},
-				"a later command of key %s was sent %.1f ms before tag %d was over", key, float64(now-overtakenAt)/1000, cmd.tag)
+				"a later command of key %s was sent %.1f ms before the end of tag %d", key, float64(now-overtakenAt)/1000, cmd.tag)
 		}
 	}
 }
 
-// hasKey tells whether a command has a part with that key, under whichever of its
-// volume's layouts the host had when it took it.
+// hasKey reports whether cmd has a part with that key under every layout that its volume had, since
+// the layout that the host used is not known.
 func (c *Checker) hasKey(cmd *command, key string) bool {
 	for _, v := range c.variants(cmd.conn.volume) {
 		found := false
@@ -754,7 +759,7 @@
 	return true
 }
 
-// variants lists a volume under each layout that it had.
+// variants returns a copy of the volume for each layout that it had during the run.
 func (c *Checker) variants(volume *settings.Volume) []*settings.Volume {
 	list := c.volumeVariants[volume.Name]
 	if list == nil {
@@ -769,24 +774,24 @@
 	return list
 }
 
-// sentKey tells whether the part with that key was sentKey.
+// sentKey reports whether the part with that key was sent.
 func (cmd *command) sentKey(key string) bool {
 	return slices.ContainsFunc(cmd.requests, func(r *request) bool { return r.orderKey == key })
 }
 
-// checkKeyFree checks that o leaves the key free for r.
+// checkKeyFree checks that no attempt of earlier still holds the key when req is sent.
 func (c *Checker) checkKeyFree(earlier, req *request, e *trail.Event, violation Violation) {
 	for i, a := range earlier.attempts {
 		switch {
 		case a.outstandingAt(e.Time):
-			c.violate(violation, "%s of key %s sent while attempt %d of an earlier one is out", req.class.Name, e.Key, i)
+			c.violate(violation, "%s of key %s sent while attempt %d of an earlier request is outstanding", req.class.Name, e.Key, i)
 		case !a.answered && e.Time < a.endedBy()+int64(c.settings.Rules.KeyRest*1000)-MaxRelayDelay:
-			c.violate(violation, "%s of key %s sent %.1f ms after a lost attempt, the key rests %.0f ms", req.class.Name, e.Key, float64(e.Time-a.endedBy())/1000, c.settings.Rules.KeyRest)
+			c.violate(violation, "%s of key %s sent %.1f ms after a lost attempt, within the key holdoff of %.0f ms", req.class.Name, e.Key, float64(e.Time-a.endedBy())/1000, c.settings.Rules.KeyRest)
 		}
 	}
 }
 
-// endedBy is when an unanswered attempt was given up, at the latest.
+// endedBy returns when the host gave up an unanswered attempt, at the latest.
 func (a *attempt) endedBy() int64 {
 	if a.lostAt > 0 {
 		return min(a.lostAt, a.deadline)
@@ -794,7 +799,7 @@
 	return a.deadline
 }
 
-// keyReleased tells whether a request can't hold its key any more.
+// keyReleased reports whether the request can no longer hold its key.
 func (r *request) keyReleased(now int64, holdoff float64) bool {
 	if !r.ended && !r.served {
 		return false
@@ -807,7 +812,7 @@
 	return true
 }
 
-// checkBudget is rule 7 at each attempt beyond a request's first.
+// checkBudget checks rule 7 on each attempt after a request's first.
 func (c *Checker) checkBudget(e *trail.Event, violation Violation) {
 	budget := c.settings.Rules.Budget
 	if budget == nil {
@@ -820,10 +825,11 @@
 	process.arrivals = dropBefore(process.arrivals, e.Time-window-MaxRelayDelay)
 	if allowed := budget.Free + budget.Share*float64(len(process.arrivals)); float64(len(process.retries)) > allowed+1e-9 {
 		violation.Rule = Budget
-		c.violate(violation, "%s has sent %d further attempts within %.0f ms, %.1f are allowed", e.Host, len(process.retries), budget.Span, allowed)
+		c.violate(violation, "%s sent %d retries within %.0f ms, %.1f allowed", e.Host, len(process.retries), budget.Span, allowed)
 	}
 }
 
+// dropBefore returns the sorted times without those before cutoff.
 func dropBefore(times []int64, cutoff int64) []int64 {
 	i, _ := slices.BinarySearch(times, cutoff)
 	return times[i:]
@@ -844,21 +850,21 @@
 	}
 }
 
-// servedHome is the first answer that a shard's server gave under a generation.
+// servedHome is the first answer of a shard's servers in a region under a generation.
 type servedHome struct {
 	generation uint64
 	region     int
 	servedAt   int64
 }
 
-// FirstServed is when a shard was first served in a region under a generation.
+// FirstServed tells when a shard was first served in a region under a generation.
 type FirstServed struct {
 	Shard, Region int
 	Generation    uint64
-	At            int64 // us
+	At            int64 // us since the run began
 }
 
-// HomeHistory lists where shards were served, each in the order of time.
+// HomeHistory lists, by shard and then by time, the regions and generations that served it.
 func (c *Checker) HomeHistory() (out []FirstServed) {
 	for _, shard := range slices.Sorted(maps.Keys(c.firstServed)) {
 		for _, s := range c.firstServed[shard] {
@@ -868,7 +874,7 @@
 	return out
 }
 
-// checkHome is rule 8, on each attempt that was served.
+// checkHome checks rule 8 on each attempt that was served.
 func (c *Checker) checkHome(served *attempt, now int64) {
 	if served.generation == 0 {
 		return
@@ -881,7 +887,7 @@
 		known = known || s.generation == served.generation && s.region == server.Region
 		if s.region != server.Region && s.generation >= served.generation && s.servedAt < served.sentAt {
 			c.violate(Violation{Rule: Homes, Time: now, HostID: served.req.id.hostID, Seq: served.req.id.seq},
-				"shard %d was served in region %d under generation %d, %.1f ms after region %d had served it under %d",
+				"shard %d was served in region %d under generation %d by an attempt sent %.1f ms after region %d had served it under generation %d",
 				server.Shard, server.Region, served.generation, float64(served.sentAt-s.servedAt)/1000, s.region, s.generation)
 		}
 	}
@@ -890,14 +896,14 @@
 	}
 }
 
-// List side.
+// Events between hosts and the inventory.
 
 func (c *Checker) inventoryEvent(e *trail.Event) {
 	process := c.process(e.Host)
 	switch e.Kind {
 	case trail.Close:
 		if e.Dir == trail.Up {
-			process.diedAt = e.Time // the host's end closed; it comes again if it lives
+			process.diedAt = e.Time // until the host connects again
 		}
 	case trail.Open:
 		if !process.killed {
@@ -922,7 +928,7 @@
 		}
 		if n.AgeMS > 0 {
 			start := now - int64(n.AgeMS*1000)
-			// The same start is told many times, never with the same delay.
+			// Each list computes the same start from another age: treat starts within 1 s as one.
 			if previous, ok := c.serverStarts[n.Addr]; !ok || start > previous+1_000_000 {
 				c.serverStarts[n.Addr] = start
 			}
@@ -945,18 +951,19 @@
 	}
 }
 
-// Finish closes the books: what is overdue now stays so.
+// Finish ends the check at the last event: it reports the commands whose answer is overdue, and
+// those whose connection a host closed without dying at that time.
 func (c *Checker) Finish() {
 	for _, id := range sortedConnIDs(c.conns) {
 		connection := c.conns[id]
 		for _, cmd := range sortedByTag(connection.open) {
 			if !cmd.aborted && c.lastEventAt > c.answerDue(cmd) {
-				c.violate(Violation{Rule: Answers, Time: c.lastEventAt, Conn: connection.id, Tag: cmd.tag}, "%s of %s never got its final answer", cmd.op, connection.volume.Name)
+				c.violate(Violation{Rule: Answers, Time: c.lastEventAt, Conn: connection.id, Tag: cmd.tag}, "%s on %s was never answered", cmd.op, connection.volume.Name)
 			}
 		}
 	}
 	for _, h := range c.processes {
-		const closeWindow = 2_000_000 // a dying host closes everything within that
+		const closeWindow = 2_000_000 // us around a host's death within which its connections close
 		for _, b := range h.unanswered {
 			if h.diedAt == 0 || h.diedAt < b.Time-closeWindow || h.diedAt > b.Time+closeWindow {
 				c.ViolationCounts[b.Rule]++
@@ -976,5 +983,5 @@
 	return ids
 }
 
-// OK tells whether no rule was broken.
+// OK reports whether no violation was found.
 func (c *Checker) OK() bool { return len(c.Violations) == 0 }
--- a/internal/verify/rules/table.go
+++ b/internal/verify/rules/table.go
@@ -14,18 +14,18 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// Stats counts commands by class and plan, as their clients saw them.
+// Stats counts commands and their outcomes by class and plan, as the clients saw them.
 type Stats struct {
 	ByClass            map[ClassPlan]*ClassStats
-	Commands, Finished int // that need disks, and of those with an answer or given up
-	// PerSecond is what was due and served of the commands of each second.
+	Commands, Finished int // commands of a class; those of them answered or abandoned
+	// PerSecond sums values by the second of the run in which the commands were issued.
 	PerSecond map[int64]*ValueSum
-	// OnAnswer, if set, is told of each command with an answer: when it was asked, how long
-	// it took, both us, and whether it was served.
+	// OnAnswer, if set, is called for each answered command with its issue time and latency in
+	// us, and whether its status was GOOD.
 	OnAnswer func(issuedAt, latency int64, served bool)
 }
 
-// ValueSum is worth asked for and served.
+// ValueSum sums the value of issued and of served commands.
 type ValueSum struct{ Offered, Served float64 }
 
 func (s ValueSum) goodput() float64 {
@@ -35,10 +35,12 @@
 	return s.Served / s.Offered
 }
 
-// ClassPlan names a row.
+// ClassPlan identifies the commands of one class under one plan.
 type ClassPlan struct{ Class, Plan string }
 
-// ClassStats is one class of one plan. Latencies are in microseconds.
+// ClassStats counts the commands of one class under one plan. WithinTarget and Late are served
+// commands with a latency within and above the class's latency target; a miscompare counts as
+// served. Latency is in us.
 type ClassStats struct {
 	Issued, WithinTarget, Late, Refused, Failed, Abandoned int
 	ServedValue, OfferedValue                              float64
@@ -49,7 +51,8 @@
 	return &Stats{ByClass: map[ClassPlan]*ClassStats{}, PerSecond: map[int64]*ValueSum{}}
 }
 
-const maxLatency = 600_000_000 // us that a histogram holds
+// maxLatency is the largest latency that a histogram records, in us.
+const maxLatency = 600_000_000
 
 func (t *Stats) classStats(cmd *command) *ClassStats {
 	key := ClassPlan{cmd.class.Name, cmd.plan}
@@ -90,7 +93,7 @@
 	miscompare := e.Sense>>16 == uint32(scsi.Miscompare.Key) && e.Status == int32(scsi.CheckCondition)
 	switch {
 	case e.Status == int32(scsi.Good) || miscompare:
-		stats.Latency.RecordValue(min(max(latency, 1), maxLatency)) // in range by the line itself
+		stats.Latency.RecordValue(min(max(latency, 1), maxLatency)) // clamped, so it cannot fail
 		value := cmd.class.Worth
 		if float64(latency) <= cmd.class.Aim*1000 {
 			stats.WithinTarget++
@@ -112,26 +115,27 @@
 	t.classStats(cmd).Abandoned++
 }
 
-// sortedKeys lists the rows by class and plan.
+// sortedKeys returns the keys of ByClass, by class and then by plan.
 func (t *Stats) sortedKeys() []ClassPlan {
 	return slices.SortedFunc(maps.Keys(t.ByClass), func(a, b ClassPlan) int {
 		return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Plan, b.Plan))
 	})
 }
 
-// Goodput is the worth served over the worth asked for.
+// Goodput returns the served fraction of the value of all commands.
 func (t *Stats) Goodput() float64 { return t.GoodputWithUnseen(0) }
 
-// GoodputWithUnseen counts more worth as asked for than the sockets show.
+// GoodputWithUnseen returns the goodput with further unserved commands, which the trail lacks, of
+// that total value.
 func (t *Stats) GoodputWithUnseen(unseen float64) float64 {
 	total := ValueSum{Offered: unseen}
-	for _, k := range t.sortedKeys() { // in order: sums of floats depend on it
+	for _, k := range t.sortedKeys() { // in a fixed order, since sums of floats depend on it
 		total.Served, total.Offered = total.Served+t.ByClass[k].ServedValue, total.Offered+t.ByClass[k].OfferedValue
 	}
 	return total.goodput()
 }
 
-// WorstPlanGoodput is the goodput of the plan that fares worst.
+// WorstPlanGoodput returns the lowest goodput of any plan.
 func (t *Stats) WorstPlanGoodput() float64 {
 	plans := map[string]*ValueSum{}
 	for _, k := range t.sortedKeys() {
@@ -149,8 +153,8 @@
 	return worst
 }
 
-// WorstWindowGoodput is the least goodput over so many seconds in a row in which anything
-// was asked for in the first and the last.
+// WorstWindowGoodput returns the lowest goodput over any window of that many seconds with commands
+// in its first and its last second, or the goodput of the run if there is no such window.
 func (t *Stats) WorstWindowGoodput(seconds int64) float64 {
 	worst, found := 1.0, false
 	for from := range t.PerSecond {
@@ -171,8 +175,8 @@
 	return worst
 }
 
-// GoodputBetween is the goodput of what was asked in the seconds from..to, to left out; 1 if
-// nothing was.
+// GoodputBetween returns the goodput of the commands issued in the seconds from to to-1, or 1 if
+// there are none.
 func (t *Stats) GoodputBetween(from, to int64) float64 {
 	var sum ValueSum
 	for s := from; s < to; s++ {
@@ -186,7 +190,7 @@
 	return sum.goodput()
 }
 
-// Print writes the table.
+// Print writes a table with a line for each class and plan.
 func (t *Stats) Print(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "class\tplan\tasked\tin time\tlate\trefused\tfailed\tgave up\tp50 ms\tp99 ms\t")
@@ -198,7 +202,7 @@
 	return table.Flush()
 }
 
-// Print writes the rules with their checks, and what was broken.
+// Print writes the number of checks and the result of each rule.
 func (c *Checker) Print(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	lastRule := Budget
--- a/internal/verify/rules/versions.go
+++ b/internal/verify/rules/versions.go
@@ -10,41 +10,40 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// AppliedSettings is settings as they were in force at a host: from a time after Asked and not
-// after Taken, the begin and the end of the call that brought them, until the next came.
-// Times are in us of the trail.
+// AppliedSettings is a version of the settings at a host. It came into force between RequestedAt
+// and AppliedBy, the start and the end of the call that set it, and stayed until the next version.
+// Times are in us since the run began.
 type AppliedSettings struct {
 	Settings               *settings.Settings
 	RequestedAt, AppliedBy int64
 }
 
-// VersionChecker judges from the sockets' trail whether each command was decided under one
-// version of the settings, whole, and under one that was in force while it was taken. It
-// shares nothing with the program's own bookkeeping but the number in each command to a
-// disk server.
+// VersionChecker checks on a trail that each command was handled under a single version of the
+// settings, one that was in force when the command arrived. The only statement of the gateway that
+// it relies on is the version number in each request to a disk server.
 type VersionChecker struct {
-	Commands       int // with an attempt, and so with a version
-	WithoutAttempt int // that have none, judged by every version that they may have met
+	Commands       int // commands with an attempt, which names the version
+	WithoutAttempt int // answered commands without one, checked against all versions possible then
 	Checks         int
 	Violations     []string
 	ViolationCount int
 
 	applied    map[string]map[uint64]AppliedSettings
-	replacedBy map[string]map[uint64]int64 // by host and version: when the next was surely in force
+	replacedBy map[string]map[uint64]int64 // by host and version: AppliedBy of the next version
 	blockSizes map[string]int
 }
 
-// decidedCommand is a command under way.
+// decidedCommand is an open command.
 type decidedCommand struct {
 	host, volume string
 	op           scsi.Op
 	blocks       uint32
 	issuedAt     int64
 	version      uint64 // 0: nothing was sent
-	firstSentAt  int64  // when its first attempt was
+	firstSentAt  int64  // time of its first attempt
 }
 
-// CheckVersions reads a trail. The versions are by host, without the number of its start.
+// CheckVersions checks a complete trail. The keys of hosts are names as trail.HostName returns them.
 func CheckVersions(meta *trail.Meta, events []trail.Event, hosts map[string][]AppliedSettings) *VersionChecker {
 	v := &VersionChecker{applied: map[string]map[uint64]AppliedSettings{}, replacedBy: map[string]map[uint64]int64{}, blockSizes: map[string]int{}}
 	for i := range meta.Settings.Volumes {
@@ -104,7 +103,7 @@
 	}
 }
 
-// checkAttempt holds one command to a disk server to the version that it names.
+// checkAttempt checks a request to a disk server against the version that it names.
 func (v *VersionChecker) checkAttempt(cmd *decidedCommand, e *trail.Event) {
 	v.Checks++
 	if cmd.version == 0 {
@@ -118,22 +117,22 @@
 		v.violate(e, "attempt under version %d, which was never accepted", e.SettingsVersion)
 		return
 	case e.SettingsVersion != cmd.version:
-		v.violate(e, "one part of a command under version %d, another under %d", cmd.version, e.SettingsVersion)
+		v.violate(e, "one part of a command under version %d, another under version %d", cmd.version, e.SettingsVersion)
 		return
 	case applied.RequestedAt > e.Time:
-		v.violate(e, "attempt under version %d, which was asked for only at %.3f s", e.SettingsVersion, float64(applied.RequestedAt)/1e6)
+		v.violate(e, "attempt under version %d, which was not requested before %.3f s", e.SettingsVersion, float64(applied.RequestedAt)/1e6)
 	}
 	if next, superseded := v.replacedBy[host][e.SettingsVersion]; superseded && next < cmd.issuedAt-MaxRelayDelay {
-		v.violate(e, "command of %.3f s under version %d, which another had replaced by %.3f s", float64(cmd.issuedAt)/1e6, e.SettingsVersion, float64(next)/1e6)
+		v.violate(e, "command issued at %.3f s handled under version %d, which was replaced by %.3f s", float64(cmd.issuedAt)/1e6, e.SettingsVersion, float64(next)/1e6)
 	}
 	v.checkAgainst(cmd, e, applied.Settings)
 }
 
-// checkAgainst compares what an attempt says with what its version says of the command.
+// checkAgainst compares an attempt's plan, effect, deadline and units with those of its version.
 func (v *VersionChecker) checkAgainst(cmd *decidedCommand, e *trail.Event, inForce *settings.Settings) {
 	i := slices.IndexFunc(inForce.Volumes, func(x settings.Volume) bool { return x.Name == cmd.volume })
 	if i < 0 {
-		v.violate(e, "attempt for %s, which version %d does not have", cmd.volume, inForce.Version)
+		v.violate(e, "attempt on volume %s, which version %d does not have", cmd.volume, inForce.Version)
 		return
 	}
 	volume := &inForce.Volumes[i]
@@ -143,27 +142,27 @@
 	}
 	class := inForce.Class(cmd.op, size, volume.Plan)
 	if class == nil {
-		v.violate(e, "attempt for %v of %s, which no class of version %d takes", cmd.op, cmd.volume, inForce.Version)
+		v.violate(e, "attempt of a %v on %s, which matches no class of version %d", cmd.op, cmd.volume, inForce.Version)
 		return
 	}
 	if e.Plan != volume.Plan {
-		v.violate(e, "attempt of plan %s, version %d has %s in %s", e.Plan, inForce.Version, cmd.volume, volume.Plan)
+		v.violate(e, "attempt under plan %s, version %d has %s under plan %s", e.Plan, inForce.Version, cmd.volume, volume.Plan)
 	}
 	if want := map[string]int32{"unsafe": 0, "keyed": 1, "safe": 2}; e.Effect != want[class.Effect] {
-		v.violate(e, "attempt of effect %d, class %s of version %d is %s", e.Effect, class.Name, inForce.Version, class.Effect)
+		v.violate(e, "attempt with effect %d, class %s of version %d is %s", e.Effect, class.Name, inForce.Version, class.Effect)
 	}
 	if latest := cmd.firstSentAt + int64(class.Deadline*1000) + MaxRelayDelay; e.Deadline > latest {
-		v.violate(e, "attempt that may begin until %.3f s, class %s of version %d ends by %.3f s", float64(e.Deadline)/1e6, class.Name, inForce.Version, float64(latest)/1e6)
+		v.violate(e, "attempt with deadline %.3f s, class %s of version %d allows at most %.3f s", float64(e.Deadline)/1e6, class.Name, inForce.Version, float64(latest)/1e6)
 	}
 	if cmd.op == scsi.Read || cmd.op == scsi.Write {
 		if want := inForce.Units(int(e.Blocks) * v.blockSizes[cmd.volume]); e.Units != want {
-			v.violate(e, "attempt of %v units, version %d counts %v", e.Units, inForce.Version, want)
+			v.violate(e, "attempt with %v units, version %d counts %v", e.Units, inForce.Version, want)
 		}
 	}
 }
 
-// checkAnswer holds a final checkAnswer to its command's version; one of which nothing was sent to
-// the kindest of those that it may have been taken under.
+// checkAnswer checks that a command was answered in time under its version or, if it has no
+// attempt, under the version with the latest due time among those that may have been in force.
 func (v *VersionChecker) checkAnswer(cmd *decidedCommand, e *trail.Event) {
 	v.Checks++
 	host := trail.HostName(cmd.host)
@@ -182,12 +181,12 @@
 		v.WithoutAttempt++
 	}
 	if found && e.Time > latest+MaxRelayDelay {
-		v.violate(e, "answer to a command of %.3f s that was due by %.3f s (version %d)", float64(cmd.issuedAt)/1e6, float64(latest)/1e6, cmd.version)
+		v.violate(e, "command issued at %.3f s answered after its answer was due at %.3f s (version %d)", float64(cmd.issuedAt)/1e6, float64(latest)/1e6, cmd.version)
 	}
 }
 
-// answerDue is when a command's answer is by some settings; what they have no class for is
-// answered at once.
+// answerDue returns by when the settings require the answer to cmd, in us. Commands that match no
+// class are due at once, plus the answer slack.
 func (v *VersionChecker) answerDue(cmd *decidedCommand, inForce *settings.Settings) int64 {
 	slack := int64(inForce.Rules.AnswerSlack * 1000)
 	i := slices.IndexFunc(inForce.Volumes, func(x settings.Volume) bool { return x.Name == cmd.volume })
@@ -201,11 +200,11 @@
 	return cmd.issuedAt + int64(class.Deadline*1000) + slack
 }
 
-// Summary is what was judged, in a line.
+// Summary returns the counts of the check in one line.
 func (v *VersionChecker) Summary() string {
 	total := 0
 	for _, list := range v.applied {
 		total += len(list)
 	}
-	return fmt.Sprintf("%d commands each under one of %d versions at %d hosts, %d more answered unsent, %d checks, %d broken", v.Commands, total, len(v.applied), v.WithoutAttempt, v.Checks, v.ViolationCount)
+	return fmt.Sprintf("%d commands with attempts, %d versions at %d hosts, %d commands answered without an attempt, %d checks, %d violations", v.Commands, total, len(v.applied), v.WithoutAttempt, v.Checks, v.ViolationCount)
 }
--- a/internal/verify/trail/trail_test.go
+++ b/internal/verify/trail/trail_test.go
@@ -19,7 +19,7 @@
 	return &Meta{Settings: settings.Example(1, 3), Seed: 5, Servers: map[string]Server{"127.0.0.1:1": {Name: "d0"}}}, events
 }
 
-func TestDamagedFiles(t *testing.T) {
+func TestTruncatedFile(t *testing.T) {
 	meta, events := sampleTrail()
 	file := filepath.Join(t.TempDir(), "t.parquet")
 	if err := Write(file, meta, events); err != nil {
