--- a/cmd/merlinhitch/soak.go
+++ b/cmd/merlinhitch/soak.go
@@ -47,11 +47,11 @@
 	if err != nil {
 		return err
 	}
-	options := soak.Defaults()
+	options := soak.DefaultOptions()
 	options.Command = soak.Command{Path: programPath, Args: []string{"scheduler"}}
-	options.Schedulers, options.Servers, options.Rate, options.Lasts, options.Share = c.Schedulers, c.Servers, c.Rate, c.Lasts, c.Share
-	options.WholeLists, options.Indented = c.Whole, c.Indented
-	if err := options.Check(); err != nil || c.Seeds < 1 || c.Seeds > maxSeeds {
+	options.Schedulers, options.Servers, options.Rate, options.Duration, options.CoreShare = c.Schedulers, c.Servers, c.Rate, c.Lasts, c.Share
+	options.FullListPerWatch, options.IndentedJSON = c.Whole, c.Indented
+	if err := options.Validate(); err != nil || c.Seeds < 1 || c.Seeds > maxSeeds {
 		if err == nil {
 			err = fmt.Errorf("seeds is %d, must be from 1 to %d", c.Seeds, maxSeeds)
 		}
@@ -88,12 +88,12 @@
 	if err != nil {
 		return false, err
 	}
-	withinBounds := soak.Compare(os.Stdout, smallRun, largeRun)
+	withinBounds := soak.CompareUsage(os.Stdout, smallRun, largeRun)
 	return largeOK && smallOK && withinBounds, nil
 }
 
 func playAndReport(options soak.Options) (*soak.Run, bool, error) {
-	run, violations, err := soak.Play(options, soak.Draw(options))
+	run, violations, err := soak.Execute(options, soak.DrawFaults(options))
 	if err != nil {
 		return nil, false, err
 	}
--- a/cmd/merlinhitch/soak_test.go
+++ b/cmd/merlinhitch/soak_test.go
@@ -27,25 +27,25 @@
 // discovery returns with the whole list just before a release. Every request must still be
 // answered in time, and none be sent to draining servers.
 func TestReleaseOfAFleetOfThousands(t *testing.T) {
-	options := soak.Defaults()
-	options.Command, options.Schedulers, options.Servers, options.Rate, options.Lasts, options.Share, options.WholeLists = schedulerCommand(), 1, 3200, 60, 7*time.Second, 0.1, true
+	options := soak.DefaultOptions()
+	options.Command, options.Schedulers, options.Servers, options.Rate, options.Duration, options.CoreShare, options.FullListPerWatch = schedulerCommand(), 1, 3200, 60, 7*time.Second, 0.1, true
 	if testing.Short() { // -short is used with the race detector, under which the process is about ten times slower
-		options.Share = 1
+		options.CoreShare = 1
 	}
 	setHealth := func(first int, health string) func(*soak.Run) {
-		return func(r *soak.Run) { r.Directory.Change(everyTenth(options.Servers, first), health) }
+		return func(r *soak.Run) { r.Directory.SetHealth(everyTenth(options.Servers, first), health) }
 	}
-	run, violations, err := soak.Play(options, []soak.Fault{
-		{At: 1000 * time.Millisecond, Name: "discovery goes down", Do: func(r *soak.Run) {
+	run, violations, err := soak.Execute(options, []soak.Fault{
+		{At: 1000 * time.Millisecond, Name: "discovery goes down", Inject: func(r *soak.Run) {
 			r.Agent(0).SetDown(true)
 			r.Agent(0).ResetWatches()
 		}},
-		{At: 2500 * time.Millisecond, Name: "discovery is back", Do: func(r *soak.Run) { r.Agent(0).SetDown(false) }},
-		{At: 2600 * time.Millisecond, Name: "a tenth drains", Do: setHealth(0, "leaving")},
-		{At: 3000 * time.Millisecond, Name: "the next tenth drains", Do: setHealth(1, "leaving")},
-		{At: 3400 * time.Millisecond, Name: "the first tenth is gone", Do: setHealth(0, "left")},
-		{At: 3800 * time.Millisecond, Name: "the first tenth is back, cold", Do: setHealth(0, "active")},
-		{At: 4200 * time.Millisecond, Name: "the next tenth is gone", Do: setHealth(1, "left")},
+		{At: 2500 * time.Millisecond, Name: "discovery is back", Inject: func(r *soak.Run) { r.Agent(0).SetDown(false) }},
+		{At: 2600 * time.Millisecond, Name: "a tenth drains", Inject: setHealth(0, "leaving")},
+		{At: 3000 * time.Millisecond, Name: "the next tenth drains", Inject: setHealth(1, "leaving")},
+		{At: 3400 * time.Millisecond, Name: "the first tenth is gone", Inject: setHealth(0, "left")},
+		{At: 3800 * time.Millisecond, Name: "the first tenth is back, cold", Inject: setHealth(0, "active")},
+		{At: 4200 * time.Millisecond, Name: "the next tenth is gone", Inject: setHealth(1, "left")},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 	}
 	if len(violations) > 0 {
 		t.Errorf("%d rule violations in total; log lines of the scheduler:", len(violations))
-		for line := range strings.SplitSeq(run.Record.Ends[0].Log, "\n") {
+		for line := range strings.SplitSeq(run.Record.Exits[0].Log, "\n") {
 			if strings.Contains(line, "event loop late") || strings.Contains(line, "list taken") {
 				t.Log(line)
 			}
--- a/internal/simulation/soak/clients.go
+++ b/internal/simulation/soak/clients.go
@@ -27,95 +27,95 @@
 // Clients send requests to one scheduler at a mean rate, whatever becomes of them, and keep
 // the connections that they have.
 type Clients struct {
-	record    *Record
-	scheduler int
-	address   string
-	classes   []Class
-	shards    int
-	rate      float64 // requests a second
-	leaves    float64 // part of the clients that leave before their answer
-	together  float64 // part of the sendings that are of several requests at once
-	rng       *rand.Rand
-	number    atomic.Int64
-	prefix    string
-	tasks     sync.WaitGroup
-	open      atomic.Bool // new connections are made
+	record              *Record
+	scheduler           int
+	address             string
+	classes             []Class
+	shards              int
+	requestRate         float64 // requests a second
+	abandonProbability  float64 // part of the clients that leave before their answer
+	pipelineProbability float64 // part of the sendings that are of several requests at once
+	rng                 *rand.Rand
+	requestCount        atomic.Int64
+	idPrefix            string
+	tasks               sync.WaitGroup
+	dialAllowed         atomic.Bool // new connections are made
 
-	mu   sync.Mutex
-	idle []*clientConn
+	mu        sync.Mutex
+	idleConns []*clientConn
 }
 
 type clientConn struct {
 	net.Conn
-	in      *bufio.Reader
-	closing bool // its scheduler said that it ends it
+	reader         *bufio.Reader
+	closeAnnounced bool // its scheduler said that it ends it
 }
 
-// graceAfterTimeout is how long a client listens beyond its time, to see a late answer.
-const graceAfterTimeout = 1500 * time.Millisecond
+// lateResponseWait is how long a client listens beyond its time, to see a late answer.
+const lateResponseWait = 1500 * time.Millisecond
 
 // Run sends requests until the context ends, and waits for their ends.
 func (c *Clients) Run(ctx context.Context) {
-	c.open.Store(true)
+	c.dialAllowed.Store(true)
 	for ctx.Err() == nil {
-		pause := time.Duration(c.rng.ExpFloat64() / c.rate * float64(time.Second))
+		pause := time.Duration(c.rng.ExpFloat64() / c.requestRate * float64(time.Second))
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
-			c.send()
+			c.startBatch()
 		}
 	}
 	c.tasks.Wait()
 	c.closeIdle()
 }
 
-// StayOnOpen has clients use only the connections that they have: their scheduler was told
+// StopDialling has clients use only the connections that they have: their scheduler was told
 // to end. Reopen has them make new ones again.
-func (c *Clients) StayOnOpen() { c.open.Store(false) }
+func (c *Clients) StopDialling() { c.dialAllowed.Store(false) }
 
-// Reopen undoes StayOnOpen.
-func (c *Clients) Reopen() { c.open.Store(true) }
+// ResumeDialling undoes StayOnOpen.
+func (c *Clients) ResumeDialling() { c.dialAllowed.Store(true) }
 
 func (c *Clients) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, x := range c.idle {
+	for _, x := range c.idleConns {
 		x.Close()
 	}
-	c.idle = nil
+	c.idleConns = nil
 }
 
-// sending is one request on its way.
-type sending struct {
+// encodedRequest is one request on its way.
+type encodedRequest struct {
 	*Request
 	raw []byte
 }
 
-// mostTogether is how many requests a client may send at once.
-const mostTogether = 5
+// maxPipelined is how many requests a client may send at once.
+const maxPipelined = 5
 
-// send sends a request, or several at once on one connection.
-func (c *Clients) send() {
-	class := c.draw()
+// startBatch sends a request, or several at once on one connection.
+func (c *Clients) startBatch() {
+	class := c.drawClass()
 	n := 1
-	if c.rng.Float64() < c.together {
-		n = 2 + c.rng.IntN(mostTogether-1)
+	if c.rng.Float64() < c.pipelineProbability {
+		n = 2 + c.rng.IntN(maxPipelined-1)
 	}
-	all := make([]sending, n)
+	all := make([]encodedRequest, n)
 	for i := range all {
 		if i > 0 {
-			class = c.draw()
+			class = c.drawClass()
 		}
-		q := &Request{ID: fmt.Sprintf("%s%010x", c.prefix, c.number.Add(1)), Scheduler: c.scheduler, Class: class.Name, Timeout: class.Timeout}
-		volume := c.rng.Uint64() % volumes
-		if c.rng.Float64() < limitedPart {
-			volume = volumes + uint64(limitedEach*c.scheduler) + volume%limitedEach
-			q.Limited = volume
+		q := &Request{ID: fmt.Sprintf("%s%010x", c.idPrefix, c.requestCount.Add(1)), Scheduler: c.scheduler, Class: class.Name, Timeout: class.Timeout}
+		volume := c.rng.Uint64() % volumeCount
+		if c.rng.Float64() < limitedFraction {
+			volume = volumeCount + uint64(limitedVolumesPerScheduler*c.scheduler) + volume%limitedVolumesPerScheduler
+			q.LimitedVolume = volume
 		}
-		all[i] = sending{q, c.message(q, class, c.rng.IntN(c.shards), volume, c.rng.Uint64())}
+		all[i] = encodedRequest{q, c.encodeRequest(q, class, c.rng.IntN(c.shards), volume, c.rng.Uint64())}
 	}
 	leave := time.Duration(0)
-	if c.rng.Float64() < c.leaves {
+	if c.rng.Float64() < c.abandonProbability {
 		leave = time.Duration(c.rng.Float64() * 0.3 * float64(class.Timeout))
 	}
 	c.tasks.Add(1)
@@ -125,7 +125,7 @@
 	}()
 }
 
-func (c *Clients) draw() Class {
+func (c *Clients) drawClass() Class {
 	x := c.rng.Float64()
 	for _, k := range c.classes {
 		if x -= k.Share; x < 0 {
@@ -135,14 +135,14 @@
 	return c.classes[0]
 }
 
-func (c *Clients) message(q *Request, class Class, shard int, volume, key uint64) []byte {
-	method, plan := "GET", openPlan
-	if q.Limited > 0 {
+func (c *Clients) encodeRequest(q *Request, class Class, shard int, volume, key uint64) []byte {
+	method, plan := "GET", unlimitedPlan
+	if q.LimitedVolume > 0 {
 		plan = limitedPlan
 	}
 	f := http1.Fields{{Name: "Host", Value: "api.internal"}, {Name: "Request-Id", Value: q.ID}, {Name: "X-Qos-Policy", Value: plan},
 		{Name: "Request-Timeout", Value: strconv.FormatFloat(class.Timeout.Seconds(), 'f', 3, 64)},
-		{Name: "X-Placement", Value: fmt.Sprintf("units=%d,shard=%d,hosts=1", unitMean, shard)}}
+		{Name: "X-Placement", Value: fmt.Sprintf("units=%d,shard=%d,hosts=1", meanUnits, shard)}}
 	var body []byte
 	if class.Write {
 		method, body = "PUT", []byte("block of "+q.ID)
@@ -153,68 +153,68 @@
 	return http1.AppendRequest(nil, method, fmt.Sprintf("/%s/%016x/%016x", class.Name, volume, key), f, body)
 }
 
-// take returns an idle connection, or a new one; nil where there is none.
-func (c *Clients) take(fresh bool) *clientConn {
+// acquireConn returns an idle connection, or a new one; nil where there is none.
+func (c *Clients) acquireConn(fresh bool) *clientConn {
 	c.mu.Lock()
-	if n := len(c.idle); n > 0 && !fresh {
-		x := c.idle[n-1]
-		c.idle = c.idle[:n-1]
+	if n := len(c.idleConns); n > 0 && !fresh {
+		x := c.idleConns[n-1]
+		c.idleConns = c.idleConns[:n-1]
 		c.mu.Unlock()
 		return x
 	}
 	c.mu.Unlock()
-	if !c.open.Load() {
+	if !c.dialAllowed.Load() {
 		return nil
 	}
 	conn, err := net.DialTimeout("tcp", c.address, time.Second)
 	if err != nil {
 		return nil
 	}
-	return &clientConn{Conn: conn, in: bufio.NewReader(conn)}
+	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}
 }
 
-func (c *Clients) put(x *clientConn) {
-	if x.closing {
+func (c *Clients) releaseConn(x *clientConn) {
+	if x.closeAnnounced {
 		x.Close()
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle = append(c.idle, x)
+	c.idleConns = append(c.idleConns, x)
 }
 
 // exchange sends requests and waits for their answers. What crossed the end of its
 // connection goes once more on a new one.
-func (c *Clients) exchange(all []sending, leave time.Duration) {
+func (c *Clients) exchange(all []encodedRequest, leave time.Duration) {
 	var raw []byte
 	for _, s := range all {
 		raw = append(raw, s.raw...)
 	}
-	x := c.write(raw)
+	x := c.writeBatch(raw)
 	if x == nil {
 		return
 	}
 	now := c.record.Now()
 	for _, s := range all {
-		s.Sent = now
+		s.SentAt = now
 		c.record.addRequest(s.Request)
 	}
 	for i, s := range all {
-		if c.hear(x, s.Request, leave) {
+		if c.awaitResponse(x, s.Request, leave) {
 			continue
 		}
 		for _, late := range all[i:] {
-			c.leftBehind(late, s.Request, leave)
+			c.resendAfterClose(late, s.Request, leave)
 		}
 		return
 	}
-	c.put(x)
+	c.releaseConn(x)
 }
 
-// write puts bytes on an idle connection, or on a new one; nil if neither takes them.
-func (c *Clients) write(raw []byte) *clientConn {
+// writeBatch puts bytes on an idle connection, or on a new one; nil if neither takes them.
+func (c *Clients) writeBatch(raw []byte) *clientConn {
 	for _, fresh := range []bool{false, true} {
-		x := c.take(fresh)
+		x := c.acquireConn(fresh)
 		if x == nil {
 			return nil
 		}
@@ -226,17 +226,17 @@
 	return nil
 }
 
-// leftBehind deals with a request whose connection ended, with it or with one before it:
+// resendAfterClose deals with a request whose connection ended, with it or with one before it:
 // unless its client left, it goes once more, alone.
-func (c *Clients) leftBehind(s sending, ended *Request, leave time.Duration) {
+func (c *Clients) resendAfterClose(s encodedRequest, ended *Request, leave time.Duration) {
 	c.record.mu.Lock()
-	s.Left, s.Ended = ended.Left, ended.Ended
-	again := ended.Left == 0 && !s.Mid
+	s.AbandonedAt, s.ConnLostAt = ended.AbandonedAt, ended.ConnLostAt
+	again := ended.AbandonedAt == 0 && !s.BrokenMidResponse
 	c.record.mu.Unlock()
 	if !again {
 		return
 	}
-	x := c.take(true)
+	x := c.acquireConn(true)
 	if x == nil {
 		return
 	}
@@ -245,43 +245,43 @@
 		return
 	}
 	c.record.mu.Lock()
-	s.Resent, s.Ended = true, 0
-	s.Sent = c.record.Now() // it says how long its client waits from now on
+	s.Resent, s.ConnLostAt = true, 0
+	s.SentAt = c.record.Now() // it says how long its client waits from now on
 	c.record.mu.Unlock()
-	if c.hear(x, s.Request, leave) {
-		c.put(x)
+	if c.awaitResponse(x, s.Request, leave) {
+		c.releaseConn(x)
 	}
 }
 
-// hear waits for an answer, or leaves; false if the connection is over without one.
-func (c *Clients) hear(x *clientConn, q *Request, leave time.Duration) bool {
-	until := q.Sent + q.Timeout + graceAfterTimeout
+// awaitResponse waits for an answer, or leaves; false if the connection is over without one.
+func (c *Clients) awaitResponse(x *clientConn, q *Request, leave time.Duration) bool {
+	until := q.SentAt + q.Timeout + lateResponseWait
 	if leave > 0 {
-		until = q.Sent + leave
+		until = q.SentAt + leave
 	}
 	x.SetReadDeadline(time.Now().Add(until - c.record.Now()))
-	first, err := x.in.Peek(1)
+	first, err := x.reader.Peek(1)
 	var m *http1.Response
 	var body []byte
 	if err == nil {
-		m, body, err = http1.ReadWholeResponse(x.in, messageLimits)
+		m, body, err = http1.ReadWholeResponse(x.reader, messageLimits)
 	}
 	c.record.mu.Lock()
 	defer c.record.mu.Unlock()
 	now := c.record.Now()
 	switch {
 	case err == nil:
-		q.Answered, q.Status, q.Body = now, m.Status, string(body)
+		q.AnsweredAt, q.Status, q.Body = now, m.Status, string(body)
 		if m.Close() {
-			x.closing = true
+			x.closeAnnounced = true
 		}
 		return true
 	case env.IsTimeout(err):
-		q.Left = now
+		q.AbandonedAt = now
 		x.Close()
 		return false
 	default:
-		q.Ended, q.Mid = now, len(first) > 0
+		q.ConnLostAt, q.BrokenMidResponse = now, len(first) > 0
 		x.Close()
 		return false
 	}
--- a/internal/simulation/soak/discovery.go
+++ b/internal/simulation/soak/discovery.go
@@ -14,48 +14,48 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// Entry is a disk server in discovery's words.
-type Entry struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMS int64   `json:"born_ms"`
+// DiscoveryEntry is a disk server in discovery's words.
+type DiscoveryEntry struct {
+	Host      string  `json:"host"`
+	Dial      string  `json:"dial"`
+	Site      string  `json:"site"`
+	Class     string  `json:"class"`
+	Block     int     `json:"block"`
+	Health    string  `json:"health"`
+	Share     float64 `json:"share"`
+	StartedMS int64   `json:"born_ms"`
 }
 
-type list struct {
-	Seq   int     `json:"seq"`
-	Whole bool    `json:"whole"`
-	Hosts []Entry `json:"hosts"`
+type listMessage struct {
+	Seq   int              `json:"seq"`
+	Full  bool             `json:"whole"`
+	Hosts []DiscoveryEntry `json:"hosts"`
 }
 
-// pulse is how often an open watch says something at the least.
-const pulse = 2 * time.Second
+// keepAliveInterval is how often an open watch says something at the least.
+const keepAliveInterval = 2 * time.Second
 
 // Directory is what discovery knows: the disk servers and their changes by version.
 type Directory struct {
-	mu      sync.Mutex
-	seq     int
-	entries []Entry   // by server, as they are now
-	log     [][]Entry // of version i+1
-	agents  []*Agent
+	mu               sync.Mutex
+	version          int
+	entries          []DiscoveryEntry   // by server, as they are now
+	changesByVersion [][]DiscoveryEntry // of version i+1
+	agents           []*Agent
 }
 
 // NewDirectory knows all servers as active.
 func NewDirectory(s *Servers) *Directory {
 	d := &Directory{}
-	for i := range s.all {
-		d.entries = append(d.entries, Entry{Host: hostName(i), Dial: s.Address(i), Site: "a", Class: "m", Block: i, Health: "active", Share: 1})
+	for i := range s.servers {
+		d.entries = append(d.entries, DiscoveryEntry{Host: hostName(i), Dial: s.Address(i), Site: "a", Class: "m", Block: i, Health: "active", Share: 1})
 	}
 	return d
 }
 
 func hostName(server int) string { return "s-" + strconv.FormatInt(int64(0x10000000+server), 16) }
 
-func mustJSON(v any) []byte {
+func mustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -63,58 +63,58 @@
 	return b
 }
 
-// Change gives servers another state in one version and tells all agents. A server that
+// SetHealth gives servers another state in one version and tells all agents. A server that
 // comes back has just started.
-func (d *Directory) Change(servers []int, health string) {
+func (d *Directory) SetHealth(servers []int, health string) {
 	d.mu.Lock()
-	d.seq++
-	var changed []Entry
+	d.version++
+	var changed []DiscoveryEntry
 	for _, i := range servers {
 		e := &d.entries[i]
 		if health == "active" && e.Health != "active" {
-			e.BornMS = time.Now().UnixMilli()
+			e.StartedMS = time.Now().UnixMilli()
 		}
 		e.Health = health
 		changed = append(changed, *e)
 	}
-	d.log = append(d.log, changed)
+	d.changesByVersion = append(d.changesByVersion, changed)
 	agents := slices.Clone(d.agents)
 	d.mu.Unlock()
 	for _, a := range agents {
-		a.advance()
+		a.applyNewVersions()
 	}
 }
 
 // Agent is discovery as one scheduler meets it, on the scheduler's own machine.
 type Agent struct {
-	directory *Directory
-	scheduler int
-	record    *Record
-	listener  net.Listener
-	whole     bool // each watch begins with the whole list
-	indented  bool
-	tasks     sync.WaitGroup
-	done      chan struct{}
-
-	mu       sync.Mutex
-	down     bool // it is silent and learns nothing
-	knows    int  // version that it has
-	watches  map[net.Conn]*watchState
-	silent   time.Duration // since when the open watches have been silent; 0: they are not
-	missed   []Change      // that count as told by silentCounts after that, or with the next watch
-	notUntil time.Duration // nothing counts as told before that: the scheduler was just sent here
+	directory      *Directory
+	scheduler      int
+	record         *Record
+	listener       net.Listener
+	alwaysFullList bool // each watch begins with the whole list
+	indentedJSON   bool
+	tasks          sync.WaitGroup
+	done           chan struct{}
+
+	mu            sync.Mutex
+	down          bool // it is silent and learns nothing
+	version       int  // version that it has
+	watches       map[net.Conn]*watchState
+	silentSince   time.Duration  // since when the open watches have been silent; 0: they are not
+	undelivered   []HealthChange // that count as told by silentCounts after that, or with the next watch
+	effectiveFrom time.Duration  // nothing counts as told before that: the scheduler was just sent here
 }
 
-// What counts as told when: silentCounts after an open watch fell silent at the latest, and
-// not before movedCounts after the word to go to another discovery.
+// What counts as told when: maxSilenceDetection after an open watch fell silent at the latest, and
+// not before maxMoveTime after the word to go to another discovery.
 const (
-	silentCounts = 6 * time.Second
-	movedCounts  = 4 * time.Second
+	maxSilenceDetection = 6 * time.Second
+	maxMoveTime         = 4 * time.Second
 )
 
 type watchState struct {
-	sent   int // version
-	silent bool
+	sentVersion int // version
+	silent      bool
 }
 
 // StartAgent listens for one scheduler.
@@ -123,28 +123,28 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{directory: d, scheduler: scheduler, record: r, listener: l, whole: whole, indented: indented,
+	a := &Agent{directory: d, scheduler: scheduler, record: r, listener: l, alwaysFullList: whole, indentedJSON: indented,
 		done: make(chan struct{}), watches: map[net.Conn]*watchState{}}
 	d.mu.Lock()
 	d.agents = append(d.agents, a)
 	d.mu.Unlock()
 	a.tasks.Add(2)
 	go a.accept()
-	go a.beat()
+	go a.sendKeepAlives()
 	return a, nil
 }
 
-// Follow takes over from the agent of a scheduler that is sent here: what that one had not
+// TakeOver takes over from the agent of a scheduler that is sent here: what that one had not
 // heard, for it was down, may be known from now on, and what it forbids counts as told once
 // the scheduler must have come.
-func (a *Agent) Follow(old *Agent) {
+func (a *Agent) TakeOver(old *Agent) {
 	old.mu.Lock()
-	knew := old.knows
+	knew := old.version
 	old.mu.Unlock()
 	a.mu.Lock()
-	a.knows, a.notUntil = knew, a.record.Now()+movedCounts
+	a.version, a.effectiveFrom = knew, a.record.Now()+maxMoveTime
 	a.mu.Unlock()
-	a.advance()
+	a.applyNewVersions()
 }
 
 // Address is where the agent listens.
@@ -163,19 +163,19 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for c := range a.watches {
-		reset(c)
+		resetConn(c)
 	}
 }
 
-// Silence has the open watches say nothing any more; new ones do.
-func (a *Agent) Silence() {
+// SilenceWatches has the open watches say nothing any more; new ones do.
+func (a *Agent) SilenceWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, w := range a.watches {
 		w.silent = true
 	}
-	if len(a.watches) > 0 && a.silent == 0 {
-		a.silent = a.record.Now()
+	if len(a.watches) > 0 && a.silentSince == 0 {
+		a.silentSince = a.record.Now()
 	}
 }
 
@@ -186,12 +186,12 @@
 	a.down = down
 	a.mu.Unlock()
 	if !down {
-		a.advance()
+		a.applyNewVersions()
 	}
 }
 
-// advance learns what the directory has and tells it to the open watches.
-func (a *Agent) advance() {
+// applyNewVersions learns what the directory has and tells it to the open watches.
+func (a *Agent) applyNewVersions() {
 	a.directory.mu.Lock()
 	defer a.directory.mu.Unlock()
 	a.mu.Lock()
@@ -200,44 +200,44 @@
 		return
 	}
 	now := a.record.Now()
-	late := max(now, a.notUntil) // what forbids counts as told no sooner, what allows may be known now
-	if a.silent > 0 {
-		late = max(late, a.silent+silentCounts)
+	late := max(now, a.effectiveFrom) // what forbids counts as told no sooner, what allows may be known now
+	if a.silentSince > 0 {
+		late = max(late, a.silentSince+maxSilenceDetection)
 	}
-	for ; a.knows < a.directory.seq; a.knows++ {
-		for _, e := range a.directory.log[a.knows] {
-			c := Change{Scheduler: a.scheduler, Server: e.Block, Health: e.Health, At: late, Born: a.bornAt(e)}
+	for ; a.version < a.directory.version; a.version++ {
+		for _, e := range a.directory.changesByVersion[a.version] {
+			c := HealthChange{Scheduler: a.scheduler, Server: e.Block, Health: e.Health, EffectiveAt: late, StartedAt: a.startTime(e)}
 			if e.Health == "active" {
-				c.At = now
+				c.EffectiveAt = now
 			}
-			a.record.addChanges(c)
-			if a.silent > 0 {
-				a.missed = append(a.missed, c)
+			a.record.addHealthChanges(c)
+			if a.silentSince > 0 {
+				a.undelivered = append(a.undelivered, c)
 			}
 		}
 	}
 	for c, w := range a.watches {
-		a.tellLocked(c, w)
+		a.sendChangesLocked(c, w)
 	}
 }
 
-func (a *Agent) bornAt(e Entry) time.Duration {
-	if e.BornMS == 0 {
+func (a *Agent) startTime(e DiscoveryEntry) time.Duration {
+	if e.StartedMS == 0 {
 		return 0
 	}
-	return time.UnixMilli(e.BornMS).Sub(a.record.start)
+	return time.UnixMilli(e.StartedMS).Sub(a.record.start)
 }
 
-// tellLocked writes to a watch the versions that it lacks. Both locks are held.
-func (a *Agent) tellLocked(c net.Conn, w *watchState) {
-	for ; w.sent < a.knows && !w.silent; w.sent++ {
-		a.write(c, a.line(list{w.sent + 1, false, a.directory.log[w.sent]}))
+// sendChangesLocked writes to a watch the versions that it lacks. Both locks are held.
+func (a *Agent) sendChangesLocked(c net.Conn, w *watchState) {
+	for ; w.sentVersion < a.version && !w.silent; w.sentVersion++ {
+		a.writeChunk(c, a.encodeLine(listMessage{w.sentVersion + 1, false, a.directory.changesByVersion[w.sentVersion]}))
 	}
 }
 
-func (a *Agent) line(l list) []byte {
-	if !a.indented {
-		return append(mustJSON(l), '\n')
+func (a *Agent) encodeLine(l listMessage) []byte {
+	if !a.indentedJSON {
+		return append(mustMarshal(l), '\n')
 	}
 	b, err := json.MarshalIndent(l, "", "    ")
 	if err != nil {
@@ -246,10 +246,10 @@
 	return append(b, '\n')
 }
 
-// write sends one chunk; the kernel takes what the scheduler does not read yet.
-func (a *Agent) write(c net.Conn, b []byte) {
-	a.record.listBytes.Add(int64(len(b)))
-	c.SetWriteDeadline(time.Now().Add(pulse))
+// writeChunk sends one chunk; the kernel takes what the scheduler does not read yet.
+func (a *Agent) writeChunk(c net.Conn, b []byte) {
+	a.record.discoveryBytes.Add(int64(len(b)))
+	c.SetWriteDeadline(time.Now().Add(keepAliveInterval))
 	head := strconv.AppendInt(nil, int64(len(b)), 16)
 	c.Write(append(append(append(head, '\r', '\n'), b...), '\r', '\n'))
 }
@@ -273,11 +273,11 @@
 	defer c.Close()
 	in := bufio.NewReader(c)
 	head, err := http1.ReadRequest(in, messageLimits)
-	if err != nil || !a.answers(c) {
+	if err != nil || !a.waitWhileDown(c) {
 		return
 	}
-	held, watches := index(head.Target)
-	a.open(c, held, watches)
+	held, watches := watchIndex(head.Target)
+	a.respond(c, held, watches)
 	if watches {
 		in.Peek(1) // until the other end closes
 	}
@@ -286,8 +286,8 @@
 	a.mu.Unlock()
 }
 
-// answers waits while the agent is down; false if the caller left or the agent ends.
-func (a *Agent) answers(c net.Conn) bool {
+// waitWhileDown waits while the agent is down; false if the caller left or the agent ends.
+func (a *Agent) waitWhileDown(c net.Conn) bool {
 	for {
 		a.mu.Lock()
 		down := a.down
@@ -309,52 +309,52 @@
 	}
 }
 
-// open answers with the list, and keeps the connection as a watch.
-func (a *Agent) open(c net.Conn, held int, watches bool) {
+// respond answers with the list, and keeps the connection as a watch.
+func (a *Agent) respond(c net.Conn, held int, watches bool) {
 	a.directory.mu.Lock()
 	defer a.directory.mu.Unlock()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	c.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
 	now := a.record.Now()
-	for _, c := range a.missed {
-		c.At = min(c.At, now)
-		a.record.addChanges(c)
+	for _, c := range a.undelivered {
+		c.EffectiveAt = min(c.EffectiveAt, now)
+		a.record.addHealthChanges(c)
 	}
-	a.silent, a.missed = 0, nil
-	if !watches || a.whole || held > a.knows {
-		a.write(c, a.line(a.known()))
-		held = a.knows
+	a.silentSince, a.undelivered = 0, nil
+	if !watches || a.alwaysFullList || held > a.version {
+		a.writeChunk(c, a.encodeLine(a.fullListLocked()))
+		held = a.version
 	}
 	if !watches {
 		c.Write([]byte("0\r\n\r\n"))
 		return
 	}
-	w := &watchState{sent: held}
+	w := &watchState{sentVersion: held}
 	a.watches[c] = w
-	if w.sent == a.knows {
-		a.write(c, []byte{'\n'})
+	if w.sentVersion == a.version {
+		a.writeChunk(c, []byte{'\n'})
 	}
-	a.tellLocked(c, w)
+	a.sendChangesLocked(c, w)
 }
 
-// Whole is the whole list as the agent has it, as JSON.
-func (a *Agent) Whole() []byte {
+// FullListJSON is the whole list as the agent has it, as JSON.
+func (a *Agent) FullListJSON() []byte {
 	a.directory.mu.Lock()
 	defer a.directory.mu.Unlock()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return mustJSON(a.known())
+	return mustMarshal(a.fullListLocked())
 }
 
-// known is the whole list as the agent has it. Both locks are held.
-func (a *Agent) known() list {
-	l := list{Seq: a.knows, Whole: true}
-	late := map[int]Entry{} // what the directory has changed since, as it was before
-	for v := a.knows; v < a.directory.seq; v++ {
-		for _, e := range a.directory.log[v] {
+// fullListLocked is the whole list as the agent has it. Both locks are held.
+func (a *Agent) fullListLocked() listMessage {
+	l := listMessage{Seq: a.version, Full: true}
+	late := map[int]DiscoveryEntry{} // what the directory has changed since, as it was before
+	for v := a.version; v < a.directory.version; v++ {
+		for _, e := range a.directory.changesByVersion[v] {
 			if _, ok := late[e.Block]; !ok {
-				late[e.Block] = a.before(v, e.Block)
+				late[e.Block] = a.entryBefore(v, e.Block)
 			}
 		}
 	}
@@ -369,22 +369,22 @@
 	return l
 }
 
-// before is a server's entry in a version.
-func (a *Agent) before(version, server int) Entry {
+// entryBefore is a server's entry in a version.
+func (a *Agent) entryBefore(version, server int) DiscoveryEntry {
 	for v := version - 1; v >= 0; v-- {
-		for _, e := range a.directory.log[v] {
+		for _, e := range a.directory.changesByVersion[v] {
 			if e.Block == server {
 				return e
 			}
 		}
 	}
 	e := a.directory.entries[server]
-	e.Health, e.BornMS = "active", 0
+	e.Health, e.StartedMS = "active", 0
 	return e
 }
 
-// index is the version that a watch names; false for a call of the whole list.
-func index(target string) (held int, watches bool) {
+// watchIndex is the version that a watch names; false for a call of the whole list.
+func watchIndex(target string) (held int, watches bool) {
 	_, query, _ := strings.Cut(target, "?")
 	for part := range strings.SplitSeq(query, "&") {
 		if name, value, _ := strings.Cut(part, "="); name == "index" {
@@ -395,10 +395,10 @@
 	return held, watches
 }
 
-// beat gives the open watches a sign of life.
-func (a *Agent) beat() {
+// sendKeepAlives gives the open watches a sign of life.
+func (a *Agent) sendKeepAlives() {
 	defer a.tasks.Done()
-	tick := time.NewTicker(pulse)
+	tick := time.NewTicker(keepAliveInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -409,7 +409,7 @@
 		a.mu.Lock()
 		for c, w := range a.watches {
 			if !w.silent && !a.down {
-				a.write(c, []byte{'\n'})
+				a.writeChunk(c, []byte{'\n'})
 			}
 		}
 		a.mu.Unlock()
--- a/internal/simulation/soak/discovery_test.go
+++ b/internal/simulation/soak/discovery_test.go
@@ -4,8 +4,8 @@
 
 // A scheduler that is sent to another agent while its own is down learns there what came back,
 // and may use it from then on; what has drained meanwhile counts as told once it must have come.
-func TestAMoveWhileDiscoveryIsDown(t *testing.T) {
-	d := &Directory{entries: []Entry{
+func TestTakeOverWhileOldAgentIsDown(t *testing.T) {
+	d := &Directory{entries: []DiscoveryEntry{
 		{Host: hostName(0), Block: 0, Health: "leaving"}, {Host: hostName(1), Block: 1, Health: "active"},
 	}}
 	r := NewRecord()
@@ -15,9 +15,9 @@
 	}
 	defer old.Close()
 	old.SetDown(true)
-	d.Change([]int{0}, "active")
-	d.Change([]int{1}, "leaving")
-	if n := len(r.Changes); n != 0 {
+	d.SetHealth([]int{0}, "active")
+	d.SetHealth([]int{1}, "leaving")
+	if n := len(r.HealthChanges); n != 0 {
 		t.Fatalf("%d changes are told while discovery is down", n)
 	}
 	next, err := StartAgent(d, 0, false, false, r)
@@ -25,19 +25,19 @@
 		t.Fatal(err)
 	}
 	defer next.Close()
-	next.Follow(old)
+	next.TakeOver(old)
 	now := r.Now()
-	told := map[int]Change{}
-	for _, c := range r.Changes {
+	told := map[int]HealthChange{}
+	for _, c := range r.HealthChanges {
 		told[c.Server] = c
 	}
-	if c, ok := told[0]; !ok || c.Health != "active" || c.At > now {
+	if c, ok := told[0]; !ok || c.Health != "active" || c.EffectiveAt > now {
 		t.Errorf("what came back: %+v", c)
 	}
-	if c, ok := told[1]; !ok || c.Health != "leaving" || c.At < now+movedCounts/2 {
+	if c, ok := told[1]; !ok || c.Health != "leaving" || c.EffectiveAt < now+maxMoveTime/2 {
 		t.Errorf("what has drained: %+v", c)
 	}
-	if next.knows != 2 {
-		t.Errorf("it knows version %d", next.knows)
+	if next.version != 2 {
+		t.Errorf("it knows version %d", next.version)
 	}
 }
--- a/internal/simulation/soak/process.go
+++ b/internal/simulation/soak/process.go
@@ -22,23 +22,23 @@
 
 // Process is a scheduler that runs.
 type Process struct {
-	record    *Record
-	scheduler int
-	cmd       *exec.Cmd
-	file      string // of its configuration
-	done      chan struct{}
+	record     *Record
+	scheduler  int
+	cmd        *exec.Cmd
+	configFile string // of its configuration
+	done       chan struct{}
 
-	mu     sync.Mutex
-	log    strings.Builder
-	ready  chan struct{}
-	told   time.Duration
-	killed bool
+	mu        sync.Mutex
+	log       strings.Builder
+	ready     chan struct{}
+	sigtermAt time.Duration
+	killed    bool
 
-	descriptors int // most at once
+	maxDescriptors int // most at once
 }
 
-// readyWithin is how long a scheduler may take to be ready, as the platform says.
-const readyWithin = 30 * time.Second
+// readyTimeout is how long a scheduler may take to be ready, as the platform says.
+const readyTimeout = 30 * time.Second
 
 // StartProcess starts a scheduler with a configuration and waits until it is ready.
 func StartProcess(c Command, scheduler int, folder string, config []byte, r *Record) (*Process, error) {
@@ -46,7 +46,7 @@
 	if err := os.WriteFile(file, config, 0o600); err != nil {
 		return nil, err
 	}
-	p := &Process{record: r, scheduler: scheduler, file: file, done: make(chan struct{}), ready: make(chan struct{})}
+	p := &Process{record: r, scheduler: scheduler, configFile: file, done: make(chan struct{}), ready: make(chan struct{})}
 	p.cmd = exec.Command(c.Path, c.Args...)
 	p.cmd.Env = append(append(os.Environ(), c.Env...), "ROUTER_CONFIG="+file)
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing is left behind
@@ -57,21 +57,21 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go p.follow(bufio.NewScanner(out))
-	go p.countDescriptors()
+	go p.collectLog(bufio.NewScanner(out))
+	go p.sampleDescriptors()
 	select {
 	case <-p.ready:
 		return p, nil
 	case <-p.done:
 		return nil, fmt.Errorf("scheduler %d ended at its start: %s", scheduler, p.Log())
-	case <-time.After(readyWithin):
+	case <-time.After(readyTimeout):
 		p.Kill()
-		return nil, fmt.Errorf("scheduler %d was not ready within %s", scheduler, readyWithin)
+		return nil, fmt.Errorf("scheduler %d was not ready within %s", scheduler, readyTimeout)
 	}
 }
 
-// follow keeps the log and notes the end.
-func (p *Process) follow(lines *bufio.Scanner) {
+// collectLog keeps the log and notes the end.
+func (p *Process) collectLog(lines *bufio.Scanner) {
 	lines.Buffer(nil, 1<<20)
 	said := false
 	for lines.Scan() {
@@ -84,12 +84,12 @@
 		}
 	}
 	err := p.cmd.Wait()
-	cpu, peak := p.usage()
+	cpu, peak := p.resourceUsage()
 	p.mu.Lock()
-	end := ProcessEnd{Scheduler: p.scheduler, Told: p.told, Ended: p.record.Now(), Killed: p.killed,
-		Crashed: !p.killed && (p.told == 0 || err != nil), Log: p.log.String(), CPU: cpu, PeakMB: peak, Descriptors: p.descriptors}
+	end := ProcessExit{Scheduler: p.scheduler, SigtermAt: p.sigtermAt, ExitedAt: p.record.Now(), Killed: p.killed,
+		Crashed: !p.killed && (p.sigtermAt == 0 || err != nil), Log: p.log.String(), CPUTime: cpu, PeakMemoryMB: peak, MaxDescriptors: p.maxDescriptors}
 	p.mu.Unlock()
-	p.record.addEnd(end)
+	p.record.addExit(end)
 	close(p.done)
 }
 
@@ -103,8 +103,8 @@
 // Signal sends a signal; SIGTERM is noted as the word to end.
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
-	if s == syscall.SIGTERM && p.told == 0 {
-		p.told = p.record.Now()
+	if s == syscall.SIGTERM && p.sigtermAt == 0 {
+		p.sigtermAt = p.record.Now()
 	}
 	p.mu.Unlock()
 	p.cmd.Process.Signal(s)
--- a/internal/simulation/soak/record.go
+++ b/internal/simulation/soak/record.go
@@ -12,65 +12,65 @@
 
 // Request is one request as its client saw it.
 type Request struct {
-	ID        string
-	Scheduler int
-	Class     string
-	Limited   uint64 // its volume, where that has a limit; else 0
-	Timeout   time.Duration
-	Sent      time.Duration // when its last byte was written; 0: it never was
-	Answered  time.Duration // when the answer's last byte came; 0: none came whole
-	Status    int
-	Body      string
-	Left      time.Duration // when its client closed the connection; 0: it did not
-	Ended     time.Duration // when its connection ended without an answer; 0: it did not
-	Resent    bool          // it crossed the end of its connection and was sent once more
-	Mid       bool          // the connection broke within the answer
+	ID                string
+	Scheduler         int
+	Class             string
+	LimitedVolume     uint64 // its volume, where that has a limit; else 0
+	Timeout           time.Duration
+	SentAt            time.Duration // when its last byte was written; 0: it never was
+	AnsweredAt        time.Duration // when the answer's last byte came; 0: none came whole
+	Status            int
+	Body              string
+	AbandonedAt       time.Duration // when its client closed the connection; 0: it did not
+	ConnLostAt        time.Duration // when its connection ended without an answer; 0: it did not
+	Resent            bool          // it crossed the end of its connection and was sent once more
+	BrokenMidResponse bool          // the connection broke within the answer
 }
 
 // Attempt is one request as a disk server got it.
 type Attempt struct {
-	ID      string
-	Server  int
-	Began   time.Duration // its first byte
-	Whole   time.Duration // its last byte; 0: it never came
-	Timeout time.Duration // that the scheduler named
-	Served  bool          // it ran and was answered with 200
-	Units   float64
+	ID          string
+	Server      int
+	FirstByteAt time.Duration // its first byte
+	LastByteAt  time.Duration // its last byte; 0: it never came
+	Timeout     time.Duration // that the scheduler named
+	Served      bool          // it ran and was answered with 200
+	Units       float64
 }
 
-// Change is a disk server's state as one scheduler's discovery agent told it.
-type Change struct {
-	Scheduler int
-	Server    int
-	Health    string
-	At        time.Duration // when it counts as told
-	Born      time.Duration // the server's last start; 0: long ago
+// HealthChange is a disk server's state as one scheduler's discovery agent told it.
+type HealthChange struct {
+	Scheduler   int
+	Server      int
+	Health      string
+	EffectiveAt time.Duration // when it counts as told
+	StartedAt   time.Duration // the server's last start; 0: long ago
 }
 
-// ProcessEnd is a scheduler's process that ended or was told to.
-type ProcessEnd struct {
+// ProcessExit is a scheduler's process that ended or was told to.
+type ProcessExit struct {
 	Scheduler int
-	Told      time.Duration // SIGTERM; 0: none
-	Ended     time.Duration
+	SigtermAt time.Duration // SIGTERM; 0: none
+	ExitedAt  time.Duration
 	Killed    bool
 	Crashed   bool // it ended by itself without being told
 	Log       string
 
-	CPU         time.Duration
-	PeakMB      float64
-	Descriptors int // most at once
+	CPUTime        time.Duration
+	PeakMemoryMB   float64
+	MaxDescriptors int // most at once
 }
 
 // Record is what passed in a run. It is safe for concurrent use.
 type Record struct {
-	start     time.Time
-	listBytes atomic.Int64 // that discovery wrote
+	start          time.Time
+	discoveryBytes atomic.Int64 // that discovery wrote
 
-	mu       sync.Mutex
-	Requests []*Request
-	Attempts []*Attempt
-	Changes  []Change
-	Ends     []ProcessEnd
+	mu            sync.Mutex
+	Requests      []*Request
+	Attempts      []*Attempt
+	HealthChanges []HealthChange
+	Exits         []ProcessExit
 }
 
 // NewRecord starts a record; its times count from now.
@@ -91,14 +91,14 @@
 	r.Attempts = append(r.Attempts, a)
 }
 
-func (r *Record) addChanges(c ...Change) {
+func (r *Record) addHealthChanges(c ...HealthChange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Changes = append(r.Changes, c...)
+	r.HealthChanges = append(r.HealthChanges, c...)
 }
 
-func (r *Record) addEnd(e ProcessEnd) {
+func (r *Record) addExit(e ProcessExit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Ends = append(r.Ends, e)
+	r.Exits = append(r.Exits, e)
 }
--- a/internal/simulation/soak/run.go
+++ b/internal/simulation/soak/run.go
@@ -13,39 +13,39 @@
 
 // Options say what a run is made of.
 type Options struct {
-	Command    Command
-	Seed       uint64
-	Schedulers int
-	Servers    int
-	Rate       float64       // requests a second at each scheduler
-	Lasts      time.Duration // of the traffic
-	Share      float64       // of a core that each scheduler has; 1: it is not held up
-	Service    time.Duration // mean time of a request at a disk server
-	Slack      time.Duration // see Terms
-	MemoryMB   int
-	Sockets    int
-	Leaves     float64 // part of the clients that leave before their answer
-	Together   float64 // part of the sendings that are of several requests at once
-	WholeLists bool    // each watch begins with the whole list
-	Indented   bool
+	Command             Command
+	Seed                uint64
+	Schedulers          int
+	Servers             int
+	Rate                float64       // requests a second at each scheduler
+	Duration            time.Duration // of the traffic
+	CoreShare           float64       // of a core that each scheduler has; 1: it is not held up
+	MeanServiceTime     time.Duration // mean time of a request at a disk server
+	HostSlack           time.Duration // see Terms
+	MemoryMB            int
+	Sockets             int
+	AbandonProbability  float64 // part of the clients that leave before their answer
+	PipelineProbability float64 // part of the sendings that are of several requests at once
+	FullListPerWatch    bool    // each watch begins with the whole list
+	IndentedJSON        bool
 }
 
-// Defaults are what Options are where nothing else is asked for.
-func Defaults() Options {
-	return Options{Seed: 1, Schedulers: 3, Servers: 40, Rate: 60, Lasts: 15 * time.Second, Share: 1, Service: 15 * time.Millisecond,
-		Slack: 150 * time.Millisecond, MemoryMB: 96, Sockets: 512, Leaves: 0.05, Together: 0.05}
+// DefaultOptions are what Options are where nothing else is asked for.
+func DefaultOptions() Options {
+	return Options{Seed: 1, Schedulers: 3, Servers: 40, Rate: 60, Duration: 15 * time.Second, CoreShare: 1, MeanServiceTime: 15 * time.Millisecond,
+		HostSlack: 150 * time.Millisecond, MemoryMB: 96, Sockets: 512, AbandonProbability: 0.05, PipelineProbability: 0.05}
 }
 
-// Check names what is out of range.
-func (o Options) Check() error {
+// Validate names what is out of range.
+func (o Options) Validate() error {
 	for _, c := range []struct {
 		name      string
 		value     float64
 		low, high float64
 	}{
 		{"schedulers", float64(o.Schedulers), 1, 200}, {"servers", float64(o.Servers), 1, 5000},
-		{"rate", o.Rate, 0.1, 2000}, {"lasts", o.Lasts.Seconds(), 1, 3600}, {"share", o.Share, 0.01, 1},
-		{"memory", float64(o.MemoryMB), 16, 4096}, {"sockets", float64(o.Sockets), 32, 16384}, {"leaves", o.Leaves, 0, 1}, {"together", o.Together, 0, 1},
+		{"rate", o.Rate, 0.1, 2000}, {"lasts", o.Duration.Seconds(), 1, 3600}, {"share", o.CoreShare, 0.01, 1},
+		{"memory", float64(o.MemoryMB), 16, 4096}, {"sockets", float64(o.Sockets), 32, 16384}, {"leaves", o.AbandonProbability, 0, 1}, {"together", o.PipelineProbability, 0, 1},
 	} {
 		if !(c.value >= c.low && c.value <= c.high) {
 			return fmt.Errorf("%s is %g; it goes from %g to %g", c.name, c.value, c.low, c.high)
@@ -56,9 +56,9 @@
 
 // Fault is something that befalls a run at a time of its traffic.
 type Fault struct {
-	At   time.Duration
-	Name string
-	Do   func(*Run)
+	At     time.Duration
+	Name   string
+	Inject func(*Run)
 }
 
 // Run is a run under way.
@@ -69,54 +69,54 @@
 	Directory *Directory
 	Rand      *rand.Rand // of the faults; one fault at a time uses it
 
-	folder    string
-	agents    []*Agent // by scheduler, the one that it follows; under mu
-	addresses []string
-	clients   []*Clients
-	retired   []*Agent
-	stop      chan struct{} // of the throttles
-	tasks     sync.WaitGroup
+	dir           string
+	agents        []*Agent // by scheduler, the one that it follows; under mu
+	addresses     []string
+	clients       []*Clients
+	retiredAgents []*Agent
+	stopThrottles chan struct{} // of the throttles
+	tasks         sync.WaitGroup
 
 	mu        sync.Mutex
 	processes []*Process
 	events    []string
-	fault     error // that kept the run from being played
+	err       error // that kept the run from being played
 }
 
-// Play starts all parts, sends traffic while the faults come, and judges what passed. The
+// Execute starts all parts, sends traffic while the faults come, and judges what passed. The
 // error says what could not be played.
-func Play(o Options, faults []Fault) (*Run, []Broken, error) {
-	if err := o.Check(); err != nil {
+func Execute(o Options, faults []Fault) (*Run, []Violation, error) {
+	if err := o.Validate(); err != nil {
 		return nil, nil, err
 	}
-	r := &Run{Options: o, Record: NewRecord(), stop: make(chan struct{}), Rand: rand.New(rand.NewPCG(o.Seed, 1))}
+	r := &Run{Options: o, Record: NewRecord(), stopThrottles: make(chan struct{}), Rand: rand.New(rand.NewPCG(o.Seed, 1))}
 	var err error
-	if r.folder, err = os.MkdirTemp("", "soak"); err != nil {
+	if r.dir, err = os.MkdirTemp("", "soak"); err != nil {
 		return nil, nil, err
 	}
-	defer os.RemoveAll(r.folder)
+	defer os.RemoveAll(r.dir)
 	defer r.close()
 	if err := r.start(); err != nil {
 		return nil, nil, err
 	}
-	r.traffic(faults)
-	r.endAll()
-	if r.fault != nil {
-		return r, nil, r.fault
+	r.runTraffic(faults)
+	r.stopSchedulers()
+	if r.err != nil {
+		return r, nil, r.err
 	}
-	return r, o.Terms().Judge(r.Record), nil
+	return r, o.Rules().Check(r.Record), nil
 }
 
 func (r *Run) start() error {
 	o := r.Options
 	var err error
-	if r.Servers, err = StartServers(o.Servers, o.Service, r.Record); err != nil {
+	if r.Servers, err = StartServers(o.Servers, o.MeanServiceTime, r.Record); err != nil {
 		return err
 	}
 	r.Directory = NewDirectory(r.Servers)
 	r.processes = make([]*Process, o.Schedulers)
 	for i := range o.Schedulers {
-		a, err := StartAgent(r.Directory, i, o.WholeLists, o.Indented, r.Record)
+		a, err := StartAgent(r.Directory, i, o.FullListPerWatch, o.IndentedJSON, r.Record)
 		if err != nil {
 			return err
 		}
@@ -124,7 +124,7 @@
 		address := schedulerAddress(i)
 		r.addresses = append(r.addresses, address)
 		r.clients = append(r.clients, &Clients{record: r.Record, scheduler: i, address: address, classes: classes, shards: o.Servers,
-			rate: o.Rate, leaves: o.Leaves, together: o.Together, rng: rand.New(rand.NewPCG(o.Seed, uint64(2+i))), prefix: fmt.Sprintf("%06x", i)})
+			requestRate: o.Rate, abandonProbability: o.AbandonProbability, pipelineProbability: o.PipelineProbability, rng: rand.New(rand.NewPCG(o.Seed, uint64(2+i))), idPrefix: fmt.Sprintf("%06x", i)})
 	}
 	for i := range o.Schedulers {
 		if err := r.StartScheduler(i); err != nil {
@@ -134,32 +134,32 @@
 	return nil
 }
 
-// firstPort is the first scheduler's.
-const firstPort = 18000
+// baseListenPort is the first scheduler's.
+const baseListenPort = 18000
 
 // schedulerAddress is a scheduler's. Its host is one of loopback's that only this process
 // uses, so that no connection on its way out has the port, also while the scheduler is down.
 func schedulerAddress(i int) string {
 	const others = 250
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d:%d", 1+pid%others, pid/others%others, 1+pid/others/others%others, firstPort+i)
+	return fmt.Sprintf("127.%d.%d.%d:%d", 1+pid%others, pid/others%others, 1+pid/others/others%others, baseListenPort+i)
 }
 
 // StartScheduler starts a scheduler's process, under its own address.
 func (r *Run) StartScheduler(i int) error {
-	config := r.Options.config(i, r.addresses[i], r.Agent(i).Address(), r.Agent(i).Whole())
-	p, err := StartProcess(r.Options.Command, i, r.folder, config, r.Record)
+	config := r.Options.schedulerConfig(i, r.addresses[i], r.Agent(i).Address(), r.Agent(i).FullListJSON())
+	p, err := StartProcess(r.Options.Command, i, r.dir, config, r.Record)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	r.processes[i] = p
 	r.mu.Unlock()
-	if r.Options.Share < 1 {
+	if r.Options.CoreShare < 1 {
 		r.tasks.Add(1)
 		go func() {
 			defer r.tasks.Done()
-			p.Throttle(r.Options.Share, r.stop)
+			p.Throttle(r.Options.CoreShare, r.stopThrottles)
 		}()
 	}
 	return nil
@@ -179,38 +179,38 @@
 	return r.agents[i]
 }
 
-func (r *Run) following() []*Agent {
+func (r *Run) currentAgents() []*Agent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]*Agent(nil), r.agents...)
 }
 
-// must notes what kept a fault from being played.
-func (r *Run) must(err error) {
+// recordError notes what kept a fault from being played.
+func (r *Run) recordError(err error) {
 	if err != nil {
 		r.mu.Lock()
-		r.fault = err
+		r.err = err
 		r.mu.Unlock()
 	}
 }
 
-// stillOpens is how long clients open new connections to a scheduler that was told to end.
-const stillOpens = 300 * time.Millisecond
+// dialAfterSigterm is how long clients open new connections to a scheduler that was told to end.
+const dialAfterSigterm = 300 * time.Millisecond
 
 // MoveDiscovery sends a scheduler to another discovery with a new configuration.
 func (r *Run) MoveDiscovery(i int) error {
 	old := r.Agent(i)
-	next, err := StartAgent(r.Directory, i, r.Options.WholeLists, r.Options.Indented, r.Record)
+	next, err := StartAgent(r.Directory, i, r.Options.FullListPerWatch, r.Options.IndentedJSON, r.Record)
 	if err != nil {
 		return err
 	}
-	next.Follow(old)
+	next.TakeOver(old)
 	r.mu.Lock()
 	r.agents[i] = next
-	r.retired = append(r.retired, old)
+	r.retiredAgents = append(r.retiredAgents, old)
 	r.mu.Unlock()
-	config := r.Options.config(i, r.addresses[i], next.Address(), next.Whole())
-	if err := os.WriteFile(r.Process(i).file, config, 0o600); err != nil {
+	config := r.Options.schedulerConfig(i, r.addresses[i], next.Address(), next.FullListJSON())
+	if err := os.WriteFile(r.Process(i).configFile, config, 0o600); err != nil {
 		return err
 	}
 	r.Process(i).Signal(syscall.SIGHUP)
@@ -218,16 +218,16 @@
 	return nil
 }
 
-// Stall holds a scheduler's process up for a time.
-func (r *Run) Stall(i int, lasts time.Duration) {
+// Pause holds a scheduler's process up for a time.
+func (r *Run) Pause(i int, lasts time.Duration) {
 	p := r.Process(i)
 	p.Signal(syscall.SIGSTOP)
 	time.Sleep(lasts)
 	p.Signal(syscall.SIGCONT)
 }
 
-// Crowd opens so many connections to a scheduler that say nothing, for a time.
-func (r *Run) Crowd(i, n int, lasts time.Duration) {
+// HoldIdleConnections opens so many connections to a scheduler that say nothing, for a time.
+func (r *Run) HoldIdleConnections(i, n int, lasts time.Duration) {
 	var idle []net.Conn
 	for range n {
 		if c, err := net.DialTimeout("tcp", r.addresses[i], 100*time.Millisecond); err == nil {
@@ -242,26 +242,26 @@
 
 // Restart tells a scheduler to end as the platform does, and starts it again.
 func (r *Run) Restart(i int) error {
-	timer := time.AfterFunc(stillOpens, r.clients[i].StayOnOpen)
+	timer := time.AfterFunc(dialAfterSigterm, r.clients[i].StopDialling)
 	r.Process(i).Stop(stopGrace())
 	timer.Stop()
-	r.clients[i].StayOnOpen()
+	r.clients[i].StopDialling()
 	err := r.StartScheduler(i)
-	r.clients[i].Reopen()
+	r.clients[i].ResumeDialling()
 	return err
 }
 
-// KillAndStart ends a scheduler without a word and starts it again.
-func (r *Run) KillAndStart(i int) error {
-	r.clients[i].StayOnOpen()
+// KillAndRestart ends a scheduler without a word and starts it again.
+func (r *Run) KillAndRestart(i int) error {
+	r.clients[i].StopDialling()
 	r.Process(i).Kill()
 	err := r.StartScheduler(i)
-	r.clients[i].Reopen()
+	r.clients[i].ResumeDialling()
 	return err
 }
 
-// Note keeps a line of what befell the run.
-func (r *Run) Note(form string, args ...any) {
+// AddEvent keeps a line of what befell the run.
+func (r *Run) AddEvent(form string, args ...any) {
 	line := fmt.Sprintf("%.3f ", r.Record.Now().Seconds()) + fmt.Sprintf(form, args...)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -275,9 +275,9 @@
 	return append([]string(nil), r.events...)
 }
 
-// traffic has the clients send while the faults come, each on a goroutine of its own.
-func (r *Run) traffic(faults []Fault) {
-	ctx, cancel := context.WithTimeout(context.Background(), r.Options.Lasts)
+// runTraffic has the clients send while the faults come, each on a goroutine of its own.
+func (r *Run) runTraffic(faults []Fault) {
+	ctx, cancel := context.WithTimeout(context.Background(), r.Options.Duration)
 	defer cancel()
 	var tasks sync.WaitGroup
 	for _, c := range r.clients {
@@ -294,16 +294,16 @@
 			select {
 			case <-ctx.Done():
 			case <-time.After(f.At):
-				r.Note("%s", f.Name)
-				f.Do(r)
+				r.AddEvent("%s", f.Name)
+				f.Inject(r)
 			}
 		}()
 	}
 	tasks.Wait()
 }
 
-// endAll ends the schedulers as a planned stop does.
-func (r *Run) endAll() {
+// stopSchedulers ends the schedulers as a planned stop does.
+func (r *Run) stopSchedulers() {
 	r.mu.Lock()
 	all := append([]*Process(nil), r.processes...)
 	r.mu.Unlock()
@@ -319,7 +319,7 @@
 }
 
 func (r *Run) close() {
-	close(r.stop)
+	close(r.stopThrottles)
 	r.tasks.Wait()
 	for _, p := range r.processes {
 		if p != nil {
@@ -327,7 +327,7 @@
 			p.Kill()
 		}
 	}
-	for _, a := range append(r.retired, r.agents...) {
+	for _, a := range append(r.retiredAgents, r.agents...) {
 		a.Close()
 	}
 	if r.Servers != nil {
--- a/internal/simulation/soak/scenario.go
+++ b/internal/simulation/soak/scenario.go
@@ -5,130 +5,130 @@
 	"time"
 )
 
-// Draw draws the faults of a run from its seed: a release of the disk servers in steps,
+// DrawFaults draws the faults of a run from its seed: a release of the disk servers in steps,
 // trouble of discovery, of disk servers and of the schedulers' processes, several at once.
-func Draw(o Options) []Fault {
-	d := &drawing{o: o, rng: rand.New(rand.NewPCG(o.Seed, 99))}
-	d.release()
+func DrawFaults(o Options) []Fault {
+	d := &faultGenerator{options: o, rng: rand.New(rand.NewPCG(o.Seed, 99))}
+	d.addRelease()
 	for range 2 + d.rng.IntN(2) {
-		d.discovery()
+		d.addDiscoveryFault()
 	}
 	for range 2 + d.rng.IntN(3) {
-		d.servers()
+		d.addServerFault()
 	}
-	d.processes()
+	d.addProcessFaults()
 	return d.faults
 }
 
-// drawing is a run's faults as they are drawn.
-type drawing struct {
-	o      Options
-	rng    *rand.Rand
-	faults []Fault
+// faultGenerator is a run's faults as they are drawn.
+type faultGenerator struct {
+	options Options
+	rng     *rand.Rand
+	faults  []Fault
 }
 
-func (d *drawing) add(at time.Duration, name string, do func(*Run)) {
+func (d *faultGenerator) addFault(at time.Duration, name string, do func(*Run)) {
 	d.faults = append(d.faults, Fault{at, name, do})
 }
 
-// when draws a time of the run between two parts of it.
-func (d *drawing) when(from, to float64) time.Duration {
-	return time.Duration((from + (to-from)*d.rng.Float64()) * float64(d.o.Lasts))
+// drawTime draws a time of the run between two parts of it.
+func (d *faultGenerator) drawTime(from, to float64) time.Duration {
+	return time.Duration((from + (to-from)*d.rng.Float64()) * float64(d.options.Duration))
 }
 
-func (d *drawing) span(from, to time.Duration) time.Duration {
+func (d *faultGenerator) drawDuration(from, to time.Duration) time.Duration {
 	return from + time.Duration(d.rng.Float64()*float64(to-from))
 }
 
-// some draws so many servers, one at the least.
-func (d *drawing) some(part float64) []int {
-	n := max(int(part*float64(d.o.Servers)), 1)
-	return d.rng.Perm(d.o.Servers)[:n]
+// drawServers draws so many servers, one at the least.
+func (d *faultGenerator) drawServers(part float64) []int {
+	n := max(int(part*float64(d.options.Servers)), 1)
+	return d.rng.Perm(d.options.Servers)[:n]
 }
 
-// scheduler draws one scheduler.
-func (d *drawing) scheduler() int { return d.rng.IntN(d.o.Schedulers) }
+// drawScheduler draws one drawScheduler.
+func (d *faultGenerator) drawScheduler() int { return d.rng.IntN(d.options.Schedulers) }
 
-// release replaces a tenth of the servers in each step: they drain, are gone, end, and come
+// addRelease replaces a tenth of the servers in each step: they drain, are gone, end, and come
 // back cold.
-func (d *drawing) release() {
-	at := d.when(0.1, 0.3)
-	gap := d.span(300*time.Millisecond, 900*time.Millisecond)
+func (d *faultGenerator) addRelease() {
+	at := d.drawTime(0.1, 0.3)
+	gap := d.drawDuration(300*time.Millisecond, 900*time.Millisecond)
 	for range 2 + d.rng.IntN(3) {
-		step := d.some(0.1)
-		d.add(at, "servers drain", func(r *Run) { r.Directory.Change(step, "leaving") })
-		d.add(at+1200*time.Millisecond, "servers are gone", func(r *Run) { r.Directory.Change(step, "left") })
-		d.add(at+2000*time.Millisecond, "servers end", func(r *Run) { r.behave(step, Down) })
-		d.add(at+2600*time.Millisecond, "servers are back", func(r *Run) {
-			r.behave(step, Well)
-			r.Directory.Change(step, "active")
+		step := d.drawServers(0.1)
+		d.addFault(at, "servers drain", func(r *Run) { r.Directory.SetHealth(step, "leaving") })
+		d.addFault(at+1200*time.Millisecond, "servers are gone", func(r *Run) { r.Directory.SetHealth(step, "left") })
+		d.addFault(at+2000*time.Millisecond, "servers end", func(r *Run) { r.setBehaviour(step, Down) })
+		d.addFault(at+2600*time.Millisecond, "servers are back", func(r *Run) {
+			r.setBehaviour(step, Healthy)
+			r.Directory.SetHealth(step, "active")
 		})
 		at += gap
 	}
 }
 
-func (r *Run) behave(servers []int, b Behaviour) {
+func (r *Run) setBehaviour(servers []int, b Behaviour) {
 	for _, s := range servers {
-		r.Servers.Behave(s, b)
+		r.Servers.SetBehaviour(s, b)
 	}
 }
 
-// discovery draws one trouble of discovery.
-func (d *drawing) discovery() {
-	at, lasts := d.when(0.05, 0.6), d.span(500*time.Millisecond, 4*time.Second)
+// addDiscoveryFault draws one trouble of addDiscoveryFault.
+func (d *faultGenerator) addDiscoveryFault() {
+	at, lasts := d.drawTime(0.05, 0.6), d.drawDuration(500*time.Millisecond, 4*time.Second)
 	switch d.rng.IntN(3) {
 	case 0:
-		d.add(at, "discovery is down", func(r *Run) {
-			for _, a := range r.following() {
+		d.addFault(at, "discovery is down", func(r *Run) {
+			for _, a := range r.currentAgents() {
 				a.SetDown(true)
 			}
 		})
-		d.add(at+lasts, "discovery is back", func(r *Run) {
-			for _, a := range r.following() {
+		d.addFault(at+lasts, "discovery is back", func(r *Run) {
+			for _, a := range r.currentAgents() {
 				a.SetDown(false)
 			}
 		})
 	case 1:
-		d.add(at, "watches fall silent", func(r *Run) {
-			for _, a := range r.following() {
-				a.Silence()
+		d.addFault(at, "watches fall silent", func(r *Run) {
+			for _, a := range r.currentAgents() {
+				a.SilenceWatches()
 			}
 		})
 	case 2:
-		d.add(at, "watches are reset", func(r *Run) {
-			for _, a := range r.following() {
+		d.addFault(at, "watches are reset", func(r *Run) {
+			for _, a := range r.currentAgents() {
 				a.ResetWatches()
 			}
 		})
 	}
 }
 
-// servers draws one trouble of some servers.
-func (d *drawing) servers() {
-	at, lasts := d.when(0.05, 0.7), d.span(500*time.Millisecond, 5*time.Second)
-	kind := []Behaviour{Hung, Erring, Resetting, Rejecting, Down, Dark}[d.rng.IntN(6)]
-	which := d.some(0.05 + 0.25*d.rng.Float64())
-	d.add(at, "servers are in trouble: "+kind.String(), func(r *Run) { r.behave(which, kind) })
-	d.add(at+lasts, "servers are well again", func(r *Run) { r.behave(which, Well) })
+// addServerFault draws one trouble of some addServerFault.
+func (d *faultGenerator) addServerFault() {
+	at, lasts := d.drawTime(0.05, 0.7), d.drawDuration(500*time.Millisecond, 5*time.Second)
+	kind := []Behaviour{Hung, Failing, Resetting, Rejecting, Down, Unreachable}[d.rng.IntN(6)]
+	which := d.drawServers(0.05 + 0.25*d.rng.Float64())
+	d.addFault(at, "servers are in trouble: "+kind.String(), func(r *Run) { r.setBehaviour(which, kind) })
+	d.addFault(at+lasts, "servers are well again", func(r *Run) { r.setBehaviour(which, Healthy) })
 }
 
-// processes draws what befalls the schedulers: a restart, a kill, a move of discovery,
+// addProcessFaults draws what befalls the schedulers: a restart, a kill, a move of discovery,
 // stalls, and on some seeds a crowd of clients that say nothing.
-func (d *drawing) processes() {
-	restarted, killed, moved := d.scheduler(), d.scheduler(), d.scheduler()
-	d.add(d.when(0.1, 0.5), "a scheduler is told to end", func(r *Run) { r.must(r.Restart(restarted)) })
+func (d *faultGenerator) addProcessFaults() {
+	restarted, killed, moved := d.drawScheduler(), d.drawScheduler(), d.drawScheduler()
+	d.addFault(d.drawTime(0.1, 0.5), "a scheduler is told to end", func(r *Run) { r.recordError(r.Restart(restarted)) })
 	if killed != restarted {
-		d.add(d.when(0.1, 0.6), "a scheduler is killed", func(r *Run) { r.must(r.KillAndStart(killed)) })
+		d.addFault(d.drawTime(0.1, 0.6), "a scheduler is killed", func(r *Run) { r.recordError(r.KillAndRestart(killed)) })
 	}
 	if moved != restarted && moved != killed {
-		d.add(d.when(0.1, 0.6), "a scheduler is sent to another discovery", func(r *Run) { r.must(r.MoveDiscovery(moved)) })
+		d.addFault(d.drawTime(0.1, 0.6), "a scheduler is sent to another discovery", func(r *Run) { r.recordError(r.MoveDiscovery(moved)) })
 	}
 	for range 6 {
-		at, lasts, which := d.when(0.02, 0.9), d.span(10*time.Millisecond, 150*time.Millisecond), d.scheduler()
-		d.add(at, "a scheduler is held up", func(r *Run) { r.Stall(which, lasts) })
+		at, lasts, which := d.drawTime(0.02, 0.9), d.drawDuration(10*time.Millisecond, 150*time.Millisecond), d.drawScheduler()
+		d.addFault(at, "a scheduler is held up", func(r *Run) { r.Pause(which, lasts) })
 	}
 	if d.rng.IntN(3) == 0 {
-		at, which, n := d.when(0.1, 0.5), d.scheduler(), d.o.Sockets
-		d.add(at, "a crowd that says nothing", func(r *Run) { r.Crowd(which, n, 3*time.Second) })
+		at, which, n := d.drawTime(0.1, 0.5), d.drawScheduler(), d.options.Sockets
+		d.addFault(at, "a crowd that says nothing", func(r *Run) { r.HoldIdleConnections(which, n, 3*time.Second) })
 	}
 }
--- a/internal/simulation/soak/servers.go
+++ b/internal/simulation/soak/servers.go
@@ -18,13 +18,13 @@
 
 // The behaviours.
 const (
-	Well      Behaviour = iota
-	Hung                // it reads and never answers
-	Erring              // it answers 500
-	Resetting           // it resets the connection under the request
-	Rejecting           // it turns requests away unrun
-	Down                // it resets each connection that comes
-	Dark                // no connection to it comes up, and nothing comes back on those that are
+	Healthy     Behaviour = iota
+	Hung                  // it reads and never answers
+	Failing               // it answers 500
+	Resetting             // it resets the connection under the request
+	Rejecting             // it turns requests away unrun
+	Down                  // it resets each connection that comes
+	Unreachable           // no connection to it comes up, and nothing comes back on those that are
 )
 
 var behaviourNames = [...]string{"well", "hung", "erring", "resetting", "rejecting", "down", "dark"}
@@ -33,37 +33,37 @@
 
 // Servers are the stand-in disk servers, each at an address of its own.
 type Servers struct {
-	record  *Record
-	service time.Duration // mean time of a request
-	all     []*diskServer
-	tasks   sync.WaitGroup
+	record          *Record
+	meanServiceTime time.Duration // mean time of a request
+	servers         []*diskServer
+	tasks           sync.WaitGroup
 
-	accepted atomic.Int64 // connections
+	acceptedConns atomic.Int64 // connections
 }
 
 type diskServer struct {
-	number    int
+	index     int
 	listener  net.Listener
 	behaviour atomic.Int32
 
-	mu    sync.Mutex
-	light chan struct{} // closed once it is dark no more; nil: it is not
-	conns map[net.Conn]bool
+	mu             sync.Mutex
+	reachableAgain chan struct{} // closed once it is dark no more; nil: it is not
+	conns          map[net.Conn]bool
 }
 
 var messageLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: 64 << 10}
 
 // StartServers listens for so many disk servers on loopback.
 func StartServers(n int, service time.Duration, r *Record) (*Servers, error) {
-	s := &Servers{record: r, service: service}
+	s := &Servers{record: r, meanServiceTime: service}
 	for i := range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			s.Close()
 			return nil, err
 		}
-		d := &diskServer{number: i, listener: l, conns: map[net.Conn]bool{}}
-		s.all = append(s.all, d)
+		d := &diskServer{index: i, listener: l, conns: map[net.Conn]bool{}}
+		s.servers = append(s.servers, d)
 		s.tasks.Add(1)
 		go s.accept(d)
 	}
@@ -71,49 +71,49 @@
 }
 
 // Address is where a disk server listens.
-func (s *Servers) Address(server int) string { return s.all[server].listener.Addr().String() }
+func (s *Servers) Address(server int) string { return s.servers[server].listener.Addr().String() }
 
-// Behave sets how a disk server treats what comes from now on; Down also resets what is open.
-func (s *Servers) Behave(server int, b Behaviour) {
-	d := s.all[server]
+// SetBehaviour sets how a disk server treats what comes from now on; Down also resets what is open.
+func (s *Servers) SetBehaviour(server int, b Behaviour) {
+	d := s.servers[server]
 	d.behaviour.Store(int32(b))
 	if b == Down {
-		d.resetAll()
+		d.resetConns()
 	}
-	d.darken(b == Dark)
+	d.setUnreachable(b == Unreachable)
 }
 
-// usualBacklog is how many connections wait for accept where a server is not dark.
-const usualBacklog = 4096
+// normalBacklog is how many connections wait for accept where a server is not dark.
+const normalBacklog = 4096
 
-// darken has the kernel drop what asks for a connection, for nothing is accepted and the
+// setUnreachable has the kernel drop what asks for a connection, for nothing is accepted and the
 // queue is full; or undoes that.
-func (d *diskServer) darken(dark bool) {
+func (d *diskServer) setUnreachable(dark bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if dark == (d.light != nil) {
+	if dark == (d.reachableAgain != nil) {
 		return
 	}
 	if !dark {
-		close(d.light)
-		d.light = nil
-		d.listen(usualBacklog)
+		close(d.reachableAgain)
+		d.reachableAgain = nil
+		d.setBacklog(normalBacklog)
 		return
 	}
-	d.light = make(chan struct{})
-	d.listen(0)
-	go d.fill(d.light)
+	d.reachableAgain = make(chan struct{})
+	d.setBacklog(0)
+	go d.fillBacklog(d.reachableAgain)
 }
 
-func (d *diskServer) listen(backlog int) {
+func (d *diskServer) setBacklog(backlog int) {
 	raw, err := d.listener.(*net.TCPListener).SyscallConn()
 	if err == nil {
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), backlog) })
 	}
 }
 
-// fill takes the places in the queue: one that the accepting goroutine holds, and what waits.
-func (d *diskServer) fill(light chan struct{}) {
+// fillBacklog takes the places in the queue: one that the accepting goroutine holds, and what waits.
+func (d *diskServer) fillBacklog(light chan struct{}) {
 	for range 3 {
 		c, err := net.DialTimeout("tcp", d.listener.Addr().String(), 50*time.Millisecond)
 		if err != nil {
@@ -124,10 +124,10 @@
 	<-light
 }
 
-// wait returns once the server is not dark; it tells whether it was.
-func (d *diskServer) wait() bool {
+// waitReachable returns once the server is not dark; it tells whether it was.
+func (d *diskServer) waitReachable() bool {
 	d.mu.Lock()
-	light := d.light
+	light := d.reachableAgain
 	d.mu.Unlock()
 	if light != nil {
 		<-light
@@ -137,23 +137,23 @@
 
 // Close ends all of them.
 func (s *Servers) Close() {
-	for _, d := range s.all {
-		d.darken(false)
+	for _, d := range s.servers {
+		d.setUnreachable(false)
 		d.listener.Close()
-		d.resetAll()
+		d.resetConns()
 	}
 	s.tasks.Wait()
 }
 
-func (d *diskServer) resetAll() {
+func (d *diskServer) resetConns() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for c := range d.conns {
-		reset(c)
+		resetConn(c)
 	}
 }
 
-func reset(c net.Conn) {
+func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
@@ -169,13 +169,13 @@
 		if err != nil {
 			return
 		}
-		s.accepted.Add(1)
-		if d.wait() {
+		s.acceptedConns.Add(1)
+		if d.waitReachable() {
 			stale = 2
 		}
 		if stale > 0 {
 			stale--
-			reset(c)
+			resetConn(c)
 			continue
 		}
 		d.mu.Lock()
@@ -195,7 +195,7 @@
 		d.mu.Unlock()
 	}()
 	if Behaviour(d.behaviour.Load()) == Down {
-		reset(c)
+		resetConn(c)
 		return
 	}
 	in := bufio.NewReader(c)
@@ -203,47 +203,47 @@
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		a := &Attempt{Server: d.number, Began: s.record.Now()}
-		if !s.read(in, a) {
+		a := &Attempt{Server: d.index, FirstByteAt: s.record.Now()}
+		if !s.readRequest(in, a) {
 			return
 		}
 		s.record.addAttempt(a)
-		if !s.answer(d, c, a) {
+		if !s.respond(d, c, a) {
 			return
 		}
 	}
 }
 
-// read fills an attempt in; false if the request did not come whole.
-func (s *Servers) read(in *bufio.Reader, a *Attempt) bool {
+// readRequest fills an attempt in; false if the request did not come whole.
+func (s *Servers) readRequest(in *bufio.Reader, a *Attempt) bool {
 	head, _, err := http1.ReadWholeRequest(in, messageLimits)
 	if err != nil {
 		return false
 	}
-	a.ID, a.Whole = head.Fields.Get("request-id"), s.record.Now()
+	a.ID, a.LastByteAt = head.Fields.Get("request-id"), s.record.Now()
 	seconds, _ := strconv.ParseFloat(head.Fields.Get("request-timeout"), 64)
 	a.Timeout = time.Duration(seconds * float64(time.Second))
 	return true
 }
 
-// answer does with a request what the server does now; false if its connection ends.
-func (s *Servers) answer(d *diskServer, c net.Conn, a *Attempt) bool {
+// respond does with a request what the server does now; false if its connection ends.
+func (s *Servers) respond(d *diskServer, c net.Conn, a *Attempt) bool {
 	switch Behaviour(d.behaviour.Load()) {
-	case Hung, Dark:
+	case Hung, Unreachable:
 		var one [1]byte
 		c.Read(one[:]) // until the scheduler gives up
 		return false
-	case Erring:
+	case Failing:
 		_, err := c.Write(http1.AppendResponse(nil, 500, nil, nil))
 		return err == nil
 	case Resetting, Down:
-		reset(c)
+		resetConn(c)
 		return false
 	case Rejecting:
 		_, err := c.Write(http1.AppendResponse(nil, 503, http1.Fields{{Name: "Not-Started", Value: "1"}}, nil))
 		return err == nil
 	}
-	time.Sleep(time.Duration(rand.ExpFloat64() * float64(s.service)))
+	time.Sleep(time.Duration(rand.ExpFloat64() * float64(s.meanServiceTime)))
 	s.record.mu.Lock()
 	a.Served = true
 	s.record.mu.Unlock()
--- a/internal/simulation/soak/settings.go
+++ b/internal/simulation/soak/settings.go
@@ -7,24 +7,24 @@
 
 // What the schedulers under soak are set to.
 const (
-	openPlan      = "gold"  // whose volumes have no limit
-	limitedPlan   = "basic" // whose volumes have one
-	volumeLimit   = 8.0     // units a second
-	limitDepth    = 20.0    // units at once
-	limitSlack    = 6.0     // units
-	limitedPart   = 0.4     // of the requests, which go to few volumes:
-	limitedEach   = 2       // so many at each scheduler, and at no other
-	unitMean      = 2
-	volumes       = 512
-	drainGrace    = 500 * time.Millisecond
-	keyWindow     = 6 * time.Second
-	mostAttempts  = 4
-	longestCounts = 3 * time.Second // of the longest deadline, that the platform counts at a stop
-	killExtra     = 700 * time.Millisecond
-	coldUnits     = 52.0
-	coldFrom      = 0.25
-	fallTime      = 1500 * time.Millisecond
-	coldTime      = 10 * time.Second
+	unlimitedPlan              = "gold"  // whose volumes have no limit
+	limitedPlan                = "basic" // whose volumes have one
+	volumeRate                 = 8.0     // units a second
+	volumeBurst                = 20.0    // units at once
+	volumeBurstSlack           = 6.0     // units
+	limitedFraction            = 0.4     // of the requests, which go to few volumes:
+	limitedVolumesPerScheduler = 2       // so many at each scheduler, and at no other
+	meanUnits                  = 2
+	volumeCount                = 512
+	drainGrace                 = 500 * time.Millisecond
+	keyTTL                     = 6 * time.Second
+	maxAttempts                = 4
+	maxStopTimeout             = 3 * time.Second // of the longest deadline, that the platform counts at a stop
+	killMargin                 = 700 * time.Millisecond
+	coldUnits                  = 52.0
+	coldCapacity               = 0.25
+	overloadWindow             = 1500 * time.Millisecond
+	warmUpTime                 = 10 * time.Second
 )
 
 // classes are the kinds of request; the bulk ones may take longer than the schedulers have
@@ -35,7 +35,7 @@
 	{Name: "bulk-read", Timeout: 4 * time.Second, Share: 0.2},
 }
 
-const settingsForm = `{"balancers":%d,"me":%d,"tick_ms":2,"discovery":"pushed",
+const settingsTemplate = `{"balancers":%d,"me":%d,"tick_ms":2,"discovery":"pushed",
 "request_classes":[
  {"name":"card-read","aim_ms":300,"give_up_ms":1200,"effect":"read_like","group":"all","worth":2},
  {"name":"txn-write","aim_ms":500,"give_up_ms":2500,"effect":"idempotency_key","group":"cell","key_ttl_ms":%d,"worth":3},
@@ -47,20 +47,20 @@
  "free_resends":3,"extra_ratio":0.25,"resend_span_ms":5000},
 "extra":{"cold_units":%g,"unit_mean":%d,"largest":6,"slots_total":%d}}`
 
-// config is a scheduler's configuration.
-func (o Options) config(scheduler int, listen, discovery string, known []byte) []byte {
-	settings := fmt.Sprintf(settingsForm, o.Schedulers, scheduler, keyWindow.Milliseconds(),
-		volumeLimit/2, volumeLimit, limitDepth, limitSlack, mostAttempts,
-		drainGrace.Milliseconds(), fallTime.Milliseconds(), coldFrom, coldTime.Milliseconds(), coldUnits, unitMean, o.Servers)
+// schedulerConfig is a scheduler's configuration.
+func (o Options) schedulerConfig(scheduler int, listen, discovery string, known []byte) []byte {
+	settings := fmt.Sprintf(settingsTemplate, o.Schedulers, scheduler, keyTTL.Milliseconds(),
+		volumeRate/2, volumeRate, volumeBurst, volumeBurstSlack, maxAttempts,
+		drainGrace.Milliseconds(), overloadWindow.Milliseconds(), coldCapacity, warmUpTime.Milliseconds(), coldUnits, meanUnits, o.Servers)
 	return fmt.Appendf(nil, `{"name":"n%d","listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":%d,"sockets":%d},"known":%s,"settings":%s}`,
 		scheduler, listen, discovery, o.Seed<<16+uint64(scheduler)+1, o.MemoryMB, o.Sockets, known, settings)
 }
 
-// Terms are what a run of these options is held to.
-func (o Options) Terms() Terms {
-	return Terms{DrainGrace: drainGrace, KeyWindow: keyWindow, MostAttempts: mostAttempts,
-		ColdUnits: coldUnits, ColdFrom: coldFrom, FallTime: fallTime, ColdTime: coldTime,
-		Limit: volumeLimit, LimitDepth: limitDepth, LimitSlack: limitSlack, Slack: o.Slack}
+// Rules are what a run of these options is held to.
+func (o Options) Rules() Rules {
+	return Rules{DrainGrace: drainGrace, KeyTTL: keyTTL, MaxAttempts: maxAttempts,
+		ColdUnits: coldUnits, ColdCapacity: coldCapacity, OverloadWindow: overloadWindow, WarmUpTime: warmUpTime,
+		VolumeRate: volumeRate, VolumeBurst: volumeBurst, VolumeBurstSlack: volumeBurstSlack, HostSlack: o.HostSlack}
 }
 
 // stopGrace is the least time from SIGTERM to SIGKILL.
@@ -69,5 +69,5 @@
 	for _, c := range classes {
 		longest = max(longest, c.Timeout)
 	}
-	return min(longest, longestCounts) + killExtra
+	return min(longest, maxStopTimeout) + killMargin
 }
