--- a/internal/control/scheduler/faultscenario_test.go
+++ b/internal/control/scheduler/faultscenario_test.go
@@ -452,7 +452,7 @@
 func TestFaultScenario(t *testing.T) {
 	for seed := range uint64(8) {
 		sim := world.New(seed)
-		sim.Net.Delay = 200 * time.Microsecond
+		sim.DefaultLink.Delay = 200 * time.Microsecond
 		var scenario *faultScenario
 		err := sim.Run("n0", time.Minute, func(process *world.Process) {
 			scenario = newFaultScenario(process, seed)
--- a/internal/control/scheduler/harness_test.go
+++ b/internal/control/scheduler/harness_test.go
@@ -66,7 +66,7 @@
 func runSimulated(t *testing.T, respond func(standin.HTTPAsk) standin.HTTPAnswer, test func(*harness)) {
 	t.Helper()
 	sim := world.New(1)
-	sim.Net.Delay = 100 * time.Microsecond
+	sim.DefaultLink.Delay = 100 * time.Microsecond
 	err := sim.Run("n0", 10*time.Minute, func(process *world.Process) {
 		h := &harness{t: t, environment: process, schedulerAddr: "127.0.0.1:5000"}
 		var err error
--- a/internal/simulation/lab/fleet.go
+++ b/internal/simulation/lab/fleet.go
@@ -51,10 +51,10 @@
 	now    *settings.Settings // what hosts start with
 	ran    map[effectKey]bool // keyed and unsafe requests that took effect, in either region
 	again  int
-	gone   [2]bool   // regions that are lost as a whole
-	keep   string    // folder for the hosts' snapshots, or none
-	fixed  bool      // parts of limits never move
-	calm   world.Net // of the ways between regions
+	gone   [2]bool         // regions that are lost as a whole
+	keep   string          // folder for the hosts' snapshots, or none
+	fixed  bool            // parts of limits never move
+	calm   world.LinkState // of the ways between regions
 	losses []Loss
 	// counting guards what effects are counted in: disk servers call with locks held.
 	counting sync.Mutex
--- a/internal/simulation/lab/regionday.go
+++ b/internal/simulation/lab/regionday.go
@@ -59,22 +59,22 @@
 }
 
 func regionCut(d *day, _ *rand.Rand, len time.Duration) {
-	d.across(len, true, true, world.Net{Cut: true})
+	d.across(len, true, true, world.LinkState{Partitioned: true})
 }
 
 // regionHalf drops half of what passes between the regions.
 func regionHalf(d *day, _ *rand.Rand, len time.Duration) {
-	d.across(len, true, true, world.Net{Loss: 0.5})
+	d.across(len, true, true, world.LinkState{Loss: 0.5})
 }
 
 func regionOneWay(d *day, rng *rand.Rand, len time.Duration) {
 	there := rng.IntN(2) == 0
-	d.across(len, there, !there, world.Net{Cut: true})
+	d.across(len, there, !there, world.LinkState{Partitioned: true})
 }
 
 func regionSlow(d *day, rng *rand.Rand, len time.Duration) {
 	late := time.Duration(between(rng, 5, 80) * float64(time.Millisecond))
-	d.across(len, true, true, world.Net{Delay: late, Jitter: late})
+	d.across(len, true, true, world.LinkState{Delay: late, Jitter: late})
 }
 
 // regionHosts ends every host of the region that leads as the day begins, and one of the
@@ -90,8 +90,8 @@
 }
 
 // across changes the ways between the regions for a while.
-func (d *day) across(len time.Duration, there, back bool, n world.Net) {
-	set := func(n world.Net) {
+func (d *day) across(len time.Duration, there, back bool, n world.LinkState) {
+	set := func(n world.LinkState) {
 		if there {
 			d.fleet.Across(0, n)
 		}
@@ -106,7 +106,7 @@
 // inventoryCut has nobody reach any inventory, nor these each other, while hosts and disk
 // servers of both regions reach each other.
 func inventoryCut(d *day, _ *rand.Rand, len time.Duration) {
-	d.fleet.ToInventories(world.Net{Cut: true})
+	d.fleet.ToInventories(world.LinkState{Partitioned: true})
 	d.fleet.after(len, func() { d.fleet.ToInventories(d.fleet.calm) })
 }
 
--- a/internal/simulation/lab/regions.go
+++ b/internal/simulation/lab/regions.go
@@ -269,7 +269,7 @@
 }
 
 // Across gives the ways from programs of one region to those of the other a state.
-func (f *Fleet) Across(from int, n world.Net) {
+func (f *Fleet) Across(from int, n world.LinkState) {
 	for _, a := range f.programs(from) {
 		for _, b := range f.programs(1 - from) {
 			f.site.link(a, b, n)
@@ -278,7 +278,7 @@
 }
 
 // ToInventories gives the ways from and to the inventories a state.
-func (f *Fleet) ToInventories(n world.Net) {
+func (f *Fleet) ToInventories(n world.LinkState) {
 	all := append(f.programs(0), f.programs(1)...)
 	for r := range 2 {
 		inv := f.invs[r].name()
--- a/internal/simulation/lab/site.go
+++ b/internal/simulation/lab/site.go
@@ -20,9 +20,9 @@
 	// beside the side that dials or the one that listens.
 	wire(target string, byDialler bool, tap func(addr string) *standin.Tap) (wire, error)
 	// link gives the way from one program to another a state, by their lasting names.
-	link(from, to string, n world.Net)
+	link(from, to string, n world.LinkState)
 	// between is the state of the ways between two regions on a calm day.
-	between() world.Net
+	between() world.LinkState
 	// pace has a new program's clock run at so many times the world's, if the site can.
 	pace(w env.Environment, x float64)
 	// remains tells whether programs stay until they are told to end.
@@ -52,10 +52,10 @@
 	}
 	return l.links.Process(world.StableName(name))
 }
-func (l loopback) link(from, to string, n world.Net) {
-	l.links.Set(from, to, standin.Way{Delay: n.Delay, Loss: n.Loss, Cut: n.Cut})
+func (l loopback) link(from, to string, n world.LinkState) {
+	l.links.Set(from, to, standin.Way{Delay: n.Delay, Loss: n.Loss, Cut: n.Partitioned})
 }
-func (loopback) between() world.Net               { return world.Net{} }
+func (loopback) between() world.LinkState         { return world.LinkState{} }
 func (loopback) pace(env.Environment, float64)    {}
 func (loopback) crash(env.Environment, bool) bool { return false }
 func (loopback) remains() bool                    { return true }
@@ -74,18 +74,18 @@
 // virtual is the site in a virtual world.
 type virtual struct{ w *world.World }
 
-func (v virtual) link(from, to string, n world.Net) { v.w.Link(from, to).Set(n) }
-func (v virtual) between() world.Net {
-	return world.Net{Delay: 3 * time.Millisecond, Jitter: time.Millisecond}
+func (v virtual) link(from, to string, n world.LinkState) { v.w.Link(from, to).SetState(n) }
+func (v virtual) between() world.LinkState {
+	return world.LinkState{Delay: 3 * time.Millisecond, Jitter: time.Millisecond}
 }
-func (v virtual) pace(w env.Environment, x float64) { w.(*world.Process).Pace(x) }
+func (v virtual) pace(w env.Environment, x float64) { w.(*world.Process).SetClockRate(x) }
 
-func (v virtual) process(name string) env.Environment { return v.w.Process(name) }
+func (v virtual) process(name string) env.Environment { return v.w.StartProcess(name) }
 
 func (v virtual) crash(w env.Environment, power bool) bool {
 	how := world.Crash
 	if power {
-		how = world.Silent
+		how = world.HostLoss
 	}
 	w.(*world.Process).Kill(how)
 	return true
@@ -107,5 +107,5 @@
 }
 
 func (a *virtualWire) Address() string     { return a.addr }
-func (a *virtualWire) Point(target string) { a.w.Point(a.addr, target) }
+func (a *virtualWire) Point(target string) { a.w.RetargetAlias(a.addr, target) }
 func (a *virtualWire) Close()              {} // ends with its world
--- a/internal/simulation/lab/strikes.go
+++ b/internal/simulation/lab/strikes.go
@@ -48,13 +48,13 @@
 }
 
 // link gives the ways between a host and a disk server another state for a while.
-func link(d *day, w *world.World, host, disk string, there, back bool, len time.Duration, change func(*world.Net)) {
+func link(d *day, w *world.World, host, disk string, there, back bool, len time.Duration, change func(*world.LinkState)) {
 	set := func(from, to string) {
 		l := w.Link(from, to)
-		n := l.Net
+		n := l.LinkState
 		change(&n)
-		l.Set(n)
-		d.fleet.after(len, func() { l.Set(w.Net) })
+		l.SetState(n)
+		d.fleet.after(len, func() { l.SetState(w.DefaultLink) })
 	}
 	if there {
 		set(host, disk)
@@ -74,35 +74,39 @@
 }
 
 func linkCut(d *day, w *world.World, rng *rand.Rand, len time.Duration) {
-	pairs(d, rng, 0.15, func(h, s string) { link(d, w, h, s, true, true, len/2, func(n *world.Net) { n.Cut = true }) })
+	pairs(d, rng, 0.15, func(h, s string) {
+		link(d, w, h, s, true, true, len/2, func(n *world.LinkState) { n.Partitioned = true })
+	})
 }
 
 func linkOneWay(d *day, w *world.World, rng *rand.Rand, len time.Duration) {
 	there := rng.IntN(2) == 0
-	pairs(d, rng, 0.15, func(h, s string) { link(d, w, h, s, there, !there, len/2, func(n *world.Net) { n.Cut = true }) })
+	pairs(d, rng, 0.15, func(h, s string) {
+		link(d, w, h, s, there, !there, len/2, func(n *world.LinkState) { n.Partitioned = true })
+	})
 }
 
 func linkLoss(d *day, w *world.World, rng *rand.Rand, len time.Duration) {
 	loss := between(rng, 0.02, 0.3)
-	pairs(d, rng, 0.3, func(h, s string) { link(d, w, h, s, true, true, len, func(n *world.Net) { n.Loss = loss }) })
+	pairs(d, rng, 0.3, func(h, s string) { link(d, w, h, s, true, true, len, func(n *world.LinkState) { n.Loss = loss }) })
 }
 
 func linkSlow(d *day, w *world.World, rng *rand.Rand, len time.Duration) {
 	delay := time.Duration(between(rng, 2, 60) * float64(time.Millisecond))
 	pairs(d, rng, 0.4, func(h, s string) {
-		link(d, w, h, s, true, true, len, func(n *world.Net) { n.Delay, n.Jitter = delay, delay })
+		link(d, w, h, s, true, true, len, func(n *world.LinkState) { n.Delay, n.Jitter = delay, delay })
 	})
 }
 
 func linkSplit(d *day, w *world.World, rng *rand.Rand, len time.Duration) {
-	pairs(d, rng, 0.3, func(h, s string) { link(d, w, h, s, true, true, len, func(n *world.Net) { n.Split = true }) })
+	pairs(d, rng, 0.3, func(h, s string) { link(d, w, h, s, true, true, len, func(n *world.LinkState) { n.SplitReads = true }) })
 }
 
 // listHang has nothing pass between some hosts and the inventory, and nothing say so.
 func listHang(d *day, w *world.World, rng *rand.Rand, len time.Duration) {
 	for _, h := range some(rng, d.opt.Hosts, 0.5) {
 		inv := world.StableName(d.fleet.invs[d.fleet.regionOf(h)].name())
-		link(d, w, world.StableName(d.fleet.hosts[h].name), inv, true, true, len, func(n *world.Net) { n.Cut = true })
+		link(d, w, world.StableName(d.fleet.hosts[h].name), inv, true, true, len, func(n *world.LinkState) { n.Partitioned = true })
 	}
 }
 
@@ -124,13 +128,13 @@
 	i := rng.IntN(d.opt.Hosts)
 	h := d.fleet.hosts[i]
 	p, name := h.world.(*world.Process), h.name
-	p.DieAfterWrites(1+rng.IntN(200), func() { d.fleet.Rec.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Killed, Host: name}) })
+	p.CrashAfterWrites(1+rng.IntN(200), func() { d.fleet.Rec.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Killed, Host: name}) })
 	d.fleet.after(len/2, func() {
 		if p.Dead() {
 			d.fleet.KillHost(i, 500*time.Millisecond)
 			return
 		}
-		p.DieAfterWrites(0, nil) // it wrote too little
+		p.CrashAfterWrites(0, nil) // it wrote too little
 	})
 }
 
@@ -150,5 +154,5 @@
 // clockJump sets a host's clock forward.
 func clockJump(d *day, _ *world.World, rng *rand.Rand, _ time.Duration) {
 	p := d.fleet.hosts[rng.IntN(d.opt.Hosts)].world.(*world.Process)
-	p.Jump(time.Duration(between(rng, 0.02, 3) * float64(time.Second)))
+	p.AdvanceClock(time.Duration(between(rng, 0.02, 3) * float64(time.Second)))
 }
--- a/internal/simulation/world/lint_test.go
+++ b/internal/simulation/world/lint_test.go
@@ -24,17 +24,17 @@
 // shells run in the world: all that they do to the outside goes through package env.
 var shells = []string{"gateway", "writequeue", "initiator", "standin", "bgp", "inventory", "scheduler"}
 
-// outside are the lines that a world has no part in, each with its reason.
-var outside = map[string]string{
+// allowedFindings are the lines that a world has no part in, each with its reason.
+var allowedFindings = map[string]string{
 	"gateway/gateway.go: go statement": "the admin API of HTTP, which a world has not",
 }
 
-var coreImports = []string{"net", "net/http", "os", "os/exec", "time", "context", "sync", "crypto/rand", "math/rand", "runtime"}
+var forbiddenCoreImports = []string{"net", "net/http", "os", "os/exec", "time", "context", "sync", "crypto/rand", "math/rand", "runtime"}
 
-var shellImports = []string{"os/exec", "crypto/rand", "math/rand"}
+var forbiddenShellImports = []string{"os/exec", "crypto/rand", "math/rand"}
 
-// shellCalls reach past package env.
-var shellCalls = map[string][]string{
+// forbiddenShellCalls reach past package env.
+var forbiddenShellCalls = map[string][]string{
 	"time":    {"Now", "Sleep", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick", "Since", "Until"},
 	"net":     {"Dial", "DialTimeout", "Listen", "ListenPacket"},
 	"rand":    {"Int", "IntN", "Float64", "Uint64", "Uint64N", "Perm", "Shuffle", "N", "Int64N", "Read"},
@@ -42,17 +42,17 @@
 	"context": {"WithTimeout", "WithDeadline"},
 }
 
-// lint names what in a file reaches past package env; core is stricter.
-func lint(name string, src any, core bool) (found []string, err error) {
+// forbiddenUses names what in a file reaches past package env; core is stricter.
+func forbiddenUses(name string, src any, core bool) (found []string, err error) {
 	set := token.NewFileSet()
 	f, err := parser.ParseFile(set, name, src, 0)
 	if err != nil {
 		return nil, err
 	}
 	say := func(format string, args ...any) { found = append(found, name+": "+fmt.Sprintf(format, args...)) }
-	barred := shellImports
+	barred := forbiddenShellImports
 	if core {
-		barred = coreImports
+		barred = forbiddenCoreImports
 	}
 	for _, im := range f.Imports {
 		path, _ := strconv.Unquote(im.Path.Value)
@@ -78,7 +78,7 @@
 			if x.Name == "sync" && (n.Sel.Name == "WaitGroup" || n.Sel.Name == "Cond" || n.Sel.Name == "NewCond") {
 				say("sync.%s", n.Sel.Name)
 			}
-			for _, c := range shellCalls[x.Name] {
+			for _, c := range forbiddenShellCalls[x.Name] {
 				if n.Sel.Name == c {
 					say("%s.%s", x.Name, c)
 				}
@@ -90,10 +90,10 @@
 }
 
 // Nothing that runs in the world reaches past package env.
-func TestNothingReachesPastTheEnvironment(t *testing.T) {
+func TestOnlyEnvReachesOutside(t *testing.T) {
 	files := 0
 	look := func(dir string, core bool, only func(file string) bool) {
-		names := sources(t, dir)
+		names := sourceFiles(t, dir)
 		for _, n := range names {
 			if strings.HasSuffix(n, "_test.go") || !only(filepath.Base(n)) {
 				continue
@@ -103,12 +103,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			found, err := lint(dir+"/"+filepath.Base(n), src, core)
+			found, err := forbiddenUses(dir+"/"+filepath.Base(n), src, core)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, s := range found {
-				if outside[s] == "" {
+				if allowedFindings[s] == "" {
 					t.Error(s)
 				}
 			}
@@ -125,8 +125,8 @@
 	}
 }
 
-// sources are the files of a package, which stands at the top or in a group under internal.
-func sources(t *testing.T, name string) []string {
+// sourceFiles are the files of a package, which stands at the top or in a group under internal.
+func sourceFiles(t *testing.T, name string) []string {
 	t.Helper()
 	for _, folder := range []string{filepath.Join("..", "..", "..", name), filepath.Join("..", "..", "*", name)} {
 		files, err := filepath.Glob(filepath.Join(folder, "*.go"))
@@ -151,18 +151,18 @@
 }
 
 // The check rejects each thing that it is for.
-func TestLintRejects(t *testing.T) {
+func TestForbiddenUsesRejects(t *testing.T) {
 	for _, bad := range []string{
 		"import \"time\"\nfunc f() { time.Now() }", "import \"time\"\nfunc f() { time.Sleep(1) }", "func f() { go f() }",
 		"var c chan int", "func f() { select {} }", "import \"sync\"\nvar w sync.WaitGroup", "import \"net\"\nfunc f() { net.Dial(\"\", \"\") }",
 		"import \"math/rand/v2\"\nvar x = rand.IntN(3)", "import \"crypto/rand\"", "import \"runtime\"\nvar n = runtime.GOMAXPROCS(0)",
 	} {
-		if found, err := lint("x.go", "package x\n"+bad, false); err != nil || len(found) == 0 {
+		if found, err := forbiddenUses("x.go", "package x\n"+bad, false); err != nil || len(found) == 0 {
 			t.Errorf("not rejected: %s (%v)", bad, err)
 		}
 	}
 	for _, bad := range []string{"import \"net\"", "import \"sync\"", "import \"time\"", "import \"os\""} {
-		if found, err := lint("x.go", "package x\n"+bad, true); err != nil || len(found) == 0 {
+		if found, err := forbiddenUses("x.go", "package x\n"+bad, true); err != nil || len(found) == 0 {
 			t.Errorf("not rejected in a core: %s (%v)", bad, err)
 		}
 	}
--- a/internal/simulation/world/net.go
+++ b/internal/simulation/world/net.go
@@ -13,36 +13,36 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// Net is the state of a link in one direction.
-type Net struct {
-	Delay  time.Duration
-	Jitter time.Duration // up to so much more, drawn for each segment
-	Loss   float64       // part of the segments that are lost and sent again
-	Split  bool          // the reader gets a few bytes at a time
-	// Cut: nothing passes. What was sent waits at the sender, as with TCP, and goes on
+// LinkState is the state of a link in one direction.
+type LinkState struct {
+	Delay      time.Duration
+	Jitter     time.Duration // up to so much more, drawn for each segment
+	Loss       float64       // part of the segments that are lost and sent again
+	SplitReads bool          // the reader gets a few bytes at a time
+	// Partitioned: nothing passes. What was sent waits at the sender, as with TCP, and goes on
 	// some time after the cut has ended.
-	Cut bool
+	Partitioned bool
 }
 
 // Link is a way from one process to another that has a state of its own.
 type Link struct {
-	Net
-	w    *World
-	held []*conn // with segments that a cut keeps back
+	LinkState
+	w            *World
+	blockedConns []*conn // with segments that a cut keeps back
 }
 
 // Names of processes, without the number of their start.
 type linkKey struct{ from, to string }
 
 const (
-	// window bounds the bytes that are on the way or unread, a direction.
-	window = 256 << 10
-	// resend is the first time after which a lost segment is sent again; each further
+	// maxInFlight bounds the bytes that are on the way or unread, a direction.
+	maxInFlight = 256 << 10
+	// initialRTO is the first time after which a lost segment is sent again; each further
 	// one takes twice as long (RFC 6298 section 5.5, with the least time of common
 	// systems).
-	resend = 200 * time.Millisecond
-	// resendMost bounds how long after a cut its end is noticed.
-	resendMost = 2 * time.Second
+	initialRTO = 200 * time.Millisecond
+	// maxRecoveryDelay bounds how long after a cut its end is noticed.
+	maxRecoveryDelay = 2 * time.Second
 )
 
 // Link returns the way from one process to another, by the names that stay when a
@@ -51,25 +51,25 @@
 	k := linkKey{from, to}
 	l := w.links[k]
 	if l == nil {
-		l = &Link{Net: w.Net, w: w}
+		l = &Link{LinkState: w.DefaultLink, w: w}
 		w.links[k] = l
 	}
 	return l
 }
 
-// Set changes the link.
-func (l *Link) Set(n Net) {
-	l.w.mark('l', uint64(n.Delay), int(n.Loss*1000))
-	healed := l.Cut && !n.Cut
-	l.Net = n
+// SetState changes the link.
+func (l *Link) SetState(n LinkState) {
+	l.w.hashEvent('l', uint64(n.Delay), int(n.Loss*1000))
+	healed := l.Partitioned && !n.Partitioned
+	l.LinkState = n
 	if !healed {
 		return
 	}
-	held := l.held
-	l.held = nil
+	held := l.blockedConns
+	l.blockedConns = nil
 	for _, c := range held {
-		again := time.Duration(l.w.rng.Int64N(int64(resendMost)))
-		l.w.at(again, c.resume)
+		again := time.Duration(l.w.rng.Int64N(int64(maxRecoveryDelay)))
+		l.w.schedule(again, c.resumeSending)
 	}
 }
 
@@ -99,34 +99,34 @@
 
 // alias is an address behind which a listener can change, and which may be observed.
 type alias struct {
-	target  string
-	dialler bool // the observer stands by the dialling side
-	observe func() Observer
+	target      string
+	atDialler   bool // the observer stands by the dialling side
+	newObserver func() Observer
 }
 
 // Alias makes an address that leads to target. observe, if any, is called for each
 // connection made to it; its observer stands by the dialling or the listening side.
 func (w *World) Alias(target string, byDialler bool, observe func() Observer) string {
-	a := w.port()
+	a := w.newAddress()
 	w.aliases[a] = &alias{target, byDialler, observe}
 	return a
 }
 
-// Point has an alias lead elsewhere from now on.
-func (w *World) Point(name, target string) { w.aliases[name].target = target }
+// RetargetAlias has an alias lead elsewhere from now on.
+func (w *World) RetargetAlias(name, target string) { w.aliases[name].target = target }
 
-func (w *World) port() string {
+func (w *World) newAddress() string {
 	w.nextPort++
 	return fmt.Sprintf("127.0.0.1:%d", w.nextPort)
 }
 
 // listener implements net.Listener.
 type listener struct {
-	p       *Process
-	addr    addr
-	backlog []*conn
-	wait    *parker
-	closed  bool
+	proc         *Process
+	addr         addr
+	backlog      []*conn
+	acceptParker *parker
+	closed       bool
 }
 
 // Listen implements env.Environment.
@@ -135,14 +135,14 @@
 		return nil, &net.OpError{Op: "listen", Net: network, Err: net.UnknownNetworkError(network)}
 	}
 	if address == "127.0.0.1:0" {
-		address = p.w.port()
+		address = p.world.newAddress()
 	}
-	if p.dead || p.w.listeners[address] != nil {
+	if p.dead || p.world.listeners[address] != nil {
 		return nil, &net.OpError{Op: "listen", Net: network, Err: syscall.EADDRINUSE}
 	}
-	l := &listener{p: p, addr: addr(address), wait: &parker{w: p.w}}
-	p.w.listeners[address] = l
-	p.ports = append(p.ports, l)
+	l := &listener{proc: p, addr: addr(address), acceptParker: &parker{world: p.world}}
+	p.world.listeners[address] = l
+	p.listeners = append(p.listeners, l)
 	return l, nil
 }
 
@@ -157,7 +157,7 @@
 			l.backlog = l.backlog[1:]
 			return c, nil
 		}
-		l.wait.Park()
+		l.acceptParker.Park()
 	}
 }
 
@@ -166,24 +166,24 @@
 
 // Close implements net.Listener.
 func (l *listener) Close() error {
-	if l.closed || l.p.dead {
+	if l.closed || l.proc.dead {
 		return net.ErrClosed
 	}
-	l.shut()
+	l.shutdown()
 	return nil
 }
 
-func (l *listener) shut() {
+func (l *listener) shutdown() {
 	if l.closed {
 		return
 	}
 	l.closed = true
-	delete(l.p.w.listeners, string(l.addr))
+	delete(l.proc.world.listeners, string(l.addr))
 	for _, c := range l.backlog {
 		c.Close()
 	}
 	l.backlog = nil
-	l.wait.Unpark()
+	l.acceptParker.Unpark()
 }
 
 // Dial implements env.Environment.
@@ -194,22 +194,22 @@
 	if within <= 0 {
 		within = time.Minute
 	}
-	w, end := p.w, p.w.now+within
+	w, end := p.world, p.world.now+within
 	target, a := address, w.aliases[address]
 	if a != nil {
 		target = a.target
 	}
-	for try := resend; ; try *= 2 {
+	for try := initialRTO; ; try *= 2 {
 		if err := ctx.Err(); err != nil {
 			return fail(err)
 		}
 		l := w.listeners[target]
 		if l == nil { // refused by the machine, which is there
-			w.sleep(p, min(2*w.Net.Delay, end-w.now))
+			w.sleep(p, min(2*w.DefaultLink.Delay, end-w.now))
 			return fail(syscall.ECONNREFUSED)
 		}
-		out, back := w.Link(StableName(p.name), StableName(l.p.name)), w.Link(StableName(l.p.name), StableName(p.name))
-		if out.Cut || back.Cut || w.rng.Float64() < out.Loss+back.Loss-out.Loss*back.Loss {
+		out, back := w.Link(StableName(p.name), StableName(l.proc.name)), w.Link(StableName(l.proc.name), StableName(p.name))
+		if out.Partitioned || back.Partitioned || w.rng.Float64() < out.Loss+back.Loss-out.Loss*back.Loss {
 			if w.now+try >= end {
 				w.sleep(p, end-w.now)
 				return fail(os.ErrDeadlineExceeded)
@@ -218,7 +218,7 @@
 			continue
 		}
 		c := w.connect(p, l, address, a, out, back)
-		w.sleep(p, out.delay()+back.delay())
+		w.sleep(p, out.drawDelay()+back.drawDelay())
 		if l.closed {
 			c.Close()
 			return fail(syscall.ECONNREFUSED)
@@ -229,9 +229,9 @@
 
 // sleep has the running goroutine of p wait.
 func (w *World) sleep(p *Process, d time.Duration) {
-	k := &parker{w: w}
+	k := &parker{world: w}
 	over := false
-	w.at(d, func() {
+	w.schedule(d, func() {
 		over = true
 		k.Unpark()
 	})
@@ -239,11 +239,11 @@
 		k.Park()
 	}
 	if p.dead {
-		panic(killed{})
+		panic(processKilled{})
 	}
 }
 
-func (l *Link) delay() time.Duration {
+func (l *Link) drawDelay() time.Duration {
 	d := l.Delay
 	if l.Jitter > 0 {
 		d += time.Duration(l.w.rng.Int64N(int64(l.Jitter)))
@@ -254,62 +254,62 @@
 // connect makes both ends; the listener has its end once the first segment is there.
 func (w *World) connect(p *Process, l *listener, name string, a *alias, out, back *Link) *conn {
 	w.nextConn++
-	near := &conn{w: w, p: p, id: 2 * w.nextConn, up: true, local: addr(w.port()), remote: addr(name), link: out}
-	far := &conn{w: w, p: l.p, id: 2*w.nextConn + 1, local: l.addr, remote: near.local, link: back}
+	near := &conn{world: w, proc: p, id: 2 * w.nextConn, fromDialler: true, local: addr(w.newAddress()), remote: addr(name), link: out}
+	far := &conn{world: w, proc: l.proc, id: 2*w.nextConn + 1, local: l.addr, remote: near.local, link: back}
 	near.peer, far.peer = far, near
 	for _, c := range []*conn{near, far} {
-		c.reader, c.writer = &parker{w: w}, &parker{w: w}
-		c.p.conns = append(c.p.conns, c)
+		c.readParker, c.writeParker = &parker{world: w}, &parker{world: w}
+		c.proc.conns = append(c.proc.conns, c)
 	}
-	if a != nil && a.observe != nil {
+	if a != nil && a.newObserver != nil {
 		by := far
-		if a.dialler {
+		if a.atDialler {
 			by = near
 		}
-		by.observer = a.observe()
+		by.observer = a.newObserver()
 	}
-	first := out.delay()
-	near.arrive = w.now + first
-	w.at(first, func() {
+	first := out.drawDelay()
+	near.lastArrival = w.now + first
+	w.schedule(first, func() {
 		if l.closed {
 			far.reset()
 			near.reset()
 			return
 		}
 		l.backlog = append(l.backlog, far)
-		l.wait.Unpark()
+		l.acceptParker.Unpark()
 	})
 	return near
 }
 
 // conn is one end of a connection. It implements net.Conn.
 type conn struct {
-	w             *World
-	p             *Process
+	world         *World
+	proc          *Process
 	peer          *conn
 	id            uint64
-	up            bool // the dialling side's
+	fromDialler   bool // the dialling side's
 	local, remote addr
 	link          *Link // on which it sends
 	observer      Observer
-	observed      bool // its end has been told
-
-	in         [][]byte // that came and is unread
-	unread     int
-	ended      bool // the other side's end has come
-	broken     bool // by a reset
-	closed     bool
-	half       bool // this side sends no more
-	gone       bool // its machine is gone: what comes is not answered
-	flying     int  // bytes that it sent and the other side has not read
-	arrive     time.Duration
-	kept       []segment // back, by a cut
-	reader     *parker
-	writer     *parker
-	readBy     time.Duration // 0: no limit
-	writeBy    time.Duration
-	readArmed  time.Duration
-	writeArmed time.Duration
+	closeObserved bool // its end has been told
+
+	received           [][]byte // that came and is unread
+	unreadBytes        int
+	finReceived        bool // the other side's end has come
+	resetReceived      bool // by a reset
+	closed             bool
+	writeClosed        bool // this side sends no more
+	hostLost           bool // its machine is gone: what comes is not answered
+	inFlight           int  // bytes that it sent and the other side has not read
+	lastArrival        time.Duration
+	blockedSegments    []segment // back, by a cut
+	readParker         *parker
+	writeParker        *parker
+	readDeadline       time.Duration // 0: no limit
+	writeDeadline      time.Duration
+	armedReadDeadline  time.Duration
+	armedWriteDeadline time.Duration
 }
 
 // segment is bytes on the way, or the end of a direction.
@@ -323,65 +323,65 @@
 	if err := c.WaitReadable(); err != nil {
 		return 0, err
 	}
-	return c.take(b), nil
+	return c.consume(b), nil
 }
 
 // ReadAvailable reads what has come, and waits for nothing.
 func (c *conn) ReadAvailable(b []byte) (int, error) {
-	if err := c.come(); err != nil {
+	if err := c.readState(); err != nil {
 		return 0, err
 	}
-	return c.take(b), nil
+	return c.consume(b), nil
 }
 
 // WaitReadable waits until bytes have come, and leaves them.
 func (c *conn) WaitReadable() error {
 	for {
-		if err := c.come(); err != env.ErrNoData {
+		if err := c.readState(); err != env.ErrNoData {
 			return err
 		}
-		if c.readBy != 0 && c.w.now >= c.readBy {
+		if c.readDeadline != 0 && c.world.now >= c.readDeadline {
 			return os.ErrDeadlineExceeded
 		}
-		if c.readBy != 0 && c.readArmed != c.readBy {
-			c.readArmed = c.readBy
-			c.w.at(c.readBy-c.w.now, c.reader.Unpark)
+		if c.readDeadline != 0 && c.armedReadDeadline != c.readDeadline {
+			c.armedReadDeadline = c.readDeadline
+			c.world.schedule(c.readDeadline-c.world.now, c.readParker.Unpark)
 		}
-		c.reader.Park()
+		c.readParker.Park()
 	}
 }
 
-// come tells what a read finds now: nil where bytes have come.
-func (c *conn) come() error {
+// readState tells what a read finds now: nil where bytes have readState.
+func (c *conn) readState() error {
 	switch {
 	case c.closed:
 		return net.ErrClosed
-	case c.unread > 0:
+	case c.unreadBytes > 0:
 		return nil
-	case c.broken:
+	case c.resetReceived:
 		return syscall.ECONNRESET
-	case c.ended:
+	case c.finReceived:
 		return io.EOF
 	}
 	return env.ErrNoData
 }
 
-func (c *conn) take(b []byte) int {
-	if c.peer.link.Split {
-		b = b[:min(len(b), 1+c.w.rng.IntN(7))]
+func (c *conn) consume(b []byte) int {
+	if c.peer.link.SplitReads {
+		b = b[:min(len(b), 1+c.world.rng.IntN(7))]
 	}
 	n := 0
-	for n < len(b) && len(c.in) > 0 {
-		k := copy(b[n:], c.in[0])
+	for n < len(b) && len(c.received) > 0 {
+		k := copy(b[n:], c.received[0])
 		n += k
-		if c.in[0] = c.in[0][k:]; len(c.in[0]) == 0 {
-			c.in[0] = nil
-			c.in = c.in[1:]
+		if c.received[0] = c.received[0][k:]; len(c.received[0]) == 0 {
+			c.received[0] = nil
+			c.received = c.received[1:]
 		}
 	}
-	c.unread -= n
-	c.peer.flying -= n
-	c.peer.writer.Unpark()
+	c.unreadBytes -= n
+	c.peer.inFlight -= n
+	c.peer.writeParker.Unpark()
 	return n
 }
 
@@ -392,157 +392,157 @@
 		switch {
 		case c.closed:
 			return n, net.ErrClosed
-		case c.half:
+		case c.writeClosed:
 			return n, syscall.EPIPE
-		case c.broken:
+		case c.resetReceived:
 			return n, syscall.ECONNRESET
 		case n == len(b):
-			c.p.wrote()
+			c.proc.countWrite()
 			return n, nil
 		}
-		if room := window - c.flying; room > 0 {
+		if room := maxInFlight - c.inFlight; room > 0 {
 			k := min(room, len(b)-n)
 			data := slices.Clone(b[n : n+k])
 			n += k
-			c.flying += k
+			c.inFlight += k
 			if c.observer != nil {
-				c.observer.Bytes(c.up, data)
+				c.observer.Bytes(c.fromDialler, data)
 			}
-			c.send(segment{data: data})
+			c.sendSegment(segment{data: data})
 			continue
 		}
-		if c.writeBy != 0 && c.w.now >= c.writeBy {
+		if c.writeDeadline != 0 && c.world.now >= c.writeDeadline {
 			return n, os.ErrDeadlineExceeded
 		}
-		if c.writeBy != 0 && c.writeArmed != c.writeBy {
-			c.writeArmed = c.writeBy
-			c.w.at(c.writeBy-c.w.now, c.writer.Unpark)
+		if c.writeDeadline != 0 && c.armedWriteDeadline != c.writeDeadline {
+			c.armedWriteDeadline = c.writeDeadline
+			c.world.schedule(c.writeDeadline-c.world.now, c.writeParker.Unpark)
 		}
-		c.writer.Park()
+		c.writeParker.Park()
 	}
 }
 
-// send puts a segment on the link, in order.
-func (c *conn) send(s segment) {
+// sendSegment puts a segment on the link, in order.
+func (c *conn) sendSegment(s segment) {
 	l := c.link
-	if l.Cut || len(c.kept) > 0 {
-		if c.kept = append(c.kept, s); len(c.kept) == 1 {
-			l.held = append(l.held, c)
+	if l.Partitioned || len(c.blockedSegments) > 0 {
+		if c.blockedSegments = append(c.blockedSegments, s); len(c.blockedSegments) == 1 {
+			l.blockedConns = append(l.blockedConns, c)
 		}
 		return
 	}
-	at := c.w.now + l.delay()
-	for again := resend; l.Loss > 0 && c.w.rng.Float64() < l.Loss && again < 16*resend; again *= 2 {
+	at := c.world.now + l.drawDelay()
+	for again := initialRTO; l.Loss > 0 && c.world.rng.Float64() < l.Loss && again < 16*initialRTO; again *= 2 {
 		at += again
 	}
-	at = max(at, c.arrive)
-	c.arrive = at
-	c.w.mark('>', c.id, len(s.data))
-	c.w.digest.Write(s.data)
+	at = max(at, c.lastArrival)
+	c.lastArrival = at
+	c.world.hashEvent('>', c.id, len(s.data))
+	c.world.digest.Write(s.data)
 	to := c.peer
-	c.w.at(at-c.w.now, func() { to.deliver(s) })
+	c.world.schedule(at-c.world.now, func() { to.deliver(s) })
 }
 
-// resume sends what a cut kept back, unless there is a new one.
-func (c *conn) resume() {
-	kept := c.kept
+// resumeSending sends what a cut kept back, unless there is a new one.
+func (c *conn) resumeSending() {
+	kept := c.blockedSegments
 	if len(kept) == 0 {
 		return
 	}
-	c.kept = nil
+	c.blockedSegments = nil
 	for _, s := range kept {
-		c.send(s)
+		c.sendSegment(s)
 	}
 }
 
 func (c *conn) deliver(s segment) {
-	c.w.mark('<', c.id, len(s.data))
+	c.world.hashEvent('<', c.id, len(s.data))
 	switch {
-	case c.gone:
+	case c.hostLost:
 		return
-	case c.closed || c.broken:
+	case c.closed || c.resetReceived:
 		if !s.fin { // nobody reads it: the sender learns of that
-			c.w.at(c.link.delay(), c.peer.reset)
+			c.world.schedule(c.link.drawDelay(), c.peer.reset)
 		}
 		return
 	case s.fin:
-		c.ended = true
-		c.tellEnd(c.peer.up)
+		c.finReceived = true
+		c.notifyClosed(c.peer.fromDialler)
 	default:
 		if c.observer != nil {
-			c.observer.Bytes(c.peer.up, s.data)
+			c.observer.Bytes(c.peer.fromDialler, s.data)
 		}
-		c.in = append(c.in, s.data)
-		c.unread += len(s.data)
+		c.received = append(c.received, s.data)
+		c.unreadBytes += len(s.data)
 	}
-	c.reader.Unpark()
+	c.readParker.Unpark()
 }
 
 // reset breaks the connection at this end.
 func (c *conn) reset() {
-	if c.closed || c.broken {
+	if c.closed || c.resetReceived {
 		return
 	}
-	c.broken = true
-	c.tellEnd(c.peer.up)
-	c.reader.Unpark()
-	c.writer.Unpark()
+	c.resetReceived = true
+	c.notifyClosed(c.peer.fromDialler)
+	c.readParker.Unpark()
+	c.writeParker.Unpark()
 }
 
-func (c *conn) tellEnd(up bool) {
-	if c.observer != nil && !c.observed {
-		c.observed = true
+func (c *conn) notifyClosed(up bool) {
+	if c.observer != nil && !c.closeObserved {
+		c.closeObserved = true
 		c.observer.Closed(up)
 	}
 }
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	if c.closed || c.p.dead {
+	if c.closed || c.proc.dead {
 		return net.ErrClosed
 	}
-	c.shut()
-	if i := slices.Index(c.p.conns, c); i >= 0 {
-		c.p.conns = slices.Delete(c.p.conns, i, i+1)
+	c.closeSide()
+	if i := slices.Index(c.proc.conns, c); i >= 0 {
+		c.proc.conns = slices.Delete(c.proc.conns, i, i+1)
 	}
 	return nil
 }
 
-// shut ends this side; what it had sent still goes.
-func (c *conn) shut() {
+// closeSide ends this side; what it had sent still goes.
+func (c *conn) closeSide() {
 	c.closed = true
-	c.tellEnd(c.up)
-	if !c.broken && !c.half {
-		c.send(segment{fin: true})
+	c.notifyClosed(c.fromDialler)
+	if !c.resetReceived && !c.writeClosed {
+		c.sendSegment(segment{fin: true})
 	}
-	c.reader.Unpark()
-	c.writer.Unpark()
+	c.readParker.Unpark()
+	c.writeParker.Unpark()
 }
 
 // CloseWrite ends what this side sends.
 func (c *conn) CloseWrite() error {
-	if c.closed || c.broken || c.p.dead {
+	if c.closed || c.resetReceived || c.proc.dead {
 		return net.ErrClosed
 	}
-	if !c.half {
-		c.half = true
-		c.send(segment{fin: true})
-		c.writer.Unpark()
+	if !c.writeClosed {
+		c.writeClosed = true
+		c.sendSegment(segment{fin: true})
+		c.writeParker.Unpark()
 	}
 	return nil
 }
 
-// abandon ends this side with its process.
-func (c *conn) abandon(how Ending) {
+// closeWithProcess ends this side with its process.
+func (c *conn) closeWithProcess(how KillMode) {
 	if c.closed {
 		return
 	}
-	if how == Silent {
-		c.closed, c.gone = true, true
-		c.tellEnd(c.up)
+	if how == HostLoss {
+		c.closed, c.hostLost = true, true
+		c.notifyClosed(c.fromDialler)
 		return
 	}
-	c.shut()
+	c.closeSide()
 }
 
 // LocalAddr implements net.Conn.
@@ -559,19 +559,19 @@
 
 // SetReadDeadline implements net.Conn.
 func (c *conn) SetReadDeadline(t time.Time) error {
-	c.readBy = since(t)
-	c.reader.Unpark()
+	c.readDeadline = sinceEpoch(t)
+	c.readParker.Unpark()
 	return nil
 }
 
 // SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(t time.Time) error {
-	c.writeBy = since(t)
-	c.writer.Unpark()
+	c.writeDeadline = sinceEpoch(t)
+	c.writeParker.Unpark()
 	return nil
 }
 
-func since(t time.Time) time.Duration {
+func sinceEpoch(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
 	}
--- a/internal/simulation/world/world.go
+++ b/internal/simulation/world/world.go
@@ -21,18 +21,18 @@
 // World is one virtual machine room. It is used from one goroutine: that of Run, and
 // those which Run runs.
 type World struct {
-	Steps  uint64 // events and turns of goroutines so far
-	Net    Net    // the network's ordinary state, for links that have none of their own
-	now    time.Duration
-	seq    uint64
-	queue  []event
-	ready  fifo
-	cur    *task
-	rng    *rand.Rand
-	seed   uint64
-	digest *xxhash.Digest
-	procs  []*Process
-	urgent []func()
+	Steps        uint64    // events and turns of goroutines so far
+	DefaultLink  LinkState // the network's ordinary state, for links that have none of their own
+	now          time.Duration
+	lastEventSeq uint64
+	events       []event
+	readyTasks   taskQueue
+	running      *task
+	rng          *rand.Rand
+	seed         uint64
+	digest       *xxhash.Digest
+	processes    []*Process
+	immediate    []func()
 
 	listeners map[string]*listener
 	aliases   map[string]*alias
@@ -40,21 +40,21 @@
 	nextPort  int
 	nextConn  uint64
 
-	halted error
+	haltErr error
 }
 
 // event is something that happens at a time; equals happen in the order in which they
 // were set.
 type event struct {
-	at    time.Duration
-	seq   uint64
-	f     func()
-	timer *timer // of a process, which may be stalled, killed or its clock jump
+	at     time.Duration
+	seq    uint64
+	action func()
+	timer  *timer // of a process, which may be stalled, killed or its clock jump
 }
 
 // New makes an empty world. Equal seeds and equal programs make equal runs.
 func New(seed uint64) *World {
-	return &World{Net: Net{Delay: 100 * time.Microsecond, Jitter: 50 * time.Microsecond}, rng: rand.New(rand.NewPCG(seed, 31)), seed: seed,
+	return &World{DefaultLink: LinkState{Delay: 100 * time.Microsecond, Jitter: 50 * time.Microsecond}, rng: rand.New(rand.NewPCG(seed, 31)), seed: seed,
 		digest: xxhash.New(), listeners: map[string]*listener{}, aliases: map[string]*alias{}, links: map[linkKey]*Link{}, nextPort: 20000}
 }
 
@@ -66,19 +66,19 @@
 
 // Halt ends Run with that error as soon as the present turn is over.
 func (w *World) Halt(err error) {
-	if w.halted == nil {
-		w.halted = err
+	if w.haltErr == nil {
+		w.haltErr = err
 	}
 }
 
 // StuckError says that a run did not come to its end.
 type StuckError struct {
-	At   time.Duration
-	Idle bool // nothing was left that could ever happen
+	At       time.Duration
+	NoEvents bool // nothing was left that could ever happen
 }
 
 func (e *StuckError) Error() string {
-	if e.Idle {
+	if e.NoEvents {
 		return fmt.Sprintf("world: nothing can happen any more at %.3f s", e.At.Seconds())
 	}
 	return fmt.Sprintf("world: not at its end by %.3f s", e.At.Seconds())
@@ -100,143 +100,145 @@
 // happen any more, when a program panics, or with what Halt was told. Afterwards every
 // process is dead.
 func (w *World) Run(name string, most time.Duration, main func(p *Process)) error {
-	defer w.end()
+	defer w.killAll()
 	over := false
-	p := w.Process(name)
+	p := w.StartProcess(name)
 	p.Go(func() {
 		main(p)
 		over = true
 	})
-	for w.halted == nil && !over {
+	for w.haltErr == nil && !over {
 		if !w.step(most) {
-			return w.halted
+			return w.haltErr
 		}
 	}
-	return w.halted
+	return w.haltErr
 }
 
 // step does the next thing; false if there is none, or it is too late for it.
 func (w *World) step(most time.Duration) bool {
 	w.Steps++
-	if len(w.urgent) > 0 {
-		f := w.urgent[0]
-		w.urgent = w.urgent[1:]
+	if len(w.immediate) > 0 {
+		f := w.immediate[0]
+		w.immediate = w.immediate[1:]
 		f()
 		return true
 	}
-	if t := w.ready.pop(); t != nil {
-		w.turn(t)
+	if t := w.readyTasks.pop(); t != nil {
+		w.runTask(t)
 		return true
 	}
-	if len(w.queue) == 0 || w.queue[0].at > most {
-		w.Halt(&StuckError{w.now, len(w.queue) == 0})
+	if len(w.events) == 0 || w.events[0].at > most {
+		w.Halt(&StuckError{w.now, len(w.events) == 0})
 		return false
 	}
-	e := w.pop()
+	e := w.popEvent()
 	w.now = max(w.now, e.at)
 	if e.timer != nil {
 		e.timer.fire()
 	} else {
-		e.f()
+		e.action()
 	}
 	return true
 }
 
-// end kills what still runs, so that no goroutine is left behind.
-func (w *World) end() {
-	for _, p := range w.procs {
-		p.Kill(Silent)
+// killAll kills what still runs, so that no goroutine is left behind.
+func (w *World) killAll() {
+	for _, p := range w.processes {
+		p.Kill(HostLoss)
 	}
 }
 
-// mark enters something that happened into the digest.
-func (w *World) mark(kind byte, who uint64, n int) {
+// hashEvent enters something that happened into the digest.
+func (w *World) hashEvent(kind byte, who uint64, n int) {
 	var b [25]byte
 	b[0] = kind
-	put(b[1:], uint64(w.now))
-	put(b[9:], who)
-	put(b[17:], uint64(n))
+	putUint64(b[1:], uint64(w.now))
+	putUint64(b[9:], who)
+	putUint64(b[17:], uint64(n))
 	w.digest.Write(b[:])
 }
 
-func put(b []byte, v uint64) {
+func putUint64(b []byte, v uint64) {
 	for i := range 8 {
 		b[i] = byte(v >> (8 * i))
 	}
 }
 
-// at has f happen d from now.
-func (w *World) at(d time.Duration, f func()) { w.push(event{at: w.now + max(d, 0), f: f}) }
+// schedule has f happen d from now.
+func (w *World) schedule(d time.Duration, f func()) {
+	w.pushEvent(event{at: w.now + max(d, 0), action: f})
+}
 
-func (w *World) push(e event) {
-	w.seq++
-	e.seq = w.seq
-	w.queue = append(w.queue, e)
-	w.up(len(w.queue) - 1)
+func (w *World) pushEvent(e event) {
+	w.lastEventSeq++
+	e.seq = w.lastEventSeq
+	w.events = append(w.events, e)
+	w.siftUp(len(w.events) - 1)
 }
 
-func (w *World) before(i, k int) bool {
-	a, b := &w.queue[i], &w.queue[k]
+func (w *World) eventBefore(i, k int) bool {
+	a, b := &w.events[i], &w.events[k]
 	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
 
-func (w *World) up(i int) {
-	for i > 0 && w.before(i, (i-1)/2) {
-		w.queue[i], w.queue[(i-1)/2] = w.queue[(i-1)/2], w.queue[i]
+func (w *World) siftUp(i int) {
+	for i > 0 && w.eventBefore(i, (i-1)/2) {
+		w.events[i], w.events[(i-1)/2] = w.events[(i-1)/2], w.events[i]
 		i = (i - 1) / 2
 	}
 }
 
-func (w *World) down(i int) {
+func (w *World) siftDown(i int) {
 	for {
 		least := i
-		for k := 2*i + 1; k <= 2*i+2 && k < len(w.queue); k++ {
-			if w.before(k, least) {
+		for k := 2*i + 1; k <= 2*i+2 && k < len(w.events); k++ {
+			if w.eventBefore(k, least) {
 				least = k
 			}
 		}
 		if least == i {
 			return
 		}
-		w.queue[i], w.queue[least] = w.queue[least], w.queue[i]
+		w.events[i], w.events[least] = w.events[least], w.events[i]
 		i = least
 	}
 }
 
-func (w *World) pop() event {
-	e := w.queue[0]
-	last := len(w.queue) - 1
-	w.queue[0], w.queue[last] = w.queue[last], event{}
-	w.queue = w.queue[:last]
-	w.down(0)
+func (w *World) popEvent() event {
+	e := w.events[0]
+	last := len(w.events) - 1
+	w.events[0], w.events[last] = w.events[last], event{}
+	w.events = w.events[:last]
+	w.siftDown(0)
 	return e
 }
 
 // task is a goroutine of a process. It is used again for the process's next ones.
 type task struct {
-	proc  *Process
-	slot  int // among its process's
-	f     func()
-	next  func() (struct{}, bool)
-	stop  func()
-	yield func(struct{}) bool
-	dead  bool
+	proc   *Process
+	index  int // among its process's
+	fn     func()
+	resume func() (struct{}, bool)
+	stop   func()
+	yield  func(struct{}) bool
+	dead   bool
 }
 
-// killed unwinds the goroutines of a process that ends.
-type killed struct{}
+// processKilled unwinds the goroutines of a process that ends.
+type processKilled struct{}
 
 func (w *World) newTask(p *Process) *task {
-	t := &task{proc: p, slot: len(p.tasks)}
-	t.next, t.stop = iter.Pull(func(yield func(struct{}) bool) {
+	t := &task{proc: p, index: len(p.tasks)}
+	t.resume, t.stop = iter.Pull(func(yield func(struct{}) bool) {
 		t.yield = yield
 		for {
 			t.run()
 			if t.dead {
 				return
 			}
-			t.f = nil
-			p.idle = append(p.idle, t)
+			t.fn = nil
+			p.idleTasks = append(p.idleTasks, t)
 			if !yield(struct{}{}) {
 				return
 			}
@@ -252,32 +254,32 @@
 		if r == nil {
 			return
 		}
-		if _, ok := r.(killed); ok {
+		if _, ok := r.(processKilled); ok {
 			return
 		}
 		t.dead = true
-		t.proc.w.Halt(&CrashError{t.proc.name, r, string(debug.Stack())})
+		t.proc.world.Halt(&CrashError{t.proc.name, r, string(debug.Stack())})
 	}()
-	t.f()
+	t.fn()
 }
 
-// turn lets a goroutine run until it waits.
-func (w *World) turn(t *task) {
-	w.mark('t', t.proc.id, t.slot)
-	w.cur = t
-	t.next()
-	w.cur = nil
+// runTask lets a goroutine run until it waits.
+func (w *World) runTask(t *task) {
+	w.hashEvent('t', t.proc.id, t.index)
+	w.running = t
+	t.resume()
+	w.running = nil
 }
 
-// park has the running goroutine wait until it is made ready.
-func (w *World) park() {
-	t := w.cur
+// parkRunning has the running goroutine wait until it is made ready.
+func (w *World) parkRunning() {
+	t := w.running
 	if t == nil {
 		panic("world: a wait outside of a goroutine of the world")
 	}
 	if t.dead || !t.yield(struct{}{}) {
 		t.dead = true
-		panic(killed{})
+		panic(processKilled{})
 	}
 }
 
@@ -286,32 +288,32 @@
 	switch {
 	case t.dead:
 	case t.proc.stalled:
-		t.proc.held = append(t.proc.held, t)
+		t.proc.stalledTasks = append(t.proc.stalledTasks, t)
 	default:
-		w.ready.push(t)
+		w.readyTasks.push(t)
 	}
 }
 
-// fifo is a queue of goroutines that can run.
-type fifo struct {
-	list []*task
-	head int
+// taskQueue is a queue of goroutines that can run.
+type taskQueue struct {
+	tasks []*task
+	head  int
 }
 
-func (q *fifo) push(t *task) { q.list = append(q.list, t) }
+func (q *taskQueue) push(t *task) { q.tasks = append(q.tasks, t) }
 
-func (q *fifo) pop() *task {
-	for q.head < len(q.list) {
-		t := q.list[q.head]
-		q.list[q.head] = nil
+func (q *taskQueue) pop() *task {
+	for q.head < len(q.tasks) {
+		t := q.tasks[q.head]
+		q.tasks[q.head] = nil
 		q.head++
-		if q.head == len(q.list) {
-			q.list, q.head = q.list[:0], 0
+		if q.head == len(q.tasks) {
+			q.tasks, q.head = q.tasks[:0], 0
 		}
 		switch {
 		case t.dead:
 		case t.proc.stalled:
-			t.proc.held = append(t.proc.held, t)
+			t.proc.stalledTasks = append(t.proc.stalledTasks, t)
 		default:
 			return t
 		}
--- a/internal/simulation/world/world_test.go
+++ b/internal/simulation/world/world_test.go
@@ -19,10 +19,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// serve starts a process that hands each connection to f.
-func serve(t *testing.T, w *World, name string, f func(p *Process, c net.Conn)) (p *Process, addr string) {
+// startServer starts a process that hands each connection to f.
+func startServer(t *testing.T, w *World, name string, f func(p *Process, c net.Conn)) (p *Process, addr string) {
 	t.Helper()
-	p = w.Process(name)
+	p = w.StartProcess(name)
 	l, err := p.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	return p, l.Addr().String()
 }
 
-func echo(_ *Process, c net.Conn) { io.Copy(c, c) }
+func echoConn(_ *Process, c net.Conn) { io.Copy(c, c) }
 
 func dial(t *testing.T, p *Process, addr string) net.Conn {
 	t.Helper()
@@ -50,19 +50,19 @@
 	return c
 }
 
-func run(t *testing.T, w *World, main func(p *Process)) {
+func runMain(t *testing.T, w *World, main func(p *Process)) {
 	t.Helper()
 	if err := w.Run("main", time.Hour, main); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestEchoInPartsAndWhole(t *testing.T) {
-	for _, n := range []Net{{Delay: time.Millisecond}, {Delay: time.Millisecond, Split: true}, {Delay: time.Millisecond, Jitter: 5 * time.Millisecond, Loss: 0.3}} {
+func TestEchoOverLinkStates(t *testing.T) {
+	for _, n := range []LinkState{{Delay: time.Millisecond}, {Delay: time.Millisecond, SplitReads: true}, {Delay: time.Millisecond, Jitter: 5 * time.Millisecond, Loss: 0.3}} {
 		w := New(7)
-		w.Net = n
-		_, addr := serve(t, w, "echo", echo)
-		run(t, w, func(p *Process) {
+		w.DefaultLink = n
+		_, addr := startServer(t, w, "echo", echoConn)
+		runMain(t, w, func(p *Process) {
 			c := dial(t, p, addr)
 			want := bytes.Repeat([]byte("0123456789"), 2000)
 			p.Go(func() { c.Write(want) })
@@ -78,14 +78,14 @@
 }
 
 // A writer whose reader takes nothing waits, and at its deadline gives up.
-func TestBuffersAreBounded(t *testing.T) {
+func TestWriteBlocksAtWindow(t *testing.T) {
 	w := New(1)
-	_, addr := serve(t, w, "deaf", func(*Process, net.Conn) {})
-	run(t, w, func(p *Process) {
+	_, addr := startServer(t, w, "deaf", func(*Process, net.Conn) {})
+	runMain(t, w, func(p *Process) {
 		c := dial(t, p, addr)
 		c.SetWriteDeadline(p.Deadline(3 * time.Second))
 		n, err := c.Write(make([]byte, 1<<20))
-		if n != window || !errors.Is(err, os.ErrDeadlineExceeded) || p.Now() < 3*time.Second {
+		if n != maxInFlight || !errors.Is(err, os.ErrDeadlineExceeded) || p.Now() < 3*time.Second {
 			t.Errorf("%d bytes taken, %v, at %v", n, err, p.Now())
 		}
 	})
@@ -93,8 +93,8 @@
 
 func TestReadDeadline(t *testing.T) {
 	w := New(1)
-	_, addr := serve(t, w, "mute", func(*Process, net.Conn) {})
-	run(t, w, func(p *Process) {
+	_, addr := startServer(t, w, "mute", func(*Process, net.Conn) {})
+	runMain(t, w, func(p *Process) {
 		c := dial(t, p, addr)
 		begin := p.Now()
 		c.SetReadDeadline(p.Deadline(time.Second))
@@ -106,21 +106,21 @@
 
 // What a cut keeps back comes when it has healed, in order; a half-open connection
 // stays silent for ever.
-func TestCutsAndHalfOpen(t *testing.T) {
+func TestPartitionAndHostLoss(t *testing.T) {
 	w := New(3)
-	far, addr := serve(t, w, "far#1", echo)
-	run(t, w, func(p *Process) {
+	far, addr := startServer(t, w, "far#1", echoConn)
+	runMain(t, w, func(p *Process) {
 		c := dial(t, p, addr)
 		there := w.Link("main", "far")
-		there.Set(Net{Delay: time.Millisecond, Cut: true})
+		there.SetState(LinkState{Delay: time.Millisecond, Partitioned: true})
 		c.Write([]byte("one"))
 		c.Write([]byte("two"))
-		p.AfterFunc(5*time.Second, func() { there.Set(Net{Delay: time.Millisecond}) })
+		p.AfterFunc(5*time.Second, func() { there.SetState(LinkState{Delay: time.Millisecond}) })
 		got := make([]byte, 6)
 		if _, err := io.ReadFull(c, got); err != nil || string(got) != "onetwo" || p.Now() < 5*time.Second || p.Now() > 8*time.Second {
 			t.Errorf("%q %v at %v", got, err, p.Now())
 		}
-		far.Kill(Silent)
+		far.Kill(HostLoss)
 		c.SetReadDeadline(p.Deadline(time.Minute))
 		c.Write([]byte("three"))
 		if _, err := c.Read(got); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -130,14 +130,14 @@
 }
 
 // A dial to where nobody listens is refused, over a cut it takes its whole time.
-func TestDials(t *testing.T) {
+func TestDialErrors(t *testing.T) {
 	w := New(3)
-	_, addr := serve(t, w, "far", echo)
-	run(t, w, func(p *Process) {
+	_, addr := startServer(t, w, "far", echoConn)
+	runMain(t, w, func(p *Process) {
 		if _, err := p.Dial(context.Background(), "tcp", "127.0.0.1:9", time.Second); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Error(err)
 		}
-		w.Link("far", "main").Set(Net{Cut: true})
+		w.Link("far", "main").SetState(LinkState{Partitioned: true})
 		begin := p.Now()
 		if _, err := p.Dial(context.Background(), "tcp", addr, time.Second); !errors.Is(err, os.ErrDeadlineExceeded) || p.Now() != begin+time.Second {
 			t.Error(err, p.Now()-begin)
@@ -153,11 +153,11 @@
 // The other side of a crash reads what was sent, then the end; writes are reset.
 func TestCrashClosesSockets(t *testing.T) {
 	w := New(3)
-	far, addr := serve(t, w, "far", func(p *Process, c net.Conn) {
+	far, addr := startServer(t, w, "far", func(p *Process, c net.Conn) {
 		c.Write([]byte("last words"))
 		p.NewParker().Park()
 	})
-	run(t, w, func(p *Process) {
+	runMain(t, w, func(p *Process) {
 		c := dial(t, p, addr)
 		p.AfterFunc(time.Second, func() { far.Kill(Crash) })
 		if b, err := io.ReadAll(c); err != nil || string(b) != "last words" || p.Now() < time.Second {
@@ -172,15 +172,15 @@
 }
 
 // A process that stands still misses nothing and is late for everything.
-func TestStall(t *testing.T) {
+func TestStalledProcessResumesLate(t *testing.T) {
 	w := New(3)
 	var rang, read time.Duration
-	far, addr := serve(t, w, "far", func(p *Process, c net.Conn) {
+	far, addr := startServer(t, w, "far", func(p *Process, c net.Conn) {
 		if _, err := c.Read(make([]byte, 1)); err == nil {
 			read = p.Now()
 		}
 	})
-	run(t, w, func(p *Process) {
+	runMain(t, w, func(p *Process) {
 		c := dial(t, p, addr)
 		env.Sleep(p, time.Millisecond, nil)
 		far.AfterFunc(time.Second, func() { rang = far.Now() })
@@ -193,13 +193,13 @@
 	}
 }
 
-func TestJumpBringsTimersForward(t *testing.T) {
+func TestAdvanceClockFiresTimersEarlier(t *testing.T) {
 	w := New(3)
-	run(t, w, func(p *Process) {
-		q := w.Process("q")
+	runMain(t, w, func(p *Process) {
+		q := w.StartProcess("q")
 		var rang time.Duration
 		q.AfterFunc(3*time.Second, func() { rang = p.Now() })
-		q.Jump(2 * time.Second)
+		q.AdvanceClock(2 * time.Second)
 		env.Sleep(p, 2*time.Second, nil)
 		if rang != time.Second || q.Now() != p.Now()+2*time.Second {
 			t.Error("rang at", rang, "clock", q.Now())
@@ -208,11 +208,11 @@
 }
 
 // Killed programs run nothing more, not even what they had put off.
-func TestKilledProgramsDoNothingMore(t *testing.T) {
+func TestKilledProcessRunsNothing(t *testing.T) {
 	w := New(3)
 	done := 0
-	run(t, w, func(p *Process) {
-		q := w.Process("q")
+	runMain(t, w, func(p *Process) {
+		q := w.StartProcess("q")
 		q.Go(func() {
 			defer env.Sleep(q, time.Second, nil)
 			env.Sleep(q, time.Second, nil)
@@ -224,23 +224,23 @@
 		q.Go(func() { done++ })
 		env.Sleep(p, 5*time.Second, nil)
 	})
-	if done != 0 || w.Process("r").Dead() {
+	if done != 0 || w.StartProcess("r").Dead() {
 		t.Error(done, "things were done after the end")
 	}
 }
 
 // A run that can't end says so, and a crash names its program.
-func TestRunsThatDoNotEnd(t *testing.T) {
+func TestRunErrors(t *testing.T) {
 	var stuck *StuckError
-	if err := New(1).Run("main", time.Second, func(p *Process) { p.NewParker().Park() }); !errors.As(err, &stuck) || !stuck.Idle {
+	if err := New(1).Run("main", time.Second, func(p *Process) { p.NewParker().Park() }); !errors.As(err, &stuck) || !stuck.NoEvents {
 		t.Error(err)
 	}
-	if err := New(1).Run("main", time.Second, func(p *Process) { env.Sleep(p, time.Hour, nil) }); !errors.As(err, &stuck) || stuck.Idle {
+	if err := New(1).Run("main", time.Second, func(p *Process) { env.Sleep(p, time.Hour, nil) }); !errors.As(err, &stuck) || stuck.NoEvents {
 		t.Error(err)
 	}
 	var crash *CrashError
 	err := New(1).Run("main", time.Second, func(p *Process) {
-		p.w.Process("q").Go(func() { panic("on purpose") })
+		p.world.StartProcess("q").Go(func() { panic("on purpose") })
 		env.Sleep(p, 10*time.Millisecond, nil)
 	})
 	if !errors.As(err, &crash) || crash.Process != "q" || !strings.Contains(crash.Stack, "on purpose") && crash.Value != "on purpose" {
@@ -248,26 +248,26 @@
 	}
 }
 
-type heard struct{ log *[]string }
+type recordingObserver struct{ log *[]string }
 
-func (h heard) Bytes(up bool, b []byte) {
+func (h recordingObserver) Bytes(up bool, b []byte) {
 	*h.log = append(*h.log, map[bool]string{true: "up ", false: "down "}[up]+string(b))
 }
-func (h heard) Closed(up bool) {
+func (h recordingObserver) Closed(up bool) {
 	*h.log = append(*h.log, map[bool]string{true: "up ", false: "down "}[up]+"closed")
 }
 
 // An observer hears what passes at its end, whichever listener the address leads to.
-func TestAliasesAndObservers(t *testing.T) {
+func TestAliasAndObserver(t *testing.T) {
 	for _, byDialler := range []bool{true, false} {
 		w := New(1)
-		_, one := serve(t, w, "one", func(_ *Process, c net.Conn) { c.Write([]byte("one")); c.Close() })
-		_, two := serve(t, w, "two", echo)
+		_, one := startServer(t, w, "one", func(_ *Process, c net.Conn) { c.Write([]byte("one")); c.Close() })
+		_, two := startServer(t, w, "two", echoConn)
 		var log []string
-		a := w.Alias(one, byDialler, func() Observer { return heard{&log} })
-		run(t, w, func(p *Process) {
+		a := w.Alias(one, byDialler, func() Observer { return recordingObserver{&log} })
+		runMain(t, w, func(p *Process) {
 			io.ReadAll(dial(t, p, a))
-			w.Point(a, two)
+			w.RetargetAlias(a, two)
 			c := dial(t, p, a)
 			c.Write([]byte("hey"))
 			io.ReadFull(c, make([]byte, 3))
