--- a/internal/verify/trail/show.go
+++ b/internal/verify/trail/show.go
@@ -8,8 +8,9 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// Trace prints everything that passed for one command: named by its connection and
-// tag, or by one of its requests. "" if there is nothing.
+// Trace returns a line for each event of one command, or "" if there is none. The command is given by
+// its connection and tag or, if conn is 0, by one of its requests. Responses to task management
+// functions are left out.
 func Trace(events []Event, conn, tag uint32, hostID, seq uint64) string {
 	if conn == 0 {
 		conn, tag = findCommand(events, hostID, seq)
@@ -28,13 +29,13 @@
 	return text.String()
 }
 
-// commandTracer follows one command over the sockets.
+// commandTracer selects the events of one command.
 type commandTracer struct {
 	conn, tag uint32
 	host      string
 	session   uint32
-	requests  map[[2]uint64]bool
-	attempts  map[[2]uint32]bool // attempts: disk connection and tag
+	requests  map[[2]uint64]bool // by HostID and Seq
+	attempts  map[[2]uint32]bool // by disk server connection and tag
 }
 
 func (w *commandTracer) matches(e *Event) bool {
@@ -65,7 +66,7 @@
 	return false
 }
 
-// findCommand finds the command that a request was part of.
+// findCommand returns the connection and tag of the command that a request is part of, or zeros.
 func findCommand(events []Event, hostID, seq uint64) (conn, tag uint32) {
 	for i := range events {
 		e := &events[i]
@@ -82,7 +83,7 @@
 	return 0, 0
 }
 
-// WriteEvent prints one event, its time counted from begin.
+// WriteEvent writes a line that describes an event, with times in ms since start.
 func WriteEvent(text *strings.Builder, e *Event, start int64) {
 	fmt.Fprintf(text, "%10.3f ms  %-6s %s %-4s %-8s ", float64(e.Time-start)/1000, e.Link, e.Host, e.Dir, e.Kind)
 	switch e.Kind {
@@ -102,7 +103,7 @@
 	case Answer:
 		fmt.Fprintf(text, "%s tag %d: %s", e.Peer, e.Tag, diskproto.Result(e.Status))
 		if e.Dropped {
-			text.WriteString(", a repeat that was dropped")
+			text.WriteString(", dropped as a repeat")
 		}
 	case List:
 		text.WriteString(e.Detail)
@@ -117,7 +118,7 @@
 	case scsi.Good:
 		return "GOOD"
 	case scsi.Busy:
-		return fmt.Sprintf("BUSY, again in %d ms", e.Advice*100)
+		return fmt.Sprintf("BUSY, retry after %d ms", e.Advice*100)
 	case scsi.CheckCondition:
 		return fmt.Sprintf("CHECK CONDITION %06x", e.Sense)
 	}
--- a/internal/verify/trail/trail.go
+++ b/internal/verify/trail/trail.go
@@ -1,6 +1,6 @@
-// Package trail keeps what passed on the sockets of a run, in one order of time,
-// as a columnar file that people and the rule checker read. It holds nothing that
-// a gateway says of itself.
+// Package trail records the socket traffic of a run, ordered by time, and stores it as a parquet
+// file for the rule checker and for inspection. It holds no information that a gateway reports
+// about itself.
 package trail
 
 import (
@@ -17,62 +17,63 @@
 	"merlinhitch/internal/control/settings"
 )
 
-// Links: which socket an event passed on.
+// Links: the kind of socket that an event was seen on.
 const (
-	LinkClient    = "client"
-	LinkDisk      = "disk"
-	LinkInventory = "list"
-	LinkFault     = "fault" // no socket: what was done to a program, as judges must know it
+	LinkClient    = "client" // iSCSI, between a client and a host
+	LinkDisk      = "disk"   // between a host and a disk server
+	LinkInventory = "list"   // between a host and the inventory
+	LinkFault     = "fault"  // no socket: a fault injected into a process, which checkers take into account
 )
 
-// Kinds of events. Opens and closes carry in Dir who did it.
+// Kinds of events, with the link that they occur on, and directions. The Dir of Open and Close tells
+// which side opened or closed the connection.
 const (
 	Open         = "open"
 	Close        = "close"
-	Login        = "login"   // client: a session began
+	Login        = "login"   // client: the login of a session completed
 	Command      = "command" // client: a SCSI command
-	DataOut      = "data"    // client: Data-Out
-	Status       = "status"  // client: a command's final answer
-	TaskRequest  = "manage"  // client: a task management function
-	TaskResponse = "managed" // client: its response
-	Logout       = "logout"  // client
-	Hello        = "hello"   // disk: a host says who it is
-	Do           = "do"      // disk: an attempt
-	Answer       = "answer"  // disk: its end
-	Bye          = "bye"     // disk: the server takes no more
-	List         = "list"    // list: what the host is told
-	Malformed    = "broken"  // any: bytes that are no frame
-	Stalled      = "still"   // fault: a host stands still until Deadline
-	Killed       = "died"    // fault: a host was ended
-	Up           = "up"      // towards the service: client to host, host to server
-	Down         = "down"    // back
+	DataOut      = "data"    // client: a Data-Out PDU
+	Status       = "status"  // client: the final status of a command
+	TaskRequest  = "manage"  // client: a task management function request
+	TaskResponse = "managed" // client: a task management function response
+	Logout       = "logout"  // client: a logout request
+	Hello        = "hello"   // disk: a host identifies itself
+	Do           = "do"      // disk: the host sends an attempt
+	Answer       = "answer"  // disk: the server answers an attempt
+	Bye          = "bye"     // disk: the server accepts no more on this connection; Status 1: it is overloaded
+	List         = "list"    // list: the inventory's list of servers or a change of it
+	Malformed    = "broken"  // any: bytes that cannot be parsed
+	Stalled      = "still"   // fault: a host does not run until Deadline
+	Killed       = "died"    // fault: a host was killed
+	Up           = "up"      // client to host, host to disk server or inventory
+	Down         = "down"    // the other direction
 )
 
-// Event is one frame, or the beginning or end of a connection.
+// Event is one frame, the opening or closing of a connection, or a fault.
 type Event struct {
 	Time  int64  `parquet:"t"` // us since the run began
 	Link  string `parquet:"link,dict"`
-	Conn  uint32 `parquet:"conn"` // of the trail, never used twice
-	Host  string `parquet:"host,dict"`
-	Peer  string `parquet:"peer,dict"` // client, or address of the disk server
+	Conn  uint32 `parquet:"conn"`      // number of the connection, unique in the trail
+	Host  string `parquet:"host,dict"` // host process, see HostName
+	Peer  string `parquet:"peer,dict"` // initiator name after its last colon, or address of the disk server
 	Dir   string `parquet:"dir,dict"`
 	Kind  string `parquet:"kind,dict"`
-	Bytes int64  `parquet:"bytes"`
+	Bytes int64  `parquet:"bytes"` // length of the frame
 
-	// Of commands.
-	Session uint32 `parquet:"session"`
-	Tag     uint32 `parquet:"tag"` // initiator task tag, or tag of a disk frame
-	RefTag  uint32 `parquet:"ref"` // task that a function names
+	// Client commands, also set for attempts where they apply.
+	Session uint32 `parquet:"session"` // iSCSI TSIH
+	Tag     uint32 `parquet:"tag"`     // initiator task tag, or tag of a frame on LinkDisk
+	RefTag  uint32 `parquet:"ref"`     // referenced task of a TaskRequest, or task of the command that a Do is part of
 	Op      string `parquet:"op,dict"`
 	Volume  string `parquet:"volume,dict"`
 	LBA     uint64 `parquet:"lba"`
 	Blocks  uint32 `parquet:"blocks"`
-	Length  uint32 `parquet:"length"` // bytes to move
-	Status  int32  `parquet:"status"` // SAM status, result of an answer, or response
-	Sense   uint32 `parquet:"sense"`  // key, code, qualifier
-	Advice  uint32 `parquet:"advice"` // retry delay, 100 ms
+	Length  uint32 `parquet:"length"` // of a command: expected data transfer length; else bytes of data
+	Status  int32  `parquet:"status"` // SCSI status, diskproto.Result, or code of a task management function or response
+	Sense   uint32 `parquet:"sense"`  // sense key, code and qualifier, a byte each
+	Advice  uint32 `parquet:"advice"` // of a Status: retry delay, 100 ms; of a Command: bytes of write data not awaited in Data-Out PDUs
 
-	// Of attempts.
+	// Attempts.
 	HostID          uint64  `parquet:"host_id"`
 	Seq             uint64  `parquet:"seq"`
 	Attempt         uint32  `parquet:"attempt"`
@@ -80,46 +81,45 @@
 	Shard           int32   `parquet:"shard"`
 	Units           float64 `parquet:"units"`
 	Key             string  `parquet:"key,dict"`
-	Generation      uint64  `parquet:"gen"`   // of the shard's home, as the host knows it
-	SettingsVersion uint64  `parquet:"under"` // version of the settings that the request was taken under
+	Generation      uint64  `parquet:"gen"`   // generation of the shard's home as known to the host
+	SettingsVersion uint64  `parquet:"under"` // settings in force when the request arrived
 	Plan            string  `parquet:"plan,dict"`
-	Deadline        int64   `parquet:"deadline"` // us of the same clock
-	Dropped         bool    `parquet:"dropped"`
-	Detail          string  `parquet:"detail,dict"` // of a list: its line
+	Deadline        int64   `parquet:"deadline"`    // us since the run began
+	Dropped         bool    `parquet:"dropped"`     // of an Answer: the server dropped the attempt as a repeat
+	Detail          string  `parquet:"detail,dict"` // of a List: its JSON; of Malformed: the error
 }
 
-// Server describes a disk server, by the address that hosts know.
+// Server describes a disk server.
 type Server struct {
 	Name  string  `json:"name"`
 	Shard int     `json:"shard"`
 	Zone  string  `json:"zone"`
 	Rack  string  `json:"rack"`
-	Rate  float64 `json:"rate"` // units a second that it can do when warm
-	// Region is where it is, in a service over two.
+	Rate  float64 `json:"rate"` // capacity when warm, units per second
+	// Region is the server's region in a service of two regions, else 0.
 	Region int `json:"region,omitempty"`
 }
 
-// Meta is what a reader must know beside the events.
+// Meta describes the run of a trail. The keys of Servers are the addresses that hosts dial.
 type Meta struct {
 	Settings *settings.Settings `json:"settings"`
 	Servers  map[string]Server  `json:"servers"`
 	Seed     uint64             `json:"seed"`
 	Note     string             `json:"note"`
-	// Layouts are those that volumes had in the course of the run beside the one in
-	// Settings.
+	// Layouts lists, by volume, the layouts that it had during the run besides the one in Settings.
 	Layouts map[string][][]int `json:"layouts,omitempty"`
 }
 
-// HostName is the host of which a process is one start: "h0" of "h0#2".
+// HostName returns the host name of a process: "h0" for "h0#2", the second process of that host.
 func HostName(process string) string {
 	name, _, _ := strings.Cut(process, "#")
 	return name
 }
 
-// Recorder gathers events. It is safe for concurrent use: time is read and the
-// event is entered as one step, so the order is that of the times.
+// Recorder records events. It is safe for concurrent use: it reads the clock and appends the event
+// under one lock, so events are ordered by time.
 type Recorder struct {
-	Now func() int64 // us
+	Now func() int64 // us since the run began
 
 	mu       sync.Mutex
 	events   []Event
@@ -129,18 +129,18 @@
 	discard  bool
 }
 
-// NewRecorder reads time from now.
+// NewRecorder returns a Recorder that takes its times, in us, from now.
 func NewRecorder(now func() int64) *Recorder { return &Recorder{Now: now} }
 
-// SetObserver has f told of each event as it is entered, from now on; without keep the events
-// are not gathered.
+// SetObserver calls f for each further event, under the recorder's lock. Unless keep is set, further
+// events are not stored.
 func (r *Recorder) SetObserver(f func(*Event), keep bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observer, r.discard = f, !keep
 }
 
-// NextConn returns a number for a new connection.
+// NextConn returns a new connection number, from 1.
 func (r *Recorder) NextConn() uint32 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,7 +148,7 @@
 	return r.lastConn
 }
 
-// Add enters an event at the present time.
+// Add records an event at the current time. After Stop it does nothing.
 func (r *Recorder) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,7 +164,8 @@
 	}
 }
 
-// Stop ends the recording: what passes from now on is the clearing up.
+// Stop ends the recording and returns the stored events. Traffic of the shutdown that follows is not
+// recorded.
 func (r *Recorder) Stop() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,6 +173,7 @@
 	return r.events
 }
 
+// metaKey is the key of the JSON of Meta in the metadata of the parquet file.
 const metaKey = "merlinhitch"
 
 // Write writes a trail file.
@@ -195,7 +197,7 @@
 	return err
 }
 
-// FileError says why a file is no trail.
+// FileError reports that a file is not a valid trail.
 type FileError struct {
 	File string
 	Err  error
@@ -203,15 +205,15 @@
 
 func (e *FileError) Error() string { return fmt.Sprintf("trail: %s: %v", e.File, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause of the error.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// Read reads a trail file.
+// Read reads a trail file. It returns a *FileError for a file that is not a valid trail.
 func Read(file string) (meta *Meta, events []Event, err error) {
 	defer func() {
-		// The library panics on some damaged files.
+		// The parquet library panics on some damaged files.
 		if cause := recover(); cause != nil {
-			err = &FileError{file, fmt.Errorf("damaged: %v", cause)}
+			err = &FileError{file, fmt.Errorf("damaged parquet data: %v", cause)}
 		}
 	}()
 	in, err := os.Open(file)
@@ -230,7 +232,7 @@
 	encoded, ok := columns.Lookup(metaKey)
 	meta = &Meta{}
 	if !ok || json.Unmarshal([]byte(encoded), meta) != nil || meta.Settings == nil {
-		return nil, nil, &FileError{file, errors.New("no description of the run")}
+		return nil, nil, &FileError{file, errors.New("no valid run description in the parquet metadata")}
 	}
 	reader := parquet.NewGenericReader[Event](columns)
 	defer reader.Close()
