--- a/internal/control/gateway/announcer_test.go
+++ b/internal/control/gateway/announcer_test.go
@@ -20,11 +20,11 @@
 )
 
 var (
-	twoShardPrefix = netip.MustParsePrefix("10.9.0.1/32") // of volumes on shards 0 and 1
-	oneShardPrefix = netip.MustParsePrefix("10.9.0.2/32") // of volumes on shard 2
+	twoShardPrefix = netip.MustParsePrefix("10.9.0.1/32") // of group mixed, whose volumes are on shards 0 and 1
+	oneShardPrefix = netip.MustParsePrefix("10.9.0.2/32") // of group alone, whose volumes are on shard 2
 )
 
-// newAnnouncingHarness is a host that announces two groups to a router.
+// newAnnouncingHarness starts a harness whose gateway announces two address groups to a simulated router.
 func newAnnouncingHarness(t *testing.T) (*harness, *standin.Router) {
 	t.Helper()
 	environment := env.NewReal()
@@ -49,17 +49,18 @@
 	return h, router
 }
 
+// waitFor waits until satisfied returns true, and fails the test after 30 s.
 func waitFor(t *testing.T, environment env.Environment, condition string, satisfied func() bool) {
 	t.Helper()
 	for deadline := environment.Now() + 30*time.Second; !satisfied(); {
 		if environment.Now() > deadline {
-			t.Fatal("not seen: " + condition)
+			t.Fatal("not reached within 30 s: " + condition)
 		}
 		env.Sleep(environment, 2*time.Millisecond, nil)
 	}
 }
 
-// announcedLevel is how the router holds an address.
+// announcedLevel returns the level at which the router received prefix from the host with router ID 1.
 func announcedLevel(router *standin.Router, prefix netip.Prefix) announce.Level {
 	path, ok := router.Held(1)[prefix]
 	switch {
@@ -71,48 +72,48 @@
 	return announce.Announced
 }
 
-// One of two shards lost is a last resort for who needs both, nothing for the others;
-// both lost is a withdrawal; what comes back is announced again.
+// A group that lost one of its two shards must be announced as a last resort, and withdrawn once
+// both are lost. A group that lost no shard must stay announced.
 func TestLostShardsDetermineAnnouncedLevel(t *testing.T) {
 	h, router := newAnnouncingHarness(t)
-	waitFor(t, h.environment, "both announced", func() bool {
+	waitFor(t, h.environment, "both groups are announced", func() bool {
 		return announcedLevel(router, twoShardPrefix) == announce.Announced && announcedLevel(router, oneShardPrefix) == announce.Announced
 	})
 	h.diskServers[0].Net(standin.NetTrouble{Hang: true})
-	waitFor(t, h.environment, "a last resort", func() bool { return announcedLevel(router, twoShardPrefix) == announce.LastResort })
+	waitFor(t, h.environment, "group mixed is a last resort with one shard lost", func() bool { return announcedLevel(router, twoShardPrefix) == announce.LastResort })
 	h.diskServers[1].Kill()
-	waitFor(t, h.environment, "a withdrawal", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Withdrawn })
+	waitFor(t, h.environment, "group mixed is withdrawn with both shards lost", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Withdrawn })
 	if announcedLevel(router, oneShardPrefix) != announce.Announced {
-		t.Error("a group that lost nothing was withdrawn")
+		t.Error("group alone, which lost no shard, is not announced")
 	}
 	h.diskServers[0].Net(standin.NetTrouble{})
-	waitFor(t, h.environment, "a last resort again", func() bool { return announcedLevel(router, twoShardPrefix) == announce.LastResort })
+	waitFor(t, h.environment, "group mixed is a last resort with one shard back", func() bool { return announcedLevel(router, twoShardPrefix) == announce.LastResort })
 	for _, group := range h.gateway.Routes().Groups {
 		if group.Group == "mixed" && group.Reason != announce.Partly {
-			t.Errorf("%+v", group)
+			t.Errorf("group mixed: got %+v, want reason announce.Partly", group)
 		}
 	}
 }
 
-// The list says that a server drains before it refuses anything.
+// A group must be withdrawn as soon as the inventory lists its only disk server as draining, before
+// that server rejects requests.
 func TestDrainingServerWithdrawsItsGroup(t *testing.T) {
 	h, router := newAnnouncingHarness(t)
-	waitFor(t, h.environment, "announced", func() bool { return announcedLevel(router, oneShardPrefix) == announce.Announced })
+	waitFor(t, h.environment, "group alone is announced", func() bool { return announcedLevel(router, oneShardPrefix) == announce.Announced })
 	h.inventory.ChangeNow(func(book *inventory.Book) { book.Health(h.diskServers[2].Addr, inventory.Draining) })
-	waitFor(t, h.environment, "a withdrawal", func() bool { return announcedLevel(router, oneShardPrefix) == announce.Withdrawn })
+	waitFor(t, h.environment, "group alone is withdrawn", func() bool { return announcedLevel(router, oneShardPrefix) == announce.Withdrawn })
 	if announcedLevel(router, twoShardPrefix) != announce.Announced {
-		t.Error("the other group was withdrawn")
+		t.Error("group mixed, whose servers do not drain, is not announced")
 	}
 }
 
-// A graceful stop goes through the last resort and a withdrawal, and only then ends
-// the session.
+// A graceful stop must announce the last resort and then withdraw, before the session ends.
 func TestOrderOfAGracefulStop(t *testing.T) {
 	h, router := newAnnouncingHarness(t)
-	waitFor(t, h.environment, "announced", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Announced })
+	waitFor(t, h.environment, "group mixed is announced", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Announced })
 	logStart := len(router.Log())
 	h.gateway.Stop(context.Background())
-	waitFor(t, h.environment, "the withdrawal", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Withdrawn })
+	waitFor(t, h.environment, "group mixed is withdrawn", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Withdrawn })
 	var got []string
 	for _, change := range router.Log()[logStart:] {
 		if change.Prefix != twoShardPrefix {
@@ -130,14 +131,15 @@
 		}
 	}
 	if len(got) != 2 || got[0] != "last resort" || got[1] != "withdrawn" {
-		t.Errorf("%v", got)
+		t.Errorf("got %v, want [last resort withdrawn]", got)
 	}
 }
 
-// Settings change what is announced without a restart; without the section nothing is.
+// New settings must change the announced prefixes without a restart. Without the announce section
+// all are withdrawn.
 func TestSettingsChangeAnnouncedPrefixes(t *testing.T) {
 	h, router := newAnnouncingHarness(t)
-	waitFor(t, h.environment, "announced", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Announced })
+	waitFor(t, h.environment, "group mixed is announced", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Announced })
 	newPrefix := netip.MustParsePrefix("10.9.0.3/32")
 	s := *h.gateway.Settings().Get()
 	announceSettings := *s.Announce
@@ -147,7 +149,7 @@
 	if _, err := h.gateway.Settings().Put(&s); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, h.environment, "the new address", func() bool {
+	waitFor(t, h.environment, "the new prefix is announced and the old one withdrawn", func() bool {
 		return announcedLevel(router, newPrefix) == announce.Announced && announcedLevel(router, twoShardPrefix) == announce.Withdrawn
 	})
 	s = *h.gateway.Settings().Get()
@@ -155,11 +157,11 @@
 	if _, err := h.gateway.Settings().Put(&s); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, h.environment, "nothing", func() bool { return len(router.Held(1)) == 0 })
+	waitFor(t, h.environment, "all prefixes are withdrawn", func() bool { return len(router.Held(1)) == 0 })
 }
 
-// Sessions that flap while the gateway's own ability flaps out of step: what the router
-// has in the end is what is true in the end, and nothing else.
+// When sessions and a disk server flap independently, the router's table must converge to the final
+// state of the shards.
 func TestAnnouncementsConvergeAfterFlaps(t *testing.T) {
 	h, router := newAnnouncingHarness(t)
 	router.Fault(standin.RouterFault{LiveFor: 70 * time.Millisecond})
@@ -167,18 +169,19 @@
 	for i := range 4 {
 		ups := router.Counts().Ups
 		h.diskServers[2].Net(standin.NetTrouble{Hang: i%2 == 0})
-		waitFor(t, h.environment, "another session", func() bool { return router.Counts().Ups > ups })
+		waitFor(t, h.environment, "another session is established", func() bool { return router.Counts().Ups > ups })
 	}
 	h.diskServers[2].Net(standin.NetTrouble{Hang: true})
 	router.Fault(standin.RouterFault{})
 	router.Reset()
-	waitFor(t, h.environment, "the truth", func() bool {
+	waitFor(t, h.environment, "only group mixed is announced", func() bool {
 		return announcedLevel(router, twoShardPrefix) == announce.Announced && announcedLevel(router, oneShardPrefix) == announce.Withdrawn
 	})
 	h.diskServers[2].Net(standin.NetTrouble{})
-	waitFor(t, h.environment, "the way back", func() bool { return announcedLevel(router, oneShardPrefix) == announce.Announced })
+	waitFor(t, h.environment, "group alone is announced again", func() bool { return announcedLevel(router, oneShardPrefix) == announce.Announced })
 }
 
+// Settings with an announce section must be rejected on a host without a router ID.
 func TestAnnouncementsRequireRouterID(t *testing.T) {
 	environment := env.NewReal()
 	gw, err := gateway.Start(gateway.Config{Environment: environment, Name: "h", Listen: "127.0.0.1:0", Inventory: "127.0.0.1:1"})
@@ -193,12 +196,12 @@
 		t.Fatal(err)
 	}
 	if gw.Addr() != nil {
-		t.Error("it started without one")
+		t.Error("gateway listens though its settings were rejected")
 	}
 }
 
-// A host of a service over two regions whose lease can't be renewed withdraws its
-// addresses, though its disk servers are well, and takes no work; with another it is back.
+// A host of a service with two regions that cannot renew its lease must withdraw its prefixes and
+// answer BUSY, though its disk servers work. With a new lease it must announce and serve again.
 func TestNoAnnouncementWithoutLease(t *testing.T) {
 	environment := env.NewReal()
 	router, err := standin.ServeRouter(environment, "127.0.0.1:0", 65010)
@@ -237,9 +240,9 @@
 	if _, err := gw.Settings().Put(s); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, environment, "announced", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Announced })
+	waitFor(t, environment, "the prefix is announced", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Announced })
 	regionInventory.Close()
-	waitFor(t, environment, "a withdrawal", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Withdrawn })
+	waitFor(t, environment, "the prefix is withdrawn", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Withdrawn })
 	client, err := initiator.Dial(context.Background(), initiator.Config{Environment: environment, Addr: gw.Addr().String(), Name: "iqn.2026-11.example.client:x",
 		Target: s.TargetName(&s.Volumes[1]), ISID: iscsi.ISID{0x80}, Params: initiator.DefaultParams(), LoginTime: 5 * time.Second})
 	if err != nil {
@@ -259,17 +262,17 @@
 		return got
 	}
 	if got := readStatus(); got != scsi.Busy {
-		t.Errorf("without a lease a read is answered %#x", got)
+		t.Errorf("read without a lease: got status %#x, want BUSY", got)
 	}
 	regionInventory = serveInventory(regionInventory.Addr, 2)
 	t.Cleanup(regionInventory.Close)
 	caller := inventory.NewCaller(environment, func() string { return regionInventory.Addr })
 	defer caller.Close()
 	if reply, err := caller.Ask(inventory.Ask{Op: "lead"}, 5*time.Second); err != nil || reply.Kind != inventory.Told {
-		t.Fatal(reply, err) // it came back and hears nobody: an operator says that it leads
+		t.Fatal(reply, err) // restarted without contact to the other region, it grants leases only after an operator's lead command
 	}
-	waitFor(t, environment, "announced again", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Announced })
+	waitFor(t, environment, "the prefix is announced again", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Announced })
 	if got := readStatus(); got != scsi.Good {
-		t.Errorf("with a lease again a read is answered %#x", got)
+		t.Errorf("read with a new lease: got status %#x, want GOOD", got)
 	}
 }
--- a/internal/control/gateway/conformance_test.go
+++ b/internal/control/gateway/conformance_test.go
@@ -17,10 +17,10 @@
 	"merlinhitch/internal/verify/conform"
 )
 
-// unlimitedVolume is the number of a volume under a plan without a limit, over several shards.
+// unlimitedVolume is the index of a volume on several shards whose plan has no limit.
 const unlimitedVolume = 5
 
-// runConformanceChecks runs the table against a volume, through whatever stands at that address.
+// runConformanceChecks runs the conformance checks on unlimitedVolume through the target at addr.
 func runConformanceChecks(t *testing.T, h *harness, addr string) []conform.CheckResult {
 	t.Helper()
 	results, err := conform.Run(context.Background(), func(ctx context.Context, index int) (*initiator.Client, error) {
@@ -35,6 +35,7 @@
 	return results
 }
 
+// useSmallVolumes reduces all volumes to 4096 blocks.
 func useSmallVolumes(s *settings.Settings) {
 	for i := range s.Volumes {
 		s.Volumes[i].Blocks = 4096
@@ -54,18 +55,18 @@
 	}
 	t.Logf("%d of %d checks pass", passed, len(results))
 	if passed < 100 {
-		t.Errorf("only %d checks", passed)
+		t.Errorf("got %d passed checks, want at least 100", passed)
 	}
 }
 
-// alteration is what a spoiled target does to a command on its way in, or to a PDU on its
-// way out; cdb is the command that the PDU belongs to.
+// alteration is a fault of a target: it changes commands to the gateway or PDUs from it. cdb is that
+// of the command to which the PDU belongs.
 type alteration struct {
 	alterCommand  func(pdu *iscsi.PDU)
 	alterResponse func(cdb []byte, pdu *iscsi.PDU)
 }
 
-// startAlteringProxy stands before the gateway and spoils what passes.
+// startAlteringProxy starts a proxy of the gateway that applies a, and returns its address.
 func startAlteringProxy(t *testing.T, h *harness, a alteration) string {
 	t.Helper()
 	listener, err := h.environment.Listen("tcp", "127.0.0.1:0")
@@ -114,6 +115,7 @@
 	return listener.Addr().String()
 }
 
+// forwardPDUs passes PDUs from one connection to the other, each changed by alter.
 func forwardPDUs(from, to net.Conn, alter func(pdu *iscsi.PDU)) {
 	defer from.Close()
 	defer to.Close()
@@ -130,71 +132,72 @@
 	}
 }
 
+// hasStatus reports whether a PDU carries a SCSI status.
 func hasStatus(pdu *iscsi.PDU) bool {
 	return pdu.Opcode() == iscsi.OpResponse || pdu.Opcode() == iscsi.OpDataIn && pdu.Flags()&1 != 0
 }
 
-// The table fails against a target that is spoiled in any of these ways.
+// At least one check must fail against a target with any of these faults.
 func TestConformanceDetectsFaultyTargets(t *testing.T) {
 	hasOpcode := func(cdb []byte, opcodes ...byte) bool { return len(cdb) > 0 && slices.Contains(opcodes, cdb[0]) }
 	setGood := func(pdu *iscsi.PDU) { pdu.BHS[3], pdu.Data = 0, nil }
 	for name, a := range map[string]alteration{
-		"no residuals": {alterResponse: func(_ []byte, pdu *iscsi.PDU) {
+		"no residual counts": {alterResponse: func(_ []byte, pdu *iscsi.PDU) {
 			if hasStatus(pdu) {
 				pdu.Set(iscsi.AtLength, 0)
 			}
 		}},
-		"overflow said to be underflow": {alterResponse: func(_ []byte, pdu *iscsi.PDU) {
+		"overflow reported as underflow": {alterResponse: func(_ []byte, pdu *iscsi.PDU) {
 			if hasStatus(pdu) && pdu.Flags()&4 != 0 {
 				pdu.SetFlags(pdu.Flags()&^4 | 2)
 			}
 		}},
-		"a miscompare is GOOD": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
+		"GOOD for a miscompare": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
 			if hasOpcode(cdb, 0x89) && pdu.BHS[3] == scsi.CheckCondition {
 				setGood(pdu)
 			}
 		}},
-		"one byte of data": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
+		"one byte of read data changed": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
 			if hasOpcode(cdb, 0x88) && pdu.Opcode() == iscsi.OpDataIn {
 				pdu.Data[len(pdu.Data)/2] ^= 1
 			}
 		}},
-		"a page with another code": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
+		"wrong VPD page code": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
 			if hasOpcode(cdb, 0x12) && cdb[1] == 1 && pdu.Opcode() == iscsi.OpDataIn {
 				pdu.Data[1]++
 			}
 		}},
-		"another sense": {alterResponse: func(_ []byte, pdu *iscsi.PDU) {
+		"wrong additional sense code": {alterResponse: func(_ []byte, pdu *iscsi.PDU) {
 			if pdu.Opcode() == iscsi.OpResponse && len(pdu.Data) > 14 && pdu.Data[14] == 0x21 {
 				pdu.Data[14] = 0x24
 			}
 		}},
-		"an abort that fails": {alterResponse: func(_ []byte, pdu *iscsi.PDU) {
+		"abort rejected": {alterResponse: func(_ []byte, pdu *iscsi.PDU) {
 			if pdu.Opcode() == iscsi.OpTaskResp {
 				pdu.BHS[2] = 255
 			}
 		}},
-		"no timeouts": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
+		"no command timeouts descriptor": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
 			if hasOpcode(cdb, 0xa3) && pdu.Opcode() == iscsi.OpDataIn {
 				pdu.Data[1] &^= 0x80
 			}
 		}},
-		"one block more": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
+		"capacity one block too large": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
 			if hasOpcode(cdb, 0x25) && pdu.Opcode() == iscsi.OpDataIn {
 				pdu.Data[3]++
 			}
 		}},
-		"a larger swap than is kept": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
+		"maximum compare-and-write length too large": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
 			if hasOpcode(cdb, 0x12) && cdb[2] == 0xb0 && pdu.Opcode() == iscsi.OpDataIn {
 				pdu.Data[5] = 64
 			}
 		}},
-		"unmaps that do nothing": {alterCommand: func(pdu *iscsi.PDU) {
+		"unmap without effect": {alterCommand: func(pdu *iscsi.PDU) {
 			if pdu.CDB()[0] == 0x42 {
 				copy(pdu.BHS[32:48], make([]byte, 16))
 			}
 		}},
-		"unknown codes are GOOD": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
+		"GOOD for unknown operation codes": {alterResponse: func(cdb []byte, pdu *iscsi.PDU) {
 			if len(cdb) > 0 && cdb[0] >= 0xc0 && pdu.BHS[3] == scsi.CheckCondition {
 				setGood(pdu)
 			}
@@ -209,7 +212,7 @@
 				}
 			}
 			if failedCount == 0 {
-				t.Error("nothing was noticed")
+				t.Error("all checks passed, want at least one to fail")
 			}
 		})
 	}
--- a/internal/control/gateway/expect_test.go
+++ b/internal/control/gateway/expect_test.go
@@ -14,8 +14,7 @@
 	"merlinhitch/internal/simulation/standin"
 )
 
-// What is answered of routing is where a running gateway then sends: every expectation is
-// also played.
+// Each answer on routing must agree with the disk servers to which a running gateway sends.
 func TestExpectationsMatchRouting(t *testing.T) {
 	h := newHarness(t, nil)
 	var lines []string
@@ -50,13 +49,13 @@
 			t.Error(answer)
 		}
 		if got := h.serversReached(answer.Expectation, diskServers); got != answer.Found {
-			t.Errorf("%s: answered %s, the gateway sent to %s", answer.Text, answer.Found, got)
+			t.Errorf("%s: found %s, want %s as sent by the gateway", answer.Text, answer.Found, got)
 		}
 	}
-	t.Logf("%d expectations were played", len(expectations))
+	t.Logf("%d expectations compared with the gateway's sends", len(expectations))
 }
 
-// replaceDiskServer drains the server of a shard and puts another in its place.
+// replaceDiskServer lists the disk server of a shard as draining and starts another one for it.
 func (h *harness) replaceDiskServer(shard int) *standin.DiskServer {
 	machine := standin.NewMachine(fastMachineConfig(), 99, h.cells[shard], standin.NewRack(6000), nil, uint32(shard), 0, false)
 	replacement := &standin.DiskServer{Name: "successor", Zone: "hall-a", Rack: "r", Shard: shard}
@@ -68,12 +67,12 @@
 		book.Health(h.diskServers[shard].Addr, inventory.Draining)
 		book.Set(inventory.Node{Addr: replacement.Addr, Health: inventory.Ready, Shard: shard, Zone: "hall-a", Weight: 1, Incarnation: replacement.Started}, 0)
 	})
-	h.waitFor("the successor", func() bool { return h.gateway.Status().Nodes == len(h.diskServers)+1 })
+	h.waitFor("the gateway lists the replacement", func() bool { return h.gateway.Status().Nodes == len(h.diskServers)+1 })
 	return replacement
 }
 
-// serversReached does one operation on an extent of each entry of the volume's layout and names
-// the servers that served one.
+// serversReached sends the expectation's operation to one extent of each layout entry of its volume
+// and returns the names of the disk servers that served any.
 func (h *harness) serversReached(expectation expect.Expectation, diskServers map[string]*standin.DiskServer) string {
 	servedBefore := map[string]int{}
 	for node, diskServer := range diskServers {
@@ -90,7 +89,7 @@
 		}
 		result := h.execute(client, cdb, data, 4096)
 		if result.Status != scsi.Good {
-			h.t.Errorf("%s: status %02x", expectation.Text, result.Status)
+			h.t.Errorf("%s: got status %02x, want GOOD", expectation.Text, result.Status)
 		}
 	}
 	client.Logout()
--- a/internal/control/gateway/fakedisk_test.go
+++ b/internal/control/gateway/fakedisk_test.go
@@ -12,14 +12,16 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// fakeDiskServer is a disk server that does what a test says. The test's play is called
-// with each attempt, in order, and answers by its say, or not at all.
+// fakeDiskServer is a disk server whose answers are chosen by a test: handle is called with each
+// attempt, in the order of arrival on its connection, and may answer it, close the connection or
+// do nothing.
 type fakeDiskServer struct {
 	t           *testing.T
 	listener    net.Listener
 	environment env.Environment
 	handle      func(attempt *receivedAttempt, request diskproto.Do)
-	// handleRaw, if set, takes the connection's bytes after the greeting.
+	// handleRaw, if not nil, gets the connection after the handshake, in place of handle. The
+	// connection is closed when it returns.
 	handleRaw func(conn net.Conn)
 
 	mu       sync.Mutex
@@ -28,7 +30,7 @@
 	tasks    sync.WaitGroup
 }
 
-// receivedAttempt is one attempt's connection.
+// receivedAttempt is an attempt that a fakeDiskServer received.
 type receivedAttempt struct {
 	conn net.Conn
 	tag  uint32
@@ -87,7 +89,7 @@
 		}
 		switch frame.Kind {
 		case diskproto.KindHello:
-			welcome := &diskproto.Welcome{Version: diskproto.Version, Clock: uint64(s.environment.Now() / time.Microsecond), Name: "actor"}
+			welcome := &diskproto.Welcome{Version: diskproto.Version, Clock: uint64(s.environment.Now() / time.Microsecond), Name: "fake"}
 			conn.Write(diskproto.Append(nil, diskproto.KindWelcome, frame.Tag, welcome))
 			s.mu.Lock()
 			handleRaw := s.handleRaw
@@ -117,7 +119,8 @@
 	return append([]diskproto.Do(nil), s.received...)
 }
 
-// startFakeDiskServer puts an actor in place of every shard's disk server.
+// startFakeDiskServer removes the disk servers of all shards from the inventory and lists one
+// fakeDiskServer for each shard instead.
 func (h *harness) startFakeDiskServer(handle func(attempt *receivedAttempt, request diskproto.Do)) *fakeDiskServer {
 	server := newFakeDiskServer(h.t, h.environment)
 	server.handle = handle
--- a/internal/control/gateway/gateway_test.go
+++ b/internal/control/gateway/gateway_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// harness is one host before a few disk servers.
+// harness runs a gateway with an inventory and one simulated disk server for each shard, on loopback sockets.
 type harness struct {
 	t           *testing.T
 	environment *env.Real
@@ -41,7 +41,8 @@
 	return newHarnessWithConfig(t, editSettings, func(*gateway.Config) {}, nil)
 }
 
-// newHarnessWithConfig is a rig whose gateway and disk servers have keys.
+// newHarnessWithConfig starts a harness with edited settings and an edited configuration of the
+// gateway. The disk servers use diskServerKeys; nil: they don't use TLS.
 func newHarnessWithConfig(t *testing.T, editSettings func(*settings.Settings), editConfig func(*gateway.Config), diskServerKeys *keys.Holder) *harness {
 	h := &harness{t: t, environment: env.NewReal(), settings: settings.Example(1, 3)}
 	if editSettings != nil {
@@ -108,18 +109,18 @@
 
 func TestReadBackAcrossShards(t *testing.T) {
 	h := newHarness(t, nil)
-	client := h.connect(4, 1) // a plan without limit, two shards in its layout
+	client := h.connect(4, 1) // its plan has no limit, its layout two shards
 	want := bytes.Repeat([]byte("0123456789abcdef"), 64*4096/16)
 	for i := range want {
 		want[i] ^= byte(i / 4096)
 	}
 	// Blocks 20 to 84 span three extents on two shards.
 	if result := h.execute(client, initiator.WriteCDB(20, 64), want, 0); result.Status != scsi.Good {
-		t.Fatalf("write: status %02x sense %x", result.Status, result.Sense)
+		t.Fatalf("write: got status %02x, sense %x, want GOOD", result.Status, result.Sense)
 	}
 	result := h.execute(client, initiator.ReadCDB(20, 64), nil, 64*4096)
 	if result.Status != scsi.Good || !bytes.Equal(result.Data, want) {
-		t.Fatalf("read back: status %02x, %d bytes, equal %v", result.Status, len(result.Data), bytes.Equal(result.Data, want))
+		t.Fatalf("read: got status %02x, %d bytes, equal to those written: %v, want GOOD and equal data", result.Status, len(result.Data), bytes.Equal(result.Data, want))
 	}
 }
 
@@ -128,20 +129,19 @@
 	healthyNetwork = standin.NetTrouble{}
 )
 
-// waitFor looks until done; what is awaited comes by itself, so the time is only a
-// bound on a test that would hang.
+// waitFor waits until satisfied returns true, and fails the test after 20 s.
 func (h *harness) waitFor(condition string, satisfied func() bool) {
 	h.t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
 	for !satisfied() {
 		if time.Now().After(deadline) {
-			h.t.Fatal("waited in vain for " + condition)
+			h.t.Fatal("not reached within 20 s: " + condition)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// What a limit holds back is counted.
+// Requests that end unsent because their volume exceeded its limit must be counted in the status.
 func TestRequestsOverLimitAreCounted(t *testing.T) {
 	h := newHarness(t, nil)
 	const limitedVolume, sessionCount, requestsPerSession = 0, 4, 64
@@ -158,6 +158,6 @@
 		}
 	}
 	if count := h.gateway.Status().LimitHeld; count == 0 {
-		t.Error("nothing was counted")
+		t.Error("got LimitHeld 0, want more")
 	}
 }
--- a/internal/control/gateway/recorder_test.go
+++ b/internal/control/gateway/recorder_test.go
@@ -11,7 +11,8 @@
 	"merlinhitch/internal/storage/history"
 )
 
-// What was counted is there after the end of the process, and over the API before.
+// Recorded counters must be readable after the gateway was killed, from the files and over the admin
+// API of a gateway started again.
 func TestHistorySurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	h := newHarnessWithConfig(t, nil, func(config *gateway.Config) { config.Admin, config.History = "127.0.0.1:0", dir }, nil)
@@ -31,15 +32,15 @@
 	}
 	total := history.Total(rows)
 	if total.Taken != 30 || total.Served != 30 || total.Quantile(0.5) <= 0 {
-		t.Errorf("%+v", total)
+		t.Errorf("history: got %+v, want 30 requests taken and served, with latencies", total)
 	}
 	restarted := newHarnessWithConfig(t, nil, func(config *gateway.Config) { config.Admin, config.History = "127.0.0.1:0", dir }, nil)
 	code, body := restarted.getAdmin(fmt.Sprintf("/history?from=%d&to=%d", startedAt-1, time.Now().Unix()+2))
 	var responseRows []history.Row
 	if err := json.Unmarshal(body, &responseRows); err != nil || code != 200 || history.Total(responseRows).Served != 30 {
-		t.Errorf("%d, %v, %s", code, err, body)
+		t.Errorf("/history: got status %d, error %v, body %s, want 200 and 30 served requests", code, err, body)
 	}
 	if code, _ := restarted.getAdmin("/history?from=5&to=x"); code != 422 {
-		t.Errorf("%d", code)
+		t.Errorf("/history with an invalid time: got status %d, want 422", code)
 	}
 }
