--- a/internal/simulation/soak/clients.go
+++ b/internal/simulation/soak/clients.go
@@ -79,8 +79,8 @@
 func (c *Clients) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, x := range c.idleConns {
-		x.Close()
+	for _, conn := range c.idleConns {
+		conn.Close()
 	}
 	c.idleConns = nil
 }
@@ -97,70 +97,70 @@
 // startBatch sends a request, or several at once on one connection.
 func (c *Clients) startBatch() {
 	class := c.drawClass()
-	n := 1
+	batchSize := 1
 	if c.rng.Float64() < c.pipelineProbability {
-		n = 2 + c.rng.IntN(maxPipelined-1)
+		batchSize = 2 + c.rng.IntN(maxPipelined-1)
 	}
-	all := make([]encodedRequest, n)
-	for i := range all {
+	batch := make([]encodedRequest, batchSize)
+	for i := range batch {
 		if i > 0 {
 			class = c.drawClass()
 		}
-		q := &Request{ID: fmt.Sprintf("%s%010x", c.idPrefix, c.requestCount.Add(1)), Scheduler: c.scheduler, Class: class.Name, Timeout: class.Timeout}
+		request := &Request{ID: fmt.Sprintf("%s%010x", c.idPrefix, c.requestCount.Add(1)), Scheduler: c.scheduler, Class: class.Name, Timeout: class.Timeout}
 		volume := c.rng.Uint64() % volumeCount
 		if c.rng.Float64() < limitedFraction {
 			volume = volumeCount + uint64(limitedVolumesPerScheduler*c.scheduler) + volume%limitedVolumesPerScheduler
-			q.LimitedVolume = volume
+			request.LimitedVolume = volume
 		}
-		all[i] = encodedRequest{q, c.encodeRequest(q, class, c.rng.IntN(c.shards), volume, c.rng.Uint64())}
+		batch[i] = encodedRequest{request, c.encodeRequest(request, class, c.rng.IntN(c.shards), volume, c.rng.Uint64())}
 	}
-	leave := time.Duration(0)
+	abandonAfter := time.Duration(0)
 	if c.rng.Float64() < c.abandonProbability {
-		leave = time.Duration(c.rng.Float64() * 0.3 * float64(class.Timeout))
+		abandonAfter = time.Duration(c.rng.Float64() * 0.3 * float64(class.Timeout))
 	}
 	c.tasks.Add(1)
 	go func() {
 		defer c.tasks.Done()
-		c.exchange(all, leave)
+		c.exchange(batch, abandonAfter)
 	}()
 }
 
 func (c *Clients) drawClass() Class {
-	x := c.rng.Float64()
-	for _, k := range c.classes {
-		if x -= k.Share; x < 0 {
-			return k
+	point := c.rng.Float64()
+	for _, class := range c.classes {
+		if point -= class.Share; point < 0 {
+			return class
 		}
 	}
 	return c.classes[0]
 }
 
-func (c *Clients) encodeRequest(q *Request, class Class, shard int, volume, key uint64) []byte {
+func (c *Clients) encodeRequest(request *Request, class Class, shard int, volume, key uint64) []byte {
 	method, plan := "GET", unlimitedPlan
-	if q.LimitedVolume > 0 {
+	if request.LimitedVolume > 0 {
 		plan = limitedPlan
 	}
-	f := http1.Fields{{Name: "Host", Value: "api.internal"}, {Name: "Request-Id", Value: q.ID}, {Name: "X-Qos-Policy", Value: plan},
+	fields := http1.Fields{{Name: "Host", Value: "api.internal"}, {Name: "Request-Id", Value: request.ID}, {Name: "X-Qos-Policy", Value: plan},
 		{Name: "Request-Timeout", Value: strconv.FormatFloat(class.Timeout.Seconds(), 'f', 3, 64)},
 		{Name: "X-Placement", Value: fmt.Sprintf("units=%d,shard=%d,hosts=1", meanUnits, shard)}}
 	var body []byte
 	if class.Write {
-		method, body = "PUT", []byte("block of "+q.ID)
+		method, body = "PUT", []byte("block of "+request.ID)
 	}
 	if class.Keyed {
-		f = append(f, http1.Field{Name: "Idempotency-Key", Value: q.ID})
+		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: request.ID})
 	}
-	return http1.AppendRequest(nil, method, fmt.Sprintf("/%s/%016x/%016x", class.Name, volume, key), f, body)
+	return http1.AppendRequest(nil, method, fmt.Sprintf("/%s/%016x/%016x", class.Name, volume, key), fields, body)
 }
 
 // acquireConn returns an idle connection, or a new one; nil where there is none.
-func (c *Clients) acquireConn(fresh bool) *clientConn {
+func (c *Clients) acquireConn(forceNew bool) *clientConn {
 	c.mu.Lock()
-	if n := len(c.idleConns); n > 0 && !fresh {
-		x := c.idleConns[n-1]
+	if n := len(c.idleConns); n > 0 && !forceNew {
+		idle := c.idleConns[n-1]
 		c.idleConns = c.idleConns[:n-1]
 		c.mu.Unlock()
-		return x
+		return idle
 	}
 	c.mu.Unlock()
 	if !c.dialAllowed.Load() {
@@ -173,116 +173,116 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}
 }
 
-func (c *Clients) releaseConn(x *clientConn) {
-	if x.closeAnnounced {
-		x.Close()
+func (c *Clients) releaseConn(conn *clientConn) {
+	if conn.closeAnnounced {
+		conn.Close()
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idleConns = append(c.idleConns, x)
+	c.idleConns = append(c.idleConns, conn)
 }
 
 // exchange sends requests and waits for their answers. What crossed the end of its
 // connection goes once more on a new one.
-func (c *Clients) exchange(all []encodedRequest, leave time.Duration) {
+func (c *Clients) exchange(batch []encodedRequest, abandonAfter time.Duration) {
 	var raw []byte
-	for _, s := range all {
+	for _, s := range batch {
 		raw = append(raw, s.raw...)
 	}
-	x := c.writeBatch(raw)
-	if x == nil {
+	conn := c.writeBatch(raw)
+	if conn == nil {
 		return
 	}
 	now := c.record.Now()
-	for _, s := range all {
+	for _, s := range batch {
 		s.SentAt = now
 		c.record.addRequest(s.Request)
 	}
-	for i, s := range all {
-		if c.awaitResponse(x, s.Request, leave) {
+	for i, s := range batch {
+		if c.awaitResponse(conn, s.Request, abandonAfter) {
 			continue
 		}
-		for _, late := range all[i:] {
-			c.resendAfterClose(late, s.Request, leave)
+		for _, unanswered := range batch[i:] {
+			c.resendAfterClose(unanswered, s.Request, abandonAfter)
 		}
 		return
 	}
-	c.releaseConn(x)
+	c.releaseConn(conn)
 }
 
 // writeBatch puts bytes on an idle connection, or on a new one; nil if neither takes them.
 func (c *Clients) writeBatch(raw []byte) *clientConn {
-	for _, fresh := range []bool{false, true} {
-		x := c.acquireConn(fresh)
-		if x == nil {
+	for _, forceNew := range []bool{false, true} {
+		conn := c.acquireConn(forceNew)
+		if conn == nil {
 			return nil
 		}
-		if _, err := x.Write(raw); err == nil {
-			return x
+		if _, err := conn.Write(raw); err == nil {
+			return conn
 		}
-		x.Close()
+		conn.Close()
 	}
 	return nil
 }
 
 // resendAfterClose deals with a request whose connection ended, with it or with one before it:
 // unless its client left, it goes once more, alone.
-func (c *Clients) resendAfterClose(s encodedRequest, ended *Request, leave time.Duration) {
+func (c *Clients) resendAfterClose(request encodedRequest, failed *Request, abandonAfter time.Duration) {
 	c.record.mu.Lock()
-	s.AbandonedAt, s.ConnLostAt = ended.AbandonedAt, ended.ConnLostAt
-	again := ended.AbandonedAt == 0 && !s.BrokenMidResponse
+	request.AbandonedAt, request.ConnLostAt = failed.AbandonedAt, failed.ConnLostAt
+	resend := failed.AbandonedAt == 0 && !request.BrokenMidResponse
 	c.record.mu.Unlock()
-	if !again {
+	if !resend {
 		return
 	}
-	x := c.acquireConn(true)
-	if x == nil {
+	conn := c.acquireConn(true)
+	if conn == nil {
 		return
 	}
-	if _, err := x.Write(s.raw); err != nil {
-		x.Close()
+	if _, err := conn.Write(request.raw); err != nil {
+		conn.Close()
 		return
 	}
 	c.record.mu.Lock()
-	s.Resent, s.ConnLostAt = true, 0
-	s.SentAt = c.record.Now() // it says how long its client waits from now on
+	request.Resent, request.ConnLostAt = true, 0
+	request.SentAt = c.record.Now() // it says how long its client waits from now on
 	c.record.mu.Unlock()
-	if c.awaitResponse(x, s.Request, leave) {
-		c.releaseConn(x)
+	if c.awaitResponse(conn, request.Request, abandonAfter) {
+		c.releaseConn(conn)
 	}
 }
 
 // awaitResponse waits for an answer, or leaves; false if the connection is over without one.
-func (c *Clients) awaitResponse(x *clientConn, q *Request, leave time.Duration) bool {
-	until := q.SentAt + q.Timeout + lateResponseWait
-	if leave > 0 {
-		until = q.SentAt + leave
+func (c *Clients) awaitResponse(conn *clientConn, request *Request, abandonAfter time.Duration) bool {
+	deadline := request.SentAt + request.Timeout + lateResponseWait
+	if abandonAfter > 0 {
+		deadline = request.SentAt + abandonAfter
 	}
-	x.SetReadDeadline(time.Now().Add(until - c.record.Now()))
-	first, err := x.reader.Peek(1)
-	var m *http1.Response
+	conn.SetReadDeadline(time.Now().Add(deadline - c.record.Now()))
+	firstByte, err := conn.reader.Peek(1)
+	var response *http1.Response
 	var body []byte
 	if err == nil {
-		m, body, err = http1.ReadWholeResponse(x.reader, messageLimits)
+		response, body, err = http1.ReadWholeResponse(conn.reader, messageLimits)
 	}
 	c.record.mu.Lock()
 	defer c.record.mu.Unlock()
 	now := c.record.Now()
 	switch {
 	case err == nil:
-		q.AnsweredAt, q.Status, q.Body = now, m.Status, string(body)
-		if m.Close() {
-			x.closeAnnounced = true
+		request.AnsweredAt, request.Status, request.Body = now, response.Status, string(body)
+		if response.Close() {
+			conn.closeAnnounced = true
 		}
 		return true
 	case env.IsTimeout(err):
-		q.AbandonedAt = now
-		x.Close()
+		request.AbandonedAt = now
+		conn.Close()
 		return false
 	default:
-		q.ConnLostAt, q.BrokenMidResponse = now, len(first) > 0
-		x.Close()
+		request.ConnLostAt, request.BrokenMidResponse = now, len(firstByte) > 0
+		conn.Close()
 		return false
 	}
 }
--- a/internal/simulation/soak/discovery.go
+++ b/internal/simulation/soak/discovery.go
@@ -45,12 +45,12 @@
 }
 
 // NewDirectory knows all servers as active.
-func NewDirectory(s *Servers) *Directory {
-	d := &Directory{}
-	for i := range s.servers {
-		d.entries = append(d.entries, DiscoveryEntry{Host: hostName(i), Dial: s.Address(i), Site: "a", Class: "m", Block: i, Health: "active", Share: 1})
+func NewDirectory(servers *Servers) *Directory {
+	directory := &Directory{}
+	for i := range servers.servers {
+		directory.entries = append(directory.entries, DiscoveryEntry{Host: hostName(i), Dial: servers.Address(i), Site: "a", Class: "m", Block: i, Health: "active", Share: 1})
 	}
-	return d
+	return directory
 }
 
 func hostName(server int) string { return "s-" + strconv.FormatInt(int64(0x10000000+server), 16) }
@@ -70,12 +70,12 @@
 	d.version++
 	var changed []DiscoveryEntry
 	for _, i := range servers {
-		e := &d.entries[i]
-		if health == "active" && e.Health != "active" {
-			e.StartedMS = time.Now().UnixMilli()
+		entry := &d.entries[i]
+		if health == "active" && entry.Health != "active" {
+			entry.StartedMS = time.Now().UnixMilli()
 		}
-		e.Health = health
-		changed = append(changed, *e)
+		entry.Health = health
+		changed = append(changed, *entry)
 	}
 	d.changesByVersion = append(d.changesByVersion, changed)
 	agents := slices.Clone(d.agents)
@@ -118,31 +118,31 @@
 }
 
 // StartAgent listens for one scheduler.
-func StartAgent(d *Directory, scheduler int, whole, indented bool, r *Record) (*Agent, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func StartAgent(directory *Directory, scheduler int, alwaysFullList, indentedJSON bool, record *Record) (*Agent, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{directory: d, scheduler: scheduler, record: r, listener: l, alwaysFullList: whole, indentedJSON: indented,
+	agent := &Agent{directory: directory, scheduler: scheduler, record: record, listener: listener, alwaysFullList: alwaysFullList, indentedJSON: indentedJSON,
 		done: make(chan struct{}), watches: map[net.Conn]*watchState{}}
-	d.mu.Lock()
-	d.agents = append(d.agents, a)
-	d.mu.Unlock()
-	a.tasks.Add(2)
-	go a.accept()
-	go a.sendKeepAlives()
-	return a, nil
+	directory.mu.Lock()
+	directory.agents = append(directory.agents, agent)
+	directory.mu.Unlock()
+	agent.tasks.Add(2)
+	go agent.accept()
+	go agent.sendKeepAlives()
+	return agent, nil
 }
 
 // TakeOver takes over from the agent of a scheduler that is sent here: what that one had not
 // heard, for it was down, may be known from now on, and what it forbids counts as told once
 // the scheduler must have come.
-func (a *Agent) TakeOver(old *Agent) {
-	old.mu.Lock()
-	knew := old.version
-	old.mu.Unlock()
+func (a *Agent) TakeOver(previous *Agent) {
+	previous.mu.Lock()
+	version := previous.version
+	previous.mu.Unlock()
 	a.mu.Lock()
-	a.version, a.effectiveFrom = knew, a.record.Now()+maxMoveTime
+	a.version, a.effectiveFrom = version, a.record.Now()+maxMoveTime
 	a.mu.Unlock()
 	a.applyNewVersions()
 }
@@ -171,8 +171,8 @@
 func (a *Agent) SilenceWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, w := range a.watches {
-		w.silent = true
+	for _, watch := range a.watches {
+		watch.silent = true
 	}
 	if len(a.watches) > 0 && a.silentSince == 0 {
 		a.silentSince = a.record.Now()
@@ -200,46 +200,46 @@
 		return
 	}
 	now := a.record.Now()
-	late := max(now, a.effectiveFrom) // what forbids counts as told no sooner, what allows may be known now
+	effectiveAt := max(now, a.effectiveFrom) // what forbids counts as told no sooner, what allows may be known now
 	if a.silentSince > 0 {
-		late = max(late, a.silentSince+maxSilenceDetection)
+		effectiveAt = max(effectiveAt, a.silentSince+maxSilenceDetection)
 	}
 	for ; a.version < a.directory.version; a.version++ {
-		for _, e := range a.directory.changesByVersion[a.version] {
-			c := HealthChange{Scheduler: a.scheduler, Server: e.Block, Health: e.Health, EffectiveAt: late, StartedAt: a.startTime(e)}
-			if e.Health == "active" {
-				c.EffectiveAt = now
+		for _, entry := range a.directory.changesByVersion[a.version] {
+			change := HealthChange{Scheduler: a.scheduler, Server: entry.Block, Health: entry.Health, EffectiveAt: effectiveAt, StartedAt: a.startTime(entry)}
+			if entry.Health == "active" {
+				change.EffectiveAt = now
 			}
-			a.record.addHealthChanges(c)
+			a.record.addHealthChanges(change)
 			if a.silentSince > 0 {
-				a.undelivered = append(a.undelivered, c)
+				a.undelivered = append(a.undelivered, change)
 			}
 		}
 	}
-	for c, w := range a.watches {
-		a.sendChangesLocked(c, w)
+	for conn, watch := range a.watches {
+		a.sendChangesLocked(conn, watch)
 	}
 }
 
-func (a *Agent) startTime(e DiscoveryEntry) time.Duration {
-	if e.StartedMS == 0 {
+func (a *Agent) startTime(entry DiscoveryEntry) time.Duration {
+	if entry.StartedMS == 0 {
 		return 0
 	}
-	return time.UnixMilli(e.StartedMS).Sub(a.record.start)
+	return time.UnixMilli(entry.StartedMS).Sub(a.record.start)
 }
 
 // sendChangesLocked writes to a watch the versions that it lacks. Both locks are held.
-func (a *Agent) sendChangesLocked(c net.Conn, w *watchState) {
-	for ; w.sentVersion < a.version && !w.silent; w.sentVersion++ {
-		a.writeChunk(c, a.encodeLine(listMessage{w.sentVersion + 1, false, a.directory.changesByVersion[w.sentVersion]}))
+func (a *Agent) sendChangesLocked(conn net.Conn, watch *watchState) {
+	for ; watch.sentVersion < a.version && !watch.silent; watch.sentVersion++ {
+		a.writeChunk(conn, a.encodeLine(listMessage{watch.sentVersion + 1, false, a.directory.changesByVersion[watch.sentVersion]}))
 	}
 }
 
-func (a *Agent) encodeLine(l listMessage) []byte {
+func (a *Agent) encodeLine(message listMessage) []byte {
 	if !a.indentedJSON {
-		return append(mustMarshal(l), '\n')
+		return append(mustMarshal(message), '\n')
 	}
-	b, err := json.MarshalIndent(l, "", "    ")
+	b, err := json.MarshalIndent(message, "", "    ")
 	if err != nil {
 		panic(err)
 	}
@@ -247,47 +247,47 @@
 }
 
 // writeChunk sends one chunk; the kernel takes what the scheduler does not read yet.
-func (a *Agent) writeChunk(c net.Conn, b []byte) {
-	a.record.discoveryBytes.Add(int64(len(b)))
-	c.SetWriteDeadline(time.Now().Add(keepAliveInterval))
-	head := strconv.AppendInt(nil, int64(len(b)), 16)
-	c.Write(append(append(append(head, '\r', '\n'), b...), '\r', '\n'))
+func (a *Agent) writeChunk(conn net.Conn, data []byte) {
+	a.record.discoveryBytes.Add(int64(len(data)))
+	conn.SetWriteDeadline(time.Now().Add(keepAliveInterval))
+	chunkHeader := strconv.AppendInt(nil, int64(len(data)), 16)
+	conn.Write(append(append(append(chunkHeader, '\r', '\n'), data...), '\r', '\n'))
 }
 
 func (a *Agent) accept() {
 	defer a.tasks.Done()
 	for {
-		c, err := a.listener.Accept()
+		conn, err := a.listener.Accept()
 		if err != nil {
 			return
 		}
 		a.tasks.Add(1)
-		go a.serve(c)
+		go a.serve(conn)
 	}
 }
 
 // serve answers one call: a watch, which stays open, or the whole list. While the agent is
 // down it says nothing until it is back or the scheduler leaves.
-func (a *Agent) serve(c net.Conn) {
+func (a *Agent) serve(conn net.Conn) {
 	defer a.tasks.Done()
-	defer c.Close()
-	in := bufio.NewReader(c)
-	head, err := http1.ReadRequest(in, messageLimits)
-	if err != nil || !a.waitWhileDown(c) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
+	request, err := http1.ReadRequest(reader, messageLimits)
+	if err != nil || !a.waitWhileDown(conn) {
 		return
 	}
-	held, watches := watchIndex(head.Target)
-	a.respond(c, held, watches)
-	if watches {
-		in.Peek(1) // until the other end closes
+	heldVersion, isWatch := watchIndex(request.Target)
+	a.respond(conn, heldVersion, isWatch)
+	if isWatch {
+		reader.Peek(1) // until the other end closes
 	}
 	a.mu.Lock()
-	delete(a.watches, c)
+	delete(a.watches, conn)
 	a.mu.Unlock()
 }
 
 // waitWhileDown waits while the agent is down; false if the caller left or the agent ends.
-func (a *Agent) waitWhileDown(c net.Conn) bool {
+func (a *Agent) waitWhileDown(conn net.Conn) bool {
 	for {
 		a.mu.Lock()
 		down := a.down
@@ -295,9 +295,9 @@
 		if !down {
 			return true
 		}
-		var one [1]byte
-		c.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
-		if _, err := c.Read(one[:]); !env.IsTimeout(err) {
+		var oneByte [1]byte
+		conn.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
+		if _, err := conn.Read(oneByte[:]); !env.IsTimeout(err) {
 			return false
 		}
 		select {
@@ -305,37 +305,37 @@
 			return false
 		default:
 		}
-		c.SetReadDeadline(time.Time{})
+		conn.SetReadDeadline(time.Time{})
 	}
 }
 
 // respond answers with the list, and keeps the connection as a watch.
-func (a *Agent) respond(c net.Conn, held int, watches bool) {
+func (a *Agent) respond(conn net.Conn, heldVersion int, isWatch bool) {
 	a.directory.mu.Lock()
 	defer a.directory.mu.Unlock()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	c.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
+	conn.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
 	now := a.record.Now()
-	for _, c := range a.undelivered {
-		c.EffectiveAt = min(c.EffectiveAt, now)
-		a.record.addHealthChanges(c)
+	for _, change := range a.undelivered {
+		change.EffectiveAt = min(change.EffectiveAt, now)
+		a.record.addHealthChanges(change)
 	}
 	a.silentSince, a.undelivered = 0, nil
-	if !watches || a.alwaysFullList || held > a.version {
-		a.writeChunk(c, a.encodeLine(a.fullListLocked()))
-		held = a.version
+	if !isWatch || a.alwaysFullList || heldVersion > a.version {
+		a.writeChunk(conn, a.encodeLine(a.fullListLocked()))
+		heldVersion = a.version
 	}
-	if !watches {
-		c.Write([]byte("0\r\n\r\n"))
+	if !isWatch {
+		conn.Write([]byte("0\r\n\r\n"))
 		return
 	}
-	w := &watchState{sentVersion: held}
-	a.watches[c] = w
-	if w.sentVersion == a.version {
-		a.writeChunk(c, []byte{'\n'})
+	watch := &watchState{sentVersion: heldVersion}
+	a.watches[conn] = watch
+	if watch.sentVersion == a.version {
+		a.writeChunk(conn, []byte{'\n'})
 	}
-	a.sendChangesLocked(c, w)
+	a.sendChangesLocked(conn, watch)
 }
 
 // FullListJSON is the whole list as the agent has it, as JSON.
@@ -349,24 +349,24 @@
 
 // fullListLocked is the whole list as the agent has it. Both locks are held.
 func (a *Agent) fullListLocked() listMessage {
-	l := listMessage{Seq: a.version, Full: true}
-	late := map[int]DiscoveryEntry{} // what the directory has changed since, as it was before
+	message := listMessage{Seq: a.version, Full: true}
+	previous := map[int]DiscoveryEntry{} // what the directory has changed since, as it was before
 	for v := a.version; v < a.directory.version; v++ {
 		for _, e := range a.directory.changesByVersion[v] {
-			if _, ok := late[e.Block]; !ok {
-				late[e.Block] = a.entryBefore(v, e.Block)
+			if _, ok := previous[e.Block]; !ok {
+				previous[e.Block] = a.entryBefore(v, e.Block)
 			}
 		}
 	}
 	for i, e := range a.directory.entries {
-		if old, ok := late[i]; ok {
+		if old, ok := previous[i]; ok {
 			e = old
 		}
 		if e.Health != "left" {
-			l.Hosts = append(l.Hosts, e)
+			message.Hosts = append(message.Hosts, e)
 		}
 	}
-	return l
+	return message
 }
 
 // entryBefore is a server's entry in a version.
@@ -384,32 +384,32 @@
 }
 
 // watchIndex is the version that a watch names; false for a call of the whole list.
-func watchIndex(target string) (held int, watches bool) {
+func watchIndex(target string) (heldVersion int, isWatch bool) {
 	_, query, _ := strings.Cut(target, "?")
 	for part := range strings.SplitSeq(query, "&") {
 		if name, value, _ := strings.Cut(part, "="); name == "index" {
-			held, _ = strconv.Atoi(value)
-			watches = true
+			heldVersion, _ = strconv.Atoi(value)
+			isWatch = true
 		}
 	}
-	return held, watches
+	return heldVersion, isWatch
 }
 
 // sendKeepAlives gives the open watches a sign of life.
 func (a *Agent) sendKeepAlives() {
 	defer a.tasks.Done()
-	tick := time.NewTicker(keepAliveInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(keepAliveInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-a.done:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		a.mu.Lock()
-		for c, w := range a.watches {
-			if !w.silent && !a.down {
-				a.writeChunk(c, []byte{'\n'})
+		for conn, watch := range a.watches {
+			if !watch.silent && !a.down {
+				a.writeChunk(conn, []byte{'\n'})
 			}
 		}
 		a.mu.Unlock()
--- a/internal/simulation/soak/process.go
+++ b/internal/simulation/soak/process.go
@@ -41,55 +41,55 @@
 const readyTimeout = 30 * time.Second
 
 // StartProcess starts a scheduler with a configuration and waits until it is ready.
-func StartProcess(c Command, scheduler int, folder string, config []byte, r *Record) (*Process, error) {
-	file := filepath.Join(folder, fmt.Sprintf("n%d.json", scheduler))
-	if err := os.WriteFile(file, config, 0o600); err != nil {
+func StartProcess(command Command, scheduler int, dir string, config []byte, record *Record) (*Process, error) {
+	configFile := filepath.Join(dir, fmt.Sprintf("n%d.json", scheduler))
+	if err := os.WriteFile(configFile, config, 0o600); err != nil {
 		return nil, err
 	}
-	p := &Process{record: r, scheduler: scheduler, configFile: file, done: make(chan struct{}), ready: make(chan struct{})}
-	p.cmd = exec.Command(c.Path, c.Args...)
-	p.cmd.Env = append(append(os.Environ(), c.Env...), "ROUTER_CONFIG="+file)
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing is left behind
-	out, err := p.cmd.StderrPipe()
+	process := &Process{record: record, scheduler: scheduler, configFile: configFile, done: make(chan struct{}), ready: make(chan struct{})}
+	process.cmd = exec.Command(command.Path, command.Args...)
+	process.cmd.Env = append(append(os.Environ(), command.Env...), "ROUTER_CONFIG="+configFile)
+	process.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing is left behind
+	stderr, err := process.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := p.cmd.Start(); err != nil {
+	if err := process.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go p.collectLog(bufio.NewScanner(out))
-	go p.sampleDescriptors()
+	go process.collectLog(bufio.NewScanner(stderr))
+	go process.sampleDescriptors()
 	select {
-	case <-p.ready:
-		return p, nil
-	case <-p.done:
-		return nil, fmt.Errorf("scheduler %d ended at its start: %s", scheduler, p.Log())
+	case <-process.ready:
+		return process, nil
+	case <-process.done:
+		return nil, fmt.Errorf("scheduler %d ended at its start: %s", scheduler, process.Log())
 	case <-time.After(readyTimeout):
-		p.Kill()
+		process.Kill()
 		return nil, fmt.Errorf("scheduler %d was not ready within %s", scheduler, readyTimeout)
 	}
 }
 
 // collectLog keeps the log and notes the end.
-func (p *Process) collectLog(lines *bufio.Scanner) {
-	lines.Buffer(nil, 1<<20)
-	said := false
-	for lines.Scan() {
+func (p *Process) collectLog(scanner *bufio.Scanner) {
+	scanner.Buffer(nil, 1<<20)
+	readySeen := false
+	for scanner.Scan() {
 		p.mu.Lock()
-		p.log.WriteString(lines.Text() + "\n")
+		p.log.WriteString(scanner.Text() + "\n")
 		p.mu.Unlock()
-		if !said && strings.Contains(lines.Text(), `"msg":"ready"`) {
-			said = true
+		if !readySeen && strings.Contains(scanner.Text(), `"msg":"ready"`) {
+			readySeen = true
 			close(p.ready)
 		}
 	}
 	err := p.cmd.Wait()
-	cpu, peak := p.resourceUsage()
+	cpuTime, peakMemoryMB := p.resourceUsage()
 	p.mu.Lock()
-	end := ProcessExit{Scheduler: p.scheduler, SigtermAt: p.sigtermAt, ExitedAt: p.record.Now(), Killed: p.killed,
-		Crashed: !p.killed && (p.sigtermAt == 0 || err != nil), Log: p.log.String(), CPUTime: cpu, PeakMemoryMB: peak, MaxDescriptors: p.maxDescriptors}
+	exit := ProcessExit{Scheduler: p.scheduler, SigtermAt: p.sigtermAt, ExitedAt: p.record.Now(), Killed: p.killed,
+		Crashed: !p.killed && (p.sigtermAt == 0 || err != nil), Log: p.log.String(), CPUTime: cpuTime, PeakMemoryMB: peakMemoryMB, MaxDescriptors: p.maxDescriptors}
 	p.mu.Unlock()
-	p.record.addExit(end)
+	p.record.addExit(exit)
 	close(p.done)
 }
 
@@ -101,13 +101,13 @@
 }
 
 // Signal sends a signal; SIGTERM is noted as the word to end.
-func (p *Process) Signal(s syscall.Signal) {
+func (p *Process) Signal(signal syscall.Signal) {
 	p.mu.Lock()
-	if s == syscall.SIGTERM && p.sigtermAt == 0 {
+	if signal == syscall.SIGTERM && p.sigtermAt == 0 {
 		p.sigtermAt = p.record.Now()
 	}
 	p.mu.Unlock()
-	p.cmd.Process.Signal(s)
+	p.cmd.Process.Signal(signal)
 }
 
 // Kill ends the process at once and waits for its end.
@@ -135,14 +135,14 @@
 // Throttle lets the process run for only a share of the time, by SIGSTOP and SIGCONT, as on
 // a machine that gives it a share of a core. It returns when stop is closed or it has ended.
 func (p *Process) Throttle(share float64, stop <-chan struct{}) {
-	run := time.Duration(share * float64(throttlePeriod))
+	runTime := time.Duration(share * float64(throttlePeriod))
 	defer p.cmd.Process.Signal(syscall.SIGCONT)
 	for {
-		for _, turn := range []struct {
-			signal syscall.Signal
-			lasts  time.Duration
-		}{{syscall.SIGCONT, run}, {syscall.SIGSTOP, throttlePeriod - run}} {
-			if p.cmd.Process.Signal(turn.signal) != nil {
+		for _, phase := range []struct {
+			signal   syscall.Signal
+			duration time.Duration
+		}{{syscall.SIGCONT, runTime}, {syscall.SIGSTOP, throttlePeriod - runTime}} {
+			if p.cmd.Process.Signal(phase.signal) != nil {
 				return
 			}
 			select {
@@ -150,7 +150,7 @@
 				return
 			case <-p.done:
 				return
-			case <-time.After(turn.lasts):
+			case <-time.After(phase.duration):
 			}
 		}
 	}
--- a/internal/simulation/soak/report.go
+++ b/internal/simulation/soak/report.go
@@ -14,17 +14,17 @@
 
 // Summary is a run in one line: what passed, and the breaks by rule.
 func (r *Run) Summary(broken []Violation) string {
-	answers := map[int]int{}
-	for _, q := range r.Record.Requests {
-		answers[q.Status]++
+	countByStatus := map[int]int{}
+	for _, request := range r.Record.Requests {
+		countByStatus[request.Status]++
 	}
 	var parts []string
-	for _, status := range slices.Sorted(maps.Keys(answers)) {
+	for _, status := range slices.Sorted(maps.Keys(countByStatus)) {
 		name := fmt.Sprint(status)
 		if status == 0 {
 			name = "none"
 		}
-		parts = append(parts, fmt.Sprintf("%s %d", name, answers[status]))
+		parts = append(parts, fmt.Sprintf("%s %d", name, countByStatus[status]))
 	}
 	return fmt.Sprintf("seed %d: %d requests, %d attempts, answers %s; %s",
 		r.Options.Seed, len(r.Record.Requests), len(r.Record.Attempts), strings.Join(parts, ", "), countByRule(broken))
@@ -35,8 +35,8 @@
 		return "all rules kept"
 	}
 	count := map[string]int{}
-	for _, b := range broken {
-		count[b.Rule]++
+	for _, violation := range broken {
+		count[violation.Rule]++
 	}
 	var parts []string
 	for _, rule := range slices.Sorted(maps.Keys(count)) {
@@ -47,35 +47,35 @@
 
 // Explain prints what befell a run and the first breaks with their requests' whole way.
 func (r *Run) Explain(w io.Writer, broken []Violation) {
-	for _, e := range r.Events() {
-		fmt.Fprintln(w, "  event", e)
+	for _, event := range r.Events() {
+		fmt.Fprintln(w, "  event", event)
 	}
-	for _, b := range broken[:min(len(broken), maxShownViolations)] {
-		fmt.Fprintln(w, " ", b)
-		if b.RequestID != "" {
-			r.printTrace(w, b.RequestID)
+	for _, violation := range broken[:min(len(broken), maxShownViolations)] {
+		fmt.Fprintln(w, " ", violation)
+		if violation.RequestID != "" {
+			r.printTrace(w, violation.RequestID)
 		}
 	}
-	if more := len(broken) - maxShownViolations; more > 0 {
-		fmt.Fprintf(w, "  and %d more\n", more)
+	if hidden := len(broken) - maxShownViolations; hidden > 0 {
+		fmt.Fprintf(w, "  and %d more\n", hidden)
 	}
 }
 
 // printTrace prints all that is known of a request.
 func (r *Run) printTrace(w io.Writer, id string) {
-	for _, q := range r.Record.Requests {
-		if q.ID == id {
-			fmt.Fprintf(w, "    client: %s to scheduler %d at %s for %s, answered %s with %d, left %s, ended %s, resent %v\n", q.Class, q.Scheduler,
-				formatTime(q.SentAt), q.Timeout, formatTime(q.AnsweredAt), q.Status, formatTime(q.AbandonedAt), formatTime(q.ConnLostAt), q.Resent)
+	for _, request := range r.Record.Requests {
+		if request.ID == id {
+			fmt.Fprintf(w, "    client: %s to scheduler %d at %s for %s, answered %s with %d, left %s, ended %s, resent %v\n", request.Class, request.Scheduler,
+				formatTime(request.SentAt), request.Timeout, formatTime(request.AnsweredAt), request.Status, formatTime(request.AbandonedAt), formatTime(request.ConnLostAt), request.Resent)
 		}
 	}
-	for _, a := range r.Record.Attempts {
-		if a.ID == id {
-			fmt.Fprintf(w, "    server %d: began %s, whole %s, told %s, served %v\n", a.Server, formatTime(a.FirstByteAt), formatTime(a.LastByteAt), a.Timeout, a.Served)
+	for _, attempt := range r.Record.Attempts {
+		if attempt.ID == id {
+			fmt.Fprintf(w, "    server %d: began %s, whole %s, told %s, served %v\n", attempt.Server, formatTime(attempt.FirstByteAt), formatTime(attempt.LastByteAt), attempt.Timeout, attempt.Served)
 		}
 	}
-	for _, e := range r.Record.Exits {
-		for line := range strings.SplitSeq(e.Log, "\n") {
+	for _, exit := range r.Record.Exits {
+		for line := range strings.SplitSeq(exit.Log, "\n") {
 			if strings.Contains(line, id) {
 				fmt.Fprintln(w, "    log:", line)
 			}
--- a/internal/simulation/soak/rules.go
+++ b/internal/simulation/soak/rules.go
@@ -59,138 +59,138 @@
 }
 
 // Check names all breaks of the rules in a record, in order of time.
-func (t Rules) Check(r *Record) []Violation {
-	j := &checker{rules: t, record: r, attemptsByRequest: map[string][]*Attempt{}, exitsByScheduler: map[int][]ProcessExit{}}
-	for _, a := range r.Attempts {
-		j.attemptsByRequest[a.ID] = append(j.attemptsByRequest[a.ID], a)
+func (r Rules) Check(record *Record) []Violation {
+	c := &checker{rules: r, record: record, attemptsByRequest: map[string][]*Attempt{}, exitsByScheduler: map[int][]ProcessExit{}}
+	for _, attempt := range record.Attempts {
+		c.attemptsByRequest[attempt.ID] = append(c.attemptsByRequest[attempt.ID], attempt)
 	}
-	for _, e := range r.Exits {
-		j.exitsByScheduler[e.Scheduler] = append(j.exitsByScheduler[e.Scheduler], e)
+	for _, exit := range record.Exits {
+		c.exitsByScheduler[exit.Scheduler] = append(c.exitsByScheduler[exit.Scheduler], exit)
 	}
-	known := map[string]*Request{}
-	for _, q := range r.Requests {
-		known[q.ID] = q
-		j.checkAnswer(q)
-		j.checkAttempts(q)
+	requestsByID := map[string]*Request{}
+	for _, request := range record.Requests {
+		requestsByID[request.ID] = request
+		c.checkAnswer(request)
+		c.checkAttempts(request)
 	}
-	for _, a := range r.Attempts {
-		if known[a.ID] == nil {
-			j.addViolation("unknown", a.FirstByteAt, -1, a.ID, "no client sent it")
+	for _, attempt := range record.Attempts {
+		if requestsByID[attempt.ID] == nil {
+			c.addViolation("unknown", attempt.FirstByteAt, -1, attempt.ID, "no client sent it")
 		}
 	}
-	j.checkDrains(known)
-	j.checkColdServers(known)
-	j.checkVolumeLimits(known)
-	j.checkProcesses()
-	slices.SortStableFunc(j.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	return j.violations
+	c.checkDrains(requestsByID)
+	c.checkColdServers(requestsByID)
+	c.checkVolumeLimits(requestsByID)
+	c.checkProcesses()
+	slices.SortStableFunc(c.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return c.violations
 }
 
-func (j *checker) addViolation(rule string, at time.Duration, scheduler int, request, what string) {
-	j.violations = append(j.violations, Violation{rule, at, scheduler, request, what})
+func (c *checker) addViolation(rule string, violatedAt time.Duration, scheduler int, requestID, detail string) {
+	c.violations = append(c.violations, Violation{rule, violatedAt, scheduler, requestID, detail})
 }
 
 // checkAnswer holds that a request has its one final checkAnswer in time, and a true one.
-func (j *checker) checkAnswer(q *Request) {
-	tries := j.attemptsByRequest[q.ID]
-	lost := func(at time.Duration, what string) {
-		j.addViolation("lost", at, q.Scheduler, q.ID, fmt.Sprintf("%s (%d attempts)", what, len(tries)))
+func (c *checker) checkAnswer(request *Request) {
+	attempts := c.attemptsByRequest[request.ID]
+	addLost := func(violatedAt time.Duration, detail string) {
+		c.addViolation("lost", violatedAt, request.Scheduler, request.ID, fmt.Sprintf("%s (%d attempts)", detail, len(attempts)))
 	}
-	last := q.SentAt + q.Timeout + answerSlack + j.rules.HostSlack
+	deadline := request.SentAt + request.Timeout + answerSlack + c.rules.HostSlack
 	switch {
-	case q.AnsweredAt > 0:
-		if q.AnsweredAt > last {
-			lost(q.AnsweredAt, fmt.Sprintf("answered %.3f s after its time", (q.AnsweredAt-q.SentAt-q.Timeout).Seconds()))
+	case request.AnsweredAt > 0:
+		if request.AnsweredAt > deadline {
+			addLost(request.AnsweredAt, fmt.Sprintf("answered %.3f s after its time", (request.AnsweredAt-request.SentAt-request.Timeout).Seconds()))
 		}
-		if q.Status == 200 && q.Body != q.ID {
-			lost(q.AnsweredAt, "another's answer: "+q.Body)
+		if request.Status == 200 && request.Body != request.ID {
+			addLost(request.AnsweredAt, "another's answer: "+request.Body)
 		}
-		if q.Status == 409 && q.Resent {
-			lost(q.AnsweredAt, "it had been read, and its connection ended without an answer")
+		if request.Status == 409 && request.Resent {
+			addLost(request.AnsweredAt, "it had been read, and its connection ended without an answer")
 		}
-		if q.Status == 200 && !slices.ContainsFunc(tries, func(a *Attempt) bool { return a.Served }) {
-			lost(q.AnsweredAt, "served by nobody")
+		if request.Status == 200 && !slices.ContainsFunc(attempts, func(a *Attempt) bool { return a.Served }) {
+			addLost(request.AnsweredAt, "served by nobody")
 		}
-	case q.AbandonedAt > 0 && q.AbandonedAt <= last, j.excusedByKill(q):
-	case q.AbandonedAt > 0:
-		lost(q.AbandonedAt, "no final answer in its time")
-	case q.ConnLostAt > 0 && len(tries) > 0:
-		lost(q.ConnLostAt, "its connection ended without an answer after it was sent on")
-	case q.BrokenMidResponse:
-		lost(q.ConnLostAt, "its connection ended within the answer")
+	case request.AbandonedAt > 0 && request.AbandonedAt <= deadline, c.excusedByKill(request):
+	case request.AbandonedAt > 0:
+		addLost(request.AbandonedAt, "no final answer in its time")
+	case request.ConnLostAt > 0 && len(attempts) > 0:
+		addLost(request.ConnLostAt, "its connection ended without an answer after it was sent on")
+	case request.BrokenMidResponse:
+		addLost(request.ConnLostAt, "its connection ended within the answer")
 	}
 }
 
 // excusedByKill tells whether the request's process was killed without a word before it had to
 // answer, or was told to end and killed where the request had longer than that.
-func (j *checker) excusedByKill(q *Request) bool {
-	for _, e := range j.exitsByScheduler[q.Scheduler] {
-		if e.ExitedAt < q.SentAt || !e.Killed {
+func (c *checker) excusedByKill(request *Request) bool {
+	for _, exit := range c.exitsByScheduler[request.Scheduler] {
+		if exit.ExitedAt < request.SentAt || !exit.Killed {
 			continue
 		}
-		if e.SigtermAt == 0 || q.SentAt < e.SigtermAt+excusedAfterSigterm && e.ExitedAt < q.SentAt+q.Timeout {
-			return e.ExitedAt < q.SentAt+q.Timeout+answerSlack
+		if exit.SigtermAt == 0 || request.SentAt < exit.SigtermAt+excusedAfterSigterm && exit.ExitedAt < request.SentAt+request.Timeout {
+			return exit.ExitedAt < request.SentAt+request.Timeout+answerSlack
 		}
 	}
 	return false
 }
 
 // checkAttempts holds each attempt to what its client has left, and all of them to the class.
-func (j *checker) checkAttempts(q *Request) {
-	tries := j.attemptsByRequest[q.ID]
-	if most := j.rules.MaxAttempts; most > 0 && len(tries) > most {
-		j.addViolation("attempts", tries[most].FirstByteAt, q.Scheduler, q.ID, fmt.Sprintf("%d attempts", len(tries)))
+func (c *checker) checkAttempts(request *Request) {
+	attempts := c.attemptsByRequest[request.ID]
+	if limit := c.rules.MaxAttempts; limit > 0 && len(attempts) > limit {
+		c.addViolation("attempts", attempts[limit].FirstByteAt, request.Scheduler, request.ID, fmt.Sprintf("%d attempts", len(attempts)))
 	}
-	for _, a := range tries {
-		if over := j.finishedAt(q); over > 0 && a.FirstByteAt > over+abandonSlack+j.rules.HostSlack {
-			j.addViolation("lost", a.FirstByteAt, q.Scheduler, q.ID, fmt.Sprintf("an attempt began %.3f s after its end", (a.FirstByteAt-over).Seconds()))
+	for _, attempt := range attempts {
+		if finished := c.finishedAt(request); finished > 0 && attempt.FirstByteAt > finished+abandonSlack+c.rules.HostSlack {
+			c.addViolation("lost", attempt.FirstByteAt, request.Scheduler, request.ID, fmt.Sprintf("an attempt began %.3f s after its end", (attempt.FirstByteAt-finished).Seconds()))
 		}
-		left := q.SentAt + q.Timeout - a.FirstByteAt
-		if a.Timeout > left+timeoutSlack+j.rules.HostSlack {
-			j.addViolation("deadline", a.FirstByteAt, q.Scheduler, q.ID, fmt.Sprintf("told %.3f s, its client has %.3f s left", a.Timeout.Seconds(), left.Seconds()))
+		remaining := request.SentAt + request.Timeout - attempt.FirstByteAt
+		if attempt.Timeout > remaining+timeoutSlack+c.rules.HostSlack {
+			c.addViolation("deadline", attempt.FirstByteAt, request.Scheduler, request.ID, fmt.Sprintf("told %.3f s, its client has %.3f s left", attempt.Timeout.Seconds(), remaining.Seconds()))
 		}
-		if j.rules.KeyTTL > 0 && a.FirstByteAt > tries[0].FirstByteAt+j.rules.KeyTTL+windowSlack+j.rules.HostSlack {
-			j.addViolation("duplicate", a.FirstByteAt, q.Scheduler, q.ID, "repeats are not dropped any more")
+		if c.rules.KeyTTL > 0 && attempt.FirstByteAt > attempts[0].FirstByteAt+c.rules.KeyTTL+windowSlack+c.rules.HostSlack {
+			c.addViolation("duplicate", attempt.FirstByteAt, request.Scheduler, request.ID, "repeats are not dropped any more")
 		}
 	}
 }
 
 // finishedAt is when nothing more may begin for a request, but for what was under way; 0: never.
-func (j *checker) finishedAt(q *Request) time.Duration {
+func (c *checker) finishedAt(request *Request) time.Duration {
 	switch {
-	case q.AbandonedAt > 0:
-		return q.AbandonedAt
-	case q.AnsweredAt > 0:
-		return q.AnsweredAt
+	case request.AbandonedAt > 0:
+		return request.AbandonedAt
+	case request.AnsweredAt > 0:
+		return request.AnsweredAt
 	}
 	return 0
 }
 
 // checkDrains holds that nothing goes to a server once the grace after its drain is over.
-func (j *checker) checkDrains(known map[string]*Request) {
-	type place struct{ scheduler, server int }
-	told := map[place][]HealthChange{}
-	for _, c := range j.record.HealthChanges {
-		at := place{c.Scheduler, c.Server}
-		told[at] = append(told[at], c)
+func (c *checker) checkDrains(requestsByID map[string]*Request) {
+	type schedulerServer struct{ scheduler, server int }
+	changes := map[schedulerServer][]HealthChange{}
+	for _, change := range c.record.HealthChanges {
+		key := schedulerServer{change.Scheduler, change.Server}
+		changes[key] = append(changes[key], change)
 	}
-	for _, a := range j.record.Attempts {
-		q := known[a.ID]
-		if q == nil {
+	for _, attempt := range c.record.Attempts {
+		request := requestsByID[attempt.ID]
+		if request == nil {
 			continue
 		}
-		c := lastEffective(told[place{q.Scheduler, a.Server}], a.FirstByteAt)
-		if c != nil && c.Health != "active" && a.FirstByteAt > c.EffectiveAt+j.rules.DrainGrace+windowSlack+j.rules.HostSlack {
-			j.addViolation("drain", a.FirstByteAt, q.Scheduler, a.ID, fmt.Sprintf("sent to server %d %.3f s after its drain was told", a.Server, (a.FirstByteAt-c.EffectiveAt).Seconds()))
+		last := lastEffective(changes[schedulerServer{request.Scheduler, attempt.Server}], attempt.FirstByteAt)
+		if last != nil && last.Health != "active" && attempt.FirstByteAt > last.EffectiveAt+c.rules.DrainGrace+windowSlack+c.rules.HostSlack {
+			c.addViolation("drain", attempt.FirstByteAt, request.Scheduler, attempt.ID, fmt.Sprintf("sent to server %d %.3f s after its drain was told", attempt.Server, (attempt.FirstByteAt-last.EffectiveAt).Seconds()))
 		}
 	}
 }
 
 // lastEffective is the last change, in the order of their versions, that counts as told at a
 // time; nil if none does.
-func lastEffective(changes []HealthChange, at time.Duration) *HealthChange {
+func lastEffective(changes []HealthChange, eventTime time.Duration) *HealthChange {
 	for i := len(changes) - 1; i >= 0; i-- {
-		if changes[i].EffectiveAt <= at {
+		if changes[i].EffectiveAt <= eventTime {
 			return &changes[i]
 		}
 	}
@@ -199,29 +199,29 @@
 
 // checkVolumeLimits holds what comes to the servers of each limited volume to a bucket that is full at
 // first. A request takes its units once, with the last byte of its first attempt.
-func (j *checker) checkVolumeLimits(known map[string]*Request) {
-	t := j.rules
-	if t.VolumeRate <= 0 {
+func (c *checker) checkVolumeLimits(requestsByID map[string]*Request) {
+	rules := c.rules
+	if rules.VolumeRate <= 0 {
 		return
 	}
-	came := map[uint64][]*Attempt{}
-	for id, tries := range j.attemptsByRequest {
-		q := known[id]
-		if q == nil || q.LimitedVolume == 0 {
+	attemptsByVolume := map[uint64][]*Attempt{}
+	for requestID, attempts := range c.attemptsByRequest {
+		request := requestsByID[requestID]
+		if request == nil || request.LimitedVolume == 0 {
 			continue
 		}
-		if i := slices.IndexFunc(tries, func(a *Attempt) bool { return a.LastByteAt > 0 }); i >= 0 {
-			came[q.LimitedVolume] = append(came[q.LimitedVolume], tries[i])
+		if i := slices.IndexFunc(attempts, func(attempt *Attempt) bool { return attempt.LastByteAt > 0 }); i >= 0 {
+			attemptsByVolume[request.LimitedVolume] = append(attemptsByVolume[request.LimitedVolume], attempts[i])
 		}
 	}
-	least := -t.VolumeBurstSlack - t.VolumeRate*(volumeSlackTime+t.HostSlack).Seconds()
-	for volume, all := range came {
-		slices.SortFunc(all, func(a, b *Attempt) int { return cmp.Compare(a.LastByteAt, b.LastByteAt) })
-		level, at := t.VolumeBurst, all[0].LastByteAt
-		for _, a := range all {
-			level = min(level+t.VolumeRate*(a.LastByteAt-at).Seconds(), t.VolumeBurst) - meanUnits
-			if at = a.LastByteAt; level < least {
-				j.addViolation("limit", at, known[a.ID].Scheduler, a.ID, fmt.Sprintf("volume %d is %.1f units past its limit, %.1f are allowed", volume, -level, -least))
+	minLevel := -rules.VolumeBurstSlack - rules.VolumeRate*(volumeSlackTime+rules.HostSlack).Seconds()
+	for volume, attempts := range attemptsByVolume {
+		slices.SortFunc(attempts, func(a, b *Attempt) int { return cmp.Compare(a.LastByteAt, b.LastByteAt) })
+		level, lastTime := rules.VolumeBurst, attempts[0].LastByteAt
+		for _, attempt := range attempts {
+			level = min(level+rules.VolumeRate*(attempt.LastByteAt-lastTime).Seconds(), rules.VolumeBurst) - meanUnits
+			if lastTime = attempt.LastByteAt; level < minLevel {
+				c.addViolation("limit", lastTime, requestsByID[attempt.ID].Scheduler, attempt.ID, fmt.Sprintf("volume %d is %.1f units past its limit, %.1f are allowed", volume, -level, -minLevel))
 				break
 			}
 		}
@@ -230,41 +230,41 @@
 
 // checkColdServers holds what all schedulers together send to a server that has just started to
 // its budget, in requests of mean work.
-func (j *checker) checkColdServers(known map[string]*Request) {
-	if j.rules.ColdUnits <= 0 {
+func (c *checker) checkColdServers(requestsByID map[string]*Request) {
+	if c.rules.ColdUnits <= 0 {
 		return
 	}
-	born := map[int][]time.Duration{}
-	for _, c := range j.record.HealthChanges {
-		if c.StartedAt > 0 && !slices.Contains(born[c.Server], c.StartedAt) {
-			born[c.Server] = append(born[c.Server], c.StartedAt)
+	startTimes := map[int][]time.Duration{}
+	for _, change := range c.record.HealthChanges {
+		if change.StartedAt > 0 && !slices.Contains(startTimes[change.Server], change.StartedAt) {
+			startTimes[change.Server] = append(startTimes[change.Server], change.StartedAt)
 		}
 	}
-	byServer := map[int][]time.Duration{}
-	for _, a := range j.record.Attempts {
-		if a.LastByteAt > 0 && known[a.ID] != nil {
-			byServer[a.Server] = append(byServer[a.Server], a.LastByteAt)
+	arrivalsByServer := map[int][]time.Duration{}
+	for _, attempt := range c.record.Attempts {
+		if attempt.LastByteAt > 0 && requestsByID[attempt.ID] != nil {
+			arrivalsByServer[attempt.Server] = append(arrivalsByServer[attempt.Server], attempt.LastByteAt)
 		}
 	}
-	for server, starts := range born {
+	for server, starts := range startTimes {
 		for _, start := range starts {
-			j.checkColdStart(server, start, byServer[server])
+			c.checkColdStart(server, start, arrivalsByServer[server])
 		}
 	}
 }
 
-func (j *checker) checkColdStart(server int, born time.Duration, came []time.Duration) {
-	slices.Sort(came)
+func (c *checker) checkColdStart(server int, startedAt time.Duration, arrivals []time.Duration) {
+	slices.Sort(arrivals)
 	first := 0
-	for i, at := range came {
-		if at < born || at > born+j.rules.WarmUpTime {
+	for i, arrival := range arrivals {
+		if arrival < startedAt || arrival > startedAt+c.rules.WarmUpTime {
 			continue
 		}
-		for came[first] < max(at-j.rules.OverloadWindow, born) {
+		for arrivals[first] < max(arrival-c.rules.OverloadWindow, startedAt) {
 			first++
 		}
-		if n, most := i-first+1, j.rules.coldBudget(at-born); float64(n) > most {
-			j.addViolation("failback", at, -1, "", fmt.Sprintf("server %d got %d requests within %s, %.1f s after its start; it bears %.1f", server, n, j.rules.OverloadWindow, (at-born).Seconds(), most))
+		if count, budget := i-first+1, c.rules.coldBudget(arrival-startedAt); float64(count) > budget {
+			c.addViolation("failback", arrival, -1, "", fmt.Sprintf("server %d got %d requests within %s, %.1f s after its start; it bears %.1f", server, count, c.rules.OverloadWindow, (arrival-startedAt).Seconds(), budget))
 			return
 		}
 	}
@@ -272,33 +272,33 @@
 
 // coldBudget is how many requests of mean work a server of that age takes within FallTime
 // before it falls: N + 2 root N + 2, below 30 N + 3 root N + 3.
-func (t Rules) coldBudget(age time.Duration) float64 {
-	grown := 1.0
-	if t.ColdCapacity > 0 && t.WarmUpTime > 0 {
-		grown += (1 - t.ColdCapacity) / t.ColdCapacity * min(age.Seconds()/t.WarmUpTime.Seconds(), 1)
+func (r Rules) coldBudget(age time.Duration) float64 {
+	growth := 1.0
+	if r.ColdCapacity > 0 && r.WarmUpTime > 0 {
+		growth += (1 - r.ColdCapacity) / r.ColdCapacity * min(age.Seconds()/r.WarmUpTime.Seconds(), 1)
 	}
-	n := t.ColdUnits / meanUnits * grown
-	if n < 30 {
-		return n + 3*math.Sqrt(n) + 3
+	expected := r.ColdUnits / meanUnits * growth
+	if expected < 30 {
+		return expected + 3*math.Sqrt(expected) + 3
 	}
-	return n + 2*math.Sqrt(n) + 2
+	return expected + 2*math.Sqrt(expected) + 2
 }
 
 // checkProcesses holds that no scheduler ends by itself, and that one that was told to end has
 // answered what it took.
-func (j *checker) checkProcesses() {
-	for _, e := range j.record.Exits {
-		if e.Crashed {
-			j.addViolation("crash", e.ExitedAt, e.Scheduler, "", "it ended by itself: "+logTail(e.Log))
+func (c *checker) checkProcesses() {
+	for _, exit := range c.record.Exits {
+		if exit.Crashed {
+			c.addViolation("crash", exit.ExitedAt, exit.Scheduler, "", "it ended by itself: "+logTail(exit.Log))
 		}
-		if e.Killed && e.SigtermAt > 0 {
-			j.addViolation("stop", e.ExitedAt, e.Scheduler, "", fmt.Sprintf("still there %.3f s after SIGTERM", (e.ExitedAt-e.SigtermAt).Seconds()))
+		if exit.Killed && exit.SigtermAt > 0 {
+			c.addViolation("stop", exit.ExitedAt, exit.Scheduler, "", fmt.Sprintf("still there %.3f s after SIGTERM", (exit.ExitedAt-exit.SigtermAt).Seconds()))
 		}
 	}
 }
 
 func logTail(log string) string {
-	const most = 600
+	const maxBytes = 600
 	log = strings.TrimSpace(log)
-	return log[max(len(log)-most, 0):]
+	return log[max(len(log)-maxBytes, 0):]
 }
--- a/internal/simulation/soak/rules_test.go
+++ b/internal/simulation/soak/rules_test.go
@@ -10,19 +10,19 @@
 // newValidRecord is a record in which all rules are kept: one request served by a server, which then
 // drains.
 func newValidRecord() *Record {
-	r := NewRecord()
-	r.Requests = []*Request{{ID: "a", Timeout: second, SentAt: 10 * second, AnsweredAt: 10*second + 50*time.Millisecond, Status: 200, Body: "a"}}
-	r.Attempts = []*Attempt{{ID: "a", FirstByteAt: 10 * second, LastByteAt: 10 * second, Timeout: second, Served: true}}
-	r.HealthChanges = []HealthChange{{Health: "leaving", EffectiveAt: 10*second + 100*time.Millisecond}}
-	return r
+	record := NewRecord()
+	record.Requests = []*Request{{ID: "a", Timeout: second, SentAt: 10 * second, AnsweredAt: 10*second + 50*time.Millisecond, Status: 200, Body: "a"}}
+	record.Attempts = []*Attempt{{ID: "a", FirstByteAt: 10 * second, LastByteAt: 10 * second, Timeout: second, Served: true}}
+	record.HealthChanges = []HealthChange{{Health: "leaving", EffectiveAt: 10*second + 100*time.Millisecond}}
+	return record
 }
 
 // addLimitedRequests adds so many requests of one addLimitedRequests volume, each that much after the one before.
-func addLimitedRequests(r *Record, n int, each time.Duration) {
-	for i := range n {
-		id, at := string(rune('A'+i)), 10*second+time.Duration(i)*each
-		r.Requests = append(r.Requests, &Request{ID: id, LimitedVolume: 7, Timeout: second, SentAt: at, AnsweredAt: at + time.Millisecond, Status: 200, Body: id})
-		r.Attempts = append(r.Attempts, &Attempt{ID: id, Server: 9, FirstByteAt: at, LastByteAt: at, Timeout: second, Served: true})
+func addLimitedRequests(record *Record, count int, interval time.Duration) {
+	for i := range count {
+		id, sentAt := string(rune('A'+i)), 10*second+time.Duration(i)*interval
+		record.Requests = append(record.Requests, &Request{ID: id, LimitedVolume: 7, Timeout: second, SentAt: sentAt, AnsweredAt: sentAt + time.Millisecond, Status: 200, Body: id})
+		record.Attempts = append(record.Attempts, &Attempt{ID: id, Server: 9, FirstByteAt: sentAt, LastByteAt: sentAt, Timeout: second, Served: true})
 	}
 }
 
@@ -37,7 +37,7 @@
 		change func(r *Record)
 		rule   string // that is broken; "": none
 	}{
-		"within its limit":   {func(r *Record) { addLimitedRequests(r, 4, 0) }, ""},
+		"within its limit":   {func(record *Record) { addLimitedRequests(record, 4, 0) }, ""},
 		"past its limit":     {func(r *Record) { addLimitedRequests(r, 5, 0) }, "limit"},
 		"past it with time":  {func(r *Record) { addLimitedRequests(r, 5, 200*time.Millisecond) }, ""},
 		"good":               {func(*Record) {}, ""},
@@ -101,45 +101,45 @@
 	} {
 		r := newValidRecord()
 		tt.change(r)
-		broken := testRules().Check(r)
+		violations := testRules().Check(r)
 		switch {
-		case tt.rule == "" && len(broken) > 0:
-			t.Errorf("%s: %v", name, broken)
-		case tt.rule != "" && (len(broken) == 0 || broken[0].Rule != tt.rule):
-			t.Errorf("%s: %v, want %s", name, broken, tt.rule)
+		case tt.rule == "" && len(violations) > 0:
+			t.Errorf("%s: %v", name, violations)
+		case tt.rule != "" && (len(violations) == 0 || violations[0].Rule != tt.rule):
+			t.Errorf("%s: %v, want %s", name, violations, tt.rule)
 		}
 	}
 }
 
 // setColdStartRequests has a server start and get so many requests at once. It bears four, and falls above
 // 4 + 3 x 2 + 3 of them.
-func setColdStartRequests(r *Record, n int) {
-	r.HealthChanges = []HealthChange{{Health: "active", EffectiveAt: 9 * second, StartedAt: 9 * second}}
-	for len(r.Attempts) < n {
-		q := *r.Requests[0]
-		a := *r.Attempts[0]
-		q.ID += string(rune('a' + len(r.Attempts)))
-		a.ID, q.Body = q.ID, q.ID
-		r.Requests, r.Attempts = append(r.Requests, &q), append(r.Attempts, &a)
+func setColdStartRequests(record *Record, count int) {
+	record.HealthChanges = []HealthChange{{Health: "active", EffectiveAt: 9 * second, StartedAt: 9 * second}}
+	for len(record.Attempts) < count {
+		request := *record.Requests[0]
+		attempt := *record.Attempts[0]
+		request.ID += string(rune('a' + len(record.Attempts)))
+		attempt.ID, request.Body = request.ID, request.ID
+		record.Requests, record.Attempts = append(record.Requests, &request), append(record.Attempts, &attempt)
 	}
-	for _, a := range r.Attempts {
-		a.FirstByteAt, a.LastByteAt = 9*second, 9*second
-		a.Timeout = second
+	for _, attempt := range record.Attempts {
+		attempt.FirstByteAt, attempt.LastByteAt = 9*second, 9*second
+		attempt.Timeout = second
 	}
-	for _, q := range r.Requests {
-		q.SentAt, q.AnsweredAt = 9*second, 9*second+50*time.Millisecond
+	for _, request := range record.Requests {
+		request.SentAt, request.AnsweredAt = 9*second, 9*second+50*time.Millisecond
 	}
 }
 
 // The same seed draws the same faults, another one others.
 func TestDrawIsDeterminedBySeed(t *testing.T) {
-	o := DefaultOptions()
-	names := func(seed uint64) (out []Fault) {
-		o.Seed = seed
-		return DrawFaults(o)
+	options := DefaultOptions()
+	draw := func(seed uint64) (out []Fault) {
+		options.Seed = seed
+		return DrawFaults(options)
 	}
-	a, b, c := names(1), names(1), names(2)
-	same := func(x, y []Fault) bool {
+	first, second, otherSeed := draw(1), draw(1), draw(2)
+	equal := func(x, y []Fault) bool {
 		if len(x) != len(y) {
 			return false
 		}
@@ -150,8 +150,8 @@
 		}
 		return true
 	}
-	if !same(a, b) || same(a, c) {
-		t.Errorf("%d, %d and %d faults", len(a), len(b), len(c))
+	if !equal(first, second) || equal(first, otherSeed) {
+		t.Errorf("%d, %d and %d faults", len(first), len(second), len(otherSeed))
 	}
 }
 
@@ -160,7 +160,7 @@
 		t.Error(err)
 	}
 	for name, change := range map[string]func(*Options){
-		"no servers":   func(o *Options) { o.Servers = 0 },
+		"no servers":   func(options *Options) { options.Servers = 0 },
 		"many servers": func(o *Options) { o.Servers = 5001 },
 		"no share":     func(o *Options) { o.CoreShare = 0 },
 		"schedulers":   func(o *Options) { o.Schedulers = -1 },
--- a/internal/simulation/soak/run.go
+++ b/internal/simulation/soak/run.go
@@ -38,7 +38,7 @@
 
 // Validate names what is out of range.
 func (o Options) Validate() error {
-	for _, c := range []struct {
+	for _, check := range []struct {
 		name      string
 		value     float64
 		low, high float64
@@ -47,8 +47,8 @@
 		{"rate", o.Rate, 0.1, 2000}, {"lasts", o.Duration.Seconds(), 1, 3600}, {"share", o.CoreShare, 0.01, 1},
 		{"memory", float64(o.MemoryMB), 16, 4096}, {"sockets", float64(o.Sockets), 32, 16384}, {"leaves", o.AbandonProbability, 0, 1}, {"together", o.PipelineProbability, 0, 1},
 	} {
-		if !(c.value >= c.low && c.value <= c.high) {
-			return fmt.Errorf("%s is %g; it goes from %g to %g", c.name, c.value, c.low, c.high)
+		if !(check.value >= check.low && check.value <= check.high) {
+			return fmt.Errorf("%s is %g; it goes from %g to %g", check.name, check.value, check.low, check.high)
 		}
 	}
 	return nil
@@ -85,48 +85,48 @@
 
 // Execute starts all parts, sends traffic while the faults come, and judges what passed. The
 // error says what could not be played.
-func Execute(o Options, faults []Fault) (*Run, []Violation, error) {
-	if err := o.Validate(); err != nil {
+func Execute(options Options, faults []Fault) (*Run, []Violation, error) {
+	if err := options.Validate(); err != nil {
 		return nil, nil, err
 	}
-	r := &Run{Options: o, Record: NewRecord(), stopThrottles: make(chan struct{}), Rand: rand.New(rand.NewPCG(o.Seed, 1))}
+	run := &Run{Options: options, Record: NewRecord(), stopThrottles: make(chan struct{}), Rand: rand.New(rand.NewPCG(options.Seed, 1))}
 	var err error
-	if r.dir, err = os.MkdirTemp("", "soak"); err != nil {
+	if run.dir, err = os.MkdirTemp("", "soak"); err != nil {
 		return nil, nil, err
 	}
-	defer os.RemoveAll(r.dir)
-	defer r.close()
-	if err := r.start(); err != nil {
+	defer os.RemoveAll(run.dir)
+	defer run.close()
+	if err := run.start(); err != nil {
 		return nil, nil, err
 	}
-	r.runTraffic(faults)
-	r.stopSchedulers()
-	if r.err != nil {
-		return r, nil, r.err
+	run.runTraffic(faults)
+	run.stopSchedulers()
+	if run.err != nil {
+		return run, nil, run.err
 	}
-	return r, o.Rules().Check(r.Record), nil
+	return run, options.Rules().Check(run.Record), nil
 }
 
 func (r *Run) start() error {
-	o := r.Options
+	options := r.Options
 	var err error
-	if r.Servers, err = StartServers(o.Servers, o.MeanServiceTime, r.Record); err != nil {
+	if r.Servers, err = StartServers(options.Servers, options.MeanServiceTime, r.Record); err != nil {
 		return err
 	}
 	r.Directory = NewDirectory(r.Servers)
-	r.processes = make([]*Process, o.Schedulers)
-	for i := range o.Schedulers {
-		a, err := StartAgent(r.Directory, i, o.FullListPerWatch, o.IndentedJSON, r.Record)
+	r.processes = make([]*Process, options.Schedulers)
+	for i := range options.Schedulers {
+		agent, err := StartAgent(r.Directory, i, options.FullListPerWatch, options.IndentedJSON, r.Record)
 		if err != nil {
 			return err
 		}
-		r.agents = append(r.agents, a)
+		r.agents = append(r.agents, agent)
 		address := schedulerAddress(i)
 		r.addresses = append(r.addresses, address)
-		r.clients = append(r.clients, &Clients{record: r.Record, scheduler: i, address: address, classes: classes, shards: o.Servers,
-			requestRate: o.Rate, abandonProbability: o.AbandonProbability, pipelineProbability: o.PipelineProbability, rng: rand.New(rand.NewPCG(o.Seed, uint64(2+i))), idPrefix: fmt.Sprintf("%06x", i)})
+		r.clients = append(r.clients, &Clients{record: r.Record, scheduler: i, address: address, classes: classes, shards: options.Servers,
+			requestRate: options.Rate, abandonProbability: options.AbandonProbability, pipelineProbability: options.PipelineProbability, rng: rand.New(rand.NewPCG(options.Seed, uint64(2+i))), idPrefix: fmt.Sprintf("%06x", i)})
 	}
-	for i := range o.Schedulers {
+	for i := range options.Schedulers {
 		if err := r.StartScheduler(i); err != nil {
 			return err
 		}
@@ -140,26 +140,26 @@
 // schedulerAddress is a scheduler's. Its host is one of loopback's that only this process
 // uses, so that no connection on its way out has the port, also while the scheduler is down.
 func schedulerAddress(i int) string {
-	const others = 250
+	const octetValues = 250
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d:%d", 1+pid%others, pid/others%others, 1+pid/others/others%others, baseListenPort+i)
+	return fmt.Sprintf("127.%d.%d.%d:%d", 1+pid%octetValues, pid/octetValues%octetValues, 1+pid/octetValues/octetValues%octetValues, baseListenPort+i)
 }
 
 // StartScheduler starts a scheduler's process, under its own address.
 func (r *Run) StartScheduler(i int) error {
 	config := r.Options.schedulerConfig(i, r.addresses[i], r.Agent(i).Address(), r.Agent(i).FullListJSON())
-	p, err := StartProcess(r.Options.Command, i, r.dir, config, r.Record)
+	process, err := StartProcess(r.Options.Command, i, r.dir, config, r.Record)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.processes[i] = p
+	r.processes[i] = process
 	r.mu.Unlock()
 	if r.Options.CoreShare < 1 {
 		r.tasks.Add(1)
 		go func() {
 			defer r.tasks.Done()
-			p.Throttle(r.Options.CoreShare, r.stopThrottles)
+			process.Throttle(r.Options.CoreShare, r.stopThrottles)
 		}()
 	}
 	return nil
@@ -199,44 +199,44 @@
 
 // MoveDiscovery sends a scheduler to another discovery with a new configuration.
 func (r *Run) MoveDiscovery(i int) error {
-	old := r.Agent(i)
+	previous := r.Agent(i)
 	next, err := StartAgent(r.Directory, i, r.Options.FullListPerWatch, r.Options.IndentedJSON, r.Record)
 	if err != nil {
 		return err
 	}
-	next.TakeOver(old)
+	next.TakeOver(previous)
 	r.mu.Lock()
 	r.agents[i] = next
-	r.retiredAgents = append(r.retiredAgents, old)
+	r.retiredAgents = append(r.retiredAgents, previous)
 	r.mu.Unlock()
 	config := r.Options.schedulerConfig(i, r.addresses[i], next.Address(), next.FullListJSON())
 	if err := os.WriteFile(r.Process(i).configFile, config, 0o600); err != nil {
 		return err
 	}
 	r.Process(i).Signal(syscall.SIGHUP)
-	old.SetDown(true)
+	previous.SetDown(true)
 	return nil
 }
 
 // Pause holds a scheduler's process up for a time.
-func (r *Run) Pause(i int, lasts time.Duration) {
-	p := r.Process(i)
-	p.Signal(syscall.SIGSTOP)
-	time.Sleep(lasts)
-	p.Signal(syscall.SIGCONT)
+func (r *Run) Pause(i int, duration time.Duration) {
+	process := r.Process(i)
+	process.Signal(syscall.SIGSTOP)
+	time.Sleep(duration)
+	process.Signal(syscall.SIGCONT)
 }
 
 // HoldIdleConnections opens so many connections to a scheduler that say nothing, for a time.
-func (r *Run) HoldIdleConnections(i, n int, lasts time.Duration) {
-	var idle []net.Conn
-	for range n {
-		if c, err := net.DialTimeout("tcp", r.addresses[i], 100*time.Millisecond); err == nil {
-			idle = append(idle, c)
+func (r *Run) HoldIdleConnections(i, count int, duration time.Duration) {
+	var conns []net.Conn
+	for range count {
+		if conn, err := net.DialTimeout("tcp", r.addresses[i], 100*time.Millisecond); err == nil {
+			conns = append(conns, conn)
 		}
 	}
-	time.Sleep(lasts)
-	for _, c := range idle {
-		c.Close()
+	time.Sleep(duration)
+	for _, conn := range conns {
+		conn.Close()
 	}
 }
 
@@ -261,8 +261,8 @@
 }
 
 // AddEvent keeps a line of what befell the run.
-func (r *Run) AddEvent(form string, args ...any) {
-	line := fmt.Sprintf("%.3f ", r.Record.Now().Seconds()) + fmt.Sprintf(form, args...)
+func (r *Run) AddEvent(format string, args ...any) {
+	line := fmt.Sprintf("%.3f ", r.Record.Now().Seconds()) + fmt.Sprintf(format, args...)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events = append(r.events, line)
@@ -280,22 +280,22 @@
 	ctx, cancel := context.WithTimeout(context.Background(), r.Options.Duration)
 	defer cancel()
 	var tasks sync.WaitGroup
-	for _, c := range r.clients {
+	for _, clients := range r.clients {
 		tasks.Add(1)
 		go func() {
 			defer tasks.Done()
-			c.Run(ctx)
+			clients.Run(ctx)
 		}()
 	}
-	for _, f := range faults {
+	for _, fault := range faults {
 		tasks.Add(1)
 		go func() {
 			defer tasks.Done()
 			select {
 			case <-ctx.Done():
-			case <-time.After(f.At):
-				r.AddEvent("%s", f.Name)
-				f.Inject(r)
+			case <-time.After(fault.At):
+				r.AddEvent("%s", fault.Name)
+				fault.Inject(r)
 			}
 		}()
 	}
@@ -305,14 +305,14 @@
 // stopSchedulers ends the schedulers as a planned stop does.
 func (r *Run) stopSchedulers() {
 	r.mu.Lock()
-	all := append([]*Process(nil), r.processes...)
+	processes := append([]*Process(nil), r.processes...)
 	r.mu.Unlock()
 	var tasks sync.WaitGroup
-	for _, p := range all {
+	for _, process := range processes {
 		tasks.Add(1)
 		go func() {
 			defer tasks.Done()
-			p.Stop(stopGrace())
+			process.Stop(stopGrace())
 		}()
 	}
 	tasks.Wait()
@@ -321,14 +321,14 @@
 func (r *Run) close() {
 	close(r.stopThrottles)
 	r.tasks.Wait()
-	for _, p := range r.processes {
-		if p != nil {
-			p.cmd.Process.Signal(syscall.SIGCONT)
-			p.Kill()
+	for _, process := range r.processes {
+		if process != nil {
+			process.cmd.Process.Signal(syscall.SIGCONT)
+			process.Kill()
 		}
 	}
-	for _, a := range append(r.retiredAgents, r.agents...) {
-		a.Close()
+	for _, agent := range append(r.retiredAgents, r.agents...) {
+		agent.Close()
 	}
 	if r.Servers != nil {
 		r.Servers.Close()
--- a/internal/simulation/soak/servers.go
+++ b/internal/simulation/soak/servers.go
@@ -54,33 +54,33 @@
 var messageLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: 64 << 10}
 
 // StartServers listens for so many disk servers on loopback.
-func StartServers(n int, service time.Duration, r *Record) (*Servers, error) {
-	s := &Servers{record: r, meanServiceTime: service}
-	for i := range n {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+func StartServers(n int, service time.Duration, record *Record) (*Servers, error) {
+	servers := &Servers{record: record, meanServiceTime: service}
+	for index := range n {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			s.Close()
+			servers.Close()
 			return nil, err
 		}
-		d := &diskServer{index: i, listener: l, conns: map[net.Conn]bool{}}
-		s.servers = append(s.servers, d)
-		s.tasks.Add(1)
-		go s.accept(d)
+		server := &diskServer{index: index, listener: listener, conns: map[net.Conn]bool{}}
+		servers.servers = append(servers.servers, server)
+		servers.tasks.Add(1)
+		go servers.accept(server)
 	}
-	return s, nil
+	return servers, nil
 }
 
 // Address is where a disk server listens.
-func (s *Servers) Address(server int) string { return s.servers[server].listener.Addr().String() }
+func (s *Servers) Address(index int) string { return s.servers[index].listener.Addr().String() }
 
 // SetBehaviour sets how a disk server treats what comes from now on; Down also resets what is open.
-func (s *Servers) SetBehaviour(server int, b Behaviour) {
-	d := s.servers[server]
-	d.behaviour.Store(int32(b))
-	if b == Down {
-		d.resetConns()
+func (s *Servers) SetBehaviour(index int, behaviour Behaviour) {
+	server := s.servers[index]
+	server.behaviour.Store(int32(behaviour))
+	if behaviour == Down {
+		server.resetConns()
 	}
-	d.setUnreachable(b == Unreachable)
+	server.setUnreachable(behaviour == Unreachable)
 }
 
 // normalBacklog is how many connections wait for accept where a server is not dark.
@@ -88,13 +88,13 @@
 
 // setUnreachable has the kernel drop what asks for a connection, for nothing is accepted and the
 // queue is full; or undoes that.
-func (d *diskServer) setUnreachable(dark bool) {
+func (d *diskServer) setUnreachable(unreachable bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if dark == (d.reachableAgain != nil) {
+	if unreachable == (d.reachableAgain != nil) {
 		return
 	}
-	if !dark {
+	if !unreachable {
 		close(d.reachableAgain)
 		d.reachableAgain = nil
 		d.setBacklog(normalBacklog)
@@ -106,41 +106,41 @@
 }
 
 func (d *diskServer) setBacklog(backlog int) {
-	raw, err := d.listener.(*net.TCPListener).SyscallConn()
+	rawConn, err := d.listener.(*net.TCPListener).SyscallConn()
 	if err == nil {
-		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), backlog) })
+		rawConn.Control(func(fd uintptr) { syscall.Listen(int(fd), backlog) })
 	}
 }
 
 // fillBacklog takes the places in the queue: one that the accepting goroutine holds, and what waits.
-func (d *diskServer) fillBacklog(light chan struct{}) {
+func (d *diskServer) fillBacklog(reachableAgain chan struct{}) {
 	for range 3 {
-		c, err := net.DialTimeout("tcp", d.listener.Addr().String(), 50*time.Millisecond)
+		conn, err := net.DialTimeout("tcp", d.listener.Addr().String(), 50*time.Millisecond)
 		if err != nil {
 			return
 		}
-		defer c.Close()
+		defer conn.Close()
 	}
-	<-light
+	<-reachableAgain
 }
 
 // waitReachable returns once the server is not dark; it tells whether it was.
 func (d *diskServer) waitReachable() bool {
 	d.mu.Lock()
-	light := d.reachableAgain
+	reachableAgain := d.reachableAgain
 	d.mu.Unlock()
-	if light != nil {
-		<-light
+	if reachableAgain != nil {
+		<-reachableAgain
 	}
-	return light != nil
+	return reachableAgain != nil
 }
 
 // Close ends all of them.
 func (s *Servers) Close() {
-	for _, d := range s.servers {
-		d.setUnreachable(false)
-		d.listener.Close()
-		d.resetConns()
+	for _, server := range s.servers {
+		server.setUnreachable(false)
+		server.listener.Close()
+		server.resetConns()
 	}
 	s.tasks.Wait()
 }
@@ -148,105 +148,105 @@
 func (d *diskServer) resetConns() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for c := range d.conns {
-		resetConn(c)
+	for conn := range d.conns {
+		resetConn(conn)
 	}
 }
 
-func resetConn(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+func resetConn(conn net.Conn) {
+	if tcpConn, ok := conn.(*net.TCPConn); ok {
+		tcpConn.SetLinger(0)
 	}
-	c.Close()
+	conn.Close()
 }
 
 // accept serves what comes. What the kernel took while the server was dark, one connection
 // here and one in the queue, is reset: it holds requests that were sent long before.
-func (s *Servers) accept(d *diskServer) {
+func (s *Servers) accept(server *diskServer) {
 	defer s.tasks.Done()
-	for stale := 0; ; {
-		c, err := d.listener.Accept()
+	for staleConns := 0; ; {
+		conn, err := server.listener.Accept()
 		if err != nil {
 			return
 		}
 		s.acceptedConns.Add(1)
-		if d.waitReachable() {
-			stale = 2
+		if server.waitReachable() {
+			staleConns = 2
 		}
-		if stale > 0 {
-			stale--
-			resetConn(c)
+		if staleConns > 0 {
+			staleConns--
+			resetConn(conn)
 			continue
 		}
-		d.mu.Lock()
-		d.conns[c] = true
-		d.mu.Unlock()
+		server.mu.Lock()
+		server.conns[conn] = true
+		server.mu.Unlock()
 		s.tasks.Add(1)
-		go s.serve(d, c)
+		go s.serve(server, conn)
 	}
 }
 
-func (s *Servers) serve(d *diskServer, c net.Conn) {
+func (s *Servers) serve(server *diskServer, conn net.Conn) {
 	defer s.tasks.Done()
 	defer func() {
-		c.Close()
-		d.mu.Lock()
-		delete(d.conns, c)
-		d.mu.Unlock()
+		conn.Close()
+		server.mu.Lock()
+		delete(server.conns, conn)
+		server.mu.Unlock()
 	}()
-	if Behaviour(d.behaviour.Load()) == Down {
-		resetConn(c)
+	if Behaviour(server.behaviour.Load()) == Down {
+		resetConn(conn)
 		return
 	}
-	in := bufio.NewReader(c)
+	reader := bufio.NewReader(conn)
 	for {
-		if _, err := in.Peek(1); err != nil {
+		if _, err := reader.Peek(1); err != nil {
 			return
 		}
-		a := &Attempt{Server: d.index, FirstByteAt: s.record.Now()}
-		if !s.readRequest(in, a) {
+		attempt := &Attempt{Server: server.index, FirstByteAt: s.record.Now()}
+		if !s.readRequest(reader, attempt) {
 			return
 		}
-		s.record.addAttempt(a)
-		if !s.respond(d, c, a) {
+		s.record.addAttempt(attempt)
+		if !s.respond(server, conn, attempt) {
 			return
 		}
 	}
 }
 
 // readRequest fills an attempt in; false if the request did not come whole.
-func (s *Servers) readRequest(in *bufio.Reader, a *Attempt) bool {
-	head, _, err := http1.ReadWholeRequest(in, messageLimits)
+func (s *Servers) readRequest(reader *bufio.Reader, attempt *Attempt) bool {
+	request, _, err := http1.ReadWholeRequest(reader, messageLimits)
 	if err != nil {
 		return false
 	}
-	a.ID, a.LastByteAt = head.Fields.Get("request-id"), s.record.Now()
-	seconds, _ := strconv.ParseFloat(head.Fields.Get("request-timeout"), 64)
-	a.Timeout = time.Duration(seconds * float64(time.Second))
+	attempt.ID, attempt.LastByteAt = request.Fields.Get("request-id"), s.record.Now()
+	seconds, _ := strconv.ParseFloat(request.Fields.Get("request-timeout"), 64)
+	attempt.Timeout = time.Duration(seconds * float64(time.Second))
 	return true
 }
 
 // respond does with a request what the server does now; false if its connection ends.
-func (s *Servers) respond(d *diskServer, c net.Conn, a *Attempt) bool {
-	switch Behaviour(d.behaviour.Load()) {
+func (s *Servers) respond(server *diskServer, conn net.Conn, attempt *Attempt) bool {
+	switch Behaviour(server.behaviour.Load()) {
 	case Hung, Unreachable:
-		var one [1]byte
-		c.Read(one[:]) // until the scheduler gives up
+		var oneByte [1]byte
+		conn.Read(oneByte[:]) // until the scheduler gives up
 		return false
 	case Failing:
-		_, err := c.Write(http1.AppendResponse(nil, 500, nil, nil))
+		_, err := conn.Write(http1.AppendResponse(nil, 500, nil, nil))
 		return err == nil
 	case Resetting, Down:
-		resetConn(c)
+		resetConn(conn)
 		return false
 	case Rejecting:
-		_, err := c.Write(http1.AppendResponse(nil, 503, http1.Fields{{Name: "Not-Started", Value: "1"}}, nil))
+		_, err := conn.Write(http1.AppendResponse(nil, 503, http1.Fields{{Name: "Not-Started", Value: "1"}}, nil))
 		return err == nil
 	}
 	time.Sleep(time.Duration(rand.ExpFloat64() * float64(s.meanServiceTime)))
 	s.record.mu.Lock()
-	a.Served = true
+	attempt.Served = true
 	s.record.mu.Unlock()
-	_, err := c.Write(http1.AppendResponse(nil, 200, nil, []byte(a.ID)))
+	_, err := conn.Write(http1.AppendResponse(nil, 200, nil, []byte(attempt.ID)))
 	return err == nil
 }
--- a/internal/simulation/soak/settings.go
+++ b/internal/simulation/soak/settings.go
@@ -48,12 +48,12 @@
 "extra":{"cold_units":%g,"unit_mean":%d,"largest":6,"slots_total":%d}}`
 
 // schedulerConfig is a scheduler's configuration.
-func (o Options) schedulerConfig(scheduler int, listen, discovery string, known []byte) []byte {
+func (o Options) schedulerConfig(scheduler int, listen, discovery string, fullList []byte) []byte {
 	settings := fmt.Sprintf(settingsTemplate, o.Schedulers, scheduler, keyTTL.Milliseconds(),
 		volumeRate/2, volumeRate, volumeBurst, volumeBurstSlack, maxAttempts,
 		drainGrace.Milliseconds(), overloadWindow.Milliseconds(), coldCapacity, warmUpTime.Milliseconds(), coldUnits, meanUnits, o.Servers)
 	return fmt.Appendf(nil, `{"name":"n%d","listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":%d,"sockets":%d},"known":%s,"settings":%s}`,
-		scheduler, listen, discovery, o.Seed<<16+uint64(scheduler)+1, o.MemoryMB, o.Sockets, known, settings)
+		scheduler, listen, discovery, o.Seed<<16+uint64(scheduler)+1, o.MemoryMB, o.Sockets, fullList, settings)
 }
 
 // Rules are what a run of these options is held to.
@@ -66,8 +66,8 @@
 // stopGrace is the least time from SIGTERM to SIGKILL.
 func stopGrace() time.Duration {
 	longest := time.Duration(0)
-	for _, c := range classes {
-		longest = max(longest, c.Timeout)
+	for _, class := range classes {
+		longest = max(longest, class.Timeout)
 	}
 	return min(longest, maxStopTimeout) + killMargin
 }
--- a/internal/simulation/soak/usage.go
+++ b/internal/simulation/soak/usage.go
@@ -29,66 +29,66 @@
 			return
 		case <-time.After(descriptorSampleInterval):
 		}
-		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
+		descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 		if err != nil {
 			continue
 		}
 		p.mu.Lock()
-		p.maxDescriptors = max(p.maxDescriptors, len(open))
+		p.maxDescriptors = max(p.maxDescriptors, len(descriptors))
 		p.mu.Unlock()
 	}
 }
 
 // resourceUsage is what an ended process needed.
-func (p *Process) resourceUsage() (cpu time.Duration, peakMB float64) {
+func (p *Process) resourceUsage() (cpuTime time.Duration, peakMB float64) {
 	state := p.cmd.ProcessState
-	if u, ok := state.SysUsage().(*syscall.Rusage); ok {
-		peakMB = float64(u.Maxrss) / 1024
+	if usage, ok := state.SysUsage().(*syscall.Rusage); ok {
+		peakMB = float64(usage.Maxrss) / 1024
 	}
 	return state.UserTime() + state.SystemTime(), peakMB
 }
 
 // Usage is what the schedulers needed, once the run is over.
 func (r *Run) Usage() Usage {
-	var u Usage
-	each := float64(r.Options.Schedulers)
-	for _, e := range r.Record.Exits {
-		u.CPUTime += time.Duration(float64(e.CPUTime) / each)
-		u.PeakMemoryMB = max(u.PeakMemoryMB, e.PeakMemoryMB)
-		u.MaxDescriptors = max(u.MaxDescriptors, float64(e.MaxDescriptors))
+	var usage Usage
+	schedulers := float64(r.Options.Schedulers)
+	for _, exit := range r.Record.Exits {
+		usage.CPUTime += time.Duration(float64(exit.CPUTime) / schedulers)
+		usage.PeakMemoryMB = max(usage.PeakMemoryMB, exit.PeakMemoryMB)
+		usage.MaxDescriptors = max(usage.MaxDescriptors, float64(exit.MaxDescriptors))
 	}
-	u.ServerConnections = float64(r.Servers.acceptedConns.Load()) / each
-	u.DiscoveryBytes = float64(r.Record.discoveryBytes.Load()) / each
+	usage.ServerConnections = float64(r.Servers.acceptedConns.Load()) / schedulers
+	usage.DiscoveryBytes = float64(r.Record.discoveryBytes.Load()) / schedulers
 	served := 0
-	for _, q := range r.Record.Requests {
-		if q.Status == 200 {
+	for _, request := range r.Record.Requests {
+		if request.Status == 200 {
 			served++
 		}
 	}
-	u.ServedFraction = float64(served) / float64(max(len(r.Record.Requests), 1))
-	return u
+	usage.ServedFraction = float64(served) / float64(max(len(r.Record.Requests), 1))
+	return usage
 }
 
 // CompareUsage prints what a run needed beside the same with fewer disk servers, and what the
 // platform lets it need. It tells whether all of that holds.
 func CompareUsage(w io.Writer, small, large *Run) bool {
-	s, l := small.Usage(), large.Usage()
+	smallUsage, largeUsage := small.Usage(), large.Usage()
 	thousands := float64(large.Options.Servers) / 1000
-	ok := true
-	row := func(name string, was, is, bound float64, least bool) {
-		holds := is <= bound
-		if least {
-			holds = is >= bound
+	withinBounds := true
+	compareRow := func(name string, smallValue, largeValue, bound float64, isMinimum bool) {
+		holds := largeValue <= bound
+		if isMinimum {
+			holds = largeValue >= bound
 		}
-		ok = ok && holds
-		fmt.Fprintf(w, "  %-22s %12.3f %12.3f %12.3f  %v\n", name, was, is, bound, holds)
+		withinBounds = withinBounds && holds
+		fmt.Fprintf(w, "  %-22s %12.3f %12.3f %12.3f  %v\n", name, smallValue, largeValue, bound, holds)
 	}
 	fmt.Fprintf(w, "  %-22s %12d %12d %12s\n", "disk servers", small.Options.Servers, large.Options.Servers, "bound")
-	row("CPU seconds", s.CPUTime.Seconds(), l.CPUTime.Seconds(), 1.4*s.CPUTime.Seconds()+0.02+0.03*thousands, false)
-	row("peak memory, MB", s.PeakMemoryMB, l.PeakMemoryMB, 1.5*s.PeakMemoryMB+8+4*thousands, false)
-	row("descriptors", s.MaxDescriptors, l.MaxDescriptors, 2*s.MaxDescriptors+40, false)
-	row("connections made", s.ServerConnections, l.ServerConnections, 2.5*s.ServerConnections+40, false)
-	row("KB of lists", s.DiscoveryBytes/1024, l.DiscoveryBytes/1024, 2*s.DiscoveryBytes/1024+64+500*thousands, false)
-	row("share served", s.ServedFraction, l.ServedFraction, 0.85*s.ServedFraction, true)
-	return ok
+	compareRow("CPU seconds", smallUsage.CPUTime.Seconds(), largeUsage.CPUTime.Seconds(), 1.4*smallUsage.CPUTime.Seconds()+0.02+0.03*thousands, false)
+	compareRow("peak memory, MB", smallUsage.PeakMemoryMB, largeUsage.PeakMemoryMB, 1.5*smallUsage.PeakMemoryMB+8+4*thousands, false)
+	compareRow("descriptors", smallUsage.MaxDescriptors, largeUsage.MaxDescriptors, 2*smallUsage.MaxDescriptors+40, false)
+	compareRow("connections made", smallUsage.ServerConnections, largeUsage.ServerConnections, 2.5*smallUsage.ServerConnections+40, false)
+	compareRow("KB of lists", smallUsage.DiscoveryBytes/1024, largeUsage.DiscoveryBytes/1024, 2*smallUsage.DiscoveryBytes/1024+64+500*thousands, false)
+	compareRow("share served", smallUsage.ServedFraction, largeUsage.ServedFraction, 0.85*smallUsage.ServedFraction, true)
+	return withinBounds
 }
