--- a/internal/verify/conform/conform.go
+++ b/internal/verify/conform/conform.go
@@ -1,7 +1,7 @@
-// Package conform holds a target to the standards: a table of checks, each with its
-// clause, run through the project's own initiator over a socket. It writes to the unit
-// that it is pointed at: see Blocks. It knows nothing of the gateway's code, and is run
-// against any target.
+// Package conform checks an iSCSI target against the standards: a table of checks, each with its
+// clause, is run over a socket with the project's own initiator. The checks overwrite data on the
+// logical unit under test, see OverwrittenBlocks. The package does not depend on the gateway and
+// works with any target.
 package conform
 
 import (
@@ -19,25 +19,26 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// OverwrittenBlocks is the number of blocks, from the first of the unit, that the checks
-// overwrite; the last blocks are read only.
+// OverwrittenBlocks is the number of blocks at the start of the unit that the checks overwrite. On a
+// conforming target, other blocks are at most read.
 const OverwrittenBlocks = 128
 
-// Verdict is what came of a check.
+// Verdict is the outcome of a check.
 type Verdict int
 
-// The verdicts.
+// The outcomes of a check. Pass includes checks that do not apply to the unit, such as limits that it
+// does not state.
 const (
 	Pass Verdict = iota
 	Fail
-	NotOffered // the target does not list what the check needs
+	NotOffered // the target does not list the operation codes that the check needs
 )
 
 var verdictNames = [...]string{"pass", "FAIL", "not offered"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// CheckResult is a check and its result.
+// CheckResult is the outcome of one check. Detail describes a failure.
 type CheckResult struct {
 	Clause  string
 	Name    string
@@ -45,25 +46,25 @@
 	Detail  string
 }
 
-// check is a row of the table.
+// check is a check of the table.
 type check struct {
 	clause, name string
-	opcodes      []byte // operation codes without which the target is not asked
+	opcodes      []byte // operation codes without which the check is not run
 	run          func(t *target) error
 }
 
-// target is a unit under test.
+// target is the logical unit under test.
 type target struct {
 	ctx          context.Context
 	session      *initiator.Client
-	otherSession *initiator.Client // of another initiator
-	blocks       uint64
-	blockSize    int
-	supported    map[[2]byte]bool // opcode and service action
+	otherSession *initiator.Client // as another initiator
+	blocks       uint64            // size of the unit
+	blockSize    int               // bytes
+	supported    map[[2]byte]bool  // by operation code and service action; service action 0 if any is supported
 	blockLimits  blockLimits
 }
 
-// blockLimits are those of the Block Limits page; 0: none stated.
+// blockLimits are values of the Block Limits VPD page; 0: not stated.
 type blockLimits struct {
 	compareAndWrite, unmapBlocks, unmapDescriptors uint32
 	transfer                                       uint32
@@ -71,12 +72,12 @@
 	wsnz                                           bool
 }
 
-// checkTimeout is the time that one check gets.
+// checkTimeout is the time limit of one check.
 const checkTimeout = 20 * time.Second
 
-// Run runs the table against a unit; dial opens a session of one of two initiators, 0
-// or 1, and is called again where a check has cost the one before. An error is of what
-// the table needs to begin with.
+// Run runs all checks against a unit. dial opens a session as one of two initiators, 0 or 1; it is
+// called again for initiator 0 when a check ended the session. An error means that a session or a
+// command that the checks depend on failed, or that ctx ended; the results up to then are returned.
 func Run(ctx context.Context, dial func(ctx context.Context, initiatorIndex int) (*initiator.Client, error)) ([]CheckResult, error) {
 	t := &target{ctx: ctx}
 	var err error
@@ -92,16 +93,16 @@
 		return nil, err
 	}
 	var results []CheckResult
-	for _, c := range checks {
-		result := CheckResult{Clause: c.clause, Name: c.name}
-		if !t.supportsAll(c.opcodes) {
+	for _, check := range checks {
+		result := CheckResult{Clause: check.clause, Name: check.name}
+		if !t.supportsAll(check.opcodes) {
 			result.Verdict = NotOffered
 			results = append(results, result)
 			continue
 		}
 		checkCtx, cancel := context.WithTimeout(ctx, checkTimeout)
 		t.ctx = checkCtx
-		if err := c.run(t); err != nil {
+		if err := check.run(t); err != nil {
 			result.Verdict, result.Detail = Fail, err.Error()
 		}
 		cancel()
@@ -118,6 +119,7 @@
 	return results, nil
 }
 
+// supportsAll reports whether the target supports all the operation codes.
 func (t *target) supportsAll(opcodes []byte) bool {
 	for _, op := range opcodes {
 		if !t.supported[[2]byte{op, 0}] {
@@ -127,9 +129,9 @@
 	return true
 }
 
-// discover asks for what the checks are made for: size, limits, operation codes.
+// discover reads the properties of the unit that the checks use: size, limits and operation codes.
 func (t *target) discover() error {
-	for range 3 { // a unit attention may come first
+	for range 3 { // the first replies may be unit attentions
 		if r, err := t.do(testUnitReadyCDB(), nil, 0); err != nil {
 			return err
 		} else if r.Status == scsi.Good {
@@ -141,11 +143,11 @@
 		return err
 	}
 	if r.Status != scsi.Good || len(r.Data) < 32 {
-		return errors.New("conform: READ CAPACITY (16) gives no size")
+		return errors.New("conform: READ CAPACITY (16) failed or returned less than 32 bytes")
 	}
 	t.blocks, t.blockSize = binary.BigEndian.Uint64(r.Data)+1, int(binary.BigEndian.Uint32(r.Data[8:]))
 	if t.blocks < 2*OverwrittenBlocks {
-		return fmt.Errorf("conform: a unit of %d blocks is too small, %d are needed", t.blocks, 2*OverwrittenBlocks)
+		return fmt.Errorf("conform: logical unit of %d blocks is too small, need %d", t.blocks, 2*OverwrittenBlocks)
 	}
 	if r, err = t.do(inquiryCDB(1, 0xb0, 255), nil, 255); err != nil {
 		return err
@@ -164,7 +166,7 @@
 		return err
 	}
 	if r.Status != scsi.Good || len(r.Data) < 4 {
-		return errors.New("conform: REPORT SUPPORTED OPERATION CODES is not offered: what is, is not known")
+		return errors.New("conform: REPORT SUPPORTED OPERATION CODES failed: supported commands are unknown")
 	}
 	for b := r.Data[4:]; len(b) >= 8; {
 		key := [2]byte{b[0], 0}
@@ -186,7 +188,7 @@
 	return t.session.Do(t.ctx, cdb, dataOut, inLength)
 }
 
-// expectGood asks for GOOD and returns the data.
+// expectGood runs a command that must end GOOD and returns its data.
 func (t *target) expectGood(cdb, dataOut []byte, inLength int) ([]byte, error) {
 	result, err := t.do(cdb, dataOut, inLength)
 	if err != nil {
@@ -198,7 +200,7 @@
 	return result.Data, nil
 }
 
-// expectSense asks for CHECK CONDITION with that sense.
+// expectSense runs a command that must end with CHECK CONDITION and the given sense.
 func (t *target) expectSense(want scsi.Sense, cdb, dataOut []byte, inLength int) error {
 	result, err := t.do(cdb, dataOut, inLength)
 	if err != nil {
@@ -210,6 +212,7 @@
 	return nil
 }
 
+// describe returns a text of the status and sense of a result.
 func describe(result iscsi.Result) string {
 	if sense, ok := scsi.ParseSense(result.Sense); ok {
 		return fmt.Sprintf("status %02x, %v", result.Status, sense)
@@ -217,34 +220,34 @@
 	return fmt.Sprintf("status %02x", result.Status)
 }
 
-// writePattern writes a pattern to the first blocks and returns it.
+// writePattern writes a pattern to the first blocks of the unit and returns it.
 func (t *target) writePattern(seed byte, blocks int) ([]byte, error) {
 	data := pattern(seed, blocks*t.blockSize)
 	_, err := t.expectGood(blockCDB(0x8a, 0, uint32(blocks)), data, 0)
 	return data, err
 }
 
-func pattern(seed byte, n int) []byte {
-	data := make([]byte, n)
+func pattern(seed byte, length int) []byte {
+	data := make([]byte, length)
 	for i := range data {
 		data[i] = seed + byte(i) ^ byte(i>>8)*7
 	}
 	return data
 }
 
-// expectData reads blocks back.
+// expectData reads the blocks from lba on, which must hold want.
 func (t *target) expectData(lba uint64, want []byte) error {
 	got, err := t.expectGood(blockCDB(0x88, lba, uint32(len(want)/t.blockSize)), nil, len(want))
 	if err != nil {
 		return err
 	}
 	if !bytes.Equal(got, want) {
-		return fmt.Errorf("block %d on: not what should be there", lba)
+		return fmt.Errorf("data from block %d on differs from the data expected", lba)
 	}
 	return nil
 }
 
-// Print writes the table for people.
+// Print writes a table of the results and their counts.
 func Print(w io.Writer, results []CheckResult) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	counts := [3]int{}
--- a/internal/verify/conform/reservations.go
+++ b/internal/verify/conform/reservations.go
@@ -10,7 +10,7 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// Keys of the two initiators.
+// Reservation keys of the two initiators.
 const (
 	keyA uint64 = 0xa1
 	keyB uint64 = 0xb2
@@ -39,8 +39,8 @@
 	actRegisterAndIgnore
 )
 
-// doPastAttention does something over one of the two sessions; a unit attention that waits there is
-// taken first.
+// doPastAttention runs a command on one of the two sessions, again for as long as it ends with a unit
+// attention.
 func (t *target) doPastAttention(session *initiator.Client, cdb, dataOut []byte, inLength int) (iscsi.Result, error) {
 	for {
 		result, err := session.Do(t.ctx, cdb, dataOut, inLength)
@@ -51,6 +51,7 @@
 	}
 }
 
+// expectStatus runs a command that must end with that status.
 func (t *target) expectStatus(session *initiator.Client, status byte, cdb, dataOut []byte) error {
 	result, err := t.doPastAttention(session, cdb, dataOut, 0)
 	if err == nil && result.Status != status {
@@ -59,12 +60,13 @@
 	return err
 }
 
+// expectReserveOut runs a PERSISTENT RESERVE OUT that must end with that status.
 func (t *target) expectReserveOut(session *initiator.Client, status, action, reservationType byte, key, serviceKey uint64) error {
 	cdb, parameters := reserveOutCDB(action, reservationType, key, serviceKey, 0)
 	return t.expectStatus(session, status, cdb, parameters)
 }
 
-// clearRegistrations leaves no registration behind.
+// clearRegistrations removes all registrations and the reservation.
 func (t *target) clearRegistrations() error {
 	if err := t.expectReserveOut(t.session, scsi.Good, actRegisterAndIgnore, 0, 0, keyA); err != nil {
 		return err
@@ -72,7 +74,7 @@
 	return t.expectReserveOut(t.session, scsi.Good, actClear, 0, keyA, 0)
 }
 
-// registerBoth registers the two initiators.
+// registerBoth registers the two initiators and no other.
 func (t *target) registerBoth() error {
 	if err := t.clearRegistrations(); err != nil {
 		return err
@@ -92,7 +94,7 @@
 	return keys, nil
 }
 
-// readReservation is the key and the type of the reservation, 0 where there is none.
+// readReservation returns the key and the type of the reservation, zeros if there is none.
 func (t *target) readReservation() (key uint64, reservationType byte, err error) {
 	result, err := t.doPastAttention(t.session, reserveInCDB(1, 64), nil, 64)
 	if err != nil || result.Status != scsi.Good || len(result.Data) < 8 {
@@ -104,7 +106,8 @@
 	return binary.BigEndian.Uint64(result.Data[8:]), result.Data[21] & 0xf, nil
 }
 
-// reservationTypes, with whether others may read, whether registrants may do all.
+// reservationTypes are the types, with whether any initiator may read and whether registrants have
+// the access of the holder.
 var reservationTypes = []struct {
 	code                          byte
 	name                          string
@@ -114,93 +117,93 @@
 	{6, "exclusive access, registrants only", false, true}, {7, "write exclusive, all registrants", true, true}, {8, "exclusive access, all registrants", false, true},
 }
 
-func reservationChecks() (out []check) {
-	needs := []byte{0x5e, 0x5f}
+func reservationChecks() (list []check) {
+	opcodes := []byte{0x5e, 0x5f}
 	add := func(name string, run func(t *target) error) {
-		out = append(out, check{"SPC-4 PERSISTENT RESERVE", name, needs, func(t *target) error {
+		list = append(list, check{"SPC-4 PERSISTENT RESERVE", name, opcodes, func(t *target) error {
 			return errors.Join(run(t), t.clearRegistrations())
 		}})
 	}
-	add("REPORT CAPABILITIES names the types", func(t *target) error {
+	add("REPORT CAPABILITIES returns 8 bytes with TMV set", func(t *target) error {
 		r, err := t.doPastAttention(t.session, reserveInCDB(2, 64), nil, 64)
 		if err == nil && (len(r.Data) != 8 || r.Data[1] != 8 || r.Data[3]&0x80 == 0) {
 			err = fmt.Errorf("%s %x", describe(r), r.Data)
 		}
 		return err
 	})
-	add("a service action that there is none of is refused", func(t *target) error {
+	add("an unknown service action is refused", func(t *target) error {
 		return errors.Join(t.expectSense(scsi.InvalidField, reserveInCDB(0x1f, 64), nil, 64), t.expectSense(scsi.InvalidField, []byte{0x5f, 0x1f, 0, 0, 0, 0, 0, 0, 24, 0}, make([]byte, 24), 0))
 	})
-	add("a parameter list of another length is refused", func(t *target) error {
-		cdb, list := reserveOutCDB(actRegister, 0, 0, keyA, 0)
+	add("a parameter list length other than 24 is refused", func(t *target) error {
+		cdb, parameters := reserveOutCDB(actRegister, 0, 0, keyA, 0)
 		cdb[8] = 16
-		return t.expectSense(scsi.ParamLength, cdb, list[:16], 0)
+		return t.expectSense(scsi.ParamLength, cdb, parameters[:16], 0)
 	})
-	add("what is registered is read, with a generation that counts", func(t *target) error {
+	add("READ KEYS returns the keys of both initiators", func(t *target) error {
 		if err := t.registerBoth(); err != nil {
 			return err
 		}
-		k, err := t.readKeys()
-		if err == nil && (len(k) != 2 || k[0]+k[1] != keyA+keyB) {
-			err = fmt.Errorf("%x", k)
+		keys, err := t.readKeys()
+		if err == nil && (len(keys) != 2 || keys[0]+keys[1] != keyA+keyB) {
+			err = fmt.Errorf("registered keys %x", keys)
 		}
 		return err
 	})
 	add("REGISTER with a wrong key is a conflict", func(t *target) error {
 		return errors.Join(t.registerBoth(), t.expectReserveOut(t.otherSession, scsi.Conflict, actRegister, 0, keyA, 7))
 	})
-	add("REGISTER with a key where none is registered is a conflict", func(t *target) error {
+	add("REGISTER with a key by an unregistered initiator is a conflict", func(t *target) error {
 		return errors.Join(t.clearRegistrations(), t.expectReserveOut(t.otherSession, scsi.Conflict, actRegister, 0, keyB, keyB))
 	})
-	add("REGISTER AND IGNORE takes whatever there is", func(t *target) error {
+	add("REGISTER AND IGNORE EXISTING KEY replaces any key", func(t *target) error {
 		if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.otherSession, scsi.Good, actRegisterAndIgnore, 0, 0, 7)); err != nil {
 			return err
 		}
 		return errors.Join(t.expectReserveOut(t.otherSession, scsi.Good, actRegister, 0, 7, 0))
 	})
-	add("RESERVE without being registered is a conflict", func(t *target) error {
+	add("RESERVE by an unregistered initiator is a conflict", func(t *target) error {
 		return errors.Join(t.clearRegistrations(), t.expectReserveOut(t.otherSession, scsi.Conflict, actReserve, 1, keyB, 0))
 	})
-	add("RESERVE of a type that there is none of is refused", func(t *target) error {
+	add("RESERVE with an unknown type is refused", func(t *target) error {
 		if err := t.registerBoth(); err != nil {
 			return err
 		}
-		cdb, list := reserveOutCDB(actReserve, 2, keyA, 0, 0)
-		return t.expectSense(scsi.InvalidField, cdb, list, 0)
+		cdb, parameters := reserveOutCDB(actReserve, 2, keyA, 0, 0)
+		return t.expectSense(scsi.InvalidField, cdb, parameters, 0)
 	})
-	add("RESERVE once more with the same type is GOOD, with another a conflict", func(t *target) error {
+	add("repeated RESERVE with the same type is GOOD, with another type a conflict", func(t *target) error {
 		return errors.Join(t.registerBoth(), t.expectReserveOut(t.session, scsi.Good, actReserve, 1, keyA, 0), t.expectReserveOut(t.session, scsi.Good, actReserve, 1, keyA, 0), t.expectReserveOut(t.session, scsi.Conflict, actReserve, 3, keyA, 0))
 	})
-	add("RELEASE of another type is refused, by another nexus does nothing", func(t *target) error {
+	add("RELEASE with another type is refused, by another I_T nexus has no effect", func(t *target) error {
 		if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.session, scsi.Good, actReserve, 1, keyA, 0), t.expectReserveOut(t.otherSession, scsi.Good, actRelease, 1, keyB, 0)); err != nil {
 			return err
 		}
-		if _, typ, err := t.readReservation(); err != nil || typ != 1 {
-			return errors.Join(err, errors.New("released by another"))
+		if _, reservationType, err := t.readReservation(); err != nil || reservationType != 1 {
+			return errors.Join(err, errors.New("reservation released by another initiator"))
 		}
-		cdb, list := reserveOutCDB(actRelease, 3, keyA, 0, 0)
-		return t.expectSense(scsi.InvalidRelease, cdb, list, 0)
+		cdb, parameters := reserveOutCDB(actRelease, 3, keyA, 0, 0)
+		return t.expectSense(scsi.InvalidRelease, cdb, parameters, 0)
 	})
-	for _, y := range reservationTypes {
-		add(y.name+": who may read and write", func(t *target) error { return t.checkAccess(y.code, y.othersRead, y.registrantsAccess) })
+	for _, kind := range reservationTypes {
+		add(kind.name+": read and write access of holder, registrant and others", func(t *target) error { return t.checkAccess(kind.code, kind.othersRead, kind.registrantsAccess) })
 	}
-	add("CLEAR removes all, and tells the others", func(t *target) error {
+	add("CLEAR removes all registrations and notifies the other initiator", func(t *target) error {
 		if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.session, scsi.Good, actReserve, 1, keyA, 0), t.expectReserveOut(t.session, scsi.Good, actClear, 0, keyA, 0)); err != nil {
 			return err
 		}
-		if k, err := t.readKeys(); err != nil || len(k) != 0 {
-			return errors.Join(err, fmt.Errorf("%x", k))
+		if keys, err := t.readKeys(); err != nil || len(keys) != 0 {
+			return errors.Join(err, fmt.Errorf("keys %x are still registered", keys))
 		}
 		return t.expectAttention(scsi.ReservationsPreempted)
 	})
 	for _, action := range []byte{actPreempt, actPreemptAbort} {
-		add(fmt.Sprintf("PREEMPT (action %d) takes the reservation over, and tells the other", action), func(t *target) error {
+		add(fmt.Sprintf("PREEMPT (action %d) takes over the reservation and notifies the other initiator", action), func(t *target) error {
 			if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.otherSession, scsi.Good, actReserve, 1, keyB, 0), t.expectReserveOut(t.session, scsi.Good, action, 3, keyA, keyB)); err != nil {
 				return err
 			}
-			key, typ, err := t.readReservation()
-			if err != nil || key != keyA || typ != 3 {
-				return errors.Join(err, fmt.Errorf("key %x, type %d", key, typ))
+			key, reservationType, err := t.readReservation()
+			if err != nil || key != keyA || reservationType != 3 {
+				return errors.Join(err, fmt.Errorf("reservation has key %x, type %d", key, reservationType))
 			}
 			if err := t.expectAttention(scsi.RegistrationsPreempted); err != nil {
 				return err
@@ -211,17 +214,17 @@
 	add("PREEMPT of a key that is not registered is a conflict", func(t *target) error {
 		return errors.Join(t.registerBoth(), t.expectReserveOut(t.session, scsi.Conflict, actPreempt, 1, keyA, 0x77))
 	})
-	add("unregistering the holder releases", func(t *target) error {
+	add("unregistering the holder releases the reservation", func(t *target) error {
 		if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.otherSession, scsi.Good, actReserve, 3, keyB, 0), t.expectReserveOut(t.otherSession, scsi.Good, actRegister, 0, keyB, 0)); err != nil {
 			return err
 		}
-		_, typ, err := t.readReservation()
-		if err == nil && typ != 0 {
-			err = fmt.Errorf("still type %d", typ)
+		_, reservationType, err := t.readReservation()
+		if err == nil && reservationType != 0 {
+			err = fmt.Errorf("reservation of type %d still exists", reservationType)
 		}
 		return err
 	})
-	add("READ FULL STATUS names the holder", func(t *target) error {
+	add("READ FULL STATUS reports both registrations and one holder", func(t *target) error {
 		if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.session, scsi.Good, actReserve, 1, keyA, 0)); err != nil {
 			return err
 		}
@@ -229,22 +232,22 @@
 		if err != nil || len(r.Data) < 8 {
 			return errors.Join(err, errors.New(describe(r)))
 		}
-		holders, n := 0, 0
-		for b := r.Data[8:]; len(b) >= 24; n++ {
+		holders, registrations := 0, 0
+		for b := r.Data[8:]; len(b) >= 24; registrations++ {
 			if b[12]&1 != 0 {
 				holders++
 			}
 			b = b[min(24+int(binary.BigEndian.Uint32(b[20:])), len(b)):]
 		}
-		if n != 2 || holders != 1 {
-			return fmt.Errorf("%d registrations, %d holders", n, holders)
+		if registrations != 2 || holders != 1 {
+			return fmt.Errorf("got %d registrations with %d holders, want 2 with 1", registrations, holders)
 		}
 		return nil
 	})
-	return out
+	return list
 }
 
-// checkAccess tries what the holder, another registrant and who is not registered may do.
+// checkAccess checks what the holder, another registrant and an unregistered initiator may do.
 func (t *target) checkAccess(reservationType byte, othersRead, registrantsAccess bool) error {
 	if err := errors.Join(t.registerBoth(), t.expectReserveOut(t.session, scsi.Good, actReserve, reservationType, keyA, 0)); err != nil {
 		return err
@@ -266,8 +269,8 @@
 		t.expectStatus(t.otherSession, scsi.Good, testUnitReadyCDB(), nil))
 }
 
-// expectAttention asks for a unit expectAttention of that sense at the other initiator, which may
-// come with its second command where another is told first.
+// expectAttention checks that the other initiator gets a unit attention with that sense within three
+// commands, since other unit attentions may come first.
 func (t *target) expectAttention(want scsi.Sense) error {
 	for range 3 {
 		result, err := t.otherSession.Do(t.ctx, testUnitReadyCDB(), nil, 0)
--- a/internal/verify/conform/table.go
+++ b/internal/verify/conform/table.go
@@ -11,7 +11,7 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// Command blocks, as SPC-4 and SBC-3 lay them out.
+// Command descriptor blocks of SPC-4 and SBC-3.
 
 func testUnitReadyCDB() []byte { return make([]byte, 6) }
 
@@ -48,7 +48,7 @@
 	return []byte{0x1a, dbd << 3, pageControl<<6 | page, 0, byte(allocation), 0}
 }
 
-// blockCDB is a command with an address and a number of blocks, in the form of its opcode.
+// blockCDB returns a command with an LBA and a transfer length, in the CDB length of its opcode.
 func blockCDB(op byte, lba uint64, blocks uint32) []byte {
 	be := binary.BigEndian
 	switch op >> 5 {
@@ -86,7 +86,7 @@
 	return cdb
 }
 
-// unmapCDB is an UNMAP with its parameter list.
+// unmapCDB returns an UNMAP of ranges of an LBA and a number of blocks, with its parameter list.
 func unmapCDB(ranges ...[2]uint64) (cdb, parameters []byte) {
 	parameters = make([]byte, 8, 8+16*len(ranges))
 	binary.BigEndian.PutUint16(parameters, uint16(6+16*len(ranges)))
@@ -102,7 +102,7 @@
 	return cdb, parameters
 }
 
-// The forms of commands that differ in size only.
+// Operation codes of commands that differ only in the length of the CDB, and their names.
 var (
 	readOps      = []byte{0x08, 0x28, 0xa8, 0x88}
 	writeOps     = []byte{0x0a, 0x2a, 0xaa, 0x8a}
@@ -116,11 +116,11 @@
 
 var checks = slices.Concat(primaryChecks(), formChecks(), diskChecks(), reservationChecks(), transportChecks())
 
-// primaryChecks are the commands of every device (SPC-4).
+// primaryChecks returns the checks of commands of all device types (SPC-4).
 func primaryChecks() []check {
 	return []check{
 		{"SPC-4 TEST UNIT READY", "TEST UNIT READY is GOOD", nil, func(t *target) error { _, err := t.expectGood(testUnitReadyCDB(), nil, 0); return err }},
-		{"SPC-4 operation codes", "an operation code that is not offered is refused", nil, func(t *target) error {
+		{"SPC-4 operation codes", "an unsupported operation code is refused", nil, func(t *target) error {
 			for op := 0xff; op >= 0xc0; op-- {
 				if !t.supported[[2]byte{byte(op), 0}] {
 					return t.expectSense(scsi.InvalidOpcode, append([]byte{byte(op)}, make([]byte, 15)...), nil, 0)
@@ -128,86 +128,86 @@
 			}
 			return nil
 		}},
-		{"SAM-5 CONTROL byte", "NACA in the CONTROL byte is taken or refused as a field", nil, func(t *target) error {
+		{"SAM-5 CONTROL byte", "NACA in the CONTROL byte is accepted or refused as an invalid field", nil, func(t *target) error {
 			r, err := t.do([]byte{0, 0, 0, 0, 0, 4}, nil, 0)
 			if s, _ := scsi.ParseSense(r.Sense); err == nil && r.Status != scsi.Good && s != scsi.InvalidField {
 				err = errors.New(describe(r))
 			}
 			return err
 		}},
-		{"SPC-4 INQUIRY", "standard INQUIRY: a disk, and as long as it says", nil, func(t *target) error {
+		{"SPC-4 INQUIRY", "standard INQUIRY data is of a disk and has its stated length", nil, func(t *target) error {
 			b, err := t.expectGood(inquiryCDB(0, 0, 255), nil, 255)
 			if err == nil && (len(b) < 36 || b[0] != 0 || len(b) != int(b[4])+5) {
-				err = fmt.Errorf("%x", b)
+				err = fmt.Errorf("unexpected data %x", b)
 			}
 			return err
 		}},
-		{"SPC-4 INQUIRY", "INQUIRY is cut to the allocation length", nil, func(t *target) error {
+		{"SPC-4 INQUIRY", "INQUIRY data is truncated to the allocation length", nil, func(t *target) error {
 			b, err := t.expectGood(inquiryCDB(0, 0, 5), nil, 5)
 			if err == nil && len(b) != 5 {
-				err = fmt.Errorf("%d bytes", len(b))
+				err = fmt.Errorf("got %d bytes", len(b))
 			}
 			return err
 		}},
 		{"SPC-4 INQUIRY", "a page code without EVPD is refused", nil, func(t *target) error { return t.expectSense(scsi.InvalidField, inquiryCDB(0, 0x83, 255), nil, 255) }},
-		{"SPC-4 INQUIRY", "a page that is not listed is refused", nil, func(t *target) error { return t.expectSense(scsi.InvalidField, inquiryCDB(1, 0x7f, 255), nil, 255) }},
-		{"SPC-4 Supported VPD Pages", "every listed page has its own code and length", nil, checkVPDPages},
-		{"SPC-4 Device Identification", "the identification page names the unit", nil, func(t *target) error {
+		{"SPC-4 INQUIRY", "a VPD page that is not listed is refused", nil, func(t *target) error { return t.expectSense(scsi.InvalidField, inquiryCDB(1, 0x7f, 255), nil, 255) }},
+		{"SPC-4 Supported VPD Pages", "every listed VPD page has its page code and its stated length", nil, checkVPDPages},
+		{"SPC-4 Device Identification", "the page identifies the logical unit", nil, func(t *target) error {
 			b, err := t.expectGood(inquiryCDB(1, 0x83, 1024), nil, 1024)
 			if err == nil && (len(b) < 8 || b[5]&0x30 != 0) {
-				err = fmt.Errorf("no designator of the unit: %x", b)
+				err = fmt.Errorf("no designator of the logical unit: %x", b)
 			}
 			return err
 		}},
-		{"SPC-4 REPORT LUNS", "REPORT LUNS lists unit 0", nil, func(t *target) error {
+		{"SPC-4 REPORT LUNS", "REPORT LUNS lists LUN 0", nil, func(t *target) error {
 			b, err := t.expectGood(reportLUNsCDB(0, 256), nil, 256)
 			if err == nil && (len(b) < 16 || binary.BigEndian.Uint32(b) < 8 || !bytes.Equal(b[8:16], make([]byte, 8))) {
-				err = fmt.Errorf("%x", b)
+				err = fmt.Errorf("unexpected data %x", b)
 			}
 			return err
 		}},
-		{"SPC-4 REPORT LUNS", "REPORT LUNS with room for less than one is refused", nil, func(t *target) error { return t.expectSense(scsi.InvalidField, reportLUNsCDB(0, 8), nil, 8) }},
-		{"SPC-4 REPORT LUNS", "REPORT LUNS with a reserved selection is refused", nil, func(t *target) error { return t.expectSense(scsi.InvalidField, reportLUNsCDB(0x60, 256), nil, 256) }},
-		{"SPC-4 REQUEST SENSE", "REQUEST SENSE without anything to tell", nil, func(t *target) error {
+		{"SPC-4 REPORT LUNS", "REPORT LUNS with an allocation length of 8 is refused", nil, func(t *target) error { return t.expectSense(scsi.InvalidField, reportLUNsCDB(0, 8), nil, 8) }},
+		{"SPC-4 REPORT LUNS", "REPORT LUNS with a reserved SELECT REPORT is refused", nil, func(t *target) error { return t.expectSense(scsi.InvalidField, reportLUNsCDB(0x60, 256), nil, 256) }},
+		{"SPC-4 REQUEST SENSE", "REQUEST SENSE without pending sense data returns NO SENSE", nil, func(t *target) error {
 			b, err := t.expectGood([]byte{3, 0, 0, 0, 252, 0}, nil, 252)
 			if s, ok := scsi.ParseSense(b); err == nil && (!ok || s.Key != 0) {
-				err = fmt.Errorf("%x", b)
+				err = fmt.Errorf("unexpected data %x", b)
 			}
 			return err
 		}},
-		{"SPC-4 MODE SENSE (6)", "MODE SENSE (6), all pages, as long as it says", []byte{0x1a}, func(t *target) error {
+		{"SPC-4 MODE SENSE (6)", "MODE SENSE (6) of all pages has its stated length", []byte{0x1a}, func(t *target) error {
 			b, err := t.expectGood(modeSenseCDB(false, 0, 0, 0x3f, 255), nil, 255)
 			if err == nil && (len(b) < 4 || len(b) != int(b[0])+1) {
-				err = fmt.Errorf("%x", b)
+				err = fmt.Errorf("unexpected data %x", b)
 			}
 			return err
 		}},
-		{"SPC-4 MODE SENSE (10)", "MODE SENSE (10), all pages, as long as it says", []byte{0x5a}, func(t *target) error {
+		{"SPC-4 MODE SENSE (10)", "MODE SENSE (10) of all pages has its stated length", []byte{0x5a}, func(t *target) error {
 			b, err := t.expectGood(modeSenseCDB(true, 0, 0, 0x3f, 1024), nil, 1024)
 			if err == nil && (len(b) < 8 || len(b) != int(binary.BigEndian.Uint16(b))+2) {
-				err = fmt.Errorf("%x", b)
+				err = fmt.Errorf("unexpected data %x", b)
 			}
 			return err
 		}},
-		{"SPC-4 MODE SENSE (6)", "DBD leaves out the block descriptor", []byte{0x1a}, func(t *target) error {
+		{"SPC-4 MODE SENSE (6)", "DBD omits the block descriptor", []byte{0x1a}, func(t *target) error {
 			b, err := t.expectGood(modeSenseCDB(false, 1, 0, 0x3f, 255), nil, 255)
 			if err == nil && (len(b) < 4 || b[3] != 0) {
-				err = fmt.Errorf("%x", b)
+				err = fmt.Errorf("unexpected data %x", b)
 			}
 			return err
 		}},
-		{"SPC-4 MODE SENSE (6)", "saved values: given, or refused as not saved", []byte{0x1a}, func(t *target) error {
+		{"SPC-4 MODE SENSE (6)", "saved values are returned or refused as not supported", []byte{0x1a}, func(t *target) error {
 			r, err := t.do(modeSenseCDB(false, 0, 3, 0x3f, 255), nil, 255)
 			if s, _ := scsi.ParseSense(r.Sense); err == nil && r.Status != scsi.Good && s != scsi.SavingUnsupported {
 				err = errors.New(describe(r))
 			}
 			return err
 		}},
-		{"SPC-4 MODE SENSE (6)", "a mode page that is not there is refused", []byte{0x1a}, func(t *target) error {
+		{"SPC-4 MODE SENSE (6)", "an unsupported mode page is refused", []byte{0x1a}, func(t *target) error {
 			return t.expectSense(scsi.InvalidField, modeSenseCDB(false, 0, 0, 0x29, 255), nil, 255)
 		}},
-		{"SPC-4 REPORT SUPPORTED OPERATION CODES", "each operation code that is listed is described alone", []byte{0xa3}, checkListedOpcodes},
-		{"SPC-4 command timeouts descriptor", "RCTD brings timeouts descriptors", []byte{0xa3}, checkTimeoutDescriptors},
+		{"SPC-4 REPORT SUPPORTED OPERATION CODES", "each listed operation code can be queried alone", []byte{0xa3}, checkListedOpcodes},
+		{"SPC-4 command timeouts descriptor", "RCTD returns command timeouts descriptors", []byte{0xa3}, checkTimeoutDescriptors},
 		{"SPC-4 REPORT SUPPORTED OPERATION CODES", "option 001b for a code with service actions is refused", []byte{0xa3}, func(t *target) error {
 			return t.expectSense(scsi.InvalidField, supportedOpcodesCDB(1, 0xa3, 0, 64), nil, 64)
 		}},
@@ -217,12 +217,12 @@
 		{"SPC-4 REPORT SUPPORTED OPERATION CODES", "a reserved option is refused", []byte{0xa3}, func(t *target) error {
 			return t.expectSense(scsi.InvalidField, supportedOpcodesCDB(4, 0x12, 0, 64), nil, 64)
 		}},
-		{"SPC-4 REPORT SUPPORTED OPERATION CODES", "a code that is not offered is said to be so", []byte{0xa3}, func(t *target) error {
+		{"SPC-4 REPORT SUPPORTED OPERATION CODES", "an unsupported operation code is reported as not supported", []byte{0xa3}, func(t *target) error {
 			for op := 0xff; op >= 0xc0; op-- {
 				if !t.supported[[2]byte{byte(op), 0}] {
 					b, err := t.expectGood(supportedOpcodesCDB(1, byte(op), 0, 64), nil, 64)
 					if err == nil && (len(b) < 4 || b[1]&7 != 1) {
-						err = fmt.Errorf("%x", b)
+						err = fmt.Errorf("unexpected data %x", b)
 					}
 					return err
 				}
@@ -232,13 +232,14 @@
 	}
 }
 
+// checkVPDPages checks the list of VPD pages and each page of it.
 func checkVPDPages(t *target) error {
 	pages, err := t.expectGood(inquiryCDB(1, 0, 255), nil, 255)
 	if err != nil {
 		return err
 	}
 	if len(pages) < 5 || len(pages) != int(pages[3])+4 || !slices.IsSorted(pages[4:]) || !slices.Contains(pages[4:], 0x83) {
-		return fmt.Errorf("the list: %x", pages)
+		return fmt.Errorf("list of VPD pages: %x", pages)
 	}
 	for _, page := range pages[4:] {
 		data, err := t.expectGood(inquiryCDB(1, page, 4096), nil, 4096)
@@ -246,41 +247,44 @@
 			return err
 		}
 		if len(data) < 4 || data[1] != page || len(data) != int(binary.BigEndian.Uint16(data[2:]))+4 {
-			return fmt.Errorf("page %02x: %x", page, data)
+			return fmt.Errorf("VPD page %02x: %x", page, data)
 		}
 	}
 	return nil
 }
 
+// checkListedOpcodes queries each listed operation code on its own.
 func checkListedOpcodes(t *target) error {
-	for k := range t.supported {
+	for code := range t.supported {
 		option, serviceAction := byte(1), uint16(0)
-		if hasServiceActions[k[0]] {
-			if option, serviceAction = 2, uint16(k[1]); serviceAction == 0 {
-				continue // stands for the code, not for an action
+		if hasServiceActions[code[0]] {
+			if option, serviceAction = 2, uint16(code[1]); serviceAction == 0 {
+				continue // entry for the operation code itself
 			}
 		}
-		data, err := t.expectGood(supportedOpcodesCDB(option, k[0], serviceAction, 64), nil, 64)
+		data, err := t.expectGood(supportedOpcodesCDB(option, code[0], serviceAction, 64), nil, 64)
 		if err != nil {
 			return err
 		}
-		if len(data) < 5 || data[1]&7 != 3 || int(data[3]) != len(data)-4 || data[4] != k[0] {
-			return fmt.Errorf("code %02x/%02x: %x", k[0], k[1], data)
+		if len(data) < 5 || data[1]&7 != 3 || int(data[3]) != len(data)-4 || data[4] != code[0] {
+			return fmt.Errorf("operation code %02x, service action %02x: %x", code[0], code[1], data)
 		}
 	}
 	return nil
 }
 
-// hasServiceActions are the operation codes that have service hasServiceActions (SPC-4 table 34).
+// hasServiceActions holds the operation codes that have service actions (SPC-4 table 34).
 var hasServiceActions = map[byte]bool{0x9e: true, 0x9f: true, 0xa3: true, 0xa4: true, 0x5e: true, 0x5f: true, 0x83: true, 0x84: true, 0x7f: true}
 
+// checkTimeoutDescriptors checks that RCTD adds command timeouts descriptors to a query of one
+// operation code and of all.
 func checkTimeoutDescriptors(t *target) error {
 	one, err := t.expectGood(supportedOpcodesCDB(0x81, 0x12, 0, 64), nil, 64)
 	if err != nil {
 		return err
 	}
 	if len(one) < 4 || one[1]&0x80 == 0 || len(one) != 4+int(one[3])+12 || one[4+int(one[3])+1] != 10 {
-		return fmt.Errorf("of one: %x", one)
+		return fmt.Errorf("query of one operation code: %x", one)
 	}
 	all, err := t.expectGood(supportedOpcodesCDB(0x80, 0, 0, 1<<16), nil, 1<<16)
 	if err != nil {
@@ -288,34 +292,34 @@
 	}
 	for b := all[4:]; len(b) > 0; b = b[20:] {
 		if len(b) < 20 || b[5]&2 == 0 || b[9] != 10 {
-			return fmt.Errorf("of all: %x", b)
+			return fmt.Errorf("query of all operation codes: %x", b)
 		}
 	}
 	return nil
 }
 
-// formChecks are the checks of every form of READ, WRITE, VERIFY, WRITE SAME and
-// SYNCHRONIZE CACHE.
-func formChecks() (out []check) {
+// formChecks returns the checks of READ, WRITE, VERIFY, WRITE SAME and SYNCHRONIZE CACHE in all CDB
+// lengths.
+func formChecks() (list []check) {
 	add := func(op byte, name string, run func(t *target) error) {
-		out = append(out, check{"SBC-3 " + opNames[op], opNames[op] + ": " + name, []byte{op}, run})
+		list = append(list, check{"SBC-3 " + opNames[op], opNames[op] + ": " + name, []byte{op}, run})
 	}
 	for _, op := range readOps {
-		add(op, "what was written", func(t *target) error {
+		add(op, "returns the data written", func(t *target) error {
 			want, err := t.writePattern(op, 8)
 			if err != nil {
 				return err
 			}
 			got, err := t.expectGood(blockCDB(op, 0, 8), nil, 8*t.blockSize)
 			if err == nil && !bytes.Equal(got, want) {
-				err = errors.New("not what was written")
+				err = errors.New("data read differs from the data written")
 			}
 			return err
 		})
 		addRangeChecks(add, op, func(t *target) (out []byte, in int) { return nil, t.blockSize })
 	}
 	for _, op := range writeOps {
-		add(op, "is read back", func(t *target) error {
+		add(op, "the data written is read back", func(t *target) error {
 			b := pattern(op, 5*t.blockSize)
 			if _, err := t.expectGood(blockCDB(op, 3, 5), b, 0); err != nil {
 				return err
@@ -347,20 +351,20 @@
 		addRangeChecks(add, op, func(*target) (out []byte, in int) { return nil, 0 })
 	}
 	for _, op := range writeSameOps {
-		add(op, "fills each block", func(t *target) error {
+		add(op, "writes the same data to each block", func(t *target) error {
 			b := pattern(op, t.blockSize)
 			if _, err := t.expectGood(blockCDB(op, 2, 6), b, 0); err != nil {
 				return err
 			}
 			return t.expectData(2, bytes.Repeat(b, 6))
 		})
-		add(op, "of no blocks is refused where WSNZ is set", func(t *target) error {
+		add(op, "zero blocks are refused if WSNZ is set", func(t *target) error {
 			if !t.blockLimits.wsnz {
 				return nil
 			}
 			return t.expectSense(scsi.InvalidField, blockCDB(op, 0, 0), make([]byte, t.blockSize), 0)
 		})
-		add(op, "of more than the limit is refused", func(t *target) error {
+		add(op, "more blocks than the maximum write same length are refused", func(t *target) error {
 			if t.blockLimits.writeSame == 0 || t.blockLimits.writeSame+1 > t.blocks || t.blockLimits.writeSame >= 0xffff && op == 0x41 {
 				return nil
 			}
@@ -369,7 +373,7 @@
 		addRangeChecks(add, op, func(t *target) (out []byte, in int) { return make([]byte, t.blockSize), 0 })
 	}
 	for _, op := range syncCacheOps {
-		add(op, "of all and of a part is GOOD", func(t *target) error {
+		add(op, "of the whole unit and of a range is GOOD", func(t *target) error {
 			_, err := t.expectGood(blockCDB(op, 0, 0), nil, 0)
 			if err == nil {
 				_, err = t.expectGood(blockCDB(op, 4, 4), nil, 0)
@@ -378,15 +382,16 @@
 		})
 		addRangeChecks(add, op, func(*target) (out []byte, in int) { return nil, 0 })
 	}
-	return out
+	return list
 }
 
-// addRangeChecks are the checks of an address that every form with one must pass.
-func addRangeChecks(add func(byte, string, func(*target) error), op byte, data func(*target) ([]byte, int)) {
-	add(op, "the last block is reached, the one after is out of range", func(t *target) error {
-		out, in := data(t)
+// addRangeChecks adds the checks of LBA, protection field and transfer length that apply to the command
+// op. The function transfer returns the data out and the length of data in for one block.
+func addRangeChecks(add func(byte, string, func(*target) error), op byte, transfer func(*target) ([]byte, int)) {
+	add(op, "the last block is readable, the next is out of range", func(t *target) error {
+		out, in := transfer(t)
 		if op < 0x20 && t.blocks > 1<<21 || op != 0x88 && op != 0x8a && op != 0x8f && op != 0x93 && op != 0x91 && t.blocks > 1<<32 {
-			return nil // the form can't name it
+			return nil // the LBA does not fit into the CDB
 		}
 		if op == 0x88 || op == 0x28 || op == 0xa8 || op == 0x08 {
 			if _, err := t.expectGood(blockCDB(op, t.blocks-1, 1), out, in); err != nil {
@@ -399,18 +404,18 @@
 		return t.expectSense(scsi.LBAOutOfRange, blockCDB(op, t.blocks, 1), out, in)
 	})
 	if op >= 0x80 && op < 0xa0 {
-		add(op, "an address that wraps around is out of range", func(t *target) error {
-			out, in := data(t)
+		add(op, "the maximum LBA is out of range", func(t *target) error {
+			out, in := transfer(t)
 			return t.expectSense(scsi.LBAOutOfRange, blockCDB(op, 1<<64-1, 1), out, in)
 		})
 	}
 	if op >= 0x20 && op != 0x35 && op != 0x91 {
-		add(op, "protection information that is not kept is refused", func(t *target) error {
-			out, in := data(t)
+		add(op, "a nonzero protection field is refused", func(t *target) error {
+			out, in := transfer(t)
 			return t.expectSense(scsi.InvalidField, withFlags(blockCDB(op, 0, 1), 0x20), out, in)
 		})
 		if op != 0x41 && op != 0x93 {
-			add(op, "no blocks is no error", func(t *target) error { _, err := t.expectGood(blockCDB(op, 0, 0), nil, 0); return err })
+			add(op, "a transfer length of 0 is GOOD", func(t *target) error { _, err := t.expectGood(blockCDB(op, 0, 0), nil, 0); return err })
 		}
 	}
 	if op == 0xa8 || op == 0x88 || op == 0xaa || op == 0x8a {
@@ -418,19 +423,19 @@
 			if t.blockLimits.transfer == 0 || uint64(t.blockLimits.transfer)+1 > t.blocks {
 				return nil
 			}
-			out, in := data(t)
+			out, in := transfer(t)
 			return t.expectSense(scsi.InvalidField, blockCDB(op, 0, t.blockLimits.transfer+1), out, in)
 		})
 	}
 }
 
-// diskChecks are the other commands of a disk (SBC-3).
+// diskChecks returns the checks of the other commands of disks (SBC-3).
 func diskChecks() []check {
 	return []check{
 		{"SBC-3 READ CAPACITY (10)", "READ CAPACITY (10) agrees with (16)", []byte{0x25}, func(t *target) error {
 			b, err := t.expectGood(blockCDB(0x25, 0, 0), nil, 8)
 			if err == nil && (len(b) != 8 || uint64(binary.BigEndian.Uint32(b)) != min(t.blocks-1, 1<<32-1) || int(binary.BigEndian.Uint32(b[4:])) != t.blockSize) {
-				err = fmt.Errorf("%x", b)
+				err = fmt.Errorf("unexpected data %x", b)
 			}
 			return err
 		}},
@@ -446,7 +451,7 @@
 			}
 			return nil
 		}},
-		{"SBC-3 GET LBA STATUS", "GET LBA STATUS begins at the address and stays in the unit", nil, func(t *target) error {
+		{"SBC-3 GET LBA STATUS", "GET LBA STATUS starts at or before the LBA and ends within the unit", nil, func(t *target) error {
 			if !t.supported[[2]byte{0x9e, 0x12}] {
 				return nil
 			}
@@ -457,19 +462,19 @@
 				return err
 			}
 			if len(b) < 24 || binary.BigEndian.Uint64(b[8:]) > 5 || binary.BigEndian.Uint64(b[8:])+uint64(binary.BigEndian.Uint32(b[16:])) > t.blocks {
-				return fmt.Errorf("%x", b)
+				return fmt.Errorf("unexpected data %x", b)
 			}
 			binary.BigEndian.PutUint64(cdb[2:], t.blocks)
 			return t.expectSense(scsi.LBAOutOfRange, cdb, nil, 64)
 		}},
-		{"SBC-3 READ CAPACITY (16)", "READ CAPACITY (16) is cut to the allocation length", nil, func(t *target) error {
+		{"SBC-3 READ CAPACITY (16)", "READ CAPACITY (16) data is truncated to the allocation length", nil, func(t *target) error {
 			b, err := t.expectGood(readCapacity16CDB(12), nil, 12)
 			if err == nil && len(b) != 12 {
-				err = fmt.Errorf("%d bytes", len(b))
+				err = fmt.Errorf("got %d bytes", len(b))
 			}
 			return err
 		}},
-		{"SBC-3 COMPARE AND WRITE", "COMPARE AND WRITE writes where it matches", []byte{0x89}, func(t *target) error {
+		{"SBC-3 COMPARE AND WRITE", "COMPARE AND WRITE writes if the data matches", []byte{0x89}, func(t *target) error {
 			b, err := t.writePattern(9, 4)
 			if err != nil {
 				return err
@@ -481,7 +486,7 @@
 			copy(b[t.blockSize:], next)
 			return t.expectData(0, b)
 		}},
-		{"SBC-3 COMPARE AND WRITE", "COMPARE AND WRITE changes nothing where it does not", []byte{0x89}, func(t *target) error {
+		{"SBC-3 COMPARE AND WRITE", "COMPARE AND WRITE changes nothing on a miscompare", []byte{0x89}, func(t *target) error {
 			b, err := t.writePattern(10, 4)
 			if err != nil {
 				return err
@@ -491,7 +496,7 @@
 			}
 			return t.expectData(0, b)
 		}},
-		{"SBC-3 Block Limits page", "COMPARE AND WRITE up to the limit at every address", []byte{0x89}, func(t *target) error {
+		{"SBC-3 Block Limits page", "COMPARE AND WRITE of the maximum length is GOOD at every LBA", []byte{0x89}, func(t *target) error {
 			n := t.blockLimits.compareAndWrite
 			for lba := uint64(0); lba+uint64(n) <= OverwrittenBlocks; lba++ {
 				old, err := t.expectGood(blockCDB(0x88, lba, n), nil, int(n)*t.blockSize)
@@ -504,14 +509,14 @@
 			}
 			return nil
 		}},
-		{"SBC-3 Block Limits page", "COMPARE AND WRITE above the limit is refused", []byte{0x89}, func(t *target) error {
+		{"SBC-3 Block Limits page", "COMPARE AND WRITE above the maximum length is refused", []byte{0x89}, func(t *target) error {
 			n := t.blockLimits.compareAndWrite + 1
 			if n > 255 {
 				return nil
 			}
 			return t.expectSense(scsi.InvalidField, compareAndWriteCDB(0, byte(n)), make([]byte, 2*int(n)*t.blockSize), 0)
 		}},
-		{"SBC-3 UNMAP", "UNMAP of two runs reads as zeros where LBPRZ is set", []byte{0x42}, func(t *target) error {
+		{"SBC-3 UNMAP", "blocks of an UNMAP of two ranges read as zeros if LBPRZ is set", []byte{0x42}, func(t *target) error {
 			b, err := t.writePattern(11, 16)
 			if err != nil {
 				return err
@@ -528,7 +533,7 @@
 			clear(b[8*t.blockSize : 9*t.blockSize])
 			return t.expectData(0, b)
 		}},
-		{"SBC-3 UNMAP", "UNMAP without runs is GOOD", []byte{0x42}, func(t *target) error {
+		{"SBC-3 UNMAP", "UNMAP without block descriptors is GOOD", []byte{0x42}, func(t *target) error {
 			cdb, out := unmapCDB()
 			_, err := t.expectGood(cdb, out, 0)
 			return err
@@ -537,19 +542,19 @@
 			cdb, out := unmapCDB([2]uint64{t.blocks - 1, 2})
 			return t.expectSense(scsi.LBAOutOfRange, cdb, out, 0)
 		}},
-		{"SBC-3 UNMAP", "UNMAP with more runs than the limit is refused", []byte{0x42}, func(t *target) error {
+		{"SBC-3 UNMAP", "UNMAP with more block descriptors than the limit is refused", []byte{0x42}, func(t *target) error {
 			if t.blockLimits.unmapDescriptors == 0 || t.blockLimits.unmapDescriptors > 1000 {
 				return nil
 			}
 			cdb, out := unmapCDB(make([][2]uint64, t.blockLimits.unmapDescriptors+1)...)
 			return t.expectSense(scsi.InvalidParameter, cdb, out, 0)
 		}},
-		{"SBC-3 UNMAP", "UNMAP with a list shorter than its head is refused", []byte{0x42}, func(t *target) error {
+		{"SBC-3 UNMAP", "UNMAP with a parameter list shorter than its header is refused", []byte{0x42}, func(t *target) error {
 			cdb, out := unmapCDB([2]uint64{0, 1})
 			cdb[8] = 4
 			return t.expectSense(scsi.ParamLength, cdb, out[:4], 0)
 		}},
-		{"SBC-3 WRITE SAME (16)", "WRITE SAME with UNMAP reads as zeros", []byte{0x93}, func(t *target) error {
+		{"SBC-3 WRITE SAME (16)", "blocks of a WRITE SAME with UNMAP read as zeros", []byte{0x93}, func(t *target) error {
 			if _, err := t.writePattern(12, 4); err != nil {
 				return err
 			}
@@ -561,18 +566,18 @@
 	}
 }
 
-// transportChecks are the checks of iSCSI itself (RFC 7143).
-func transportChecks() (out []check) {
+// transportChecks returns the checks of iSCSI itself (RFC 7143).
+func transportChecks() (list []check) {
 	const clause = "RFC 7143 11.4.5"
 	for _, op := range []byte{0x28, 0xa8, 0x88} {
-		out = append(out, check{clause, opNames[op] + ": residual underflow where more is expected", []byte{op}, func(t *target) error {
+		list = append(list, check{clause, opNames[op] + ": residual underflow if the initiator expects more data", []byte{op}, func(t *target) error {
 			return t.expectResidual(blockCDB(op, 0, 1), nil, t.blockSize+100, 100, true)
-		}}, check{clause, opNames[op] + ": residual overflow where less is expected", []byte{op}, func(t *target) error {
+		}}, check{clause, opNames[op] + ": residual overflow if the initiator expects less data", []byte{op}, func(t *target) error {
 			return t.expectResidual(blockCDB(op, 0, 2), nil, t.blockSize, t.blockSize, false)
 		}})
 	}
 	for _, op := range []byte{0x2a, 0xaa, 0x8a} {
-		out = append(out, check{clause, opNames[op] + ": residual underflow, and the CDB's blocks are written", []byte{op}, func(t *target) error {
+		list = append(list, check{clause, opNames[op] + ": residual underflow if more data is sent, and only the CDB's blocks are written", []byte{op}, func(t *target) error {
 			old, err := t.writePattern(13, 4)
 			if err != nil {
 				return err
@@ -583,7 +588,7 @@
 			}
 			copy(old[t.blockSize:2*t.blockSize], b)
 			return t.expectData(0, old)
-		}}, check{clause, opNames[op] + ": residual overflow, and no more than came is written", []byte{op}, func(t *target) error {
+		}}, check{clause, opNames[op] + ": residual overflow if less data is sent, and only that data is written", []byte{op}, func(t *target) error {
 			old, err := t.writePattern(14, 4)
 			if err != nil {
 				return err
@@ -594,7 +599,7 @@
 			}
 			copy(old[t.blockSize:], b)
 			return t.expectData(0, old)
-		}}, check{clause, opNames[op] + ": no data at all is an overflow, and nothing is written", []byte{op}, func(t *target) error {
+		}}, check{clause, opNames[op] + ": residual overflow if no data is sent, and nothing is written", []byte{op}, func(t *target) error {
 			old, err := t.writePattern(15, 4)
 			if err != nil {
 				return err
@@ -605,8 +610,8 @@
 			return t.expectData(0, old)
 		}})
 	}
-	return append(out,
-		check{"RFC 7143 sequence errors", "a gap in DataSN costs the command, not the session", []byte{0x8a}, func(t *target) error {
+	return append(list,
+		check{"RFC 7143 sequence errors", "a gap in DataSN fails the command and keeps the session", []byte{0x8a}, func(t *target) error {
 			old, err := t.writePattern(16, OverwrittenBlocks)
 			if err != nil {
 				return err
@@ -620,7 +625,7 @@
 			}
 			return t.expectData(0, old)
 		}},
-		check{"SAM-5 incorrect logical unit", "a unit that is not there is refused, INQUIRY says so", nil, func(t *target) error {
+		check{"SAM-5 incorrect logical unit", "an absent LUN is refused and reported by INQUIRY", nil, func(t *target) error {
 			r, err := t.session.DoAt(t.ctx, 7<<48, inquiryCDB(0, 0, 36), nil, 36, 0)
 			if err != nil {
 				return err
@@ -636,15 +641,15 @@
 			}
 			return nil
 		}},
-		check{"RFC 7143 11.6", "an unknown task management function is answered so", nil, func(t *target) error { return t.expectTaskResponse(iscsi.TaskFunction(77), 5) }},
+		check{"RFC 7143 11.6", "an unknown task management function is reported as not supported", nil, func(t *target) error { return t.expectTaskResponse(iscsi.TaskFunction(77), 5) }},
 		check{"RFC 7143 11.6", "LOGICAL UNIT RESET is answered", nil, func(t *target) error { return t.expectTaskResponse(iscsi.LUNReset, 0) }},
-		check{"RFC 7143 11.6", "TASK REASSIGN is refused at recovery level 0", nil, func(t *target) error { return t.expectTaskResponse(iscsi.TaskReassign, 4) }},
-		check{"RFC 7143 4.2.2.1", "a thousand writes at once end GOOD", []byte{0x8a}, checkManyWrites},
-		check{"RFC 7143 11.6", "every abort is answered, whatever it meets", []byte{0x8a}, checkAborts},
+		check{"RFC 7143 11.6", "TASK REASSIGN is refused at error recovery level 0", nil, func(t *target) error { return t.expectTaskResponse(iscsi.TaskReassign, 4) }},
+		check{"RFC 7143 4.2.2.1", "1000 writes queued at once end GOOD", []byte{0x8a}, checkManyWrites},
+		check{"RFC 7143 11.6", "every ABORT TASK is answered, whether its task still exists or not", []byte{0x8a}, checkAborts},
 	)
 }
 
-// expectResidual asks for GOOD with that expectResidual.
+// expectResidual runs a command that must end GOOD with a residual count of want bytes.
 func (t *target) expectResidual(cdb, dataOut []byte, inLength, want int, underflow bool) error {
 	result, err := t.do(cdb, dataOut, inLength)
 	if err != nil {
@@ -656,6 +661,7 @@
 	return nil
 }
 
+// expectTaskResponse runs a task management function that must be answered with response want.
 func (t *target) expectTaskResponse(function iscsi.TaskFunction, want byte) error {
 	response := make(chan error, 1)
 	t.session.Manage(function, func(code byte, err error) {
@@ -668,12 +674,12 @@
 	case err := <-response:
 		return err
 	case <-t.ctx.Done():
-		return errors.New("no response")
+		return errors.New("no response to the task management function")
 	}
 }
 
-// checkManyWrites submits more than any window holds; the initiator keeps to the window that
-// it is told, so there is no ground to refuse one.
+// checkManyWrites submits more writes than fit into a command window. The initiator keeps to the
+// window that the target advertises, so the target has no reason to refuse one.
 func checkManyWrites(t *target) error {
 	const n = 1000
 	results := make(chan error, n)
@@ -697,32 +703,33 @@
 				}
 			}
 		case <-t.ctx.Done():
-			return errors.New("not all ended")
+			return errors.New("some writes did not end in time")
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d, first: %w", failed, n, first)
+		return fmt.Errorf("%d of %d writes failed, first: %w", failed, n, first)
 	}
 	return nil
 }
 
+// checkAborts submits writes and aborts each at once.
 func checkAborts(t *target) error {
 	const n = 64
 	done := make(chan byte, n)
 	for i := range n {
 		handle := t.session.Submit(0, blockCDB(0x8a, uint64(i), 1), pattern(byte(i), t.blockSize), 0, func(iscsi.Result, error) {})
 		if !t.session.Abort(handle, func(code byte) { done <- code }) {
-			done <- 0 // it never went out
+			done <- 0 // the command had not been sent
 		}
 	}
 	for range n {
 		select {
 		case code := <-done:
 			if code != iscsi.FunctionComplete && code != iscsi.FunctionNoTask {
-				return fmt.Errorf("response %d", code)
+				return fmt.Errorf("response %d to an ABORT TASK", code)
 			}
 		case <-t.ctx.Done():
-			return errors.New("an abort was not answered")
+			return errors.New("an ABORT TASK was not answered in time")
 		}
 	}
 	return nil
