--- a/cmd/merlinhitch/scheduler_test.go
+++ b/cmd/merlinhitch/scheduler_test.go
@@ -177,8 +177,8 @@
 
 // standins is a stand-in disk server and two stand-in discovery agents.
 type standins struct {
-	disk                      *standin.HTTPDisk
-	discovery, otherDiscovery *standin.HTTPList
+	disk                      *standin.HTTPDiskServer
+	discovery, otherDiscovery *standin.HTTPDiscovery
 	received                  chan struct{} // gets a value for each request that arrives at the disk server
 	release                   chan struct{} // each value releases one answer of the disk server
 }
@@ -192,16 +192,16 @@
 		}
 	}
 	var err error
-	servers.disk, err = standin.ServeHTTPDisk(environment, func(standin.HTTPAsk) standin.HTTPAnswer {
+	servers.disk, err = standin.ServeHTTPDiskServer(environment, func(standin.HTTPRequest) standin.HTTPResponse {
 		servers.received <- struct{}{}
 		<-servers.release
-		return standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")}
+		return standin.HTTPResponse{Raw: []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")}
 	})
 	failOnError(err)
 	wholeList := fmt.Sprintf(`{"seq":8,"whole":true,"hosts":[{"host":"s0","dial":%q,"site":"a","class":"m","block":0,"health":"active","share":1,"born_ms":0}]}`, servers.disk.Addr)
-	servers.discovery, err = standin.ServeHTTPList(environment, wholeList)
+	servers.discovery, err = standin.ServeHTTPDiscovery(environment, wholeList)
 	failOnError(err)
-	servers.otherDiscovery, err = standin.ServeHTTPList(environment, wholeList)
+	servers.otherDiscovery, err = standin.ServeHTTPDiscovery(environment, wholeList)
 	failOnError(err)
 	t.Cleanup(func() {
 		close(servers.release)
--- a/cmd/merlinhitch/serve.go
+++ b/cmd/merlinhitch/serve.go
@@ -138,8 +138,8 @@
 
 func (c *diskserverCmd) Run(log *zap.Logger) error {
 	environment := env.NewReal()
-	machine := standin.NewMachine(standin.MachineConfig{Cores: c.Cores, Queue: 120, UnitWork: c.Work, WriteX: 1.5, ColdFrom: 1, FallTime: 1000, FallMultiple: 2},
-		environment.RandomUint64(), standin.NewCell(func(string) int { return c.Block }), standin.NewRack(6000), nil, uint32(c.Shard), 0, false)
+	machine := standin.NewMachine(standin.MachineConfig{Cores: c.Cores, QueueLimit: 120, UnitWork: c.Work, WriteFactor: 1.5, ColdCapacity: 1, OverloadWindow: 1000, OverloadFactor: 2},
+		environment.RandomUint64(), standin.NewShardStore(func(string) int { return c.Block }), standin.NewDedupCache(6000), nil, uint32(c.Shard), 0, false)
 	diskServer := &standin.DiskServer{Name: fmt.Sprintf("d%d", c.Shard), Zone: c.Zone, Rack: fmt.Sprintf("d%d", c.Shard), Shard: c.Shard}
 	if c.Keys != "" {
 		var err error
--- a/internal/control/gateway/announcer_test.go
+++ b/internal/control/gateway/announcer_test.go
@@ -62,7 +62,7 @@
 
 // announcedLevel returns the level at which the router received prefix from the host with router ID 1.
 func announcedLevel(router *standin.Router, prefix netip.Prefix) announce.Level {
-	path, ok := router.Held(1)[prefix]
+	path, ok := router.RoutesFrom(1)[prefix]
 	switch {
 	case !ok:
 		return announce.Withdrawn
@@ -79,14 +79,14 @@
 	waitFor(t, h.environment, "both groups are announced", func() bool {
 		return announcedLevel(router, twoShardPrefix) == announce.Announced && announcedLevel(router, oneShardPrefix) == announce.Announced
 	})
-	h.diskServers[0].Net(standin.NetTrouble{Hang: true})
+	h.diskServers[0].SetNetworkFaults(standin.NetworkFaults{Hang: true})
 	waitFor(t, h.environment, "group mixed is a last resort with one shard lost", func() bool { return announcedLevel(router, twoShardPrefix) == announce.LastResort })
 	h.diskServers[1].Kill()
 	waitFor(t, h.environment, "group mixed is withdrawn with both shards lost", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Withdrawn })
 	if announcedLevel(router, oneShardPrefix) != announce.Announced {
 		t.Error("group alone, which lost no shard, is not announced")
 	}
-	h.diskServers[0].Net(standin.NetTrouble{})
+	h.diskServers[0].SetNetworkFaults(standin.NetworkFaults{})
 	waitFor(t, h.environment, "group mixed is a last resort with one shard back", func() bool { return announcedLevel(router, twoShardPrefix) == announce.LastResort })
 	for _, group := range h.gateway.Routes().Groups {
 		if group.Group == "mixed" && group.Reason != announce.Partly {
@@ -111,20 +111,20 @@
 func TestOrderOfAGracefulStop(t *testing.T) {
 	h, router := newAnnouncingHarness(t)
 	waitFor(t, h.environment, "group mixed is announced", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Announced })
-	logStart := len(router.Log())
+	logStart := len(router.Changes())
 	h.gateway.Stop(context.Background())
 	waitFor(t, h.environment, "group mixed is withdrawn", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Withdrawn })
 	var got []string
-	for _, change := range router.Log()[logStart:] {
+	for _, change := range router.Changes()[logStart:] {
 		if change.Prefix != twoShardPrefix {
 			continue
 		}
 		switch {
-		case change.Up && change.Path.Shutdown:
+		case change.Announced && change.Path.Shutdown:
 			got = append(got, "last resort")
-		case change.Up:
+		case change.Announced:
 			got = append(got, "announced")
-		case change.ByEnd:
+		case change.SessionEnded:
 			got = append(got, "session over")
 		default:
 			got = append(got, "withdrawn")
@@ -157,27 +157,27 @@
 	if _, err := h.gateway.Settings().Put(&s); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, h.environment, "all prefixes are withdrawn", func() bool { return len(router.Held(1)) == 0 })
+	waitFor(t, h.environment, "all prefixes are withdrawn", func() bool { return len(router.RoutesFrom(1)) == 0 })
 }
 
 // When sessions and a disk server flap independently, the router's table must converge to the final
 // state of the shards.
 func TestAnnouncementsConvergeAfterFlaps(t *testing.T) {
 	h, router := newAnnouncingHarness(t)
-	router.Fault(standin.RouterFault{LiveFor: 70 * time.Millisecond})
-	router.Reset()
+	router.SetFaults(standin.RouterFaults{ResetAfter: 70 * time.Millisecond})
+	router.ResetSessions()
 	for i := range 4 {
-		ups := router.Counts().Ups
-		h.diskServers[2].Net(standin.NetTrouble{Hang: i%2 == 0})
-		waitFor(t, h.environment, "another session is established", func() bool { return router.Counts().Ups > ups })
+		ups := router.Counters().Established
+		h.diskServers[2].SetNetworkFaults(standin.NetworkFaults{Hang: i%2 == 0})
+		waitFor(t, h.environment, "another session is established", func() bool { return router.Counters().Established > ups })
 	}
-	h.diskServers[2].Net(standin.NetTrouble{Hang: true})
-	router.Fault(standin.RouterFault{})
-	router.Reset()
+	h.diskServers[2].SetNetworkFaults(standin.NetworkFaults{Hang: true})
+	router.SetFaults(standin.RouterFaults{})
+	router.ResetSessions()
 	waitFor(t, h.environment, "only group mixed is announced", func() bool {
 		return announcedLevel(router, twoShardPrefix) == announce.Announced && announcedLevel(router, oneShardPrefix) == announce.Withdrawn
 	})
-	h.diskServers[2].Net(standin.NetTrouble{})
+	h.diskServers[2].SetNetworkFaults(standin.NetworkFaults{})
 	waitFor(t, h.environment, "group alone is announced again", func() bool { return announcedLevel(router, oneShardPrefix) == announce.Announced })
 }
 
@@ -214,7 +214,7 @@
 	s.Announce = &settings.Announce{AS: 65001, HoldTime: 9000, Routers: []settings.Router{{Name: "r0", Addr: router.Addr, AS: router.AS}},
 		Steady: 100, SteadyMost: 100, ResortMost: 100, MoveTime: 50,
 		Groups: []settings.AddressGroup{{Name: "all", Prefixes: []string{twoShardPrefix.String()}, Volumes: []string{s.Volumes[1].Name}}}}
-	savedState := &standin.Saved{Record: region.Begin(0, []region.ID{0}, make([][2]float64, len(s.Plans)))}
+	savedState := &standin.InventoryState{Record: region.Begin(0, []region.ID{0}, make([][2]float64, len(s.Plans)))}
 	serveInventory := func(addr string, start uint64) *standin.Inventory {
 		server, err := standin.ServeRegion(environment, addr, 0, s.Regions.Config(), 0, start, savedState, func() string { return "" })
 		if err != nil {
@@ -224,8 +224,8 @@
 	}
 	regionInventory := serveInventory("127.0.0.1:0", 1)
 	diskServer := &standin.DiskServer{Name: "d0", Shard: 0}
-	cell := standin.NewCell(func(string) int { return s.Volumes[0].BlockSize })
-	if err := standin.ServeDisk(environment, standin.NewMachine(fastMachineConfig(), 1, cell, standin.NewRack(6000), nil, 0, 0, false), diskServer); err != nil {
+	cell := standin.NewShardStore(func(string) int { return s.Volumes[0].BlockSize })
+	if err := standin.ServeDisk(environment, standin.NewMachine(fastMachineConfig(), 1, cell, standin.NewDedupCache(6000), nil, 0, 0, false), diskServer); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(diskServer.Kill)
--- a/internal/control/gateway/faults_test.go
+++ b/internal/control/gateway/faults_test.go
@@ -150,12 +150,12 @@
 // go out once it works again.
 func TestConnectionHangsDuringSetup(t *testing.T) {
 	h := newHarness(t, useOneShard)
-	h.diskServers[0].Net(hangingNetwork)
+	h.diskServers[0].SetNetworkFaults(hangingNetwork)
 	client := h.connect(normalVolume, 1)
 	results := make(chan iscsi.Result, 1)
 	client.Submit(0, initiator.CompareAndWriteCDB(0, 1), make([]byte, 8192), 0, func(result iscsi.Result, _ error) { results <- result })
 	h.waitFor("a connection to hang", func() bool { return h.gateway.Status().Sends >= 2 }) // the first found none and was given up
-	h.diskServers[0].Net(healthyNetwork)
+	h.diskServers[0].SetNetworkFaults(healthyNetwork)
 	if result := <-results; result.Status != scsi.Good {
 		t.Fatalf("status %02x sense %x", result.Status, result.Sense)
 	}
--- a/internal/control/gateway/gateway_test.go
+++ b/internal/control/gateway/gateway_test.go
@@ -29,12 +29,12 @@
 	settings    *settings.Settings
 	inventory   *standin.Inventory
 	diskServers []*standin.DiskServer
-	cells       []*standin.Cell
+	cells       []*standin.ShardStore
 	gateway     *gateway.Gateway
 }
 
 func fastMachineConfig() standin.MachineConfig {
-	return standin.MachineConfig{Cores: 2, Queue: 64, UnitWork: 0.2, WriteX: 1, ColdFrom: 1, FallTime: 1000, FallMultiple: 2}
+	return standin.MachineConfig{Cores: 2, QueueLimit: 64, UnitWork: 0.2, WriteFactor: 1, ColdCapacity: 1, OverloadWindow: 1000, OverloadFactor: 2}
 }
 
 func newHarness(t *testing.T, editSettings func(*settings.Settings)) *harness {
@@ -54,8 +54,8 @@
 	}
 	t.Cleanup(h.inventory.Close)
 	for i := range h.settings.Shards {
-		cell := standin.NewCell(func(string) int { return 4096 })
-		machine := standin.NewMachine(fastMachineConfig(), uint64(i), cell, standin.NewRack(6000), nil, uint32(i), 0, false)
+		cell := standin.NewShardStore(func(string) int { return 4096 })
+		machine := standin.NewMachine(fastMachineConfig(), uint64(i), cell, standin.NewDedupCache(6000), nil, uint32(i), 0, false)
 		diskServer := &standin.DiskServer{Name: "disk", Zone: "hall-a", Rack: "r", Shard: i, Keys: diskServerKeys}
 		if err := standin.ServeDisk(h.environment, machine, diskServer); err != nil {
 			t.Fatal(err)
@@ -125,8 +125,8 @@
 }
 
 var (
-	hangingNetwork = standin.NetTrouble{Hang: true}
-	healthyNetwork = standin.NetTrouble{}
+	hangingNetwork = standin.NetworkFaults{Hang: true}
+	healthyNetwork = standin.NetworkFaults{}
 )
 
 // waitFor waits until satisfied returns true, and fails the test after 20 s.
--- a/internal/control/scheduler/attemptresult_test.go
+++ b/internal/control/scheduler/attemptresult_test.go
@@ -15,43 +15,43 @@
 func TestAttemptResults(t *testing.T) {
 	const notStartedFields = "Not-Started: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, tc := range map[string]struct {
-		response   standin.HTTPAnswer
+		response   standin.HTTPResponse
 		wantResult policy.Result
 	}{
-		"complete response":               {standin.HTTPAnswer{Raw: []byte(ok200)}, policy.Served},
-		"complete response, then close":   {standin.HTTPAnswer{Raw: []byte(ok200), Close: true}, policy.Served},
-		"chunked response":                {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nX: y\r\n\r\n")}, policy.Served},
-		"response after 1xx":              {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 102 Wait\r\n\r\n" + ok200)}, policy.Served},
-		"body delimited by close":         {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\nhi"), Close: true}, policy.Served},
-		"500":                             {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
-		"404":                             {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
-		"503":                             {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
-		"503, not started":                {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 503 No\r\n" + notStartedFields)}, policy.Rejected},
-		"504, not started":                {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 504 No\r\n" + notStartedFields)}, policy.Rejected},
-		"500, not started":                {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 500 No\r\n" + notStartedFields)}, policy.ServerError},
-		"malformed response":              {standin.HTTPAnswer{Raw: []byte("\x00\x01\r\n\r\n")}, policy.ServerError},
-		"close":                           {standin.HTTPAnswer{Close: true}, policy.ConnectionLost},
-		"reset":                           {standin.HTTPAnswer{Reset: true}, policy.ConnectionLost},
-		"partial head, then close":        {standin.HTTPAnswer{Raw: []byte(ok200[:12]), Close: true}, policy.ConnectionLost},
-		"partial body, then close":        {standin.HTTPAnswer{Raw: []byte(ok200[:len(ok200)-1]), Close: true}, policy.ConnectionLost},
-		"partial body, then reset":        {standin.HTTPAnswer{Raw: []byte(ok200[:len(ok200)-1]), Reset: true}, policy.ConnectionLost},
-		"no last chunk":                   {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n"), Close: true}, policy.ConnectionLost},
-		"body without length, then reset": {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\nhi"), Reset: true}, policy.ConnectionLost},
-		"no response":                     {standin.HTTPAnswer{After: time.Hour}, policy.NoAnswer},
-		"body without length, no close":   {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\nhi")}, policy.NoAnswer},
-		"body over the limit":             {standin.HTTPAnswer{Raw: []byte("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxResponseBytes+1))}, policy.ServerError},
+		"complete response":               {standin.HTTPResponse{Raw: []byte(ok200)}, policy.Served},
+		"complete response, then close":   {standin.HTTPResponse{Raw: []byte(ok200), Close: true}, policy.Served},
+		"chunked response":                {standin.HTTPResponse{Raw: []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nX: y\r\n\r\n")}, policy.Served},
+		"response after 1xx":              {standin.HTTPResponse{Raw: []byte("HTTP/1.1 102 Wait\r\n\r\n" + ok200)}, policy.Served},
+		"body delimited by close":         {standin.HTTPResponse{Raw: []byte("HTTP/1.1 200 OK\r\n\r\nhi"), Close: true}, policy.Served},
+		"500":                             {standin.HTTPResponse{Raw: []byte("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
+		"404":                             {standin.HTTPResponse{Raw: []byte("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
+		"503":                             {standin.HTTPResponse{Raw: []byte("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")}, policy.ServerError},
+		"503, not started":                {standin.HTTPResponse{Raw: []byte("HTTP/1.1 503 No\r\n" + notStartedFields)}, policy.Rejected},
+		"504, not started":                {standin.HTTPResponse{Raw: []byte("HTTP/1.1 504 No\r\n" + notStartedFields)}, policy.Rejected},
+		"500, not started":                {standin.HTTPResponse{Raw: []byte("HTTP/1.1 500 No\r\n" + notStartedFields)}, policy.ServerError},
+		"malformed response":              {standin.HTTPResponse{Raw: []byte("\x00\x01\r\n\r\n")}, policy.ServerError},
+		"close":                           {standin.HTTPResponse{Close: true}, policy.ConnectionLost},
+		"reset":                           {standin.HTTPResponse{Reset: true}, policy.ConnectionLost},
+		"partial head, then close":        {standin.HTTPResponse{Raw: []byte(ok200[:12]), Close: true}, policy.ConnectionLost},
+		"partial body, then close":        {standin.HTTPResponse{Raw: []byte(ok200[:len(ok200)-1]), Close: true}, policy.ConnectionLost},
+		"partial body, then reset":        {standin.HTTPResponse{Raw: []byte(ok200[:len(ok200)-1]), Reset: true}, policy.ConnectionLost},
+		"no last chunk":                   {standin.HTTPResponse{Raw: []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n"), Close: true}, policy.ConnectionLost},
+		"body without length, then reset": {standin.HTTPResponse{Raw: []byte("HTTP/1.1 200 OK\r\n\r\nhi"), Reset: true}, policy.ConnectionLost},
+		"no response":                     {standin.HTTPResponse{Delay: time.Hour}, policy.NoAnswer},
+		"body without length, no close":   {standin.HTTPResponse{Raw: []byte("HTTP/1.1 200 OK\r\n\r\nhi")}, policy.NoAnswer},
+		"body over the limit":             {standin.HTTPResponse{Raw: []byte("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxResponseBytes+1))}, policy.ServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			response := tc.response
-			if response.After > 0 {
-				response = standin.HTTPAnswer{}
+			if response.Delay > 0 {
+				response = standin.HTTPResponse{}
 			}
 			// A write that must not be repeated: the response follows from its only attempt.
 			makeUnsafe := func(config string) string {
 				config = strings.Replace(config, `"effect":"idempotency_key","group":"cell","key_ttl_ms":6000`, `"effect":"unsafe"`, 1)
 				return strings.Replace(config, `"attempts_cap":4`, `"attempts_cap":1`, 1)
 			}
-			runOnSockets(t, makeUnsafe, func(standin.HTTPAsk) standin.HTTPAnswer { return response }, func(h *harness, hooks *hookedEnv) {
+			runOnSockets(t, makeUnsafe, func(standin.HTTPRequest) standin.HTTPResponse { return response }, func(h *harness, hooks *hookedEnv) {
 				timeout := "3" // seconds; enough for each response on a slow machine
 				if tc.wantResult == policy.NoAnswer {
 					timeout = "0.300"
--- a/internal/control/scheduler/connectionends_test.go
+++ b/internal/control/scheduler/connectionends_test.go
@@ -143,7 +143,7 @@
 
 // A request taken before SIGTERM with a deadline after the kill is answered before the kill.
 func TestAStopAnswersWhatHasLonger(t *testing.T) {
-	neverRespond := func(standin.HTTPAsk) standin.HTTPAnswer { return standin.HTTPAnswer{} }
+	neverRespond := func(standin.HTTPRequest) standin.HTTPResponse { return standin.HTTPResponse{} }
 	runSimulated(t, neverRespond, func(h *harness) {
 		client := h.connect()
 		io.WriteString(client.conn, h.formatRequest("PUT", "txn-write", "00000000000000ab", "30", "x", "Idempotency-Key: k\r\n"))
--- a/internal/control/scheduler/discovery_test.go
+++ b/internal/control/scheduler/discovery_test.go
@@ -337,8 +337,8 @@
 		err := sim.Run("n0", time.Minute, func(process *world.Process) {
 			environment = process
 			h := &harness{t: t, environment: process, schedulerAddr: "127.0.0.1:5000"}
-			configuredServer, _ := standin.ServeHTTPDisk(process, respondWith(ok200))
-			discoveredServer, _ := standin.ServeHTTPDisk(process, respondWith(ok200))
+			configuredServer, _ := standin.ServeHTTPDiskServer(process, respondWith(ok200))
+			discoveredServer, _ := standin.ServeHTTPDiskServer(process, respondWith(ok200))
 			configuredList := fullListJSON(7, entryJSON("s0", configuredServer.Addr, "active", 0))
 			discovery := startFakeDiscovery(process, func(_ int, _ string, conn net.Conn) {
 				if silent {
@@ -360,7 +360,7 @@
 			if upResponse.status != 503 || got.status != 200 || got.elapsed > readyTimeout+100*time.Millisecond {
 				t.Errorf("discovery silent %v: got response %+v to /up and %+v to the request, want status 503, and status 200 within 1.6 s", silent, upResponse, got)
 			}
-			if configuredCount, discoveredCount := len(configuredServer.Asked()), len(discoveredServer.Asked()); silent != (configuredCount == 1) || silent == (discoveredCount == 1) {
+			if configuredCount, discoveredCount := len(configuredServer.Requests()), len(discoveredServer.Requests()); silent != (configuredCount == 1) || silent == (discoveredCount == 1) {
 				t.Errorf("discovery silent %v: got %d requests by the configured list and %d by that of discovery, want 1 and 0 if silent, otherwise 0 and 1", silent, configuredCount, discoveredCount)
 			}
 			h.scheduler.Close()
--- a/internal/control/scheduler/faultscenario_test.go
+++ b/internal/control/scheduler/faultscenario_test.go
@@ -217,8 +217,8 @@
 
 // diskServerHandler returns a disk server's handler of attempts, which injects a fault into 8 of 20
 // responses.
-func (s *faultScenario) diskServerHandler(server string) func(standin.HTTPAsk) standin.HTTPAnswer {
-	return func(request standin.HTTPAsk) standin.HTTPAnswer {
+func (s *faultScenario) diskServerHandler(server string) func(standin.HTTPRequest) standin.HTTPResponse {
+	return func(request standin.HTTPRequest) standin.HTTPResponse {
 		id := request.Fields.Get("request-id")
 		response := []byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id))
 		fault := s.randN(20)
@@ -230,26 +230,26 @@
 		delay := time.Duration(2+s.randN(30)) * time.Millisecond
 		switch fault {
 		case 0:
-			return standin.HTTPAnswer{Raw: []byte("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")}
+			return standin.HTTPResponse{Raw: []byte("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")}
 		case 1:
-			return standin.HTTPAnswer{After: delay, Reset: true}
+			return standin.HTTPResponse{Delay: delay, Reset: true}
 		case 2:
-			return standin.HTTPAnswer{After: delay, Raw: []byte("\x00 noise\r\n\r\n")}
+			return standin.HTTPResponse{Delay: delay, Raw: []byte("\x00 noise\r\n\r\n")}
 		case 3:
-			return standin.HTTPAnswer{After: delay, Raw: response[:len(response)-3], Reset: true}
+			return standin.HTTPResponse{Delay: delay, Raw: response[:len(response)-3], Reset: true}
 		case 4:
 			if s.realTime { // a late timer could send the surplus after quarantineTime
-				return standin.HTTPAnswer{After: delay, Raw: append(slices.Clone(response), response...)}
+				return standin.HTTPResponse{Delay: delay, Raw: append(slices.Clone(response), response...)}
 			}
-			return standin.HTTPAnswer{After: delay, Raw: response, Behind: response, Late: 5 * time.Millisecond}
+			return standin.HTTPResponse{Delay: delay, Raw: response, Extra: response, ExtraDelay: 5 * time.Millisecond}
 		case 5:
-			return standin.HTTPAnswer{} // no response
+			return standin.HTTPResponse{} // no response
 		case 6:
-			return standin.HTTPAnswer{After: delay, Raw: []byte("HTTP/1.1 200 OK\r\n\r\n" + id), Close: true}
+			return standin.HTTPResponse{Delay: delay, Raw: []byte("HTTP/1.1 200 OK\r\n\r\n" + id), Close: true}
 		case 7:
-			return standin.HTTPAnswer{After: delay, Raw: []byte("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")}
+			return standin.HTTPResponse{Delay: delay, Raw: []byte("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")}
 		}
-		return standin.HTTPAnswer{After: delay, Raw: response}
+		return standin.HTTPResponse{Delay: delay, Raw: response}
 	}
 }
 
@@ -375,9 +375,9 @@
 func (s *faultScenario) run() error {
 	firstDiscovery := startFakeDiscovery(s.environment, s.serveWatch)
 	defer firstDiscovery.close()
-	diskServers := map[string]*standin.HTTPDisk{}
+	diskServers := map[string]*standin.HTTPDiskServer{}
 	for _, host := range []string{"s0", "s1", "s2", "s3", "s4"} {
-		diskServer, err := standin.ServeHTTPDisk(s.environment, s.diskServerHandler(host))
+		diskServer, err := standin.ServeHTTPDiskServer(s.environment, s.diskServerHandler(host))
 		if err != nil {
 			return err
 		}
--- a/internal/control/scheduler/harness_test.go
+++ b/internal/control/scheduler/harness_test.go
@@ -51,8 +51,8 @@
 type harness struct {
 	t             *testing.T
 	environment   env.Environment
-	diskServer    *standin.HTTPDisk
-	discovery     *standin.HTTPList
+	diskServer    *standin.HTTPDiskServer
+	discovery     *standin.HTTPDiscovery
 	scheduler     *Scheduler
 	schedulerAddr string
 	requestCount  int
@@ -63,18 +63,18 @@
 }
 
 // runSimulated runs test in a simulated environment. The disk server answers with respond.
-func runSimulated(t *testing.T, respond func(standin.HTTPAsk) standin.HTTPAnswer, test func(*harness)) {
+func runSimulated(t *testing.T, respond func(standin.HTTPRequest) standin.HTTPResponse, test func(*harness)) {
 	t.Helper()
 	sim := world.New(1)
 	sim.DefaultLink.Delay = 100 * time.Microsecond
 	err := sim.Run("n0", 10*time.Minute, func(process *world.Process) {
 		h := &harness{t: t, environment: process, schedulerAddr: "127.0.0.1:5000"}
 		var err error
-		if h.diskServer, err = standin.ServeHTTPDisk(process, respond); err != nil {
+		if h.diskServer, err = standin.ServeHTTPDiskServer(process, respond); err != nil {
 			panic(err)
 		}
 		initialList := fullListJSON(7, entryJSON("s0", h.diskServer.Addr, "active", 0))
-		if h.discovery, err = standin.ServeHTTPList(process, initialList); err != nil {
+		if h.discovery, err = standin.ServeHTTPDiscovery(process, initialList); err != nil {
 			panic(err)
 		}
 		h.scheduler = h.startScheduler(initialList)
@@ -165,9 +165,9 @@
 }
 
 // respondWith returns a disk server's handler that sends rawResponse after 20 ms.
-func respondWith(rawResponse string) func(standin.HTTPAsk) standin.HTTPAnswer {
-	return func(standin.HTTPAsk) standin.HTTPAnswer {
-		return standin.HTTPAnswer{After: 20 * time.Millisecond, Raw: []byte(rawResponse)}
+func respondWith(rawResponse string) func(standin.HTTPRequest) standin.HTTPResponse {
+	return func(standin.HTTPRequest) standin.HTTPResponse {
+		return standin.HTTPResponse{Delay: 20 * time.Millisecond, Raw: []byte(rawResponse)}
 	}
 }
 
@@ -186,7 +186,7 @@
 		if got.status != 200 {
 			t.Error(got)
 		}
-		received := h.diskServer.Asked()
+		received := h.diskServer.Requests()
 		last := received[len(received)-1]
 		if len(received) != 4 || last.Conn != 0 || last.Method != "PUT" || last.Target != "/txn-write/00000003b4d60021/7f3a9c21e0b4d655" ||
 			string(last.Body) != "block" || last.Fields.Get("request-id") != "00000000000000aa" ||
@@ -212,11 +212,11 @@
 		"no length":        "HTTP/1.1 200 OK\r\n\r\nhi",
 	} {
 		t.Run(name, func(t *testing.T) {
-			respond := func(request standin.HTTPAsk) standin.HTTPAnswer {
+			respond := func(request standin.HTTPRequest) standin.HTTPResponse {
 				if request.Conn == 0 {
-					return standin.HTTPAnswer{Raw: []byte(rawResponse)}
+					return standin.HTTPResponse{Raw: []byte(rawResponse)}
 				}
-				return standin.HTTPAnswer{Raw: []byte(ok200)}
+				return standin.HTTPResponse{Raw: []byte(ok200)}
 			}
 			runSimulated(t, respond, func(h *harness) {
 				got := h.connect().roundTrip(strings.Replace(h.getRequest(), "0.480", "1.900", 1))
@@ -229,7 +229,7 @@
 					}
 					return
 				}
-				if attempts := len(h.diskServer.Asked()); got.status != 200 || got.body != "hi" || attempts != 2 {
+				if attempts := len(h.diskServer.Requests()); got.status != 200 || got.body != "hi" || attempts != 2 {
 					t.Error(got, attempts, "attempts")
 				}
 			})
@@ -241,10 +241,10 @@
 // the response to the next request.
 func TestSurplusBytesAreDiscarded(t *testing.T) {
 	for _, delay := range []time.Duration{0, 5 * time.Millisecond} {
-		respond := func(request standin.HTTPAsk) standin.HTTPAnswer {
+		respond := func(request standin.HTTPRequest) standin.HTTPResponse {
 			body := request.Fields.Get("request-id")
 			response := fmt.Sprintf("HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nX-Iops-Used: many\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-			return standin.HTTPAnswer{Raw: []byte(response), Behind: []byte(response), Late: delay}
+			return standin.HTTPResponse{Raw: []byte(response), Extra: []byte(response), ExtraDelay: delay}
 		}
 		runSimulated(t, respond, func(h *harness) {
 			client := h.connect()
@@ -290,8 +290,8 @@
 				t.Errorf("%s: got %+v, want an error status or a close within 3 s", name, got)
 			}
 		}
-		if forwarded := len(h.diskServer.Asked()); forwarded > 0 {
-			t.Errorf("disk server got %d requests, want 0; the first: %+v", forwarded, h.diskServer.Asked()[0].Request)
+		if forwarded := len(h.diskServer.Requests()); forwarded > 0 {
+			t.Errorf("disk server got %d requests, want 0; the first: %+v", forwarded, h.diskServer.Requests()[0].Request)
 		}
 	})
 }
@@ -346,7 +346,7 @@
 		if got := h.connect().roundTrip(rawRequest); got.status != 409 {
 			t.Error("duplicate id after the response: want status 409, got", got)
 		}
-		if n := len(h.diskServer.Asked()); n != 1 {
+		if n := len(h.diskServer.Requests()); n != 1 {
 			t.Errorf("sent %d times, want once", n)
 		}
 	})
@@ -408,8 +408,8 @@
 // A reload with another discovery address opens the watch there, from the last version received.
 func TestReloadChangesDiscoveryAddress(t *testing.T) {
 	runSimulated(t, respondWith(ok200), func(h *harness) {
-		h.discovery.Say(`{"seq":9,"whole":false,"hosts":[]}`)
-		newDiscovery, err := standin.ServeHTTPList(h.environment, fullListJSON(11, entryJSON("s1", h.diskServer.Addr, "active", 0)))
+		h.discovery.Broadcast(`{"seq":9,"whole":false,"hosts":[]}`)
+		newDiscovery, err := standin.ServeHTTPDiscovery(h.environment, fullListJSON(11, entryJSON("s1", h.diskServer.Addr, "active", 0)))
 		if err != nil {
 			panic(err)
 		}
--- a/internal/control/scheduler/hookedenv_test.go
+++ b/internal/control/scheduler/hookedenv_test.go
@@ -103,7 +103,7 @@
 
 // runOnSockets runs test with a scheduler, a simulated disk server and discovery service on
 // loopback sockets. editConfig, if not nil, changes the configuration's JSON.
-func runOnSockets(t *testing.T, editConfig func(string) string, respond func(standin.HTTPAsk) standin.HTTPAnswer, test func(h *harness, hooks *hookedEnv)) {
+func runOnSockets(t *testing.T, editConfig func(string) string, respond func(standin.HTTPRequest) standin.HTTPResponse, test func(h *harness, hooks *hookedEnv)) {
 	t.Helper()
 	hooks := &hookedEnv{Real: env.NewReal()}
 	h := &harness{t: t, environment: hooks, schedulerAddr: "127.0.0.1:0"}
@@ -113,12 +113,12 @@
 		}
 	}
 	var err error
-	h.diskServer, err = standin.ServeHTTPDisk(hooks.Real, respond)
+	h.diskServer, err = standin.ServeHTTPDiskServer(hooks.Real, respond)
 	must(err)
 	defer h.diskServer.Close()
 	hooks.diskAddr = h.diskServer.Addr
 	initialList := fullListJSON(7, entryJSON("s0", h.diskServer.Addr, "active", 0))
-	h.discovery, err = standin.ServeHTTPList(hooks.Real, initialList)
+	h.discovery, err = standin.ServeHTTPDiscovery(hooks.Real, initialList)
 	must(err)
 	defer h.discovery.Close()
 	configJSON := testConfig(h.schedulerAddr, h.discovery.Addr, initialList)
--- a/internal/control/scheduler/permit_test.go
+++ b/internal/control/scheduler/permit_test.go
@@ -95,13 +95,13 @@
 func TestWaitingForRoom(t *testing.T) {
 	const limit = 3
 	var gates [8]env.Gate
-	var diskServers []*standin.HTTPDisk
+	var diskServers []*standin.HTTPDiskServer
 	runSimulated(t, respondWith(ok200), func(h *harness) {
 		var entries []string
 		for i := range gates {
-			server, err := standin.ServeHTTPDisk(h.environment, func(standin.HTTPAsk) standin.HTTPAnswer {
+			server, err := standin.ServeHTTPDiskServer(h.environment, func(standin.HTTPRequest) standin.HTTPResponse {
 				gates[i].Wait(h.environment)
-				return standin.HTTPAnswer{Raw: []byte(strings.Replace(ok200, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))}
+				return standin.HTTPResponse{Raw: []byte(strings.Replace(ok200, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))}
 			})
 			if err != nil {
 				panic(err)
@@ -115,7 +115,7 @@
 		}
 		h.scheduler.Reload(config)
 		h.scheduler.loop.post(h.scheduler.loop.now(), eventReload, func(float64) { h.scheduler.pool.maxConns = limit })
-		h.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":true,"hosts":[%s]}`, strings.Join(entries, ",")))
+		h.discovery.Broadcast(fmt.Sprintf(`{"seq":8,"whole":true,"hosts":[%s]}`, strings.Join(entries, ",")))
 		env.Sleep(h.environment, 20*time.Millisecond, nil)
 		status := make([]int, len(gates))
 		var done env.WaitGroup
@@ -179,7 +179,7 @@
 			h.waitFor("the core counts the disconnect", func() bool { return h.counters().Gone == 1 })
 		},
 		"server drains": func(h *harness, _ *testClient) {
-			h.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", h.diskServer.Addr, "leaving", 0)))
+			h.discovery.Broadcast(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", h.diskServer.Addr, "leaving", 0)))
 			h.waitFor("the server state is draining", func() bool { return !h.scheduler.pool.serverStates.allows("s0", 0) })
 		},
 		"beginBy passes": func(h *harness, _ *testClient) { env.Sleep(h.environment, 320*time.Millisecond, nil) },
@@ -193,7 +193,7 @@
 				change(h, client)
 				gate.Open()
 				h.waitFor("the attempt ends as not sent", func() bool { return h.counters().Outcomes[policy.NotSent] > 0 })
-				if n := len(h.diskServer.Asked()); n > 0 && name != "beginBy passes" {
+				if n := len(h.diskServer.Requests()); n > 0 && name != "beginBy passes" {
 					t.Errorf("disk server got %d requests, want 0", n)
 				}
 			})
@@ -225,8 +225,8 @@
 		env.Sleep(h.environment, 150*time.Millisecond, nil)
 		delay := h.environment.Now() - startedAt
 		gate.Open()
-		h.waitFor("the disk server has received the request", func() bool { return len(h.diskServer.Asked()) > 0 })
-		timeout, err := time.ParseDuration(h.diskServer.Asked()[0].Fields.Get("request-timeout") + "s")
+		h.waitFor("the disk server has received the request", func() bool { return len(h.diskServer.Requests()) > 0 })
+		timeout, err := time.ParseDuration(h.diskServer.Requests()[0].Fields.Get("request-timeout") + "s")
 		if limit := 9*time.Second - delay; err != nil || timeout > limit {
 			t.Errorf("got Request-Timeout %s, want at most %s", timeout, limit)
 		}
@@ -278,7 +278,7 @@
 // Drain must wait for the loop to answer the open requests before it closes the connections, even
 // if the loop is delayed past exitLeadMS before the kill.
 func TestTheLastAnswersComeBeforeTheEnd(t *testing.T) {
-	neverRespond := func(standin.HTTPAsk) standin.HTTPAnswer { return standin.HTTPAnswer{} }
+	neverRespond := func(standin.HTTPRequest) standin.HTTPResponse { return standin.HTTPResponse{} }
 	runSimulated(t, neverRespond, func(h *harness) {
 		client := h.connect()
 		fmt.Fprint(client.conn, strings.Replace(h.getRequest(), "0.480", "30", 1))
--- a/internal/control/scheduler/readahead_test.go
+++ b/internal/control/scheduler/readahead_test.go
@@ -19,9 +19,9 @@
 // none of that data may be sent as requests.
 func TestALeaverBehindManyRequests(t *testing.T) {
 	var gate env.Gate
-	respond := func(standin.HTTPAsk) standin.HTTPAnswer {
+	respond := func(standin.HTTPRequest) standin.HTTPResponse {
 		<-gate.Chan()
-		return standin.HTTPAnswer{Raw: []byte(ok200)}
+		return standin.HTTPResponse{Raw: []byte(ok200)}
 	}
 	runOnSockets(t, nil, respond, func(h *harness, _ *hookedEnv) {
 		h.gates = append(h.gates, &gate)
@@ -31,7 +31,7 @@
 			pipelined.WriteString(strings.Replace(h.getRequest(), "0.480", "19.0", 1))
 		}
 		io.WriteString(client.conn, pipelined.String())
-		h.waitFor("the disk server has received the first request", func() bool { return len(h.diskServer.Asked()) == 1 })
+		h.waitFor("the disk server has received the first request", func() bool { return len(h.diskServer.Requests()) == 1 })
 		client.conn.Close()
 		h.waitFor("the core has counted the disconnect", func() bool { return h.counters().Gone == 1 })
 		gate.Open()
@@ -173,8 +173,8 @@
 		}
 		defer scheduler.Close()
 		defer slowEnv.conn.Close()
-		h.waitFor("the disk server has received the request", func() bool { return len(h.diskServer.Asked()) == 1 })
-		timeout, err := time.ParseDuration(h.diskServer.Asked()[0].Fields.Get("request-timeout") + "s")
+		h.waitFor("the disk server has received the request", func() bool { return len(h.diskServer.Requests()) == 1 })
+		timeout, err := time.ParseDuration(h.diskServer.Requests()[0].Fields.Get("request-timeout") + "s")
 		if err != nil || timeout > 9*time.Second-slowEnv.delay {
 			t.Errorf("got a forwarded timeout of %s, want at most 8.7 s", timeout)
 		}
@@ -184,7 +184,7 @@
 // A pipelined request with less time than the one before it must be answered in its own time, so
 // the one before it must be answered by then too.
 func TestLessTimeBehindMore(t *testing.T) {
-	neverRespond := func(standin.HTTPAsk) standin.HTTPAnswer { return standin.HTTPAnswer{} }
+	neverRespond := func(standin.HTTPRequest) standin.HTTPResponse { return standin.HTTPResponse{} }
 	runSimulated(t, neverRespond, func(h *harness) {
 		client := h.connect()
 		longRequest := h.formatRequest("PUT", "txn-write", "00000000000000c1", "9.000", "x", "Idempotency-Key: k\r\n")
--- a/internal/control/scheduler/reusestats_test.go
+++ b/internal/control/scheduler/reusestats_test.go
@@ -29,12 +29,12 @@
 // request, must cause few retries.
 func TestSilentlyDroppedConnections(t *testing.T) {
 	lastRequestAt := map[int]time.Duration{}
-	respond := func(request standin.HTTPAsk) standin.HTTPAnswer {
-		idle := request.At - lastRequestAt[request.Conn]
-		if lastRequestAt[request.Conn] = request.At; request.Nth > 0 && idle > 100*time.Millisecond {
-			return standin.HTTPAnswer{Close: true}
+	respond := func(request standin.HTTPRequest) standin.HTTPResponse {
+		idle := request.ReceivedAt - lastRequestAt[request.Conn]
+		if lastRequestAt[request.Conn] = request.ReceivedAt; request.Index > 0 && idle > 100*time.Millisecond {
+			return standin.HTTPResponse{Close: true}
 		}
-		return standin.HTTPAnswer{Raw: []byte(ok200)}
+		return standin.HTTPResponse{Raw: []byte(ok200)}
 	}
 	runSimulated(t, respond, func(h *harness) {
 		client := h.connect()
--- a/internal/control/scheduler/serverconn_test.go
+++ b/internal/control/scheduler/serverconn_test.go
@@ -42,7 +42,7 @@
 			go server.serve(conn)
 		}
 	}()
-	h.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", listener.Addr().String(), "active", 0)))
+	h.discovery.Broadcast(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", listener.Addr().String(), "active", 0)))
 	h.waitFor("the core has applied the list", h.coreCondition(func(k *core) bool { return k.servers["s0"].Address == listener.Addr().String() }))
 	return server
 }
@@ -114,11 +114,11 @@
 func TestResponsesDelimitedByClose(t *testing.T) {
 	const response = "HTTP/1.1 200 OK\r\n\r\nhi"
 	for _, reset := range []bool{false, true} {
-		respond := func(request standin.HTTPAsk) standin.HTTPAnswer {
+		respond := func(request standin.HTTPRequest) standin.HTTPResponse {
 			if request.Conn > 0 {
-				return standin.HTTPAnswer{Raw: []byte(ok200)}
+				return standin.HTTPResponse{Raw: []byte(ok200)}
 			}
-			return standin.HTTPAnswer{Raw: []byte(response), Close: !reset, Reset: reset}
+			return standin.HTTPResponse{Raw: []byte(response), Close: !reset, Reset: reset}
 		}
 		runOnSockets(t, nil, respond, func(h *harness, hooks *hookedEnv) {
 			got := h.connect().roundTrip(strings.Replace(h.getRequest(), "0.480", "1.900", 1))
--- a/internal/control/scheduler/waitingattempts_test.go
+++ b/internal/control/scheduler/waitingattempts_test.go
@@ -38,7 +38,7 @@
 				h.waitFor("the attempt ends as not sent", h.coreCondition(func(k *core) bool { return k.counters.Outcomes[policy.NotSent] == 1 }))
 				release()
 				h.waitFor("no call, attempt or dial is outstanding", quiescent(h))
-				if n := len(h.diskServer.Asked()); n != 0 {
+				if n := len(h.diskServer.Requests()); n != 0 {
 					t.Errorf("disk server got %d requests of a disconnected client, want 0", n)
 				}
 			})
@@ -62,7 +62,7 @@
 		gate.Open()
 		h.waitFor("the scheduler has closed the connection", closed.Opened)
 		h.waitFor("no call, attempt or dial is outstanding", quiescent(h))
-		if n := len(h.diskServer.Asked()); n != 0 || h.counters().Taken != 0 {
+		if n := len(h.diskServer.Requests()); n != 0 || h.counters().Taken != 0 {
 			t.Errorf("disk server got %d requests, want 0; counters %+v, want Taken 0", n, h.counters())
 		}
 	})
@@ -85,15 +85,15 @@
 				rawRequest := strings.Replace(h.getRequest(), "0.480", "1.900", 1)
 				io.WriteString(client.conn, rawRequest)
 				h.waitFor("a dial is blocked", dialled)
-				h.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, editEntry(entryJSON("s0", h.diskServer.Addr, "active", 0))))
+				h.discovery.Broadcast(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, editEntry(entryJSON("s0", h.diskServer.Addr, "active", 0))))
 				h.waitFor("the attempt ends as not sent", h.coreCondition(func(k *core) bool { return k.counters.Outcomes[policy.NotSent] > 0 }))
 				if name != "restarted" {
 					release()
 					h.waitFor("the dial has ended", h.coreCondition(func(k *core) bool {
 						return len(h.scheduler.pool.servers) == 0 || h.scheduler.pool.servers["s0"].expectedConns == 0
 					}))
-					if got := client.readResponse(0); got.status != 503 || len(h.diskServer.Asked()) != 0 {
-						t.Errorf("got %+v, want status 503; disk server got %d requests, want 0", got, len(h.diskServer.Asked()))
+					if got := client.readResponse(0); got.status != 503 || len(h.diskServer.Requests()) != 0 {
+						t.Errorf("got %+v, want status 503; disk server got %d requests, want 0", got, len(h.diskServer.Requests()))
 					}
 					return
 				}
@@ -109,7 +109,7 @@
 // If a disk server's address changes during a dial, the attempt that waits goes to the new address.
 func TestAddressChangesDuringDial(t *testing.T) {
 	runOnSockets(t, nil, respondWith(ok200), func(h *harness, hooks *hookedEnv) {
-		newServer, err := standin.ServeHTTPDisk(hooks.Real, respondWith(ok200))
+		newServer, err := standin.ServeHTTPDiskServer(hooks.Real, respondWith(ok200))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -118,11 +118,11 @@
 		client := h.connect()
 		io.WriteString(client.conn, strings.Replace(h.getRequest(), "0.480", "1.900", 1))
 		h.waitFor("a dial is blocked", dialled)
-		h.discovery.Say(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", newServer.Addr, "active", 0)))
+		h.discovery.Broadcast(fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[%s]}`, entryJSON("s0", newServer.Addr, "active", 0)))
 		h.waitFor("the core has the new address", h.coreCondition(func(k *core) bool { return k.servers["s0"].Address == newServer.Addr }))
 		release()
-		if got := client.readResponse(0); got.status != 200 || len(h.diskServer.Asked()) != 0 || len(newServer.Asked()) != 1 {
-			t.Errorf("got %+v, want status 200; %d requests at the old address, want 0; %d at the new, want 1", got, len(h.diskServer.Asked()), len(newServer.Asked()))
+		if got := client.readResponse(0); got.status != 200 || len(h.diskServer.Requests()) != 0 || len(newServer.Requests()) != 1 {
+			t.Errorf("got %+v, want status 200; %d requests at the old address, want 0; %d at the new, want 1", got, len(h.diskServer.Requests()), len(newServer.Requests()))
 		}
 	})
 }
@@ -140,7 +140,7 @@
 			}
 			h.waitFor("the connection is idle", h.coreCondition(func(*core) bool { return len(h.scheduler.pool.servers["s0"].idle) == 1 }))
 		}
-		if requests := h.diskServer.Asked(); requests[len(requests)-1].Conn != 0 {
+		if requests := h.diskServer.Requests(); requests[len(requests)-1].Conn != 0 {
 			t.Error("got a request on a new connection, want the first one to be reused")
 		}
 		h.onLoop(func() {
@@ -158,7 +158,7 @@
 		config = strings.Replace(config, `"key_ttl_ms":6000`, `"key_ttl_ms":150`, 1)
 		return strings.Replace(config, `"dial_timeout_ms":250`, `"dial_timeout_ms":3000`, 1)
 	}
-	respond := func(request standin.HTTPAsk) standin.HTTPAnswer { return standin.HTTPAnswer{Reset: true} }
+	respond := func(request standin.HTTPRequest) standin.HTTPResponse { return standin.HTTPResponse{Reset: true} }
 	runOnSockets(t, shortenKeyTTL, respond, func(h *harness, hooks *hookedEnv) {
 		secondDial, gate := h.newGate(), h.newGate()
 		hooks.setDialHook(func(n int) error {
@@ -179,7 +179,7 @@
 			t.Errorf("got %+v, want status 504", got)
 		}
 		h.waitFor("no call, attempt or dial is outstanding", quiescent(h))
-		if n := len(h.diskServer.Asked()); n != 1 {
+		if n := len(h.diskServer.Requests()); n != 1 {
 			t.Errorf("sent %d times, want once", n)
 		}
 	})
--- a/internal/protocol/bgp/speaker_test.go
+++ b/internal/protocol/bgp/speaker_test.go
@@ -25,13 +25,13 @@
 		Hop4: netip.MustParseAddr("127.0.0.1"), Hop6: netip.IPv6Loopback(), Times: quick}}
 }
 
-func router(t *testing.T, w env.Environment, f standin.RouterFault) *standin.Router {
+func router(t *testing.T, w env.Environment, f standin.RouterFaults) *standin.Router {
 	t.Helper()
 	r, err := standin.ServeRouter(w, "127.0.0.1:0", 65010)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Fault(f)
+	r.SetFaults(f)
 	t.Cleanup(r.Close)
 	return r
 }
@@ -71,7 +71,7 @@
 }
 
 func holds(r *standin.Router, want []bgp.Route) bool {
-	held := r.Held(1)
+	held := r.RoutesFrom(1)
 	for _, x := range want {
 		if held[x.Prefix] != x.Path {
 			return false
@@ -83,21 +83,21 @@
 // Whatever is wrong with a router: once it is sound it has exactly the set, without
 // anybody's help.
 func TestFaultyRouterComesBack(t *testing.T) {
-	for name, f := range map[string]standin.RouterFault{
+	for name, f := range map[string]standin.RouterFaults{
 		"refuses":              {Refuse: true},
-		"accepts late":         {AcceptAfter: 300 * time.Millisecond},
+		"accepts late":         {StartDelay: 300 * time.Millisecond},
 		"says nothing":         {Silent: true},
 		"another AS":           {BadAS: true},
-		"reset in OpenSent":    {ResetAt: bgp.OpenSent},
-		"reset in OpenConfirm": {ResetAt: bgp.OpenConfirm},
-		"reset in Established": {ResetAt: bgp.Established},
-		"flaps":                {LiveFor: 50 * time.Millisecond},
+		"reset in OpenSent":    {ResetInState: bgp.OpenSent},
+		"reset in OpenConfirm": {ResetInState: bgp.OpenConfirm},
+		"reset in Established": {ResetInState: bgp.Established},
+		"flaps":                {ResetAfter: 50 * time.Millisecond},
 		"no sign of life":      {NoKeepalive: true},
-		"half a message":       {Half: true},
+		"half a message":       {TruncatedKeepalive: true},
 		"wrong marker":         {BadMarker: true},
 		"wrong length":         {BadLength: true},
-		"unknown attributes":   {UnknownAttrs: true},
-		"hold time 0":          {HoldZero: true},
+		"unknown attributes":   {UnknownAttributes: true},
+		"hold time 0":          {ZeroHoldTime: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -107,16 +107,16 @@
 			s.Set(set(10, bgp.Path{MED: 1}))
 			met := func() bool { // the fault was met: a session failed, or, where it harms none, holds
 				st := s.Status()[0]
-				return st.LastError != "" || f.UnknownAttrs && holds(r, set(10, bgp.Path{MED: 1})) || f.HoldZero && r.Counts().Ups > 0 || f.AcceptAfter > 0
+				return st.LastError != "" || f.UnknownAttributes && holds(r, set(10, bgp.Path{MED: 1})) || f.ZeroHoldTime && r.Counters().Established > 0 || f.StartDelay > 0
 			}
 			await(t, w, "the fault", func() bool {
-				return met() || f.LiveFor > 0 && r.Counts().Ups > 2 || f.ResetAt != bgp.Idle && s.Status()[0].State == "Idle"
+				return met() || f.ResetAfter > 0 && r.Counters().Established > 2 || f.ResetInState != bgp.Idle && s.Status()[0].State == "Idle"
 			})
-			if f.UnknownAttrs && s.Status()[0].State != "Established" {
+			if f.UnknownAttributes && s.Status()[0].State != "Established" {
 				t.Errorf("unknown attributes cost the session: %+v", s.Status()[0])
 			}
-			r.Fault(standin.RouterFault{})
-			r.Reset()
+			r.SetFaults(standin.RouterFaults{})
+			r.ResetSessions()
 			want := set(12, bgp.Path{MED: 2})[3:]
 			s.Set(want)
 			await(t, w, "exactly the set", func() bool { return holds(r, want) })
@@ -126,22 +126,22 @@
 
 func TestARouterOfOneFamilyHearsOneFamily(t *testing.T) {
 	w := env.NewReal()
-	r := router(t, w, standin.RouterFault{NoIPv6: true})
+	r := router(t, w, standin.RouterFaults{NoIPv6: true})
 	s := speaker(t, w, neighbour(r))
 	s.Set(set(10, bgp.Path{}))
 	// The session may come up before the set is known, and then tells an empty one first.
-	await(t, w, "End-of-RIB and the prefixes of IPv4", func() bool { return r.Counts().Ends == 1 && len(r.Held(1)) >= 5 })
+	await(t, w, "End-of-RIB and the prefixes of IPv4", func() bool { return r.Counters().EndOfRIBs == 1 && len(r.RoutesFrom(1)) >= 5 })
 	last := set(11, bgp.Path{MED: 2})
 	s.Set(last)
 	// What was told wrongly of the first set came before the second one.
-	await(t, w, "the second set", func() bool { return r.Held(1)[last[10].Prefix] == last[10].Path })
-	for p := range r.Held(1) {
+	await(t, w, "the second set", func() bool { return r.RoutesFrom(1)[last[10].Prefix] == last[10].Path })
+	for p := range r.RoutesFrom(1) {
 		if p.Addr().Is6() {
 			t.Errorf("%v was told", p)
 		}
 	}
-	if len(r.Held(1)) != 6 || r.Counts().Ends != 1 {
-		t.Errorf("%d prefixes, %d ends", len(r.Held(1)), r.Counts().Ends)
+	if len(r.RoutesFrom(1)) != 6 || r.Counters().EndOfRIBs != 1 {
+		t.Errorf("%d prefixes, %d ends", len(r.RoutesFrom(1)), r.Counters().EndOfRIBs)
 	}
 }
 
@@ -149,8 +149,8 @@
 // longer holds it is never told.
 func TestASlowRouterHoldsUpNobody(t *testing.T) {
 	w := env.NewReal()
-	slow := router(t, w, standin.RouterFault{SlowRead: 20 * time.Millisecond})
-	fast := router(t, w, standin.RouterFault{})
+	slow := router(t, w, standin.RouterFaults{SlowReadDelay: 20 * time.Millisecond})
+	fast := router(t, w, standin.RouterFaults{})
 	s := speaker(t, w, neighbour(slow), neighbour(fast))
 	last := []bgp.Route(nil)
 	for k := range 20 {
@@ -193,12 +193,12 @@
 // At a graceful end the router reads why.
 func TestCloseSaysWhy(t *testing.T) {
 	w := env.NewReal()
-	r := router(t, w, standin.RouterFault{})
+	r := router(t, w, standin.RouterFaults{})
 	s := speaker(t, w, neighbour(r))
 	s.Set(set(4, bgp.Path{}))
 	await(t, w, "the set", func() bool { return holds(r, set(4, bgp.Path{})) })
 	var all sync.WaitGroup
 	all.Go(func() { s.Close("moving to hall-b") })
 	all.Wait()
-	await(t, w, "the end", func() bool { return len(r.Held(1)) == 0 })
+	await(t, w, "the end", func() bool { return len(r.RoutesFrom(1)) == 0 })
 }
--- a/internal/simulation/lab/badday.go
+++ b/internal/simulation/lab/badday.go
@@ -152,8 +152,8 @@
 	steps    int            // of a layout that are in force
 	operator *operator
 	err      error
-	putBy    [2]*standin.Saved // the inventories' state as the day begins
-	check    *rules.Checker    // that hears of the day as it goes; nil: it is checked at the end
+	putBy    [2]*standin.InventoryState // the inventories' state as the day begins
+	check    *rules.Checker             // that hears of the day as it goes; nil: it is checked at the end
 }
 
 // BadDay plays a day and checks it.
--- a/internal/simulation/lab/bench.go
+++ b/internal/simulation/lab/bench.go
@@ -97,7 +97,7 @@
 // benchGateway is a gateway before servers that answer at once; nil: the usual.
 func benchGateway(k *benchSetup) (gate *subject, closeAll func(), err error) {
 	w := env.NewReal()
-	var disks []*standin.QuickDisk
+	var disks []*standin.ImmediateDiskServer
 	closeAll = func() {
 		if gate != nil {
 			gate.close()
@@ -111,7 +111,7 @@
 	}
 	var addrs []string
 	for range benchShards {
-		q, err := standin.ServeQuick(w, benchBlock, k.disks)
+		q, err := standin.ServeImmediateDiskServer(w, benchBlock, k.disks)
 		if err != nil {
 			closeAll()
 			return nil, nil, err
--- a/internal/simulation/lab/fleet.go
+++ b/internal/simulation/lab/fleet.go
@@ -34,7 +34,7 @@
 	Rec         *trail.Recorder
 	Meta        *trail.Meta
 	log         *zap.Logger
-	meter       *standin.Meter
+	meter       *standin.UsageMeter
 	cfg         standin.MachineConfig
 	seed        uint64
 
@@ -44,7 +44,7 @@
 	hosts  []*hostProc
 	old    []wire // of hosts that are gone
 	site   site
-	racks  []*standin.Rack
+	racks  []*standin.DedupCache
 	fell   []string
 	later  env.WaitGroup
 	over   bool
@@ -71,8 +71,8 @@
 	shard  int
 	name   string
 	zone   string
-	cell   *standin.Cell
-	rack   *standin.Rack
+	cell   *standin.ShardStore
+	rack   *standin.DedupCache
 	server *standin.DiskServer // nil while down
 	relay  wire
 	world  env.Environment // of the server's process
@@ -89,7 +89,7 @@
 	region int
 	inv    *standin.Inventory // nil while down
 	world  env.Environment
-	saved  *standin.Saved // nil where there is one region
+	saved  *standin.InventoryState // nil where there is one region
 	starts int
 	where  atomic.Pointer[string]
 }
@@ -112,9 +112,9 @@
 // that the ordinary load takes a third of the fleet.
 func Machine(s *settings.Settings) standin.MachineConfig {
 	r := s.Rules
-	return standin.MachineConfig{Cores: 2, Queue: 120, UnitWork: 14, WriteX: 1.5, Spread: 0.25, Cached: 2, CachedX: 0.5,
-		PutOff: 0.3, FlushGap: 2500, ColdFrom: r.ColdFrom, ColdTime: r.ColdTime, FallMultiple: r.FallMultiple,
-		FallTime: r.FallTime, ColdUnits: r.ColdUnits}
+	return standin.MachineConfig{Cores: 2, QueueLimit: 120, UnitWork: 14, WriteFactor: 1.5, Spread: 0.25, CacheEntries: 2, CacheHitFactor: 0.5,
+		DeferredWriteShare: 0.3, FlushInterval: 2500, ColdCapacity: r.ColdFrom, WarmUpTime: r.ColdTime, OverloadFactor: r.FallMultiple,
+		OverloadWindow: r.FallTime, ColdUnits: r.ColdUnits}
 }
 
 // listLate is how late the inventory tells a change, ms.
@@ -142,19 +142,19 @@
 		next.Announce = &ann
 		f.now = &next
 	}
-	f.meter = &standin.Meter{Period: 2000, Rate: func(v string) float64 { return rates[v] }}
+	f.meter = &standin.UsageMeter{Period: 2000, Rate: func(v string) float64 { return rates[v] }}
 	if err := f.startInventories(); err != nil {
 		return nil, err
 	}
-	newCell := func() *standin.Cell { return standin.NewCell(func(v string) int { return sizes[v] }) }
+	newCell := func() *standin.ShardStore { return standin.NewShardStore(func(v string) int { return sizes[v] }) }
 	shelf := newCell()
 	for k := range s.Shards * len(f.invs) {
 		i := k % s.Shards
-		d := &disk{shard: i, region: k / s.Shards, zone: Halls[i%len(Halls)], name: fmt.Sprintf("d%d", i), cell: newCell(), rack: standin.NewRack(longestWindow(s)), cores: cfg.Cores}
+		d := &disk{shard: i, region: k / s.Shards, zone: Halls[i%len(Halls)], name: fmt.Sprintf("d%d", i), cell: newCell(), rack: standin.NewDedupCache(longestWindow(s)), cores: cfg.Cores}
 		if s.Regions != nil {
 			d.name, d.zone = fmt.Sprintf("d%d.%d", i, d.region), fmt.Sprintf("%s.%d", d.zone, d.region)
-			d.cell.Replicate(region.ID(d.region))
-			d.cell.Effect = f.effect
+			d.cell.EnableReplication(region.ID(d.region))
+			d.cell.OnExecute = f.effect
 		}
 		if opt.Shared {
 			d.cell = shelf
@@ -213,7 +213,7 @@
 	if err := standin.ServeDisk(d.world, m, s); err != nil {
 		return err
 	}
-	s.OnFall = func() {
+	s.OnOverloadCrash = func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.fell = append(f.fell, s.Name)
@@ -221,7 +221,7 @@
 	d.server = s
 	d.where.Store(&s.Addr)
 	if fresh || d.relay == nil {
-		r, err := f.site.wire(s.Addr, true, func(addr string) *standin.Tap { return standin.TapDisk(f.Rec, addr) })
+		r, err := f.site.wire(s.Addr, true, func(addr string) *standin.FrameRecorder { return standin.RecordDiskProtocol(f.Rec, addr) })
 		if err != nil {
 			return err
 		}
@@ -285,7 +285,7 @@
 	if f.Set.Regions != nil { // clocks of hosts differ a little
 		f.site.pace(h.world, 1+0.002*float64(h.self%3-1))
 	}
-	if h.list, err = f.site.wire(*f.invs[f.regionOf(h.self)].where.Load(), true, func(string) *standin.Tap { return standin.TapList(f.Rec, name) }); err != nil {
+	if h.list, err = f.site.wire(*f.invs[f.regionOf(h.self)].where.Load(), true, func(string) *standin.FrameRecorder { return standin.RecordInventory(f.Rec, name) }); err != nil {
 		return err
 	}
 	h.gate, err = gateway.Start(gateway.Config{Environment: h.world, Log: f.log, Name: h.name, HostIndex: h.self,
@@ -298,7 +298,7 @@
 		return err
 	}
 	h.gate.Ready().Wait(f.Environment)
-	h.clients, err = f.site.wire(h.gate.Addr().String(), false, func(string) *standin.Tap { return standin.TapClients(f.Rec, name, f.Set) })
+	h.clients, err = f.site.wire(h.gate.Addr().String(), false, func(string) *standin.FrameRecorder { return standin.RecordISCSI(f.Rec, name, f.Set) })
 	return err
 }
 
@@ -468,7 +468,7 @@
 	n := f.again
 	f.counting.Unlock()
 	for _, r := range f.racks {
-		n += r.Repeats()
+		n += r.RepeatedEffects()
 	}
 	return n
 }
--- a/internal/simulation/lab/losses.go
+++ b/internal/simulation/lab/losses.go
@@ -129,7 +129,7 @@
 	if r.router, err = standin.ServeRouter(r.world, "127.0.0.1:0", 65010); err != nil {
 		return nil, err
 	}
-	r.router.Changed = func(c standin.RouteChange) {
+	r.router.OnChange = func(c standin.RouteChange) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.log = append(r.log, c)
@@ -137,7 +137,7 @@
 	}
 	set := settings.Example(1, 3)
 	for i := range 3 {
-		m := standin.NewMachine(Machine(set), uint64(i), standin.NewCell(func(string) int { return 4096 }), standin.NewRack(6000), nil, uint32(i), 0, false)
+		m := standin.NewMachine(Machine(set), uint64(i), standin.NewShardStore(func(string) int { return 4096 }), standin.NewDedupCache(6000), nil, uint32(i), 0, false)
 		d := &standin.DiskServer{Name: fmt.Sprint("d", i), Zone: Halls[i], Rack: fmt.Sprint("d", i), Shard: i}
 		if err := standin.ServeDisk(r.world, m, d); err != nil {
 			return nil, err
@@ -243,7 +243,7 @@
 // back waits until both addresses are announced in full.
 func (s *loser) back(from int) error {
 	for _, p := range []netip.Prefix{s.one, s.both} {
-		if _, ok := s.rig.await(from, lossWait, func(c standin.RouteChange) bool { return c.Prefix == p && c.Up && !c.Path.Shutdown }); !ok {
+		if _, ok := s.rig.await(from, lossWait, func(c standin.RouteChange) bool { return c.Prefix == p && c.Announced && !c.Path.Shutdown }); !ok {
 			return fmt.Errorf("lab: gateway %d was not announced again", s.n)
 		}
 	}
@@ -263,7 +263,7 @@
 	from, at := s.rig.mark(), w.Now()
 	var hung env.Gate
 	gone := []netip.Prefix{s.one, s.both}
-	down := func(c standin.RouteChange) bool { return !c.Up }
+	down := func(c standin.RouteChange) bool { return !c.Announced }
 	var heal func() error
 	switch LossKinds[kind] {
 	case "all nodes":
@@ -282,7 +282,7 @@
 	default:
 		s.world.off(cutReset, s.rig.inv.Addr)
 		at += rigListBound
-		down = func(c standin.RouteChange) bool { return c.Up && c.Path.Shutdown }
+		down = func(c standin.RouteChange) bool { return c.Announced && c.Path.Shutdown }
 		heal = func() error { s.world.heal(s.rig.inv.Addr); return nil }
 	}
 	res := lossResult{seen: true}
@@ -307,7 +307,7 @@
 	defer s.rig.mu.Unlock()
 	for _, c := range s.rig.log[from:] {
 		for _, p := range gone {
-			if c.Prefix == p && c.Up && !(resort && c.Path.Shutdown) {
+			if c.Prefix == p && c.Announced && !(resort && c.Path.Shutdown) {
 				n++
 			}
 		}
@@ -317,7 +317,7 @@
 
 func (s *loser) healed(from int, gone []netip.Prefix) error {
 	for _, p := range gone {
-		if _, ok := s.rig.await(from, lossWait, func(c standin.RouteChange) bool { return c.Prefix == p && c.Up && !c.Path.Shutdown }); !ok {
+		if _, ok := s.rig.await(from, lossWait, func(c standin.RouteChange) bool { return c.Prefix == p && c.Announced && !c.Path.Shutdown }); !ok {
 			return fmt.Errorf("lab: gateway %d was not announced again: %+v", s.n, s.gate.Routes())
 		}
 	}
--- a/internal/simulation/lab/peers.go
+++ b/internal/simulation/lab/peers.go
@@ -48,12 +48,12 @@
 	stage := func(name string, routes []bgp.Route, has func(held map[netip.Prefix]bgp.Path) bool) error {
 		updates := 0
 		for _, r := range routers {
-			updates -= r.Counts().Updates
+			updates -= r.Counters().Updates
 		}
 		begin, cpu := w.Now(), cpuNow()
 		s.Set(routes)
 		for _, r := range routers {
-			for !has(r.Held(1)) {
+			for !has(r.RoutesFrom(1)) {
 				if !env.SleepContext(ctx, w, time.Millisecond) {
 					return ctx.Err()
 				}
@@ -61,7 +61,7 @@
 		}
 		took, used := w.Now()-begin, cpuNow()-cpu
 		for _, r := range routers {
-			updates += r.Counts().Updates
+			updates += r.Counters().Updates
 		}
 		each := float64(updates) / float64(peers)
 		fmt.Fprintf(tw, "| %s\t| %.3f\t| %.3f\t| %.1f\t| %.0f\t|\n", name, took.Seconds(), used.Seconds(), each, float64(prefixes)/max(each, 1))
--- a/internal/simulation/lab/regionday.go
+++ b/internal/simulation/lab/regionday.go
@@ -47,11 +47,11 @@
 	r := rng.IntN(2)
 	again := time.Duration(between(rng, 0.3, 4) * float64(time.Second))
 	d.fleet.LoseRegion(r, len/3, d.old(rng))
-	d.fleet.after(len/3+again, func() { d.fleet.LoseRegion(r, len/3, [2]*standin.Saved{}) })
+	d.fleet.after(len/3+again, func() { d.fleet.LoseRegion(r, len/3, [2]*standin.InventoryState{}) })
 }
 
 // old is the inventories' state of long ago, or none.
-func (d *day) old(rng *rand.Rand) (out [2]*standin.Saved) {
+func (d *day) old(rng *rand.Rand) (out [2]*standin.InventoryState) {
 	if rng.IntN(2) == 0 {
 		out = d.putBy
 	}
--- a/internal/simulation/lab/regions.go
+++ b/internal/simulation/lab/regions.go
@@ -99,7 +99,7 @@
 	}
 	f.ran = map[effectKey]bool{}
 	for r := range 2 {
-		f.invs = append(f.invs, &invProc{region: r, saved: &standin.Saved{Record: firstRecord(f.Set)}})
+		f.invs = append(f.invs, &invProc{region: r, saved: &standin.InventoryState{Record: firstRecord(f.Set)}})
 	}
 	for _, p := range f.invs {
 		if err := f.startInventory(p); err != nil {
@@ -175,7 +175,7 @@
 
 // LoseRegion ends everything in a region at once, and starts it again after down, with
 // the inventory that was put by, if any.
-func (f *Fleet) LoseRegion(r int, down time.Duration, old [2]*standin.Saved) {
+func (f *Fleet) LoseRegion(r int, down time.Duration, old [2]*standin.InventoryState) {
 	if !f.LoseInventory(r, down, old) {
 		return
 	}
@@ -203,7 +203,7 @@
 
 // LoseInventory ends a region's inventory, and starts it again after down, with what was
 // put by, if anything; false if it is down.
-func (f *Fleet) LoseInventory(r int, down time.Duration, old [2]*standin.Saved) bool {
+func (f *Fleet) LoseInventory(r int, down time.Duration, old [2]*standin.InventoryState) bool {
 	f.mu.Lock()
 	p := f.invs[r]
 	v, w := p.inv, p.world
@@ -243,10 +243,10 @@
 }
 
 // PutBy is a copy of what the inventories have now.
-func (f *Fleet) PutBy() (out [2]*standin.Saved) {
+func (f *Fleet) PutBy() (out [2]*standin.InventoryState) {
 	for r, p := range f.invs {
 		if p.inv != nil && p.saved != nil {
-			out[r] = p.inv.Saved()
+			out[r] = p.inv.State()
 		}
 	}
 	return out
--- a/internal/simulation/lab/regions_test.go
+++ b/internal/simulation/lab/regions_test.go
@@ -103,8 +103,8 @@
 			Strike{Kind: "region_loss", At: 6 * time.Second, Len: 12 * time.Second, Seed: hit(1, false)})
 		s.Rate, s.Commands = 400, 24*400
 		out := kept(t, s)
-		if lost += out.Lost; out.Lost > standin.LagMost*s.Servers/2 {
-			t.Errorf("%d writes lost, at most %d of each shard may be", out.Lost, standin.LagMost)
+		if lost += out.Lost; out.Lost > standin.MaxReplicationLag*s.Servers/2 {
+			t.Errorf("%d writes lost, at most %d of each shard may be", out.Lost, standin.MaxReplicationLag)
 		}
 	}
 	if lost == 0 {
--- a/internal/simulation/lab/reservations.go
+++ b/internal/simulation/lab/reservations.go
@@ -130,7 +130,7 @@
 	seed    uint64
 	set     *settings.Settings
 	inv     *standin.Inventory
-	cells   []*standin.Cell
+	cells   []*standin.ShardStore
 	disks   []*standin.DiskServer
 	mu      sync.Mutex
 	hosts   [rHosts]*gateway.Gateway
@@ -156,8 +156,8 @@
 		return nil, err
 	}
 	for i := range rShards {
-		cell := standin.NewCell(func(string) int { return v.BlockSize })
-		cell.Effect, cell.Unfenced = r.effect, unfenced
+		cell := standin.NewShardStore(func(string) int { return v.BlockSize })
+		cell.OnExecute, cell.IgnoreFences = r.effect, unfenced
 		r.cells, r.disks = append(r.cells, cell), append(r.disks, nil)
 		if err := r.startDisk(i); err != nil {
 			return nil, err
@@ -184,8 +184,8 @@
 }
 
 func (r *reservationRig) startDisk(i int) error {
-	m := standin.NewMachine(standin.MachineConfig{Cores: 2, Queue: 64, UnitWork: 1, WriteX: 1, ColdFrom: 1, FallTime: 1000, FallMultiple: 2},
-		r.seed*10+uint64(i), r.cells[i], standin.NewRack(6000), nil, uint32(i), 0, false)
+	m := standin.NewMachine(standin.MachineConfig{Cores: 2, QueueLimit: 64, UnitWork: 1, WriteFactor: 1, ColdCapacity: 1, OverloadWindow: 1000, OverloadFactor: 2},
+		r.seed*10+uint64(i), r.cells[i], standin.NewDedupCache(6000), nil, uint32(i), 0, false)
 	d := &standin.DiskServer{Name: fmt.Sprint("d", i), Zone: Halls[i], Rack: fmt.Sprint("d", i), Shard: i}
 	if err := standin.ServeDisk(r.site.process(d.Name), m, d); err != nil {
 		return err
--- a/internal/simulation/lab/routing.go
+++ b/internal/simulation/lab/routing.go
@@ -62,7 +62,7 @@
 	c.choose = func(v int) *lane {
 		lanes := c.lanes[v]
 		if how == RouteOn {
-			best := c.fleet.Router.Best(groupPrefix(groupOf(v)))
+			best := c.fleet.Router.BestRoutes(groupPrefix(groupOf(v)))
 			lanes = slices.DeleteFunc(slices.Clone(lanes), func(l *lane) bool {
 				for _, r := range best {
 					if r.Host == routerID(l.host) {
@@ -81,7 +81,7 @@
 	for end := f.Environment.Now() + most; f.Environment.Now() < end; {
 		missing := false
 		for g := range groups {
-			missing = missing || len(f.Router.Best(groupPrefix(g))) < len(f.hosts)
+			missing = missing || len(f.Router.BestRoutes(groupPrefix(g))) < len(f.hosts)
 		}
 		if !missing || !env.SleepContext(ctx, f.Environment, 20*time.Millisecond) {
 			return
--- a/internal/simulation/lab/site.go
+++ b/internal/simulation/lab/site.go
@@ -18,7 +18,7 @@
 	crash(w env.Environment, power bool) bool
 	// wire makes an address that leads to target and on which what passes is recorded,
 	// beside the side that dials or the one that listens.
-	wire(target string, byDialler bool, tap func(addr string) *standin.Tap) (wire, error)
+	wire(target string, byDialler bool, tap func(addr string) *standin.FrameRecorder) (wire, error)
 	// link gives the way from one program to another a state, by their lasting names.
 	link(from, to string, n world.LinkState)
 	// between is the state of the ways between two regions on a calm day.
@@ -53,16 +53,16 @@
 	return l.links.Process(world.StableName(name))
 }
 func (l loopback) link(from, to string, n world.LinkState) {
-	l.links.Set(from, to, standin.Way{Delay: n.Delay, Loss: n.Loss, Cut: n.Partitioned})
+	l.links.SetState(from, to, standin.LinkState{Delay: n.Delay, Loss: n.Loss, Cut: n.Partitioned})
 }
 func (loopback) between() world.LinkState         { return world.LinkState{} }
 func (loopback) pace(env.Environment, float64)    {}
 func (loopback) crash(env.Environment, bool) bool { return false }
 func (loopback) remains() bool                    { return true }
 func (loopback) admin() string                    { return "127.0.0.1:0" }
-func (l loopback) wire(target string, byDialler bool, tap func(addr string) *standin.Tap) (wire, error) {
+func (l loopback) wire(target string, byDialler bool, tap func(addr string) *standin.FrameRecorder) (wire, error) {
 	if byDialler && l.links != nil {
-		return l.links.Wire(target, tap), nil
+		return l.links.NewVirtualAddress(target, tap), nil
 	}
 	r, err := standin.ServeRelay(l.Environment, target, tap)
 	if err != nil {
@@ -95,7 +95,7 @@
 
 func (virtual) admin() string { return "" }
 
-func (v virtual) wire(target string, byDialler bool, tap func(addr string) *standin.Tap) (wire, error) {
+func (v virtual) wire(target string, byDialler bool, tap func(addr string) *standin.FrameRecorder) (wire, error) {
 	a := &virtualWire{w: v.w}
 	a.addr = v.w.Alias(target, byDialler, func() world.Observer { return tap(a.addr) })
 	return a, nil
--- a/internal/simulation/lab/troubles.go
+++ b/internal/simulation/lab/troubles.go
@@ -22,21 +22,21 @@
 }
 
 // machines gives some disk servers a trouble for a while.
-func (d *day) machines(rng *rand.Rand, part float64, len time.Duration, t func() standin.Trouble) {
+func (d *day) machines(rng *rand.Rand, part float64, len time.Duration, t func() standin.MachineFaults) {
 	for _, i := range some(rng, d.places(), part) {
 		if s := d.fleet.Disk(i); s != nil {
-			s.Trouble(t())
-			d.fleet.after(len, func() { s.Trouble(standin.Trouble{}) })
+			s.SetFaults(t())
+			d.fleet.after(len, func() { s.SetFaults(standin.MachineFaults{}) })
 		}
 	}
 }
 
 // wires gives some disk servers' connections a trouble for a while.
-func (d *day) wires(rng *rand.Rand, part float64, len time.Duration, t standin.NetTrouble) {
+func (d *day) wires(rng *rand.Rand, part float64, len time.Duration, t standin.NetworkFaults) {
 	for _, i := range some(rng, d.places(), part) {
 		if s := d.fleet.Disk(i); s != nil {
-			s.Net(t)
-			d.fleet.after(len, func() { s.Net(standin.NetTrouble{}) })
+			s.SetNetworkFaults(t)
+			d.fleet.after(len, func() { s.SetNetworkFaults(standin.NetworkFaults{}) })
 		}
 	}
 }
@@ -54,21 +54,21 @@
 }
 
 func slow(d *day, rng *rand.Rand, len time.Duration) {
-	d.machines(rng, 0.2, len, func() standin.Trouble { return standin.Trouble{Slow: between(rng, 4.5, 9.4)} })
+	d.machines(rng, 0.2, len, func() standin.MachineFaults { return standin.MachineFaults{SlowFactor: between(rng, 4.5, 9.4)} })
 }
 
 func pauses(d *day, rng *rand.Rand, len time.Duration) {
-	d.machines(rng, 0.45, len, func() standin.Trouble {
-		return standin.Trouble{PauseFor: between(rng, 75, 210), PauseGap: between(rng, 800, 3000)}
+	d.machines(rng, 0.45, len, func() standin.MachineFaults {
+		return standin.MachineFaults{PauseLength: between(rng, 75, 210), PauseInterval: between(rng, 800, 3000)}
 	})
 }
 
 func neighbour(d *day, rng *rand.Rand, len time.Duration) {
-	d.machines(rng, 0.44, len, func() standin.Trouble { return standin.Trouble{Stolen: between(rng, 0.3, 0.58)} })
+	d.machines(rng, 0.44, len, func() standin.MachineFaults { return standin.MachineFaults{StolenShare: between(rng, 0.3, 0.58)} })
 }
 
 func fastErrors(d *day, rng *rand.Rand, len time.Duration) {
-	d.machines(rng, 0.2, len, func() standin.Trouble { return standin.Trouble{FailShare: between(rng, 0.44, 0.97)} })
+	d.machines(rng, 0.2, len, func() standin.MachineFaults { return standin.MachineFaults{FailShare: between(rng, 0.44, 0.97)} })
 }
 
 // massRestart strikes one hall: all its servers within 0.4 s.
@@ -89,9 +89,9 @@
 
 func reportLate(d *day, rng *rand.Rand, len time.Duration) {
 	late := between(rng, 500, 4800)
-	d.fleet.inventories(func(v *standin.Inventory) { v.Late(listLate + late/4) })
-	d.fleet.after(len, func() { d.fleet.inventories(func(v *standin.Inventory) { v.Late(listLate) }) })
-	d.machines(rng, 1, len, func() standin.Trouble { return standin.Trouble{Late: late} })
+	d.fleet.inventories(func(v *standin.Inventory) { v.SetDelay(listLate + late/4) })
+	d.fleet.after(len, func() { d.fleet.inventories(func(v *standin.Inventory) { v.SetDelay(listLate) }) })
+	d.machines(rng, 1, len, func() standin.MachineFaults { return standin.MachineFaults{UsageDelay: late} })
 }
 
 func hotKey(d *day, rng *rand.Rand, len time.Duration) {
@@ -148,25 +148,25 @@
 }
 
 func netHang(d *day, rng *rand.Rand, len time.Duration) {
-	d.wires(rng, 0.1, len, standin.NetTrouble{Hang: true})
+	d.wires(rng, 0.1, len, standin.NetworkFaults{Hang: true})
 }
 
 func netTorn(d *day, rng *rand.Rand, len time.Duration) {
-	d.wires(rng, 0.2, len, standin.NetTrouble{Torn: between(rng, 0.02, 0.1)})
+	d.wires(rng, 0.2, len, standin.NetworkFaults{TruncateShare: between(rng, 0.02, 0.1)})
 }
 
 func netBytewise(d *day, rng *rand.Rand, len time.Duration) {
-	d.wires(rng, 0.1, len, standin.NetTrouble{Bytewise: true})
+	d.wires(rng, 0.1, len, standin.NetworkFaults{ByteAtATime: true})
 }
 
 // netLate holds answers back until after most time-outs.
 func netLate(d *day, rng *rand.Rand, len time.Duration) {
-	d.wires(rng, 0.2, len, standin.NetTrouble{Late: between(rng, 900, 5000), LateShare: between(rng, 0.05, 0.3)})
+	d.wires(rng, 0.2, len, standin.NetworkFaults{Delay: between(rng, 900, 5000), DelayShare: between(rng, 0.05, 0.3)})
 }
 
 // listCut breaks the hosts' connections to the inventory.
 func listCut(d *day, _ *rand.Rand, len time.Duration) {
-	cut := func() { d.fleet.inventories((*standin.Inventory).CutAll) }
+	cut := func() { d.fleet.inventories((*standin.Inventory).DropConnections) }
 	cut()
 	d.fleet.after(len/2, cut)
 }
--- a/internal/simulation/standin/cell.go
+++ b/internal/simulation/standin/cell.go
@@ -11,17 +11,17 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// Cell holds the blocks of one shard. It outlives the disk server before it, as
+// ShardStore holds the blocks of one shard. It outlives the disk server before it, as
 // disks outlive a process, and is handed to its successor.
-type Cell struct {
-	mu     sync.Mutex
-	blocks map[place][]byte
-	marks  map[string]*mark
-	Size   func(volume string) int // block size of a volume
-	// Effect, if set, is told of each operation on blocks as it takes effect.
-	Effect func(*diskproto.Do)
-	// Unfenced has the cell forget every fence: a broken server, for tests of checkers.
-	Unfenced bool
+type ShardStore struct {
+	mu        sync.Mutex
+	blocks    map[place][]byte
+	marks     map[string]*mark
+	BlockSize func(volume string) int // block size of a volume
+	// OnExecute, if set, is told of each operation on blocks as it takes effect.
+	OnExecute func(*diskproto.Do)
+	// IgnoreFences has the cell forget every fence: a broken server, for tests of checkers.
+	IgnoreFences bool
 
 	rep replica
 }
@@ -39,14 +39,14 @@
 	lba    uint64
 }
 
-// NewCell returns an empty cell, which reads as zeros.
-func NewCell(size func(volume string) int) *Cell {
-	return &Cell{blocks: map[place][]byte{}, marks: map[string]*mark{}, Size: size}
+// NewShardStore returns an empty cell, which reads as zeros.
+func NewShardStore(size func(volume string) int) *ShardStore {
+	return &ShardStore{blocks: map[place][]byte{}, marks: map[string]*mark{}, BlockSize: size}
 }
 
 // apply carries out an operation and returns its result and data, and which change the
 // cell's copy must have before it is answered.
-func (c *Cell) apply(now float64, d *diskproto.Do) (r diskproto.Result, data []byte, needs uint64) {
+func (c *ShardStore) apply(now float64, d *diskproto.Do) (r diskproto.Result, data []byte, needs uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.admit(d.Gen) {
@@ -60,14 +60,14 @@
 }
 
 // run carries out an operation; changed tells whether anything is not as it was. Held: mu.
-func (c *Cell) run(d *diskproto.Do) (r diskproto.Result, data []byte, changed bool) {
+func (c *ShardStore) run(d *diskproto.Do) (r diskproto.Result, data []byte, changed bool) {
 	if r, data, changed, done := c.reservations(d); done {
 		return r, data, changed
 	}
-	if c.Effect != nil {
-		c.Effect(d)
+	if c.OnExecute != nil {
+		c.OnExecute(d)
 	}
-	size := c.Size(d.Volume)
+	size := c.BlockSize(d.Volume)
 	switch scsi.Op(d.Op) {
 	case scsi.Read:
 		return diskproto.OK, c.read(d.Volume, d.LBA, d.Blocks, size), false
@@ -90,7 +90,7 @@
 }
 
 // store makes a change that depends on nothing that was there. Held: mu.
-func (c *Cell) store(d *diskproto.Do, size int) {
+func (c *ShardStore) store(d *diskproto.Do, size int) {
 	switch scsi.Op(d.Op) {
 	case scsi.Write:
 		c.write(d.Volume, d.LBA, d.Data, size)
@@ -108,7 +108,7 @@
 }
 
 // mark is a volume's, made if need be. Held: mu.
-func (c *Cell) mark(volume string) *mark {
+func (c *ShardStore) mark(volume string) *mark {
 	m := c.marks[volume]
 	if m == nil {
 		m = &mark{}
@@ -119,7 +119,7 @@
 
 // reservations carries out what concerns them, and holds the rest to the fence; done is
 // false for an operation that may go on.
-func (c *Cell) reservations(d *diskproto.Do) (r diskproto.Result, data []byte, changed, done bool) {
+func (c *ShardStore) reservations(d *diskproto.Do) (r diskproto.Result, data []byte, changed, done bool) {
 	switch d.Op {
 	case diskproto.OpRecord:
 		return diskproto.OK, c.mark(d.Volume).record.Append(nil), false, true
@@ -141,14 +141,14 @@
 		m.persist = s.Persist
 		return diskproto.OK, m.record.Append(nil), true, true
 	}
-	if m := c.marks[d.Volume]; m != nil && d.Fence < m.fence && !c.Unfenced {
+	if m := c.marks[d.Volume]; m != nil && d.Fence < m.fence && !c.IgnoreFences {
 		return diskproto.Fenced, nil, false, true
 	}
 	return 0, nil, false, false
 }
 
 // PowerLoss empties the records that were not to outlive one.
-func (c *Cell) PowerLoss() {
+func (c *ShardStore) PowerLoss() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, m := range c.marks {
@@ -158,7 +158,7 @@
 	}
 }
 
-func (c *Cell) read(volume string, lba uint64, blocks uint32, size int) []byte {
+func (c *ShardStore) read(volume string, lba uint64, blocks uint32, size int) []byte {
 	out := make([]byte, int(blocks)*size)
 	for i := range uint64(blocks) {
 		copy(out[int(i)*size:], c.blocks[place{volume, lba + i}])
@@ -166,22 +166,22 @@
 	return out
 }
 
-func (c *Cell) write(volume string, lba uint64, data []byte, size int) {
+func (c *ShardStore) write(volume string, lba uint64, data []byte, size int) {
 	for i := 0; i+size <= len(data); i += size {
 		c.blocks[place{volume, lba + uint64(i/size)}] = append([]byte(nil), data[i:i+size]...)
 	}
 }
 
-// Rack is the memory in which the disk servers of a rack drop the repeats of
+// DedupCache is the memory in which the disk servers of a rack drop the repeats of
 // keyed requests. It forgets a key so long after its first run, not later: a
 // repeat that comes too late runs again, and is counted.
-type Rack struct {
-	mu     sync.Mutex
-	keep   float64 // ms
-	seen   map[repeatKey]ran
-	order  []repeatKey
-	Again  int // effects that took place once more
-	counts map[repeatKey]int
+type DedupCache struct {
+	mu       sync.Mutex
+	keep     float64 // ms
+	seen     map[repeatKey]ran
+	order    []repeatKey
+	repeated int // effects that took place once more
+	counts   map[repeatKey]int
 }
 
 type repeatKey struct{ host, seq uint64 }
@@ -191,13 +191,13 @@
 	result diskproto.Result
 }
 
-// NewRack remembers for so many milliseconds.
-func NewRack(keep float64) *Rack {
-	return &Rack{keep: keep, seen: map[repeatKey]ran{}, counts: map[repeatKey]int{}}
+// NewDedupCache remembers for so many milliseconds.
+func NewDedupCache(keep float64) *DedupCache {
+	return &DedupCache{keep: keep, seen: map[repeatKey]ran{}, counts: map[repeatKey]int{}}
 }
 
 // run applies a keyed request unless it is a repeat still remembered.
-func (k *Rack) run(now float64, d *diskproto.Do, apply func() (diskproto.Result, []byte)) (r diskproto.Result, data []byte, dropped bool) {
+func (k *DedupCache) run(now float64, d *diskproto.Do, apply func() (diskproto.Result, []byte)) (r diskproto.Result, data []byte, dropped bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for len(k.order) > 0 && now-k.seen[k.order[0]].at >= k.keep {
@@ -214,13 +214,13 @@
 	k.seen[key] = ran{now, r}
 	k.order = append(k.order, key)
 	if k.counts[key]++; k.counts[key] > 1 {
-		k.Again++
+		k.repeated++
 	}
 	return r, data, false
 }
 
 // note enters a keyed request that ran so long ago, elsewhere.
-func (k *Rack) note(at float64, d *diskproto.Do) {
+func (k *DedupCache) note(at float64, d *diskproto.Do) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	key := repeatKey{d.Host, d.Seq}
@@ -231,9 +231,9 @@
 	k.order = append(k.order, key)
 }
 
-// Repeats is the number of effects that took place more than once.
-func (k *Rack) Repeats() int {
+// RepeatedEffects is the number of effects that took place more than once.
+func (k *DedupCache) RepeatedEffects() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.Again
+	return k.repeated
 }
--- a/internal/simulation/standin/copier.go
+++ b/internal/simulation/standin/copier.go
@@ -53,7 +53,7 @@
 // copier is one connection to the copy.
 type copier struct {
 	d    *DiskServer
-	cell *Cell
+	cell *ShardStore
 	gen  uint64
 	conn net.Conn
 	out  *writequeue.Queue
@@ -87,8 +87,8 @@
 	if m.Result != diskproto.OK {
 		return
 	}
-	c.cell.Woken(c.wake.Unpark)
-	defer c.cell.Woken(nil)
+	c.cell.SetSenderWakeup(c.wake.Unpark)
+	defer c.cell.SetSenderWakeup(nil)
 	whole, start, ok := c.cell.from(c.gen, m.At)
 	if !ok {
 		return
@@ -187,12 +187,12 @@
 	c := inventory.NewCaller(d.world, d.Inventory)
 	defer c.Close()
 	for env.Sleep(d.world, reportEach, &d.stopped) {
-		word := d.machine.cell.Word(d.now())
+		word := d.machine.cell.CopyStatus(d.now())
 		word.Shard = d.Shard
 		a := inventory.Ask{Op: "copies", Copies: []region.Copy{word}}
 		l, err := c.Ask(a, reportTime)
 		if err == nil && l.Kind == inventory.Told && d.Shard < len(l.Record.Homes) {
-			d.machine.cell.Learn(l.Record.Homes[d.Shard])
+			d.machine.cell.UpdateHome(l.Record.Homes[d.Shard])
 		}
 	}
 }
--- a/internal/simulation/standin/copies.go
+++ b/internal/simulation/standin/copies.go
@@ -60,20 +60,20 @@
 const (
 	// keepChanges bounds the history; a copy that lacks more gets the whole state.
 	keepChanges = 4096
-	// LagMost is how many changes that were acknowledged before they were copied a shard
+	// MaxReplicationLag is how many changes that were acknowledged before they were copied a shard
 	// may lose with its region.
-	LagMost = 64
+	MaxReplicationLag = 64
 	// behindAfter is how long an answer waits until the copy is said to be lost, ms.
 	behindAfter = 400
 )
 
-// Replicate makes the cell one of two, in that region.
-func (c *Cell) Replicate(self region.ID) {
+// EnableReplication makes the cell one of two, in that region.
+func (c *ShardStore) EnableReplication(self region.ID) {
 	c.rep = replica{on: true, self: self, last: map[place]uint64{}}
 }
 
-// Woken has f called when there is something to copy.
-func (c *Cell) Woken(f func()) {
+// SetSenderWakeup has f called when there is something to copy.
+func (c *ShardStore) SetSenderWakeup(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rep.wake = f
@@ -95,8 +95,8 @@
 	r.tell()
 }
 
-// Learn takes the inventory's word on the shard's home.
-func (c *Cell) Learn(h region.Home) {
+// UpdateHome takes the inventory's word on the shard's home.
+func (c *ShardStore) UpdateHome(h region.Home) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &c.rep
@@ -123,10 +123,10 @@
 }
 
 // admit tells whether a command of that generation may run. Held: mu.
-func (c *Cell) admit(gen uint64) bool {
+func (c *ShardStore) admit(gen uint64) bool {
 	r := &c.rep
 	switch {
-	case !r.on || c.Unfenced:
+	case !r.on || c.IgnoreFences:
 		return true
 	case faultinject.Active(faultinject.FenceMissing) && gen < r.gen:
 		return true
@@ -139,14 +139,14 @@
 }
 
 // Stale tells whether a command's generation is older than what the cell knows.
-func (c *Cell) Stale(gen uint64) bool {
+func (c *ShardStore) Stale(gen uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.admit(gen)
 }
 
 // changed enters a change in the history. Held: mu.
-func (c *Cell) changed(now float64, d *diskproto.Do) {
+func (c *ShardStore) changed(now float64, d *diskproto.Do) {
 	r := &c.rep
 	if !r.on {
 		return
@@ -157,7 +157,7 @@
 }
 
 // keep adds a change to the history. Held: mu.
-func (c *Cell) keep(x change) {
+func (c *ShardStore) keep(x change) {
 	r := &c.rep
 	r.log = append(r.log, x)
 	if len(r.log) > 2*keepChanges {
@@ -171,7 +171,7 @@
 }
 
 // touched are the blocks that a command is about.
-func (c *Cell) touched(d *diskproto.Do) func(func(place) bool) {
+func (c *ShardStore) touched(d *diskproto.Do) func(func(place) bool) {
 	return func(yield func(place) bool) {
 		for _, run := range append([]diskproto.Run{{LBA: d.LBA, Blocks: d.Blocks}}, d.Runs...) {
 			for i := range uint64(run.Blocks) {
@@ -184,13 +184,13 @@
 }
 
 // needs is the change that the copy must have before a command is answered. Held: mu.
-func (c *Cell) needs(d *diskproto.Do, changed bool) uint64 {
+func (c *ShardStore) needs(d *diskproto.Do, changed bool) uint64 {
 	r := &c.rep
 	switch {
 	case !r.on:
 		return 0
 	case !d.Copied && changed:
-		return max(r.at.Seq, LagMost) - LagMost
+		return max(r.at.Seq, MaxReplicationLag) - MaxReplicationLag
 	case !d.Copied:
 		return 0
 	case changed:
@@ -208,7 +208,7 @@
 }
 
 // newest is the last change: what a repeat that is dropped must wait for.
-func (c *Cell) newest() uint64 {
+func (c *ShardStore) newest() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rep.at.Seq
@@ -216,7 +216,7 @@
 
 // after tells whether an answer may go out now; otherwise reply is called once it may, on
 // no particular goroutine, or never if the shard has another home by then.
-func (c *Cell) after(now float64, seq uint64, reply func()) bool {
+func (c *ShardStore) after(now float64, seq uint64, reply func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &c.rep
@@ -238,9 +238,9 @@
 	})
 }
 
-// Word is what the cell says of its copy, if there is anything to say, and under which
+// CopyStatus is what the cell says of its copy, if there is anything to say, and under which
 // generation it is what.
-func (c *Cell) Word(now float64) (out region.Copy) {
+func (c *ShardStore) CopyStatus(now float64) (out region.Copy) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &c.rep
@@ -264,14 +264,14 @@
 }
 
 // Home tells whether the cell is its shard's home, and under which generation.
-func (c *Cell) Home() (gen uint64, ok bool) {
+func (c *ShardStore) Home() (gen uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rep.gen, c.rep.side == home
 }
 
 // join is the home's question what this cell has.
-func (c *Cell) join(gen uint64) diskproto.Joined {
+func (c *ShardStore) join(gen uint64) diskproto.Joined {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &c.rep
@@ -288,7 +288,7 @@
 }
 
 // take is a change, or a piece of a whole state, from the home under that generation.
-func (c *Cell) take(now float64, gen uint64, m *diskproto.Copy) diskproto.Copied {
+func (c *ShardStore) take(now float64, gen uint64, m *diskproto.Copy) diskproto.Copied {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &c.rep
@@ -326,7 +326,7 @@
 }
 
 // carry makes a change that the home has made. Held: mu.
-func (c *Cell) carry(d *diskproto.Do) {
+func (c *ShardStore) carry(d *diskproto.Do) {
 	switch d.Op {
 	case 0:
 	case diskproto.OpFence, diskproto.OpSwapRecord:
@@ -338,15 +338,15 @@
 			m.record, m.persist = diskproto.Record{Version: s.New.Version, Bytes: slices.Clone(s.New.Bytes)}, s.Persist
 		}
 	case byte(scsi.CompareAndWrite):
-		c.write(d.Volume, d.LBA, d.Data[len(d.Data)/2:], c.Size(d.Volume))
+		c.write(d.Volume, d.LBA, d.Data[len(d.Data)/2:], c.BlockSize(d.Volume))
 	default:
-		c.store(d, c.Size(d.Volume))
+		c.store(d, c.BlockSize(d.Volume))
 	}
 }
 
 // from begins copying to a cell that has the history up to at: it returns the changes
 // that follow, or a whole state in pieces.
-func (c *Cell) from(gen uint64, at diskproto.Position) (whole []diskproto.Copy, start uint64, ok bool) {
+func (c *ShardStore) from(gen uint64, at diskproto.Position) (whole []diskproto.Copy, start uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &c.rep
@@ -364,7 +364,7 @@
 }
 
 // all is the whole state. Held: mu.
-func (c *Cell) all() (out []diskproto.Copy) {
+func (c *ShardStore) all() (out []diskproto.Copy) {
 	add := func(d diskproto.Do) {
 		out = append(out, diskproto.Copy{At: c.rep.at, First: len(out) == 0, Part: true, Do: d})
 	}
@@ -386,7 +386,7 @@
 
 // next are the changes after a number, at most so many; false where the cell is no home
 // under that generation any more, or has forgotten them.
-func (c *Cell) next(now float64, gen, after uint64, most int) (out []diskproto.Copy, ok bool) {
+func (c *ShardStore) next(now float64, gen, after uint64, most int) (out []diskproto.Copy, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &c.rep
@@ -403,7 +403,7 @@
 }
 
 // has notes that the copy has the history up to a number.
-func (c *Cell) has(gen, seq uint64) {
+func (c *ShardStore) has(gen, seq uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := &c.rep; r.gen == gen && r.side == home {
@@ -413,7 +413,7 @@
 }
 
 // parted notes that the copy is no longer connected.
-func (c *Cell) parted(gen uint64) {
+func (c *ShardStore) parted(gen uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.rep.gen == gen {
--- a/internal/simulation/standin/copies_test.go
+++ b/internal/simulation/standin/copies_test.go
@@ -13,7 +13,7 @@
 // pairOfCells are a shard's cells in both regions, with the copying between them played by
 // hand.
 type pairOfCells struct {
-	cells [2]*Cell
+	cells [2]*ShardStore
 	gen   uint64
 	home  int
 	sent  uint64
@@ -24,8 +24,8 @@
 func newPairOfCells() *pairOfCells {
 	p := &pairOfCells{gen: 1}
 	for i := range p.cells {
-		p.cells[i] = NewCell(func(string) int { return 8 })
-		p.cells[i].Replicate(region.ID(i))
+		p.cells[i] = NewShardStore(func(string) int { return 8 })
+		p.cells[i].EnableReplication(region.ID(i))
 	}
 	p.learn()
 	return p
@@ -34,7 +34,7 @@
 func (p *pairOfCells) learn() {
 	h := region.Home{Region: region.ID(p.home), From: region.ID(p.home), Gen: p.gen, Moved: p.gen}
 	for _, c := range p.cells {
-		c.Learn(h)
+		c.UpdateHome(h)
 	}
 }
 
@@ -70,7 +70,7 @@
 	}
 }
 
-func (c *Cell) content() string {
+func (c *ShardStore) content() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := ""
@@ -153,14 +153,14 @@
 	if c.after(100, needs, func() { went++ }) {
 		t.Fatal("answered before its copy")
 	}
-	if w := c.Word(100 + behindAfter/2); w.State != 0 || !w.Home || w.Gen != 1 {
+	if w := c.CopyStatus(100 + behindAfter/2); w.State != 0 || !w.Home || w.Gen != 1 {
 		t.Fatalf("said at once: %+v", w)
 	}
-	if w := c.Word(101 + behindAfter); w.State != region.Behind {
+	if w := c.CopyStatus(101 + behindAfter); w.State != region.Behind {
 		t.Fatalf("an answer waits for long: %+v", w)
 	}
 	alone := region.Home{Region: 0, From: 0, Gen: 5, Moved: 1, Alone: true}
-	c.Learn(alone)
+	c.UpdateHome(alone)
 	if r, _ := write(1, true); r != diskproto.Stale {
 		t.Fatal("an older generation runs:", r)
 	}
@@ -171,37 +171,37 @@
 	p.gen = 5
 	p.join(t)
 	p.carry(t, 100)
-	if w := c.Word(0); w.State != region.Whole {
+	if w := c.CopyStatus(0); w.State != region.Whole {
 		t.Fatalf("the copy has all: %+v", w)
 	}
 	_, needs = write(5, true)
 	if c.after(0, needs, func() {}) {
 		t.Fatal("said to be whole, and yet answered alone")
 	}
-	c.Learn(alone) // an old word
+	c.UpdateHome(alone) // an old word
 	if c.after(0, needs, func() {}) {
 		t.Fatal("an old word lets it answer alone again")
 	}
 	alone.Alone = false
-	c.Learn(alone)
-	c.Learn(region.Home{Region: region.Nowhere, From: 0, Gen: 5, Moved: 1})
+	c.UpdateHome(alone)
+	c.UpdateHome(region.Home{Region: region.Nowhere, From: 0, Gen: 5, Moved: 1})
 	if r, _ := write(5, true); r != diskproto.Stale {
 		t.Fatal("between two homes something runs:", r)
 	}
-	if w := c.Word(0); w.State != 0 {
+	if w := c.CopyStatus(0); w.State != 0 {
 		t.Fatalf("drained, though the copy lacks something: %+v", w)
 	}
 	p.carry(t, 100)
-	if w := c.Word(0); w.State != region.Drained {
+	if w := c.CopyStatus(0); w.State != region.Drained {
 		t.Fatalf("the copy has all: %+v", w)
 	}
 	if j := p.cells[1].join(4); j.Result != diskproto.Stale {
 		t.Fatal("a home of an older generation may copy:", j)
 	}
-	for range 3 * LagMost { // acknowledged before their copy: so many at the most
+	for range 3 * MaxReplicationLag { // acknowledged before their copy: so many at the most
 		_, needs = write(6, false)
 	}
-	if lag := c.newest() - needs; lag != LagMost {
+	if lag := c.newest() - needs; lag != MaxReplicationLag {
 		t.Fatalf("%d changes may lack a copy", lag)
 	}
 }
--- a/internal/simulation/standin/diskserver.go
+++ b/internal/simulation/standin/diskserver.go
@@ -15,13 +15,13 @@
 	"merlinhitch/internal/runtime/writequeue"
 )
 
-// NetTrouble is what is wrong with a disk server's connections.
-type NetTrouble struct {
-	Hang      bool    // connections open, and nothing is read or said on them
-	Torn      float64 // part of the answers that are cut short, with the connection
-	Bytewise  bool    // answers go out a byte at a time
-	Late      float64 // answers are held back for so many ms
-	LateShare float64 // part of them that are
+// NetworkFaults is what is wrong with a disk server's connections.
+type NetworkFaults struct {
+	Hang          bool    // connections open, and nothing is read or said on them
+	TruncateShare float64 // part of the answers that are cut short, with the connection
+	ByteAtATime   bool    // answers go out a byte at a time
+	Delay         float64 // answers are held back for so many ms
+	DelayShare    float64 // part of them that are
 }
 
 // DiskServer is the shell of a machine: a listener, and two goroutines for each
@@ -41,7 +41,7 @@
 	timer    env.Timer
 	timerAt  float64
 	conns    env.OrderedSet[*writequeue.Queue]
-	net      NetTrouble
+	net      NetworkFaults
 	rng      *rand.Rand
 	dead     bool
 	tasks    env.WaitGroup
@@ -52,8 +52,8 @@
 	Peer      func() string
 	// Keys of the server; nil: it is spoken to in clear.
 	Keys *keys.Holder
-	// OnFall is called once, from a goroutine of its own, when the server falls over.
-	OnFall func()
+	// OnOverloadCrash is called once, from a goroutine of its own, when the server falls over.
+	OnOverloadCrash func()
 }
 
 const (
@@ -71,7 +71,7 @@
 	d.Addr, d.Started = l.Addr().String(), w.RandomUint64()
 	d.timerAt = math.Inf(1)
 	d.rng = rand.New(rand.NewPCG(d.Started, 2))
-	m.Outside = d.outside
+	m.RunAsEvent = d.outside
 	d.tasks.Go(w, d.accept)
 	if d.Peer != nil {
 		d.tasks.Go(w, d.copying)
@@ -217,7 +217,7 @@
 		return
 	}
 	d.machine.Arrive(d.now(), m, func(a diskproto.Answer) { d.answer(o, tag, a) })
-	if d.machine.Fallen() {
+	if d.machine.Crashed() {
 		d.dead = true
 		d.world.Go(d.fall)
 		return
@@ -230,14 +230,14 @@
 	a.Clock = uint64(d.world.Now() / time.Microsecond)
 	frame := diskproto.Append(nil, diskproto.KindAnswer, tag, &a)
 	switch {
-	case d.net.Torn > 0 && d.rng.Float64() < d.net.Torn:
+	case d.net.TruncateShare > 0 && d.rng.Float64() < d.net.TruncateShare:
 		o.Enqueue(func(b []byte) []byte { return append(b, frame[:len(frame)/2]...) })
 		o.Finish()
-	case d.net.LateShare > 0 && d.rng.Float64() < d.net.LateShare:
-		d.world.AfterFunc(env.Duration(d.net.Late), func() {
+	case d.net.DelayShare > 0 && d.rng.Float64() < d.net.DelayShare:
+		d.world.AfterFunc(env.Duration(d.net.Delay), func() {
 			o.Enqueue(func(b []byte) []byte { return append(b, frame...) })
 		})
-	case d.net.Bytewise:
+	case d.net.ByteAtATime:
 		for i := range frame {
 			o.Enqueue(func(b []byte) []byte { return append(b, frame[i]) })
 		}
@@ -248,7 +248,7 @@
 
 // arm sets the timer for what the machine does next. Held: mu.
 func (d *DiskServer) arm() {
-	at := d.machine.Next()
+	at := d.machine.NextEventAt()
 	if at >= d.timerAt || math.IsInf(at, 1) || d.dead {
 		return
 	}
@@ -271,17 +271,17 @@
 	d.arm()
 }
 
-// Trouble changes what is wrong with the machine.
-func (d *DiskServer) Trouble(t Trouble) {
+// SetFaults changes what is wrong with the machine.
+func (d *DiskServer) SetFaults(t MachineFaults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.machine.Set(d.now(), t)
+	d.machine.SetFaults(d.now(), t)
 	d.arm()
 }
 
-// Net changes what is wrong with the connections. Those that are open are cut
+// SetNetworkFaults changes what is wrong with the connections. Those that are open are cut
 // when they are to hang, so that hosts meet the fault.
-func (d *DiskServer) Net(t NetTrouble) {
+func (d *DiskServer) SetNetworkFaults(t NetworkFaults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change := d.net.Hang != t.Hang
@@ -324,8 +324,8 @@
 	}
 	d.mu.Unlock()
 	d.listener.Close()
-	if d.OnFall != nil {
-		d.OnFall()
+	if d.OnOverloadCrash != nil {
+		d.OnOverloadCrash()
 	}
 }
 
--- a/internal/simulation/standin/http.go
+++ b/internal/simulation/standin/http.go
@@ -9,47 +9,47 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// HTTPAsk is one request that an HTTPDisk got whole.
-type HTTPAsk struct {
-	Conn int // the connection's number, in the order in which they came
-	Nth  int // the request's number on that connection
+// HTTPRequest is one request that an HTTPDisk got whole.
+type HTTPRequest struct {
+	Conn  int // the connection's number, in the order in which they came
+	Index int // the request's number on that connection
 	*http1.Request
-	Body []byte
-	At   time.Duration
+	Body       []byte
+	ReceivedAt time.Duration
 }
 
-// HTTPAnswer is what an HTTPDisk does about a request.
-type HTTPAnswer struct {
-	After  time.Duration // of work
-	Raw    []byte        // written as it is; nil: nothing is
-	Behind []byte        // written by itself after it, as by a server that says more,
-	Late   time.Duration // so much later
-	Close  bool
-	Reset  bool // it closes so that what it wrote may be lost
+// HTTPResponse is what an HTTPDisk does about a request.
+type HTTPResponse struct {
+	Delay      time.Duration // of work
+	Raw        []byte        // written as it is; nil: nothing is
+	Extra      []byte        // written by itself after it, as by a server that says more,
+	ExtraDelay time.Duration // so much later
+	Close      bool
+	Reset      bool // it closes so that what it wrote may be lost
 }
 
-// HTTPDisk is a disk server that speaks HTTP/1.1, one request at a time on a connection,
+// HTTPDiskServer is a disk server that speaks HTTP/1.1, one request at a time on a connection,
 // and answers as it is told, however wrong that is.
-type HTTPDisk struct {
+type HTTPDiskServer struct {
 	door
-	do   func(HTTPAsk) HTTPAnswer
-	asks []HTTPAsk // under the door's lock
+	do   func(HTTPRequest) HTTPResponse
+	asks []HTTPRequest // under the door's lock
 }
 
-// ServeHTTPDisk starts one.
-func ServeHTTPDisk(w env.Environment, do func(HTTPAsk) HTTPAnswer) (*HTTPDisk, error) {
+// ServeHTTPDiskServer starts one.
+func ServeHTTPDiskServer(w env.Environment, do func(HTTPRequest) HTTPResponse) (*HTTPDiskServer, error) {
 	l, err := w.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &HTTPDisk{do: do}
+	d := &HTTPDiskServer{do: do}
 	d.open(w, l, d.serve)
 	return d, nil
 }
 
 var httpLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: 64 << 10}
 
-func (d *HTTPDisk) serve(c net.Conn, conn int) {
+func (d *HTTPDiskServer) serve(c net.Conn, conn int) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for nth := 0; ; nth++ {
@@ -57,16 +57,16 @@
 		if err != nil {
 			return
 		}
-		ask := HTTPAsk{Conn: conn, Nth: nth, Request: r, Body: body, At: d.world.Now()}
+		ask := HTTPRequest{Conn: conn, Index: nth, Request: r, Body: body, ReceivedAt: d.world.Now()}
 		d.mu.Lock()
 		d.asks = append(d.asks, ask)
 		d.mu.Unlock()
 		a := d.do(ask)
-		env.Sleep(d.world, a.After, nil)
+		env.Sleep(d.world, a.Delay, nil)
 		c.Write(a.Raw)
-		if len(a.Behind) > 0 {
-			env.Sleep(d.world, a.Late, nil)
-			c.Write(a.Behind)
+		if len(a.Extra) > 0 {
+			env.Sleep(d.world, a.ExtraDelay, nil)
+			c.Write(a.Extra)
 		}
 		if t, ok := c.(*net.TCPConn); ok && a.Reset {
 			t.SetLinger(0)
@@ -77,15 +77,15 @@
 	}
 }
 
-// Asked lists what came whole so far.
-func (d *HTTPDisk) Asked() []HTTPAsk {
+// Requests lists what came whole so far.
+func (d *HTTPDiskServer) Requests() []HTTPRequest {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]HTTPAsk(nil), d.asks...)
+	return append([]HTTPRequest(nil), d.asks...)
 }
 
-// HTTPList is discovery over HTTP/1.1: each watch gets a chunked answer that stays open.
-type HTTPList struct {
+// HTTPDiscovery is discovery over HTTP/1.1: each watch gets a chunked answer that stays open.
+type HTTPDiscovery struct {
 	door
 
 	// Under the door's lock.
@@ -94,18 +94,18 @@
 	targets []string
 }
 
-// ServeHTTPList starts one whose watches begin with that line of JSON.
-func ServeHTTPList(w env.Environment, whole string) (*HTTPList, error) {
+// ServeHTTPDiscovery starts one whose watches begin with that line of JSON.
+func ServeHTTPDiscovery(w env.Environment, whole string) (*HTTPDiscovery, error) {
 	l, err := w.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	h := &HTTPList{whole: whole}
+	h := &HTTPDiscovery{whole: whole}
 	h.open(w, l, h.serve)
 	return h, nil
 }
 
-func (h *HTTPList) serve(c net.Conn, _ int) {
+func (h *HTTPDiscovery) serve(c net.Conn, _ int) {
 	r, err := http1.ReadRequest(bufio.NewReader(c), httpLimits)
 	if err != nil {
 		c.Close()
@@ -125,8 +125,8 @@
 	return append([]byte{hex[n>>12&15], hex[n>>8&15], hex[n>>4&15], hex[n&15], '\r', '\n'}, s+"\r\n"...)
 }
 
-// Say sends a line to every watch, in two chunks.
-func (h *HTTPList) Say(line string) {
+// Broadcast sends a line to every watch, in two chunks.
+func (h *HTTPDiscovery) Broadcast(line string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.watches {
@@ -136,7 +136,7 @@
 }
 
 // Targets are what watches asked for so far.
-func (h *HTTPList) Targets() []string {
+func (h *HTTPDiscovery) Targets() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]string(nil), h.targets...)
--- a/internal/simulation/standin/inventory.go
+++ b/internal/simulation/standin/inventory.go
@@ -137,15 +137,15 @@
 	}
 }
 
-// Late changes how late changes are told, in ms.
-func (v *Inventory) Late(ms float64) {
+// SetDelay changes how late changes are told, in ms.
+func (v *Inventory) SetDelay(ms float64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.late = ms
 }
 
-// CutAll breaks every connection; clients come again.
-func (v *Inventory) CutAll() {
+// DropConnections breaks every connection; clients come again.
+func (v *Inventory) DropConnections() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, wt := range v.conns.All() {
--- a/internal/simulation/standin/links.go
+++ b/internal/simulation/standin/links.go
@@ -11,10 +11,10 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// Way is the state of the way from one program to another. On a real socket nothing can
+// LinkState is the state of the way from one program to another. On a real socket nothing can
 // be lost without the kernel sending it again, so what is lost comes late, as it would by
 // a link that drops packets.
-type Way struct {
+type LinkState struct {
 	Delay time.Duration
 	Loss  float64 // part of what is sent that must be sent again
 	Cut   bool    // nothing passes until it is whole again
@@ -27,47 +27,47 @@
 	mu     sync.Mutex
 	owner  map[string]string // program that listens at an address
 	ways   map[[2]string]*way
-	relays map[[2]string]*Relay // by who dials, and the address
-	wires  map[string]*Wire     // by the address that they stand for
+	relays map[[2]string]*Relay       // by who dials, and the address
+	wires  map[string]*VirtualAddress // by the address that they stand for
 	rng    *rand.Rand
 }
 
 type way struct {
-	Way
+	LinkState
 	whole *env.Gate // while it is cut
 }
 
 // NewLinks returns links that are whole.
 func NewLinks(w env.Environment, seed uint64) *Links {
-	return &Links{world: w, owner: map[string]string{}, ways: map[[2]string]*way{}, wires: map[string]*Wire{}, relays: map[[2]string]*Relay{}, rng: rand.New(rand.NewPCG(seed, 9))}
+	return &Links{world: w, owner: map[string]string{}, ways: map[[2]string]*way{}, wires: map[string]*VirtualAddress{}, relays: map[[2]string]*Relay{}, rng: rand.New(rand.NewPCG(seed, 9))}
 }
 
 // Process is the world as the program of that name has it.
 func (l *Links) Process(name string) env.Environment { return &linked{l.world, l, name} }
 
-// Wire is an address that programs dial, behind which a listener can change, and on whose
+// VirtualAddress is an address that programs dial, behind which a listener can change, and on whose
 // connections each frame is recorded beside the side that dials.
-type Wire struct {
+type VirtualAddress struct {
 	links  *Links
 	addr   string
 	target string
-	tap    func(addr string) *Tap
+	tap    func(addr string) *FrameRecorder
 }
 
-// Wire makes one. No other program can dial it.
-func (l *Links) Wire(target string, tap func(addr string) *Tap) *Wire {
+// NewVirtualAddress makes one. No other program can dial it.
+func (l *Links) NewVirtualAddress(target string, tap func(addr string) *FrameRecorder) *VirtualAddress {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := &Wire{l, fmt.Sprintf("wire-%d", len(l.wires)), target, tap}
+	w := &VirtualAddress{l, fmt.Sprintf("wire-%d", len(l.wires)), target, tap}
 	l.wires[w.addr], l.owner[w.addr] = w, l.owner[target]
 	return w
 }
 
 // Address is what programs dial.
-func (w *Wire) Address() string { return w.addr }
+func (w *VirtualAddress) Address() string { return w.addr }
 
 // Point has connections from now on go to another address.
-func (w *Wire) Point(target string) {
+func (w *VirtualAddress) Point(target string) {
 	l := w.links
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,14 +80,14 @@
 }
 
 // Close does nothing: relays end with their links.
-func (w *Wire) Close() {}
+func (w *VirtualAddress) Close() {}
 
-// Set changes the way from one program to another.
-func (l *Links) Set(from, to string, s Way) {
+// SetState changes the way from one program to another.
+func (l *Links) SetState(from, to string, s LinkState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.way(from, to)
-	w.Way = s
+	w.LinkState = s
 	switch {
 	case s.Cut && w.whole == nil:
 		w.whole = &env.Gate{}
@@ -157,9 +157,9 @@
 	if r := l.relays[k]; r != nil {
 		return r.Addr, nil
 	}
-	target, tap := addr, (func(string) *Tap)(nil)
+	target, tap := addr, (func(string) *FrameRecorder)(nil)
 	if w := l.wires[addr]; w != nil {
-		target, tap = w.target, func(string) *Tap { return w.tap(addr) }
+		target, tap = w.target, func(string) *FrameRecorder { return w.tap(addr) }
 	}
 	r, err := serveRelay(l.world, target, tap, func(up bool, over *env.Gate) bool {
 		if up {
--- a/internal/simulation/standin/links_test.go
+++ b/internal/simulation/standin/links_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	links.Set("a", "b", standin.Way{Cut: true})
+	links.SetState("a", "b", standin.LinkState{Cut: true})
 	c.Write([]byte("one"))
 	c.Write([]byte("two"))
 	if _, err := s.Write([]byte("back")); err != nil {
@@ -51,7 +51,7 @@
 	if env.Sleep(w, 50*time.Millisecond, &came); came.Opened() {
 		t.Fatal("it came through a cut")
 	}
-	links.Set("a", "b", standin.Way{Loss: 0.5, Delay: time.Millisecond})
+	links.SetState("a", "b", standin.LinkState{Loss: 0.5, Delay: time.Millisecond})
 	came.Wait(w)
 	if string(got) != "onetwo" {
 		t.Fatalf("came: %q", got)
--- a/internal/simulation/standin/machine.go
+++ b/internal/simulation/standin/machine.go
@@ -13,27 +13,27 @@
 
 // MachineConfig describes a disk server. Times are in milliseconds.
 type MachineConfig struct {
-	Cores    int
-	Queue    int     // waiting requests beyond which it turns away
-	UnitWork float64 // work of one unit of a read
-	WriteX   float64 // work of a write, times that of a read
-	Spread   float64 // part of the work that chance adds or takes away
-	Cached   int     // pieces of data whose next request costs CachedX as much
-	CachedX  float64
-	PutOff   float64 // part of a write's work that is done later in one go,
-	FlushGap float64 // so often
+	Cores              int
+	QueueLimit         int     // waiting requests beyond which it turns away
+	UnitWork           float64 // work of one unit of a read
+	WriteFactor        float64 // work of a write, times that of a read
+	Spread             float64 // part of the work that chance adds or takes away
+	CacheEntries       int     // pieces of data whose next request costs CachedX as much
+	CacheHitFactor     float64
+	DeferredWriteShare float64 // part of a write's work that is done later in one go,
+	FlushInterval      float64 // so often
 	// A cold start, and the load at which it falls over (rule 4).
-	ColdFrom, ColdTime, FallMultiple, FallTime, ColdUnits float64
+	ColdCapacity, WarmUpTime, OverloadFactor, OverloadWindow, ColdUnits float64
 }
 
-// Trouble is what is wrong with a machine now. The zero value is a calm one.
-type Trouble struct {
-	Slow      float64 // work takes so many times as long; 0: once
-	Stolen    float64 // part of the machine that another program takes
-	FailShare float64 // part of the requests that fail at once
-	PauseFor  float64 // it stands still so long
-	PauseGap  float64 // every so often
-	Late      float64 // figures of use come so much later
+// MachineFaults is what is wrong with a machine now. The zero value is a calm one.
+type MachineFaults struct {
+	SlowFactor    float64 // work takes so many times as long; 0: once
+	StolenShare   float64 // part of the machine that another program takes
+	FailShare     float64 // part of the requests that fail at once
+	PauseLength   float64 // it stands still so long
+	PauseInterval float64 // every so often
+	UsageDelay    float64 // figures of use come so much later
 }
 
 // job is one attempt in a machine.
@@ -68,12 +68,12 @@
 type Machine struct {
 	cfg     MachineConfig
 	rng     *rand.Rand
-	cell    *Cell
-	rack    *Rack
-	meter   *Meter
+	cell    *ShardStore
+	rack    *DedupCache
+	meter   *UsageMeter
 	shard   uint32
 	started float64 // -Inf: warm
-	trouble Trouble
+	trouble MachineFaults
 
 	queue    []*job
 	run      running
@@ -87,27 +87,27 @@
 	fallen   bool
 
 	Served int // requests served
-	// Outside runs f as if the machine's caller had called, for what comes due elsewhere.
-	Outside func(f func())
+	// RunAsEvent runs f as if the machine's caller had called, for what comes due elsewhere.
+	RunAsEvent func(f func())
 }
 
 // NewMachine returns a machine that started at that time; cold or long warm.
-func NewMachine(cfg MachineConfig, seed uint64, cell *Cell, rack *Rack, meter *Meter, shard uint32, now float64, cold bool) *Machine {
+func NewMachine(cfg MachineConfig, seed uint64, cell *ShardStore, rack *DedupCache, meter *UsageMeter, shard uint32, now float64, cold bool) *Machine {
 	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), cell: cell, rack: rack, meter: meter,
 		shard: shard, started: math.Inf(-1)}
 	if cold {
 		m.started = now
 	}
-	m.flushAt = now + cfg.FlushGap*(0.5+m.rng.Float64())
+	m.flushAt = now + cfg.FlushInterval*(0.5+m.rng.Float64())
 	m.pauseAt = math.Inf(1)
 	return m
 }
 
-// Set changes what is wrong with the machine.
-func (m *Machine) Set(now float64, t Trouble) {
+// SetFaults changes what is wrong with the machine.
+func (m *Machine) SetFaults(now float64, t MachineFaults) {
 	m.trouble, m.pauseAt = t, math.Inf(1)
-	if t.PauseGap > 0 {
-		m.pauseAt = now + t.PauseGap*m.rng.Float64()
+	if t.PauseInterval > 0 {
+		m.pauseAt = now + t.PauseInterval*m.rng.Float64()
 	}
 }
 
@@ -117,14 +117,14 @@
 // Idle tells whether nothing waits or runs.
 func (m *Machine) Idle() bool { return len(m.queue)+len(m.run) == 0 }
 
-// Fallen tells whether the machine was pushed over while cold.
-func (m *Machine) Fallen() bool { return m.fallen }
+// Crashed tells whether the machine was pushed over while cold.
+func (m *Machine) Crashed() bool { return m.fallen }
 
 // warmth is the part of its capacity that the machine has now.
 func (m *Machine) warmth(now float64) float64 {
 	c := &m.cfg
-	if age := now - m.started; age < c.ColdTime {
-		return c.ColdFrom + (1-c.ColdFrom)*age/c.ColdTime
+	if age := now - m.started; age < c.WarmUpTime {
+		return c.ColdCapacity + (1-c.ColdCapacity)*age/c.WarmUpTime
 	}
 	return 1
 }
@@ -133,8 +133,8 @@
 // multiple of what it can do now, and never below ColdUnits.
 func (m *Machine) bears(now float64) float64 {
 	c := &m.cfg
-	can := float64(c.Cores) / c.UnitWork * m.warmth(now) * c.FallTime
-	return max(can*c.FallMultiple, c.ColdUnits)
+	can := float64(c.Cores) / c.UnitWork * m.warmth(now) * c.OverloadWindow
+	return max(can*c.OverloadFactor, c.ColdUnits)
 }
 
 // Arrive takes an attempt; reply is called exactly once unless the machine dies.
@@ -147,7 +147,7 @@
 		reply(diskproto.Answer{Result: diskproto.WrongShard})
 	case m.draining || m.fallen:
 		reply(diskproto.Answer{Result: diskproto.Draining})
-	case len(m.queue) >= m.cfg.Queue:
+	case len(m.queue) >= m.cfg.QueueLimit:
 		reply(diskproto.Answer{Result: diskproto.Full})
 	default:
 		m.queue = append(m.queue, j)
@@ -157,10 +157,10 @@
 
 // press counts work that reaches a cold machine, taken or not.
 func (m *Machine) press(now, units float64) {
-	if now-m.started >= m.cfg.ColdTime {
+	if now-m.started >= m.cfg.WarmUpTime {
 		return
 	}
-	m.pushed = slices.DeleteFunc(m.pushed, func(p push) bool { return p.at <= now-m.cfg.FallTime })
+	m.pushed = slices.DeleteFunc(m.pushed, func(p push) bool { return p.at <= now-m.cfg.OverloadWindow })
 	m.pushed = append(m.pushed, push{now, units})
 	total := 0.0
 	for _, p := range m.pushed {
@@ -196,20 +196,20 @@
 	c := &m.cfg
 	w := c.UnitWork * j.do.Units * (1 + c.Spread*(2*m.rng.Float64()-1))
 	if scsi.Op(j.do.Op).Writes() {
-		w *= c.WriteX
-		m.debt += w * c.PutOff
-		w *= 1 - c.PutOff
+		w *= c.WriteFactor
+		m.debt += w * c.DeferredWriteShare
+		w *= 1 - c.DeferredWriteShare
 	}
 	if slices.Contains(m.recent, j.do.Key) {
-		w *= c.CachedX
-	} else if c.Cached > 0 {
+		w *= c.CacheHitFactor
+	} else if c.CacheEntries > 0 {
 		m.recent = append(m.recent, j.do.Key)
-		m.recent = m.recent[max(len(m.recent)-c.Cached, 0):]
+		m.recent = m.recent[max(len(m.recent)-c.CacheEntries, 0):]
 	}
-	if m.trouble.Slow > 0 {
-		w *= m.trouble.Slow
+	if m.trouble.SlowFactor > 0 {
+		w *= m.trouble.SlowFactor
 	}
-	return w / max(1-m.trouble.Stolen, 0.05) / m.warmth(now)
+	return w / max(1-m.trouble.StolenShare, 0.05) / m.warmth(now)
 }
 
 // effect carries the request out as it begins, so that its deadline bounds when
@@ -241,8 +241,8 @@
 	}
 }
 
-// Next is when Advance has something to do, +Inf if never.
-func (m *Machine) Next() float64 {
+// NextEventAt is when Advance has something to do, +Inf if never.
+func (m *Machine) NextEventAt() float64 {
 	at := min(m.pauseAt, m.flushAt)
 	if len(m.run) > 0 {
 		at = min(at, m.run[0].end)
@@ -256,20 +256,20 @@
 // Advance does what has come due by now.
 func (m *Machine) Advance(now float64) {
 	for {
-		at := m.Next()
+		at := m.NextEventAt()
 		if at > now {
 			m.begin(now)
 			return
 		}
 		switch {
 		case at == m.pauseAt:
-			m.still(at, m.trouble.PauseFor)
-			m.pauseAt = at + m.trouble.PauseFor + m.trouble.PauseGap
+			m.still(at, m.trouble.PauseLength)
+			m.pauseAt = at + m.trouble.PauseLength + m.trouble.PauseInterval
 		case at == m.flushAt:
 			m.still(at, m.debt/float64(m.cfg.Cores))
 			m.debt = 0
-			m.flushAt = at + max(m.cfg.FlushGap, 1)*(0.5+m.rng.Float64())
-			if m.cfg.FlushGap <= 0 {
+			m.flushAt = at + max(m.cfg.FlushInterval, 1)*(0.5+m.rng.Float64())
+			if m.cfg.FlushInterval <= 0 {
 				m.flushAt = math.Inf(1)
 			}
 		case len(m.run) > 0 && at == m.run[0].end:
@@ -297,15 +297,15 @@
 	a := j.result
 	if a.Result == diskproto.OK || a.Result == diskproto.Miscompare {
 		m.Served++
-		a.Use, a.Others = m.meter.count(now, m.trouble.Late, m.shard, j.do.Host, j.do.Volume, j.do.Units)
+		a.Use, a.Others = m.meter.count(now, m.trouble.UsageDelay, m.shard, j.do.Host, j.do.Volume, j.do.Units)
 	}
-	if m.cell.after(now, j.needs, func() { m.Outside(func() { j.reply(a) }) }) {
+	if m.cell.after(now, j.needs, func() { m.RunAsEvent(func() { j.reply(a) }) }) {
 		j.reply(a)
 	}
 }
 
-// Meter adds up what volumes use, over all disk servers.
-type Meter struct {
+// UsageMeter adds up what volumes use, over all disk servers.
+type UsageMeter struct {
 	// Rate tells a volume's rate in units a second, Period the span in ms.
 	Rate   func(volume string) float64
 	Period float64
@@ -330,7 +330,7 @@
 
 // count enters units and returns what the answer is to tell. The late meter of
 // report_late tells the figures of a past period only once they are so old.
-func (t *Meter) count(now, late float64, shard uint32, host uint64, volume string, units float64) (uint32, float64) {
+func (t *UsageMeter) count(now, late float64, shard uint32, host uint64, volume string, units float64) (uint32, float64) {
 	if t == nil || t.Period <= 0 {
 		return 0, 0
 	}
--- a/internal/simulation/standin/machine_test.go
+++ b/internal/simulation/standin/machine_test.go
@@ -8,12 +8,12 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-func testMachine(edit func(*MachineConfig), cold bool) (*Machine, *Cell, *Rack) {
-	cfg := MachineConfig{Cores: 1, Queue: 4, UnitWork: 10, WriteX: 1, ColdFrom: 0.2, ColdTime: 10000, FallMultiple: 2, FallTime: 1000, ColdUnits: 5}
+func testMachine(edit func(*MachineConfig), cold bool) (*Machine, *ShardStore, *DedupCache) {
+	cfg := MachineConfig{Cores: 1, QueueLimit: 4, UnitWork: 10, WriteFactor: 1, ColdCapacity: 0.2, WarmUpTime: 10000, OverloadFactor: 2, OverloadWindow: 1000, ColdUnits: 5}
 	if edit != nil {
 		edit(&cfg)
 	}
-	cell, rack := NewCell(func(string) int { return 512 }), NewRack(6000)
+	cell, rack := NewShardStore(func(string) int { return 512 }), NewDedupCache(6000)
 	return NewMachine(cfg, 1, cell, rack, nil, 3, 1000, cold), cell, rack
 }
 
@@ -97,13 +97,13 @@
 	if _, b, _ := cell.apply(0, &diskproto.Do{Op: byte(scsi.Read), Volume: "v", Blocks: 1}); b[0] != 8 {
 		t.Errorf("the repeat undid a later write: %d", b[0])
 	}
-	if rack.Repeats() != 0 {
+	if rack.RepeatedEffects() != 0 {
 		t.Error("a dropped repeat was counted")
 	}
 	late := ask(next, 7001, write(1, 7))
 	next.Advance(7011)
-	if late.Dropped || rack.Repeats() != 1 {
-		t.Errorf("after the window: %+v, %d", late, rack.Repeats())
+	if late.Dropped || rack.RepeatedEffects() != 1 {
+		t.Errorf("after the window: %+v, %d", late, rack.RepeatedEffects())
 	}
 }
 
@@ -131,33 +131,33 @@
 	for range 40 {
 		ask(m, 1000, diskproto.Do{Op: byte(scsi.Read)})
 	}
-	if m.Fallen() {
+	if m.Crashed() {
 		t.Fatal("fell within what it bears")
 	}
 	ask(m, 1001, diskproto.Do{Op: byte(scsi.Read)})
-	if !m.Fallen() {
+	if !m.Crashed() {
 		t.Error("did not fall")
 	}
 	warm, _, _ := testMachine(nil, false)
 	for range 100 {
 		ask(warm, 1000, diskproto.Do{Op: byte(scsi.Read)})
 	}
-	if warm.Fallen() {
+	if warm.Crashed() {
 		t.Error("a warm machine fell")
 	}
 	small, _, _ := testMachine(func(c *MachineConfig) { c.ColdUnits = 60 }, true)
 	for range 60 {
 		ask(small, 1000, diskproto.Do{Op: byte(scsi.Read)})
 	}
-	if small.Fallen() {
+	if small.Crashed() {
 		t.Error("fell within ColdUnits")
 	}
 }
 
 func TestTroublesOfAMachine(t *testing.T) {
-	took := func(edit func(*MachineConfig), tr Trouble) float64 {
+	took := func(edit func(*MachineConfig), tr MachineFaults) float64 {
 		m, _, _ := testMachine(edit, false)
-		m.Set(1000, tr)
+		m.SetFaults(1000, tr)
 		a := ask(m, 1000, diskproto.Do{Op: byte(scsi.Read)})
 		for at := 1000.0; at < 3000; at++ {
 			if m.Advance(at); a.Result != 0 {
@@ -166,19 +166,19 @@
 		}
 		return -1
 	}
-	if d := took(nil, Trouble{}); d != 10 {
+	if d := took(nil, MachineFaults{}); d != 10 {
 		t.Errorf("calm: %v ms", d)
 	}
-	if d := took(nil, Trouble{Slow: 5}); d != 50 {
+	if d := took(nil, MachineFaults{SlowFactor: 5}); d != 50 {
 		t.Errorf("slow: %v ms", d)
 	}
-	if d := took(nil, Trouble{Stolen: 0.5}); d != 20 {
+	if d := took(nil, MachineFaults{StolenShare: 0.5}); d != 20 {
 		t.Errorf("a neighbour: %v ms", d)
 	}
-	if d := took(nil, Trouble{FailShare: 1}); d != 1 {
+	if d := took(nil, MachineFaults{FailShare: 1}); d != 1 {
 		t.Errorf("a fast error: %v ms", d)
 	}
-	if d := took(nil, Trouble{PauseFor: 200, PauseGap: 4}); d < 200 {
+	if d := took(nil, MachineFaults{PauseLength: 200, PauseInterval: 4}); d < 200 {
 		t.Errorf("a pause: %v ms", d)
 	}
 	m, _, _ := testMachine(nil, false)
--- a/internal/simulation/standin/quick.go
+++ b/internal/simulation/standin/quick.go
@@ -11,15 +11,15 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// QuickDisk is a disk server without a machine: it answers every read at once, on
+// ImmediateDiskServer is a disk server without a machine: it answers every read at once, on
 // the goroutine of its connection. It serves measurements of what stands before it.
-type QuickDisk struct {
+type ImmediateDiskServer struct {
 	door
 	block []byte
 }
 
-// ServeQuick starts one that answers with so many bytes, in clear where it has no keys.
-func ServeQuick(w env.Environment, bytes int, k *keys.Holder) (*QuickDisk, error) {
+// ServeImmediateDiskServer starts one that answers with so many bytes, in clear where it has no keys.
+func ServeImmediateDiskServer(w env.Environment, bytes int, k *keys.Holder) (*ImmediateDiskServer, error) {
 	l, err := w.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -27,14 +27,14 @@
 	if k != nil {
 		l = tls.NewListener(l, k.Server(true))
 	}
-	q := &QuickDisk{block: make([]byte, bytes)}
+	q := &ImmediateDiskServer{block: make([]byte, bytes)}
 	q.open(w, l, q.serve)
 	return q, nil
 }
 
 // serve answers what has come in one write, so that a busy connection costs few
 // calls of the system.
-func (q *QuickDisk) serve(c net.Conn, _ int) {
+func (q *ImmediateDiskServer) serve(c net.Conn, _ int) {
 	defer c.Close()
 	br := bufio.NewReaderSize(c, 64<<10)
 	r := diskproto.NewReader(br)
--- a/internal/simulation/standin/relay.go
+++ b/internal/simulation/standin/relay.go
@@ -16,7 +16,7 @@
 
 	world  env.Environment
 	target string
-	tap    func(addr string) *Tap
+	tap    func(addr string) *FrameRecorder
 	l      net.Listener
 	mu     sync.Mutex
 	conns  env.OrderedSet[net.Conn]
@@ -33,12 +33,12 @@
 )
 
 // ServeRelay starts a relay to target; tap, if any, makes what reads a connection.
-func ServeRelay(w env.Environment, target string, tap func(addr string) *Tap) (*Relay, error) {
+func ServeRelay(w env.Environment, target string, tap func(addr string) *FrameRecorder) (*Relay, error) {
 	return serveRelay(w, target, tap, nil)
 }
 
 // serveRelay is ServeRelay with a way that holds back what passes, if any.
-func serveRelay(w env.Environment, target string, tap func(addr string) *Tap, pass func(up bool, over *env.Gate) bool) (*Relay, error) {
+func serveRelay(w env.Environment, target string, tap func(addr string) *FrameRecorder, pass func(up bool, over *env.Gate) bool) (*Relay, error) {
 	l, err := w.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -93,7 +93,7 @@
 		return
 	}
 	defer r.drop(s)
-	var t *Tap
+	var t *FrameRecorder
 	if r.tap != nil {
 		t = r.tap(r.Addr)
 	}
@@ -104,7 +104,7 @@
 }
 
 // pump passes bytes from src to dst. The side that ends first is noted.
-func (r *Relay) pump(t *Tap, dst, src net.Conn, up bool) {
+func (r *Relay) pump(t *FrameRecorder, dst, src net.Conn, up bool) {
 	defer dst.Close()
 	defer src.Close()
 	defer t.Closed(up)
--- a/internal/simulation/standin/router.go
+++ b/internal/simulation/standin/router.go
@@ -17,37 +17,37 @@
 	"merlinhitch/internal/runtime/writequeue"
 )
 
-// RouterFault is what is wrong with a router's sessions. The zero value is a sound one.
-type RouterFault struct {
-	Refuse       bool          // connections are closed as they come
-	AcceptAfter  time.Duration // before anything is read or said
-	Silent       bool          // it accepts and says nothing
-	BadAS        bool          // its OPEN names another AS
-	HoldZero     bool          // it offers no hold time
-	NoIPv6       bool          // it knows one family
-	ResetAt      bgp.State     // the connection is reset on reaching this state; Idle: never
-	LiveFor      time.Duration // a session is reset so long after it was established
-	NoKeepalive  bool          // after the first it gives no sign of life
-	SlowRead     time.Duration // before each read, of few bytes
-	Half         bool          // half a message, and the end, in the place of its second KEEPALIVE
-	BadMarker    bool          // so instead
-	BadLength    bool          // so instead
-	UnknownAttrs bool          // it sends an UPDATE of attributes that nobody knows
+// RouterFaults is what is wrong with a router's sessions. The zero value is a sound one.
+type RouterFaults struct {
+	Refuse             bool          // connections are closed as they come
+	StartDelay         time.Duration // before anything is read or said
+	Silent             bool          // it accepts and says nothing
+	BadAS              bool          // its OPEN names another AS
+	ZeroHoldTime       bool          // it offers no hold time
+	NoIPv6             bool          // it knows one family
+	ResetInState       bgp.State     // the connection is reset on reaching this state; Idle: never
+	ResetAfter         time.Duration // a session is reset so long after it was established
+	NoKeepalive        bool          // after the first it gives no sign of life
+	SlowReadDelay      time.Duration // before each read, of few bytes
+	TruncatedKeepalive bool          // half a message, and the end, in the place of its second KEEPALIVE
+	BadMarker          bool          // so instead
+	BadLength          bool          // so instead
+	UnknownAttributes  bool          // it sends an UPDATE of attributes that nobody knows
 }
 
 // RouteChange is an entry of a router's log: what it learned, and when its socket
 // brought it.
 type RouteChange struct {
-	At     time.Duration
-	Host   uint32 // the identifier of the speaker that said so
-	Prefix netip.Prefix
-	Up     bool
-	Path   bgp.Path
-	ByEnd  bool // it went with its session
+	At           time.Duration
+	Host         uint32 // the identifier of the speaker that said so
+	Prefix       netip.Prefix
+	Announced    bool
+	Path         bgp.Path
+	SessionEnded bool // it went with its session
 }
 
-// HeldRoute is a route as a router holds it.
-type HeldRoute struct {
+// RIBEntry is a route as a router holds it.
+type RIBEntry struct {
 	Host uint32
 	Path bgp.Path
 }
@@ -58,13 +58,13 @@
 	Addr string
 	AS   uint32
 	ID   uint32
-	// Changed, if set before the first session, is told each change, with the lock held.
-	Changed func(RouteChange)
+	// OnChange, if set before the first session, is told each change, with the lock held.
+	OnChange func(RouteChange)
 
 	world    env.Environment
 	listener net.Listener
 	mu       sync.Mutex
-	fault    RouterFault
+	fault    RouterFaults
 	rng      *rand.Rand
 	sessions env.OrderedSet[*routerSession]
 	rib      map[netip.Prefix]map[uint32]bgp.Path
@@ -84,7 +84,7 @@
 	four  bool
 	state bgp.State
 	hold  time.Duration
-	fault RouterFault // as the session began
+	fault RouterFaults // as the session began
 	kept  int
 	alive env.Timer
 	heard time.Duration
@@ -107,15 +107,15 @@
 	return r, nil
 }
 
-// Fault changes what is wrong with sessions that begin from now on.
-func (r *Router) Fault(f RouterFault) {
+// SetFaults changes what is wrong with sessions that begin from now on.
+func (r *Router) SetFaults(f RouterFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = f
 }
 
-// Reset ends every session at once, without a word.
-func (r *Router) Reset() {
+// ResetSessions ends every session at once, without a word.
+func (r *Router) ResetSessions() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.sessions.All() {
@@ -129,7 +129,7 @@
 	r.closed = true
 	r.mu.Unlock()
 	r.listener.Close()
-	r.Reset()
+	r.ResetSessions()
 	r.tasks.Wait(r.world)
 }
 
@@ -166,12 +166,12 @@
 func (s *routerSession) run() {
 	r := s.r
 	defer s.end()
-	if f := s.fault.AcceptAfter; f > 0 {
+	if f := s.fault.StartDelay; f > 0 {
 		env.Sleep(r.world, f, nil)
 	}
 	buf := bufio.NewReaderSize(s.conn, bgp.MaxLen)
-	if s.fault.SlowRead > 0 {
-		buf = bufio.NewReaderSize(slowReader{s, s.fault.SlowRead}, 64)
+	if s.fault.SlowReadDelay > 0 {
+		buf = bufio.NewReaderSize(slowReader{s, s.fault.SlowReadDelay}, 64)
 	}
 	in := bgp.NewReader(buf)
 	for {
@@ -211,7 +211,7 @@
 		if s.state == bgp.OpenConfirm {
 			s.reach(bgp.Established)
 			s.r.ups++
-			if s.fault.UnknownAttrs {
+			if s.fault.UnknownAttributes {
 				s.say(unknownAttrs())
 			}
 		}
@@ -236,7 +236,7 @@
 	if s.fault.NoIPv6 {
 		own.Families = own.Families[:1]
 	}
-	if s.fault.HoldZero {
+	if s.fault.ZeroHoldTime {
 		own.HoldTime = 0
 	}
 	s.hold = time.Duration(min(own.HoldTime, o.HoldTime)) * time.Second
@@ -251,11 +251,11 @@
 // reach enters a state, in which the session may be reset.
 func (s *routerSession) reach(state bgp.State) {
 	s.state = state
-	if s.fault.ResetAt == state && state != bgp.Idle {
+	if s.fault.ResetInState == state && state != bgp.Idle {
 		s.out.Abort()
 	}
-	if state == bgp.Established && s.fault.LiveFor > 0 {
-		s.r.world.AfterFunc(s.fault.LiveFor, s.out.Abort)
+	if state == bgp.Established && s.fault.ResetAfter > 0 {
+		s.r.world.AfterFunc(s.fault.ResetAfter, s.out.Abort)
 	}
 }
 
@@ -280,7 +280,7 @@
 		k := bgp.AppendKeepalive(nil)
 		switch f := s.fault; {
 		case f.NoKeepalive:
-		case f.Half:
+		case f.TruncatedKeepalive:
 			s.say(k[:9])
 			s.out.Finish()
 			return
@@ -342,8 +342,8 @@
 func (r *Router) note(c RouteChange) {
 	c.At = r.world.Now()
 	r.log = append(r.log, c)
-	if r.Changed != nil {
-		r.Changed(c)
+	if r.OnChange != nil {
+		r.OnChange(c)
 	}
 }
 
@@ -352,7 +352,7 @@
 		r.rib[p] = map[uint32]bgp.Path{}
 	}
 	r.rib[p][host] = path
-	r.note(RouteChange{Host: host, Prefix: p, Up: true, Path: path})
+	r.note(RouteChange{Host: host, Prefix: p, Announced: true, Path: path})
 }
 
 func (r *Router) forget(host uint32, p netip.Prefix, byEnd bool) {
@@ -360,7 +360,7 @@
 		return
 	}
 	delete(r.rib[p], host)
-	r.note(RouteChange{Host: host, Prefix: p, ByEnd: byEnd})
+	r.note(RouteChange{Host: host, Prefix: p, SessionEnded: byEnd})
 }
 
 // end forgets the session, and with it what its speaker said, unless that has said
@@ -395,22 +395,22 @@
 	}
 }
 
-// Best lists the routes to a prefix that are equally good and better than the others:
+// BestRoutes lists the routes to a prefix that are equally good and better than the others:
 // no graceful shutdown, then the shorter path, then the lower MED.
-func (r *Router) Best(p netip.Prefix) (out []HeldRoute) {
+func (r *Router) BestRoutes(p netip.Prefix) (out []RIBEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for host, path := range r.rib[p] {
-		out = append(out, HeldRoute{host, path})
+		out = append(out, RIBEntry{host, path})
 	}
-	rank := func(h HeldRoute) int64 {
+	rank := func(h RIBEntry) int64 {
 		n := int64(h.Path.Prepend)<<32 | int64(h.Path.MED)
 		if h.Path.Shutdown {
 			n |= 1 << 50
 		}
 		return n
 	}
-	slices.SortFunc(out, func(a, b HeldRoute) int { return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Host, b.Host)) })
+	slices.SortFunc(out, func(a, b RIBEntry) int { return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Host, b.Host)) })
 	for i := range out {
 		if rank(out[i]) != rank(out[0]) {
 			return out[:i]
@@ -419,8 +419,8 @@
 	return out
 }
 
-// Held lists all that a speaker has told.
-func (r *Router) Held(host uint32) map[netip.Prefix]bgp.Path {
+// RoutesFrom lists all that a speaker has told.
+func (r *Router) RoutesFrom(host uint32) map[netip.Prefix]bgp.Path {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := map[netip.Prefix]bgp.Path{}
@@ -432,18 +432,18 @@
 	return out
 }
 
-// RouterCounts are figures of a router.
-type RouterCounts struct{ Updates, Ends, Ups int }
+// RouterCounters are figures of a router.
+type RouterCounters struct{ Updates, EndOfRIBs, Established int }
 
-// Counts reads the figures.
-func (r *Router) Counts() RouterCounts {
+// Counters reads the figures.
+func (r *Router) Counters() RouterCounters {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return RouterCounts{r.updates, r.ends, r.ups}
+	return RouterCounters{r.updates, r.ends, r.ups}
 }
 
-// Log is a copy of the log.
-func (r *Router) Log() []RouteChange {
+// Changes is a copy of the log.
+func (r *Router) Changes() []RouteChange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.log)
--- a/internal/simulation/standin/source.go
+++ b/internal/simulation/standin/source.go
@@ -20,20 +20,20 @@
 	history []inventory.Event
 	at      []float64 // of history
 	last    region.Record
-	saved   *Saved
+	saved   *InventoryState
 }
 
-// Saved is what an inventory keeps through its own restarts. A copy of it that was put
+// InventoryState is what an inventory keeps through its own restarts. A copy of it that was put
 // by is an old list to come back with.
-type Saved struct {
+type InventoryState struct {
 	Record region.Record
 	Book   *inventory.Book
 	Starts uint64
 }
 
 // Clone is a copy that shares nothing.
-func (s *Saved) Clone() *Saved {
-	return &Saved{Record: s.Record.Clone(), Book: s.Book.Clone(), Starts: s.Starts}
+func (s *InventoryState) Clone() *InventoryState {
+	return &InventoryState{Record: s.Record.Clone(), Book: s.Book.Clone(), Starts: s.Starts}
 }
 
 const keepHistory = 64
@@ -41,7 +41,7 @@
 // ServeRegion starts the inventory of one of two regions; other is the address of the
 // other's. start is greater than that of every earlier run; in saved is what an earlier
 // one kept, or a new service's record and no book.
-func ServeRegion(w env.Environment, addr string, late float64, cfg region.Config, self region.ID, start uint64, saved *Saved, other func() string) (*Inventory, error) {
+func ServeRegion(w env.Environment, addr string, late float64, cfg region.Config, self region.ID, start uint64, saved *InventoryState, other func() string) (*Inventory, error) {
 	l, err := w.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -218,8 +218,8 @@
 	return s
 }
 
-// Saved is a copy of what the inventory keeps.
-func (v *Inventory) Saved() *Saved {
+// State is a copy of what the inventory keeps.
+func (v *Inventory) State() *InventoryState {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.reg.saved.Clone()
--- a/internal/simulation/standin/tap.go
+++ b/internal/simulation/standin/tap.go
@@ -29,8 +29,8 @@
 
 const tapFrame = 4 << 20 // longer is taken for broken
 
-// Tap records the frames of one connection from the bytes that pass.
-type Tap struct {
+// FrameRecorder records the frames of one connection from the bytes that pass.
+type FrameRecorder struct {
 	rec    *trail.Recorder
 	conn   uint32
 	mu     sync.Mutex // both directions record through one tapper
@@ -39,20 +39,20 @@
 	closed bool
 }
 
-func newTap(rec *trail.Recorder, r tapper) *Tap {
-	t := &Tap{rec: rec, tapper: r, conn: rec.NextConn()}
+func newTap(rec *trail.Recorder, r tapper) *FrameRecorder {
+	t := &FrameRecorder{rec: rec, tapper: r, conn: rec.NextConn()}
 	t.note(trail.Event{Kind: trail.Open, Dir: trail.Up})
 	return t
 }
 
-func (t *Tap) note(e trail.Event) {
+func (t *FrameRecorder) note(e trail.Event) {
 	e.Conn = t.conn
 	t.tapper.who(&e)
 	t.rec.Add(e)
 }
 
 // Bytes takes what passes; up from the side that dialled. No tap hears nothing.
-func (t *Tap) Bytes(up bool, b []byte) {
+func (t *FrameRecorder) Bytes(up bool, b []byte) {
 	if t == nil {
 		return
 	}
@@ -73,7 +73,7 @@
 }
 
 // Closed notes which side ended the connection, once.
-func (t *Tap) Closed(up bool) {
+func (t *FrameRecorder) Closed(up bool) {
 	if t == nil {
 		return
 	}
@@ -93,7 +93,7 @@
 }
 
 // record notes the whole frames in b and returns what remains.
-func (t *Tap) record(b []byte, up bool) []byte {
+func (t *FrameRecorder) record(b []byte, up bool) []byte {
 	for len(b) > 0 {
 		n := t.tapper.cut(up, b)
 		if n < 0 || n == 0 && len(b) > tapFrame {
@@ -123,8 +123,8 @@
 	keys       []byte
 }
 
-// TapClients reads a connection between an initiator and that host.
-func TapClients(rec *trail.Recorder, host string, set *settings.Settings) *Tap {
+// RecordISCSI reads a connection between an initiator and that host.
+func RecordISCSI(rec *trail.Recorder, host string, set *settings.Settings) *FrameRecorder {
 	return newTap(rec, &clientTap{host: host, set: set})
 }
 
@@ -275,9 +275,11 @@
 	hostID uint64
 }
 
-// TapDisk reads a connection between a host and the disk server that the inventory
+// RecordDiskProtocol reads a connection between a host and the disk server that the inventory
 // lists at that address.
-func TapDisk(rec *trail.Recorder, addr string) *Tap { return newTap(rec, &diskTap{server: addr}) }
+func RecordDiskProtocol(rec *trail.Recorder, addr string) *FrameRecorder {
+	return newTap(rec, &diskTap{server: addr})
+}
 
 func (d *diskTap) who(e *trail.Event) {
 	e.Link, e.Host, e.Peer, e.HostID = trail.LinkDisk, d.host, d.server, d.hostID
@@ -340,8 +342,10 @@
 // listTap reads the inventory's lines.
 type listTap struct{ host string }
 
-// TapList reads a connection between that host and the inventory.
-func TapList(rec *trail.Recorder, host string) *Tap { return newTap(rec, &listTap{host}) }
+// RecordInventory reads a connection between that host and the inventory.
+func RecordInventory(rec *trail.Recorder, host string) *FrameRecorder {
+	return newTap(rec, &listTap{host})
+}
 
 func (l *listTap) who(e *trail.Event) { e.Link, e.Host = trail.LinkInventory, l.host }
 
