--- a/internal/control/gateway/announcer_test.go
+++ b/internal/control/gateway/announcer_test.go
@@ -24,7 +24,8 @@
 	oneShardPrefix = netip.MustParsePrefix("10.9.0.2/32") // of group alone, whose volumes are on shard 2
 )
 
-// newAnnouncingHarness starts a harness whose gateway announces two address groups to a simulated router.
+// newAnnouncingHarness starts a harness whose gateway announces two address groups to a simulated
+// router.
 func newAnnouncingHarness(t *testing.T) (*harness, *standin.Router) {
 	t.Helper()
 	environment := env.NewReal()
@@ -60,7 +61,8 @@
 	}
 }
 
-// announcedLevel returns the level at which the router received prefix from the host with router ID 1.
+// announcedLevel returns the level at which the router received prefix from the host with router ID
+// 1.
 func announcedLevel(router *standin.Router, prefix netip.Prefix) announce.Level {
 	path, ok := router.RoutesFrom(1)[prefix]
 	switch {
@@ -269,7 +271,7 @@
 	caller := inventory.NewCaller(environment, func() string { return regionInventory.Addr })
 	defer caller.Close()
 	if reply, err := caller.Ask(inventory.Ask{Op: "lead"}, 5*time.Second); err != nil || reply.Kind != inventory.Told {
-		t.Fatal(reply, err) // restarted without contact to the other region, it grants leases only after an operator's lead command
+		t.Fatal(reply, err) // a restarted region without contact to the other grants leases only after this command
 	}
 	waitFor(t, environment, "the prefix is announced again", func() bool { return announcedLevel(router, twoShardPrefix) == announce.Announced })
 	if got := readStatus(); got != scsi.Good {
--- a/internal/control/gateway/conformance_test.go
+++ b/internal/control/gateway/conformance_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// alteration is a fault of a target: it changes commands to the gateway or PDUs from it. cdb is that
-// of the command to which the PDU belongs.
+// alteration is a fault of a target: it changes commands to the gateway or PDUs from it. cdb is
+// that of the command to which the PDU belongs.
 type alteration struct {
 	alterCommand  func(pdu *iscsi.PDU)
 	alterResponse func(cdb []byte, pdu *iscsi.PDU)
--- a/internal/control/gateway/core_test.go
+++ b/internal/control/gateway/core_test.go
@@ -12,6 +12,7 @@
 	"merlinhitch/policy"
 )
 
+// First must return the earliest timer, and of timers due at the same time the one pushed first.
 func TestTimerQueueOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var queue timerQueue
@@ -25,24 +26,25 @@
 		case rng.IntN(2) == 0:
 			i := rng.IntN(len(pending))
 			queue.Remove(pending[i])
-			queue.Remove(pending[i]) // twice does no harm
+			queue.Remove(pending[i]) // no effect
 			pending = slices.Delete(pending, i, i+1)
 		default:
-			// Of equals the first, which was set before the others.
+			// Of equal times MinFunc returns the first, which was pushed first.
 			want := slices.MinFunc(pending, func(a, b *timer) int { return int(a.Due - b.Due) })
 			if got := queue.First(); got != want {
-				t.Fatalf("first is due at %v, want %v", got.Due, want.Due)
+				t.Fatalf("First: got a timer due at %v, want the first pushed of those due at %v", got.Due, want.Due)
 			}
 			queue.Remove(want)
 			pending = slices.DeleteFunc(pending, func(entry *timer) bool { return entry == want })
 		}
 		if len(queue.All()) != len(pending) {
-			t.Fatalf("%d entries, want %d", len(queue.All()), len(pending))
+			t.Fatalf("got %d timers, want %d", len(queue.All()), len(pending))
 		}
 	}
 }
 
-// fakeScheduler is a module that does what a test says, and notes what it is told.
+// fakeScheduler is a policy.Scheduler that records events and returns the actions of respond, if
+// not nil.
 type fakeScheduler struct {
 	events  []policy.Event
 	respond func(policy.Event) []policy.Action
@@ -56,7 +58,7 @@
 	return nil
 }
 
-// fakeEffects is the effects of a core, as a test sees them.
+// fakeEffects is an effectHandler that records the effects of a core under test.
 type fakeEffects struct {
 	attempts     []*attempt
 	outcomes     []jobOutcome
@@ -78,6 +80,8 @@
 func (e *fakeEffects) retire(node string)  { e.retiredNodes = append(e.retiredNodes, node) }
 func (e *fakeEffects) warn(string)         {}
 
+// newTestCore returns a core under example settings for one host, whose policy answers events with
+// the actions of respond.
 func newTestCore(respond func(policy.Event) []policy.Action) (*core, *fakeScheduler, *fakeEffects) {
 	effects := &fakeEffects{}
 	k := newCore(0, settings.Example(1, 1), 0, "", 1, effects)
@@ -86,6 +90,7 @@
 	return k, scheduler, effects
 }
 
+// sendOnRequest sends each request to node n with a timeout at 500 ms.
 func sendOnRequest(event policy.Event) []policy.Action {
 	if request, ok := event.(policy.Request); ok {
 		return []policy.Action{policy.Send{ID: request.ID, Node: "n", TimeoutAt: 500}}
@@ -93,6 +98,7 @@
 	return nil
 }
 
+// lastOutcome returns the last outcome reported to the policy; its result is -1 if there is none.
 func lastOutcome(scheduler *fakeScheduler) policy.Outcome {
 	for i := len(scheduler.events) - 1; i >= 0; i-- {
 		if outcome, ok := scheduler.events[i].(policy.Outcome); ok {
@@ -102,8 +108,8 @@
 	return policy.Outcome{Result: -1}
 }
 
-// An attempt whose time is up while it waits for a connection has certainly not
-// gone out, and can't go out any more; one that was claimed may have run.
+// An attempt that times out while it waits for a connection must be reported as never sent, and one
+// that was claimed as without an answer. Neither may be claimed or have another outcome afterwards.
 func TestTimeoutResultDependsOnClaim(t *testing.T) {
 	for _, claimed := range []bool{false, true} {
 		k, scheduler, effects := newTestCore(sendOnRequest)
@@ -111,10 +117,10 @@
 		k.submit(100, j)
 		a := effects.attempts[0]
 		if claimed && !a.claim() {
-			t.Fatal("not to be claimed")
+			t.Fatal("claim of a waiting attempt: got false")
 		}
 		if k.nextDue() != 500 {
-			t.Fatalf("next at %v", k.nextDue())
+			t.Fatalf("next timer: got %v ms, want 500", k.nextDue())
 		}
 		k.runDue(499)
 		k.runDue(500)
@@ -123,20 +129,21 @@
 			want = policy.NoAnswer
 		}
 		if outcome := lastOutcome(scheduler); outcome.Result != want || outcome.Done || outcome.Elapsed != 400 {
-			t.Errorf("claimed %v: %+v", claimed, outcome)
+			t.Errorf("claimed %v: got %+v, want one timeout after 400 ms", claimed, outcome)
 		}
 		if a.claim() {
-			t.Error("claimed after its time")
+			t.Error("attempt could be claimed after its timeout")
 		}
 		eventCount := len(scheduler.events)
 		k.receiveAnswer(600, a, &diskproto.Answer{Result: diskproto.OK})
 		k.failAttempt(600, a, policy.ConnectionLost)
 		if len(scheduler.events) != eventCount || len(effects.outcomes) != 0 {
-			t.Error("a late answer was told")
+			t.Error("an answer or failure after the timeout was reported")
 		}
 	}
 }
 
+// A served job must ignore later aborts, failures and sends, and leave no timer.
 func TestServedJobEndsOnce(t *testing.T) {
 	k, scheduler, effects := newTestCore(sendOnRequest)
 	j := &job{req: policy.Request{Expires: 2000}}
@@ -144,18 +151,18 @@
 	effects.attempts[0].claim()
 	k.receiveAnswer(150, effects.attempts[0], &diskproto.Answer{Result: diskproto.OK})
 	if outcome := lastOutcome(scheduler); outcome.Result != policy.Served || !outcome.Done {
-		t.Errorf("%+v", outcome)
+		t.Errorf("outcome: got %+v, want served and done", outcome)
 	}
 	k.abort(160, j)
 	k.perform(policy.Fail{ID: j.id})
 	k.perform(policy.Send{ID: j.id, Node: "n"})
 	if !slices.Equal(effects.outcomes, []jobOutcome{jobServed}) || len(effects.attempts) != 1 || len(k.jobs) != 0 || !math.IsInf(k.nextDue(), 1) {
-		t.Errorf("ends %v, %d sends, %d jobs, next %v", effects.outcomes, len(effects.attempts), len(k.jobs), k.nextDue())
+		t.Errorf("got job outcomes %v, %d attempts, %d open jobs, next timer %v, want [served], 1, 0, none", effects.outcomes, len(effects.attempts), len(k.jobs), k.nextDue())
 	}
 }
 
-// A job that its client ended is settled only when nothing of it can land: with
-// an attempt lost, at that attempt's deadline.
+// An aborted job must settle only when none of its attempts can take effect: at the deadline of an
+// attempt whose connection was lost.
 func TestAbortedJobSettlesAtDeadline(t *testing.T) {
 	k, scheduler, effects := newTestCore(sendOnRequest)
 	j := &job{req: policy.Request{Expires: 2000}}
@@ -163,11 +170,11 @@
 	effects.attempts[0].claim()
 	k.abort(150, j)
 	if _, ok := scheduler.events[len(scheduler.events)-1].(policy.ClientGone); !ok || effects.settledCount != 0 {
-		t.Fatalf("told %T, settled %d", scheduler.events[len(scheduler.events)-1], effects.settledCount)
+		t.Fatalf("after the abort: got event %T, settled %d times, want policy.ClientGone and 0", scheduler.events[len(scheduler.events)-1], effects.settledCount)
 	}
 	k.failAttempt(160, effects.attempts[0], policy.ConnectionLost)
 	if outcome := lastOutcome(scheduler); outcome.Result != policy.ConnectionLost || !outcome.Done || effects.settledCount != 0 {
-		t.Fatalf("%+v, settled %d", outcome, effects.settledCount)
+		t.Fatalf("lost connection: got %+v, settled %d times, want done with connection lost and 0", outcome, effects.settledCount)
 	}
 	k.runDue(499)
 	if effects.settledCount != 0 {
@@ -175,10 +182,11 @@
 	}
 	k.runDue(500)
 	if effects.settledCount != 1 || !math.IsInf(k.nextDue(), 1) {
-		t.Errorf("settled %d", effects.settledCount)
+		t.Errorf("at the deadline: settled %d times, want once and no timer left", effects.settledCount)
 	}
 }
 
+// A cancelled attempt must be reported as such, and may take effect until its deadline.
 func TestCancelAttempt(t *testing.T) {
 	k, scheduler, effects := newTestCore(sendOnRequest)
 	j := &job{req: policy.Request{Expires: 2000}}
@@ -187,12 +195,12 @@
 	k.perform(policy.CancelAttempt{ID: j.id, Attempt: 0})
 	k.runDue(101)
 	if outcome := lastOutcome(scheduler); outcome.Result != policy.Cancelled || j.effectDeadline != 500 {
-		t.Errorf("%+v, may land until %v", outcome, j.effectDeadline)
+		t.Errorf("got %+v, may take effect until %v, want cancelled and 500", outcome, j.effectDeadline)
 	}
 }
 
-// The same start is told again and again with another age; the module must take
-// it for one start, and another incarnation for another.
+// A node's start must stay the same when its age is reported again, and change with its
+// incarnation.
 func TestNodeStartTimes(t *testing.T) {
 	k, scheduler, effects := newTestCore(nil)
 	updateNode := func(now, age float64, incarnation uint64, health string) policy.Node {
@@ -201,21 +209,21 @@
 	}
 	first := updateNode(1000, 300, 1, inventory.Ready).Started
 	if again := updateNode(2000, 1290, 1, inventory.Draining).Started; first != 700 || again != first {
-		t.Errorf("started at %v, then %v", first, again)
+		t.Errorf("start of one incarnation: got %v, then %v, want 700 both times", first, again)
 	}
 	if restarted := updateNode(3000, 10, 2, inventory.Ready).Started; restarted != 2990 {
-		t.Errorf("the next start at %v", restarted)
+		t.Errorf("start of the next incarnation: got %v, want 2990", restarted)
 	}
 	if unknown := updateNode(3000, 0, 3, inventory.Ready).Started; unknown != 0 {
-		t.Errorf("long ago is %v", unknown)
+		t.Errorf("start with age 0: got %v, want 0", unknown)
 	}
 	updateNode(4000, 0, 3, inventory.Gone)
 	if !slices.Equal(effects.retiredNodes, []string{"n"}) || len(k.nodes) != 0 {
-		t.Errorf("retired %v, %d nodes", effects.retiredNodes, len(k.nodes))
+		t.Errorf("after the node's removal: got retired %v, %d nodes, want [n] and 0", effects.retiredNodes, len(k.nodes))
 	}
 	k.updateNodes(5000, inventory.List{Kind: inventory.Failed})
 	if _, ok := scheduler.events[len(scheduler.events)-1].(policy.ListFailed); !ok {
-		t.Error("a failure was not told")
+		t.Error("a failed list was not reported to the policy")
 	}
 }
 
--- a/internal/control/gateway/faults_test.go
+++ b/internal/control/gateway/faults_test.go
@@ -21,7 +21,7 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// useOneShard lays every volume on shard 0, for tests with one actor.
+// useOneShard puts all volumes on shard 0, for tests that need only one disk server.
 func useOneShard(s *settings.Settings) {
 	s.Shards, s.Nodes = 1, nil
 	for i := range s.Volumes {
@@ -29,8 +29,9 @@
 	}
 }
 
-const normalVolume = 1 // a volume whose writes are txn-write: keyed, one cell, 6 s
+const normalVolume = 1 // index of a volume of plan normal; its writes are keyed, with deduplication in one cell for 6 s
 
+// okAnswer returns an answer that reports success, with zeros as the data of a read.
 func okAnswer(request diskproto.Do) diskproto.Answer {
 	answer := diskproto.Answer{Result: diskproto.OK}
 	if scsi.Op(request.Op) == scsi.Read {
@@ -39,8 +40,7 @@
 	return answer
 }
 
-// A disk server that dies after it took a keyed write and before it answered: the
-// write is sent again, under the same key, and acknowledged once.
+// A keyed write whose connection closes before the answer must be retried with the same key.
 func TestServerDiesBeforeAnswer(t *testing.T) {
 	h := newHarness(t, useOneShard)
 	diskServer := h.startFakeDiskServer(func(attempt *receivedAttempt, request diskproto.Do) {
@@ -52,29 +52,29 @@
 	})
 	result := h.execute(h.connect(normalVolume, 1), initiator.WriteCDB(0, 1), make([]byte, 4096), 0)
 	if result.Status != scsi.Good {
-		t.Fatalf("status %02x sense %x", result.Status, result.Sense)
+		t.Fatalf("write: got status %02x, sense %x, want GOOD", result.Status, result.Sense)
 	}
 	requests := diskServer.receivedRequests()
 	if len(requests) != 2 || requests[0].Seq != requests[1].Seq || requests[0].Host != requests[1].Host || requests[1].Attempt != 1 {
-		t.Fatalf("attempts: %+v", requests)
+		t.Fatalf("disk server got %+v, want two attempts with the same key", requests)
 	}
 }
 
-// An unsafe command whose outcome is unknown is failed, never refused or sent
-// again.
+// An unsafe command whose outcome is unknown must fail with ABORTED COMMAND and must not be
+// retried.
 func TestUnsafeCommandWithUnknownOutcomeFails(t *testing.T) {
 	h := newHarness(t, useOneShard)
 	diskServer := h.startFakeDiskServer(func(attempt *receivedAttempt, request diskproto.Do) { attempt.conn.Close() })
 	result := h.execute(h.connect(normalVolume, 1), initiator.CompareAndWriteCDB(0, 1), make([]byte, 8192), 0)
 	if sense, _ := scsi.ParseSense(result.Sense); result.Status != scsi.CheckCondition || sense != scsi.CommandAborted {
-		t.Errorf("status %02x sense %x, want CHECK CONDITION, ABORTED COMMAND", result.Status, result.Sense)
+		t.Errorf("compare and write: got status %02x, sense %x, want CHECK CONDITION, ABORTED COMMAND", result.Status, result.Sense)
 	}
 	if n := len(diskServer.receivedRequests()); n != 1 {
-		t.Errorf("%d attempts of an unsafe command", n)
+		t.Errorf("got %d attempts of an unsafe command, want 1", n)
 	}
 }
 
-// An unsafe command that a server provably did not run may be sent again.
+// An unsafe command that a disk server rejected without running it must be retried.
 func TestRejectedUnsafeCommandIsRetried(t *testing.T) {
 	h := newHarness(t, useOneShard)
 	h.startFakeDiskServer(func(attempt *receivedAttempt, request diskproto.Do) {
@@ -86,12 +86,12 @@
 	})
 	result := h.execute(h.connect(normalVolume, 1), initiator.CompareAndWriteCDB(0, 1), make([]byte, 8192), 0)
 	if sense, _ := scsi.ParseSense(result.Sense); sense != scsi.Miscompare {
-		t.Errorf("status %02x sense %x, want MISCOMPARE", result.Status, result.Sense)
+		t.Errorf("compare and write: got status %02x, sense %x, want MISCOMPARE", result.Status, result.Sense)
 	}
 }
 
-// An answer that comes after the time-out changes nothing: not the command that
-// it was for, not the next one on that connection.
+// An answer that arrives after its attempt timed out must not be taken for that of a later attempt
+// on the same connection.
 func TestAnswerAfterTimeout(t *testing.T) {
 	h := newHarness(t, func(s *settings.Settings) {
 		useOneShard(s)
@@ -103,9 +103,9 @@
 	h.startFakeDiskServer(func(attempt *receivedAttempt, request diskproto.Do) {
 		switch {
 		case request.LBA == 0 && scsi.Op(request.Op) == scsi.CompareAndWrite:
-			lateTag.Store(attempt.tag) // never answered in time
+			lateTag.Store(attempt.tag) // answered only after its timeout
 		case lateTag.Load() != 0 && request.LBA == 7:
-			attempt.answerTag(lateTag.Load(), diskproto.Answer{Result: diskproto.OK}) // the old answer, before the new
+			attempt.answerTag(lateTag.Load(), diskproto.Answer{Result: diskproto.OK}) // the late answer, before that of this attempt
 			answer := okAnswer(request)
 			copy(answer.Data, "seven")
 			attempt.answer(answer)
@@ -115,76 +115,75 @@
 	})
 	client := h.connect(normalVolume, 1)
 	if result := h.execute(client, initiator.CompareAndWriteCDB(0, 1), make([]byte, 8192), 0); result.Status != scsi.CheckCondition {
-		t.Fatalf("unanswered: status %02x", result.Status)
+		t.Fatalf("command without an answer: got status %02x, want CHECK CONDITION", result.Status)
 	}
 	result := h.execute(client, initiator.ReadCDB(7, 1), nil, 4096)
-	for result.Status == scsi.Busy { // the node is being left alone for a moment
+	for result.Status == scsi.Busy { // the policy sends nothing to the node for a while
 		result = h.execute(client, initiator.ReadCDB(7, 1), nil, 4096)
 	}
 	if result.Status != scsi.Good || !bytes.HasPrefix(result.Data, []byte("seven")) {
-		t.Fatalf("after the late answer: status %02x data %q", result.Status, result.Data[:min(len(result.Data), 8)])
+		t.Fatalf("read after the late answer: got status %02x, data %q, want GOOD, data seven", result.Status, result.Data[:min(len(result.Data), 8)])
 	}
 }
 
-// A connection that breaks after half of the write went out: the first server
-// never saw a whole frame, and the write is sent again.
+// A write whose connection breaks after part of its frame was sent must be retried.
 func TestConnectionBreaksMidWrite(t *testing.T) {
 	h := newHarness(t, useOneShard)
 	diskServer := h.startFakeDiskServer(func(attempt *receivedAttempt, request diskproto.Do) { attempt.answer(okAnswer(request)) })
 	diskServer.handleRaw = func(conn net.Conn) {
-		io.ReadFull(conn, make([]byte, 300)) // a piece of the first frame
+		io.ReadFull(conn, make([]byte, 300)) // part of the first frame
 		diskServer.mu.Lock()
 		diskServer.handleRaw = nil
 		diskServer.mu.Unlock()
 	}
 	result := h.execute(h.connect(normalVolume, 1), initiator.WriteCDB(0, 8), make([]byte, 8*4096), 0)
 	if result.Status != scsi.Good {
-		t.Fatalf("status %02x sense %x", result.Status, result.Sense)
+		t.Fatalf("write: got status %02x, sense %x, want GOOD", result.Status, result.Sense)
 	}
 	if requests := diskServer.receivedRequests(); len(requests) != 1 || len(requests[0].Data) != 8*4096 {
-		t.Fatalf("%d whole attempts arrived", len(requests))
+		t.Fatalf("got %d complete attempts, want one with the data of 8 blocks", len(requests))
 	}
 }
 
-// A connection that opens and hangs carries nothing, so even an unsafe command may
-// go out once it works again.
+// Attempts that time out while their connection is being set up were not sent, so even an unsafe
+// command must be retried until the connection works.
 func TestConnectionHangsDuringSetup(t *testing.T) {
 	h := newHarness(t, useOneShard)
 	h.diskServers[0].SetNetworkFaults(hangingNetwork)
 	client := h.connect(normalVolume, 1)
 	results := make(chan iscsi.Result, 1)
 	client.Submit(0, initiator.CompareAndWriteCDB(0, 1), make([]byte, 8192), 0, func(result iscsi.Result, _ error) { results <- result })
-	h.waitFor("a connection to hang", func() bool { return h.gateway.Status().Sends >= 2 }) // the first found none and was given up
+	h.waitFor("the first attempt ended without a connection and a second one was sent", func() bool { return h.gateway.Status().Sends >= 2 })
 	h.diskServers[0].SetNetworkFaults(healthyNetwork)
 	if result := <-results; result.Status != scsi.Good {
-		t.Fatalf("status %02x sense %x", result.Status, result.Sense)
+		t.Fatalf("compare and write: got status %02x, sense %x, want GOOD", result.Status, result.Sense)
 	}
 }
 
-// ABORT TASK on a write that is out: its response comes only once the write can't
-// take effect any more, and no status follows.
+// The response to ABORT TASK must wait until the aborted write can no longer take effect, and no
+// status may follow for the write.
 func TestAbortWaitsForAttempt(t *testing.T) {
 	h := newHarness(t, useOneShard)
 	pending := make(chan *receivedAttempt, 1)
 	h.startFakeDiskServer(func(attempt *receivedAttempt, request diskproto.Do) { pending <- attempt })
 	client := h.connect(normalVolume, 1)
-	task := client.Submit(0, initiator.WriteCDB(0, 1), make([]byte, 4096), 0, func(iscsi.Result, error) { t.Error("a status for an aborted command") })
+	task := client.Submit(0, initiator.WriteCDB(0, 1), make([]byte, 4096), 0, func(iscsi.Result, error) { t.Error("got a status for an aborted command") })
 	attempt := <-pending
 	responses := make(chan byte, 1)
 	client.Abort(task, func(code byte) { responses <- code })
-	h.execute(client, initiator.ReadCDB(0, 0), nil, 4096) // the target has handled the abort by now
+	h.execute(client, initiator.ReadCDB(0, 0), nil, 4096) // when it ends, the target has received the abort
 	select {
 	case <-responses:
-		t.Fatal("the abort was answered while the write was out")
+		t.Fatal("got the response to the abort while the write's attempt was outstanding")
 	default:
 	}
 	attempt.answer(diskproto.Answer{Result: diskproto.OK})
 	if code := <-responses; code != iscsi.FunctionComplete {
-		t.Errorf("response %d", code)
+		t.Errorf("abort: got response %d, want function complete", code)
 	}
 }
 
-// A client that closes mid-write: what was sent is not sent again.
+// A write whose client disconnected must not be retried.
 func TestNoRetryAfterClientCloses(t *testing.T) {
 	h := newHarness(t, useOneShard)
 	pending := make(chan *receivedAttempt, 4)
@@ -193,17 +192,17 @@
 	client.Submit(0, initiator.WriteCDB(0, 1), make([]byte, 4096), 0, func(iscsi.Result, error) {})
 	attempt := <-pending
 	client.Close()
-	h.waitFor("the host to let go", func() bool { return h.gateway.Status().Open == 0 })
-	attempt.answer(diskproto.Answer{Result: diskproto.Failed}) // a reason to try again, for whom nobody waits
+	h.waitFor("no request is open", func() bool { return h.gateway.Status().Open == 0 })
+	attempt.answer(diskproto.Answer{Result: diskproto.Failed}) // would be retried if the client were still connected
 	otherClient := h.connect(normalVolume, 2)
 	otherClient.Submit(0, initiator.ReadCDB(0, 1), nil, 4096, func(iscsi.Result, error) {})
 	<-pending
 	if requests := diskServer.receivedRequests(); len(requests) != 2 || requests[1].Op == requests[0].Op {
-		t.Errorf("after the client left: %d attempts", len(requests))
+		t.Errorf("got %d attempts, want one of the write and one of the read", len(requests))
 	}
 }
 
-// rawInitiator is an initiator by hand, for what the real one never does.
+// rawInitiator sends PDUs built by a test, including invalid ones.
 type rawInitiator struct {
 	t       *testing.T
 	conn    net.Conn
@@ -211,6 +210,8 @@
 	digests iscsi.Digests
 }
 
+// connectRaw connects a rawInitiator to the gateway, without a login. Its reads and writes fail
+// after 20 s.
 func (h *harness) connectRaw() *rawInitiator {
 	h.t.Helper()
 	conn, err := net.Dial("tcp", h.gateway.Addr().String())
@@ -238,6 +239,7 @@
 	return pdu.Clone()
 }
 
+// loginPDU returns a login request with CmdSN 1.
 func loginPDU(flags byte, keys ...iscsi.Key) *iscsi.PDU {
 	pdu := iscsi.New(iscsi.OpLoginReq).SetImmediate().SetFlags(flags)
 	pdu.BHS[8], pdu.BHS[13] = 0x80, 9
@@ -246,18 +248,19 @@
 	return pdu
 }
 
+// loginKeys returns the keys that open a normal session to a volume's target.
 func (h *harness) loginKeys(volume int) []iscsi.Key {
 	return []iscsi.Key{{Name: "InitiatorName", Value: "iqn.2026-11.example.client:hand"},
 		{Name: "TargetName", Value: h.settings.TargetName(&h.settings.Volumes[volume])}, {Name: "SessionType", Value: "Normal"}}
 }
 
-// login goes straight from the operational stage to full feature.
+// login enters the full feature phase with one request, without security negotiation.
 func (i *rawInitiator) login(h *harness, volume int, extraKeys ...iscsi.Key) {
 	i.t.Helper()
 	i.send(loginPDU(0x87, append(h.loginKeys(volume), extraKeys...)...))
 	response := i.receive()
 	if response.Opcode() != iscsi.OpLoginResp || response.BHS[36] != 0 || response.Flags()&3 != 3 {
-		i.t.Fatalf("login: %02x %02x%02x flags %02x", byte(response.Opcode()), response.BHS[36], response.BHS[37], response.Flags())
+		i.t.Fatalf("login: got opcode %02x, status %02x%02x, flags %02x, want success in the full feature phase", byte(response.Opcode()), response.BHS[36], response.BHS[37], response.Flags())
 	}
 	for _, key := range extraKeys {
 		i.digests.Header = i.digests.Header || key.Name == "HeaderDigest" && key.Value == "CRC32C"
@@ -266,6 +269,7 @@
 	i.reader.Digests = i.digests
 }
 
+// commandPDU returns a SCSI command request to LUN 0 that expects to transfer expectedLength bytes.
 func commandPDU(cmdSN, taskTag uint32, flags byte, expectedLength uint32, cdb []byte) *iscsi.PDU {
 	pdu := iscsi.New(iscsi.OpCommand).SetFlags(flags)
 	copy(pdu.BHS[32:], cdb)
@@ -286,8 +290,8 @@
 	}
 }
 
-// A client that stops between an R2T and its last Data-Out: nothing of the write
-// reaches a disk server, and it is failed in time.
+// A write whose client sends only part of the data must fail by its deadline and must not reach a
+// disk server.
 func TestWriteWithMissingDataFails(t *testing.T) {
 	h := newHarness(t, func(s *settings.Settings) {
 		useOneShard(s)
@@ -301,30 +305,30 @@
 	raw.send(commandPDU(1, 5, 0xa1, 8192, initiator.WriteCDB(0, 2)))
 	r2t := raw.receive()
 	if r2t.Opcode() != iscsi.OpR2T || r2t.Word(iscsi.AtLength) != 8192 {
-		t.Fatalf("got %02x for %d bytes", byte(r2t.Opcode()), r2t.Word(iscsi.AtLength))
+		t.Fatalf("got opcode %02x for %d bytes, want an R2T for 8192", byte(r2t.Opcode()), r2t.Word(iscsi.AtLength))
 	}
 	dataOut := iscsi.New(iscsi.OpDataOut).SetFlags(0).Set(iscsi.AtITT, 5).Set(iscsi.AtTTT, r2t.Word(iscsi.AtTTT))
 	dataOut.Data = make([]byte, 4096)
 	raw.send(dataOut)
 	response := raw.receive()
 	if response.Opcode() != iscsi.OpResponse || response.BHS[3] != scsi.CheckCondition {
-		t.Errorf("got %02x status %02x", byte(response.Opcode()), response.BHS[3])
+		t.Errorf("got opcode %02x, status %02x, want a response with CHECK CONDITION", byte(response.Opcode()), response.BHS[3])
 	}
-	// The rest comes too late and is passed over; the session goes on.
+	// Data that arrives after the write failed is ignored, and the session continues.
 	dataOut.SetFlags(0x80).Set(iscsi.AtDataSN, 1).Set(iscsi.AtOffset, 4096)
 	raw.send(dataOut)
 	raw.send(commandPDU(2, 6, 0xc1, 4096, initiator.ReadCDB(0, 1)))
 	if pdu := raw.receive(); pdu.Opcode() != iscsi.OpDataIn {
-		t.Errorf("the session did not go on: %02x", byte(pdu.Opcode()))
+		t.Errorf("read on the same session: got opcode %02x, want Data-In", byte(pdu.Opcode()))
 	}
 	for _, request := range diskServer.receivedRequests() {
 		if scsi.Op(request.Op) == scsi.Write {
-			t.Error("half a write was sent on")
+			t.Error("disk server got a write whose data was incomplete")
 		}
 	}
 }
 
-// A login that is dropped after any of its bytes leaves nothing behind.
+// A connection that closes during its login must leave no session.
 func TestDroppedLoginsLeaveNoSession(t *testing.T) {
 	h := newHarness(t, nil)
 	loginBytes := loginPDU(0x81, append(h.loginKeys(normalVolume), iscsi.Key{Name: "AuthMethod", Value: "None"})...).Append(nil, iscsi.Digests{})
@@ -332,16 +336,16 @@
 		raw := h.connectRaw()
 		raw.conn.Write(loginBytes[:length])
 		if length == len(loginBytes) {
-			raw.receive() // the security stage is answered; the client leaves before the next
+			raw.receive() // the response of the security stage; the client disconnects before the next stage
 		}
 		raw.conn.Close()
 	}
-	h.waitFor("the half logins to end", func() bool { return h.gateway.Status().Sessions == 0 })
+	h.waitFor("no session remains", func() bool { return h.gateway.Status().Sessions == 0 })
 	h.execute(h.connect(normalVolume, 1), initiator.ReadCDB(0, 1), nil, 4096)
 }
 
-// A length field of 16 MiB less one, the most it can say, allocates nothing and
-// ends the connection; so does a text key of 100 KB, over several PDUs.
+// A PDU with the maximum data length (16 MiB - 1) must end the connection, and login text of more
+// than the limit must be rejected. Neither may allocate memory for the given length.
 func TestOversizedLengths(t *testing.T) {
 	h := newHarness(t, nil)
 	raw := h.connectRaw()
@@ -361,36 +365,38 @@
 		}
 	}
 	if lastResponse == nil || iscsi.LoginStatus(binary.BigEndian.Uint16(lastResponse.BHS[36:])) != iscsi.LoginOutOfResources {
-		t.Errorf("the long text was not refused: %v", lastResponse)
+		t.Errorf("login text of 100 KiB: got %v, want status out of resources", lastResponse)
 	}
 
-	// A command that speaks of 4 GiB is answered, with nothing reserved for it.
+	// A write of 4 GiB is answered without memory allocated for its data.
 	raw = h.connectRaw()
 	raw.login(h, normalVolume)
 	raw.send(commandPDU(1, 5, 0xa1, 0xffffffff, initiator.WriteCDB(0, 0xffffffff)))
 	if response := raw.receive(); response.Opcode() != iscsi.OpResponse || response.BHS[3] != scsi.CheckCondition {
-		t.Errorf("4 GiB write: %02x status %02x", byte(response.Opcode()), response.BHS[3])
+		t.Errorf("write of 4 GiB: got opcode %02x, status %02x, want a response with CHECK CONDITION", byte(response.Opcode()), response.BHS[3])
 	}
 	if memory := h.gateway.Status().Memory; memory > 1<<20 {
-		t.Errorf("%d bytes are held", memory)
+		t.Errorf("got %d bytes of buffers, want at most 1 MiB", memory)
 	}
 }
 
+// Commands outside the CmdSN window must be ignored, and a gap within it must end the connection.
 func TestWrongCmdSN(t *testing.T) {
 	h := newHarness(t, nil)
 	raw := h.connectRaw()
 	raw.login(h, normalVolume)
 	testUnitReady := make([]byte, 6)
-	raw.send(commandPDU(0, 1, 0x81, 0, testUnitReady))   // below the window: passed over
-	raw.send(commandPDU(500, 2, 0x81, 0, testUnitReady)) // beyond it: passed over
+	raw.send(commandPDU(0, 1, 0x81, 0, testUnitReady))   // below the window: ignored
+	raw.send(commandPDU(500, 2, 0x81, 0, testUnitReady)) // above the window: ignored
 	raw.send(commandPDU(1, 3, 0x81, 0, testUnitReady))
 	if pdu := raw.receive(); pdu.ITT() != 3 {
-		t.Errorf("answer to task %d", pdu.ITT())
+		t.Errorf("got a response to task %d, want 3", pdu.ITT())
 	}
-	raw.send(commandPDU(4, 4, 0x81, 0, testUnitReady)) // a gap that nothing can fill
+	raw.send(commandPDU(4, 4, 0x81, 0, testUnitReady)) // leaves a gap, which cannot be filled on this connection
 	raw.waitForClose()
 }
 
+// A wrong header digest must end the connection. A wrong data digest must be rejected first.
 func TestWrongDigests(t *testing.T) {
 	h := newHarness(t, nil)
 	for _, offset := range []int{20, 48 + 4 + 10} { // in the header, in the data
@@ -403,15 +409,15 @@
 		raw.conn.Write(encoded)
 		if offset > 48 {
 			if pdu := raw.receive(); pdu.Opcode() != iscsi.OpReject || pdu.BHS[2] != iscsi.RejectDataDigest {
-				t.Errorf("data digest: got %02x", byte(pdu.Opcode()))
+				t.Errorf("wrong data digest: got opcode %02x, want a reject for it", byte(pdu.Opcode()))
 			}
 		}
 		raw.waitForClose()
 	}
 }
 
-// A second login of the same initiator takes the place of its session: the old
-// one's commands end, and only then does the new one begin.
+// A second login with the same initiator name and ISID must replace the session and end the old
+// one's commands. Another ISID opens a separate session.
 func TestSessionReinstatement(t *testing.T) {
 	h := newHarness(t, useOneShard)
 	pending := make(chan *receivedAttempt, 4)
@@ -428,18 +434,18 @@
 	<-pending
 	newClient := h.connect(normalVolume, 1)
 	if err := <-errs; !errors.Is(err, initiator.ErrClosed) {
-		t.Errorf("the old session's command ended with %v", err)
+		t.Errorf("command of the old session: got error %v, want that its connection is closed", err)
 	}
 	if n := h.gateway.Status().Sessions; n != 1 {
-		t.Errorf("%d sessions", n)
+		t.Errorf("got %d sessions, want 1", n)
 	}
 	h.execute(newClient, initiator.ReadCDB(0, 1), nil, 4096)
-	otherClient := h.connect(normalVolume, 2) // another ISID is another session
+	otherClient := h.connect(normalVolume, 2) // another ISID
 	h.execute(otherClient, initiator.ReadCDB(0, 1), nil, 4096)
 	h.execute(newClient, initiator.ReadCDB(0, 1), nil, 4096)
 }
 
-// A thousand idle sessions, then one that works beside them.
+// A thousand idle sessions must not be closed or keep another session from being served.
 func TestThousandIdleSessions(t *testing.T) {
 	h := newHarness(t, nil)
 	for i := range 1000 {
@@ -447,17 +453,18 @@
 			Name: "iqn.2026-11.example.client:idle", Target: h.settings.TargetName(&h.settings.Volumes[normalVolume]),
 			ISID: iscsi.ISID{0x80, 0, 0, 1, byte(i >> 8), byte(i)}, Params: initiator.DefaultParams(), LoginTime: 20 * time.Second})
 		if err != nil {
-			t.Fatalf("session %d: %v", i, err)
+			t.Fatalf("login of session %d: %v", i, err)
 		}
 		t.Cleanup(client.Close)
 	}
 	if n := h.gateway.Status().Sessions; n != 1000 {
-		t.Errorf("%d sessions", n)
+		t.Errorf("got %d sessions, want 1000", n)
 	}
 	h.execute(h.connect(normalVolume, 1), initiator.ReadCDB(0, 1), nil, 4096)
 }
 
-// A client that asks and never reads is closed, and what is held for it is bounded.
+// A client that sends commands and never reads must be disconnected, and the memory used for it
+// must be limited.
 func TestClientThatNeverReads(t *testing.T) {
 	h := newHarness(t, func(s *settings.Settings) { s.Target.WriteTime, s.Target.Memory = 300, 32<<20 })
 	raw := h.connectRaw()
@@ -470,12 +477,13 @@
 		maxMemory = max(maxMemory, h.gateway.Status().Memory)
 	}
 	if maxMemory > 33<<20 {
-		t.Errorf("%d bytes were held for one client", maxMemory)
+		t.Errorf("got %d bytes of buffers for one client, want at most 33 MiB", maxMemory)
 	}
-	h.waitFor("the session to end", func() bool { status := h.gateway.Status(); return status.Sessions == 0 && status.Memory == 0 })
+	h.waitFor("the session has ended and its memory is free", func() bool { status := h.gateway.Status(); return status.Sessions == 0 && status.Memory == 0 })
 }
 
-// At a graceful stop what was taken is answered, and the client is told.
+// A graceful stop must request logout from clients, reject new connections and answer outstanding
+// commands.
 func TestGracefulStop(t *testing.T) {
 	h := newHarness(t, func(s *settings.Settings) { useOneShard(s); s.Target.StopTime = 100 })
 	pending := make(chan *receivedAttempt, 1)
@@ -495,15 +503,16 @@
 	go func() { h.gateway.Stop(context.Background()); close(stopped) }()
 	<-logoutRequests
 	if _, err := net.Dial("tcp", h.gateway.Addr().String()); err == nil {
-		t.Error("a new connection was taken")
+		t.Error("dial during the stop succeeded, want an error")
 	}
 	attempt.answer(diskproto.Answer{Result: diskproto.OK})
 	if result := <-results; result.Status != scsi.Good {
-		t.Errorf("status %02x", result.Status)
+		t.Errorf("write during the stop: got status %02x, want GOOD", result.Status)
 	}
 	<-stopped
 }
 
+// A changed layout must apply to the next command of an open session.
 func TestSettingsChangeBetweenRequests(t *testing.T) {
 	h := newHarness(t, nil)
 	client := h.connect(normalVolume, 1)
@@ -517,7 +526,7 @@
 		t.Fatal(err)
 	}
 	if result := h.execute(client, initiator.ReadCDB(0, 1), nil, 4096); bytes.Equal(result.Data, want) {
-		t.Error("the new layout was not used: it points at a shard without the block")
+		t.Error("got the written block under the new layout, want that of another shard")
 	}
 	changed.Version++
 	changed.Volumes = append([]settings.Volume(nil), changed.Volumes...)
@@ -526,12 +535,12 @@
 		t.Fatal(err)
 	}
 	if result := h.execute(client, initiator.ReadCDB(0, 1), nil, 4096); !bytes.Equal(result.Data, want) {
-		t.Error("the old layout, put again, does not find the block")
+		t.Error("got other data under the restored layout, want the written block")
 	}
 }
 
-// LUN RESET ends the tasks of every session of the unit; the others are told by a
-// unit attention, and the response waits for all of them.
+// LOGICAL UNIT RESET must abort the tasks of all sessions of the logical unit, report a unit
+// attention to the other sessions, and be answered once no aborted task can take effect.
 func TestLUNResetReachesOtherSessions(t *testing.T) {
 	h := newHarness(t, useOneShard)
 	pending := make(chan *receivedAttempt, 2)
@@ -545,41 +554,41 @@
 	client, otherClient := h.connect(normalVolume, 1), h.connect(normalVolume, 2)
 	otherClient.Submit(0, initiator.WriteCDB(0, 1), make([]byte, 4096), 0, func(result iscsi.Result, err error) {
 		if err == nil {
-			t.Error("a status for a command that was reset")
+			t.Error("got a status for a command aborted by a reset")
 		}
 	})
 	attempt := <-pending
 	responses := make(chan byte, 1)
 	client.Manage(iscsi.LUNReset, func(code byte, _ error) { responses <- code })
-	testUnitReady := make([]byte, 6) // TEST UNIT READY is answered at once and can't be reset itself
+	testUnitReady := make([]byte, 6) // TEST UNIT READY is answered at once, so a reset cannot abort it
 	result := h.execute(otherClient, testUnitReady, nil, 0)
-	for result.Status == scsi.Good { // the reset has not reached it yet
+	for result.Status == scsi.Good { // the reset has not taken effect yet
 		result = h.execute(otherClient, testUnitReady, nil, 0)
 	}
 	if sense, _ := scsi.ParseSense(result.Sense); sense != scsi.DeviceReset {
-		t.Errorf("sense %v", sense)
+		t.Errorf("command after the reset: got sense %v, want that of a device reset", sense)
 	}
 	if result := h.execute(otherClient, testUnitReady, nil, 0); result.Status != scsi.Good {
-		t.Errorf("the attention is told once: %02x", result.Status)
+		t.Errorf("second command after the reset: got status %02x, want GOOD", result.Status)
 	}
 	select {
 	case <-responses:
-		t.Fatal("answered while the other session's write was out")
+		t.Fatal("got the response to the reset while the other session's write was outstanding")
 	default:
 	}
 	attempt.answer(diskproto.Answer{Result: diskproto.OK})
 	if code := <-responses; code != iscsi.FunctionComplete {
-		t.Errorf("response %d", code)
+		t.Errorf("reset: got response %d, want function complete", code)
 	}
 }
 
-// A server that leaves the list keeps no connection.
+// The connection to a disk server that was removed from the inventory must be closed.
 func TestConnectionToRemovedServerCloses(t *testing.T) {
 	h := newHarness(t, useOneShard)
 	h.execute(h.connect(normalVolume, 1), initiator.ReadCDB(0, 1), nil, 4096)
 	if n := h.gateway.Status().ConnectedServers; n != 1 {
-		t.Fatalf("%d connections", n)
+		t.Fatalf("got %d connected disk servers, want 1", n)
 	}
 	h.inventory.ChangeNow(func(book *inventory.Book) { book.Health(h.diskServers[0].Addr, inventory.Gone) })
-	h.waitFor("the connection to end", func() bool { return h.gateway.Status().ConnectedServers == 0 })
+	h.waitFor("no disk server is connected", func() bool { return h.gateway.Status().ConnectedServers == 0 })
 }
--- a/internal/control/gateway/gateway_test.go
+++ b/internal/control/gateway/gateway_test.go
@@ -22,7 +22,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// harness runs a gateway with an inventory and one simulated disk server for each shard, on loopback sockets.
+// harness runs a gateway with an inventory and one simulated disk server for each shard, on
+// loopback sockets.
 type harness struct {
 	t           *testing.T
 	environment *env.Real
--- a/internal/control/gateway/host_test.go
+++ b/internal/control/gateway/host_test.go
@@ -12,7 +12,8 @@
 	"merlinhitch/policy"
 )
 
-// A timer that comes due while one event is handled goes before the next event of its batch.
+// A timer that becomes due while an event is handled must run before the next event of the same
+// batch.
 func TestTimersGoBetweenEvents(t *testing.T) {
 	environment := env.NewReal()
 	h := newHost(environment, settings.Example(1, 1), 0, "h0", "z0", nil, zap.NewNop())
@@ -39,18 +40,18 @@
 		},
 		func(*core) { ready <- fired() },
 	}
-	h.mu.Lock() // both are in one batch
+	h.mu.Lock() // so that both are in one batch
 	for _, run := range events {
 		h.queue = append(h.queue, event{kind: eventRun, run: run})
 	}
 	h.mu.Unlock()
 	h.wake.Unpark()
 	if firedDuringFirst, firedBeforeSecond := <-ready, <-ready; firedDuringFirst || !firedBeforeSecond {
-		t.Errorf("fired during the first event: %v, before the second: %v", firedDuringFirst, firedBeforeSecond)
+		t.Errorf("timer fired during the first event: %v, before the second: %v, want false and true", firedDuringFirst, firedBeforeSecond)
 	}
 }
 
-// What looks at the core finds its clock at the present time, also where nothing came due.
+// A function run on the core must find its clock at the current time, even if no timer was due.
 func TestRunAndWaitAdvancesClock(t *testing.T) {
 	environment := env.NewReal()
 	h := newHost(environment, settings.Example(1, 1), 0, "h0", "z0", nil, zap.NewNop())
@@ -60,7 +61,7 @@
 		before := env.MS(environment.Now())
 		var now float64
 		if !h.runAndWait(func(c *core) { now = c.now }) || now < before {
-			t.Errorf("asked at %.3f ms, the core has %.3f", before, now)
+			t.Errorf("called at %.3f ms: got the core's clock %.3f, want that time or later", before, now)
 		}
 	}
 }
--- a/internal/control/gateway/keys_test.go
+++ b/internal/control/gateway/keys_test.go
@@ -17,7 +17,8 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// testAuthority is an authority, the folders of its holders, and the clock of them all.
+// testAuthority is a certificate authority with the folders of its holders. All use its clock,
+// which a test can advance.
 type testAuthority struct {
 	t           *testing.T
 	dir         string
@@ -38,6 +39,7 @@
 
 func (a *testAuthority) holderDir(name string) string { return filepath.Join(a.dir, name) }
 
+// issue writes a new certificate for a name to the holder's folder.
 func (a *testAuthority) issue(name string, role keys.Role, lifetime time.Duration) {
 	a.t.Helper()
 	if _, err := a.authority.Issue(name, role, lifetime, []string{"127.0.0.1"}, a.holderDir(name)); err != nil {
@@ -45,6 +47,7 @@
 	}
 }
 
+// newHolder issues a certificate and reads the holder's folder.
 func (a *testAuthority) newHolder(name string, role keys.Role, lifetime time.Duration) *keys.Holder {
 	a.t.Helper()
 	a.issue(name, role, lifetime)
@@ -55,15 +58,15 @@
 	return holder
 }
 
+// newAPI returns a TLS client of the admin API at addr, with a certificate of role.
 func (a *testAuthority) newAPI(addr, name string, role keys.Role, lifetime time.Duration) *settings.API {
 	api := settings.NewTLSAPI(addr, a.newHolder(name, role, lifetime).Client("127.0.0.1"))
 	a.t.Cleanup(api.Close)
 	return api
 }
 
-// Host and disk servers speak TLS with certificates of both; keys are renewed, and the
-// authority's as well, while clients read and write: every connection is made anew and no
-// command is refused or lost.
+// No command may be refused or lost when the keys of the host, the disk servers and the authority
+// are rotated under load.
 func TestKeyRotationUnderLoad(t *testing.T) {
 	authority := newTestAuthority(t)
 	hostKeys, diskServerKeys := authority.newHolder("host", keys.Machine, 24*time.Hour), authority.newHolder("disks", keys.Machine, 24*time.Hour)
@@ -82,16 +85,16 @@
 				}
 				result, err := client.Do(context.Background(), cdb, data, 4096)
 				if err != nil || result.Status != scsi.Good {
-					t.Errorf("status %02x, %v", result.Status, err)
+					t.Errorf("command during the rotation: got status %02x, error %v, want GOOD", result.Status, err)
 					return
 				}
 				servedCount.Add(1)
 			}
 		})
 	}
-	waitForCommands := func() { // commands go on under what was just done
+	waitForCommands := func() { // until 100 more commands were served
 		target := servedCount.Load() + 100
-		h.waitFor("commands", func() bool { return servedCount.Load() > target || t.Failed() })
+		h.waitFor("100 more commands are served", func() bool { return servedCount.Load() > target || t.Failed() })
 	}
 	reload := func() {
 		t.Helper()
@@ -120,49 +123,49 @@
 	reload()
 	done.Store(true)
 	tasks.Wait()
-	t.Logf("%d commands while the host's keys were renewed three times and the authority's once: none refused or lost", servedCount.Load())
+	t.Logf("%d commands served while keys were reloaded three times", servedCount.Load())
 }
 
-// A disk server of another authority is never spoken to, and a host of another is not let
-// in: clients are refused, and nothing runs.
+// When host and disk server have certificates of different authorities, nothing may reach the disk
+// server, and clients get BUSY.
 func TestOtherAuthorityIsRejected(t *testing.T) {
 	hostAuthority, diskAuthority := newTestAuthority(t), newTestAuthority(t)
 	h := newHarnessWithConfig(t, useOneShard, func(config *gateway.Config) { config.Keys = hostAuthority.newHolder("host", keys.Machine, time.Hour) },
 		diskAuthority.newHolder("disks", keys.Machine, time.Hour))
 	if result := h.execute(h.connect(normalVolume, 1), initiator.ReadCDB(0, 1), nil, 4096); result.Status != scsi.Busy {
-		t.Errorf("status %02x", result.Status)
+		t.Errorf("read: got status %02x, want BUSY", result.Status)
 	}
 	if n := h.diskServers[0].Served(); n != 0 {
-		t.Errorf("%d served", n)
+		t.Errorf("disk server served %d requests, want 0", n)
 	}
 }
 
-// A host's certificate that runs out in the midst of its connections: the disk server
-// takes nothing more by them, and with a new one the host goes on.
+// A disk server must serve nothing on open connections once the host's certificate has expired.
+// With a new certificate the host must be served again.
 func TestCertificateExpiresDuringConnections(t *testing.T) {
 	authority := newTestAuthority(t)
 	hostKeys := authority.newHolder("host", keys.Machine, time.Hour)
 	h := newHarnessWithConfig(t, useOneShard, func(config *gateway.Config) { config.Keys = hostKeys }, authority.newHolder("disks", keys.Machine, 48*time.Hour))
 	client := h.connect(normalVolume, 1)
 	if result := h.execute(client, initiator.ReadCDB(0, 1), nil, 4096); result.Status != scsi.Good {
-		t.Fatalf("status %02x", result.Status)
+		t.Fatalf("read before the expiry: got status %02x, want GOOD", result.Status)
 	}
 	served := h.diskServers[0].Served()
 	authority.clockOffset.Store(int64(2 * time.Hour))
 	if result := h.execute(client, initiator.ReadCDB(0, 1), nil, 4096); result.Status == scsi.Good {
-		t.Errorf("served under a certificate that had run out")
+		t.Errorf("read after the expiry: got GOOD, want another status")
 	}
 	if n := h.diskServers[0].Served(); n != served {
-		t.Errorf("%d served", n-served)
+		t.Errorf("disk server served %d requests after the expiry, want 0", n-served)
 	}
 	authority.issue("host", keys.Machine, 12*time.Hour)
 	if err := h.gateway.ReloadKeys(); err != nil {
 		t.Fatal(err)
 	}
-	h.waitFor("service", func() bool { return h.execute(client, initiator.ReadCDB(0, 1), nil, 4096).Status == scsi.Good })
+	h.waitFor("a read is served with the new certificate", func() bool { return h.execute(client, initiator.ReadCDB(0, 1), nil, 4096).Status == scsi.Good })
 }
 
-// What each role may do at the admin API, and that a certificate counts as of each call.
+// The admin API must enforce the permissions of each role and check the certificate on each call.
 func TestAdminAPIRoles(t *testing.T) {
 	authority := newTestAuthority(t)
 	h := newHarnessWithConfig(t, func(s *settings.Settings) {
@@ -188,30 +191,30 @@
 	}{{keys.Read, true, false, false}, {keys.Operate, true, true, false}, {keys.Administer, true, true, true}, {keys.Machine, false, false, false}} {
 		api := authority.newAPI(addr, "as-"+string(tt.role), tt.role, time.Hour)
 		if _, err := api.Get(ctx); (err == nil) != tt.mayRead {
-			t.Errorf("%s reads: %v", tt.role, err)
+			t.Errorf("role %s reads settings: got error %v, want the opposite", tt.role, err)
 		}
 		if err := change(api, changeLimit); (err == nil) != tt.mayChangeLimit {
-			t.Errorf("%s changes a limit: %v", tt.role, err)
+			t.Errorf("role %s changes a limit: got error %v, want the opposite", tt.role, err)
 		}
 		if err := change(api, changeSecret); (err == nil) != tt.mayAdminister {
-			t.Errorf("%s changes a secret: %v", tt.role, err)
+			t.Errorf("role %s changes a secret: got error %v, want the opposite", tt.role, err)
 		}
 		if err := api.Call(ctx, "/keys/reload"); (err == nil) != tt.mayAdminister {
-			t.Errorf("%s reloads keys: %v", tt.role, err)
+			t.Errorf("role %s reloads keys: got error %v, want the opposite", tt.role, err)
 		}
 	}
 	entries, err := h.gateway.Settings().Log(1, 10)
 	if err != nil || len(entries) != 4 || entries[1].Who != "as-operate" || entries[3].Who != "as-administer" {
-		t.Errorf("%v, %v", entries, err)
+		t.Errorf("settings log: got %v, error %v, want four entries with the names of the certificates", entries, err)
 	}
 	if _, err := settings.NewTLSAPI(addr, newTestAuthority(t).newHolder("x", keys.Administer, time.Hour).Client("127.0.0.1")).Get(ctx); err == nil {
-		t.Error("a stranger was let in")
+		t.Error("call with a certificate of another authority: got no error")
 	}
 	if _, err := settings.NewTLSAPI(addr, &tls.Config{InsecureSkipVerify: true}).Get(ctx); err == nil {
-		t.Error("a caller without a certificate was let in")
+		t.Error("call without a certificate: got no error")
 	}
 	if _, err := settings.NewAPI(addr).Get(ctx); err == nil {
-		t.Error("a caller in clear was let in")
+		t.Error("call without TLS: got no error")
 	}
 	expiringAPI := authority.newAPI(addr, "short", keys.Operate, time.Minute)
 	if _, err := expiringAPI.Get(ctx); err != nil {
@@ -219,12 +222,12 @@
 	}
 	authority.clockOffset.Store(int64(2 * time.Minute))
 	if _, err := expiringAPI.Get(ctx); err == nil || !strings.Contains(err.Error(), "run out") {
-		t.Errorf("in the midst of a session: %v", err)
+		t.Errorf("call after the certificate expired: got error %v, want one that says so", err)
 	}
 }
 
-// The Unix socket is for the gateway's own user, and an address that others reach needs
-// keys.
+// Changes over the Unix socket must be logged with the caller's user ID and the name it claims. An
+// admin address that is not local must be rejected without keys.
 func TestAdminUnixSocket(t *testing.T) {
 	socket := "unix:" + filepath.Join(t.TempDir(), "admin.sock")
 	h := newHarnessWithConfig(t, nil, func(config *gateway.Config) { config.Admin = socket }, nil)
@@ -240,10 +243,10 @@
 	}
 	entries, err := h.gateway.Settings().Log(2, 1)
 	if err != nil || len(entries) != 1 || !strings.HasPrefix(entries[0].Who, "uid ") || !strings.HasSuffix(entries[0].Who, ", claimed ines") {
-		t.Errorf("%+v, %v", entries, err)
+		t.Errorf("settings log: got %+v, error %v, want one entry by the caller's uid that claims ines", entries, err)
 	}
 	if gw, err := gateway.Start(gateway.Config{Environment: h.environment, Name: "h", Admin: "0.0.0.0:0", Inventory: h.inventory.Addr}); err == nil {
 		gw.Kill()
-		t.Error("an admin address for everybody without keys")
+		t.Error("gateway started with admin address 0.0.0.0 without keys, want an error")
 	}
 }
--- a/internal/control/gateway/metrics_test.go
+++ b/internal/control/gateway/metrics_test.go
@@ -22,7 +22,7 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// getAdmin fetches a getAdmin of the admin API.
+// getAdmin returns the status and body of a GET request to the admin API.
 func (h *harness) getAdmin(path string) (int, []byte) {
 	h.t.Helper()
 	response, err := http.Get("http://" + h.gateway.Admin().String() + path)
@@ -39,12 +39,12 @@
 
 func enableAdmin(c *gateway.Config) { c.Admin = "127.0.0.1:0" }
 
-// metricFamilies parses /metrics with a parser that the project did not write.
+// metricFamilies fetches, parses and lints /metrics with the parser and the linter of Prometheus.
 func (h *harness) metricFamilies() map[string]*dto.MetricFamily {
 	h.t.Helper()
 	code, body := h.getAdmin("/metrics")
 	if code != http.StatusOK {
-		h.t.Fatalf("%d: %s", code, body)
+		h.t.Fatalf("/metrics: got status %d, body %s, want 200", code, body)
 	}
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(bytes.NewReader(body))
@@ -61,7 +61,8 @@
 	return families
 }
 
-// sumSamples adds up the samples of a family whose labels have those values.
+// sumSamples adds up the samples of a family that have the given labels, which are names and values
+// in turn. A histogram counts as its number of observations.
 func sumSamples(family *dto.MetricFamily, labels ...string) (total float64) {
 	for _, metric := range family.GetMetric() {
 		matches := 0
@@ -79,7 +80,7 @@
 	return total
 }
 
-// What is counted is what clients and servers saw: by class, end, node and result.
+// Counters must agree with the commands that a client sent and the answers of the disk server.
 func TestMetricsAreExact(t *testing.T) {
 	h := newHarnessWithConfig(t, useOneShard, enableAdmin, nil)
 	diskServer := h.startFakeDiskServer(func(attempt *receivedAttempt, request diskproto.Do) {
@@ -122,14 +123,14 @@
 		{"merlinhitch_shards_without_node", nil, 0},
 	} {
 		if families[tt.name] == nil {
-			t.Errorf("there is no %s", tt.name)
+			t.Errorf("metric %s is missing", tt.name)
 		} else if got := sumSamples(families[tt.name], tt.labels...); got != tt.want {
-			t.Errorf("%s %v: %v, want %v", tt.name, tt.labels, got, tt.want)
+			t.Errorf("%s %v: got %v, want %v", tt.name, tt.labels, got, tt.want)
 		}
 	}
 }
 
-// What is named is bounded, however many volumes there are.
+// The number of series and the size of /metrics must stay bounded with many volumes.
 func TestMetricsAreBounded(t *testing.T) {
 	h := newHarnessWithConfig(t, func(s *settings.Settings) {
 		useOneShard(s)
@@ -145,13 +146,14 @@
 		client.Logout()
 	}
 	if n := len(h.metricFamilies()["merlinhitch_limit_left_units"].GetMetric()); n != 100 {
-		t.Errorf("%d volumes are named", n)
+		t.Errorf("merlinhitch_limit_left_units: got %d volumes, want 100", n)
 	}
 	if _, body := h.getAdmin("/metrics"); len(body) > 64<<10 {
-		t.Errorf("%d bytes", len(body))
+		t.Errorf("/metrics: got %d bytes, want at most 64 KiB", len(body))
 	}
 }
 
+// Readiness and /state must show a shard without a node, while the gateway still serves the others.
 func TestHealthReadinessAndState(t *testing.T) {
 	h := newHarnessWithConfig(t, nil, enableAdmin, nil)
 	waitForReadiness := func(code int, text string) {
@@ -162,7 +164,7 @@
 		})
 	}
 	if code, _ := h.getAdmin("/healthz"); code != http.StatusOK {
-		t.Errorf("%d", code)
+		t.Errorf("/healthz: got status %d, want 200", code)
 	}
 	waitForReadiness(http.StatusOK, "ready")
 	h.inventory.ChangeNow(func(book *inventory.Book) { book.Health(h.diskServers[1].Addr, inventory.Draining) })
@@ -177,6 +179,6 @@
 		Serves bool
 	}
 	if err := json.Unmarshal(body, &state); err != nil || code != http.StatusOK || len(state.Module.Shards) != 3 || state.Module.Shards[1].Node != "" || !state.Serves {
-		t.Errorf("%d, %v, %s", code, err, body)
+		t.Errorf("/state: got status %d, error %v, body %s, want 200 and no node for shard 1", code, err, body)
 	}
 }
--- a/internal/control/gateway/permit_test.go
+++ b/internal/control/gateway/permit_test.go
@@ -16,6 +16,7 @@
 	"merlinhitch/policy"
 )
 
+// sendWithStartBy sends each request to node n, to begin by 300 ms, with a timeout at 500 ms.
 func sendWithStartBy(event policy.Event) []policy.Action {
 	if request, ok := event.(policy.Request); ok {
 		return []policy.Action{policy.Send{ID: request.ID, Node: "n", TimeoutAt: 500, StartBy: 300}}
@@ -23,8 +24,8 @@
 	return nil
 }
 
-// An attempt that waits for its connection ends when it may not begin any more; one that has
-// begun goes on to its end.
+// An attempt that still waits for its connection must fail at beginBy. One that was claimed must
+// continue until its timeout.
 func TestWaitingAttemptFailsAfterBeginBy(t *testing.T) {
 	for _, claimed := range []bool{false, true} {
 		k, scheduler, effects := newTestCore(sendWithStartBy)
@@ -34,20 +35,20 @@
 		}
 		k.runDue(299)
 		if outcome := lastOutcome(scheduler); outcome.Result != -1 {
-			t.Errorf("claimed %v: %+v too early", claimed, outcome)
+			t.Errorf("claimed %v: got %+v before beginBy, want no outcome", claimed, outcome)
 		}
 		k.runDue(300)
 		if outcome := lastOutcome(scheduler); claimed != (outcome.Result == -1) || !claimed && outcome.Result != policy.NoConnection {
-			t.Errorf("claimed %v: %+v", claimed, outcome)
+			t.Errorf("claimed %v: got %+v at beginBy, want no outcome if claimed, else no connection", claimed, outcome)
 		}
 		k.runDue(500)
 		if outcome := lastOutcome(scheduler); claimed && outcome.Result != policy.NoAnswer {
-			t.Errorf("%+v", outcome)
+			t.Errorf("claimed attempt at its timeout: got %+v, want no answer", outcome)
 		}
 	}
 }
 
-// What is taken back before it began ends as never sent; what has begun goes on.
+// An attempt withdrawn before it was claimed must end as not sent. A claimed one must continue.
 func TestWithdrawAttempt(t *testing.T) {
 	for _, claimed := range []bool{false, true} {
 		k, scheduler, effects := newTestCore(sendOnRequest)
@@ -59,55 +60,56 @@
 		}
 		k.perform(policy.Withdraw{ID: j.id, Attempt: 0})
 		if !claimed && a.claim() {
-			t.Error("claimed after it was taken back")
+			t.Error("attempt could be claimed after its withdrawal")
 		}
 		k.runDue(101)
 		if outcome := lastOutcome(scheduler); claimed != (outcome.Result == -1) || !claimed && outcome.Result != policy.NotSent {
-			t.Errorf("claimed %v: %+v", claimed, outcome)
+			t.Errorf("claimed %v: got %+v after the withdrawal, want no outcome if claimed, else not sent", claimed, outcome)
 		}
-		k.perform(policy.Withdraw{ID: j.id, Attempt: 7}) // none of that number
+		k.perform(policy.Withdraw{ID: j.id, Attempt: 7}) // no such attempt
 		k.runDue(102)
 		if len(effects.outcomes) != 0 {
-			t.Error("the request ended")
+			t.Error("the job ended, want it open")
 		}
 	}
 }
 
-// An attempt that the back kept from going out waits for the outcome that is on its way, also
-// past its time: it has certainly not run.
+// An attempt that the connection pool dropped must have no outcome, even after its timeout, until
+// the pool reports it as not sent.
 func TestDroppedAttemptWaitsForOutcome(t *testing.T) {
 	k, scheduler, effects := newTestCore(sendOnRequest)
 	k.submit(100, &job{req: policy.Request{Expires: 2000}})
 	effects.attempts[0].drop()
 	k.runDue(600)
 	if outcome := lastOutcome(scheduler); outcome.Result != -1 {
-		t.Errorf("%+v", outcome)
+		t.Errorf("before the pool's report: got %+v, want no outcome", outcome)
 	}
 	k.failAttempt(601, effects.attempts[0], policy.NotSent)
 	if outcome := lastOutcome(scheduler); outcome.Result != policy.NotSent {
-		t.Errorf("%+v", outcome)
+		t.Errorf("after the pool's report: got %+v, want not sent", outcome)
 	}
 }
 
-// discardOwner owns a job of which the test awaits nothing.
+// discardOwner is an owner that ignores the job's result.
 type discardOwner struct{}
 
 func (discardOwner) jobEnded(*job, jobOutcome, float64, *diskproto.Answer) {}
 func (discardOwner) jobSettled()                                           {}
 
-// Nothing is put on a connection for a request that is over, or too late.
+// begin must write nothing for an attempt that may not begin, and that attempt must not be
+// claimable.
 func TestBeginSendsOnlyPermittedAttempts(t *testing.T) {
 	environment := env.NewReal()
 	for name, tt := range map[string]struct {
 		change func(a *attempt, now float64)
 		want   bool
 	}{
-		"in time":          {func(*attempt, float64) {}, true},
-		"request over":     {func(a *attempt, _ float64) { a.job.markEnded() }, false},
-		"too late":         {func(a *attempt, now float64) { a.beginBy = now - 1 }, false},
-		"time is up":       {func(a *attempt, now float64) { a.answerBy = now }, false},
-		"was taken back":   {func(a *attempt, _ float64) { a.drop() }, false},
-		"has time to wait": {func(a *attempt, now float64) { a.beginBy = now + 10_000 }, true},
+		"unchanged":      {func(*attempt, float64) {}, true},
+		"request ended":  {func(a *attempt, _ float64) { a.job.markEnded() }, false},
+		"after beginBy":  {func(a *attempt, now float64) { a.beginBy = now - 1 }, false},
+		"at answerBy":    {func(a *attempt, now float64) { a.answerBy = now }, false},
+		"dropped":        {func(a *attempt, _ float64) { a.drop() }, false},
+		"before beginBy": {func(a *attempt, now float64) { a.beginBy = now + 10_000 }, true},
 	} {
 		h := newHost(environment, settings.Example(1, 1), 0, "h0", "z0", nil, zap.NewNop())
 		poolEnd, serverEnd := net.Pipe()
@@ -119,10 +121,10 @@
 		conn.writes.Finish()
 		sent, err := io.ReadAll(serverEnd)
 		if err != nil || (len(sent) > 0) != tt.want {
-			t.Errorf("%s: %d bytes, %v", name, len(sent), err)
+			t.Errorf("%s: got %d bytes written, error %v, want some only if the attempt may begin", name, len(sent), err)
 		}
 		if !tt.want && a.claim() {
-			t.Errorf("%s: it may still go", name)
+			t.Errorf("%s: attempt could be claimed after begin refused it", name)
 		}
 		h.stop()
 	}
--- a/internal/control/gateway/recorder_test.go
+++ b/internal/control/gateway/recorder_test.go
@@ -11,8 +11,8 @@
 	"merlinhitch/internal/storage/history"
 )
 
-// Recorded counters must be readable after the gateway was killed, from the files and over the admin
-// API of a gateway started again.
+// Recorded counters must be readable after the gateway was killed, from the files and over the
+// admin API of a gateway started again.
 func TestHistorySurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	h := newHarnessWithConfig(t, nil, func(config *gateway.Config) { config.Admin, config.History = "127.0.0.1:0", dir }, nil)
--- a/internal/control/gateway/settingschange_test.go
+++ b/internal/control/gateway/settingschange_test.go
@@ -13,7 +13,8 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// changeSettings puts altered settings in force at the rig's gateway.
+// changeSettings applies settings edited from the current ones and returns them with their new
+// version.
 func (h *harness) changeSettings(edit func(s *settings.Settings)) *settings.Settings {
 	h.t.Helper()
 	s := *h.gateway.Settings().Get()
@@ -26,8 +27,8 @@
 	return changed
 }
 
-// A class whose deadline shrinks and a limit of attempts that falls while a write is out:
-// the write ends under what it was taken under, the next under the new.
+// A write that is outstanding when settings change must end under its old deadline and limit of
+// attempts. The next command must use the new settings.
 func TestSettingsChangeDuringWrite(t *testing.T) {
 	h := newHarness(t, useOneShard)
 	firstAttempt := make(chan *receivedAttempt, 1)
@@ -49,9 +50,9 @@
 			s.Classes[i].Aim, s.Classes[i].Deadline = 10, 10
 		}
 	})
-	attempt.conn.Close() // a second attempt is allowed by the settings that it was taken under
+	attempt.conn.Close() // the old settings allow a second attempt
 	if result := <-results; result.Status != scsi.Good {
-		t.Errorf("status %02x sense %x", result.Status, result.Sense)
+		t.Errorf("write under the old settings: got status %02x, sense %x, want GOOD", result.Status, result.Sense)
 	}
 	h.changeSettings(func(s *settings.Settings) {
 		for i := range s.Classes {
@@ -64,12 +65,12 @@
 		versions = append(versions, request.Under)
 	}
 	if !slices.Equal(versions, []uint64{oldVersion, oldVersion, oldVersion + 2}) {
-		t.Errorf("sent under %v, want twice %d and then %d", versions, oldVersion, oldVersion+2)
+		t.Errorf("settings versions of the attempts: got %v, want %d twice and then %d", versions, oldVersion, oldVersion+2)
 	}
 }
 
-// A volume that is removed with a write outstanding: the write has its one answer, and
-// what comes after is told that there is no such unit.
+// A write that is outstanding when its volume is removed must be answered. Later commands must fail
+// as to a logical unit that does not exist.
 func TestVolumeRemovedDuringWrite(t *testing.T) {
 	h := newHarness(t, useOneShard)
 	pending := make(chan *receivedAttempt, 1)
@@ -82,17 +83,16 @@
 	for _, cdb := range [][]byte{initiator.ReadCDB(0, 1), make([]byte, 6)} {
 		result := h.execute(client, cdb, nil, 4096)
 		if sense, _ := scsi.ParseSense(result.Sense); result.Status != scsi.CheckCondition || sense != scsi.NoSuchLUN {
-			t.Errorf("command %02x: status %02x, sense %v", cdb[0], result.Status, sense)
+			t.Errorf("command %02x: got status %02x, sense %v, want CHECK CONDITION for an unknown LUN", cdb[0], result.Status, sense)
 		}
 	}
 	attempt.answer(diskproto.Answer{Result: diskproto.OK})
 	if result := <-results; result.Status != scsi.Good {
-		t.Errorf("status %02x sense %x", result.Status, result.Sense)
+		t.Errorf("outstanding write: got status %02x, sense %x, want GOOD", result.Status, result.Sense)
 	}
 }
 
-// A plan that is new, a volume that goes over to it, and a class that is new are there
-// for the next command, without a restart.
+// A new plan, a volume's change to it and a new class must apply to the next command.
 func TestNewPlanAndClass(t *testing.T) {
 	h := newHarness(t, useOneShard)
 	diskServer := h.startFakeDiskServer(func(attempt *receivedAttempt, request diskproto.Do) { attempt.answer(okAnswer(request)) })
@@ -110,11 +110,11 @@
 	h.execute(client, initiator.WriteCDB(0, 1), make([]byte, 4096), 0)
 	requests := diskServer.receivedRequests()
 	if last := requests[len(requests)-1]; last.Plan != "novo" || last.Effect != diskproto.Unsafe {
-		t.Errorf("plan %s, effect %d", last.Plan, last.Effect)
+		t.Errorf("write after the change: got plan %s, effect %d, want novo and unsafe", last.Plan, last.Effect)
 	}
 }
 
-// What can't change in flight is refused by path, and nothing of the change is in force.
+// Settings that cannot change at run time must be rejected with their path, and not be applied.
 func TestFixedSettingsAreRejected(t *testing.T) {
 	h := newHarness(t, nil)
 	for path, edit := range map[string]func(s *settings.Settings){
@@ -128,10 +128,10 @@
 		edit(&s)
 		var faults *settings.FaultsError
 		if _, err := h.gateway.Settings().Put(&s); !errors.As(err, &faults) || faults.Faults[0].Path != path {
-			t.Errorf("%s: %v", path, err)
+			t.Errorf("%s: got error %v, want a fault of that path", path, err)
 		}
 	}
 	if version := h.gateway.Settings().Get().Version; version != 1 {
-		t.Errorf("version %d", version)
+		t.Errorf("settings version: got %d, want 1", version)
 	}
 }
