--- a/internal/verify/conform/conform.go
+++ b/internal/verify/conform/conform.go
@@ -132,54 +132,54 @@
 // discover reads the properties of the unit that the checks use: size, limits and operation codes.
 func (t *target) discover() error {
 	for range 3 { // the first replies may be unit attentions
-		if r, err := t.do(testUnitReadyCDB(), nil, 0); err != nil {
+		if result, err := t.do(testUnitReadyCDB(), nil, 0); err != nil {
 			return err
-		} else if r.Status == scsi.Good {
+		} else if result.Status == scsi.Good {
 			break
 		}
 	}
-	r, err := t.do(readCapacity16CDB(32), nil, 32)
+	result, err := t.do(readCapacity16CDB(32), nil, 32)
 	if err != nil {
 		return err
 	}
-	if r.Status != scsi.Good || len(r.Data) < 32 {
+	if result.Status != scsi.Good || len(result.Data) < 32 {
 		return errors.New("conform: READ CAPACITY (16) failed or returned less than 32 bytes")
 	}
-	t.blocks, t.blockSize = binary.BigEndian.Uint64(r.Data)+1, int(binary.BigEndian.Uint32(r.Data[8:]))
+	t.blocks, t.blockSize = binary.BigEndian.Uint64(result.Data)+1, int(binary.BigEndian.Uint32(result.Data[8:]))
 	if t.blocks < 2*OverwrittenBlocks {
 		return fmt.Errorf("conform: logical unit of %d blocks is too small, need %d", t.blocks, 2*OverwrittenBlocks)
 	}
-	if r, err = t.do(inquiryCDB(1, 0xb0, 255), nil, 255); err != nil {
+	if result, err = t.do(inquiryCDB(1, 0xb0, 255), nil, 255); err != nil {
 		return err
 	}
-	if b := r.Data; r.Status == scsi.Good && len(b) >= 44 {
+	if page := result.Data; result.Status == scsi.Good && len(page) >= 44 {
 		be := binary.BigEndian
-		t.blockLimits = blockLimits{compareAndWrite: uint32(b[5]), transfer: be.Uint32(b[8:]), unmapBlocks: be.Uint32(b[20:]), unmapDescriptors: be.Uint32(b[24:]), writeSame: be.Uint64(b[36:]), wsnz: b[4]&1 != 0}
+		t.blockLimits = blockLimits{compareAndWrite: uint32(page[5]), transfer: be.Uint32(page[8:]), unmapBlocks: be.Uint32(page[20:]), unmapDescriptors: be.Uint32(page[24:]), writeSame: be.Uint64(page[36:]), wsnz: page[4]&1 != 0}
 	}
 	return t.discoverOpcodes()
 }
 
 func (t *target) discoverOpcodes() error {
 	t.supported = map[[2]byte]bool{}
-	r, err := t.do(supportedOpcodesCDB(0, 0, 0, 1<<16), nil, 1<<16)
+	result, err := t.do(supportedOpcodesCDB(0, 0, 0, 1<<16), nil, 1<<16)
 	if err != nil {
 		return err
 	}
-	if r.Status != scsi.Good || len(r.Data) < 4 {
+	if result.Status != scsi.Good || len(result.Data) < 4 {
 		return errors.New("conform: REPORT SUPPORTED OPERATION CODES failed: supported commands are unknown")
 	}
-	for b := r.Data[4:]; len(b) >= 8; {
-		key := [2]byte{b[0], 0}
-		if b[5]&1 != 0 {
-			key[1] = b[3]
-			t.supported[[2]byte{b[0], 0}] = true
+	for descriptors := result.Data[4:]; len(descriptors) >= 8; {
+		key := [2]byte{descriptors[0], 0}
+		if descriptors[5]&1 != 0 {
+			key[1] = descriptors[3]
+			t.supported[[2]byte{descriptors[0], 0}] = true
 		}
 		t.supported[key] = true
 		size := 8
-		if b[5]&2 != 0 {
+		if descriptors[5]&2 != 0 {
 			size += 12
 		}
-		b = b[min(size, len(b)):]
+		descriptors = descriptors[min(size, len(descriptors)):]
 	}
 	return nil
 }
--- a/internal/verify/conform/reservations.go
+++ b/internal/verify/conform/reservations.go
@@ -88,8 +88,8 @@
 		return nil, errors.Join(err, fmt.Errorf("READ KEYS: %s", describe(result)))
 	}
 	var keys []uint64
-	for b := result.Data[8:]; len(b) >= 8; b = b[8:] {
-		keys = append(keys, binary.BigEndian.Uint64(b))
+	for list := result.Data[8:]; len(list) >= 8; list = list[8:] {
+		keys = append(keys, binary.BigEndian.Uint64(list))
 	}
 	return keys, nil
 }
@@ -233,11 +233,11 @@
 			return errors.Join(err, errors.New(describe(r)))
 		}
 		holders, registrations := 0, 0
-		for b := r.Data[8:]; len(b) >= 24; registrations++ {
-			if b[12]&1 != 0 {
+		for descriptors := r.Data[8:]; len(descriptors) >= 24; registrations++ {
+			if descriptors[12]&1 != 0 {
 				holders++
 			}
-			b = b[min(24+int(binary.BigEndian.Uint32(b[20:])), len(b)):]
+			descriptors = descriptors[min(24+int(binary.BigEndian.Uint32(descriptors[20:])), len(descriptors)):]
 		}
 		if registrations != 2 || holders != 1 {
 			return fmt.Errorf("got %d registrations with %d holders, want 2 with 1", registrations, holders)
--- a/internal/verify/conform/table.go
+++ b/internal/verify/conform/table.go
@@ -290,9 +290,9 @@
 	if err != nil {
 		return err
 	}
-	for b := all[4:]; len(b) > 0; b = b[20:] {
-		if len(b) < 20 || b[5]&2 == 0 || b[9] != 10 {
-			return fmt.Errorf("query of all operation codes: %x", b)
+	for descriptors := all[4:]; len(descriptors) > 0; descriptors = descriptors[20:] {
+		if len(descriptors) < 20 || descriptors[5]&2 == 0 || descriptors[9] != 10 {
+			return fmt.Errorf("query of all operation codes: %x", descriptors)
 		}
 	}
 	return nil
@@ -389,30 +389,30 @@
 // op. The function transfer returns the data out and the length of data in for one block.
 func addRangeChecks(add func(byte, string, func(*target) error), op byte, transfer func(*target) ([]byte, int)) {
 	add(op, "the last block is readable, the next is out of range", func(t *target) error {
-		out, in := transfer(t)
+		dataOut, inLength := transfer(t)
 		if op < 0x20 && t.blocks > 1<<21 || op != 0x88 && op != 0x8a && op != 0x8f && op != 0x93 && op != 0x91 && t.blocks > 1<<32 {
 			return nil // the LBA does not fit into the CDB
 		}
 		if op == 0x88 || op == 0x28 || op == 0xa8 || op == 0x08 {
-			if _, err := t.expectGood(blockCDB(op, t.blocks-1, 1), out, in); err != nil {
+			if _, err := t.expectGood(blockCDB(op, t.blocks-1, 1), dataOut, inLength); err != nil {
 				return err
 			}
 		}
 		if op < 0x20 && t.blocks == 1<<21 {
 			return nil
 		}
-		return t.expectSense(scsi.LBAOutOfRange, blockCDB(op, t.blocks, 1), out, in)
+		return t.expectSense(scsi.LBAOutOfRange, blockCDB(op, t.blocks, 1), dataOut, inLength)
 	})
 	if op >= 0x80 && op < 0xa0 {
 		add(op, "the maximum LBA is out of range", func(t *target) error {
-			out, in := transfer(t)
-			return t.expectSense(scsi.LBAOutOfRange, blockCDB(op, 1<<64-1, 1), out, in)
+			dataOut, inLength := transfer(t)
+			return t.expectSense(scsi.LBAOutOfRange, blockCDB(op, 1<<64-1, 1), dataOut, inLength)
 		})
 	}
 	if op >= 0x20 && op != 0x35 && op != 0x91 {
 		add(op, "a nonzero protection field is refused", func(t *target) error {
-			out, in := transfer(t)
-			return t.expectSense(scsi.InvalidField, withFlags(blockCDB(op, 0, 1), 0x20), out, in)
+			dataOut, inLength := transfer(t)
+			return t.expectSense(scsi.InvalidField, withFlags(blockCDB(op, 0, 1), 0x20), dataOut, inLength)
 		})
 		if op != 0x41 && op != 0x93 {
 			add(op, "a transfer length of 0 is GOOD", func(t *target) error { _, err := t.expectGood(blockCDB(op, 0, 0), nil, 0); return err })
@@ -423,8 +423,8 @@
 			if t.blockLimits.transfer == 0 || uint64(t.blockLimits.transfer)+1 > t.blocks {
 				return nil
 			}
-			out, in := transfer(t)
-			return t.expectSense(scsi.InvalidField, blockCDB(op, 0, t.blockLimits.transfer+1), out, in)
+			dataOut, inLength := transfer(t)
+			return t.expectSense(scsi.InvalidField, blockCDB(op, 0, t.blockLimits.transfer+1), dataOut, inLength)
 		})
 	}
 }
@@ -497,24 +497,24 @@
 			return t.expectData(0, b)
 		}},
 		{"SBC-3 Block Limits page", "COMPARE AND WRITE of the maximum length is GOOD at every LBA", []byte{0x89}, func(t *target) error {
-			n := t.blockLimits.compareAndWrite
-			for lba := uint64(0); lba+uint64(n) <= OverwrittenBlocks; lba++ {
-				old, err := t.expectGood(blockCDB(0x88, lba, n), nil, int(n)*t.blockSize)
+			blocks := t.blockLimits.compareAndWrite
+			for lba := uint64(0); lba+uint64(blocks) <= OverwrittenBlocks; lba++ {
+				old, err := t.expectGood(blockCDB(0x88, lba, blocks), nil, int(blocks)*t.blockSize)
 				if err != nil {
 					return err
 				}
-				if _, err := t.expectGood(compareAndWriteCDB(lba, byte(n)), append(slices.Clone(old), old...), 0); err != nil {
+				if _, err := t.expectGood(compareAndWriteCDB(lba, byte(blocks)), append(slices.Clone(old), old...), 0); err != nil {
 					return err
 				}
 			}
 			return nil
 		}},
 		{"SBC-3 Block Limits page", "COMPARE AND WRITE above the maximum length is refused", []byte{0x89}, func(t *target) error {
-			n := t.blockLimits.compareAndWrite + 1
-			if n > 255 {
+			blocks := t.blockLimits.compareAndWrite + 1
+			if blocks > 255 {
 				return nil
 			}
-			return t.expectSense(scsi.InvalidField, compareAndWriteCDB(0, byte(n)), make([]byte, 2*int(n)*t.blockSize), 0)
+			return t.expectSense(scsi.InvalidField, compareAndWriteCDB(0, byte(blocks)), make([]byte, 2*int(blocks)*t.blockSize), 0)
 		}},
 		{"SBC-3 UNMAP", "blocks of an UNMAP of two ranges read as zeros if LBPRZ is set", []byte{0x42}, func(t *target) error {
 			b, err := t.writePattern(11, 16)
@@ -681,9 +681,9 @@
 // checkManyWrites submits more writes than fit into a command window. The initiator keeps to the
 // window that the target advertises, so the target has no reason to refuse one.
 func checkManyWrites(t *target) error {
-	const n = 1000
-	results := make(chan error, n)
-	for i := range n {
+	const writes = 1000
+	results := make(chan error, writes)
+	for i := range writes {
 		lba := uint64(i % OverwrittenBlocks)
 		t.session.Submit(0, blockCDB(0x8a, lba, 1), pattern(byte(i), t.blockSize), 0, func(r iscsi.Result, err error) {
 			if err == nil && r.Status != scsi.Good {
@@ -694,7 +694,7 @@
 	}
 	failed := 0
 	var first error
-	for range n {
+	for range writes {
 		select {
 		case err := <-results:
 			if err != nil {
@@ -707,22 +707,22 @@
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d writes failed, first: %w", failed, n, first)
+		return fmt.Errorf("%d of %d writes failed, first: %w", failed, writes, first)
 	}
 	return nil
 }
 
 // checkAborts submits writes and aborts each at once.
 func checkAborts(t *target) error {
-	const n = 64
-	done := make(chan byte, n)
-	for i := range n {
+	const writes = 64
+	done := make(chan byte, writes)
+	for i := range writes {
 		handle := t.session.Submit(0, blockCDB(0x8a, uint64(i), 1), pattern(byte(i), t.blockSize), 0, func(iscsi.Result, error) {})
 		if !t.session.Abort(handle, func(code byte) { done <- code }) {
 			done <- 0 // the command had not been sent
 		}
 	}
-	for range n {
+	for range writes {
 		select {
 		case code := <-done:
 			if code != iscsi.FunctionComplete && code != iscsi.FunctionNoTask {
--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -73,18 +73,18 @@
 	ViolationCounts [9]int
 	Violations      []Violation
 
-	conns          map[uint32]*conn
-	sessions       map[sessionID]*conn
+	conns          map[uint32]*conn    // by the connection number of the trail
+	sessions       map[sessionID]*conn // client connection of the latest login
 	requests       map[requestID]*request
-	processes      map[string]*hostProcess
-	serverStarts   map[string]int64 // latest start of a server by its address, us
-	coldSends      map[string][]coldSend
-	buckets        map[string]*tokenBucket
-	keyQueues      map[keyQueueID][]*request
-	firstServed    map[int32][]servedHome // by shard; empty unless there are two regions
-	lastEventAt    int64
+	processes      map[string]*hostProcess   // by Event.Host
+	serverStarts   map[string]int64          // latest start of a server by its address, us
+	coldSends      map[string][]coldSend     // by server, within the overload window
+	buckets        map[string]*tokenBucket   // by volume
+	keyQueues      map[keyQueueID][]*request // ordered requests that may hold the key
+	firstServed    map[int32][]servedHome    // by shard; empty unless there are two regions
+	lastEventAt    int64                     // us
 	Stats          *Stats
-	volumeVariants map[string][]*settings.Volume
+	volumeVariants map[string][]*settings.Volume // see variants
 }
 
 type sessionID struct {
@@ -92,15 +92,18 @@
 	session uint32
 }
 
+// requestID identifies a request over all hosts.
 type requestID struct{ hostID, seq uint64 }
 
+// keyQueueID identifies the queue of an ordering key at a host process.
 type keyQueueID struct{ host, key string }
 
+// conn is a connection from a client or to a disk server.
 type conn struct {
 	id           uint32
 	host         string
 	volume       *settings.Volume
-	open         map[uint32]*command
+	open         map[uint32]*command   // by tag
 	orderedQueue []*command            // commands of ordered classes that have not ended, by arrival
 	endedAt      map[uint32]int64      // by tag: when the host knew at the latest that the command had ended
 	endedTags    []uint32              // keys of endedAt, oldest first
@@ -108,6 +111,7 @@
 	outstanding  map[uint32]*attempt   // by tag, on a connection to a disk server
 }
 
+// command is a client command. Times are in us.
 type command struct {
 	conn         *conn
 	tag          uint32
@@ -118,7 +122,7 @@
 	blocks       uint32
 	issuedAt     int64
 	missingBytes int64 // write data that has not been sent yet
-	parts        int
+	parts        int   // requests that it is split into; the maximum over the volume's layouts
 	ended        bool
 	endedAt      int64
 	aborted      bool             // an outstanding task management function ends it
@@ -126,16 +130,18 @@
 	requests     []*request
 }
 
+// request is a part of a command for one shard.
 type request struct {
 	id       requestID
-	orderKey string
-	cmd      *command
+	orderKey string   // requests with the same key are ordered if their class is
+	cmd      *command // nil if not found
 	class    *settings.Class
 	attempts []*attempt
 	served   bool
-	ended    bool
+	ended    bool // its command ended
 }
 
+// attempt is one send of a request to a server. Times are in us.
 type attempt struct {
 	req        *request
 	sentAt     int64
@@ -152,8 +158,8 @@
 	notReadySince map[string]int64 // by server: when the host was told that it drains or is gone
 	knownStarts   map[string]int64 // by server: its start as known to the host
 	knownServers  map[string]bool
-	arrivals      []int64
-	retries       []int64
+	arrivals      []int64     // times of requests that arrived within the budget window
+	retries       []int64     // times of attempts after the first within the budget window
 	diedAt        int64       // when it was killed or closed its inventory connection; 0: alive
 	killed        bool        // was killed; a connection that it had dialled may still open
 	unanswered    []Violation // commands whose connection the host closed; no violation if it died then
@@ -183,6 +189,7 @@
 	return end
 }
 
+// coldSend is an attempt sent to a server during its warm-up.
 type coldSend struct {
 	sentAt     int64
 	units      float64
@@ -229,12 +236,12 @@
 }
 
 func (c *Checker) process(name string) *hostProcess {
-	h := c.processes[name]
-	if h == nil {
-		h = &hostProcess{notReadySince: map[string]int64{}, knownStarts: map[string]int64{}, knownServers: map[string]bool{}}
-		c.processes[name] = h
+	process := c.processes[name]
+	if process == nil {
+		process = &hostProcess{notReadySince: map[string]int64{}, knownStarts: map[string]int64{}, knownServers: map[string]bool{}}
+		c.processes[name] = process
 	}
-	return h
+	return process
 }
 
 // Feed processes the next event. Events must come in the order of the trail.
@@ -248,14 +255,14 @@
 	case trail.LinkInventory:
 		c.inventoryEvent(e)
 	case trail.LinkFault:
-		h := c.process(e.Host)
+		process := c.process(e.Host)
 		if e.Kind == trail.Killed {
-			if !h.killed { // a host may be reported killed more than once
-				h.diedAt, h.killed = e.Time, true
+			if !process.killed { // a host may be reported killed more than once
+				process.diedAt, process.killed = e.Time, true
 			}
 			break
 		}
-		h.stalls = append(h.stalls, stall{e.Time, e.Deadline})
+		process.stalls = append(process.stalls, stall{e.Time, e.Deadline})
 	}
 }
 
@@ -393,6 +400,7 @@
 	}
 }
 
+// mayHaveRun reports whether no answer proves that the attempt had no effect.
 func (a *attempt) mayHaveRun() bool { return !a.answered || !a.result.ProvesNothingRan() }
 
 // outstandingAt reports whether the attempt could still run or be answered at t.
@@ -701,12 +709,12 @@
 	c.Checks[Order]++
 	queueID := keyQueueID{e.Host, e.Key}
 	unreleased := c.keyQueues[queueID][:0]
-	for _, o := range c.keyQueues[queueID] {
-		if o == req || !o.keyReleased(e.Time, c.settings.Rules.KeyRest) {
-			unreleased = append(unreleased, o)
+	for _, other := range c.keyQueues[queueID] {
+		if other == req || !other.keyReleased(e.Time, c.settings.Rules.KeyRest) {
+			unreleased = append(unreleased, other)
 		}
-		if o != req {
-			c.checkKeyFree(o, req, e, violation)
+		if other != req {
+			c.checkKeyFree(other, req, e, violation)
 		}
 	}
 	c.keyQueues[queueID] = unreleased
@@ -962,12 +970,12 @@
 			}
 		}
 	}
-	for _, h := range c.processes {
+	for _, process := range c.processes {
 		const closeWindow = 2_000_000 // us around a host's death within which its connections close
-		for _, b := range h.unanswered {
-			if h.diedAt == 0 || h.diedAt < b.Time-closeWindow || h.diedAt > b.Time+closeWindow {
-				c.ViolationCounts[b.Rule]++
-				c.Violations = append(c.Violations, b)
+		for _, violation := range process.unanswered {
+			if process.diedAt == 0 || process.diedAt < violation.Time-closeWindow || process.diedAt > violation.Time+closeWindow {
+				c.ViolationCounts[violation.Rule]++
+				c.Violations = append(c.Violations, violation)
 			}
 		}
 	}
--- a/internal/verify/rules/stats.go
+++ b/internal/verify/rules/stats.go
@@ -54,41 +54,41 @@
 // maxLatency is the largest latency that a histogram records, in us.
 const maxLatency = 600_000_000
 
-func (t *Stats) classStats(cmd *command) *ClassStats {
+func (s *Stats) classStats(cmd *command) *ClassStats {
 	key := ClassPlan{cmd.class.Name, cmd.plan}
-	stats := t.ByClass[key]
+	stats := s.ByClass[key]
 	if stats == nil {
 		stats = &ClassStats{Latency: hdrhistogram.New(1, maxLatency, 3)}
-		t.ByClass[key] = stats
+		s.ByClass[key] = stats
 	}
 	return stats
 }
 
-func (t *Stats) recordIssued(cmd *command) {
+func (s *Stats) recordIssued(cmd *command) {
 	if cmd.class == nil {
 		return
 	}
-	t.Commands++
-	stats := t.classStats(cmd)
+	s.Commands++
+	stats := s.classStats(cmd)
 	stats.Issued++
 	stats.OfferedValue += cmd.class.Worth
-	t.secondOf(cmd).Offered += cmd.class.Worth
+	s.secondOf(cmd).Offered += cmd.class.Worth
 }
 
-func (t *Stats) secondOf(cmd *command) *ValueSum {
+func (s *Stats) secondOf(cmd *command) *ValueSum {
 	second := cmd.issuedAt / 1e6
-	if t.PerSecond[second] == nil {
-		t.PerSecond[second] = &ValueSum{}
+	if s.PerSecond[second] == nil {
+		s.PerSecond[second] = &ValueSum{}
 	}
-	return t.PerSecond[second]
+	return s.PerSecond[second]
 }
 
-func (t *Stats) recordAnswer(cmd *command, e *trail.Event) {
-	t.Finished++
-	stats := t.classStats(cmd)
+func (s *Stats) recordAnswer(cmd *command, e *trail.Event) {
+	s.Finished++
+	stats := s.classStats(cmd)
 	latency := e.Time - cmd.issuedAt
-	if t.OnAnswer != nil {
-		t.OnAnswer(cmd.issuedAt, latency, e.Status == int32(scsi.Good))
+	if s.OnAnswer != nil {
+		s.OnAnswer(cmd.issuedAt, latency, e.Status == int32(scsi.Good))
 	}
 	miscompare := e.Sense>>16 == uint32(scsi.Miscompare.Key) && e.Status == int32(scsi.CheckCondition)
 	switch {
@@ -102,7 +102,7 @@
 			value *= cmd.class.LateWorth
 		}
 		stats.ServedValue += value
-		t.secondOf(cmd).Served += value
+		s.secondOf(cmd).Served += value
 	case e.Status == int32(scsi.Busy):
 		stats.Refused++
 	default:
@@ -110,78 +110,78 @@
 	}
 }
 
-func (t *Stats) recordAbandoned(cmd *command) {
-	t.Finished++
-	t.classStats(cmd).Abandoned++
+func (s *Stats) recordAbandoned(cmd *command) {
+	s.Finished++
+	s.classStats(cmd).Abandoned++
 }
 
-// sortedKeys returns the keys of ByClass, by class and then by plan.
-func (t *Stats) sortedKeys() []ClassPlan {
-	return slices.SortedFunc(maps.Keys(t.ByClass), func(a, b ClassPlan) int {
+// sortedClassPlans returns the keys of ByClass, by class and then by plan.
+func (s *Stats) sortedClassPlans() []ClassPlan {
+	return slices.SortedFunc(maps.Keys(s.ByClass), func(a, b ClassPlan) int {
 		return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Plan, b.Plan))
 	})
 }
 
 // Goodput returns the served fraction of the value of all commands.
-func (t *Stats) Goodput() float64 { return t.GoodputWithUnseen(0) }
+func (s *Stats) Goodput() float64 { return s.GoodputWithUnseen(0) }
 
 // GoodputWithUnseen returns the goodput with further unserved commands, which the trail lacks, of
 // that total value.
-func (t *Stats) GoodputWithUnseen(unseen float64) float64 {
+func (s *Stats) GoodputWithUnseen(unseen float64) float64 {
 	total := ValueSum{Offered: unseen}
-	for _, k := range t.sortedKeys() { // in a fixed order, since sums of floats depend on it
-		total.Served, total.Offered = total.Served+t.ByClass[k].ServedValue, total.Offered+t.ByClass[k].OfferedValue
+	for _, key := range s.sortedClassPlans() { // in a fixed order, since sums of floats depend on it
+		total.Served, total.Offered = total.Served+s.ByClass[key].ServedValue, total.Offered+s.ByClass[key].OfferedValue
 	}
 	return total.goodput()
 }
 
 // WorstPlanGoodput returns the lowest goodput of any plan.
-func (t *Stats) WorstPlanGoodput() float64 {
+func (s *Stats) WorstPlanGoodput() float64 {
 	plans := map[string]*ValueSum{}
-	for _, k := range t.sortedKeys() {
-		r := t.ByClass[k]
-		if plans[k.Plan] == nil {
-			plans[k.Plan] = &ValueSum{}
+	for _, key := range s.sortedClassPlans() {
+		stats := s.ByClass[key]
+		if plans[key.Plan] == nil {
+			plans[key.Plan] = &ValueSum{}
 		}
-		plans[k.Plan].Offered += r.OfferedValue
-		plans[k.Plan].Served += r.ServedValue
+		plans[key.Plan].Offered += stats.OfferedValue
+		plans[key.Plan].Served += stats.ServedValue
 	}
 	worst := 1.0
-	for _, s := range plans {
-		worst = min(worst, s.goodput())
+	for _, sum := range plans {
+		worst = min(worst, sum.goodput())
 	}
 	return worst
 }
 
 // WorstWindowGoodput returns the lowest goodput over any window of that many seconds with commands
 // in its first and its last second, or the goodput of the run if there is no such window.
-func (t *Stats) WorstWindowGoodput(seconds int64) float64 {
+func (s *Stats) WorstWindowGoodput(seconds int64) float64 {
 	worst, found := 1.0, false
-	for from := range t.PerSecond {
-		if t.PerSecond[from+seconds-1] == nil {
+	for from := range s.PerSecond {
+		if s.PerSecond[from+seconds-1] == nil {
 			continue
 		}
 		var sum ValueSum
-		for s := from; s < from+seconds; s++ {
-			if x := t.PerSecond[s]; x != nil {
-				sum.Offered, sum.Served = sum.Offered+x.Offered, sum.Served+x.Served
+		for second := from; second < from+seconds; second++ {
+			if values := s.PerSecond[second]; values != nil {
+				sum.Offered, sum.Served = sum.Offered+values.Offered, sum.Served+values.Served
 			}
 		}
 		worst, found = min(worst, sum.goodput()), true
 	}
 	if !found {
-		return t.Goodput()
+		return s.Goodput()
 	}
 	return worst
 }
 
 // GoodputBetween returns the goodput of the commands issued in the seconds from to to-1, or 1 if
 // there are none.
-func (t *Stats) GoodputBetween(from, to int64) float64 {
+func (s *Stats) GoodputBetween(from, to int64) float64 {
 	var sum ValueSum
-	for s := from; s < to; s++ {
-		if x := t.PerSecond[s]; x != nil {
-			sum.Offered, sum.Served = sum.Offered+x.Offered, sum.Served+x.Served
+	for second := from; second < to; second++ {
+		if values := s.PerSecond[second]; values != nil {
+			sum.Offered, sum.Served = sum.Offered+values.Offered, sum.Served+values.Served
 		}
 	}
 	if sum.Offered == 0 {
@@ -191,13 +191,13 @@
 }
 
 // Print writes a table with a line for each class and plan.
-func (t *Stats) Print(w io.Writer) error {
+func (s *Stats) Print(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "class\tplan\tasked\tin time\tlate\trefused\tfailed\tgave up\tp50 ms\tp99 ms\t")
-	for _, k := range t.sortedKeys() {
-		r := t.ByClass[k]
-		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", k.Class, k.Plan, r.Issued, r.WithinTarget, r.Late,
-			r.Refused, r.Failed, r.Abandoned, float64(r.Latency.ValueAtQuantile(50))/1000, float64(r.Latency.ValueAtQuantile(99))/1000)
+	for _, key := range s.sortedClassPlans() {
+		stats := s.ByClass[key]
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", key.Class, key.Plan, stats.Issued, stats.WithinTarget, stats.Late,
+			stats.Refused, stats.Failed, stats.Abandoned, float64(stats.Latency.ValueAtQuantile(50))/1000, float64(stats.Latency.ValueAtQuantile(99))/1000)
 	}
 	return table.Flush()
 }
@@ -209,15 +209,15 @@
 	if c.settings.Regions != nil {
 		lastRule = Homes
 	}
-	for r := Answers; r <= lastRule; r++ {
+	for rule := Answers; rule <= lastRule; rule++ {
 		verdict := "holds"
 		switch {
-		case c.ViolationCounts[r] > 0:
-			verdict = fmt.Sprintf("BROKEN %d times", c.ViolationCounts[r])
-		case c.Checks[r] == 0:
+		case c.ViolationCounts[rule] > 0:
+			verdict = fmt.Sprintf("BROKEN %d times", c.ViolationCounts[rule])
+		case c.Checks[rule] == 0:
 			verdict = "nothing to check"
 		}
-		fmt.Fprintf(table, "rule %d\t%s\t%d checks\t%s\n", r, r, c.Checks[r], verdict)
+		fmt.Fprintf(table, "rule %d\t%s\t%d checks\t%s\n", rule, rule, c.Checks[rule], verdict)
 	}
 	if err := table.Flush(); err != nil {
 		return err
