--- a/internal/simulation/soak/clients.go
+++ b/internal/simulation/soak/clients.go
@@ -15,31 +15,31 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// Class is a kind of request that clients send.
+// Class is a request class that clients send.
 type Class struct {
 	Name    string
 	Write   bool
 	Keyed   bool
 	Timeout time.Duration
-	Share   float64 // of the requests
+	Share   float64 // fraction of all requests
 }
 
-// Clients send requests to one scheduler at a mean rate, whatever becomes of them, and keep
-// the connections that they have.
+// Clients is an open-loop load generator for one scheduler: requests arrive as a Poisson
+// process whatever becomes of the earlier ones. Connections are kept and reused.
 type Clients struct {
 	record              *Record
 	scheduler           int
 	address             string
 	classes             []Class
 	shards              int
-	requestRate         float64 // requests a second
-	abandonProbability  float64 // part of the clients that leave before their answer
-	pipelineProbability float64 // part of the sendings that are of several requests at once
+	requestRate         float64 // per second
+	abandonProbability  float64 // of a batch whose client closes the connection early
+	pipelineProbability float64 // of a batch of several requests at once
 	rng                 *rand.Rand
 	requestCount        atomic.Int64
 	idPrefix            string
 	tasks               sync.WaitGroup
-	dialAllowed         atomic.Bool // new connections are made
+	dialAllowed         atomic.Bool // new connections may be opened
 
 	mu        sync.Mutex
 	idleConns []*clientConn
@@ -48,13 +48,14 @@
 type clientConn struct {
 	net.Conn
 	reader         *bufio.Reader
-	closeAnnounced bool // its scheduler said that it ends it
+	closeAnnounced bool // a response carried Connection: close
 }
 
-// lateResponseWait is how long a client listens beyond its time, to see a late answer.
+// lateResponseWait is how long a client reads on after the request timeout, so that late
+// responses are recorded.
 const lateResponseWait = 1500 * time.Millisecond
 
-// Run sends requests until the context ends, and waits for their ends.
+// Run sends requests until ctx is done and waits until all of them have ended.
 func (c *Clients) Run(ctx context.Context) {
 	c.dialAllowed.Store(true)
 	for ctx.Err() == nil {
@@ -69,11 +70,11 @@
 	c.closeIdle()
 }
 
-// StopDialling has clients use only the connections that they have: their scheduler was told
-// to end. Reopen has them make new ones again.
+// StopDialling limits the clients to connections that are already open. ResumeDialling
+// allows new ones again.
 func (c *Clients) StopDialling() { c.dialAllowed.Store(false) }
 
-// ResumeDialling undoes StayOnOpen.
+// ResumeDialling undoes StopDialling.
 func (c *Clients) ResumeDialling() { c.dialAllowed.Store(true) }
 
 func (c *Clients) closeIdle() {
@@ -85,16 +86,16 @@
 	c.idleConns = nil
 }
 
-// encodedRequest is one request on its way.
+// encodedRequest is a request and the bytes that are sent for it.
 type encodedRequest struct {
 	*Request
 	raw []byte
 }
 
-// maxPipelined is how many requests a client may send at once.
+// maxPipelined is the largest number of requests that are sent at once on one connection.
 const maxPipelined = 5
 
-// startBatch sends a request, or several at once on one connection.
+// startBatch sends one request, or several pipelined on one connection.
 func (c *Clients) startBatch() {
 	class := c.drawClass()
 	batchSize := 1
@@ -153,7 +154,8 @@
 	return http1.AppendRequest(nil, method, fmt.Sprintf("/%s/%016x/%016x", class.Name, volume, key), fields, body)
 }
 
-// acquireConn returns an idle connection, or a new one; nil where there is none.
+// acquireConn returns an idle connection or dials a new one; nil if it may not dial or the
+// dial fails.
 func (c *Clients) acquireConn(forceNew bool) *clientConn {
 	c.mu.Lock()
 	if n := len(c.idleConns); n > 0 && !forceNew {
@@ -183,8 +185,8 @@
 	c.idleConns = append(c.idleConns, conn)
 }
 
-// exchange sends requests and waits for their answers. What crossed the end of its
-// connection goes once more on a new one.
+// exchange sends a batch and waits for the responses. Requests that get none because the
+// connection ended are sent again, each on a new connection.
 func (c *Clients) exchange(batch []encodedRequest, abandonAfter time.Duration) {
 	var raw []byte
 	for _, s := range batch {
@@ -211,7 +213,8 @@
 	c.releaseConn(conn)
 }
 
-// writeBatch puts bytes on an idle connection, or on a new one; nil if neither takes them.
+// writeBatch writes raw to an idle connection, or to a new one if that fails. It returns nil if
+// both fail.
 func (c *Clients) writeBatch(raw []byte) *clientConn {
 	for _, forceNew := range []bool{false, true} {
 		conn := c.acquireConn(forceNew)
@@ -226,8 +229,9 @@
 	return nil
 }
 
-// resendAfterClose deals with a request whose connection ended, with it or with one before it:
-// unless its client left, it goes once more, alone.
+// resendAfterClose sends a request again on a new connection, after its connection ended at
+// failed, the same or an earlier request of the batch. It is not sent again if the client
+// closed the connection or the connection ended within this request's response.
 func (c *Clients) resendAfterClose(request encodedRequest, failed *Request, abandonAfter time.Duration) {
 	c.record.mu.Lock()
 	request.AbandonedAt, request.ConnLostAt = failed.AbandonedAt, failed.ConnLostAt
@@ -246,14 +250,15 @@
 	}
 	c.record.mu.Lock()
 	request.Resent, request.ConnLostAt = true, 0
-	request.SentAt = c.record.Now() // it says how long its client waits from now on
+	request.SentAt = c.record.Now() // Request-Timeout counts from the resend
 	c.record.mu.Unlock()
 	if c.awaitResponse(conn, request.Request, abandonAfter) {
 		c.releaseConn(conn)
 	}
 }
 
-// awaitResponse waits for an answer, or leaves; false if the connection is over without one.
+// awaitResponse waits for a response until the client gives up. It returns false if the
+// connection is closed without a whole response.
 func (c *Clients) awaitResponse(conn *clientConn, request *Request, abandonAfter time.Duration) bool {
 	deadline := request.SentAt + request.Timeout + lateResponseWait
 	if abandonAfter > 0 {
--- a/internal/simulation/soak/discovery.go
+++ b/internal/simulation/soak/discovery.go
@@ -14,7 +14,7 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// DiscoveryEntry is a disk server in discovery's words.
+// DiscoveryEntry is a disk server in the JSON of discovery.
 type DiscoveryEntry struct {
 	Host      string  `json:"host"`
 	Dial      string  `json:"dial"`
@@ -32,19 +32,19 @@
 	Hosts []DiscoveryEntry `json:"hosts"`
 }
 
-// keepAliveInterval is how often an open watch says something at the least.
+// keepAliveInterval is the time between the empty lines that agents write to open watches.
 const keepAliveInterval = 2 * time.Second
 
-// Directory is what discovery knows: the disk servers and their changes by version.
+// Directory is the state of discovery: the disk servers and their changes by version.
 type Directory struct {
 	mu               sync.Mutex
 	version          int
-	entries          []DiscoveryEntry   // by server, as they are now
-	changesByVersion [][]DiscoveryEntry // of version i+1
+	entries          []DiscoveryEntry   // by server index, newest state
+	changesByVersion [][]DiscoveryEntry // element i holds the changes of version i+1
 	agents           []*Agent
 }
 
-// NewDirectory knows all servers as active.
+// NewDirectory returns a directory in which all servers are active.
 func NewDirectory(servers *Servers) *Directory {
 	directory := &Directory{}
 	for i := range servers.servers {
@@ -63,8 +63,8 @@
 	return b
 }
 
-// SetHealth gives servers another state in one version and tells all agents. A server that
-// comes back has just started.
+// SetHealth sets the health of servers in one new version and notifies all agents. A server
+// that becomes active gets the present time as its start.
 func (d *Directory) SetHealth(servers []int, health string) {
 	d.mu.Lock()
 	d.version++
@@ -85,39 +85,39 @@
 	}
 }
 
-// Agent is discovery as one scheduler meets it, on the scheduler's own machine.
+// Agent is the discovery agent that one scheduler is connected to.
 type Agent struct {
 	directory      *Directory
 	scheduler      int
 	record         *Record
 	listener       net.Listener
-	alwaysFullList bool // each watch begins with the whole list
+	alwaysFullList bool // every watch starts with the full list
 	indentedJSON   bool
 	tasks          sync.WaitGroup
 	done           chan struct{}
 
 	mu            sync.Mutex
-	down          bool // it is silent and learns nothing
-	version       int  // version that it has
+	down          bool // it answers nothing and applies no new versions
+	version       int  // newest version applied
 	watches       map[net.Conn]*watchState
-	silentSince   time.Duration  // since when the open watches have been silent; 0: they are not
-	undelivered   []HealthChange // that count as told by silentCounts after that, or with the next watch
-	effectiveFrom time.Duration  // nothing counts as told before that: the scheduler was just sent here
+	silentSince   time.Duration  // since when open watches get no data; 0: they do
+	undelivered   []HealthChange // changes since silentSince; a new watch makes them effective at once
+	effectiveFrom time.Duration  // no change takes effect earlier, since the scheduler was just moved here
 }
 
-// What counts as told when: maxSilenceDetection after an open watch fell silent at the latest, and
-// not before maxMoveTime after the word to go to another discovery.
+// A change takes effect at the latest maxSilenceDetection after an open watch went silent, and
+// not before maxMoveTime after a scheduler was moved to another agent.
 const (
 	maxSilenceDetection = 6 * time.Second
 	maxMoveTime         = 4 * time.Second
 )
 
 type watchState struct {
-	sentVersion int // version
+	sentVersion int // newest version written
 	silent      bool
 }
 
-// StartAgent listens for one scheduler.
+// StartAgent starts the discovery agent of one scheduler on a loopback port.
 func StartAgent(directory *Directory, scheduler int, alwaysFullList, indentedJSON bool, record *Record) (*Agent, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -134,9 +134,9 @@
 	return agent, nil
 }
 
-// TakeOver takes over from the agent of a scheduler that is sent here: what that one had not
-// heard, for it was down, may be known from now on, and what it forbids counts as told once
-// the scheduler must have come.
+// TakeOver continues from the version of the agent that the scheduler used before. Changes
+// that the previous agent missed while it was down are applied now: active servers may be used at
+// once, other changes take effect after maxMoveTime.
 func (a *Agent) TakeOver(previous *Agent) {
 	previous.mu.Lock()
 	version := previous.version
@@ -147,10 +147,10 @@
 	a.applyNewVersions()
 }
 
-// Address is where the agent listens.
+// Address returns the listening address.
 func (a *Agent) Address() string { return a.listener.Addr().String() }
 
-// Close ends the agent.
+// Close stops the agent and waits for its goroutines.
 func (a *Agent) Close() {
 	a.listener.Close()
 	a.ResetWatches()
@@ -158,7 +158,7 @@
 	a.tasks.Wait()
 }
 
-// ResetWatches resets the open watches.
+// ResetWatches resets the connections of open watches.
 func (a *Agent) ResetWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -167,7 +167,7 @@
 	}
 }
 
-// SilenceWatches has the open watches say nothing any more; new ones do.
+// SilenceWatches stops all writes to the watches that are open now; new watches are served.
 func (a *Agent) SilenceWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -179,8 +179,8 @@
 	}
 }
 
-// SetDown has the agent fall silent and learn nothing, or come back: what it gets then
-// counts as told at once.
+// SetDown stops the agent from answering and from applying new versions, or resumes both. The
+// changes that were missed are recorded when it resumes.
 func (a *Agent) SetDown(down bool) {
 	a.mu.Lock()
 	a.down = down
@@ -190,7 +190,7 @@
 	}
 }
 
-// applyNewVersions learns what the directory has and tells it to the open watches.
+// applyNewVersions records the changes of new versions and sends them to the open watches.
 func (a *Agent) applyNewVersions() {
 	a.directory.mu.Lock()
 	defer a.directory.mu.Unlock()
@@ -200,7 +200,7 @@
 		return
 	}
 	now := a.record.Now()
-	effectiveAt := max(now, a.effectiveFrom) // what forbids counts as told no sooner, what allows may be known now
+	effectiveAt := max(now, a.effectiveFrom) // for changes other than to active; those may be acted on at once
 	if a.silentSince > 0 {
 		effectiveAt = max(effectiveAt, a.silentSince+maxSilenceDetection)
 	}
@@ -228,7 +228,7 @@
 	return time.UnixMilli(entry.StartedMS).Sub(a.record.start)
 }
 
-// sendChangesLocked writes to a watch the versions that it lacks. Both locks are held.
+// sendChangesLocked writes the versions that a watch lacks. The caller holds both locks.
 func (a *Agent) sendChangesLocked(conn net.Conn, watch *watchState) {
 	for ; watch.sentVersion < a.version && !watch.silent; watch.sentVersion++ {
 		a.writeChunk(conn, a.encodeLine(listMessage{watch.sentVersion + 1, false, a.directory.changesByVersion[watch.sentVersion]}))
@@ -246,7 +246,8 @@
 	return append(b, '\n')
 }
 
-// writeChunk sends one chunk; the kernel takes what the scheduler does not read yet.
+// writeChunk writes one chunk of the chunked response; the write deadline keeps a scheduler
+// that does not read from blocking the agent.
 func (a *Agent) writeChunk(conn net.Conn, data []byte) {
 	a.record.discoveryBytes.Add(int64(len(data)))
 	conn.SetWriteDeadline(time.Now().Add(keepAliveInterval))
@@ -266,8 +267,8 @@
 	}
 }
 
-// serve answers one call: a watch, which stays open, or the whole list. While the agent is
-// down it says nothing until it is back or the scheduler leaves.
+// serve answers one request: a watch, which stays open, or a read of the full list. While the
+// agent is down it sends nothing.
 func (a *Agent) serve(conn net.Conn) {
 	defer a.tasks.Done()
 	defer conn.Close()
@@ -279,14 +280,15 @@
 	heldVersion, isWatch := watchIndex(request.Target)
 	a.respond(conn, heldVersion, isWatch)
 	if isWatch {
-		reader.Peek(1) // until the other end closes
+		reader.Peek(1) // until the scheduler closes the watch
 	}
 	a.mu.Lock()
 	delete(a.watches, conn)
 	a.mu.Unlock()
 }
 
-// waitWhileDown waits while the agent is down; false if the caller left or the agent ends.
+// waitWhileDown returns true once the agent is up, false if the caller has left or the agent is
+// closed.
 func (a *Agent) waitWhileDown(conn net.Conn) bool {
 	for {
 		a.mu.Lock()
@@ -309,7 +311,8 @@
 	}
 }
 
-// respond answers with the list, and keeps the connection as a watch.
+// respond writes the list or the changes since heldVersion, and registers the connection if it
+// is a watch. Undelivered changes take effect now.
 func (a *Agent) respond(conn net.Conn, heldVersion int, isWatch bool) {
 	a.directory.mu.Lock()
 	defer a.directory.mu.Unlock()
@@ -338,7 +341,7 @@
 	a.sendChangesLocked(conn, watch)
 }
 
-// FullListJSON is the whole list as the agent has it, as JSON.
+// FullListJSON returns the full list at the agent's version as JSON.
 func (a *Agent) FullListJSON() []byte {
 	a.directory.mu.Lock()
 	defer a.directory.mu.Unlock()
@@ -347,10 +350,10 @@
 	return mustMarshal(a.fullListLocked())
 }
 
-// fullListLocked is the whole list as the agent has it. Both locks are held.
+// fullListLocked returns the full list at the agent's version. The caller holds both locks.
 func (a *Agent) fullListLocked() listMessage {
 	message := listMessage{Seq: a.version, Full: true}
-	previous := map[int]DiscoveryEntry{} // what the directory has changed since, as it was before
+	previous := map[int]DiscoveryEntry{} // state at the agent's version of servers that have changed since
 	for v := a.version; v < a.directory.version; v++ {
 		for _, e := range a.directory.changesByVersion[v] {
 			if _, ok := previous[e.Block]; !ok {
@@ -369,7 +372,7 @@
 	return message
 }
 
-// entryBefore is a server's entry in a version.
+// entryBefore returns a server's entry as it was before the given version index.
 func (a *Agent) entryBefore(version, server int) DiscoveryEntry {
 	for v := version - 1; v >= 0; v-- {
 		for _, e := range a.directory.changesByVersion[v] {
@@ -383,7 +386,8 @@
 	return e
 }
 
-// watchIndex is the version that a watch names; false for a call of the whole list.
+// watchIndex returns the version in the index parameter of a watch; isWatch is false if there
+// is none, which asks for the full list.
 func watchIndex(target string) (heldVersion int, isWatch bool) {
 	_, query, _ := strings.Cut(target, "?")
 	for part := range strings.SplitSeq(query, "&") {
@@ -395,7 +399,8 @@
 	return heldVersion, isWatch
 }
 
-// sendKeepAlives gives the open watches a sign of life.
+// sendKeepAlives writes an empty line to each open watch every keepAliveInterval, unless the
+// watch is silenced or the agent is down.
 func (a *Agent) sendKeepAlives() {
 	defer a.tasks.Done()
 	ticker := time.NewTicker(keepAliveInterval)
--- a/internal/simulation/soak/discovery_test.go
+++ b/internal/simulation/soak/discovery_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A scheduler that is sent to another agent while its own is down learns there what came back,
-// and may use it from then on; what has drained meanwhile counts as told once it must have come.
+// A scheduler is moved to another agent while its own is down: servers that became active meanwhile
+// may be used at once, those that drain take effect after maxMoveTime.
 func TestTakeOverWhileOldAgentIsDown(t *testing.T) {
 	directory := &Directory{entries: []DiscoveryEntry{
 		{Host: hostName(0), Block: 0, Health: "leaving"}, {Host: hostName(1), Block: 1, Health: "active"},
@@ -18,7 +18,7 @@
 	directory.SetHealth([]int{0}, "active")
 	directory.SetHealth([]int{1}, "leaving")
 	if n := len(record.HealthChanges); n != 0 {
-		t.Fatalf("%d changes are told while discovery is down", n)
+		t.Fatalf("%d changes recorded while the agent is down, want 0", n)
 	}
 	next, err := StartAgent(directory, 0, false, false, record)
 	if err != nil {
@@ -32,12 +32,12 @@
 		changes[change.Server] = change
 	}
 	if change, ok := changes[0]; !ok || change.Health != "active" || change.EffectiveAt > now {
-		t.Errorf("what came back: %+v", change)
+		t.Errorf("server that became active: %+v", change)
 	}
 	if change, ok := changes[1]; !ok || change.Health != "leaving" || change.EffectiveAt < now+maxMoveTime/2 {
-		t.Errorf("what has drained: %+v", change)
+		t.Errorf("server that drains: %+v", change)
 	}
 	if next.version != 2 {
-		t.Errorf("it knows version %d", next.version)
+		t.Errorf("version %d, want 2", next.version)
 	}
 }
--- a/internal/simulation/soak/process.go
+++ b/internal/simulation/soak/process.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// Command starts a scheduler: the program, its arguments and what its environment has
-// beside this process's own.
+// Command is the program that starts a scheduler, with its arguments and the variables that are
+// added to this process's environment.
 type Command struct {
 	Path string
 	Args []string
 	Env  []string
 }
 
-// Process is a scheduler that runs.
+// Process is a running scheduler process.
 type Process struct {
 	record     *Record
 	scheduler  int
 	cmd        *exec.Cmd
-	configFile string // of its configuration
+	configFile string
 	done       chan struct{}
 
 	mu        sync.Mutex
@@ -34,13 +34,15 @@
 	sigtermAt time.Duration
 	killed    bool
 
-	maxDescriptors int // most at once
+	maxDescriptors int // highest sampled number of open descriptors
 }
 
-// readyTimeout is how long a scheduler may take to be ready, as the platform says.
+// readyTimeout is how long a scheduler may take until it logs that it is ready, as on the
+// platform.
 const readyTimeout = 30 * time.Second
 
-// StartProcess starts a scheduler with a configuration and waits until it is ready.
+// StartProcess writes the configuration to dir, starts a scheduler with it and waits until it
+// is ready.
 func StartProcess(command Command, scheduler int, dir string, config []byte, record *Record) (*Process, error) {
 	configFile := filepath.Join(dir, fmt.Sprintf("n%d.json", scheduler))
 	if err := os.WriteFile(configFile, config, 0o600); err != nil {
@@ -49,7 +51,7 @@
 	process := &Process{record: record, scheduler: scheduler, configFile: configFile, done: make(chan struct{}), ready: make(chan struct{})}
 	process.cmd = exec.Command(command.Path, command.Args...)
 	process.cmd.Env = append(append(os.Environ(), command.Env...), "ROUTER_CONFIG="+configFile)
-	process.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing is left behind
+	process.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no orphan if this process dies
 	stderr, err := process.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
@@ -63,14 +65,14 @@
 	case <-process.ready:
 		return process, nil
 	case <-process.done:
-		return nil, fmt.Errorf("scheduler %d ended at its start: %s", scheduler, process.Log())
+		return nil, fmt.Errorf("scheduler %d exited before it was ready: %s", scheduler, process.Log())
 	case <-time.After(readyTimeout):
 		process.Kill()
 		return nil, fmt.Errorf("scheduler %d was not ready within %s", scheduler, readyTimeout)
 	}
 }
 
-// collectLog keeps the log and notes the end.
+// collectLog collects the log, signals that the scheduler is ready, and records its exit.
 func (p *Process) collectLog(scanner *bufio.Scanner) {
 	scanner.Buffer(nil, 1<<20)
 	readySeen := false
@@ -93,14 +95,14 @@
 	close(p.done)
 }
 
-// Log is what the process has logged so far.
+// Log returns what the process has logged so far.
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// Signal sends a signal; SIGTERM is noted as the word to end.
+// Signal sends a signal. The time of the first SIGTERM is recorded.
 func (p *Process) Signal(signal syscall.Signal) {
 	p.mu.Lock()
 	if signal == syscall.SIGTERM && p.sigtermAt == 0 {
@@ -110,7 +112,7 @@
 	p.cmd.Process.Signal(signal)
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits for the exit.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	p.killed = true
@@ -119,7 +121,7 @@
 	<-p.done
 }
 
-// Stop tells the process to end, and kills it after the grace. It waits for its end.
+// Stop sends SIGTERM, and SIGKILL after the grace, and waits for the exit.
 func (p *Process) Stop(grace time.Duration) {
 	p.Signal(syscall.SIGTERM)
 	select {
@@ -129,11 +131,11 @@
 	}
 }
 
-// throttlePeriod is a turn of Throttle: so long a process is held up at the most.
+// throttlePeriod is the length of one run and pause of Throttle; it bounds each pause.
 const throttlePeriod = 40 * time.Millisecond
 
-// Throttle lets the process run for only a share of the time, by SIGSTOP and SIGCONT, as on
-// a machine that gives it a share of a core. It returns when stop is closed or it has ended.
+// Throttle limits the process to a share of the time by SIGSTOP and SIGCONT, as a machine does
+// that grants it only a share of a core. It returns when stop is closed or the process exits.
 func (p *Process) Throttle(share float64, stop <-chan struct{}) {
 	runTime := time.Duration(share * float64(throttlePeriod))
 	defer p.cmd.Process.Signal(syscall.SIGCONT)
--- a/internal/simulation/soak/record.go
+++ b/internal/simulation/soak/record.go
@@ -1,7 +1,6 @@
-// Package soak plays real scheduler processes on loopback before stand-in disk servers,
-// discovery and clients, with faults drawn from a seed, and judges what passed on the
-// sockets by the platform's rules. It reads nothing of a scheduler but its log, and
-// decides nothing for it.
+// Package soak runs real scheduler processes on loopback against stand-in disk servers,
+// discovery and clients, injects faults drawn from a seed, and checks the traffic on the
+// sockets against the platform's rules. Of a scheduler it reads only its log.
 package soak
 
 import (
@@ -10,61 +9,63 @@
 	"time"
 )
 
-// Request is one request as its client saw it.
+// Request is one request as its client saw it. Times count from the start of the record.
 type Request struct {
 	ID                string
 	Scheduler         int
 	Class             string
-	LimitedVolume     uint64 // its volume, where that has a limit; else 0
+	LimitedVolume     uint64 // volume, if that has a rate limit; otherwise 0
 	Timeout           time.Duration
-	SentAt            time.Duration // when its last byte was written; 0: it never was
-	AnsweredAt        time.Duration // when the answer's last byte came; 0: none came whole
+	SentAt            time.Duration // last byte written, of the resend if there was one
+	AnsweredAt        time.Duration // last byte of the response; 0: no whole response
 	Status            int
 	Body              string
-	AbandonedAt       time.Duration // when its client closed the connection; 0: it did not
-	ConnLostAt        time.Duration // when its connection ended without an answer; 0: it did not
-	Resent            bool          // it crossed the end of its connection and was sent once more
-	BrokenMidResponse bool          // the connection broke within the answer
+	AbandonedAt       time.Duration // client closed the connection; 0: it did not
+	ConnLostAt        time.Duration // connection ended without a response; 0: it did not
+	Resent            bool          // sent again because its connection had ended
+	BrokenMidResponse bool          // connection ended after the first byte of the response
 }
 
-// Attempt is one request as a disk server got it.
+// Attempt is one request as a disk server received it.
 type Attempt struct {
 	ID          string
 	Server      int
-	FirstByteAt time.Duration // its first byte
-	LastByteAt  time.Duration // its last byte; 0: it never came
-	Timeout     time.Duration // that the scheduler named
-	Served      bool          // it ran and was answered with 200
+	FirstByteAt time.Duration
+	LastByteAt  time.Duration // 0: incomplete
+	Timeout     time.Duration // value of Request-Timeout
+	Served      bool          // answered 200 after the service time
 	Units       float64
 }
 
-// HealthChange is a disk server's state as one scheduler's discovery agent told it.
+// HealthChange is a change of a disk server's health as one scheduler's discovery agent
+// reported it.
 type HealthChange struct {
 	Scheduler   int
 	Server      int
 	Health      string
-	EffectiveAt time.Duration // when it counts as told
-	StartedAt   time.Duration // the server's last start; 0: long ago
+	EffectiveAt time.Duration // when the scheduler is expected to know it
+	StartedAt   time.Duration // last start of the server; 0: before the run
 }
 
-// ProcessExit is a scheduler's process that ended or was told to.
+// ProcessExit is the end of a scheduler process.
 type ProcessExit struct {
 	Scheduler int
-	SigtermAt time.Duration // SIGTERM; 0: none
+	SigtermAt time.Duration // first SIGTERM; 0: none
 	ExitedAt  time.Duration
 	Killed    bool
-	Crashed   bool // it ended by itself without being told
+	Crashed   bool // exited without SIGKILL, and either without SIGTERM or with an error
 	Log       string
 
 	CPUTime        time.Duration
 	PeakMemoryMB   float64
-	MaxDescriptors int // most at once
+	MaxDescriptors int // highest sampled number of open descriptors
 }
 
-// Record is what passed in a run. It is safe for concurrent use.
+// Record is the traffic and the events of one run. It is safe for concurrent use until the run
+// is over; then its fields may be read.
 type Record struct {
 	start          time.Time
-	discoveryBytes atomic.Int64 // that discovery wrote
+	discoveryBytes atomic.Int64 // bytes that discovery wrote, all agents
 
 	mu            sync.Mutex
 	Requests      []*Request
@@ -73,10 +74,10 @@
 	Exits         []ProcessExit
 }
 
-// NewRecord starts a record; its times count from now.
+// NewRecord returns an empty record; its times count from now.
 func NewRecord() *Record { return &Record{start: time.Now()} }
 
-// Now is the present time of the record.
+// Now returns the time since the record was started.
 func (r *Record) Now() time.Duration { return time.Since(r.start) }
 
 func (r *Record) addRequest(q *Request) {
--- a/internal/simulation/soak/report.go
+++ b/internal/simulation/soak/report.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// maxShownViolations is how many breaks of a run are printed whole.
+// maxShownViolations is how many violations of a run are printed with their details.
 const maxShownViolations = 5
 
-// Summary is a run in one line: what passed, and the breaks by rule.
+// Summary returns one line: the seed, the requests, attempts and responses by status, and the
+// violations by rule.
 func (r *Run) Summary(broken []Violation) string {
 	countByStatus := map[int]int{}
 	for _, request := range r.Record.Requests {
@@ -45,7 +46,7 @@
 	return "BROKEN: " + strings.Join(parts, ", ")
 }
 
-// Explain prints what befell a run and the first breaks with their requests' whole way.
+// Explain prints the events of a run, and its first violations with a trace of their requests.
 func (r *Run) Explain(w io.Writer, broken []Violation) {
 	for _, event := range r.Events() {
 		fmt.Fprintln(w, "  event", event)
@@ -57,21 +58,22 @@
 		}
 	}
 	if hidden := len(broken) - maxShownViolations; hidden > 0 {
-		fmt.Fprintf(w, "  and %d more\n", hidden)
+		fmt.Fprintf(w, "  and %d more violations\n", hidden)
 	}
 }
 
-// printTrace prints all that is known of a request.
+// printTrace prints what the client, the disk servers and the schedulers' logs recorded of a
+// request.
 func (r *Run) printTrace(w io.Writer, id string) {
 	for _, request := range r.Record.Requests {
 		if request.ID == id {
-			fmt.Fprintf(w, "    client: %s to scheduler %d at %s for %s, answered %s with %d, left %s, ended %s, resent %v\n", request.Class, request.Scheduler,
+			fmt.Fprintf(w, "    client: %s to scheduler %d at %s, timeout %s, answered %s with status %d, abandoned %s, connection lost %s, resent %v\n", request.Class, request.Scheduler,
 				formatTime(request.SentAt), request.Timeout, formatTime(request.AnsweredAt), request.Status, formatTime(request.AbandonedAt), formatTime(request.ConnLostAt), request.Resent)
 		}
 	}
 	for _, attempt := range r.Record.Attempts {
 		if attempt.ID == id {
-			fmt.Fprintf(w, "    server %d: began %s, whole %s, told %s, served %v\n", attempt.Server, formatTime(attempt.FirstByteAt), formatTime(attempt.LastByteAt), attempt.Timeout, attempt.Served)
+			fmt.Fprintf(w, "    server %d: first byte %s, last byte %s, timeout %s, served %v\n", attempt.Server, formatTime(attempt.FirstByteAt), formatTime(attempt.LastByteAt), attempt.Timeout, attempt.Served)
 		}
 	}
 	for _, exit := range r.Record.Exits {
@@ -83,7 +85,7 @@
 	}
 }
 
-// formatTime is a time of the record; never for none.
+// formatTime formats a time of the record in seconds; 0 is "never".
 func formatTime(t time.Duration) string {
 	if t == 0 {
 		return "never"
--- a/internal/simulation/soak/rules.go
+++ b/internal/simulation/soak/rules.go
@@ -9,47 +9,48 @@
 	"time"
 )
 
-// Rules are what a record is held to: the settings' figures and the platform's slack.
+// Rules are the limits that a record is checked against: the schedulers' settings and the
+// allowed slack.
 type Rules struct {
 	DrainGrace  time.Duration
-	KeyTTL      time.Duration // repeats of a keyed request are dropped for so long
+	KeyTTL      time.Duration // disk servers drop duplicates of a keyed request for this long
 	MaxAttempts int
-	// ColdUnits a disk server bears within FallTime when it has just started, of all
-	// schedulers together; that grows evenly to ColdUnits/ColdCapacity over ColdTime.
+	// A disk server that has just started takes ColdUnits within OverloadWindow from all
+	// schedulers together; this grows linearly to ColdUnits/ColdCapacity over WarmUpTime.
 	ColdUnits, ColdCapacity    float64
 	OverloadWindow, WarmUpTime time.Duration
-	// VolumeRate is what a volume with one may have, in units a second; VolumeBurst units at once,
-	// and VolumeBurstSlack more.
+	// Token bucket of a volume with a limit: VolumeRate in units per second, VolumeBurst and the
+	// extra VolumeBurstSlack in units.
 	VolumeRate, VolumeBurst, VolumeBurstSlack float64
-	// HostSlack is let pass beside the platform's own: what this machine may hold its
-	// stand-ins up for.
+	// HostSlack is added to all time limits for the scheduling delays of the machine that runs
+	// the stand-ins.
 	HostSlack time.Duration
 }
 
-// The platform's slack.
+// Slack that the platform allows.
 const (
-	answerSlack         = 500 * time.Millisecond // a late answer only earns nothing
+	answerSlack         = 500 * time.Millisecond // after the request timeout
 	windowSlack         = 50 * time.Millisecond
-	abandonSlack        = 100 * time.Millisecond // from a client's leaving to the last attempt that may begin
+	abandonSlack        = 100 * time.Millisecond // from the client's close to the start of the last attempt
 	timeoutSlack        = 150 * time.Millisecond
-	volumeSlackTime     = 150 * time.Millisecond // a limit's slack grows by what it allows in so long
-	excusedAfterSigterm = 700 * time.Millisecond // from SIGTERM: what comes later has to be answered before SIGKILL
+	volumeSlackTime     = 150 * time.Millisecond // a volume may exceed its burst by what it gets in this time
+	excusedAfterSigterm = 700 * time.Millisecond // a request sent later than this after SIGTERM must be answered before SIGKILL
 )
 
-// Violation is one break of a rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule      string
 	At        time.Duration
-	Scheduler int // -1: none of its own
+	Scheduler int // -1: no single scheduler
 	RequestID string
 	Detail    string
 }
 
-func (b Violation) String() string {
-	return fmt.Sprintf("%s at %.3f s, scheduler %d, request %s: %s", b.Rule, b.At.Seconds(), b.Scheduler, b.RequestID, b.Detail)
+func (v Violation) String() string {
+	return fmt.Sprintf("%s at %.3f s, scheduler %d, request %s: %s", v.Rule, v.At.Seconds(), v.Scheduler, v.RequestID, v.Detail)
 }
 
-// checker works through one record.
+// checker checks one record.
 type checker struct {
 	rules             Rules
 	record            *Record
@@ -58,7 +59,7 @@
 	violations        []Violation
 }
 
-// Check names all breaks of the rules in a record, in order of time.
+// Check returns all violations in a record, ordered by time.
 func (r Rules) Check(record *Record) []Violation {
 	c := &checker{rules: r, record: record, attemptsByRequest: map[string][]*Attempt{}, exitsByScheduler: map[int][]ProcessExit{}}
 	for _, attempt := range record.Attempts {
@@ -75,7 +76,7 @@
 	}
 	for _, attempt := range record.Attempts {
 		if requestsByID[attempt.ID] == nil {
-			c.addViolation("unknown", attempt.FirstByteAt, -1, attempt.ID, "no client sent it")
+			c.addViolation("unknown", attempt.FirstByteAt, -1, attempt.ID, "no client sent this request")
 		}
 	}
 	c.checkDrains(requestsByID)
@@ -90,7 +91,8 @@
 	c.violations = append(c.violations, Violation{rule, violatedAt, scheduler, requestID, detail})
 }
 
-// checkAnswer holds that a request has its one final checkAnswer in time, and a true one.
+// checkAnswer checks that a request got one final response in time, with its own body, and that
+// a 200 was served by a disk server.
 func (c *checker) checkAnswer(request *Request) {
 	attempts := c.attemptsByRequest[request.ID]
 	addLost := func(violatedAt time.Duration, detail string) {
@@ -100,29 +102,30 @@
 	switch {
 	case request.AnsweredAt > 0:
 		if request.AnsweredAt > deadline {
-			addLost(request.AnsweredAt, fmt.Sprintf("answered %.3f s after its time", (request.AnsweredAt-request.SentAt-request.Timeout).Seconds()))
+			addLost(request.AnsweredAt, fmt.Sprintf("answered %.3f s after its deadline", (request.AnsweredAt-request.SentAt-request.Timeout).Seconds()))
 		}
 		if request.Status == 200 && request.Body != request.ID {
-			addLost(request.AnsweredAt, "another's answer: "+request.Body)
+			addLost(request.AnsweredAt, "response to another request: "+request.Body)
 		}
 		if request.Status == 409 && request.Resent {
-			addLost(request.AnsweredAt, "it had been read, and its connection ended without an answer")
+			addLost(request.AnsweredAt, "the scheduler had read it and closed the connection without a response")
 		}
 		if request.Status == 200 && !slices.ContainsFunc(attempts, func(a *Attempt) bool { return a.Served }) {
-			addLost(request.AnsweredAt, "served by nobody")
+			addLost(request.AnsweredAt, "answered 200, but no disk server served it")
 		}
 	case request.AbandonedAt > 0 && request.AbandonedAt <= deadline, c.excusedByKill(request):
 	case request.AbandonedAt > 0:
-		addLost(request.AbandonedAt, "no final answer in its time")
+		addLost(request.AbandonedAt, "no final response before its deadline")
 	case request.ConnLostAt > 0 && len(attempts) > 0:
-		addLost(request.ConnLostAt, "its connection ended without an answer after it was sent on")
+		addLost(request.ConnLostAt, "connection ended without a response although an attempt was sent")
 	case request.BrokenMidResponse:
-		addLost(request.ConnLostAt, "its connection ended within the answer")
+		addLost(request.ConnLostAt, "connection ended in the middle of the response")
 	}
 }
 
-// excusedByKill tells whether the request's process was killed without a word before it had to
-// answer, or was told to end and killed where the request had longer than that.
+// excusedByKill reports whether the kill of the scheduler excuses a missing response: it came
+// before the response was due, and either without SIGTERM, or the request was sent less than
+// excusedAfterSigterm after SIGTERM and its timeout had not passed at the kill.
 func (c *checker) excusedByKill(request *Request) bool {
 	for _, exit := range c.exitsByScheduler[request.Scheduler] {
 		if exit.ExitedAt < request.SentAt || !exit.Killed {
@@ -135,7 +138,8 @@
 	return false
 }
 
-// checkAttempts holds each attempt to what its client has left, and all of them to the class.
+// checkAttempts checks the number of attempts of a request, and of each attempt its start, its
+// timeout and that disk servers still recognise it as a duplicate.
 func (c *checker) checkAttempts(request *Request) {
 	attempts := c.attemptsByRequest[request.ID]
 	if limit := c.rules.MaxAttempts; limit > 0 && len(attempts) > limit {
@@ -143,19 +147,19 @@
 	}
 	for _, attempt := range attempts {
 		if finished := c.finishedAt(request); finished > 0 && attempt.FirstByteAt > finished+abandonSlack+c.rules.HostSlack {
-			c.addViolation("lost", attempt.FirstByteAt, request.Scheduler, request.ID, fmt.Sprintf("an attempt began %.3f s after its end", (attempt.FirstByteAt-finished).Seconds()))
+			c.addViolation("lost", attempt.FirstByteAt, request.Scheduler, request.ID, fmt.Sprintf("attempt started %.3f s after the request had ended", (attempt.FirstByteAt-finished).Seconds()))
 		}
 		remaining := request.SentAt + request.Timeout - attempt.FirstByteAt
 		if attempt.Timeout > remaining+timeoutSlack+c.rules.HostSlack {
-			c.addViolation("deadline", attempt.FirstByteAt, request.Scheduler, request.ID, fmt.Sprintf("told %.3f s, its client has %.3f s left", attempt.Timeout.Seconds(), remaining.Seconds()))
+			c.addViolation("deadline", attempt.FirstByteAt, request.Scheduler, request.ID, fmt.Sprintf("attempt sent with a timeout of %.3f s, the client has %.3f s left", attempt.Timeout.Seconds(), remaining.Seconds()))
 		}
 		if c.rules.KeyTTL > 0 && attempt.FirstByteAt > attempts[0].FirstByteAt+c.rules.KeyTTL+windowSlack+c.rules.HostSlack {
-			c.addViolation("duplicate", attempt.FirstByteAt, request.Scheduler, request.ID, "repeats are not dropped any more")
+			c.addViolation("duplicate", attempt.FirstByteAt, request.Scheduler, request.ID, "attempt started after the key TTL: disk servers no longer drop duplicates")
 		}
 	}
 }
 
-// finishedAt is when nothing more may begin for a request, but for what was under way; 0: never.
+// finishedAt returns when the client got its response or gave up; 0 if neither.
 func (c *checker) finishedAt(request *Request) time.Duration {
 	switch {
 	case request.AbandonedAt > 0:
@@ -166,7 +170,8 @@
 	return 0
 }
 
-// checkDrains holds that nothing goes to a server once the grace after its drain is over.
+// checkDrains checks that no attempt starts later than DrainGrace after its server stopped being
+// active.
 func (c *checker) checkDrains(requestsByID map[string]*Request) {
 	type schedulerServer struct{ scheduler, server int }
 	changes := map[schedulerServer][]HealthChange{}
@@ -181,13 +186,13 @@
 		}
 		last := lastEffective(changes[schedulerServer{request.Scheduler, attempt.Server}], attempt.FirstByteAt)
 		if last != nil && last.Health != "active" && attempt.FirstByteAt > last.EffectiveAt+c.rules.DrainGrace+windowSlack+c.rules.HostSlack {
-			c.addViolation("drain", attempt.FirstByteAt, request.Scheduler, attempt.ID, fmt.Sprintf("sent to server %d %.3f s after its drain was told", attempt.Server, (attempt.FirstByteAt-last.EffectiveAt).Seconds()))
+			c.addViolation("drain", attempt.FirstByteAt, request.Scheduler, attempt.ID, fmt.Sprintf("sent to server %d %.3f s after its drain took effect", attempt.Server, (attempt.FirstByteAt-last.EffectiveAt).Seconds()))
 		}
 	}
 }
 
-// lastEffective is the last change, in the order of their versions, that counts as told at a
-// time; nil if none does.
+// lastEffective returns the newest change, by version, that was in effect at eventTime; nil if
+// there is none.
 func lastEffective(changes []HealthChange, eventTime time.Duration) *HealthChange {
 	for i := len(changes) - 1; i >= 0; i-- {
 		if changes[i].EffectiveAt <= eventTime {
@@ -197,8 +202,8 @@
 	return nil
 }
 
-// checkVolumeLimits holds what comes to the servers of each limited volume to a bucket that is full at
-// first. A request takes its units once, with the last byte of its first attempt.
+// checkVolumeLimits checks the arrivals of each limited volume against a token bucket that is
+// full at first. A request takes its units once, at the last byte of its first whole attempt.
 func (c *checker) checkVolumeLimits(requestsByID map[string]*Request) {
 	rules := c.rules
 	if rules.VolumeRate <= 0 {
@@ -221,15 +226,15 @@
 		for _, attempt := range attempts {
 			level = min(level+rules.VolumeRate*(attempt.LastByteAt-lastTime).Seconds(), rules.VolumeBurst) - meanUnits
 			if lastTime = attempt.LastByteAt; level < minLevel {
-				c.addViolation("limit", lastTime, requestsByID[attempt.ID].Scheduler, attempt.ID, fmt.Sprintf("volume %d is %.1f units past its limit, %.1f are allowed", volume, -level, -minLevel))
+				c.addViolation("limit", lastTime, requestsByID[attempt.ID].Scheduler, attempt.ID, fmt.Sprintf("volume %d exceeds its limit by %.1f units, %.1f are allowed", volume, -level, -minLevel))
 				break
 			}
 		}
 	}
 }
 
-// checkColdServers holds what all schedulers together send to a server that has just started to
-// its budget, in requests of mean work.
+// checkColdServers checks the requests that all schedulers together send to servers that have
+// just started against their cold budget.
 func (c *checker) checkColdServers(requestsByID map[string]*Request) {
 	if c.rules.ColdUnits <= 0 {
 		return
@@ -264,14 +269,15 @@
 			first++
 		}
 		if count, budget := i-first+1, c.rules.coldBudget(arrival-startedAt); float64(count) > budget {
-			c.addViolation("failback", arrival, -1, "", fmt.Sprintf("server %d got %d requests within %s, %.1f s after its start; it bears %.1f", server, count, c.rules.OverloadWindow, (arrival-startedAt).Seconds(), budget))
+			c.addViolation("failback", arrival, -1, "", fmt.Sprintf("server %d got %d requests within %s, %.1f s after its start; allowed are %.1f", server, count, c.rules.OverloadWindow, (arrival-startedAt).Seconds(), budget))
 			return
 		}
 	}
 }
 
-// coldBudget is how many requests of mean work a server of that age takes within FallTime
-// before it falls: N + 2 root N + 2, below 30 N + 3 root N + 3.
+// coldBudget returns how many requests of mean size a server of this age takes within
+// OverloadWindow: the expected number N plus 2*sqrt(N)+2 of random variation, or 3*sqrt(N)+3
+// below N = 30.
 func (r Rules) coldBudget(age time.Duration) float64 {
 	growth := 1.0
 	if r.ColdCapacity > 0 && r.WarmUpTime > 0 {
@@ -284,15 +290,15 @@
 	return expected + 2*math.Sqrt(expected) + 2
 }
 
-// checkProcesses holds that no scheduler ends by itself, and that one that was told to end has
-// answered what it took.
+// checkProcesses checks that no scheduler exits unexpectedly and that none has to be killed
+// after SIGTERM.
 func (c *checker) checkProcesses() {
 	for _, exit := range c.record.Exits {
 		if exit.Crashed {
-			c.addViolation("crash", exit.ExitedAt, exit.Scheduler, "", "it ended by itself: "+logTail(exit.Log))
+			c.addViolation("crash", exit.ExitedAt, exit.Scheduler, "", "unexpected exit: "+logTail(exit.Log))
 		}
 		if exit.Killed && exit.SigtermAt > 0 {
-			c.addViolation("stop", exit.ExitedAt, exit.Scheduler, "", fmt.Sprintf("still there %.3f s after SIGTERM", (exit.ExitedAt-exit.SigtermAt).Seconds()))
+			c.addViolation("stop", exit.ExitedAt, exit.Scheduler, "", fmt.Sprintf("still running %.3f s after SIGTERM", (exit.ExitedAt-exit.SigtermAt).Seconds()))
 		}
 	}
 }
--- a/internal/simulation/soak/rules_test.go
+++ b/internal/simulation/soak/rules_test.go
@@ -7,7 +7,7 @@
 
 const second = time.Second
 
-// newValidRecord is a record in which all rules are kept: one request served by a server, which then
+// newValidRecord returns a record without violations: one served request, whose server then
 // drains.
 func newValidRecord() *Record {
 	record := NewRecord()
@@ -17,7 +17,7 @@
 	return record
 }
 
-// addLimitedRequests adds so many requests of one addLimitedRequests volume, each that much after the one before.
+// addLimitedRequests adds count requests to one limited volume, one per interval.
 func addLimitedRequests(record *Record, count int, interval time.Duration) {
 	for i := range count {
 		id, sentAt := string(rune('A'+i)), 10*second+time.Duration(i)*interval
@@ -31,73 +31,73 @@
 		VolumeRate: 10, VolumeBurst: 4, VolumeBurstSlack: 2, HostSlack: 100 * time.Millisecond}
 }
 
-// Each rule is found broken in a record that breaks it, and none in one just inside it.
+// Check must report a record that breaks a rule, and accept one just within it.
 func TestCheckFindsEachViolation(t *testing.T) {
 	for name, tt := range map[string]struct {
 		change func(r *Record)
-		rule   string // that is broken; "": none
+		rule   string // expected violation; "": none
 	}{
-		"within its limit":   {func(record *Record) { addLimitedRequests(record, 4, 0) }, ""},
-		"past its limit":     {func(r *Record) { addLimitedRequests(r, 5, 0) }, "limit"},
-		"past it with time":  {func(r *Record) { addLimitedRequests(r, 5, 200*time.Millisecond) }, ""},
-		"good":               {func(*Record) {}, ""},
-		"late answer":        {func(r *Record) { r.Requests[0].AnsweredAt = 11*second + 590*time.Millisecond }, ""},
-		"too late an answer": {func(r *Record) { r.Requests[0].AnsweredAt = 11*second + 610*time.Millisecond }, "lost"},
-		"another's answer":   {func(r *Record) { r.Requests[0].Body = "b" }, "lost"},
-		"served by nobody":   {func(r *Record) { r.Attempts[0].Served = false }, "lost"},
-		"no answer": {func(r *Record) {
+		"volume within its limit":         {func(record *Record) { addLimitedRequests(record, 4, 0) }, ""},
+		"volume beyond its limit":         {func(r *Record) { addLimitedRequests(r, 5, 0) }, "limit"},
+		"volume burst refilled over time": {func(r *Record) { addLimitedRequests(r, 5, 200*time.Millisecond) }, ""},
+		"valid record":                    {func(*Record) {}, ""},
+		"response just within the slack":  {func(r *Record) { r.Requests[0].AnsweredAt = 11*second + 590*time.Millisecond }, ""},
+		"response after the slack":        {func(r *Record) { r.Requests[0].AnsweredAt = 11*second + 610*time.Millisecond }, "lost"},
+		"response to another request":     {func(r *Record) { r.Requests[0].Body = "b" }, "lost"},
+		"200 without a serving attempt":   {func(r *Record) { r.Attempts[0].Served = false }, "lost"},
+		"no response": {func(r *Record) {
 			*r.Requests[0] = Request{ID: "a", Timeout: second, SentAt: 10 * second, AbandonedAt: 12 * second}
 		}, "lost"},
-		"left early": {func(r *Record) {
+		"abandoned before the deadline": {func(r *Record) {
 			*r.Requests[0] = Request{ID: "a", Timeout: second, SentAt: 10 * second, AbandonedAt: 10500 * time.Millisecond}
 		}, ""},
-		"begun after it left": {func(r *Record) {
+		"attempt after the client left": {func(r *Record) {
 			*r.Requests[0] = Request{ID: "a", Timeout: second, SentAt: 9 * second, AbandonedAt: 9700 * time.Millisecond}
 		}, "lost"},
-		"closed, sent on": {func(r *Record) {
+		"connection ended, attempt sent": {func(r *Record) {
 			*r.Requests[0] = Request{ID: "a", Timeout: second, SentAt: 10 * second, ConnLostAt: 10500 * time.Millisecond}
 		}, "lost"},
-		"closed unread": {func(r *Record) {
+		"connection ended, nothing sent": {func(r *Record) {
 			*r.Requests[0] = Request{ID: "a", Timeout: second, SentAt: 10 * second, ConnLostAt: 10500 * time.Millisecond}
 			r.Attempts = nil
 		}, ""},
-		"read, and closed": {func(r *Record) { q := r.Requests[0]; q.Status, q.Resent = 409, true }, "lost"},
-		"broke in its answer": {func(r *Record) {
+		"resend answered 409": {func(r *Record) { q := r.Requests[0]; q.Status, q.Resent = 409, true }, "lost"},
+		"connection ended within the response": {func(r *Record) {
 			*r.Requests[0] = Request{ID: "a", Timeout: second, SentAt: 10 * second, ConnLostAt: 10500 * time.Millisecond, BrokenMidResponse: true}
 			r.Attempts = nil
 		}, "lost"},
-		"process killed": {func(r *Record) {
+		"scheduler killed": {func(r *Record) {
 			*r.Requests[0] = Request{ID: "a", Timeout: second, SentAt: 10 * second, ConnLostAt: 10500 * time.Millisecond}
 			r.Exits = []ProcessExit{{ExitedAt: 10500 * time.Millisecond, Killed: true}}
 		}, ""},
-		"killed after SIGTERM": {func(r *Record) {
+		"scheduler killed after SIGTERM": {func(r *Record) {
 			*r.Requests[0] = Request{ID: "a", Timeout: second, SentAt: 10 * second, ConnLostAt: 10500 * time.Millisecond}
 			r.Exits = []ProcessExit{{SigtermAt: 9 * second, ExitedAt: 10500 * time.Millisecond, Killed: true}}
 		}, "lost"},
-		"crashed": {func(r *Record) { r.Exits = []ProcessExit{{ExitedAt: 20 * second, Crashed: true}} }, "crash"},
-		"did not end": {func(r *Record) {
+		"scheduler crashed": {func(r *Record) { r.Exits = []ProcessExit{{ExitedAt: 20 * second, Crashed: true}} }, "crash"},
+		"scheduler killed after the grace": {func(r *Record) {
 			r.Exits = []ProcessExit{{SigtermAt: 15 * second, ExitedAt: 20 * second, Killed: true}}
 		}, "stop"},
-		"drain in its grace": {func(r *Record) { r.HealthChanges[0].EffectiveAt = 9400 * time.Millisecond }, ""},
-		"drain after it":     {func(r *Record) { r.HealthChanges[0].EffectiveAt = 9300 * time.Millisecond }, "drain"},
-		"active again": {func(r *Record) {
+		"attempt within the drain grace": {func(r *Record) { r.HealthChanges[0].EffectiveAt = 9400 * time.Millisecond }, ""},
+		"attempt after the drain grace":  {func(r *Record) { r.HealthChanges[0].EffectiveAt = 9300 * time.Millisecond }, "drain"},
+		"active again after a drain": {func(r *Record) {
 			r.HealthChanges[0].EffectiveAt = 9 * second
 			r.HealthChanges = append(r.HealthChanges, HealthChange{Health: "active", EffectiveAt: 9500 * time.Millisecond})
 		}, ""},
-		"another's server":   {func(r *Record) { r.HealthChanges[0].EffectiveAt, r.HealthChanges[0].Server = 9*second, 1 }, ""},
-		"told too much":      {func(r *Record) { r.Attempts[0].Timeout = 1260 * time.Millisecond }, "deadline"},
-		"told a little more": {func(r *Record) { r.Attempts[0].Timeout = 1240 * time.Millisecond }, ""},
-		"three attempts": {func(r *Record) {
+		"another server drains":    {func(r *Record) { r.HealthChanges[0].EffectiveAt, r.HealthChanges[0].Server = 9*second, 1 }, ""},
+		"timeout beyond the slack": {func(r *Record) { r.Attempts[0].Timeout = 1260 * time.Millisecond }, "deadline"},
+		"timeout within the slack": {func(r *Record) { r.Attempts[0].Timeout = 1240 * time.Millisecond }, ""},
+		"more than MaxAttempts": {func(r *Record) {
 			r.Attempts = append(r.Attempts, &Attempt{ID: "a", FirstByteAt: 10 * second}, &Attempt{ID: "a", FirstByteAt: 10 * second})
 		}, "attempts"},
-		"repeat too late": {func(r *Record) {
+		"attempt after the key TTL": {func(r *Record) {
 			r.Requests[0].Timeout, r.Requests[0].AnsweredAt = 20*second, 20*second
 			r.Attempts = append(r.Attempts, &Attempt{ID: "a", FirstByteAt: 17 * second})
 			r.HealthChanges = nil
 		}, "duplicate"},
-		"nobody's request": {func(r *Record) { r.Attempts[0].ID = "z"; r.Requests = nil }, "unknown"},
-		"cold, within":     {func(r *Record) { setColdStartRequests(r, 13) }, ""},
-		"cold, overloaded": {func(r *Record) { setColdStartRequests(r, 14) }, "failback"},
+		"attempt of an unknown request": {func(r *Record) { r.Attempts[0].ID = "z"; r.Requests = nil }, "unknown"},
+		"cold server within its budget": {func(r *Record) { setColdStartRequests(r, 13) }, ""},
+		"cold server beyond its budget": {func(r *Record) { setColdStartRequests(r, 14) }, "failback"},
 	} {
 		r := newValidRecord()
 		tt.change(r)
@@ -111,8 +111,8 @@
 	}
 }
 
-// setColdStartRequests has a server start and get so many requests at once. It bears four, and falls above
-// 4 + 3 x 2 + 3 of them.
+// setColdStartRequests makes server 0 start and get count requests at once. Its cold budget is
+// 8 units of 2 per request, so 4 + 3*sqrt(4) + 3 = 13 requests.
 func setColdStartRequests(record *Record, count int) {
 	record.HealthChanges = []HealthChange{{Health: "active", EffectiveAt: 9 * second, StartedAt: 9 * second}}
 	for len(record.Attempts) < count {
@@ -131,7 +131,6 @@
 	}
 }
 
-// The same seed draws the same faults, another one others.
 func TestDrawIsDeterminedBySeed(t *testing.T) {
 	options := DefaultOptions()
 	draw := func(seed uint64) (out []Fault) {
@@ -151,7 +150,7 @@
 		return true
 	}
 	if !equal(first, second) || equal(first, otherSeed) {
-		t.Errorf("%d, %d and %d faults", len(first), len(second), len(otherSeed))
+		t.Errorf("got %d and %d faults for one seed, %d for another; want the first two equal, the third different", len(first), len(second), len(otherSeed))
 	}
 }
 
@@ -160,15 +159,15 @@
 		t.Error(err)
 	}
 	for name, change := range map[string]func(*Options){
-		"no servers":   func(options *Options) { options.Servers = 0 },
-		"many servers": func(o *Options) { o.Servers = 5001 },
-		"no share":     func(o *Options) { o.CoreShare = 0 },
-		"schedulers":   func(o *Options) { o.Schedulers = -1 },
-		"leaves":       func(o *Options) { o.AbandonProbability = 1.5 },
+		"no servers":          func(options *Options) { options.Servers = 0 },
+		"too many servers":    func(o *Options) { o.Servers = 5001 },
+		"no core share":       func(o *Options) { o.CoreShare = 0 },
+		"negative schedulers": func(o *Options) { o.Schedulers = -1 },
+		"abandon probability": func(o *Options) { o.AbandonProbability = 1.5 },
 	} {
 		o := DefaultOptions()
 		if change(&o); o.Validate() == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
--- a/internal/simulation/soak/run.go
+++ b/internal/simulation/soak/run.go
@@ -11,32 +11,32 @@
 	"time"
 )
 
-// Options say what a run is made of.
+// Options are the parameters of a run.
 type Options struct {
 	Command             Command
 	Seed                uint64
 	Schedulers          int
 	Servers             int
-	Rate                float64       // requests a second at each scheduler
-	Duration            time.Duration // of the traffic
-	CoreShare           float64       // of a core that each scheduler has; 1: it is not held up
-	MeanServiceTime     time.Duration // mean time of a request at a disk server
-	HostSlack           time.Duration // see Terms
+	Rate                float64       // requests per second to each scheduler
+	Duration            time.Duration // of the client traffic
+	CoreShare           float64       // of a core, for each scheduler; 1: not throttled
+	MeanServiceTime     time.Duration // of a request at a disk server
+	HostSlack           time.Duration // see Rules
 	MemoryMB            int
 	Sockets             int
-	AbandonProbability  float64 // part of the clients that leave before their answer
-	PipelineProbability float64 // part of the sendings that are of several requests at once
-	FullListPerWatch    bool    // each watch begins with the whole list
+	AbandonProbability  float64 // see Clients
+	PipelineProbability float64 // see Clients
+	FullListPerWatch    bool    // every discovery watch starts with the full list
 	IndentedJSON        bool
 }
 
-// DefaultOptions are what Options are where nothing else is asked for.
+// DefaultOptions returns the default options; Command is not set.
 func DefaultOptions() Options {
 	return Options{Seed: 1, Schedulers: 3, Servers: 40, Rate: 60, Duration: 15 * time.Second, CoreShare: 1, MeanServiceTime: 15 * time.Millisecond,
 		HostSlack: 150 * time.Millisecond, MemoryMB: 96, Sockets: 512, AbandonProbability: 0.05, PipelineProbability: 0.05}
 }
 
-// Validate names what is out of range.
+// Validate returns an error for the first option that is out of range.
 func (o Options) Validate() error {
 	for _, check := range []struct {
 		name      string
@@ -45,46 +45,46 @@
 	}{
 		{"schedulers", float64(o.Schedulers), 1, 200}, {"servers", float64(o.Servers), 1, 5000},
 		{"rate", o.Rate, 0.1, 2000}, {"lasts", o.Duration.Seconds(), 1, 3600}, {"share", o.CoreShare, 0.01, 1},
-		{"memory", float64(o.MemoryMB), 16, 4096}, {"sockets", float64(o.Sockets), 32, 16384}, {"leaves", o.AbandonProbability, 0, 1}, {"together", o.PipelineProbability, 0, 1},
+		{"memory", float64(o.MemoryMB), 16, 4096}, {"sockets", float64(o.Sockets), 32, 16384}, {"abandon probability", o.AbandonProbability, 0, 1}, {"pipeline probability", o.PipelineProbability, 0, 1},
 	} {
 		if !(check.value >= check.low && check.value <= check.high) {
-			return fmt.Errorf("%s is %g; it goes from %g to %g", check.name, check.value, check.low, check.high)
+			return fmt.Errorf("%s is %g, must be from %g to %g", check.name, check.value, check.low, check.high)
 		}
 	}
 	return nil
 }
 
-// Fault is something that befalls a run at a time of its traffic.
+// Fault is a fault that is injected at a time since the start of the traffic.
 type Fault struct {
 	At     time.Duration
 	Name   string
 	Inject func(*Run)
 }
 
-// Run is a run under way.
+// Run is one soak run.
 type Run struct {
 	Options   Options
 	Record    *Record
 	Servers   *Servers
 	Directory *Directory
-	Rand      *rand.Rand // of the faults; one fault at a time uses it
+	Rand      *rand.Rand // for faults, one at a time
 
 	dir           string
-	agents        []*Agent // by scheduler, the one that it follows; under mu
+	agents        []*Agent // by scheduler, the one that it is connected to; under mu
 	addresses     []string
 	clients       []*Clients
 	retiredAgents []*Agent
-	stopThrottles chan struct{} // of the throttles
+	stopThrottles chan struct{} // closed to end the throttling
 	tasks         sync.WaitGroup
 
 	mu        sync.Mutex
 	processes []*Process
 	events    []string
-	err       error // that kept the run from being played
+	err       error // last error that kept a fault from being injected
 }
 
-// Execute starts all parts, sends traffic while the faults come, and judges what passed. The
-// error says what could not be played.
+// Execute starts all parts, sends traffic while the faults are injected, and checks the record.
+// It returns an error if a part does not start or a fault cannot be injected.
 func Execute(options Options, faults []Fault) (*Run, []Violation, error) {
 	if err := options.Validate(); err != nil {
 		return nil, nil, err
@@ -134,18 +134,19 @@
 	return nil
 }
 
-// baseListenPort is the first scheduler's.
+// baseListenPort is the listening port of scheduler 0.
 const baseListenPort = 18000
 
-// schedulerAddress is a scheduler's. Its host is one of loopback's that only this process
-// uses, so that no connection on its way out has the port, also while the scheduler is down.
+// schedulerAddress returns the address on which a scheduler listens. Its loopback host is derived
+// from this process's id, so that no outgoing connection takes the port while the scheduler is
+// down.
 func schedulerAddress(i int) string {
 	const octetValues = 250
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+pid%octetValues, pid/octetValues%octetValues, 1+pid/octetValues/octetValues%octetValues, baseListenPort+i)
 }
 
-// StartScheduler starts a scheduler's process, under its own address.
+// StartScheduler starts the process of a scheduler, always with the same address.
 func (r *Run) StartScheduler(i int) error {
 	config := r.Options.schedulerConfig(i, r.addresses[i], r.Agent(i).Address(), r.Agent(i).FullListJSON())
 	process, err := StartProcess(r.Options.Command, i, r.dir, config, r.Record)
@@ -165,14 +166,14 @@
 	return nil
 }
 
-// Process is a scheduler's process as it is now.
+// Process returns the present process of a scheduler.
 func (r *Run) Process(i int) *Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.processes[i]
 }
 
-// Agent is the discovery that a scheduler follows.
+// Agent returns the discovery agent that a scheduler is connected to.
 func (r *Run) Agent(i int) *Agent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,7 +186,7 @@
 	return append([]*Agent(nil), r.agents...)
 }
 
-// recordError notes what kept a fault from being played.
+// recordError records that a fault could not be injected.
 func (r *Run) recordError(err error) {
 	if err != nil {
 		r.mu.Lock()
@@ -194,10 +195,11 @@
 	}
 }
 
-// dialAfterSigterm is how long clients open new connections to a scheduler that was told to end.
+// dialAfterSigterm is how long after SIGTERM clients still open connections to a scheduler.
 const dialAfterSigterm = 300 * time.Millisecond
 
-// MoveDiscovery sends a scheduler to another discovery with a new configuration.
+// MoveDiscovery starts a new discovery agent for a scheduler, points it there by a reload of its
+// configuration (SIGHUP) and takes the previous agent down.
 func (r *Run) MoveDiscovery(i int) error {
 	previous := r.Agent(i)
 	next, err := StartAgent(r.Directory, i, r.Options.FullListPerWatch, r.Options.IndentedJSON, r.Record)
@@ -218,7 +220,7 @@
 	return nil
 }
 
-// Pause holds a scheduler's process up for a time.
+// Pause stops a scheduler's process for a time (SIGSTOP, SIGCONT).
 func (r *Run) Pause(i int, duration time.Duration) {
 	process := r.Process(i)
 	process.Signal(syscall.SIGSTOP)
@@ -226,7 +228,8 @@
 	process.Signal(syscall.SIGCONT)
 }
 
-// HoldIdleConnections opens so many connections to a scheduler that say nothing, for a time.
+// HoldIdleConnections opens count connections to a scheduler and closes them after duration
+// without sending anything.
 func (r *Run) HoldIdleConnections(i, count int, duration time.Duration) {
 	var conns []net.Conn
 	for range count {
@@ -240,7 +243,7 @@
 	}
 }
 
-// Restart tells a scheduler to end as the platform does, and starts it again.
+// Restart stops a scheduler with SIGTERM as the platform does, and starts it again.
 func (r *Run) Restart(i int) error {
 	timer := time.AfterFunc(dialAfterSigterm, r.clients[i].StopDialling)
 	r.Process(i).Stop(stopGrace())
@@ -251,7 +254,7 @@
 	return err
 }
 
-// KillAndRestart ends a scheduler without a word and starts it again.
+// KillAndRestart kills a scheduler with SIGKILL and starts it again.
 func (r *Run) KillAndRestart(i int) error {
 	r.clients[i].StopDialling()
 	r.Process(i).Kill()
@@ -260,7 +263,7 @@
 	return err
 }
 
-// AddEvent keeps a line of what befell the run.
+// AddEvent adds a line, with the time of the run, to the events of a run.
 func (r *Run) AddEvent(format string, args ...any) {
 	line := fmt.Sprintf("%.3f ", r.Record.Now().Seconds()) + fmt.Sprintf(format, args...)
 	r.mu.Lock()
@@ -268,14 +271,14 @@
 	r.events = append(r.events, line)
 }
 
-// Events are the lines kept so far.
+// Events returns the events so far.
 func (r *Run) Events() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string(nil), r.events...)
 }
 
-// runTraffic has the clients send while the faults come, each on a goroutine of its own.
+// runTraffic runs the clients and injects each fault on its own goroutine.
 func (r *Run) runTraffic(faults []Fault) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.Options.Duration)
 	defer cancel()
@@ -302,7 +305,7 @@
 	tasks.Wait()
 }
 
-// stopSchedulers ends the schedulers as a planned stop does.
+// stopSchedulers stops all schedulers at once as in a planned stop.
 func (r *Run) stopSchedulers() {
 	r.mu.Lock()
 	processes := append([]*Process(nil), r.processes...)
--- a/internal/simulation/soak/scenario.go
+++ b/internal/simulation/soak/scenario.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// DrawFaults draws the faults of a run from its seed: a release of the disk servers in steps,
-// trouble of discovery, of disk servers and of the schedulers' processes, several at once.
+// DrawFaults draws the faults of a run from its seed: a rolling release of the disk servers, and
+// overlapping faults of discovery, of disk servers and of the scheduler processes.
 func DrawFaults(options Options) []Fault {
 	g := &faultGenerator{options: options, rng: rand.New(rand.NewPCG(options.Seed, 99))}
 	g.addRelease()
@@ -20,7 +20,7 @@
 	return g.faults
 }
 
-// faultGenerator is a run's faults as they are drawn.
+// faultGenerator collects the faults of a run.
 type faultGenerator struct {
 	options Options
 	rng     *rand.Rand
@@ -31,7 +31,7 @@
 	g.faults = append(g.faults, Fault{offset, name, inject})
 }
 
-// drawTime draws a time of the run between two parts of it.
+// drawTime draws a time between two fractions of the run's duration.
 func (g *faultGenerator) drawTime(from, to float64) time.Duration {
 	return time.Duration((from + (to-from)*g.rng.Float64()) * float64(g.options.Duration))
 }
@@ -40,26 +40,25 @@
 	return from + time.Duration(g.rng.Float64()*float64(to-from))
 }
 
-// drawServers draws so many servers, one at the least.
+// drawServers draws that fraction of the servers, at least one.
 func (g *faultGenerator) drawServers(fraction float64) []int {
 	count := max(int(fraction*float64(g.options.Servers)), 1)
 	return g.rng.Perm(g.options.Servers)[:count]
 }
 
-// drawScheduler draws one drawScheduler.
 func (g *faultGenerator) drawScheduler() int { return g.rng.IntN(g.options.Schedulers) }
 
-// addRelease replaces a tenth of the servers in each step: they drain, are gone, end, and come
-// back cold.
+// addRelease replaces a tenth of the servers in each step: they drain, leave discovery, stop and
+// return cold.
 func (g *faultGenerator) addRelease() {
 	start := g.drawTime(0.1, 0.3)
 	stepInterval := g.drawDuration(300*time.Millisecond, 900*time.Millisecond)
 	for range 2 + g.rng.IntN(3) {
 		servers := g.drawServers(0.1)
 		g.addFault(start, "servers drain", func(r *Run) { r.Directory.SetHealth(servers, "leaving") })
-		g.addFault(start+1200*time.Millisecond, "servers are gone", func(r *Run) { r.Directory.SetHealth(servers, "left") })
-		g.addFault(start+2000*time.Millisecond, "servers end", func(r *Run) { r.setBehaviour(servers, Down) })
-		g.addFault(start+2600*time.Millisecond, "servers are back", func(r *Run) {
+		g.addFault(start+1200*time.Millisecond, "servers leave discovery", func(r *Run) { r.Directory.SetHealth(servers, "left") })
+		g.addFault(start+2000*time.Millisecond, "servers stop", func(r *Run) { r.setBehaviour(servers, Down) })
+		g.addFault(start+2600*time.Millisecond, "servers return", func(r *Run) {
 			r.setBehaviour(servers, Healthy)
 			r.Directory.SetHealth(servers, "active")
 		})
@@ -73,7 +72,7 @@
 	}
 }
 
-// addDiscoveryFault draws one trouble of addDiscoveryFault.
+// addDiscoveryFault draws one fault of all discovery agents.
 func (g *faultGenerator) addDiscoveryFault() {
 	start, duration := g.drawTime(0.05, 0.6), g.drawDuration(500*time.Millisecond, 4*time.Second)
 	switch g.rng.IntN(3) {
@@ -89,7 +88,7 @@
 			}
 		})
 	case 1:
-		g.addFault(start, "watches fall silent", func(r *Run) {
+		g.addFault(start, "watches go silent", func(r *Run) {
 			for _, a := range r.currentAgents() {
 				a.SilenceWatches()
 			}
@@ -103,32 +102,32 @@
 	}
 }
 
-// addServerFault draws one trouble of some addServerFault.
+// addServerFault draws one fault of some disk servers.
 func (g *faultGenerator) addServerFault() {
 	start, duration := g.drawTime(0.05, 0.7), g.drawDuration(500*time.Millisecond, 5*time.Second)
 	behaviour := []Behaviour{Hung, Failing, Resetting, Rejecting, Down, Unreachable}[g.rng.IntN(6)]
 	servers := g.drawServers(0.05 + 0.25*g.rng.Float64())
-	g.addFault(start, "servers are in trouble: "+behaviour.String(), func(r *Run) { r.setBehaviour(servers, behaviour) })
-	g.addFault(start+duration, "servers are well again", func(r *Run) { r.setBehaviour(servers, Healthy) })
+	g.addFault(start, "servers fail: "+behaviour.String(), func(r *Run) { r.setBehaviour(servers, behaviour) })
+	g.addFault(start+duration, "servers recover", func(r *Run) { r.setBehaviour(servers, Healthy) })
 }
 
-// addProcessFaults draws what befalls the schedulers: a restart, a kill, a move of discovery,
-// stalls, and on some seeds a crowd of clients that say nothing.
+// addProcessFaults draws faults of the schedulers: a restart, a kill, a move to another discovery
+// agent, pauses, and on some seeds as many idle connections as the scheduler has sockets.
 func (g *faultGenerator) addProcessFaults() {
 	restarted, killed, moved := g.drawScheduler(), g.drawScheduler(), g.drawScheduler()
-	g.addFault(g.drawTime(0.1, 0.5), "a scheduler is told to end", func(r *Run) { r.recordError(r.Restart(restarted)) })
+	g.addFault(g.drawTime(0.1, 0.5), "scheduler restarts", func(r *Run) { r.recordError(r.Restart(restarted)) })
 	if killed != restarted {
-		g.addFault(g.drawTime(0.1, 0.6), "a scheduler is killed", func(r *Run) { r.recordError(r.KillAndRestart(killed)) })
+		g.addFault(g.drawTime(0.1, 0.6), "scheduler is killed and restarts", func(r *Run) { r.recordError(r.KillAndRestart(killed)) })
 	}
 	if moved != restarted && moved != killed {
-		g.addFault(g.drawTime(0.1, 0.6), "a scheduler is sent to another discovery", func(r *Run) { r.recordError(r.MoveDiscovery(moved)) })
+		g.addFault(g.drawTime(0.1, 0.6), "scheduler is moved to another discovery agent", func(r *Run) { r.recordError(r.MoveDiscovery(moved)) })
 	}
 	for range 6 {
 		start, duration, scheduler := g.drawTime(0.02, 0.9), g.drawDuration(10*time.Millisecond, 150*time.Millisecond), g.drawScheduler()
-		g.addFault(start, "a scheduler is held up", func(r *Run) { r.Pause(scheduler, duration) })
+		g.addFault(start, "scheduler is paused", func(r *Run) { r.Pause(scheduler, duration) })
 	}
 	if g.rng.IntN(3) == 0 {
 		start, scheduler, connections := g.drawTime(0.1, 0.5), g.drawScheduler(), g.options.Sockets
-		g.addFault(start, "a crowd that says nothing", func(r *Run) { r.HoldIdleConnections(scheduler, connections, 3*time.Second) })
+		g.addFault(start, "idle connections to a scheduler", func(r *Run) { r.HoldIdleConnections(scheduler, connections, 3*time.Second) })
 	}
 }
--- a/internal/simulation/soak/servers.go
+++ b/internal/simulation/soak/servers.go
@@ -13,32 +13,31 @@
 	"merlinhitch/internal/protocol/http1"
 )
 
-// Behaviour is how a disk server treats requests.
+// Behaviour is how a stand-in disk server treats requests.
 type Behaviour int32
 
-// The behaviours.
 const (
 	Healthy     Behaviour = iota
-	Hung                  // it reads and never answers
-	Failing               // it answers 500
-	Resetting             // it resets the connection under the request
-	Rejecting             // it turns requests away unrun
-	Down                  // it resets each connection that comes
-	Unreachable           // no connection to it comes up, and nothing comes back on those that are
+	Hung                  // reads and never answers
+	Failing               // answers 500
+	Resetting             // resets the connection after reading a request
+	Rejecting             // answers 503 with Not-Started
+	Down                  // resets every connection
+	Unreachable           // completes no connection, and never answers on open ones
 )
 
 var behaviourNames = [...]string{"well", "hung", "erring", "resetting", "rejecting", "down", "dark"}
 
 func (b Behaviour) String() string { return behaviourNames[b] }
 
-// Servers are the stand-in disk servers, each at an address of its own.
+// Servers are the stand-in disk servers, each listening on its own port.
 type Servers struct {
 	record          *Record
-	meanServiceTime time.Duration // mean time of a request
+	meanServiceTime time.Duration // of a request, exponentially distributed
 	servers         []*diskServer
 	tasks           sync.WaitGroup
 
-	acceptedConns atomic.Int64 // connections
+	acceptedConns atomic.Int64 // on all servers
 }
 
 type diskServer struct {
@@ -47,13 +46,13 @@
 	behaviour atomic.Int32
 
 	mu             sync.Mutex
-	reachableAgain chan struct{} // closed once it is dark no more; nil: it is not
+	reachableAgain chan struct{} // closed when the server is reachable again; nil: it is reachable
 	conns          map[net.Conn]bool
 }
 
 var messageLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: 64 << 10}
 
-// StartServers listens for so many disk servers on loopback.
+// StartServers starts n disk servers on loopback.
 func StartServers(n int, service time.Duration, record *Record) (*Servers, error) {
 	servers := &Servers{record: record, meanServiceTime: service}
 	for index := range n {
@@ -70,10 +69,10 @@
 	return servers, nil
 }
 
-// Address is where a disk server listens.
+// Address returns the listening address of a disk server.
 func (s *Servers) Address(index int) string { return s.servers[index].listener.Addr().String() }
 
-// SetBehaviour sets how a disk server treats what comes from now on; Down also resets what is open.
+// SetBehaviour sets how a disk server treats new requests; Down also resets its open connections.
 func (s *Servers) SetBehaviour(index int, behaviour Behaviour) {
 	server := s.servers[index]
 	server.behaviour.Store(int32(behaviour))
@@ -83,11 +82,11 @@
 	server.setUnreachable(behaviour == Unreachable)
 }
 
-// normalBacklog is how many connections wait for accept where a server is not dark.
+// normalBacklog is the accept backlog of a reachable server.
 const normalBacklog = 4096
 
-// setUnreachable has the kernel drop what asks for a connection, for nothing is accepted and the
-// queue is full; or undoes that.
+// setUnreachable makes the kernel drop connection attempts, by a full accept queue, or undoes
+// that.
 func (d *diskServer) setUnreachable(unreachable bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -112,7 +111,8 @@
 	}
 }
 
-// fillBacklog takes the places in the queue: one that the accepting goroutine holds, and what waits.
+// fillBacklog fills the accept queue: one connection is taken by the accept goroutine, which waits,
+// the others stay in the queue.
 func (d *diskServer) fillBacklog(reachableAgain chan struct{}) {
 	for range 3 {
 		conn, err := net.DialTimeout("tcp", d.listener.Addr().String(), 50*time.Millisecond)
@@ -124,7 +124,7 @@
 	<-reachableAgain
 }
 
-// waitReachable returns once the server is not dark; it tells whether it was.
+// waitReachable waits until the server is reachable and reports whether it had to wait.
 func (d *diskServer) waitReachable() bool {
 	d.mu.Lock()
 	reachableAgain := d.reachableAgain
@@ -135,7 +135,7 @@
 	return reachableAgain != nil
 }
 
-// Close ends all of them.
+// Close stops all servers.
 func (s *Servers) Close() {
 	for _, server := range s.servers {
 		server.setUnreachable(false)
@@ -160,8 +160,9 @@
 	conn.Close()
 }
 
-// accept serves what comes. What the kernel took while the server was dark, one connection
-// here and one in the queue, is reset: it holds requests that were sent long before.
+// accept serves new connections. After a time of being unreachable it resets the two connections
+// that the kernel completed meanwhile, the one accepted and one in the queue: they may hold
+// requests that were sent long before.
 func (s *Servers) accept(server *diskServer) {
 	defer s.tasks.Done()
 	for staleConns := 0; ; {
@@ -214,7 +215,7 @@
 	}
 }
 
-// readRequest fills an attempt in; false if the request did not come whole.
+// readRequest fills in the attempt; false if the request is incomplete.
 func (s *Servers) readRequest(reader *bufio.Reader, attempt *Attempt) bool {
 	request, _, err := http1.ReadWholeRequest(reader, messageLimits)
 	if err != nil {
@@ -226,7 +227,7 @@
 	return true
 }
 
-// respond does with a request what the server does now; false if its connection ends.
+// respond treats a request according to the server's behaviour; false if the connection ends.
 func (s *Servers) respond(server *diskServer, conn net.Conn, attempt *Attempt) bool {
 	switch Behaviour(server.behaviour.Load()) {
 	case Hung, Unreachable:
--- a/internal/simulation/soak/settings.go
+++ b/internal/simulation/soak/settings.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// What the schedulers under soak are set to.
+// Settings of the schedulers under test.
 const (
-	unlimitedPlan              = "gold"  // whose volumes have no limit
-	limitedPlan                = "basic" // whose volumes have one
-	volumeRate                 = 8.0     // units a second
-	volumeBurst                = 20.0    // units at once
+	unlimitedPlan              = "gold"  // its volumes have no limit
+	limitedPlan                = "basic" // its volumes have a rate limit
+	volumeRate                 = 8.0     // units per second
+	volumeBurst                = 20.0    // units
 	volumeBurstSlack           = 6.0     // units
-	limitedFraction            = 0.4     // of the requests, which go to few volumes:
-	limitedVolumesPerScheduler = 2       // so many at each scheduler, and at no other
+	limitedFraction            = 0.4     // of the requests
+	limitedVolumesPerScheduler = 2       // each used by that scheduler only
 	meanUnits                  = 2
 	volumeCount                = 512
 	drainGrace                 = 500 * time.Millisecond
 	keyTTL                     = 6 * time.Second
 	maxAttempts                = 4
-	maxStopTimeout             = 3 * time.Second // of the longest deadline, that the platform counts at a stop
+	maxStopTimeout             = 3 * time.Second // the platform waits at most this long for requests at a stop
 	killMargin                 = 700 * time.Millisecond
 	coldUnits                  = 52.0
 	coldCapacity               = 0.25
@@ -27,8 +27,8 @@
 	warmUpTime                 = 10 * time.Second
 )
 
-// classes are the kinds of request; the bulk ones may take longer than the schedulers have
-// after SIGTERM.
+// classes are the request classes. The timeout of bulk reads exceeds the time that a scheduler
+// has after SIGTERM.
 var classes = []Class{
 	{Name: "card-read", Timeout: 1200 * time.Millisecond, Share: 0.5},
 	{Name: "txn-write", Timeout: 2500 * time.Millisecond, Write: true, Keyed: true, Share: 0.3},
@@ -47,7 +47,7 @@
  "free_resends":3,"extra_ratio":0.25,"resend_span_ms":5000},
 "extra":{"cold_units":%g,"unit_mean":%d,"largest":6,"slots_total":%d}}`
 
-// schedulerConfig is a scheduler's configuration.
+// schedulerConfig returns the JSON configuration of a scheduler.
 func (o Options) schedulerConfig(scheduler int, listen, discovery string, fullList []byte) []byte {
 	settings := fmt.Sprintf(settingsTemplate, o.Schedulers, scheduler, keyTTL.Milliseconds(),
 		volumeRate/2, volumeRate, volumeBurst, volumeBurstSlack, maxAttempts,
@@ -56,14 +56,14 @@
 		scheduler, listen, discovery, o.Seed<<16+uint64(scheduler)+1, o.MemoryMB, o.Sockets, fullList, settings)
 }
 
-// Rules are what a run of these options is held to.
+// Rules returns the rules that a run with these options is checked against.
 func (o Options) Rules() Rules {
 	return Rules{DrainGrace: drainGrace, KeyTTL: keyTTL, MaxAttempts: maxAttempts,
 		ColdUnits: coldUnits, ColdCapacity: coldCapacity, OverloadWindow: overloadWindow, WarmUpTime: warmUpTime,
 		VolumeRate: volumeRate, VolumeBurst: volumeBurst, VolumeBurstSlack: volumeBurstSlack, HostSlack: o.HostSlack}
 }
 
-// stopGrace is the least time from SIGTERM to SIGKILL.
+// stopGrace returns the time from SIGTERM to SIGKILL.
 func stopGrace() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range classes {
--- a/internal/simulation/soak/usage.go
+++ b/internal/simulation/soak/usage.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// Usage is what the schedulers of a run needed, each in the mean.
+// Usage is the resource use of a run's schedulers: CPU time, connections and bytes as means over
+// the schedulers, memory and descriptors as the maximum over all processes.
 type Usage struct {
-	CPUTime           time.Duration // of a process from its start to its end
+	CPUTime           time.Duration
 	PeakMemoryMB      float64
-	MaxDescriptors    float64 // most at once
-	ServerConnections float64 // made to disk servers
-	DiscoveryBytes    float64 // of lists that discovery wrote
-	ServedFraction    float64 // share of the requests
+	MaxDescriptors    float64 // highest sampled number of open descriptors
+	ServerConnections float64 // accepted by disk servers
+	DiscoveryBytes    float64 // written by discovery
+	ServedFraction    float64 // requests answered 200
 }
 
-// descriptorSampleInterval is how often open descriptors are counted.
+// descriptorSampleInterval is the time between two counts of open descriptors.
 const descriptorSampleInterval = 100 * time.Millisecond
 
-// sampleDescriptors keeps the most descriptors that the process has had open at once.
+// sampleDescriptors records the highest number of open descriptors until the process exits.
 func (p *Process) sampleDescriptors() {
 	for {
 		select {
@@ -39,7 +40,7 @@
 	}
 }
 
-// resourceUsage is what an ended process needed.
+// resourceUsage returns the CPU time and the peak memory of a process that has exited.
 func (p *Process) resourceUsage() (cpuTime time.Duration, peakMB float64) {
 	state := p.cmd.ProcessState
 	if usage, ok := state.SysUsage().(*syscall.Rusage); ok {
@@ -48,7 +49,7 @@
 	return state.UserTime() + state.SystemTime(), peakMB
 }
 
-// Usage is what the schedulers needed, once the run is over.
+// Usage returns the resource use of the schedulers after the run.
 func (r *Run) Usage() Usage {
 	var usage Usage
 	schedulers := float64(r.Options.Schedulers)
@@ -69,8 +70,8 @@
 	return usage
 }
 
-// CompareUsage prints what a run needed beside the same with fewer disk servers, and what the
-// platform lets it need. It tells whether all of that holds.
+// CompareUsage prints the resource use of two runs that differ in the number of disk servers, with
+// the platform's bounds for the larger one. It returns whether all bounds hold.
 func CompareUsage(w io.Writer, small, large *Run) bool {
 	smallUsage, largeUsage := small.Usage(), large.Usage()
 	thousands := float64(large.Options.Servers) / 1000
