--- a/internal/simulation/standin/diskserver.go
+++ b/internal/simulation/standin/diskserver.go
@@ -34,18 +34,18 @@
 	Shard   int
 	Started uint64
 
-	world    env.Environment
-	listener net.Listener
-	mu       sync.Mutex
-	machine  *Machine
-	timer    env.Timer
-	timerAt  float64
-	conns    env.OrderedSet[*writequeue.Queue]
-	net      NetworkFaults
-	rng      *rand.Rand
-	dead     bool
-	tasks    env.WaitGroup
-	stopped  env.Gate
+	environment   env.Environment
+	listener      net.Listener
+	mu            sync.Mutex
+	machine       *Machine
+	timer         env.Timer
+	timerDue      float64
+	conns         env.OrderedSet[*writequeue.Queue]
+	networkFaults NetworkFaults
+	rng           *rand.Rand
+	ended         bool
+	tasks         env.WaitGroup
+	stopped       env.Gate
 	// Of one of two regions: where the inventory is, and the disk server of the same shard
 	// in the other region; "" while there is none.
 	Inventory func() string
@@ -57,8 +57,8 @@
 }
 
 const (
-	diskOut     = 64 << 20
-	diskTimeout = 10 * time.Second
+	diskQueueBytes   = 64 << 20
+	diskWriteTimeout = 10 * time.Second
 )
 
 // ServeDisk starts a disk server on a machine.
@@ -67,23 +67,23 @@
 	if err != nil {
 		return err
 	}
-	d.world, d.listener, d.machine = w, l, m
+	d.environment, d.listener, d.machine = w, l, m
 	d.Addr, d.Started = l.Addr().String(), w.RandomUint64()
-	d.timerAt = math.Inf(1)
+	d.timerDue = math.Inf(1)
 	d.rng = rand.New(rand.NewPCG(d.Started, 2))
-	m.RunAsEvent = d.outside
+	m.RunAsEvent = d.runAsEvent
 	d.tasks.Go(w, d.accept)
 	if d.Peer != nil {
-		d.tasks.Go(w, d.copying)
-		d.tasks.Go(w, d.reporting)
+		d.tasks.Go(w, d.replicationLoop)
+		d.tasks.Go(w, d.copyReportLoop)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.arm()
+	d.armTimer()
 	return nil
 }
 
-func (d *DiskServer) now() float64 { return env.MS(d.world.Now()) }
+func (d *DiskServer) now() float64 { return env.MS(d.environment.Now()) }
 
 func (d *DiskServer) accept() {
 	for {
@@ -94,35 +94,35 @@
 		if d.Keys != nil {
 			c = tls.Server(c, d.Keys.Server(true))
 		}
-		o := writequeue.New(d.world, c, diskOut, diskTimeout)
-		if !d.keep(o) {
+		o := writequeue.New(d.environment, c, diskQueueBytes, diskWriteTimeout)
+		if !d.addConn(o) {
 			o.Abort()
 			return
 		}
-		d.tasks.Go(d.world, func() { d.serve(c, o) })
+		d.tasks.Go(d.environment, func() { d.serve(c, o) })
 	}
 }
 
-// keep has a connection cut when the process ends; false if it has ended.
-func (d *DiskServer) keep(o *writequeue.Queue) bool {
+// addConn has a connection cut when the process ends; false if it has ended.
+func (d *DiskServer) addConn(o *writequeue.Queue) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.dead {
+	if d.ended {
 		return false
 	}
 	d.conns.Add(o)
 	return true
 }
 
-func (d *DiskServer) leave(o *writequeue.Queue) {
+func (d *DiskServer) removeConn(o *writequeue.Queue) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.conns.Remove(o)
 }
 
-// trusts tells whether the peer's certificate still counts: it may run out or be revoked
+// certificateValid tells whether the peer's certificate still counts: it may run out or be revoked
 // in the midst of a connection.
-func (d *DiskServer) trusts(c net.Conn) bool {
+func (d *DiskServer) certificateValid(c net.Conn) bool {
 	t, ok := c.(*tls.Conn)
 	if !ok {
 		return true
@@ -132,10 +132,10 @@
 }
 
 func (d *DiskServer) serve(c net.Conn, o *writequeue.Queue) {
-	defer d.leave(o)
+	defer d.removeConn(o)
 	defer o.Wait()
 	defer o.Abort()
-	if d.hangs() {
+	if d.hanging() {
 		var b [1]byte
 		for { // the process doesn't read, but the kernel still takes bytes
 			if _, err := c.Read(b[:]); err != nil {
@@ -147,15 +147,15 @@
 	var gen uint64 // under which a home copies to here by this connection
 	for {
 		f, err := r.Next()
-		if err != nil || !d.trusts(c) {
+		if err != nil || !d.certificateValid(c) {
 			return
 		}
 		ok := false
 		switch f.Kind {
 		case diskproto.KindJoin, diskproto.KindCopy:
-			ok = d.copied(o, f, &gen)
+			ok = d.handleReplicationFrame(o, f, &gen)
 		default:
-			ok = d.frame(o, f)
+			ok = d.handleFrame(o, f)
 		}
 		if !ok {
 			return
@@ -163,25 +163,25 @@
 	}
 }
 
-// outside runs f as an event of the machine.
-func (d *DiskServer) outside(f func()) {
-	d.world.AfterFunc(0, func() {
+// runAsEvent runs f as an event of the machine.
+func (d *DiskServer) runAsEvent(f func()) {
+	d.environment.AfterFunc(0, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if !d.dead {
+		if !d.ended {
 			f()
 		}
 	})
 }
 
-func (d *DiskServer) hangs() bool {
+func (d *DiskServer) hanging() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.net.Hang
+	return d.networkFaults.Hang
 }
 
-// frame handles one message; false ends the connection.
-func (d *DiskServer) frame(o *writequeue.Queue, f diskproto.Frame) bool {
+// handleFrame handles one message; false ends the connection.
+func (d *DiskServer) handleFrame(o *writequeue.Queue, f diskproto.Frame) bool {
 	switch f.Kind {
 	case diskproto.KindHello:
 		var h diskproto.Hello
@@ -189,7 +189,7 @@
 			return false
 		}
 		w := &diskproto.Welcome{Version: diskproto.Version, Shard: uint32(d.Shard), Started: d.Started,
-			Clock: uint64(d.world.Now() / time.Microsecond), Name: d.Name, Zone: d.Zone, Rack: d.Rack}
+			Clock: uint64(d.environment.Now() / time.Microsecond), Name: d.Name, Zone: d.Zone, Rack: d.Rack}
 		if h.Oldest > diskproto.Version || h.Newest < diskproto.Oldest {
 			w.Version = 0
 		}
@@ -200,44 +200,44 @@
 			return false
 		}
 		m.Data = append([]byte(nil), m.Data...)
-		d.do(o, f.Tag, m)
+		d.handleRequest(o, f.Tag, m)
 	case diskproto.KindProbe:
 		d.mu.Lock()
-		p := &diskproto.Probed{Clock: uint64(d.world.Now() / time.Microsecond), Report: []diskproto.Figure{{Name: "waiting", Value: float64(len(d.machine.queue))}, {Name: "active", Value: float64(len(d.machine.run))}}}
+		p := &diskproto.Probed{Clock: uint64(d.environment.Now() / time.Microsecond), Report: []diskproto.Figure{{Name: "waiting", Value: float64(len(d.machine.queue))}, {Name: "active", Value: float64(len(d.machine.running))}}}
 		d.mu.Unlock()
 		return o.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindProbed, f.Tag, p) })
 	}
 	return true // Cancel stops nothing here; unknown kinds are of later versions
 }
 
-func (d *DiskServer) do(o *writequeue.Queue, tag uint32, m diskproto.Do) {
+func (d *DiskServer) handleRequest(o *writequeue.Queue, tag uint32, m diskproto.Do) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.dead {
+	if d.ended {
 		return
 	}
-	d.machine.Arrive(d.now(), m, func(a diskproto.Answer) { d.answer(o, tag, a) })
+	d.machine.Arrive(d.now(), m, func(a diskproto.Answer) { d.sendAnswer(o, tag, a) })
 	if d.machine.Crashed() {
-		d.dead = true
-		d.world.Go(d.fall)
+		d.ended = true
+		d.environment.Go(d.announceCrash)
 		return
 	}
-	d.arm()
+	d.armTimer()
 }
 
-// answer sends an answer with whatever is wrong with the connection. Held: mu.
-func (d *DiskServer) answer(o *writequeue.Queue, tag uint32, a diskproto.Answer) {
-	a.Clock = uint64(d.world.Now() / time.Microsecond)
+// sendAnswer sends an sendAnswer with whatever is wrong with the connection. Held: mu.
+func (d *DiskServer) sendAnswer(o *writequeue.Queue, tag uint32, a diskproto.Answer) {
+	a.Clock = uint64(d.environment.Now() / time.Microsecond)
 	frame := diskproto.Append(nil, diskproto.KindAnswer, tag, &a)
 	switch {
-	case d.net.TruncateShare > 0 && d.rng.Float64() < d.net.TruncateShare:
+	case d.networkFaults.TruncateShare > 0 && d.rng.Float64() < d.networkFaults.TruncateShare:
 		o.Enqueue(func(b []byte) []byte { return append(b, frame[:len(frame)/2]...) })
 		o.Finish()
-	case d.net.DelayShare > 0 && d.rng.Float64() < d.net.DelayShare:
-		d.world.AfterFunc(env.Duration(d.net.Delay), func() {
+	case d.networkFaults.DelayShare > 0 && d.rng.Float64() < d.networkFaults.DelayShare:
+		d.environment.AfterFunc(env.Duration(d.networkFaults.Delay), func() {
 			o.Enqueue(func(b []byte) []byte { return append(b, frame...) })
 		})
-	case d.net.ByteAtATime:
+	case d.networkFaults.ByteAtATime:
 		for i := range frame {
 			o.Enqueue(func(b []byte) []byte { return append(b, frame[i]) })
 		}
@@ -246,29 +246,29 @@
 	}
 }
 
-// arm sets the timer for what the machine does next. Held: mu.
-func (d *DiskServer) arm() {
+// armTimer sets the timer for what the machine does next. Held: mu.
+func (d *DiskServer) armTimer() {
 	at := d.machine.NextEventAt()
-	if at >= d.timerAt || math.IsInf(at, 1) || d.dead {
+	if at >= d.timerDue || math.IsInf(at, 1) || d.ended {
 		return
 	}
 	if d.timer != nil {
 		d.timer.Stop()
 	}
-	d.timerAt = at
+	d.timerDue = at
 	// A moment late, so that rounding never has it come before its time.
-	d.timer = d.world.AfterFunc(max(env.Duration(at-d.now()), 0)+time.Microsecond, d.due)
+	d.timer = d.environment.AfterFunc(max(env.Duration(at-d.now()), 0)+time.Microsecond, d.handleTimer)
 }
 
-func (d *DiskServer) due() {
+func (d *DiskServer) handleTimer() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.dead {
+	if d.ended {
 		return
 	}
-	d.timerAt = math.Inf(1)
+	d.timerDue = math.Inf(1)
 	d.machine.Advance(d.now())
-	d.arm()
+	d.armTimer()
 }
 
 // SetFaults changes what is wrong with the machine.
@@ -276,7 +276,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.machine.SetFaults(d.now(), t)
-	d.arm()
+	d.armTimer()
 }
 
 // SetNetworkFaults changes what is wrong with the connections. Those that are open are cut
@@ -284,8 +284,8 @@
 func (d *DiskServer) SetNetworkFaults(t NetworkFaults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	change := d.net.Hang != t.Hang
-	d.net = t
+	change := d.networkFaults.Hang != t.Hang
+	d.networkFaults = t
 	if change {
 		for _, o := range d.conns.All() {
 			o.Abort()
@@ -314,12 +314,12 @@
 	return d.machine.Served
 }
 
-// fall tells every host before the process ends for good.
-func (d *DiskServer) fall() {
+// announceCrash tells every host before the process ends for good.
+func (d *DiskServer) announceCrash() {
 	d.stopped.Open()
 	d.mu.Lock()
 	for _, o := range d.conns.All() {
-		o.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindBye, fellOver, nil) })
+		o.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindBye, byeOverloadCrash, nil) })
 		o.Finish()
 	}
 	d.mu.Unlock()
@@ -329,15 +329,15 @@
 	}
 }
 
-// fellOver is the tag of a Bye that says that the server was pushed over.
-const fellOver = 1
+// byeOverloadCrash is the tag of a Bye that says that the server was pushed over.
+const byeOverloadCrash = 1
 
 // Kill ends the process at once: what it had is lost, unless it was begun.
 func (d *DiskServer) Kill() {
 	d.listener.Close()
 	d.stopped.Open()
 	d.mu.Lock()
-	d.dead = true
+	d.ended = true
 	if d.timer != nil {
 		d.timer.Stop()
 	}
@@ -345,5 +345,5 @@
 		o.Abort()
 	}
 	d.mu.Unlock()
-	d.tasks.Wait(d.world)
+	d.tasks.Wait(d.environment)
 }
--- a/internal/simulation/standin/tap.go
+++ b/internal/simulation/standin/framerecorder.go
@@ -16,39 +16,39 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// tapper reads the frames of one connection.
-type tapper interface {
-	// cut returns the length of the frame that b begins with, 0 if it isn't all
+// frameParser reads the frames of one connection.
+type frameParser interface {
+	// frameLength returns the length of the frame that b begins with, 0 if it isn't all
 	// there, -1 if it is none.
-	cut(up bool, b []byte) int
-	// frame describes a whole frame; nil leaves it out.
-	frame(up bool, b []byte) []trail.Event
-	// who fills in the end points.
-	who(e *trail.Event)
+	frameLength(up bool, b []byte) int
+	// events describes a whole events; nil leaves it out.
+	events(up bool, b []byte) []trail.Event
+	// setEndpoints fills in the end points.
+	setEndpoints(e *trail.Event)
 }
 
-const tapFrame = 4 << 20 // longer is taken for broken
+const maxFrameBytes = 4 << 20 // longer is taken for broken
 
 // FrameRecorder records the frames of one connection from the bytes that pass.
 type FrameRecorder struct {
-	rec    *trail.Recorder
-	conn   uint32
-	mu     sync.Mutex // both directions record through one tapper
-	tapper tapper
-	held   [2][]byte // of a frame that isn't whole yet, up and down
-	closed bool
+	recorder *trail.Recorder
+	conn     uint32
+	mu       sync.Mutex // both directions record through one tapper
+	parser   frameParser
+	partial  [2][]byte // of a frame that isn't whole yet, up and down
+	closed   bool
 }
 
-func newTap(rec *trail.Recorder, r tapper) *FrameRecorder {
-	t := &FrameRecorder{rec: rec, tapper: r, conn: rec.NextConn()}
-	t.note(trail.Event{Kind: trail.Open, Dir: trail.Up})
+func newFrameRecorder(rec *trail.Recorder, r frameParser) *FrameRecorder {
+	t := &FrameRecorder{recorder: rec, parser: r, conn: rec.NextConn()}
+	t.add(trail.Event{Kind: trail.Open, Dir: trail.Up})
 	return t
 }
 
-func (t *FrameRecorder) note(e trail.Event) {
+func (t *FrameRecorder) add(e trail.Event) {
 	e.Conn = t.conn
-	t.tapper.who(&e)
-	t.rec.Add(e)
+	t.parser.setEndpoints(&e)
+	t.recorder.Add(e)
 }
 
 // Bytes takes what passes; up from the side that dialled. No tap hears nothing.
@@ -61,15 +61,15 @@
 	if t.closed {
 		return
 	}
-	held := &t.held[0]
+	held := &t.partial[0]
 	if !up {
-		held = &t.held[1]
+		held = &t.partial[1]
 	}
 	if len(*held) == 0 { // most often: nothing is left of b
-		*held = append([]byte(nil), t.record(b, up)...)
+		*held = append([]byte(nil), t.recordFrames(b, up)...)
 		return
 	}
-	*held = append([]byte(nil), t.record(append(*held, b...), up)...)
+	*held = append([]byte(nil), t.recordFrames(append(*held, b...), up)...)
 }
 
 // Closed notes which side ended the connection, once.
@@ -81,7 +81,7 @@
 	defer t.mu.Unlock()
 	if !t.closed {
 		t.closed = true
-		t.note(trail.Event{Kind: trail.Close, Dir: dir(up)})
+		t.add(trail.Event{Kind: trail.Close, Dir: dir(up)})
 	}
 }
 
@@ -92,62 +92,62 @@
 	return trail.Down
 }
 
-// record notes the whole frames in b and returns what remains.
-func (t *FrameRecorder) record(b []byte, up bool) []byte {
+// recordFrames notes the whole frames in b and returns what remains.
+func (t *FrameRecorder) recordFrames(b []byte, up bool) []byte {
 	for len(b) > 0 {
-		n := t.tapper.cut(up, b)
-		if n < 0 || n == 0 && len(b) > tapFrame {
-			t.note(trail.Event{Kind: trail.Malformed, Dir: dir(up), Bytes: int64(len(b))})
+		n := t.parser.frameLength(up, b)
+		if n < 0 || n == 0 && len(b) > maxFrameBytes {
+			t.add(trail.Event{Kind: trail.Malformed, Dir: dir(up), Bytes: int64(len(b))})
 			return nil
 		}
 		if n == 0 {
 			return b
 		}
-		for _, e := range t.tapper.frame(up, b[:n]) {
+		for _, e := range t.parser.events(up, b[:n]) {
 			e.Dir, e.Bytes = dir(up), int64(n)
-			t.note(e)
+			t.add(e)
 		}
 		b = b[n:]
 	}
 	return nil
 }
 
-// clientTap reads iSCSI.
-type clientTap struct {
-	host, peer string
-	set        *settings.Settings
-	digests    [2]bool // header, data
-	full       bool
-	session    uint32
-	volume     string
-	keys       []byte
+// iscsiParser reads iSCSI.
+type iscsiParser struct {
+	host, peer  string
+	settings    *settings.Settings
+	digests     [2]bool // header, data
+	fullFeature bool
+	session     uint32
+	volume      string
+	loginData   []byte
 }
 
 // RecordISCSI reads a connection between an initiator and that host.
 func RecordISCSI(rec *trail.Recorder, host string, set *settings.Settings) *FrameRecorder {
-	return newTap(rec, &clientTap{host: host, set: set})
+	return newFrameRecorder(rec, &iscsiParser{host: host, settings: set})
 }
 
-func (c *clientTap) who(e *trail.Event) {
+func (c *iscsiParser) setEndpoints(e *trail.Event) {
 	e.Link, e.Host, e.Peer, e.Session = trail.LinkClient, c.host, c.peer, c.session
 	if e.Volume == "" {
 		e.Volume = c.volume
 	}
 }
 
-func (c *clientTap) cut(up bool, b []byte) int {
+func (c *iscsiParser) frameLength(up bool, b []byte) int {
 	if len(b) < 48 {
 		return 0
 	}
 	data := int(b[5])<<16 | int(b[6])<<8 | int(b[7])
 	n := 48 + 4*int(b[4]) + (data+3)&^3
-	if c.full && c.digests[0] {
+	if c.fullFeature && c.digests[0] {
 		n += 4
 	}
-	if c.full && c.digests[1] && data > 0 {
+	if c.fullFeature && c.digests[1] && data > 0 {
 		n += 4
 	}
-	if n > tapFrame {
+	if n > maxFrameBytes {
 		return -1
 	}
 	if len(b) < n {
@@ -156,9 +156,9 @@
 	return n
 }
 
-func (c *clientTap) frame(up bool, b []byte) []trail.Event {
-	r := iscsi.NewReader(bufio.NewReader(bytes.NewReader(b)), tapFrame)
-	if c.full {
+func (c *iscsiParser) events(up bool, b []byte) []trail.Event {
+	r := iscsi.NewReader(bufio.NewReader(bytes.NewReader(b)), maxFrameBytes)
+	if c.fullFeature {
 		r.Digests = iscsi.Digests{Header: c.digests[0], Data: c.digests[1]}
 	}
 	p, err := r.Next()
@@ -166,20 +166,20 @@
 		return []trail.Event{{Kind: trail.Malformed, Detail: err.Error()}}
 	}
 	if up {
-		return c.up(p)
+		return c.request(p)
 	}
-	return c.down(p)
+	return c.response(p)
 }
 
-func (c *clientTap) up(p *iscsi.PDU) []trail.Event {
+func (c *iscsiParser) request(p *iscsi.PDU) []trail.Event {
 	e := trail.Event{Tag: p.ITT()}
 	switch p.Opcode() {
 	case iscsi.OpLoginReq:
-		c.keys = append(c.keys, p.Data...)
+		c.loginData = append(c.loginData, p.Data...)
 		return nil
 	case iscsi.OpCommand:
 		e.Kind, e.Length = trail.Command, p.Word(20)
-		e.Op, e.LBA, e.Blocks = describe(p.CDB())
+		e.Op, e.LBA, e.Blocks = describeCommand(p.CDB())
 		e.Advice = uint32(len(p.Data)) // immediate data, bytes
 		if p.Flags()&0x20 == 0 {
 			e.Advice = e.Length // nothing is still to come
@@ -196,7 +196,7 @@
 	return []trail.Event{e}
 }
 
-func (c *clientTap) down(p *iscsi.PDU) []trail.Event {
+func (c *iscsiParser) response(p *iscsi.PDU) []trail.Event {
 	e := trail.Event{Tag: p.ITT()}
 	switch p.Opcode() {
 	case iscsi.OpLoginResp:
@@ -224,7 +224,7 @@
 
 // login follows the login to its end: names from the requests, digests from the
 // answers, the session's handle from the last.
-func (c *clientTap) login(p *iscsi.PDU) []trail.Event {
+func (c *iscsiParser) login(p *iscsi.PDU) []trail.Event {
 	answers, _ := iscsi.ParseText(p.Data)
 	for _, k := range answers {
 		switch k.Name {
@@ -237,10 +237,10 @@
 	if p.BHS[36] != 0 || !p.Final() || p.Flags()&3 != 3 {
 		return nil
 	}
-	c.full = true
+	c.fullFeature = true
 	c.session = uint32(p.BHS[14])<<8 | uint32(p.BHS[15])
-	asked, _ := iscsi.ParseText(c.keys)
-	c.keys = nil
+	asked, _ := iscsi.ParseText(c.loginData)
+	c.loginData = nil
 	for _, k := range asked {
 		switch k.Name {
 		case "InitiatorName":
@@ -252,9 +252,9 @@
 	return []trail.Event{{Kind: trail.Login}}
 }
 
-// describe names a CDB's operation; "" for those that need no disk. The data of
+// describeCommand names a CDB's operation; "" for those that need no disk. The data of
 // an UNMAP isn't read: its runs are in its attempts.
-func describe(cdb []byte) (op string, lba uint64, blocks uint32) {
+func describeCommand(cdb []byte) (op string, lba uint64, blocks uint32) {
 	var b [16]byte
 	copy(b[:], cdb)
 	every := &scsi.Disk{Blocks: 1 << 62, BlockSize: 1}
@@ -268,8 +268,8 @@
 	return out.IO.Op.String(), out.IO.LBA, out.IO.Blocks
 }
 
-// diskTap reads the disk servers' protocol.
-type diskTap struct {
+// diskParser reads the disk servers' protocol.
+type diskParser struct {
 	server string
 	host   string
 	hostID uint64
@@ -278,14 +278,14 @@
 // RecordDiskProtocol reads a connection between a host and the disk server that the inventory
 // lists at that address.
 func RecordDiskProtocol(rec *trail.Recorder, addr string) *FrameRecorder {
-	return newTap(rec, &diskTap{server: addr})
+	return newFrameRecorder(rec, &diskParser{server: addr})
 }
 
-func (d *diskTap) who(e *trail.Event) {
+func (d *diskParser) setEndpoints(e *trail.Event) {
 	e.Link, e.Host, e.Peer, e.HostID = trail.LinkDisk, d.host, d.server, d.hostID
 }
 
-func (d *diskTap) cut(_ bool, b []byte) int {
+func (d *diskParser) frameLength(_ bool, b []byte) int {
 	if len(b) < 16 {
 		return 0
 	}
@@ -293,7 +293,7 @@
 		return -1
 	}
 	n := 16 + int(binary.BigEndian.Uint32(b[4:]))
-	if n > tapFrame {
+	if n > maxFrameBytes {
 		return -1
 	}
 	if len(b) < n {
@@ -302,7 +302,7 @@
 	return n
 }
 
-func (d *diskTap) frame(_ bool, b []byte) []trail.Event {
+func (d *diskParser) events(_ bool, b []byte) []trail.Event {
 	f, err := diskproto.NewReader(bufio.NewReader(bytes.NewReader(b))).Next()
 	if err != nil {
 		return []trail.Event{{Kind: trail.Malformed, Detail: err.Error()}}
@@ -339,19 +339,19 @@
 	return []trail.Event{e}
 }
 
-// listTap reads the inventory's lines.
-type listTap struct{ host string }
+// inventoryParser reads the inventory's lines.
+type inventoryParser struct{ host string }
 
 // RecordInventory reads a connection between that host and the inventory.
 func RecordInventory(rec *trail.Recorder, host string) *FrameRecorder {
-	return newTap(rec, &listTap{host})
+	return newFrameRecorder(rec, &inventoryParser{host})
 }
 
-func (l *listTap) who(e *trail.Event) { e.Link, e.Host = trail.LinkInventory, l.host }
+func (l *inventoryParser) setEndpoints(e *trail.Event) { e.Link, e.Host = trail.LinkInventory, l.host }
 
-func (l *listTap) cut(_ bool, b []byte) int { return bytes.IndexByte(b, '\n') + 1 }
+func (l *inventoryParser) frameLength(_ bool, b []byte) int { return bytes.IndexByte(b, '\n') + 1 }
 
-func (l *listTap) frame(up bool, b []byte) []trail.Event {
+func (l *inventoryParser) events(up bool, b []byte) []trail.Event {
 	if up {
 		return nil
 	}
--- a/internal/simulation/standin/http.go
+++ b/internal/simulation/standin/http.go
@@ -31,9 +31,9 @@
 // HTTPDiskServer is a disk server that speaks HTTP/1.1, one request at a time on a connection,
 // and answers as it is told, however wrong that is.
 type HTTPDiskServer struct {
-	door
-	do   func(HTTPRequest) HTTPResponse
-	asks []HTTPRequest // under the door's lock
+	connServer
+	respond  func(HTTPRequest) HTTPResponse
+	requests []HTTPRequest // under the door's lock
 }
 
 // ServeHTTPDiskServer starts one.
@@ -42,8 +42,8 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &HTTPDiskServer{do: do}
-	d.open(w, l, d.serve)
+	d := &HTTPDiskServer{respond: do}
+	d.start(w, l, d.serve)
 	return d, nil
 }
 
@@ -57,15 +57,15 @@
 		if err != nil {
 			return
 		}
-		ask := HTTPRequest{Conn: conn, Index: nth, Request: r, Body: body, ReceivedAt: d.world.Now()}
+		ask := HTTPRequest{Conn: conn, Index: nth, Request: r, Body: body, ReceivedAt: d.environment.Now()}
 		d.mu.Lock()
-		d.asks = append(d.asks, ask)
+		d.requests = append(d.requests, ask)
 		d.mu.Unlock()
-		a := d.do(ask)
-		env.Sleep(d.world, a.Delay, nil)
+		a := d.respond(ask)
+		env.Sleep(d.environment, a.Delay, nil)
 		c.Write(a.Raw)
 		if len(a.Extra) > 0 {
-			env.Sleep(d.world, a.ExtraDelay, nil)
+			env.Sleep(d.environment, a.ExtraDelay, nil)
 			c.Write(a.Extra)
 		}
 		if t, ok := c.(*net.TCPConn); ok && a.Reset {
@@ -81,17 +81,17 @@
 func (d *HTTPDiskServer) Requests() []HTTPRequest {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]HTTPRequest(nil), d.asks...)
+	return append([]HTTPRequest(nil), d.requests...)
 }
 
 // HTTPDiscovery is discovery over HTTP/1.1: each watch gets a chunked answer that stays open.
 type HTTPDiscovery struct {
-	door
+	connServer
 
 	// Under the door's lock.
-	whole   string // the first line of every watch
-	watches []net.Conn
-	targets []string
+	initialLine string // the first line of every watch
+	watches     []net.Conn
+	targets     []string
 }
 
 // ServeHTTPDiscovery starts one whose watches begin with that line of JSON.
@@ -100,8 +100,8 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &HTTPDiscovery{whole: whole}
-	h.open(w, l, h.serve)
+	h := &HTTPDiscovery{initialLine: whole}
+	h.start(w, l, h.serve)
 	return h, nil
 }
 
@@ -116,10 +116,10 @@
 	h.targets = append(h.targets, r.Target)
 	h.watches = append(h.watches, c)
 	c.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
-	c.Write(chunk(h.whole + "\n"))
+	c.Write(encodeChunk(h.initialLine + "\n"))
 }
 
-func chunk(s string) []byte {
+func encodeChunk(s string) []byte {
 	const hex = "0123456789abcdef"
 	n := len(s)
 	return append([]byte{hex[n>>12&15], hex[n>>8&15], hex[n>>4&15], hex[n&15], '\r', '\n'}, s+"\r\n"...)
@@ -130,8 +130,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.watches {
-		c.Write(chunk(line[:len(line)/2]))
-		c.Write(chunk(line[len(line)/2:] + "\n"))
+		c.Write(encodeChunk(line[:len(line)/2]))
+		c.Write(encodeChunk(line[len(line)/2:] + "\n"))
 	}
 }
 
--- a/internal/simulation/standin/quick.go
+++ b/internal/simulation/standin/immediatediskserver.go
@@ -14,7 +14,7 @@
 // ImmediateDiskServer is a disk server without a machine: it answers every read at once, on
 // the goroutine of its connection. It serves measurements of what stands before it.
 type ImmediateDiskServer struct {
-	door
+	connServer
 	block []byte
 }
 
@@ -28,7 +28,7 @@
 		l = tls.NewListener(l, k.Server(true))
 	}
 	q := &ImmediateDiskServer{block: make([]byte, bytes)}
-	q.open(w, l, q.serve)
+	q.start(w, l, q.serve)
 	return q, nil
 }
 
@@ -47,7 +47,7 @@
 		}
 		switch f.Kind {
 		case diskproto.KindHello:
-			out = diskproto.Append(out, diskproto.KindWelcome, f.Tag, &diskproto.Welcome{Version: diskproto.Version, Clock: uint64(q.world.Now() / time.Microsecond)})
+			out = diskproto.Append(out, diskproto.KindWelcome, f.Tag, &diskproto.Welcome{Version: diskproto.Version, Clock: uint64(q.environment.Now() / time.Microsecond)})
 		case diskproto.KindDo:
 			out = diskproto.Append(out, diskproto.KindAnswer, f.Tag, answer)
 		}
--- a/internal/simulation/standin/inventory.go
+++ b/internal/simulation/standin/inventory.go
@@ -14,28 +14,28 @@
 // Inventory is the shell of a node list: it pushes each change to all clients,
 // so late.
 type Inventory struct {
-	Addr  string
-	world env.Environment
-	mu    sync.Mutex
-	book  *inventory.Book
-	late  float64
-	conns env.OrderedSet[*watcher]
-	l     net.Listener
-	tasks env.WaitGroup
-	dead  bool
-	over  env.Gate
-	reg   *source // of one of two regions
+	Addr        string
+	environment env.Environment
+	mu          sync.Mutex
+	book        *inventory.Book
+	delay       float64
+	conns       env.OrderedSet[*watcher]
+	listener    net.Listener
+	tasks       env.WaitGroup
+	closed      bool
+	stopped     env.Gate
+	regional    *regionalState // of one of two regions
 }
 
 type watcher struct {
-	out   *writequeue.Queue
-	known uint64
-	on    bool
+	writes          *writequeue.Queue
+	knownGeneration uint64
+	watching        bool
 }
 
 const (
-	listOut     = 8 << 20
-	listTimeout = 5 * time.Second
+	listQueueBytes   = 8 << 20
+	listWriteTimeout = 5 * time.Second
 )
 
 // ServeInventory starts an inventory that tells changes so many ms late.
@@ -44,27 +44,27 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &Inventory{Addr: l.Addr().String(), world: w, book: inventory.NewBook(), late: late, l: l}
+	v := &Inventory{Addr: l.Addr().String(), environment: w, book: inventory.NewBook(), delay: late, listener: l}
 	v.tasks.Go(w, v.accept)
 	return v, nil
 }
 
 func (v *Inventory) accept() {
 	for {
-		c, err := v.l.Accept()
+		c, err := v.listener.Accept()
 		if err != nil {
 			return
 		}
 		v.mu.Lock()
-		if v.dead {
+		if v.closed {
 			v.mu.Unlock()
 			c.Close()
 			return
 		}
-		wt := &watcher{out: writequeue.New(v.world, c, listOut, listTimeout)}
+		wt := &watcher{writes: writequeue.New(v.environment, c, listQueueBytes, listWriteTimeout)}
 		v.conns.Add(wt)
 		v.mu.Unlock()
-		v.tasks.Go(v.world, func() { v.serve(c, wt) })
+		v.tasks.Go(v.environment, func() { v.serve(c, wt) })
 	}
 }
 
@@ -78,61 +78,61 @@
 		v.mu.Lock()
 		switch a.Op {
 		case "watch":
-			wt.on, wt.known = true, a.From
-			v.tell(wt, true)
+			wt.watching, wt.knownGeneration = true, a.From
+			v.sendList(wt, true)
 		case "fetch":
-			wt.known = 0
-			v.tell(wt, true)
+			wt.knownGeneration = 0
+			v.sendList(wt, true)
 		default:
-			l := v.answer(&a)
-			wt.out.Enqueue(func(b []byte) []byte { return append(b, inventory.Line(l)...) })
+			l := v.handleRequest(&a)
+			wt.writes.Enqueue(func(b []byte) []byte { return append(b, inventory.Line(l)...) })
 		}
 		v.mu.Unlock()
 	}
-	wt.out.Abort()
-	wt.out.Wait()
+	wt.writes.Abort()
+	wt.writes.Wait()
 	v.mu.Lock()
 	v.conns.Remove(wt)
 	v.mu.Unlock()
 }
 
-// tell sends what the watcher lacks. Held: mu.
-func (v *Inventory) tell(wt *watcher, asked bool) {
-	if v.reg != nil && !v.reg.src.Grants(env.MS(v.world.Now())) {
+// sendList sends what the watcher lacks. Held: mu.
+func (v *Inventory) sendList(wt *watcher, asked bool) {
+	if v.regional != nil && !v.regional.source.Grants(env.MS(v.environment.Now())) {
 		return // what it lists may be old
 	}
-	l := v.book.List(wt.known, env.MS(v.world.Now()))
+	l := v.book.List(wt.knownGeneration, env.MS(v.environment.Now()))
 	if len(l.Nodes) == 0 && !asked {
 		return
 	}
-	wt.known = l.Generation
-	wt.out.Enqueue(func(b []byte) []byte { return append(b, inventory.Line(l)...) })
+	wt.knownGeneration = l.Generation
+	wt.writes.Enqueue(func(b []byte) []byte { return append(b, inventory.Line(l)...) })
 }
 
 // Change makes changes to the list, which are told after the delay.
 func (v *Inventory) Change(f func(b *inventory.Book)) {
 	v.mu.Lock()
-	late := v.late
+	late := v.delay
 	v.mu.Unlock()
-	v.world.AfterFunc(env.Duration(late), func() { v.ChangeNow(f) })
+	v.environment.AfterFunc(env.Duration(late), func() { v.ChangeNow(f) })
 }
 
 // ChangeNow makes and tells changes at once.
 func (v *Inventory) ChangeNow(f func(b *inventory.Book)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.dead {
+	if v.closed {
 		return
 	}
 	f(v.book)
-	v.tellAll()
+	v.notifyWatchers()
 }
 
-// tellAll sends every watcher what it lacks. Held: mu.
-func (v *Inventory) tellAll() {
+// notifyWatchers sends every watcher what it lacks. Held: mu.
+func (v *Inventory) notifyWatchers() {
 	for _, wt := range v.conns.All() {
-		if wt.on {
-			v.tell(wt, false)
+		if wt.watching {
+			v.sendList(wt, false)
 		}
 	}
 }
@@ -141,7 +141,7 @@
 func (v *Inventory) SetDelay(ms float64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.late = ms
+	v.delay = ms
 }
 
 // DropConnections breaks every connection; clients come again.
@@ -149,19 +149,19 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, wt := range v.conns.All() {
-		wt.out.Abort()
+		wt.writes.Abort()
 	}
 }
 
 // Close ends the inventory.
 func (v *Inventory) Close() {
-	v.over.Open()
-	v.l.Close()
+	v.stopped.Open()
+	v.listener.Close()
 	v.mu.Lock()
-	v.dead = true
+	v.closed = true
 	for _, wt := range v.conns.All() {
-		wt.out.Abort()
+		wt.writes.Abort()
 	}
 	v.mu.Unlock()
-	v.tasks.Wait(v.world)
+	v.tasks.Wait(v.environment)
 }
--- a/internal/simulation/standin/links.go
+++ b/internal/simulation/standin/links.go
@@ -23,43 +23,45 @@
 // Links are the ways between programs on loopback: each program has a World of its own,
 // whose connections go through relays that delay, drop and cut.
 type Links struct {
-	world  env.Environment
-	mu     sync.Mutex
-	owner  map[string]string // program that listens at an address
-	ways   map[[2]string]*way
-	relays map[[2]string]*Relay       // by who dials, and the address
-	wires  map[string]*VirtualAddress // by the address that they stand for
-	rng    *rand.Rand
+	environment      env.Environment
+	mu               sync.Mutex
+	listenerOwners   map[string]string // program that listens at an address
+	links            map[[2]string]*link
+	relays           map[[2]string]*Relay       // by who dials, and the address
+	virtualAddresses map[string]*VirtualAddress // by the address that they stand for
+	rng              *rand.Rand
 }
 
-type way struct {
+type link struct {
 	LinkState
-	whole *env.Gate // while it is cut
+	restored *env.Gate // while it is cut
 }
 
 // NewLinks returns links that are whole.
 func NewLinks(w env.Environment, seed uint64) *Links {
-	return &Links{world: w, owner: map[string]string{}, ways: map[[2]string]*way{}, wires: map[string]*VirtualAddress{}, relays: map[[2]string]*Relay{}, rng: rand.New(rand.NewPCG(seed, 9))}
+	return &Links{environment: w, listenerOwners: map[string]string{}, links: map[[2]string]*link{}, virtualAddresses: map[string]*VirtualAddress{}, relays: map[[2]string]*Relay{}, rng: rand.New(rand.NewPCG(seed, 9))}
 }
 
 // Process is the world as the program of that name has it.
-func (l *Links) Process(name string) env.Environment { return &linked{l.world, l, name} }
+func (l *Links) Process(name string) env.Environment {
+	return &processEnvironment{l.environment, l, name}
+}
 
 // VirtualAddress is an address that programs dial, behind which a listener can change, and on whose
 // connections each frame is recorded beside the side that dials.
 type VirtualAddress struct {
-	links  *Links
-	addr   string
-	target string
-	tap    func(addr string) *FrameRecorder
+	links       *Links
+	addr        string
+	target      string
+	newRecorder func(addr string) *FrameRecorder
 }
 
 // NewVirtualAddress makes one. No other program can dial it.
 func (l *Links) NewVirtualAddress(target string, tap func(addr string) *FrameRecorder) *VirtualAddress {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := &VirtualAddress{l, fmt.Sprintf("wire-%d", len(l.wires)), target, tap}
-	l.wires[w.addr], l.owner[w.addr] = w, l.owner[target]
+	w := &VirtualAddress{l, fmt.Sprintf("wire-%d", len(l.virtualAddresses)), target, tap}
+	l.virtualAddresses[w.addr], l.listenerOwners[w.addr] = w, l.listenerOwners[target]
 	return w
 }
 
@@ -86,52 +88,52 @@
 func (l *Links) SetState(from, to string, s LinkState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.way(from, to)
+	w := l.link(from, to)
 	w.LinkState = s
 	switch {
-	case s.Cut && w.whole == nil:
-		w.whole = &env.Gate{}
-	case !s.Cut && w.whole != nil:
-		w.whole.Open()
-		w.whole = nil
+	case s.Cut && w.restored == nil:
+		w.restored = &env.Gate{}
+	case !s.Cut && w.restored != nil:
+		w.restored.Open()
+		w.restored = nil
 	}
 }
 
-// way is the state of a way. Held: mu.
-func (l *Links) way(from, to string) *way {
+// link is the state of a link. Held: mu.
+func (l *Links) link(from, to string) *link {
 	k := [2]string{from, to}
-	if l.ways[k] == nil {
-		l.ways[k] = &way{}
+	if l.links[k] == nil {
+		l.links[k] = &link{}
 	}
-	return l.ways[k]
+	return l.links[k]
 }
 
-// pass waits until what is sent from one program to another has come through; false if
+// transit waits until what is sent from one program to another has come through; false if
 // over opens first.
-func (l *Links) pass(from, to string, over *env.Gate) bool {
+func (l *Links) transit(from, to string, over *env.Gate) bool {
 	l.mu.Lock()
-	w := l.way(from, to)
-	whole, late := w.whole, w.Delay
-	for again := lostAgain; w.Loss > 0 && l.rng.Float64() < w.Loss; again = min(2*again, lostMost) {
+	w := l.link(from, to)
+	whole, late := w.restored, w.Delay
+	for again := minRetransmitDelay; w.Loss > 0 && l.rng.Float64() < w.Loss; again = min(2*again, maxRetransmitDelay) {
 		late += again
 	}
 	l.mu.Unlock()
 	for whole != nil {
-		env.WaitAny(l.world, whole, over)
+		env.WaitAny(l.environment, whole, over)
 		if over.Opened() {
 			return false
 		}
 		l.mu.Lock()
-		whole = w.whole // it may be cut again already
+		whole = w.restored // it may be cut again already
 		l.mu.Unlock()
 	}
-	return late == 0 || env.Sleep(l.world, late, over)
+	return late == 0 || env.Sleep(l.environment, late, over)
 }
 
 // Times after which what was lost is sent again (RFC 6298 section 5.5).
 const (
-	lostAgain = 200 * time.Millisecond
-	lostMost  = 3 * time.Second
+	minRetransmitDelay = 200 * time.Millisecond
+	maxRetransmitDelay = 3 * time.Second
 )
 
 // Close ends the relays.
@@ -145,11 +147,11 @@
 	}
 }
 
-// relay is where a program dials an address.
-func (l *Links) relay(from, addr string) (string, error) {
+// relayAddress is where a program dials an address.
+func (l *Links) relayAddress(from, addr string) (string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	to, ok := l.owner[addr]
+	to, ok := l.listenerOwners[addr]
 	if !ok || l.relays == nil {
 		return addr, nil
 	}
@@ -158,14 +160,14 @@
 		return r.Addr, nil
 	}
 	target, tap := addr, (func(string) *FrameRecorder)(nil)
-	if w := l.wires[addr]; w != nil {
-		target, tap = w.target, func(string) *FrameRecorder { return w.tap(addr) }
+	if w := l.virtualAddresses[addr]; w != nil {
+		target, tap = w.target, func(string) *FrameRecorder { return w.newRecorder(addr) }
 	}
-	r, err := serveRelay(l.world, target, tap, func(up bool, over *env.Gate) bool {
+	r, err := serveRelay(l.environment, target, tap, func(up bool, over *env.Gate) bool {
 		if up {
-			return l.pass(from, to, over)
+			return l.transit(from, to, over)
 		}
-		return l.pass(to, from, over)
+		return l.transit(to, from, over)
 	})
 	if err != nil {
 		return "", err
@@ -174,27 +176,27 @@
 	return r.Addr, nil
 }
 
-// linked is a program's world.
-type linked struct {
+// processEnvironment is a program's world.
+type processEnvironment struct {
 	env.Environment
 	links *Links
 	name  string
 }
 
 // Listen implements env.Environment.
-func (p *linked) Listen(network, address string) (net.Listener, error) {
+func (p *processEnvironment) Listen(network, address string) (net.Listener, error) {
 	n, err := p.Environment.Listen(network, address)
 	if err == nil {
 		p.links.mu.Lock()
-		p.links.owner[n.Addr().String()] = p.name
+		p.links.listenerOwners[n.Addr().String()] = p.name
 		p.links.mu.Unlock()
 	}
 	return n, err
 }
 
 // Dial implements env.Environment.
-func (p *linked) Dial(ctx context.Context, network, address string, within time.Duration) (net.Conn, error) {
-	at, err := p.links.relay(p.name, address)
+func (p *processEnvironment) Dial(ctx context.Context, network, address string, within time.Duration) (net.Conn, error) {
+	at, err := p.links.relayAddress(p.name, address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/simulation/standin/machine_test.go
+++ b/internal/simulation/standin/machine_test.go
@@ -17,8 +17,8 @@
 	return NewMachine(cfg, 1, cell, rack, nil, 3, 1000, cold), cell, rack
 }
 
-// ask sends an attempt and returns where its answer will stand.
-func ask(m *Machine, now float64, do diskproto.Do) *diskproto.Answer {
+// arrive sends an attempt and returns where its answer will stand.
+func arrive(m *Machine, now float64, do diskproto.Do) *diskproto.Answer {
 	got := &diskproto.Answer{}
 	if do.Deadline == 0 {
 		do.Deadline = 1e12
@@ -36,15 +36,15 @@
 	return got
 }
 
-func write(seq uint64, b byte) diskproto.Do {
+func keyedWrite(seq uint64, b byte) diskproto.Do {
 	return diskproto.Do{Op: byte(scsi.Write), Effect: diskproto.Keyed, Seq: seq, Volume: "v", Blocks: 1, Data: bytes.Repeat([]byte{b}, 512)}
 }
 
-func TestQueueAndTurns(t *testing.T) {
+func TestQueueLimitAndOrder(t *testing.T) {
 	m, _, _ := testMachine(nil, false)
 	var got []*diskproto.Answer
 	for range 6 { // one runs, four wait, one is turned away
-		got = append(got, ask(m, 1000, diskproto.Do{Op: byte(scsi.Read), Blocks: 1}))
+		got = append(got, arrive(m, 1000, diskproto.Do{Op: byte(scsi.Read), Blocks: 1}))
 	}
 	if got[5].Result != diskproto.Full || got[0].Result != 0 {
 		t.Fatalf("first %v, last %v", got[0].Result, got[5].Result)
@@ -55,7 +55,7 @@
 			t.Errorf("after %d ms: %v", 10*(i+1), got[i].Result)
 		}
 	}
-	if wrong := ask(m, 2000, diskproto.Do{}); wrong.Result != 0 {
+	if wrong := arrive(m, 2000, diskproto.Do{}); wrong.Result != 0 {
 		t.Error("an answer before its time")
 	}
 	other := &diskproto.Answer{}
@@ -68,10 +68,10 @@
 // What has not begun by its deadline never runs.
 func TestDeadlineBoundsTheEffect(t *testing.T) {
 	m, cell, _ := testMachine(nil, false)
-	ask(m, 1000, diskproto.Do{Op: byte(scsi.Read), Blocks: 1})
-	w := write(1, 7)
+	arrive(m, 1000, diskproto.Do{Op: byte(scsi.Read), Blocks: 1})
+	w := keyedWrite(1, 7)
 	w.Deadline = 1005 * 1000
-	late := ask(m, 1000, w)
+	late := arrive(m, 1000, w)
 	m.Advance(2000)
 	if late.Result != diskproto.Expired {
 		t.Errorf("%v", late.Result)
@@ -82,14 +82,14 @@
 }
 
 // A rack drops repeats for its time, over machines, and counts what runs again.
-func TestRepeats(t *testing.T) {
+func TestDedupDropsRepeats(t *testing.T) {
 	m, cell, rack := testMachine(nil, false)
 	next := NewMachine(m.cfg, 2, cell, rack, nil, 3, 1000, false)
-	ask(m, 1000, write(1, 7))
+	arrive(m, 1000, keyedWrite(1, 7))
 	m.Advance(1010)
-	ask(m, 1010, write(2, 8))
+	arrive(m, 1010, keyedWrite(2, 8))
 	m.Advance(1020)
-	again := ask(next, 1030, write(1, 7))
+	again := arrive(next, 1030, keyedWrite(1, 7))
 	next.Advance(1040)
 	if !again.Dropped || again.Result != diskproto.OK {
 		t.Errorf("a repeat: %+v", again)
@@ -100,7 +100,7 @@
 	if rack.RepeatedEffects() != 0 {
 		t.Error("a dropped repeat was counted")
 	}
-	late := ask(next, 7001, write(1, 7))
+	late := arrive(next, 7001, keyedWrite(1, 7))
 	next.Advance(7011)
 	if late.Dropped || rack.RepeatedEffects() != 1 {
 		t.Errorf("after the window: %+v, %d", late, rack.RepeatedEffects())
@@ -110,7 +110,7 @@
 func TestCompareAndWrite(t *testing.T) {
 	m, _, _ := testMachine(nil, false)
 	caw := func(at float64, old, new byte) diskproto.Result {
-		a := ask(m, at, diskproto.Do{Op: byte(scsi.CompareAndWrite), Volume: "v", Blocks: 1,
+		a := arrive(m, at, diskproto.Do{Op: byte(scsi.CompareAndWrite), Volume: "v", Blocks: 1,
 			Data: append(bytes.Repeat([]byte{old}, 512), bytes.Repeat([]byte{new}, 512)...)})
 		m.Advance(at + 10)
 		return a.Result
@@ -125,40 +125,40 @@
 
 // A cold machine falls over at more than its multiple, turned away or not, and
 // bears ColdUnits in any case.
-func TestColdMachineFalls(t *testing.T) {
+func TestColdMachineCrashesUnderOverload(t *testing.T) {
 	m, _, _ := testMachine(nil, true)
 	// At a fifth of 0.1 units a ms, twice that for a second is borne: 40 units.
 	for range 40 {
-		ask(m, 1000, diskproto.Do{Op: byte(scsi.Read)})
+		arrive(m, 1000, diskproto.Do{Op: byte(scsi.Read)})
 	}
 	if m.Crashed() {
 		t.Fatal("fell within what it bears")
 	}
-	ask(m, 1001, diskproto.Do{Op: byte(scsi.Read)})
+	arrive(m, 1001, diskproto.Do{Op: byte(scsi.Read)})
 	if !m.Crashed() {
 		t.Error("did not fall")
 	}
 	warm, _, _ := testMachine(nil, false)
 	for range 100 {
-		ask(warm, 1000, diskproto.Do{Op: byte(scsi.Read)})
+		arrive(warm, 1000, diskproto.Do{Op: byte(scsi.Read)})
 	}
 	if warm.Crashed() {
 		t.Error("a warm machine fell")
 	}
 	small, _, _ := testMachine(func(c *MachineConfig) { c.ColdUnits = 60 }, true)
 	for range 60 {
-		ask(small, 1000, diskproto.Do{Op: byte(scsi.Read)})
+		arrive(small, 1000, diskproto.Do{Op: byte(scsi.Read)})
 	}
 	if small.Crashed() {
 		t.Error("fell within ColdUnits")
 	}
 }
 
-func TestTroublesOfAMachine(t *testing.T) {
+func TestMachineFaults(t *testing.T) {
 	took := func(edit func(*MachineConfig), tr MachineFaults) float64 {
 		m, _, _ := testMachine(edit, false)
 		m.SetFaults(1000, tr)
-		a := ask(m, 1000, diskproto.Do{Op: byte(scsi.Read)})
+		a := arrive(m, 1000, diskproto.Do{Op: byte(scsi.Read)})
 		for at := 1000.0; at < 3000; at++ {
 			if m.Advance(at); a.Result != 0 {
 				return at - 1000
@@ -183,7 +183,7 @@
 	}
 	m, _, _ := testMachine(nil, false)
 	m.Drain()
-	if a := ask(m, 1000, diskproto.Do{Op: byte(scsi.Read)}); a.Result != diskproto.Draining {
+	if a := arrive(m, 1000, diskproto.Do{Op: byte(scsi.Read)}); a.Result != diskproto.Draining {
 		t.Errorf("draining: %v", a.Result)
 	}
 }
--- a/internal/simulation/standin/source.go
+++ b/internal/simulation/standin/regionalinventory.go
@@ -9,18 +9,18 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// source is what an inventory of one of two regions has beside its list: the shell of
+// regionalState is what an inventory of one of two regions has beside its list: the shell of
 // region.Source. The other region's inventory is told and asked by beats.
-type source struct {
-	src     *region.Source
-	self    region.ID
-	other   func() string
-	every   time.Duration
-	grants  bool // as watchers last knew
-	history []inventory.Event
-	at      []float64 // of history
-	last    region.Record
-	saved   *InventoryState
+type regionalState struct {
+	source       *region.Source
+	self         region.ID
+	peerAddress  func() string
+	beatInterval time.Duration
+	granting     bool // as watchers last knew
+	history      []inventory.Event
+	historyAt    []float64 // of history
+	lastRecord   region.Record
+	saved        *InventoryState
 }
 
 // InventoryState is what an inventory keeps through its own restarts. A copy of it that was put
@@ -36,7 +36,7 @@
 	return &InventoryState{Record: s.Record.Clone(), Book: s.Book.Clone(), Starts: s.Starts}
 }
 
-const keepHistory = 64
+const maxHistory = 64
 
 // ServeRegion starts the inventory of one of two regions; other is the address of the
 // other's. start is greater than that of every earlier run; in saved is what an earlier
@@ -47,79 +47,79 @@
 		return nil, err
 	}
 	now := env.MS(w.Now())
-	g := &source{self: self, other: other, every: env.Duration(cfg.Quiet / 10), saved: saved, last: saved.Record.Clone()}
-	v := &Inventory{Addr: l.Addr().String(), world: w, late: late, l: l, reg: g}
+	g := &regionalState{self: self, peerAddress: other, beatInterval: env.Duration(cfg.Quiet / 10), saved: saved, lastRecord: saved.Record.Clone()}
+	v := &Inventory{Addr: l.Addr().String(), environment: w, delay: late, listener: l, regional: g}
 	if saved.Book == nil {
 		v.book = inventory.NewBook()
-		g.src = region.NewSource(cfg, self, start, saved.Record, now)
+		g.source = region.NewSource(cfg, self, start, saved.Record, now)
 	} else {
 		v.book = saved.Book.Clone()
-		g.src = region.Restart(cfg, self, start, saved.Record, now)
+		g.source = region.Restart(cfg, self, start, saved.Record, now)
 	}
 	v.book.Own(self, start)
 	v.tasks.Go(w, v.accept)
-	v.tasks.Go(w, v.beating)
+	v.tasks.Go(w, v.beatLoop)
 	return v, nil
 }
 
-// beating tells the other region's inventory of this one, and hears of it.
-func (v *Inventory) beating() {
-	g := v.reg
-	c := inventory.NewCaller(v.world, g.other)
+// beatLoop tells the other region's inventory of this one, and hears of it.
+func (v *Inventory) beatLoop() {
+	g := v.regional
+	c := inventory.NewCaller(v.environment, g.peerAddress)
 	defer c.Close()
-	for env.Sleep(v.world, g.every, &v.over) {
+	for env.Sleep(v.environment, g.beatInterval, &v.stopped) {
 		v.mu.Lock()
 		now := v.now()
-		g.src.Tick(now)
-		v.changed(now)
-		b := g.src.Beat(now)
+		g.source.Tick(now)
+		v.saveState(now)
+		b := g.source.Beat(now)
 		known := v.book.Stamps()
 		v.mu.Unlock()
-		l, err := c.Ask(inventory.Ask{Op: "beat", Beat: &b, Known: known}, 3*g.every)
+		l, err := c.Ask(inventory.Ask{Op: "beat", Beat: &b, Known: known}, 3*g.beatInterval)
 		if err != nil || l.Kind != inventory.Heard {
 			continue
 		}
 		v.mu.Lock()
-		v.heard(l.Beat, l.Nodes)
+		v.handleBeat(l.Beat, l.Nodes)
 		v.book.CaughtUp()
 		v.mu.Unlock()
 	}
 }
 
-func (v *Inventory) now() float64 { return env.MS(v.world.Now()) }
+func (v *Inventory) now() float64 { return env.MS(v.environment.Now()) }
 
-// heard takes the other's beat with what it lists. Held: mu.
-func (v *Inventory) heard(b *region.Beat, nodes []inventory.Node) {
+// handleBeat takes the other's beat with what it lists. Held: mu.
+func (v *Inventory) handleBeat(b *region.Beat, nodes []inventory.Node) {
 	now := v.now()
 	v.book.Merge(nodes, now)
-	v.reg.src.Heard(now, *b)
-	v.changed(now)
-	v.tellAll()
+	v.regional.source.Heard(now, *b)
+	v.saveState(now)
+	v.notifyWatchers()
 }
 
-// changed saves the record and notes what became of it; watchers hear what was held back
+// saveState saves the record and notes what became of it; watchers hear what was held back
 // while nothing could be granted. Held: mu.
-func (v *Inventory) changed(now float64) {
-	g := v.reg
-	r := g.src.Record()
-	if r.Term != g.last.Term {
-		for _, text := range differences(g.last, r) {
-			g.history, g.at = append(g.history, inventory.Event{Term: r.Term, Text: text}), append(g.at, now)
+func (v *Inventory) saveState(now float64) {
+	g := v.regional
+	r := g.source.Record()
+	if r.Term != g.lastRecord.Term {
+		for _, text := range describeChanges(g.lastRecord, r) {
+			g.history, g.historyAt = append(g.history, inventory.Event{Term: r.Term, Text: text}), append(g.historyAt, now)
 		}
-		n := max(len(g.history)-keepHistory, 0)
-		g.history, g.at = g.history[n:], g.at[n:]
-		g.last = r
+		n := max(len(g.history)-maxHistory, 0)
+		g.history, g.historyAt = g.history[n:], g.historyAt[n:]
+		g.lastRecord = r
 	}
 	g.saved.Record, g.saved.Book = r, v.book
-	if on := g.src.Grants(now); on != g.grants {
-		if g.grants = on; on {
-			v.tellAll()
+	if on := g.source.Grants(now); on != g.granting {
+		if g.granting = on; on {
+			v.notifyWatchers()
 		}
 	}
 }
 
-// differences says what a new term changes, and why.
-func differences(a, b region.Record) (out []string) {
+// describeChanges says what a new term changes, and why.
+func describeChanges(a, b region.Record) (out []string) {
 	say := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	if a.Leader != b.Leader {
 		say("region %d leads, on an operator's word", b.Leader)
@@ -154,13 +154,13 @@
 	return out
 }
 
-// answer is what is said to anything but a watch. Held: mu.
-func (v *Inventory) answer(a *inventory.Ask) inventory.List {
-	if v.reg == nil {
+// handleRequest is what is said to anything but a watch. Held: mu.
+func (v *Inventory) handleRequest(a *inventory.Ask) inventory.List {
+	if v.regional == nil {
 		return inventory.List{Kind: inventory.Refused, Reason: "this service has one region"}
 	}
-	now, src := v.now(), v.reg.src
-	defer v.changed(now)
+	now, src := v.now(), v.regional.source
+	defer v.saveState(now)
 	src.Tick(now)
 	if leads := src.Leads(); !leads && (a.Op == "move" || a.Op == "return" || a.Op == "share" || a.Op == "give up") {
 		return inventory.List{Kind: inventory.Refused, Reason: fmt.Sprintf("region %d leads: ask its inventory", src.Record().Leader)}
@@ -178,7 +178,7 @@
 		}
 		return inventory.List{Kind: inventory.Granted, Grant: &g}
 	case a.Op == "beat":
-		v.heard(a.Beat, nil)
+		v.handleBeat(a.Beat, nil)
 		b := src.Beat(now)
 		return inventory.List{Kind: inventory.Heard, Beat: &b, Nodes: v.book.Since(a.Known, now)}
 	case a.Op == "copies":
@@ -186,7 +186,7 @@
 			src.Report(now, c)
 		}
 	case a.Op == "record":
-		return v.record(now, v.status(now))
+		return v.recordReply(now, v.status(now))
 	case a.Op == "lead":
 		src.Lead(now)
 	case a.Op == "return":
@@ -200,19 +200,19 @@
 	default:
 		return inventory.List{Kind: inventory.Refused, Reason: "there is no such thing to ask for, or no such shard or limit"}
 	}
-	return v.record(now, nil)
+	return v.recordReply(now, nil)
 }
 
-func (v *Inventory) record(now float64, s *inventory.Status) inventory.List {
-	r := v.reg.src.Record()
+func (v *Inventory) recordReply(now float64, s *inventory.Status) inventory.List {
+	r := v.regional.source.Record()
 	return inventory.List{Kind: inventory.Told, Record: &r, Status: s}
 }
 
 func (v *Inventory) status(now float64) *inventory.Status {
-	g := v.reg
-	s := &inventory.Status{Region: g.self, Grants: g.src.Grants(now), HeardMS: now - g.src.Contact()}
+	g := v.regional
+	s := &inventory.Status{Region: g.self, Grants: g.source.Grants(now), HeardMS: now - g.source.Contact()}
 	for i, e := range g.history {
-		e.AgoMS = now - g.at[i]
+		e.AgoMS = now - g.historyAt[i]
 		s.History = append(s.History, e)
 	}
 	return s
@@ -222,5 +222,5 @@
 func (v *Inventory) State() *InventoryState {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.reg.saved.Clone()
+	return v.regional.saved.Clone()
 }
--- a/internal/simulation/standin/relay.go
+++ b/internal/simulation/standin/relay.go
@@ -14,22 +14,22 @@
 type Relay struct {
 	Addr string
 
-	world  env.Environment
-	target string
-	tap    func(addr string) *FrameRecorder
-	l      net.Listener
-	mu     sync.Mutex
-	conns  env.OrderedSet[net.Conn]
-	dead   bool
-	over   env.Gate
-	tasks  env.WaitGroup
-	// pass, if set, waits until what is to go on that way may; false if the relay ended.
-	pass func(up bool, over *env.Gate) bool
+	environment env.Environment
+	target      string
+	newRecorder func(addr string) *FrameRecorder
+	listener    net.Listener
+	mu          sync.Mutex
+	conns       env.OrderedSet[net.Conn]
+	closed      bool
+	stopped     env.Gate
+	tasks       env.WaitGroup
+	// waitTransit, if set, waits until what is to go on that way may; false if the relay ended.
+	waitTransit func(up bool, over *env.Gate) bool
 }
 
 const (
-	relayChunk = 64 << 10
-	relayDial  = 2 * time.Second
+	relayChunkBytes  = 64 << 10
+	relayDialTimeout = 2 * time.Second
 )
 
 // ServeRelay starts a relay to target; tap, if any, makes what reads a connection.
@@ -43,28 +43,28 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{Addr: l.Addr().String(), world: w, target: target, tap: tap, pass: pass, l: l}
+	r := &Relay{Addr: l.Addr().String(), environment: w, target: target, newRecorder: tap, waitTransit: pass, listener: l}
 	r.tasks.Go(w, r.accept)
 	return r, nil
 }
 
 func (r *Relay) accept() {
 	for {
-		c, err := r.l.Accept()
+		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		if !r.keep(c) {
+		if !r.addConn(c) {
 			return
 		}
-		r.tasks.Go(r.world, func() { r.serve(c) })
+		r.tasks.Go(r.environment, func() { r.serve(c) })
 	}
 }
 
-func (r *Relay) keep(c net.Conn) bool {
+func (r *Relay) addConn(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.dead {
+	if r.closed {
 		c.Close()
 		return false
 	}
@@ -72,7 +72,7 @@
 	return true
 }
 
-func (r *Relay) drop(c net.Conn) {
+func (r *Relay) closeConn(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
 	r.conns.Remove(c)
@@ -80,36 +80,36 @@
 }
 
 func (r *Relay) serve(c net.Conn) {
-	defer r.drop(c)
+	defer r.closeConn(c)
 	r.mu.Lock()
 	target := r.target
 	r.mu.Unlock()
-	s, err := r.world.Dial(context.Background(), "tcp", target, relayDial)
+	s, err := r.environment.Dial(context.Background(), "tcp", target, relayDialTimeout)
 	if err != nil {
 		// What the caller sees is a connection that closes, as from a dead process.
 		return
 	}
-	if !r.keep(s) {
+	if !r.addConn(s) {
 		return
 	}
-	defer r.drop(s)
+	defer r.closeConn(s)
 	var t *FrameRecorder
-	if r.tap != nil {
-		t = r.tap(r.Addr)
+	if r.newRecorder != nil {
+		t = r.newRecorder(r.Addr)
 	}
 	var both env.WaitGroup
-	both.Go(r.world, func() { r.pump(t, s, c, true) })
-	both.Go(r.world, func() { r.pump(t, c, s, false) })
-	both.Wait(r.world)
+	both.Go(r.environment, func() { r.forward(t, s, c, true) })
+	both.Go(r.environment, func() { r.forward(t, c, s, false) })
+	both.Wait(r.environment)
 }
 
-// pump passes bytes from src to dst. The side that ends first is noted.
-func (r *Relay) pump(t *FrameRecorder, dst, src net.Conn, up bool) {
+// forward passes bytes from src to dst. The side that ends first is noted.
+func (r *Relay) forward(t *FrameRecorder, dst, src net.Conn, up bool) {
 	defer dst.Close()
 	defer src.Close()
 	defer t.Closed(up)
-	if r.pass == nil {
-		r.copy(src, func(b []byte) bool {
+	if r.waitTransit == nil {
+		r.readChunks(src, func(b []byte) bool {
 			t.Bytes(up, b)
 			_, err := dst.Write(b)
 			return err == nil
@@ -118,18 +118,18 @@
 	}
 	// What is held back on the way has been sent all the same: it is read, and on its way
 	// up recorded, as it comes.
-	q := &held{wake: r.world.NewParker()}
-	r.tasks.Go(r.world, func() {
+	q := &transitQueue{wake: r.environment.NewParker()}
+	r.tasks.Go(r.environment, func() {
 		defer q.close()
-		r.copy(src, func(b []byte) bool {
+		r.readChunks(src, func(b []byte) bool {
 			if up {
 				t.Bytes(up, b)
 			}
-			return q.put(append([]byte(nil), b...))
+			return q.push(append([]byte(nil), b...))
 		})
 	})
-	for b, ok := q.take(); ok; b, ok = q.take() {
-		if !r.pass(up, &r.over) {
+	for b, ok := q.pop(); ok; b, ok = q.pop() {
+		if !r.waitTransit(up, &r.stopped) {
 			break
 		}
 		if !up {
@@ -142,9 +142,9 @@
 	q.close()
 }
 
-// copy reads until the source ends or f takes no more.
-func (r *Relay) copy(src net.Conn, f func(b []byte) bool) {
-	buf := make([]byte, relayChunk)
+// readChunks reads until the source ends or f takes no more.
+func (r *Relay) readChunks(src net.Conn, f func(b []byte) bool) {
+	buf := make([]byte, relayChunkBytes)
 	for {
 		n, err := src.Read(buf)
 		if n > 0 && !f(buf[:n]) || err != nil {
@@ -153,37 +153,37 @@
 	}
 }
 
-// held is what waits to go on.
-type held struct {
+// transitQueue is what waits to go on.
+type transitQueue struct {
 	mu     sync.Mutex
 	wake   env.Parker
-	list   [][]byte
+	chunks [][]byte
 	bytes  int
 	closed bool
 }
 
-// heldMost bounds the bytes that wait; past it the connection ends, as one does whose
+// maxTransitBytes bounds the bytes that wait; past it the connection ends, as one does whose
 // sender gives up.
-const heldMost = 16 << 20
+const maxTransitBytes = 16 << 20
 
-func (q *held) put(b []byte) bool {
+func (q *transitQueue) push(b []byte) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.bytes += len(b); q.closed || q.bytes > heldMost {
+	if q.bytes += len(b); q.closed || q.bytes > maxTransitBytes {
 		return false
 	}
-	q.list = append(q.list, b)
+	q.chunks = append(q.chunks, b)
 	q.wake.Unpark()
 	return true
 }
 
-// take waits for the next; false once all is taken and nothing more comes.
-func (q *held) take() ([]byte, bool) {
+// pop waits for the next; false once all is taken and nothing more comes.
+func (q *transitQueue) pop() ([]byte, bool) {
 	for {
 		q.mu.Lock()
-		if len(q.list) > 0 {
-			b := q.list[0]
-			q.list, q.bytes = q.list[1:], q.bytes-len(b)
+		if len(q.chunks) > 0 {
+			b := q.chunks[0]
+			q.chunks, q.bytes = q.chunks[1:], q.bytes-len(b)
 			q.mu.Unlock()
 			return b, true
 		}
@@ -196,7 +196,7 @@
 	}
 }
 
-func (q *held) close() {
+func (q *transitQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.closed = true
@@ -216,13 +216,13 @@
 
 // Close ends the relay and every connection through it.
 func (r *Relay) Close() {
-	r.over.Open()
-	r.l.Close()
+	r.stopped.Open()
+	r.listener.Close()
 	r.mu.Lock()
-	r.dead = true
+	r.closed = true
 	for _, c := range r.conns.All() {
 		c.Close()
 	}
 	r.mu.Unlock()
-	r.tasks.Wait(r.world)
+	r.tasks.Wait(r.environment)
 }
--- a/internal/simulation/standin/router.go
+++ b/internal/simulation/standin/router.go
@@ -61,38 +61,38 @@
 	// OnChange, if set before the first session, is told each change, with the lock held.
 	OnChange func(RouteChange)
 
-	world    env.Environment
-	listener net.Listener
-	mu       sync.Mutex
-	fault    RouterFaults
-	rng      *rand.Rand
-	sessions env.OrderedSet[*routerSession]
-	rib      map[netip.Prefix]map[uint32]bgp.Path
-	log      []RouteChange
-	updates  int
-	ends     int // End-of-RIB marks
-	ups      int
-	closed   bool
-	tasks    env.WaitGroup
+	environment env.Environment
+	listener    net.Listener
+	mu          sync.Mutex
+	faults      RouterFaults
+	rng         *rand.Rand
+	sessions    env.OrderedSet[*routerSession]
+	rib         map[netip.Prefix]map[uint32]bgp.Path
+	changes     []RouteChange
+	updates     int
+	endOfRIBs   int // End-of-RIB marks
+	established int
+	closed      bool
+	tasks       env.WaitGroup
 }
 
 type routerSession struct {
-	r     *Router
-	conn  net.Conn
-	out   *writequeue.Queue
-	host  uint32
-	four  bool
-	state bgp.State
-	hold  time.Duration
-	fault RouterFaults // as the session began
-	kept  int
-	alive env.Timer
-	heard time.Duration
+	router         *Router
+	conn           net.Conn
+	writes         *writequeue.Queue
+	host           uint32
+	fourOctetAS    bool
+	state          bgp.State
+	holdTime       time.Duration
+	faults         RouterFaults // as the session began
+	keepalives     int
+	keepaliveTimer env.Timer
+	lastReceived   time.Duration
 }
 
 const (
-	routerOut  = 1 << 20
-	routerHold = 9 * time.Second
+	routerQueueBytes = 1 << 20
+	routerHoldTime   = 9 * time.Second
 )
 
 // ServeRouter starts a router of that AS at an address.
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Router{Addr: l.Addr().String(), AS: as, ID: uint32(w.RandomUint64()) | 1, world: w, listener: l, rng: rand.New(rand.NewPCG(w.RandomUint64(), 1)),
+	r := &Router{Addr: l.Addr().String(), AS: as, ID: uint32(w.RandomUint64()) | 1, environment: w, listener: l, rng: rand.New(rand.NewPCG(w.RandomUint64(), 1)),
 		rib: map[netip.Prefix]map[uint32]bgp.Path{}}
 	r.tasks.Go(w, r.accept)
 	return r, nil
@@ -111,7 +111,7 @@
 func (r *Router) SetFaults(f RouterFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fault = f
+	r.faults = f
 }
 
 // ResetSessions ends every session at once, without a word.
@@ -119,7 +119,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.sessions.All() {
-		s.out.Abort()
+		s.writes.Abort()
 	}
 }
 
@@ -130,7 +130,7 @@
 	r.mu.Unlock()
 	r.listener.Close()
 	r.ResetSessions()
-	r.tasks.Wait(r.world)
+	r.tasks.Wait(r.environment)
 }
 
 func (r *Router) accept() {
@@ -140,50 +140,50 @@
 			return
 		}
 		r.mu.Lock()
-		if r.closed || r.fault.Refuse {
+		if r.closed || r.faults.Refuse {
 			r.mu.Unlock()
 			c.Close()
 			continue
 		}
-		s := &routerSession{r: r, conn: c, out: writequeue.New(r.world, c, routerOut, routerHold), state: bgp.Connect, fault: r.fault}
+		s := &routerSession{router: r, conn: c, writes: writequeue.New(r.environment, c, routerQueueBytes, routerHoldTime), state: bgp.Connect, faults: r.faults}
 		r.sessions.Add(s)
 		r.mu.Unlock()
-		r.tasks.Go(r.world, func() { s.run() })
+		r.tasks.Go(r.environment, func() { s.run() })
 	}
 }
 
 // slowReader lets little through, late.
 type slowReader struct {
-	s *routerSession
-	d time.Duration
+	session *routerSession
+	delay   time.Duration
 }
 
 func (r slowReader) Read(b []byte) (int, error) {
-	env.Sleep(r.s.r.world, r.d, nil)
-	return r.s.conn.Read(b[:min(len(b), 16)])
+	env.Sleep(r.session.router.environment, r.delay, nil)
+	return r.session.conn.Read(b[:min(len(b), 16)])
 }
 
 func (s *routerSession) run() {
-	r := s.r
-	defer s.end()
-	if f := s.fault.StartDelay; f > 0 {
-		env.Sleep(r.world, f, nil)
+	r := s.router
+	defer s.close()
+	if f := s.faults.StartDelay; f > 0 {
+		env.Sleep(r.environment, f, nil)
 	}
 	buf := bufio.NewReaderSize(s.conn, bgp.MaxLen)
-	if s.fault.SlowReadDelay > 0 {
-		buf = bufio.NewReaderSize(slowReader{s, s.fault.SlowReadDelay}, 64)
+	if s.faults.SlowReadDelay > 0 {
+		buf = bufio.NewReaderSize(slowReader{s, s.faults.SlowReadDelay}, 64)
 	}
 	in := bgp.NewReader(buf)
 	for {
 		t, body, err := in.Next()
 		r.mu.Lock()
 		if err == nil {
-			err = s.message(t, body)
+			err = s.handleMessage(t, body)
 		}
 		var n *bgp.Notification
 		if errors.As(err, &n) {
-			s.say(n.Append(nil))
-			s.out.Finish()
+			s.send(n.Append(nil))
+			s.writes.Finish()
 		}
 		r.mu.Unlock()
 		if err != nil {
@@ -192,114 +192,114 @@
 	}
 }
 
-var errRouterEnd = errors.New("standin: session over")
+var errNotificationReceived = errors.New("standin: session over")
 
-func (s *routerSession) say(b []byte) {
-	s.out.Enqueue(func(o []byte) []byte { return append(o, b...) })
+func (s *routerSession) send(b []byte) {
+	s.writes.Enqueue(func(o []byte) []byte { return append(o, b...) })
 }
 
-// message handles one message. Held: Router.mu.
-func (s *routerSession) message(t bgp.Type, body []byte) error {
-	s.heard = s.r.world.Now()
-	if s.fault.Silent {
+// handleMessage handles one handleMessage. Held: Router.mu.
+func (s *routerSession) handleMessage(t bgp.Type, body []byte) error {
+	s.lastReceived = s.router.environment.Now()
+	if s.faults.Silent {
 		return nil
 	}
 	switch t {
 	case bgp.TypeOpen:
-		return s.open(body)
+		return s.handleOpen(body)
 	case bgp.TypeKeepalive:
 		if s.state == bgp.OpenConfirm {
-			s.reach(bgp.Established)
-			s.r.ups++
-			if s.fault.UnknownAttributes {
-				s.say(unknownAttrs())
+			s.enterState(bgp.Established)
+			s.router.established++
+			if s.faults.UnknownAttributes {
+				s.send(unknownAttributesUpdate())
 			}
 		}
 	case bgp.TypeUpdate:
-		return s.update(body)
+		return s.handleUpdate(body)
 	case bgp.TypeNotification:
-		return errRouterEnd
+		return errNotificationReceived
 	}
 	return nil
 }
 
-func (s *routerSession) open(body []byte) error {
+func (s *routerSession) handleOpen(body []byte) error {
 	o, err := bgp.ParseOpen(body)
 	if err != nil {
 		return err
 	}
-	s.host, s.four = o.ID, o.FourAS
-	own := &bgp.Open{AS: s.r.AS, HoldTime: uint16(routerHold / time.Second), ID: s.r.ID, Families: []bgp.Family{bgp.IPv4, bgp.IPv6}, FourAS: true, Refresh: true}
-	if s.fault.BadAS {
+	s.host, s.fourOctetAS = o.ID, o.FourAS
+	own := &bgp.Open{AS: s.router.AS, HoldTime: uint16(routerHoldTime / time.Second), ID: s.router.ID, Families: []bgp.Family{bgp.IPv4, bgp.IPv6}, FourAS: true, Refresh: true}
+	if s.faults.BadAS {
 		own.AS++
 	}
-	if s.fault.NoIPv6 {
+	if s.faults.NoIPv6 {
 		own.Families = own.Families[:1]
 	}
-	if s.fault.ZeroHoldTime {
+	if s.faults.ZeroHoldTime {
 		own.HoldTime = 0
 	}
-	s.hold = time.Duration(min(own.HoldTime, o.HoldTime)) * time.Second
-	s.say(own.Append(nil))
-	s.reach(bgp.OpenSent)
-	s.say(bgp.AppendKeepalive(nil))
-	s.reach(bgp.OpenConfirm)
-	s.keep()
+	s.holdTime = time.Duration(min(own.HoldTime, o.HoldTime)) * time.Second
+	s.send(own.Append(nil))
+	s.enterState(bgp.OpenSent)
+	s.send(bgp.AppendKeepalive(nil))
+	s.enterState(bgp.OpenConfirm)
+	s.scheduleKeepalive()
 	return nil
 }
 
-// reach enters a state, in which the session may be reset.
-func (s *routerSession) reach(state bgp.State) {
+// enterState enters a state, in which the session may be reset.
+func (s *routerSession) enterState(state bgp.State) {
 	s.state = state
-	if s.fault.ResetInState == state && state != bgp.Idle {
-		s.out.Abort()
+	if s.faults.ResetInState == state && state != bgp.Idle {
+		s.writes.Abort()
 	}
-	if state == bgp.Established && s.fault.ResetAfter > 0 {
-		s.r.world.AfterFunc(s.fault.ResetAfter, s.out.Abort)
+	if state == bgp.Established && s.faults.ResetAfter > 0 {
+		s.router.environment.AfterFunc(s.faults.ResetAfter, s.writes.Abort)
 	}
 }
 
-// keep gives signs of life, or what stands in their place, and ends a session from
+// scheduleKeepalive gives signs of life, or what stands in their place, and ends a session from
 // which none came. Held: Router.mu.
-func (s *routerSession) keep() {
-	if s.hold == 0 {
+func (s *routerSession) scheduleKeepalive() {
+	if s.holdTime == 0 {
 		return
 	}
-	s.alive = s.r.world.AfterFunc(s.hold/3, func() {
-		s.r.mu.Lock()
-		defer s.r.mu.Unlock()
-		if !s.r.sessions.Has(s) {
+	s.keepaliveTimer = s.router.environment.AfterFunc(s.holdTime/3, func() {
+		s.router.mu.Lock()
+		defer s.router.mu.Unlock()
+		if !s.router.sessions.Has(s) {
 			return
 		}
-		if s.r.world.Now()-s.heard > s.hold {
-			s.say((&bgp.Notification{Code: bgp.CodeHoldTimer}).Append(nil))
-			s.out.Finish()
+		if s.router.environment.Now()-s.lastReceived > s.holdTime {
+			s.send((&bgp.Notification{Code: bgp.CodeHoldTimer}).Append(nil))
+			s.writes.Finish()
 			return
 		}
-		s.kept++
+		s.keepalives++
 		k := bgp.AppendKeepalive(nil)
-		switch f := s.fault; {
+		switch f := s.faults; {
 		case f.NoKeepalive:
 		case f.TruncatedKeepalive:
-			s.say(k[:9])
-			s.out.Finish()
+			s.send(k[:9])
+			s.writes.Finish()
 			return
 		case f.BadMarker:
 			k[3] = 0
-			s.say(k)
+			s.send(k)
 		case f.BadLength:
 			binary.BigEndian.PutUint16(k[16:], bgp.MaxLen+1)
-			s.say(k)
+			s.send(k)
 		default:
-			s.say(k)
+			s.send(k)
 		}
-		s.keep()
+		s.scheduleKeepalive()
 	})
 }
 
-// unknownAttrs is an UPDATE with an optional transitive attribute of no known type,
+// unknownAttributesUpdate is an UPDATE with an optional transitive attribute of no known type,
 // and one whose faults cost its prefix only (RFC 7606).
-func unknownAttrs() []byte {
+func unknownAttributesUpdate() []byte {
 	u := &bgp.Update{Attrs: &bgp.Attrs{Path: []bgp.Segment{{AS: []uint32{65010}}}, NextHop: netip.AddrFrom4([4]byte{192, 0, 2, 9})},
 		Prefixes: []netip.Prefix{netip.PrefixFrom(netip.AddrFrom4([4]byte{203, 0, 113, 0}), 24)}}
 	b := u.Append(nil, true)
@@ -313,7 +313,7 @@
 	return b
 }
 
-func (s *routerSession) update(body []byte) error {
+func (s *routerSession) handleUpdate(body []byte) error {
 	if s.state != bgp.Established {
 		return &bgp.Notification{Code: bgp.CodeFSM}
 	}
@@ -321,12 +321,12 @@
 	if err != nil {
 		return err
 	}
-	s.r.updates++
+	s.router.updates++
 	if u.EndOfRIB != (bgp.Family{}) {
-		s.r.ends++
+		s.router.endOfRIBs++
 	}
 	for _, p := range u.Withdrawn {
-		s.r.forget(s.host, p, false)
+		s.router.removeRoute(s.host, p, false)
 	}
 	for _, p := range u.Prefixes {
 		path := bgp.Path{MED: u.Attrs.MED, Shutdown: slices.Contains(u.Attrs.Communities, bgp.GracefulShutdown)}
@@ -334,46 +334,46 @@
 			path.Prepend += uint8(len(seg.AS))
 		}
 		path.Prepend-- // an AS says itself once in any case
-		s.r.learn(s.host, p, path)
+		s.router.addRoute(s.host, p, path)
 	}
 	return nil
 }
 
-func (r *Router) note(c RouteChange) {
-	c.At = r.world.Now()
-	r.log = append(r.log, c)
+func (r *Router) recordChange(c RouteChange) {
+	c.At = r.environment.Now()
+	r.changes = append(r.changes, c)
 	if r.OnChange != nil {
 		r.OnChange(c)
 	}
 }
 
-func (r *Router) learn(host uint32, p netip.Prefix, path bgp.Path) {
+func (r *Router) addRoute(host uint32, p netip.Prefix, path bgp.Path) {
 	if r.rib[p] == nil {
 		r.rib[p] = map[uint32]bgp.Path{}
 	}
 	r.rib[p][host] = path
-	r.note(RouteChange{Host: host, Prefix: p, Announced: true, Path: path})
+	r.recordChange(RouteChange{Host: host, Prefix: p, Announced: true, Path: path})
 }
 
-func (r *Router) forget(host uint32, p netip.Prefix, byEnd bool) {
+func (r *Router) removeRoute(host uint32, p netip.Prefix, byEnd bool) {
 	if _, had := r.rib[p][host]; !had {
 		return
 	}
 	delete(r.rib[p], host)
-	r.note(RouteChange{Host: host, Prefix: p, SessionEnded: byEnd})
+	r.recordChange(RouteChange{Host: host, Prefix: p, SessionEnded: byEnd})
 }
 
-// end forgets the session, and with it what its speaker said, unless that has said
+// close forgets the session, and with it what its speaker said, unless that has said
 // it over another session since.
-func (s *routerSession) end() {
-	s.out.Finish()
-	s.out.Wait()
-	r := s.r
+func (s *routerSession) close() {
+	s.writes.Finish()
+	s.writes.Wait()
+	r := s.router
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sessions.Remove(s)
-	if s.alive != nil {
-		s.alive.Stop()
+	if s.keepaliveTimer != nil {
+		s.keepaliveTimer.Stop()
 	}
 	if s.state != bgp.Established {
 		return
@@ -391,7 +391,7 @@
 	}
 	slices.SortFunc(gone, netip.Prefix.Compare)
 	for _, p := range gone {
-		r.forget(s.host, p, true)
+		r.removeRoute(s.host, p, true)
 	}
 }
 
@@ -439,12 +439,12 @@
 func (r *Router) Counters() RouterCounters {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return RouterCounters{r.updates, r.ends, r.ups}
+	return RouterCounters{r.updates, r.endOfRIBs, r.established}
 }
 
 // Changes is a copy of the log.
 func (r *Router) Changes() []RouteChange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.log)
+	return slices.Clone(r.changes)
 }
--- a/internal/simulation/standin/cell.go
+++ b/internal/simulation/standin/shardstore.go
@@ -14,34 +14,34 @@
 // ShardStore holds the blocks of one shard. It outlives the disk server before it, as
 // disks outlive a process, and is handed to its successor.
 type ShardStore struct {
-	mu        sync.Mutex
-	blocks    map[place][]byte
-	marks     map[string]*mark
-	BlockSize func(volume string) int // block size of a volume
+	mu           sync.Mutex
+	blocks       map[blockAddress][]byte
+	reservations map[string]*reservationState
+	BlockSize    func(volume string) int // block size of a volume
 	// OnExecute, if set, is told of each operation on blocks as it takes effect.
 	OnExecute func(*diskproto.Do)
 	// IgnoreFences has the cell forget every fence: a broken server, for tests of checkers.
 	IgnoreFences bool
 
-	rep replica
+	replication replicationState
 }
 
-// mark is what a cell keeps of a volume's reservations: the record, where it is the
+// reservationState is what a cell keeps of a volume's reservations: the record, where it is the
 // first extent's cell, and the fence.
-type mark struct {
+type reservationState struct {
 	record  diskproto.Record
 	persist bool
 	fence   uint64
 }
 
-type place struct {
+type blockAddress struct {
 	volume string
 	lba    uint64
 }
 
 // NewShardStore returns an empty cell, which reads as zeros.
 func NewShardStore(size func(volume string) int) *ShardStore {
-	return &ShardStore{blocks: map[place][]byte{}, marks: map[string]*mark{}, BlockSize: size}
+	return &ShardStore{blocks: map[blockAddress][]byte{}, reservations: map[string]*reservationState{}, BlockSize: size}
 }
 
 // apply carries out an operation and returns its result and data, and which change the
@@ -49,19 +49,19 @@
 func (c *ShardStore) apply(now float64, d *diskproto.Do) (r diskproto.Result, data []byte, needs uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.admit(d.Gen) {
+	if !c.admitGeneration(d.Gen) {
 		return diskproto.Stale, nil, 0
 	}
-	r, data, changed := c.run(d)
+	r, data, changed := c.execute(d)
 	if changed {
-		c.changed(now, d)
+		c.logChange(now, d)
 	}
-	return r, data, c.needs(d, changed)
+	return r, data, c.requiredSeq(d, changed)
 }
 
-// run carries out an operation; changed tells whether anything is not as it was. Held: mu.
-func (c *ShardStore) run(d *diskproto.Do) (r diskproto.Result, data []byte, changed bool) {
-	if r, data, changed, done := c.reservations(d); done {
+// execute carries out an operation; changed tells whether anything is not as it was. Held: mu.
+func (c *ShardStore) execute(d *diskproto.Do) (r diskproto.Result, data []byte, changed bool) {
+	if r, data, changed, done := c.executeReservation(d); done {
 		return r, data, changed
 	}
 	if c.OnExecute != nil {
@@ -72,7 +72,7 @@
 	case scsi.Read:
 		return diskproto.OK, c.read(d.Volume, d.LBA, d.Blocks, size), false
 	case scsi.Write, scsi.WriteSame, scsi.Unmap:
-		c.store(d, size)
+		c.blindWrite(d, size)
 		return diskproto.OK, nil, true
 	case scsi.CompareAndWrite:
 		half := len(d.Data) / 2
@@ -89,8 +89,8 @@
 	return diskproto.OK, nil, false
 }
 
-// store makes a change that depends on nothing that was there. Held: mu.
-func (c *ShardStore) store(d *diskproto.Do, size int) {
+// blindWrite makes a change that depends on nothing that was there. Held: mu.
+func (c *ShardStore) blindWrite(d *diskproto.Do, size int) {
 	switch scsi.Op(d.Op) {
 	case scsi.Write:
 		c.write(d.Volume, d.LBA, d.Data, size)
@@ -101,35 +101,35 @@
 	case scsi.Unmap:
 		for _, r := range d.Runs {
 			for i := range uint64(r.Blocks) {
-				delete(c.blocks, place{d.Volume, r.LBA + i})
+				delete(c.blocks, blockAddress{d.Volume, r.LBA + i})
 			}
 		}
 	}
 }
 
-// mark is a volume's, made if need be. Held: mu.
-func (c *ShardStore) mark(volume string) *mark {
-	m := c.marks[volume]
+// reservationFor is a volume's, made if need be. Held: mu.
+func (c *ShardStore) reservationFor(volume string) *reservationState {
+	m := c.reservations[volume]
 	if m == nil {
-		m = &mark{}
-		c.marks[volume] = m
+		m = &reservationState{}
+		c.reservations[volume] = m
 	}
 	return m
 }
 
-// reservations carries out what concerns them, and holds the rest to the fence; done is
+// executeReservation carries out what concerns them, and holds the rest to the fence; done is
 // false for an operation that may go on.
-func (c *ShardStore) reservations(d *diskproto.Do) (r diskproto.Result, data []byte, changed, done bool) {
+func (c *ShardStore) executeReservation(d *diskproto.Do) (r diskproto.Result, data []byte, changed, done bool) {
 	switch d.Op {
 	case diskproto.OpRecord:
-		return diskproto.OK, c.mark(d.Volume).record.Append(nil), false, true
+		return diskproto.OK, c.reservationFor(d.Volume).record.Append(nil), false, true
 	case diskproto.OpFence:
-		m := c.mark(d.Volume)
+		m := c.reservationFor(d.Volume)
 		changed = d.Fence > m.fence
 		m.fence = max(m.fence, d.Fence)
 		return diskproto.OK, nil, changed, true
 	case diskproto.OpSwapRecord:
-		m := c.mark(d.Volume)
+		m := c.reservationFor(d.Volume)
 		var s diskproto.Swap
 		switch {
 		case s.Parse(d.Data) != nil:
@@ -141,7 +141,7 @@
 		m.persist = s.Persist
 		return diskproto.OK, m.record.Append(nil), true, true
 	}
-	if m := c.marks[d.Volume]; m != nil && d.Fence < m.fence && !c.IgnoreFences {
+	if m := c.reservations[d.Volume]; m != nil && d.Fence < m.fence && !c.IgnoreFences {
 		return diskproto.Fenced, nil, false, true
 	}
 	return 0, nil, false, false
@@ -151,7 +151,7 @@
 func (c *ShardStore) PowerLoss() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, m := range c.marks {
+	for _, m := range c.reservations {
 		if !m.persist && len(m.record.Bytes) > 0 {
 			m.record = diskproto.Record{Version: m.record.Version + 1}
 		}
@@ -161,14 +161,14 @@
 func (c *ShardStore) read(volume string, lba uint64, blocks uint32, size int) []byte {
 	out := make([]byte, int(blocks)*size)
 	for i := range uint64(blocks) {
-		copy(out[int(i)*size:], c.blocks[place{volume, lba + i}])
+		copy(out[int(i)*size:], c.blocks[blockAddress{volume, lba + i}])
 	}
 	return out
 }
 
 func (c *ShardStore) write(volume string, lba uint64, data []byte, size int) {
 	for i := 0; i+size <= len(data); i += size {
-		c.blocks[place{volume, lba + uint64(i/size)}] = append([]byte(nil), data[i:i+size]...)
+		c.blocks[blockAddress{volume, lba + uint64(i/size)}] = append([]byte(nil), data[i:i+size]...)
 	}
 }
 
@@ -176,58 +176,58 @@
 // keyed requests. It forgets a key so long after its first run, not later: a
 // repeat that comes too late runs again, and is counted.
 type DedupCache struct {
-	mu       sync.Mutex
-	keep     float64 // ms
-	seen     map[repeatKey]ran
-	order    []repeatKey
-	repeated int // effects that took place once more
-	counts   map[repeatKey]int
+	mu           sync.Mutex
+	retention    float64 // ms
+	entries      map[requestKey]dedupEntry
+	order        []requestKey
+	repeated     int // effects that took place once more
+	effectCounts map[requestKey]int
 }
 
-type repeatKey struct{ host, seq uint64 }
+type requestKey struct{ host, seq uint64 }
 
-type ran struct {
-	at     float64
-	result diskproto.Result
+type dedupEntry struct {
+	executedAt float64
+	result     diskproto.Result
 }
 
 // NewDedupCache remembers for so many milliseconds.
 func NewDedupCache(keep float64) *DedupCache {
-	return &DedupCache{keep: keep, seen: map[repeatKey]ran{}, counts: map[repeatKey]int{}}
+	return &DedupCache{retention: keep, entries: map[requestKey]dedupEntry{}, effectCounts: map[requestKey]int{}}
 }
 
-// run applies a keyed request unless it is a repeat still remembered.
-func (k *DedupCache) run(now float64, d *diskproto.Do, apply func() (diskproto.Result, []byte)) (r diskproto.Result, data []byte, dropped bool) {
+// runOnce applies a keyed request unless it is a repeat still remembered.
+func (k *DedupCache) runOnce(now float64, d *diskproto.Do, apply func() (diskproto.Result, []byte)) (r diskproto.Result, data []byte, dropped bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for len(k.order) > 0 && now-k.seen[k.order[0]].at >= k.keep {
-		delete(k.seen, k.order[0])
+	for len(k.order) > 0 && now-k.entries[k.order[0]].executedAt >= k.retention {
+		delete(k.entries, k.order[0])
 		k.order = k.order[1:]
 	}
-	key := repeatKey{d.Host, d.Seq}
-	if was, ok := k.seen[key]; ok {
+	key := requestKey{d.Host, d.Seq}
+	if was, ok := k.entries[key]; ok {
 		return was.result, nil, true
 	}
 	if r, data = apply(); r == diskproto.Stale {
 		return r, data, false // it may come again under a newer generation
 	}
-	k.seen[key] = ran{now, r}
+	k.entries[key] = dedupEntry{now, r}
 	k.order = append(k.order, key)
-	if k.counts[key]++; k.counts[key] > 1 {
+	if k.effectCounts[key]++; k.effectCounts[key] > 1 {
 		k.repeated++
 	}
 	return r, data, false
 }
 
-// note enters a keyed request that ran so long ago, elsewhere.
-func (k *DedupCache) note(at float64, d *diskproto.Do) {
+// remember enters a keyed request that ran so long ago, elsewhere.
+func (k *DedupCache) remember(at float64, d *diskproto.Do) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	key := repeatKey{d.Host, d.Seq}
-	if _, ok := k.seen[key]; ok || d.Effect != diskproto.Keyed || d.Seq == 0 {
+	key := requestKey{d.Host, d.Seq}
+	if _, ok := k.entries[key]; ok || d.Effect != diskproto.Keyed || d.Seq == 0 {
 		return
 	}
-	k.seen[key] = ran{at, diskproto.OK}
+	k.entries[key] = dedupEntry{at, diskproto.OK}
 	k.order = append(k.order, key)
 }
 
