--- a/internal/control/gateway/announcer_test.go
+++ b/internal/control/gateway/announcer_test.go
@@ -127,7 +127,7 @@
 		case change.Announced:
 			got = append(got, "announced")
 		case change.SessionEnded:
-			got = append(got, "session over")
+			got = append(got, "session ended")
 		default:
 			got = append(got, "withdrawn")
 		}
@@ -169,9 +169,9 @@
 	router.SetFaults(standin.RouterFaults{ResetAfter: 70 * time.Millisecond})
 	router.ResetSessions()
 	for i := range 4 {
-		ups := router.Counters().Established
+		established := router.Counters().Established
 		h.diskServers[2].SetNetworkFaults(standin.NetworkFaults{Hang: i%2 == 0})
-		waitFor(t, h.environment, "another session is established", func() bool { return router.Counters().Established > ups })
+		waitFor(t, h.environment, "another session is established", func() bool { return router.Counters().Established > established })
 	}
 	h.diskServers[2].SetNetworkFaults(standin.NetworkFaults{Hang: true})
 	router.SetFaults(standin.RouterFaults{})
@@ -226,8 +226,8 @@
 	}
 	regionInventory := serveInventory("127.0.0.1:0", 1)
 	diskServer := &standin.DiskServer{Name: "d0", Shard: 0}
-	cell := standin.NewShardStore(func(string) int { return s.Volumes[0].BlockSize })
-	if err := standin.ServeDisk(environment, standin.NewMachine(fastMachineConfig(), 1, cell, standin.NewDedupCache(6000), nil, 0, 0, false), diskServer); err != nil {
+	shardStore := standin.NewShardStore(func(string) int { return s.Volumes[0].BlockSize })
+	if err := standin.ServeDisk(environment, standin.NewMachine(fastMachineConfig(), 1, shardStore, standin.NewDedupCache(6000), nil, 0, 0, false), diskServer); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(diskServer.Kill)
--- a/internal/control/gateway/conformance_test.go
+++ b/internal/control/gateway/conformance_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		var report strings.Builder
 		conform.Print(&report, results)
-		t.Fatalf("%v\n%s", err, report.String())
+		t.Fatalf("conformance run failed: %v\n%s", err, report.String())
 	}
 	return results
 }
@@ -42,6 +42,8 @@
 	}
 }
 
+// No check may fail against the gateway, and at least 100 must pass, so that skipped checks are
+// noticed.
 func TestConformance(t *testing.T) {
 	h := newHarness(t, useSmallVolumes)
 	results := runConformanceChecks(t, h, h.gateway.Addr().String())
--- a/internal/control/gateway/expect_test.go
+++ b/internal/control/gateway/expect_test.go
@@ -57,7 +57,7 @@
 
 // replaceDiskServer lists the disk server of a shard as draining and starts another one for it.
 func (h *harness) replaceDiskServer(shard int) *standin.DiskServer {
-	machine := standin.NewMachine(fastMachineConfig(), 99, h.cells[shard], standin.NewDedupCache(6000), nil, uint32(shard), 0, false)
+	machine := standin.NewMachine(fastMachineConfig(), 99, h.shardStores[shard], standin.NewDedupCache(6000), nil, uint32(shard), 0, false)
 	replacement := &standin.DiskServer{Name: "successor", Zone: "hall-a", Rack: "r", Shard: shard}
 	if err := standin.ServeDisk(h.environment, machine, replacement); err != nil {
 		h.t.Fatal(err)
--- a/internal/control/gateway/gateway_test.go
+++ b/internal/control/gateway/gateway_test.go
@@ -30,7 +30,7 @@
 	settings    *settings.Settings
 	inventory   *standin.Inventory
 	diskServers []*standin.DiskServer
-	cells       []*standin.ShardStore
+	shardStores []*standin.ShardStore
 	gateway     *gateway.Gateway
 }
 
@@ -55,14 +55,14 @@
 	}
 	t.Cleanup(h.inventory.Close)
 	for i := range h.settings.Shards {
-		cell := standin.NewShardStore(func(string) int { return 4096 })
-		machine := standin.NewMachine(fastMachineConfig(), uint64(i), cell, standin.NewDedupCache(6000), nil, uint32(i), 0, false)
+		shardStore := standin.NewShardStore(func(string) int { return 4096 })
+		machine := standin.NewMachine(fastMachineConfig(), uint64(i), shardStore, standin.NewDedupCache(6000), nil, uint32(i), 0, false)
 		diskServer := &standin.DiskServer{Name: "disk", Zone: "hall-a", Rack: "r", Shard: i, Keys: diskServerKeys}
 		if err := standin.ServeDisk(h.environment, machine, diskServer); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(diskServer.Kill)
-		h.diskServers, h.cells = append(h.diskServers, diskServer), append(h.cells, cell)
+		h.diskServers, h.shardStores = append(h.diskServers, diskServer), append(h.shardStores, shardStore)
 		h.inventory.ChangeNow(func(book *inventory.Book) {
 			book.Set(inventory.Node{Addr: diskServer.Addr, Health: inventory.Ready, Shard: i, Zone: "hall-a", Weight: 1, Incarnation: diskServer.Started}, 0)
 		})
@@ -108,6 +108,7 @@
 	return result
 }
 
+// Data written across extents on two shards must be read back unchanged.
 func TestReadBackAcrossShards(t *testing.T) {
 	h := newHarness(t, nil)
 	client := h.connect(4, 1) // its plan has no limit, its layout two shards
--- a/internal/control/gateway/keys_test.go
+++ b/internal/control/gateway/keys_test.go
@@ -23,13 +23,13 @@
 	t           *testing.T
 	dir         string
 	clockOffset atomic.Int64
-	authority   *keys.Authority
+	ca          *keys.Authority
 }
 
 func newTestAuthority(t *testing.T) *testAuthority {
 	authority := &testAuthority{t: t, dir: t.TempDir()}
 	var err error
-	if authority.authority, err = keys.Init(filepath.Join(authority.dir, "authority"), authority.now); err != nil {
+	if authority.ca, err = keys.Init(filepath.Join(authority.dir, "authority"), authority.now); err != nil {
 		t.Fatal(err)
 	}
 	return authority
@@ -42,7 +42,7 @@
 // issue writes a new certificate for a name to the holder's folder.
 func (a *testAuthority) issue(name string, role keys.Role, lifetime time.Duration) {
 	a.t.Helper()
-	if _, err := a.authority.Issue(name, role, lifetime, []string{"127.0.0.1"}, a.holderDir(name)); err != nil {
+	if _, err := a.ca.Issue(name, role, lifetime, []string{"127.0.0.1"}, a.holderDir(name)); err != nil {
 		a.t.Fatal(err)
 	}
 }
@@ -109,11 +109,11 @@
 	waitForCommands()
 	authority.issue("host", keys.Machine, 12*time.Hour)
 	reload()
-	if err := authority.authority.Rotate(); err != nil {
+	if err := authority.ca.Rotate(); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"host", "disks"} {
-		if err := authority.authority.Hand(authority.holderDir(name)); err != nil {
+		if err := authority.ca.Hand(authority.holderDir(name)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -123,7 +123,7 @@
 	reload()
 	done.Store(true)
 	tasks.Wait()
-	t.Logf("%d commands served while keys were reloaded three times", servedCount.Load())
+	t.Logf("%d commands served while keys were reloaded three times and the authority's rotated once", servedCount.Load())
 }
 
 // When host and disk server have certificates of different authorities, nothing may reach the disk
--- a/internal/control/gateway/permit_test.go
+++ b/internal/control/gateway/permit_test.go
@@ -101,8 +101,8 @@
 func TestBeginSendsOnlyPermittedAttempts(t *testing.T) {
 	environment := env.NewReal()
 	for name, tt := range map[string]struct {
-		change func(a *attempt, now float64)
-		want   bool
+		change   func(a *attempt, now float64)
+		mayBegin bool
 	}{
 		"unchanged":      {func(*attempt, float64) {}, true},
 		"request ended":  {func(a *attempt, _ float64) { a.job.markEnded() }, false},
@@ -120,10 +120,10 @@
 		conn.begin(a)
 		conn.writes.Finish()
 		sent, err := io.ReadAll(serverEnd)
-		if err != nil || (len(sent) > 0) != tt.want {
+		if err != nil || (len(sent) > 0) != tt.mayBegin {
 			t.Errorf("%s: got %d bytes written, error %v, want some only if the attempt may begin", name, len(sent), err)
 		}
-		if !tt.want && a.claim() {
+		if !tt.mayBegin && a.claim() {
 			t.Errorf("%s: attempt could be claimed after begin refused it", name)
 		}
 		h.stop()
