--- a/internal/simulation/world/lint_test.go
+++ b/internal/simulation/world/lint_test.go
@@ -43,82 +43,82 @@
 }
 
 // forbiddenUses names what in a file reaches past package env; core is stricter.
-func forbiddenUses(name string, src any, core bool) (found []string, err error) {
-	set := token.NewFileSet()
-	f, err := parser.ParseFile(set, name, src, 0)
+func forbiddenUses(name string, src any, core bool) (findings []string, err error) {
+	files := token.NewFileSet()
+	f, err := parser.ParseFile(files, name, src, 0)
 	if err != nil {
 		return nil, err
 	}
-	say := func(format string, args ...any) { found = append(found, name+": "+fmt.Sprintf(format, args...)) }
-	barred := forbiddenShellImports
+	add := func(format string, args ...any) { findings = append(findings, name+": "+fmt.Sprintf(format, args...)) }
+	forbidden := forbiddenShellImports
 	if core {
-		barred = forbiddenCoreImports
+		forbidden = forbiddenCoreImports
 	}
-	for _, im := range f.Imports {
-		path, _ := strconv.Unquote(im.Path.Value)
-		for _, b := range barred {
+	for _, spec := range f.Imports {
+		path, _ := strconv.Unquote(spec.Path.Value)
+		for _, b := range forbidden {
 			if path == b {
-				say("imports %s", path)
+				add("imports %s", path)
 			}
 		}
 	}
 	ast.Inspect(f, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.GoStmt:
-			say("go statement")
+			add("go statement")
 		case *ast.SelectStmt:
-			say("select statement")
+			add("select statement")
 		case *ast.ChanType:
-			say("channel")
+			add("channel")
 		case *ast.SelectorExpr:
-			x, ok := n.X.(*ast.Ident)
+			pkg, ok := n.X.(*ast.Ident)
 			if !ok {
 				break
 			}
-			if x.Name == "sync" && (n.Sel.Name == "WaitGroup" || n.Sel.Name == "Cond" || n.Sel.Name == "NewCond") {
-				say("sync.%s", n.Sel.Name)
+			if pkg.Name == "sync" && (n.Sel.Name == "WaitGroup" || n.Sel.Name == "Cond" || n.Sel.Name == "NewCond") {
+				add("sync.%s", n.Sel.Name)
 			}
-			for _, c := range forbiddenShellCalls[x.Name] {
+			for _, c := range forbiddenShellCalls[pkg.Name] {
 				if n.Sel.Name == c {
-					say("%s.%s", x.Name, c)
+					add("%s.%s", pkg.Name, c)
 				}
 			}
 		}
 		return true
 	})
-	return found, nil
+	return findings, nil
 }
 
 // Nothing that runs in the world reaches past package env.
 func TestOnlyEnvReachesOutside(t *testing.T) {
 	files := 0
-	look := func(dir string, core bool, only func(file string) bool) {
-		names := sourceFiles(t, dir)
-		for _, n := range names {
-			if strings.HasSuffix(n, "_test.go") || !only(filepath.Base(n)) {
+	checkDir := func(dir string, core bool, include func(file string) bool) {
+		paths := sourceFiles(t, dir)
+		for _, path := range paths {
+			if strings.HasSuffix(path, "_test.go") || !include(filepath.Base(path)) {
 				continue
 			}
 			files++
-			src, err := os.ReadFile(n)
+			src, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			found, err := forbiddenUses(dir+"/"+filepath.Base(n), src, core)
+			findings, err := forbiddenUses(dir+"/"+filepath.Base(path), src, core)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, s := range found {
-				if allowedFindings[s] == "" {
-					t.Error(s)
+			for _, finding := range findings {
+				if allowedFindings[finding] == "" {
+					t.Error(finding)
 				}
 			}
 		}
 	}
-	for dir, but := range cores {
-		look(dir, true, func(file string) bool { return !contains(but, file) })
+	for dir, shellFiles := range cores {
+		checkDir(dir, true, func(file string) bool { return !contains(shellFiles, file) })
 	}
 	for _, dir := range shells {
-		look(dir, false, func(file string) bool { return cores[dir] == nil || contains(cores[dir], file) })
+		checkDir(dir, false, func(file string) bool { return cores[dir] == nil || contains(cores[dir], file) })
 	}
 	if files < 40 {
 		t.Errorf("only %d files were looked at", files)
@@ -128,8 +128,8 @@
 // sourceFiles are the files of a package, which stands at the top or in a group under internal.
 func sourceFiles(t *testing.T, name string) []string {
 	t.Helper()
-	for _, folder := range []string{filepath.Join("..", "..", "..", name), filepath.Join("..", "..", "*", name)} {
-		files, err := filepath.Glob(filepath.Join(folder, "*.go"))
+	for _, dir := range []string{filepath.Join("..", "..", "..", name), filepath.Join("..", "..", "*", name)} {
+		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -152,18 +152,18 @@
 
 // The check rejects each thing that it is for.
 func TestForbiddenUsesRejects(t *testing.T) {
-	for _, bad := range []string{
+	for _, source := range []string{
 		"import \"time\"\nfunc f() { time.Now() }", "import \"time\"\nfunc f() { time.Sleep(1) }", "func f() { go f() }",
 		"var c chan int", "func f() { select {} }", "import \"sync\"\nvar w sync.WaitGroup", "import \"net\"\nfunc f() { net.Dial(\"\", \"\") }",
 		"import \"math/rand/v2\"\nvar x = rand.IntN(3)", "import \"crypto/rand\"", "import \"runtime\"\nvar n = runtime.GOMAXPROCS(0)",
 	} {
-		if found, err := forbiddenUses("x.go", "package x\n"+bad, false); err != nil || len(found) == 0 {
-			t.Errorf("not rejected: %s (%v)", bad, err)
+		if findings, err := forbiddenUses("x.go", "package x\n"+source, false); err != nil || len(findings) == 0 {
+			t.Errorf("not rejected: %s (%v)", source, err)
 		}
 	}
-	for _, bad := range []string{"import \"net\"", "import \"sync\"", "import \"time\"", "import \"os\""} {
-		if found, err := forbiddenUses("x.go", "package x\n"+bad, true); err != nil || len(found) == 0 {
-			t.Errorf("not rejected in a core: %s (%v)", bad, err)
+	for _, source := range []string{"import \"net\"", "import \"sync\"", "import \"time\"", "import \"os\""} {
+		if findings, err := forbiddenUses("x.go", "package x\n"+source, true); err != nil || len(findings) == 0 {
+			t.Errorf("not rejected in a core: %s (%v)", source, err)
 		}
 	}
 }
--- a/internal/simulation/world/net.go
+++ b/internal/simulation/world/net.go
@@ -27,7 +27,7 @@
 // Link is a way from one process to another that has a state of its own.
 type Link struct {
 	LinkState
-	w            *World
+	world        *World
 	blockedConns []*conn // with segments that a cut keeps back
 }
 
@@ -48,28 +48,28 @@
 // Link returns the way from one process to another, by the names that stay when a
 // process is started again: those before a '#'. It begins with the world's Net.
 func (w *World) Link(from, to string) *Link {
-	k := linkKey{from, to}
-	l := w.links[k]
-	if l == nil {
-		l = &Link{LinkState: w.DefaultLink, w: w}
-		w.links[k] = l
+	key := linkKey{from, to}
+	link := w.links[key]
+	if link == nil {
+		link = &Link{LinkState: w.DefaultLink, world: w}
+		w.links[key] = link
 	}
-	return l
+	return link
 }
 
 // SetState changes the link.
-func (l *Link) SetState(n LinkState) {
-	l.w.hashEvent('l', uint64(n.Delay), int(n.Loss*1000))
-	healed := l.Partitioned && !n.Partitioned
-	l.LinkState = n
+func (l *Link) SetState(state LinkState) {
+	l.world.hashEvent('l', uint64(state.Delay), int(state.Loss*1000))
+	healed := l.Partitioned && !state.Partitioned
+	l.LinkState = state
 	if !healed {
 		return
 	}
-	held := l.blockedConns
+	blocked := l.blockedConns
 	l.blockedConns = nil
-	for _, c := range held {
-		again := time.Duration(l.w.rng.Int64N(int64(maxRecoveryDelay)))
-		l.w.schedule(again, c.resumeSending)
+	for _, c := range blocked {
+		delay := time.Duration(l.world.rng.Int64N(int64(maxRecoveryDelay)))
+		l.world.schedule(delay, c.resumeSending)
 	}
 }
 
@@ -92,9 +92,9 @@
 // Observer is told what passes on a connection, at the end that it stands by.
 type Observer interface {
 	// Bytes is what passes, up from the dialling side.
-	Bytes(up bool, b []byte)
+	Bytes(fromDialler bool, b []byte)
 	// Closed is called once; up if the dialling side ended it.
-	Closed(up bool)
+	Closed(byDialler bool)
 }
 
 // alias is an address behind which a listener can change, and which may be observed.
@@ -106,14 +106,14 @@
 
 // Alias makes an address that leads to target. observe, if any, is called for each
 // connection made to it; its observer stands by the dialling or the listening side.
-func (w *World) Alias(target string, byDialler bool, observe func() Observer) string {
-	a := w.newAddress()
-	w.aliases[a] = &alias{target, byDialler, observe}
-	return a
+func (w *World) Alias(target string, atDialler bool, newObserver func() Observer) string {
+	address := w.newAddress()
+	w.aliases[address] = &alias{target, atDialler, newObserver}
+	return address
 }
 
 // RetargetAlias has an alias lead elsewhere from now on.
-func (w *World) RetargetAlias(name, target string) { w.aliases[name].target = target }
+func (w *World) RetargetAlias(address, target string) { w.aliases[address].target = target }
 
 func (w *World) newAddress() string {
 	w.nextPort++
@@ -187,38 +187,38 @@
 }
 
 // Dial implements env.Environment.
-func (p *Process) Dial(ctx context.Context, network, address string, within time.Duration) (net.Conn, error) {
+func (p *Process) Dial(ctx context.Context, network, address string, timeout time.Duration) (net.Conn, error) {
 	fail := func(err error) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Net: network, Addr: addr(address), Err: err}
 	}
-	if within <= 0 {
-		within = time.Minute
+	if timeout <= 0 {
+		timeout = time.Minute
 	}
-	w, end := p.world, p.world.now+within
+	w, deadline := p.world, p.world.now+timeout
 	target, a := address, w.aliases[address]
 	if a != nil {
 		target = a.target
 	}
-	for try := initialRTO; ; try *= 2 {
+	for rto := initialRTO; ; rto *= 2 {
 		if err := ctx.Err(); err != nil {
 			return fail(err)
 		}
 		l := w.listeners[target]
 		if l == nil { // refused by the machine, which is there
-			w.sleep(p, min(2*w.DefaultLink.Delay, end-w.now))
+			w.sleep(p, min(2*w.DefaultLink.Delay, deadline-w.now))
 			return fail(syscall.ECONNREFUSED)
 		}
-		out, back := w.Link(StableName(p.name), StableName(l.proc.name)), w.Link(StableName(l.proc.name), StableName(p.name))
-		if out.Partitioned || back.Partitioned || w.rng.Float64() < out.Loss+back.Loss-out.Loss*back.Loss {
-			if w.now+try >= end {
-				w.sleep(p, end-w.now)
+		outLink, backLink := w.Link(StableName(p.name), StableName(l.proc.name)), w.Link(StableName(l.proc.name), StableName(p.name))
+		if outLink.Partitioned || backLink.Partitioned || w.rng.Float64() < outLink.Loss+backLink.Loss-outLink.Loss*backLink.Loss {
+			if w.now+rto >= deadline {
+				w.sleep(p, deadline-w.now)
 				return fail(os.ErrDeadlineExceeded)
 			}
-			w.sleep(p, try)
+			w.sleep(p, rto)
 			continue
 		}
-		c := w.connect(p, l, address, a, out, back)
-		w.sleep(p, out.drawDelay()+back.drawDelay())
+		c := w.connect(p, l, address, a, outLink, backLink)
+		w.sleep(p, outLink.drawDelay()+backLink.drawDelay())
 		if l.closed {
 			c.Close()
 			return fail(syscall.ECONNREFUSED)
@@ -228,14 +228,14 @@
 }
 
 // sleep has the running goroutine of p wait.
-func (w *World) sleep(p *Process, d time.Duration) {
+func (w *World) sleep(p *Process, duration time.Duration) {
 	k := &parker{world: w}
-	over := false
-	w.schedule(d, func() {
-		over = true
+	elapsed := false
+	w.schedule(duration, func() {
+		elapsed = true
 		k.Unpark()
 	})
-	for !over {
+	for !elapsed {
 		k.Park()
 	}
 	if p.dead {
@@ -244,42 +244,42 @@
 }
 
 func (l *Link) drawDelay() time.Duration {
-	d := l.Delay
+	delay := l.Delay
 	if l.Jitter > 0 {
-		d += time.Duration(l.w.rng.Int64N(int64(l.Jitter)))
+		delay += time.Duration(l.world.rng.Int64N(int64(l.Jitter)))
 	}
-	return d
+	return delay
 }
 
 // connect makes both ends; the listener has its end once the first segment is there.
-func (w *World) connect(p *Process, l *listener, name string, a *alias, out, back *Link) *conn {
+func (w *World) connect(p *Process, l *listener, address string, a *alias, outLink, backLink *Link) *conn {
 	w.nextConn++
-	near := &conn{world: w, proc: p, id: 2 * w.nextConn, fromDialler: true, local: addr(w.newAddress()), remote: addr(name), link: out}
-	far := &conn{world: w, proc: l.proc, id: 2*w.nextConn + 1, local: l.addr, remote: near.local, link: back}
-	near.peer, far.peer = far, near
-	for _, c := range []*conn{near, far} {
+	dialling := &conn{world: w, proc: p, id: 2 * w.nextConn, fromDialler: true, local: addr(w.newAddress()), remote: addr(address), link: outLink}
+	accepting := &conn{world: w, proc: l.proc, id: 2*w.nextConn + 1, local: l.addr, remote: dialling.local, link: backLink}
+	dialling.peer, accepting.peer = accepting, dialling
+	for _, c := range []*conn{dialling, accepting} {
 		c.readParker, c.writeParker = &parker{world: w}, &parker{world: w}
 		c.proc.conns = append(c.proc.conns, c)
 	}
 	if a != nil && a.newObserver != nil {
-		by := far
+		observed := accepting
 		if a.atDialler {
-			by = near
+			observed = dialling
 		}
-		by.observer = a.newObserver()
+		observed.observer = a.newObserver()
 	}
-	first := out.drawDelay()
-	near.lastArrival = w.now + first
-	w.schedule(first, func() {
+	synDelay := outLink.drawDelay()
+	dialling.lastArrival = w.now + synDelay
+	w.schedule(synDelay, func() {
 		if l.closed {
-			far.reset()
-			near.reset()
+			accepting.reset()
+			dialling.reset()
 			return
 		}
-		l.backlog = append(l.backlog, far)
+		l.backlog = append(l.backlog, accepting)
 		l.acceptParker.Unpark()
 	})
-	return near
+	return dialling
 }
 
 // conn is one end of a connection. It implements net.Conn.
@@ -319,19 +319,19 @@
 }
 
 // Read implements net.Conn.
-func (c *conn) Read(b []byte) (int, error) {
+func (c *conn) Read(buffer []byte) (int, error) {
 	if err := c.WaitReadable(); err != nil {
 		return 0, err
 	}
-	return c.consume(b), nil
+	return c.consume(buffer), nil
 }
 
 // ReadAvailable reads what has come, and waits for nothing.
-func (c *conn) ReadAvailable(b []byte) (int, error) {
+func (c *conn) ReadAvailable(buffer []byte) (int, error) {
 	if err := c.readState(); err != nil {
 		return 0, err
 	}
-	return c.consume(b), nil
+	return c.consume(buffer), nil
 }
 
 // WaitReadable waits until bytes have come, and leaves them.
@@ -366,15 +366,15 @@
 	return env.ErrNoData
 }
 
-func (c *conn) consume(b []byte) int {
+func (c *conn) consume(buffer []byte) int {
 	if c.peer.link.SplitReads {
-		b = b[:min(len(b), 1+c.world.rng.IntN(7))]
+		buffer = buffer[:min(len(buffer), 1+c.world.rng.IntN(7))]
 	}
 	n := 0
-	for n < len(b) && len(c.received) > 0 {
-		k := copy(b[n:], c.received[0])
-		n += k
-		if c.received[0] = c.received[0][k:]; len(c.received[0]) == 0 {
+	for n < len(buffer) && len(c.received) > 0 {
+		copied := copy(buffer[n:], c.received[0])
+		n += copied
+		if c.received[0] = c.received[0][copied:]; len(c.received[0]) == 0 {
 			c.received[0] = nil
 			c.received = c.received[1:]
 		}
@@ -400,11 +400,11 @@
 			c.proc.countWrite()
 			return n, nil
 		}
-		if room := maxInFlight - c.inFlight; room > 0 {
-			k := min(room, len(b)-n)
-			data := slices.Clone(b[n : n+k])
-			n += k
-			c.inFlight += k
+		if window := maxInFlight - c.inFlight; window > 0 {
+			size := min(window, len(b)-n)
+			data := slices.Clone(b[n : n+size])
+			n += size
+			c.inFlight += size
 			if c.observer != nil {
 				c.observer.Bytes(c.fromDialler, data)
 			}
@@ -431,26 +431,26 @@
 		}
 		return
 	}
-	at := c.world.now + l.drawDelay()
-	for again := initialRTO; l.Loss > 0 && c.world.rng.Float64() < l.Loss && again < 16*initialRTO; again *= 2 {
-		at += again
+	arrival := c.world.now + l.drawDelay()
+	for backoff := initialRTO; l.Loss > 0 && c.world.rng.Float64() < l.Loss && backoff < 16*initialRTO; backoff *= 2 {
+		arrival += backoff
 	}
-	at = max(at, c.lastArrival)
-	c.lastArrival = at
+	arrival = max(arrival, c.lastArrival)
+	c.lastArrival = arrival
 	c.world.hashEvent('>', c.id, len(s.data))
 	c.world.digest.Write(s.data)
-	to := c.peer
-	c.world.schedule(at-c.world.now, func() { to.deliver(s) })
+	receiver := c.peer
+	c.world.schedule(arrival-c.world.now, func() { receiver.deliver(s) })
 }
 
 // resumeSending sends what a cut kept back, unless there is a new one.
 func (c *conn) resumeSending() {
-	kept := c.blockedSegments
-	if len(kept) == 0 {
+	segments := c.blockedSegments
+	if len(segments) == 0 {
 		return
 	}
 	c.blockedSegments = nil
-	for _, s := range kept {
+	for _, s := range segments {
 		c.sendSegment(s)
 	}
 }
@@ -489,10 +489,10 @@
 	c.writeParker.Unpark()
 }
 
-func (c *conn) notifyClosed(up bool) {
+func (c *conn) notifyClosed(byDialler bool) {
 	if c.observer != nil && !c.closeObserved {
 		c.closeObserved = true
-		c.observer.Closed(up)
+		c.observer.Closed(byDialler)
 	}
 }
 
@@ -533,11 +533,11 @@
 }
 
 // closeWithProcess ends this side with its process.
-func (c *conn) closeWithProcess(how KillMode) {
+func (c *conn) closeWithProcess(mode KillMode) {
 	if c.closed {
 		return
 	}
-	if how == HostLoss {
+	if mode == HostLoss {
 		c.closed, c.hostLost = true, true
 		c.notifyClosed(c.fromDialler)
 		return
--- a/internal/simulation/world/process.go
+++ b/internal/simulation/world/process.go
@@ -48,7 +48,7 @@
 }
 
 // SetClockRate has the process's clock run at so many times the world's, from its start on.
-func (p *Process) SetClockRate(x float64) { p.clockRate = x }
+func (p *Process) SetClockRate(rate float64) { p.clockRate = rate }
 
 // epoch is when every world begins.
 var epoch = time.Unix(1_000_000_000, 0)
@@ -80,16 +80,16 @@
 
 // timer implements env.Timer.
 type timer struct {
-	proc    *Process
-	f       func()
-	stopped bool
+	proc     *Process
+	callback func()
+	stopped  bool
 }
 
 // Stop implements env.Timer.
 func (t *timer) Stop() bool {
-	was := t.stopped
+	wasStopped := t.stopped
 	t.stopped = true
-	return !was
+	return !wasStopped
 }
 
 func (t *timer) fire() {
@@ -97,16 +97,16 @@
 		return
 	}
 	t.stopped = true
-	t.proc.Go(t.f)
+	t.proc.Go(t.callback)
 }
 
 // AfterFunc implements env.Environment.
-func (p *Process) AfterFunc(d time.Duration, f func()) env.Timer {
-	t := &timer{proc: p, f: f}
+func (p *Process) AfterFunc(delay time.Duration, f func()) env.Timer {
+	t := &timer{proc: p, callback: f}
 	if p.clockRate != 1 {
-		d = time.Duration(float64(d)/p.clockRate) + 1 // no earlier than its clock shows
+		delay = time.Duration(float64(delay)/p.clockRate) + 1 // no earlier than its clock shows
 	}
-	p.world.pushEvent(event{at: p.world.now + max(d, 0), timer: t})
+	p.world.pushEvent(event{at: p.world.now + max(delay, 0), timer: t})
 	return t
 }
 
@@ -149,13 +149,13 @@
 
 // Kill ends the process at once, wherever its goroutines are; nothing that they would
 // still have done happens. Not from one of its own.
-func (p *Process) Kill(how KillMode) {
+func (p *Process) Kill(mode KillMode) {
 	if p.dead {
 		return
 	}
-	p.world.hashEvent('k', p.id, int(how))
+	p.world.hashEvent('k', p.id, int(mode))
 	p.dead = true
-	was := p.world.running
+	running := p.world.running
 	for _, t := range p.tasks {
 		if !t.dead {
 			t.dead = true
@@ -163,12 +163,12 @@
 			t.stop()
 		}
 	}
-	p.world.running = was
+	p.world.running = running
 	for _, l := range p.listeners {
 		l.shutdown()
 	}
 	for _, c := range p.conns {
-		c.closeWithProcess(how)
+		c.closeWithProcess(mode)
 	}
 	p.tasks, p.idleTasks, p.stalledTasks, p.conns, p.listeners = nil, nil, nil, nil, nil
 }
@@ -178,17 +178,17 @@
 
 // Stall has the process stand still for so long: its machine still takes bytes, and all
 // that came due meanwhile happens as it wakes.
-func (p *Process) Stall(d time.Duration) {
+func (p *Process) Stall(duration time.Duration) {
 	if p.dead || p.stalled {
 		return
 	}
-	p.world.hashEvent('s', p.id, int(d))
+	p.world.hashEvent('s', p.id, int(duration))
 	p.stalled = true
-	p.world.schedule(d, func() {
+	p.world.schedule(duration, func() {
 		p.stalled = false
-		held := p.stalledTasks
+		tasks := p.stalledTasks
 		p.stalledTasks = nil
-		for _, t := range held {
+		for _, t := range tasks {
 			p.world.wake(t)
 		}
 	})
@@ -198,20 +198,22 @@
 func (p *Process) AdvanceClock(d time.Duration) {
 	p.world.hashEvent('j', p.id, int(d))
 	p.clockOffset += d
-	q := p.world.events
-	for i := range q {
-		if t := q[i].timer; t != nil && t.proc == p {
-			q[i].at = max(p.world.now, q[i].at-d)
+	events := p.world.events
+	for i := range events {
+		if t := events[i].timer; t != nil && t.proc == p {
+			events[i].at = max(p.world.now, events[i].at-d)
 		}
 	}
-	for i := len(q)/2 - 1; i >= 0; i-- {
+	for i := len(events)/2 - 1; i >= 0; i-- {
 		p.world.siftDown(i)
 	}
 }
 
 // CrashAfterWrites has the process end, like by Kill(Crash), as the bytes of its n-th
 // write from now are on the wire; 0: no more. then is called as it happens.
-func (p *Process) CrashAfterWrites(n int, then func()) { p.writesUntilCrash, p.onCrash = n, then }
+func (p *Process) CrashAfterWrites(writes int, onCrash func()) {
+	p.writesUntilCrash, p.onCrash = writes, onCrash
+}
 
 func (p *Process) countWrite() {
 	if p.writesUntilCrash == 0 {
--- a/internal/simulation/world/world.go
+++ b/internal/simulation/world/world.go
@@ -99,16 +99,16 @@
 // meanwhile. It fails when that takes more virtual time than most, when nothing can
 // happen any more, when a program panics, or with what Halt was told. Afterwards every
 // process is dead.
-func (w *World) Run(name string, most time.Duration, main func(p *Process)) error {
+func (w *World) Run(name string, maxTime time.Duration, main func(p *Process)) error {
 	defer w.killAll()
-	over := false
+	mainDone := false
 	p := w.StartProcess(name)
 	p.Go(func() {
 		main(p)
-		over = true
+		mainDone = true
 	})
-	for w.haltErr == nil && !over {
-		if !w.step(most) {
+	for w.haltErr == nil && !mainDone {
+		if !w.step(maxTime) {
 			return w.haltErr
 		}
 	}
@@ -116,28 +116,28 @@
 }
 
 // step does the next thing; false if there is none, or it is too late for it.
-func (w *World) step(most time.Duration) bool {
+func (w *World) step(maxTime time.Duration) bool {
 	w.Steps++
 	if len(w.immediate) > 0 {
-		f := w.immediate[0]
+		action := w.immediate[0]
 		w.immediate = w.immediate[1:]
-		f()
+		action()
 		return true
 	}
 	if t := w.readyTasks.pop(); t != nil {
 		w.runTask(t)
 		return true
 	}
-	if len(w.events) == 0 || w.events[0].at > most {
+	if len(w.events) == 0 || w.events[0].at > maxTime {
 		w.Halt(&StuckError{w.now, len(w.events) == 0})
 		return false
 	}
-	e := w.popEvent()
-	w.now = max(w.now, e.at)
-	if e.timer != nil {
-		e.timer.fire()
+	next := w.popEvent()
+	w.now = max(w.now, next.at)
+	if next.timer != nil {
+		next.timer.fire()
 	} else {
-		e.action()
+		next.action()
 	}
 	return true
 }
@@ -150,12 +150,12 @@
 }
 
 // hashEvent enters something that happened into the digest.
-func (w *World) hashEvent(kind byte, who uint64, n int) {
+func (w *World) hashEvent(kind byte, id uint64, value int) {
 	var b [25]byte
 	b[0] = kind
 	putUint64(b[1:], uint64(w.now))
-	putUint64(b[9:], who)
-	putUint64(b[17:], uint64(n))
+	putUint64(b[9:], id)
+	putUint64(b[17:], uint64(value))
 	w.digest.Write(b[:])
 }
 
@@ -166,8 +166,8 @@
 }
 
 // schedule has f happen d from now.
-func (w *World) schedule(d time.Duration, f func()) {
-	w.pushEvent(event{at: w.now + max(d, 0), action: f})
+func (w *World) schedule(delay time.Duration, action func()) {
+	w.pushEvent(event{at: w.now + max(delay, 0), action: action})
 }
 
 func (w *World) pushEvent(e event) {
@@ -191,27 +191,27 @@
 
 func (w *World) siftDown(i int) {
 	for {
-		least := i
+		smallest := i
 		for k := 2*i + 1; k <= 2*i+2 && k < len(w.events); k++ {
-			if w.eventBefore(k, least) {
-				least = k
+			if w.eventBefore(k, smallest) {
+				smallest = k
 			}
 		}
-		if least == i {
+		if smallest == i {
 			return
 		}
-		w.events[i], w.events[least] = w.events[least], w.events[i]
-		i = least
+		w.events[i], w.events[smallest] = w.events[smallest], w.events[i]
+		i = smallest
 	}
 }
 
 func (w *World) popEvent() event {
-	e := w.events[0]
+	first := w.events[0]
 	last := len(w.events) - 1
 	w.events[0], w.events[last] = w.events[last], event{}
 	w.events = w.events[:last]
 	w.siftDown(0)
-	return e
+	return first
 }
 
 // task is a goroutine of a process. It is used again for the process's next ones.
@@ -250,15 +250,15 @@
 
 func (t *task) run() {
 	defer func() {
-		r := recover()
-		if r == nil {
+		value := recover()
+		if value == nil {
 			return
 		}
-		if _, ok := r.(processKilled); ok {
+		if _, ok := value.(processKilled); ok {
 			return
 		}
 		t.dead = true
-		t.proc.world.Halt(&CrashError{t.proc.name, r, string(debug.Stack())})
+		t.proc.world.Halt(&CrashError{t.proc.name, value, string(debug.Stack())})
 	}()
 	t.fn()
 }
--- a/internal/simulation/world/world_test.go
+++ b/internal/simulation/world/world_test.go
@@ -20,7 +20,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // startServer starts a process that hands each connection to f.
-func startServer(t *testing.T, w *World, name string, f func(p *Process, c net.Conn)) (p *Process, addr string) {
+func startServer(t *testing.T, w *World, name string, handle func(p *Process, c net.Conn)) (p *Process, addr string) {
 	t.Helper()
 	p = w.StartProcess(name)
 	l, err := p.Listen("tcp", "127.0.0.1:0")
@@ -33,7 +33,7 @@
 			if err != nil {
 				return
 			}
-			p.Go(func() { f(p, c) })
+			p.Go(func() { handle(p, c) })
 		}
 	})
 	return p, l.Addr().String()
@@ -58,9 +58,9 @@
 }
 
 func TestEchoOverLinkStates(t *testing.T) {
-	for _, n := range []LinkState{{Delay: time.Millisecond}, {Delay: time.Millisecond, SplitReads: true}, {Delay: time.Millisecond, Jitter: 5 * time.Millisecond, Loss: 0.3}} {
+	for _, state := range []LinkState{{Delay: time.Millisecond}, {Delay: time.Millisecond, SplitReads: true}, {Delay: time.Millisecond, Jitter: 5 * time.Millisecond, Loss: 0.3}} {
 		w := New(7)
-		w.DefaultLink = n
+		w.DefaultLink = state
 		_, addr := startServer(t, w, "echo", echoConn)
 		runMain(t, w, func(p *Process) {
 			c := dial(t, p, addr)
@@ -68,10 +68,10 @@
 			p.Go(func() { c.Write(want) })
 			got := make([]byte, len(want))
 			if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
-				t.Errorf("%+v: %v", n, err)
+				t.Errorf("%+v: %v", state, err)
 			}
 			if p.Now() < 2*time.Millisecond {
-				t.Errorf("%+v: it took %v", n, p.Now())
+				t.Errorf("%+v: it took %v", state, p.Now())
 			}
 		})
 	}
@@ -96,9 +96,9 @@
 	_, addr := startServer(t, w, "mute", func(*Process, net.Conn) {})
 	runMain(t, w, func(p *Process) {
 		c := dial(t, p, addr)
-		begin := p.Now()
+		start := p.Now()
 		c.SetReadDeadline(p.Deadline(time.Second))
-		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || p.Now() != begin+time.Second {
+		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || p.Now() != start+time.Second {
 			t.Error(err, p.Now())
 		}
 	})
@@ -108,19 +108,19 @@
 // stays silent for ever.
 func TestPartitionAndHostLoss(t *testing.T) {
 	w := New(3)
-	far, addr := startServer(t, w, "far#1", echoConn)
+	remote, addr := startServer(t, w, "far#1", echoConn)
 	runMain(t, w, func(p *Process) {
 		c := dial(t, p, addr)
-		there := w.Link("main", "far")
-		there.SetState(LinkState{Delay: time.Millisecond, Partitioned: true})
+		link := w.Link("main", "far")
+		link.SetState(LinkState{Delay: time.Millisecond, Partitioned: true})
 		c.Write([]byte("one"))
 		c.Write([]byte("two"))
-		p.AfterFunc(5*time.Second, func() { there.SetState(LinkState{Delay: time.Millisecond}) })
+		p.AfterFunc(5*time.Second, func() { link.SetState(LinkState{Delay: time.Millisecond}) })
 		got := make([]byte, 6)
 		if _, err := io.ReadFull(c, got); err != nil || string(got) != "onetwo" || p.Now() < 5*time.Second || p.Now() > 8*time.Second {
 			t.Errorf("%q %v at %v", got, err, p.Now())
 		}
-		far.Kill(HostLoss)
+		remote.Kill(HostLoss)
 		c.SetReadDeadline(p.Deadline(time.Minute))
 		c.Write([]byte("three"))
 		if _, err := c.Read(got); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -138,9 +138,9 @@
 			t.Error(err)
 		}
 		w.Link("far", "main").SetState(LinkState{Partitioned: true})
-		begin := p.Now()
-		if _, err := p.Dial(context.Background(), "tcp", addr, time.Second); !errors.Is(err, os.ErrDeadlineExceeded) || p.Now() != begin+time.Second {
-			t.Error(err, p.Now()-begin)
+		start := p.Now()
+		if _, err := p.Dial(context.Background(), "tcp", addr, time.Second); !errors.Is(err, os.ErrDeadlineExceeded) || p.Now() != start+time.Second {
+			t.Error(err, p.Now()-start)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -153,13 +153,13 @@
 // The other side of a crash reads what was sent, then the end; writes are reset.
 func TestCrashClosesSockets(t *testing.T) {
 	w := New(3)
-	far, addr := startServer(t, w, "far", func(p *Process, c net.Conn) {
+	remote, addr := startServer(t, w, "far", func(p *Process, c net.Conn) {
 		c.Write([]byte("last words"))
 		p.NewParker().Park()
 	})
 	runMain(t, w, func(p *Process) {
 		c := dial(t, p, addr)
-		p.AfterFunc(time.Second, func() { far.Kill(Crash) })
+		p.AfterFunc(time.Second, func() { remote.Kill(Crash) })
 		if b, err := io.ReadAll(c); err != nil || string(b) != "last words" || p.Now() < time.Second {
 			t.Errorf("%q %v", b, err)
 		}
@@ -174,35 +174,35 @@
 // A process that stands still misses nothing and is late for everything.
 func TestStalledProcessResumesLate(t *testing.T) {
 	w := New(3)
-	var rang, read time.Duration
-	far, addr := startServer(t, w, "far", func(p *Process, c net.Conn) {
+	var firedAt, readAt time.Duration
+	remote, addr := startServer(t, w, "far", func(p *Process, c net.Conn) {
 		if _, err := c.Read(make([]byte, 1)); err == nil {
-			read = p.Now()
+			readAt = p.Now()
 		}
 	})
 	runMain(t, w, func(p *Process) {
 		c := dial(t, p, addr)
 		env.Sleep(p, time.Millisecond, nil)
-		far.AfterFunc(time.Second, func() { rang = far.Now() })
-		far.Stall(5 * time.Second)
+		remote.AfterFunc(time.Second, func() { firedAt = remote.Now() })
+		remote.Stall(5 * time.Second)
 		c.Write([]byte("x"))
 		env.Sleep(p, 6*time.Second, nil)
 	})
-	if rang < 5*time.Second || read < 5*time.Second {
-		t.Errorf("rang at %v, read at %v", rang, read)
+	if firedAt < 5*time.Second || readAt < 5*time.Second {
+		t.Errorf("rang at %v, read at %v", firedAt, readAt)
 	}
 }
 
 func TestAdvanceClockFiresTimersEarlier(t *testing.T) {
 	w := New(3)
 	runMain(t, w, func(p *Process) {
-		q := w.StartProcess("q")
-		var rang time.Duration
-		q.AfterFunc(3*time.Second, func() { rang = p.Now() })
-		q.AdvanceClock(2 * time.Second)
+		other := w.StartProcess("q")
+		var firedAt time.Duration
+		other.AfterFunc(3*time.Second, func() { firedAt = p.Now() })
+		other.AdvanceClock(2 * time.Second)
 		env.Sleep(p, 2*time.Second, nil)
-		if rang != time.Second || q.Now() != p.Now()+2*time.Second {
-			t.Error("rang at", rang, "clock", q.Now())
+		if firedAt != time.Second || other.Now() != p.Now()+2*time.Second {
+			t.Error("rang at", firedAt, "clock", other.Now())
 		}
 	})
 }
@@ -210,40 +210,40 @@
 // Killed programs run nothing more, not even what they had put off.
 func TestKilledProcessRunsNothing(t *testing.T) {
 	w := New(3)
-	done := 0
+	runs := 0
 	runMain(t, w, func(p *Process) {
-		q := w.StartProcess("q")
-		q.Go(func() {
-			defer env.Sleep(q, time.Second, nil)
-			env.Sleep(q, time.Second, nil)
-			done++
+		other := w.StartProcess("q")
+		other.Go(func() {
+			defer env.Sleep(other, time.Second, nil)
+			env.Sleep(other, time.Second, nil)
+			runs++
 		})
-		q.AfterFunc(time.Second, func() { done++ })
+		other.AfterFunc(time.Second, func() { runs++ })
 		env.Sleep(p, time.Millisecond, nil)
-		q.Kill(Crash)
-		q.Go(func() { done++ })
+		other.Kill(Crash)
+		other.Go(func() { runs++ })
 		env.Sleep(p, 5*time.Second, nil)
 	})
-	if done != 0 || w.StartProcess("r").Dead() {
-		t.Error(done, "things were done after the end")
+	if runs != 0 || w.StartProcess("r").Dead() {
+		t.Error(runs, "things were done after the end")
 	}
 }
 
 // A run that can't end says so, and a crash names its program.
 func TestRunErrors(t *testing.T) {
-	var stuck *StuckError
-	if err := New(1).Run("main", time.Second, func(p *Process) { p.NewParker().Park() }); !errors.As(err, &stuck) || !stuck.NoEvents {
+	var stuckErr *StuckError
+	if err := New(1).Run("main", time.Second, func(p *Process) { p.NewParker().Park() }); !errors.As(err, &stuckErr) || !stuckErr.NoEvents {
 		t.Error(err)
 	}
-	if err := New(1).Run("main", time.Second, func(p *Process) { env.Sleep(p, time.Hour, nil) }); !errors.As(err, &stuck) || stuck.NoEvents {
+	if err := New(1).Run("main", time.Second, func(p *Process) { env.Sleep(p, time.Hour, nil) }); !errors.As(err, &stuckErr) || stuckErr.NoEvents {
 		t.Error(err)
 	}
-	var crash *CrashError
+	var crashErr *CrashError
 	err := New(1).Run("main", time.Second, func(p *Process) {
 		p.world.StartProcess("q").Go(func() { panic("on purpose") })
 		env.Sleep(p, 10*time.Millisecond, nil)
 	})
-	if !errors.As(err, &crash) || crash.Process != "q" || !strings.Contains(crash.Stack, "on purpose") && crash.Value != "on purpose" {
+	if !errors.As(err, &crashErr) || crashErr.Process != "q" || !strings.Contains(crashErr.Stack, "on purpose") && crashErr.Value != "on purpose" {
 		t.Error(err)
 	}
 }
@@ -259,23 +259,23 @@
 
 // An observer hears what passes at its end, whichever listener the address leads to.
 func TestAliasAndObserver(t *testing.T) {
-	for _, byDialler := range []bool{true, false} {
+	for _, atDialler := range []bool{true, false} {
 		w := New(1)
-		_, one := startServer(t, w, "one", func(_ *Process, c net.Conn) { c.Write([]byte("one")); c.Close() })
-		_, two := startServer(t, w, "two", echoConn)
+		_, first := startServer(t, w, "one", func(_ *Process, c net.Conn) { c.Write([]byte("one")); c.Close() })
+		_, second := startServer(t, w, "two", echoConn)
 		var log []string
-		a := w.Alias(one, byDialler, func() Observer { return recordingObserver{&log} })
+		alias := w.Alias(first, atDialler, func() Observer { return recordingObserver{&log} })
 		runMain(t, w, func(p *Process) {
-			io.ReadAll(dial(t, p, a))
-			w.RetargetAlias(a, two)
-			c := dial(t, p, a)
+			io.ReadAll(dial(t, p, alias))
+			w.RetargetAlias(alias, second)
+			c := dial(t, p, alias)
 			c.Write([]byte("hey"))
 			io.ReadFull(c, make([]byte, 3))
 			c.Close()
 			env.Sleep(p, time.Second, nil)
 		})
 		if got := strings.Join(log, ", "); got != "down one, down closed, up hey, down hey, up closed" {
-			t.Errorf("by the dialler %v: %s", byDialler, got)
+			t.Errorf("by the dialler %v: %s", atDialler, got)
 		}
 	}
 }
