--- a/internal/control/expect/expect_test.go
+++ b/internal/control/expect/expect_test.go
@@ -22,7 +22,7 @@
 }
 
 // Each line with whether it holds, and what is found where it does not.
-func TestAnswers(t *testing.T) {
+func TestCheck(t *testing.T) {
 	s := settings.Example(3, 9)
 	s.Volumes[1].Copies, s.Volumes[1].Copy = 2, []int{2, 5}
 	lay := s.Volumes[1].Layout
@@ -53,7 +53,7 @@
 }
 
 // Everything wrong with a file is named by line, a volume that there isn't as well.
-func TestFaults(t *testing.T) {
+func TestParseFaults(t *testing.T) {
 	s := settings.Example(3, 9)
 	for text, reason := range map[string]string{
 		"volume vol-999 read goes to n0":                                         `there is no volume "vol-999"`,
@@ -81,8 +81,8 @@
 	}
 }
 
-// big is 400 volumes over 47 nodes, with 500 expectations that hold of it.
-func big() (*settings.Settings, string) {
+// largeExample is 400 volumes over 47 nodes, with 500 expectations that hold of it.
+func largeExample() (*settings.Settings, string) {
 	s := settings.Example(12, 47)
 	for len(s.Volumes) < 400 {
 		v := s.Volumes[len(s.Volumes)%188]
@@ -113,8 +113,8 @@
 
 // Settings that are broken on purpose fail just the expectations that they touch, each
 // with one line.
-func TestBrokenSettingsFailTheirExpectations(t *testing.T) {
-	s, text := big()
+func TestChangedLayoutsFailTheirExpectations(t *testing.T) {
+	s, text := largeExample()
 	began := time.Now()
 	for _, a := range check(t, s, text) {
 		if !a.Held {
@@ -147,7 +147,7 @@
 }
 
 func BenchmarkCheck500(b *testing.B) {
-	s, text := big()
+	s, text := largeExample()
 	list, err := expect.Parse(strings.NewReader(text), s)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/control/expect/format.go
+++ b/internal/control/expect/format.go
@@ -57,8 +57,8 @@
 	MaxFile         = 4 << 20
 	MaxExpectations = 20000
 	maxLine         = 4096
-	maxFacts        = 64
-	mostTimes       = 100
+	maxNodeStates   = 64
+	maxRateFactor   = 100
 )
 
 // Parse reads a file and checks it against settings as a whole. Faults have the path
@@ -80,9 +80,9 @@
 	for size := 0; sc.Scan(); {
 		p.line++
 		if size += len(sc.Bytes()) + 1; size > MaxFile {
-			return nil, &settings.FaultsError{Faults: []settings.Fault{{Path: p.at(), Reason: "the file is over 4 MiB"}}}
+			return nil, &settings.FaultsError{Faults: []settings.Fault{{Path: p.path(), Reason: "the file is over 4 MiB"}}}
 		}
-		p.read(sc.Text())
+		p.parseLine(sc.Text())
 	}
 	if err := sc.Err(); err != nil {
 		p.line++
@@ -104,41 +104,41 @@
 	words                   []string
 	out                     []Expectation
 	faults                  []settings.Fault
-	bad                     bool
+	lineFaulty              bool
 }
 
-func (p *parser) at() string { return fmt.Sprintf("line %d", p.line) }
+func (p *parser) path() string { return fmt.Sprintf("line %d", p.line) }
 
 // fault notes the first thing wrong with a line.
 func (p *parser) fault(format string, args ...any) {
-	if p.bad {
+	if p.lineFaulty {
 		return
 	}
-	p.bad = true
-	p.faults = append(p.faults, settings.Fault{Path: p.at(), Reason: fmt.Sprintf(format, args...)})
+	p.lineFaulty = true
+	p.faults = append(p.faults, settings.Fault{Path: p.path(), Reason: fmt.Sprintf(format, args...)})
 }
 
-func (p *parser) read(text string) {
+func (p *parser) parseLine(text string) {
 	text, _, _ = strings.Cut(text, "#")
 	if p.words = strings.Fields(strings.ReplaceAll(text, ",", " , ")); len(p.words) == 0 {
 		return
 	}
-	p.bad = false
+	p.lineFaulty = false
 	e := Expectation{Line: p.line, Text: strings.TrimSpace(text)}
 	switch first := p.next(); first {
 	case "volume":
-		p.volume(&e)
+		p.parseVolume(&e)
 	case "plan":
-		p.plan(&e)
+		p.parsePlan(&e)
 	case "hall", "region":
-		p.domain(&e, first)
+		p.parseDomain(&e, first)
 	default:
 		p.fault("begins with %.40q, not with volume, plan, hall or region", first)
 	}
-	if !p.bad && len(p.words) > 0 {
+	if !p.lineFaulty && len(p.words) > 0 {
 		p.fault("%.40q is too much", strings.Join(p.words, " "))
 	}
-	if !p.bad {
+	if !p.lineFaulty {
 		p.out = append(p.out, e)
 	}
 }
@@ -153,10 +153,10 @@
 	return w
 }
 
-// skip takes words that must come.
-func (p *parser) skip(words ...string) {
+// expect takes words that must come.
+func (p *parser) expect(words ...string) {
 	for _, want := range words {
-		if p.bad {
+		if p.lineFaulty {
 			return
 		}
 		if got := p.next(); got != want {
@@ -165,8 +165,8 @@
 	}
 }
 
-// taken tells whether the next word is that one, and takes it.
-func (p *parser) taken(word string) bool {
+// accept tells whether the next word is that one, and takes it.
+func (p *parser) accept(word string) bool {
 	if len(p.words) == 0 || p.words[0] != word {
 		return false
 	}
@@ -183,43 +183,43 @@
 	return f
 }
 
-// known takes a name that must be one of some.
-func (p *parser) known(what string, names map[string]bool) string {
+// knownName takes a name that must be one of some.
+func (p *parser) knownName(what string, names map[string]bool) string {
 	n := p.next()
-	if !p.bad && !names[n] {
+	if !p.lineFaulty && !names[n] {
 		p.fault("there is no %s %.70q", what, n)
 	}
 	return n
 }
 
-func (p *parser) volume(e *Expectation) {
-	e.Volume = p.known("volume", p.volumes)
+func (p *parser) parseVolume(e *Expectation) {
+	e.Volume = p.knownName("volume", p.volumes)
 	op := p.next()
-	if e.Op = scsi.OpByName(op); e.Op == 0 && !p.bad {
+	if e.Op = scsi.OpByName(op); e.Op == 0 && !p.lineFaulty {
 		p.fault("unknown operation %.40q", op)
 	}
-	if p.taken("of") {
+	if p.accept("of") {
 		n := p.number()
 		if n > 1<<24 {
 			p.fault("a request of %v bytes is too large", n)
 		}
 		e.Bytes = int(n)
-		p.skip("bytes")
+		p.expect("bytes")
 	}
 	switch w := p.next(); {
-	case p.bad:
+	case p.lineFaulty:
 	case w == "goes":
-		p.skip("to")
+		p.expect("to")
 		e.Kind = Routes
-		for e.Nodes = append(e.Nodes, p.node()); p.taken(","); {
+		for e.Nodes = append(e.Nodes, p.node()); p.accept(","); {
 			e.Nodes = append(e.Nodes, p.node())
 		}
-		p.when(e)
-	case w == "is" && p.taken("refused"):
+		p.nodeStates(e)
+	case w == "is" && p.accept("refused"):
 		e.Kind = Refused
-		p.when(e)
+		p.nodeStates(e)
 	case w == "is":
-		p.skip("class")
+		p.expect("class")
 		e.Kind, e.Class = Is, p.next()
 		if e.Class == "" {
 			p.fault("names no class")
@@ -237,8 +237,8 @@
 	return n
 }
 
-// usual is the shard of a node with the usual name, -1 of another.
-func (p *parser) usual(name string) int {
+// defaultShard is the shard of a node with the defaultShard name, -1 of another.
+func (p *parser) defaultShard(name string) int {
 	n, err := strconv.Atoi(strings.TrimPrefix(name, "n"))
 	if err != nil || NodeOf(n) != name || n >= p.set.Shards || n < 0 {
 		return -1
@@ -249,21 +249,21 @@
 // NodeOf is the usual name of the node that holds a shard.
 func NodeOf(shard int) string { return "n" + strconv.Itoa(shard) }
 
-func (p *parser) when(e *Expectation) {
-	if p.bad || !p.taken("when") {
+func (p *parser) nodeStates(e *Expectation) {
+	if p.lineFaulty || !p.accept("when") {
 		return
 	}
-	for more := true; more && !p.bad; more = p.taken(",") {
+	for more := true; more && !p.lineFaulty; more = p.accept(",") {
 		f := NodeFact{Node: p.node(), State: p.next()}
-		f.Shard = p.usual(f.Node)
+		f.Shard = p.defaultShard(f.Node)
 		switch f.State {
 		case "draining", "gone":
 			if f.Shard < 0 {
 				p.fault("there is no node %.70q", f.Node)
 			}
 		case "ready":
-			p.skip("at", "shard")
-			if n := p.number(); !p.bad {
+			p.expect("at", "shard")
+			if n := p.number(); !p.lineFaulty {
 				if f.Shard = int(n); f.Shard >= p.set.Shards {
 					p.fault("there is no shard %d", f.Shard)
 				}
@@ -271,36 +271,36 @@
 		default:
 			p.fault("node %.70q is %.40q, not ready, draining or gone", f.Node, f.State)
 		}
-		if e.When = append(e.When, f); len(e.When) > maxFacts {
-			p.fault("over %d nodes in one line", maxFacts)
+		if e.When = append(e.When, f); len(e.When) > maxNodeStates {
+			p.fault("over %d nodes in one line", maxNodeStates)
 		}
 	}
 }
 
-func (p *parser) plan(e *Expectation) {
-	e.Kind, e.Plan = Limits, p.known("plan", p.plans)
-	p.skip("at")
-	if e.Times = p.number(); e.Times > mostTimes || e.Times == 0 {
-		p.fault("%v times is not from 0 to %d", e.Times, mostTimes)
+func (p *parser) parsePlan(e *Expectation) {
+	e.Kind, e.Plan = Limits, p.knownName("plan", p.plans)
+	p.expect("at")
+	if e.Times = p.number(); e.Times > maxRateFactor || e.Times == 0 {
+		p.fault("%v times is not from 0 to %d", e.Times, maxRateFactor)
 	}
-	p.skip("times", "its", "rate", "gets", "at", "most")
+	p.expect("times", "its", "rate", "gets", "at", "most")
 	e.Most = p.number()
-	p.skip("and", "others", "lose", "none")
+	p.expect("and", "others", "lose", "none")
 }
 
-func (p *parser) domain(e *Expectation, what string) {
+func (p *parser) parseDomain(e *Expectation, what string) {
 	e.Kind = Survives
 	name := p.next()
 	if what == "region" {
 		name = "region-" + name
 	}
-	if e.Domain = name; !p.bad && !p.domains[name] {
+	if e.Domain = name; !p.lineFaulty && !p.domains[name] {
 		p.fault("there is no %s %.70q", what, name)
 	}
-	p.skip("lost", "keeps")
-	if p.taken("volume") {
-		e.Volume = p.known("volume", p.volumes)
+	p.expect("lost", "keeps")
+	if p.accept("volume") {
+		e.Volume = p.knownName("volume", p.volumes)
 	} else {
-		p.skip("every", "volume")
+		p.expect("every", "volume")
 	}
 }
--- a/internal/control/keys/authority.go
+++ b/internal/control/keys/authority.go
@@ -36,16 +36,16 @@
 	Machine    Role = "machine"    // a host or a disk server towards the other; nothing at the API
 )
 
-var order = []Role{Read, Operate, Administer}
+var roleOrder = []Role{Read, Operate, Administer}
 
 // May tells whether a role includes another.
 func (r Role) May(need Role) bool {
-	i, j := slices.Index(order, r), slices.Index(order, need)
+	i, j := slices.Index(roleOrder, r), slices.Index(roleOrder, need)
 	return i >= 0 && j >= 0 && i >= j
 }
 
 // Known tells whether r is one of the roles.
-func (r Role) Known() bool { return r == Machine || slices.Contains(order, r) }
+func (r Role) Known() bool { return r == Machine || slices.Contains(roleOrder, r) }
 
 // Files of an authority and of a holder of a certificate.
 const (
@@ -60,12 +60,12 @@
 )
 
 const (
-	authorityLife = 10 * 365 * 24 * time.Hour
+	authorityLifetime = 10 * 365 * 24 * time.Hour
 	// ClockSlack is how much earlier than now a certificate begins: clocks differ.
 	ClockSlack = 5 * time.Minute
-	// crlLife is long: a list that runs out would shut everybody out, and a stolen
+	// crlLifetime is long: a list that runs out would shut everybody out, and a stolen
 	// certificate is short-lived by itself.
-	crlLife = 10 * 365 * 24 * time.Hour
+	crlLifetime = 10 * 365 * 24 * time.Hour
 )
 
 // Authority signs.
@@ -88,23 +88,23 @@
 		return nil, err
 	}
 	a := &Authority{dir: dir, now: now}
-	if err := a.renew(); err != nil {
+	if err := a.newKey(); err != nil {
 		return nil, err
 	}
-	if err := write(filepath.Join(dir, TrustFile), 0o644, certPEM(a.cert)); err != nil {
+	if err := writeFile(filepath.Join(dir, TrustFile), 0o644, encodeCert(a.cert)); err != nil {
 		return nil, err
 	}
-	return a, a.list(nil)
+	return a, a.writeRevocationList(nil)
 }
 
-// renew gives the authority a key and a certificate.
-func (a *Authority) renew() error {
+// newKey gives the authority a key and a certificate.
+func (a *Authority) newKey() error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return err
 	}
-	t := &x509.Certificate{SerialNumber: serial(), Subject: pkix.Name{CommonName: "merlinhitch authority"},
-		NotBefore: a.now().Add(-ClockSlack), NotAfter: a.now().Add(authorityLife), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
+	t := &x509.Certificate{SerialNumber: newSerial(), Subject: pkix.Name{CommonName: "merlinhitch authority"},
+		NotBefore: a.now().Add(-ClockSlack), NotAfter: a.now().Add(authorityLifetime), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
 	if err != nil {
@@ -114,14 +114,14 @@
 		return err
 	}
 	a.key = key
-	k, err := keyPEM(key)
+	k, err := encodeKey(key)
 	if err != nil {
 		return err
 	}
-	if err := write(filepath.Join(a.dir, authorityKey), 0o600, k); err != nil {
+	if err := writeFile(filepath.Join(a.dir, authorityKey), 0o600, k); err != nil {
 		return err
 	}
-	return write(filepath.Join(a.dir, authorityCert), 0o644, certPEM(a.cert))
+	return writeFile(filepath.Join(a.dir, authorityCert), 0o644, encodeCert(a.cert))
 }
 
 // Open reads the authority in a folder.
@@ -159,12 +159,12 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &x509.Certificate{SerialNumber: serial(), Subject: pkix.Name{CommonName: name, OrganizationalUnit: []string{string(role)}},
+	t := &x509.Certificate{SerialNumber: newSerial(), Subject: pkix.Name{CommonName: name, OrganizationalUnit: []string{string(role)}},
 		NotBefore: a.now().Add(-ClockSlack), NotAfter: a.now().Add(life), KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}
 	if role == Machine {
 		t.ExtKeyUsage = append(t.ExtKeyUsage, x509.ExtKeyUsageServerAuth)
-		t.DNSNames = []string{serverName}
+		t.DNSNames = []string{machineName}
 	}
 	for _, x := range addresses {
 		if ip := net.ParseIP(x); ip != nil {
@@ -181,7 +181,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k, err := keyPEM(key)
+	k, err := encodeKey(key)
 	if err != nil {
 		return nil, err
 	}
@@ -190,10 +190,10 @@
 	}
 	// The certificate comes last: a holder that is read in between has the old pair or
 	// none that fits, and stays with what it has.
-	if err := write(filepath.Join(out, KeyFile), 0o600, k); err != nil {
+	if err := writeFile(filepath.Join(out, KeyFile), 0o600, k); err != nil {
 		return nil, err
 	}
-	if err := write(filepath.Join(out, CertFile), 0o644, certPEM(cert)); err != nil {
+	if err := writeFile(filepath.Join(out, CertFile), 0o644, encodeCert(cert)); err != nil {
 		return nil, err
 	}
 	return cert, a.Hand(out)
@@ -206,7 +206,7 @@
 		if err != nil {
 			return err
 		}
-		if err := write(filepath.Join(out, f), 0o644, b); err != nil {
+		if err := writeFile(filepath.Join(out, f), 0o644, b); err != nil {
 			return err
 		}
 	}
@@ -224,18 +224,18 @@
 	if err != nil {
 		return err
 	}
-	if err := a.renew(); err != nil {
+	if err := a.newKey(); err != nil {
 		return err
 	}
-	if err := write(filepath.Join(a.dir, TrustFile), 0o644, append(certPEM(a.cert), old...)); err != nil {
+	if err := writeFile(filepath.Join(a.dir, TrustFile), 0o644, append(encodeCert(a.cert), old...)); err != nil {
 		return err
 	}
-	return a.list(revoked)
+	return a.writeRevocationList(revoked)
 }
 
 // Forget ends the trust in all authorities but the present one.
 func (a *Authority) Forget() error {
-	return write(filepath.Join(a.dir, TrustFile), 0o644, certPEM(a.cert))
+	return writeFile(filepath.Join(a.dir, TrustFile), 0o644, encodeCert(a.cert))
 }
 
 // Revoke puts a certificate's number on the list of those that count no more.
@@ -249,18 +249,18 @@
 			return nil
 		}
 	}
-	return a.list(append(revoked, x509.RevocationListEntry{SerialNumber: number, RevocationTime: a.now()}))
+	return a.writeRevocationList(append(revoked, x509.RevocationListEntry{SerialNumber: number, RevocationTime: a.now()}))
 }
 
-// list signs the list of revoked certificates.
-func (a *Authority) list(revoked []x509.RevocationListEntry) error {
-	t := &x509.RevocationList{Number: big.NewInt(a.now().UnixNano()), ThisUpdate: a.now().Add(-ClockSlack), NextUpdate: a.now().Add(crlLife),
+// writeRevocationList signs the writeRevocationList of revoked certificates.
+func (a *Authority) writeRevocationList(revoked []x509.RevocationListEntry) error {
+	t := &x509.RevocationList{Number: big.NewInt(a.now().UnixNano()), ThisUpdate: a.now().Add(-ClockSlack), NextUpdate: a.now().Add(crlLifetime),
 		RevokedCertificateEntries: revoked}
 	der, err := x509.CreateRevocationList(rand.Reader, t, a.cert, a.key)
 	if err != nil {
 		return err
 	}
-	return write(filepath.Join(a.dir, RevokedFile), 0o644, pem.EncodeToMemory(&pem.Block{Type: "X509 CRL", Bytes: der}))
+	return writeFile(filepath.Join(a.dir, RevokedFile), 0o644, pem.EncodeToMemory(&pem.Block{Type: "X509 CRL", Bytes: der}))
 }
 
 // Certificate reads a holder's, for its number.
@@ -272,18 +272,18 @@
 	return c[0], nil
 }
 
-func serial() *big.Int {
+func newSerial() *big.Int {
 	b := make([]byte, 16)
 	rand.Read(b) // never fails
 	b[0] &= 0x7f
 	return new(big.Int).SetBytes(b)
 }
 
-func certPEM(c *x509.Certificate) []byte {
+func encodeCert(c *x509.Certificate) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Raw})
 }
 
-func keyPEM(k *ecdsa.PrivateKey) ([]byte, error) {
+func encodeKey(k *ecdsa.PrivateKey) ([]byte, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(k)
 	if err != nil {
 		return nil, err
@@ -291,8 +291,8 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
 }
 
-// write replaces a file by rename: a reader finds the old one or the new one.
-func write(file string, mode fs.FileMode, b []byte) error {
+// writeFile replaces a file by rename: a reader finds the old one or the new one.
+func writeFile(file string, mode fs.FileMode, b []byte) error {
 	return durable.Replace(file, mode, func(f *os.File) error {
 		_, err := f.Write(b)
 		return err
@@ -318,14 +318,14 @@
 }
 
 func readRevoked(file string) ([]x509.RevocationListEntry, error) {
-	l, err := readList(file)
+	l, err := readRevocationList(file)
 	if err != nil {
 		return nil, err
 	}
 	return l.RevokedCertificateEntries, nil
 }
 
-func readList(file string) (*x509.RevocationList, error) {
+func readRevocationList(file string) (*x509.RevocationList, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
--- a/internal/control/keys/holder.go
+++ b/internal/control/keys/holder.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// serverName is in every machine's certificate: disk servers are found by the inventory's
+// machineName is in every machine's certificate: disk servers are found by the inventory's
 // addresses, which change, so that a name tells only that it is one.
-const serverName = "machine.merlinhitch.internal"
+const machineName = "machine.merlinhitch.internal"
 
 // Holder is what a program has of keys, renewed in place by Reload. Connections that are
 // up stay up; new ones use the new keys.
 type Holder struct {
-	dir string
-	now func() time.Time
-	set atomic.Pointer[held]
+	dir     string
+	now     func() time.Time
+	current atomic.Pointer[credentialSet]
 }
 
-type held struct {
-	cert    tls.Certificate
-	pool    *x509.CertPool
-	trusted []*x509.Certificate
-	revoked map[string]bool // by number
+type credentialSet struct {
+	cert        tls.Certificate
+	trustPool   *x509.CertPool
+	authorities []*x509.Certificate
+	revoked     map[string]bool // by number
 }
 
 // Errors of a peer's certificate.
@@ -48,14 +48,14 @@
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	s := &held{cert: cert, pool: x509.NewCertPool(), revoked: map[string]bool{}}
-	if s.trusted, err = readCerts(filepath.Join(h.dir, TrustFile)); err != nil {
+	s := &credentialSet{cert: cert, trustPool: x509.NewCertPool(), revoked: map[string]bool{}}
+	if s.authorities, err = readCerts(filepath.Join(h.dir, TrustFile)); err != nil {
 		return err
 	}
-	for _, c := range s.trusted {
-		s.pool.AddCert(c)
+	for _, c := range s.authorities {
+		s.trustPool.AddCert(c)
 	}
-	list, err := readList(filepath.Join(h.dir, RevokedFile))
+	list, err := readRevocationList(filepath.Join(h.dir, RevokedFile))
 	if err != nil {
 		return err
 	}
@@ -65,13 +65,13 @@
 	for _, r := range list.RevokedCertificateEntries {
 		s.revoked[r.SerialNumber.String()] = true
 	}
-	h.set.Store(s)
+	h.current.Store(s)
 	return nil
 }
 
 // signedByTrusted refuses a list of revoked certificates that no trusted authority made.
-func (s *held) signedByTrusted(l *x509.RevocationList) error {
-	for _, c := range s.trusted {
+func (s *credentialSet) signedByTrusted(l *x509.RevocationList) error {
+	for _, c := range s.authorities {
 		if l.CheckSignatureFrom(c) == nil {
 			return nil
 		}
@@ -80,14 +80,14 @@
 }
 
 // Expires is when the holder's own certificate runs out.
-func (h *Holder) Expires() time.Time { return h.set.Load().cert.Leaf.NotAfter }
+func (h *Holder) Expires() time.Time { return h.current.Load().cert.Leaf.NotAfter }
 
 // Check judges a peer's certificate as of now, also in the midst of a session.
 func (h *Holder) Check(c *x509.Certificate) error {
 	switch now := h.now(); {
 	case now.After(c.NotAfter) || now.Before(c.NotBefore):
 		return ErrExpired
-	case h.set.Load().revoked[c.SerialNumber.String()]:
+	case h.current.Load().revoked[c.SerialNumber.String()]:
 		return ErrRevoked
 	}
 	return nil
@@ -101,9 +101,9 @@
 	return c.Subject.CommonName, Role(c.Subject.OrganizationalUnit[0])
 }
 
-// peer verifies what a peer shows: the chain was verified, what is left is the list of
+// verifyPeer verifies what a verifyPeer shows: the chain was verified, what is left is the list of
 // revoked ones and the role.
-func (h *Holder) peer(s tls.ConnectionState, machine bool) error {
+func (h *Holder) verifyPeer(s tls.ConnectionState, machine bool) error {
 	if len(s.PeerCertificates) == 0 {
 		return errors.New("keys: no certificate was shown")
 	}
@@ -119,10 +119,10 @@
 func (h *Holder) Server(machine bool) *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS13, Time: h.now, ClientAuth: tls.RequireAndVerifyClientCert}
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		s := h.set.Load()
+		s := h.current.Load()
 		return &tls.Config{MinVersion: tls.VersionTLS13, Time: h.now, Certificates: []tls.Certificate{s.cert}, ClientAuth: tls.RequireAndVerifyClientCert,
-			ClientCAs: s.pool, SessionTicketsDisabled: true, // a ticket would outlive a revocation
-			VerifyConnection: func(c tls.ConnectionState) error { return h.peer(c, machine) }}, nil
+			ClientCAs: s.trustPool, SessionTicketsDisabled: true, // a ticket would outlive a revocation
+			VerifyConnection: func(c tls.ConnectionState) error { return h.verifyPeer(c, machine) }}, nil
 	}
 	return base
 }
@@ -130,11 +130,11 @@
 // Client is for connections that are dialled: to machines by their common name, where
 // name is "", or to a server of a name or address.
 func (h *Holder) Client(name string) *tls.Config {
-	s := h.set.Load()
+	s := h.current.Load()
 	machine := name == ""
 	if machine {
-		name = serverName
+		name = machineName
 	}
-	return &tls.Config{MinVersion: tls.VersionTLS13, Time: h.now, Certificates: []tls.Certificate{s.cert}, RootCAs: s.pool, ServerName: name,
-		VerifyConnection: func(c tls.ConnectionState) error { return h.peer(c, machine) }}
+	return &tls.Config{MinVersion: tls.VersionTLS13, Time: h.now, Certificates: []tls.Certificate{s.cert}, RootCAs: s.trustPool, ServerName: name,
+		VerifyConnection: func(c tls.ConnectionState) error { return h.verifyPeer(c, machine) }}
 }
--- a/internal/control/keys/keys_test.go
+++ b/internal/control/keys/keys_test.go
@@ -13,17 +13,17 @@
 
 // fixture is an authority with a clock of its own.
 type fixture struct {
-	t   *testing.T
-	dir string
-	at  time.Time
-	a   *Authority
+	t         *testing.T
+	dir       string
+	at        time.Time
+	authority *Authority
 }
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{t: t, dir: filepath.Join(t.TempDir(), "authority"), at: time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)}
 	var err error
-	if f.a, err = Init(f.dir, f.now); err != nil {
+	if f.authority, err = Init(f.dir, f.now); err != nil {
 		t.Fatal(err)
 	}
 	return f
@@ -31,10 +31,10 @@
 
 func (f *fixture) now() time.Time { return f.at }
 
-func (f *fixture) holder(name string, role Role, life time.Duration) *Holder {
+func (f *fixture) issue(name string, role Role, life time.Duration) *Holder {
 	f.t.Helper()
 	dir := filepath.Join(f.t.TempDir(), name)
-	if _, err := f.a.Issue(name, role, life, []string{"127.0.0.1"}, dir); err != nil {
+	if _, err := f.authority.Issue(name, role, life, []string{"127.0.0.1"}, dir); err != nil {
 		f.t.Fatal(err)
 	}
 	h, err := Hold(dir, f.now)
@@ -44,9 +44,9 @@
 	return h
 }
 
-// meet has a client and a server of these keys greet each other over a pipe, and says
+// handshake has a client and a server of these keys greet each other over a pipe, and says
 // how the server and the client found it.
-func meet(server, client *tls.Config) (s, c error) {
+func handshake(server, client *tls.Config) (s, c error) {
 	a, b := net.Pipe()
 	end := make(chan error, 1)
 	go func() {
@@ -67,31 +67,31 @@
 	return <-end, err
 }
 
-func TestMachinesMeetMachines(t *testing.T) {
+func TestMachineHandshakes(t *testing.T) {
 	f := newFixture(t)
-	host, disk := f.holder("h0", Machine, time.Hour), f.holder("d0", Machine, time.Hour)
-	if s, c := meet(disk.Server(true), host.Client("")); s != nil || c != nil {
+	host, disk := f.issue("h0", Machine, time.Hour), f.issue("d0", Machine, time.Hour)
+	if s, c := handshake(disk.Server(true), host.Client("")); s != nil || c != nil {
 		t.Fatal(s, c)
 	}
 	other := newFixture(t)
-	ines := f.holder("ines", Administer, time.Hour)
+	ines := f.issue("ines", Administer, time.Hour)
 	for name, x := range map[string]struct{ server, client *Holder }{
 		"an operator as a host":            {disk, ines},
 		"an operator as a disk server":     {ines, host},
-		"a host of another authority":      {disk, other.holder("h0", Machine, time.Hour)},
-		"a disk server of another, as one": {other.holder("d0", Machine, time.Hour), host},
+		"a host of another authority":      {disk, other.issue("h0", Machine, time.Hour)},
+		"a disk server of another, as one": {other.issue("d0", Machine, time.Hour), host},
 	} {
-		if s, c := meet(x.server.Server(true), x.client.Client("")); s == nil && c == nil {
+		if s, c := handshake(x.server.Server(true), x.client.Client("")); s == nil && c == nil {
 			t.Errorf("%s was let in", name)
 		}
 	}
 	plain := &tls.Config{InsecureSkipVerify: true}
-	if s, _ := meet(disk.Server(true), plain); s == nil {
+	if s, _ := handshake(disk.Server(true), plain); s == nil {
 		t.Error("a client without a certificate was let in")
 	}
 	old := host.Client("")
 	old.MinVersion, old.MaxVersion = tls.VersionTLS12, tls.VersionTLS12
-	if s, _ := meet(disk.Server(true), old); s == nil {
+	if s, _ := handshake(disk.Server(true), old); s == nil {
 		t.Error("TLS 1.2 was spoken")
 	}
 }
@@ -100,7 +100,7 @@
 // well, where Check is asked.
 func TestExpiryAndRevocation(t *testing.T) {
 	f := newFixture(t)
-	host, disk := f.holder("h0", Machine, time.Hour), f.holder("d0", Machine, 24*time.Hour)
+	host, disk := f.issue("h0", Machine, time.Hour), f.issue("d0", Machine, 24*time.Hour)
 	cert, err := Certificate(host.dir)
 	if err != nil {
 		t.Fatal(err)
@@ -112,7 +112,7 @@
 	if err := disk.Check(cert); !errors.Is(err, ErrExpired) {
 		t.Error(err)
 	}
-	if s, _ := meet(disk.Server(true), host.Client("")); s == nil {
+	if s, _ := handshake(disk.Server(true), host.Client("")); s == nil {
 		t.Error("an expired certificate was let in")
 	}
 	f.at = f.at.Add(-2 * time.Hour) // a clock that steps back: not begun yet
@@ -120,10 +120,10 @@
 		t.Error(err)
 	}
 	f.at = f.at.Add(time.Hour)
-	if err := f.a.Revoke(cert.SerialNumber); err != nil {
+	if err := f.authority.Revoke(cert.SerialNumber); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.a.Hand(disk.dir); err != nil {
+	if err := f.authority.Hand(disk.dir); err != nil {
 		t.Fatal(err)
 	}
 	if err := disk.Check(cert); err != nil {
@@ -135,32 +135,32 @@
 	if err := disk.Check(cert); !errors.Is(err, ErrRevoked) {
 		t.Error(err)
 	}
-	if s, _ := meet(disk.Server(true), host.Client("")); s == nil {
+	if s, _ := handshake(disk.Server(true), host.Client("")); s == nil {
 		t.Error("a revoked certificate was let in")
 	}
 }
 
 // The authority's key is replaced without a moment at which old and new holders can't
 // meet.
-func TestTheAuthorityIsRotated(t *testing.T) {
+func TestRotation(t *testing.T) {
 	f := newFixture(t)
-	host, disk := f.holder("h0", Machine, time.Hour), f.holder("d0", Machine, time.Hour)
+	host, disk := f.issue("h0", Machine, time.Hour), f.issue("d0", Machine, time.Hour)
 	ok := func(when string) {
 		t.Helper()
-		if s, c := meet(disk.Server(true), host.Client("")); s != nil || c != nil {
+		if s, c := handshake(disk.Server(true), host.Client("")); s != nil || c != nil {
 			t.Errorf("%s: %v, %v", when, s, c)
 		}
 	}
-	revoked := f.holder("ines", Operate, time.Hour)
+	revoked := f.issue("ines", Operate, time.Hour)
 	cert, _ := Certificate(revoked.dir)
-	if err := f.a.Revoke(cert.SerialNumber); err != nil {
+	if err := f.authority.Revoke(cert.SerialNumber); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.a.Rotate(); err != nil {
+	if err := f.authority.Rotate(); err != nil {
 		t.Fatal(err)
 	}
 	for _, h := range []*Holder{host, disk} {
-		if err := f.a.Hand(h.dir); err != nil {
+		if err := f.authority.Hand(h.dir); err != nil {
 			t.Fatal(err)
 		}
 		if err := h.Reload(); err != nil {
@@ -169,7 +169,7 @@
 		ok("handed the new list")
 	}
 	for _, h := range []*Holder{host, disk} {
-		if _, err := f.a.Issue("anew", Machine, time.Hour, nil, h.dir); err != nil {
+		if _, err := f.authority.Issue("anew", Machine, time.Hour, nil, h.dir); err != nil {
 			t.Fatal(err)
 		}
 		if err := h.Reload(); err != nil {
@@ -177,11 +177,11 @@
 		}
 		ok("one has a new certificate")
 	}
-	if err := f.a.Forget(); err != nil {
+	if err := f.authority.Forget(); err != nil {
 		t.Fatal(err)
 	}
 	for _, h := range []*Holder{host, disk} {
-		f.a.Hand(h.dir)
+		f.authority.Hand(h.dir)
 		if err := h.Reload(); err != nil {
 			t.Fatal(err)
 		}
@@ -190,7 +190,7 @@
 	if err := disk.Check(cert); !errors.Is(err, ErrRevoked) {
 		t.Errorf("a rotation forgot what was revoked: %v", err)
 	}
-	if again, err := Open(f.dir, f.now); err != nil || !again.key.Equal(f.a.key) {
+	if again, err := Open(f.dir, f.now); err != nil || !again.key.Equal(f.authority.key) {
 		t.Error(err)
 	}
 	if _, err := Init(f.dir, f.now); !errors.Is(err, ErrExists) {
@@ -199,10 +199,10 @@
 }
 
 // A reload that finds anything wrong leaves the keys that there are.
-func TestAReloadThatDoesNotFit(t *testing.T) {
+func TestReloadOfBadFiles(t *testing.T) {
 	f := newFixture(t)
-	host, disk := f.holder("h0", Machine, time.Hour), f.holder("d0", Machine, time.Hour)
-	other := newFixture(t).holder("x", Machine, time.Hour)
+	host, disk := f.issue("h0", Machine, time.Hour), f.issue("d0", Machine, time.Hour)
+	other := newFixture(t).issue("x", Machine, time.Hour)
 	for _, file := range []string{CertFile, KeyFile, TrustFile, RevokedFile} {
 		sound, err := os.ReadFile(filepath.Join(host.dir, file))
 		if err != nil {
@@ -219,7 +219,7 @@
 			if err := host.Reload(); err == nil {
 				t.Errorf("%s %s was taken", file, name)
 			}
-			if s, c := meet(disk.Server(true), host.Client("")); s != nil || c != nil {
+			if s, c := handshake(disk.Server(true), host.Client("")); s != nil || c != nil {
 				t.Errorf("%s %s: %v, %v", file, name, s, c)
 			}
 		}
@@ -243,11 +243,11 @@
 	}
 	f := newFixture(t)
 	for _, name := range []string{"", "a/b", string(make([]byte, 80))} {
-		if _, err := f.a.Issue(name, Read, time.Hour, nil, t.TempDir()); err == nil {
+		if _, err := f.authority.Issue(name, Read, time.Hour, nil, t.TempDir()); err == nil {
 			t.Errorf("%q has a certificate", name)
 		}
 	}
-	if _, err := f.a.Issue("x", "root", time.Hour, nil, t.TempDir()); err == nil {
+	if _, err := f.authority.Issue("x", "root", time.Hour, nil, t.TempDir()); err == nil {
 		t.Error("an unknown role has a certificate")
 	}
 }
--- a/internal/control/settings/api.go
+++ b/internal/control/settings/api.go
@@ -23,13 +23,13 @@
 // list of faults. /settings/log, /at, /diff, /verify and POST /settings/revert are over
 // the record. by tells who calls; the clock is the wall's, ms since 1970. No answer has
 // a secret in it.
-func Handler(st *Store, by func(*http.Request) Author, clock func() int64) http.Handler {
-	h := &handler{st, by, clock}
+func Handler(st *Store, by func(*http.Request) Author, now func() int64) http.Handler {
+	h := &handler{st, by, now}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /settings", func(w http.ResponseWriter, r *http.Request) {
 		s := st.Get()
 		if s == nil {
-			Reply(w, http.StatusNotFound, refusal{Error: "no settings yet"})
+			Reply(w, http.StatusNotFound, errorResponse{Error: "no settings yet"})
 			return
 		}
 		Reply(w, http.StatusOK, s.Redacted())
@@ -44,7 +44,7 @@
 }
 
 type handler struct {
-	st    *Store
+	store *Store
 	by    func(*http.Request) Author
 	clock func() int64
 }
@@ -58,13 +58,13 @@
 func (h *handler) put(w http.ResponseWriter, r *http.Request) {
 	s, err := Parse(r.Body)
 	if err == nil {
-		s, err = h.st.Change(s, h.author(r), r.URL.Query().Get("merge") == "1")
+		s, err = h.store.Change(s, h.author(r), r.URL.Query().Get("merge") == "1")
 	}
-	answer(w, err, func() any { return s.Redacted() })
+	writeResult(w, err, func() any { return s.Redacted() })
 }
 
-// number reads a version or the like from the query.
-func number(r *http.Request, name string, none uint64) (uint64, error) {
+// queryUint reads a version or the like from the query.
+func queryUint(r *http.Request, name string, none uint64) (uint64, error) {
 	t := r.URL.Query().Get(name)
 	if t == "" {
 		return none, nil
@@ -77,46 +77,46 @@
 }
 
 func (h *handler) revert(w http.ResponseWriter, r *http.Request) {
-	to, err := number(r, "to", 0)
+	to, err := queryUint(r, "to", 0)
 	var s *Settings
 	if err == nil {
-		s, err = h.st.Revert(to, h.author(r))
+		s, err = h.store.Revert(to, h.author(r))
 	}
-	answer(w, err, func() any { return s.Redacted() })
+	writeResult(w, err, func() any { return s.Redacted() })
 }
 
-// mostLog bounds the records of one answer.
-const mostLog = 1000
+// maxLogRecords bounds the records of one answer.
+const maxLogRecords = 1000
 
 func (h *handler) log(w http.ResponseWriter, r *http.Request) {
-	from, err := number(r, "from", 1)
+	from, err := queryUint(r, "from", 1)
 	var list []*audit.Record
 	if err == nil {
-		list, err = h.st.Log(from, mostLog)
+		list, err = h.store.Log(from, maxLogRecords)
 	}
-	answer(w, err, func() any { return list })
+	writeResult(w, err, func() any { return list })
 }
 
 func (h *handler) at(w http.ResponseWriter, r *http.Request) {
-	version, err := number(r, "version", 0)
+	version, err := queryUint(r, "version", 0)
 	var s *Settings
 	if err == nil {
-		s, err = h.st.At(version)
+		s, err = h.store.At(version)
 	}
-	answer(w, err, func() any { return s.Redacted() })
+	writeResult(w, err, func() any { return s.Redacted() })
 }
 
 func (h *handler) diff(w http.ResponseWriter, r *http.Request) {
-	from, err := number(r, "from", 0)
+	from, err := queryUint(r, "from", 0)
 	var to uint64
 	if err == nil {
-		to, err = number(r, "to", 0)
+		to, err = queryUint(r, "to", 0)
 	}
 	var changes []audit.Change
 	if err == nil {
-		changes, err = h.st.Between(from, to)
+		changes, err = h.store.Between(from, to)
 	}
-	answer(w, err, func() any { return changes })
+	writeResult(w, err, func() any { return changes })
 }
 
 // Verified is what a sound record says of itself.
@@ -135,18 +135,18 @@
 }
 
 func (h *handler) verify(w http.ResponseWriter, r *http.Request) {
-	c, err := h.st.Verify()
-	answer(w, err, func() any {
+	c, err := h.store.Verify()
+	writeResult(w, err, func() any {
 		v := VerifiedBy(c)
-		if late := h.st.Late(); late != nil {
+		if late := h.store.Late(); late != nil {
 			v.Late = late.Error()
 		}
 		return v
 	})
 }
 
-// answer says what came of a call.
-func answer(w http.ResponseWriter, err error, good func() any) {
+// writeResult says what came of a call.
+func writeResult(w http.ResponseWriter, err error, good func() any) {
 	var faults *FaultsError
 	var stale *StaleError
 	var unknown *UnknownVersionError
@@ -154,23 +154,23 @@
 	var closed *ClosedError
 	switch {
 	case errors.As(err, &closed):
-		Reply(w, http.StatusForbidden, refusal{Error: err.Error()})
+		Reply(w, http.StatusForbidden, errorResponse{Error: err.Error()})
 	case errors.As(err, &faults):
-		Reply(w, http.StatusUnprocessableEntity, refusal{Error: "faulty settings", Faults: faults.Faults})
+		Reply(w, http.StatusUnprocessableEntity, errorResponse{Error: "faulty settings", Faults: faults.Faults})
 	case errors.As(err, &stale):
-		Reply(w, http.StatusConflict, refusal{Error: "stale", Stale: stale})
+		Reply(w, http.StatusConflict, errorResponse{Error: "stale", Stale: stale})
 	case errors.As(err, &unknown):
-		Reply(w, http.StatusNotFound, refusal{Error: err.Error()})
+		Reply(w, http.StatusNotFound, errorResponse{Error: err.Error()})
 	case errors.As(err, &broken):
-		Reply(w, http.StatusInternalServerError, refusal{Error: err.Error(), Broken: broken})
+		Reply(w, http.StatusInternalServerError, errorResponse{Error: err.Error(), Broken: broken})
 	case err != nil:
-		Reply(w, http.StatusInternalServerError, refusal{Error: err.Error()})
+		Reply(w, http.StatusInternalServerError, errorResponse{Error: err.Error()})
 	default:
 		Reply(w, http.StatusOK, good())
 	}
 }
 
-type refusal struct {
+type errorResponse struct {
 	Error  string             `json:"error"`
 	Faults []Fault            `json:"faults,omitempty"`
 	Stale  *StaleError        `json:"stale,omitempty"`
@@ -279,7 +279,7 @@
 	if resp.StatusCode == http.StatusOK {
 		return json.Unmarshal(b, into)
 	}
-	var r refusal
+	var r errorResponse
 	switch json.Unmarshal(b, &r); {
 	case len(r.Faults) > 0:
 		return &FaultsError{r.Faults}
--- a/internal/control/settings/disk_test.go
+++ b/internal/control/settings/disk_test.go
@@ -15,16 +15,16 @@
 	"merlinhitch/internal/storage/durable"
 )
 
-// failing is a record whose disk fails at the next append: before the record is on it, or
+// failingLog is a record whose disk fails at the next append: before the record is on it, or
 // after.
-type failing struct {
-	chain
-	stands bool
+type failingLog struct {
+	recordLog
+	written bool
 }
 
-func (f *failing) Append(r *audit.Record) error {
-	if f.stands {
-		if err := f.chain.Append(r); err != nil {
+func (f *failingLog) Append(r *audit.Record) error {
+	if f.written {
+		if err := f.recordLog.Append(r); err != nil {
 			return err
 		}
 	}
@@ -34,16 +34,16 @@
 // An append that fails on its way to the disk is not acknowledged. Once the disk works the
 // record says whether the change stands; either way the store goes on, and a start finds all
 // that was acknowledged.
-func TestADiskThatFailsForAWhile(t *testing.T) {
+func TestFailedAppend(t *testing.T) {
 	for name, stands := range map[string]bool{"the change stands": true, "it does not": false} {
 		file := filepath.Join(t.TempDir(), "settings")
-		st := opened(t, file, nil)
+		st := openStore(t, file, nil)
 		if _, err := st.Put(Example(3, 9)); err != nil {
 			t.Fatal(err)
 		}
 		var told []uint64
 		st.Watch(func(s *Settings) { told = append(told, s.Version) })
-		st.chain = &failing{st.chain, stands}
+		st.records = &failingLog{st.records, stands}
 		inDoubt := *st.Get()
 		inDoubt.Plans = append([]Plan(nil), inDoubt.Plans...)
 		inDoubt.Plans[0].Limit = 71
@@ -61,7 +61,7 @@
 			if st.Get().Version != 2 || st.Get().Plans[0].Limit != 71 {
 				t.Errorf("%s: version %d, limit %v", name, st.Get().Version, st.Get().Plans[0].Limit)
 			}
-			changed(t, st, func(s *Settings) { s.Plans[0].Limit = 72 })
+			mustChange(t, st, func(s *Settings) { s.Plans[0].Limit = 72 })
 		}
 		want := st.Get()
 		if len(told) != int(want.Version)-1 || want.Plans[0].Limit != 72 || st.Late() != nil {
@@ -71,7 +71,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		st.Close()
-		if got := opened(t, file, nil).Get(); got.Version != want.Version || got.Plans[0].Limit != 72 {
+		if got := openStore(t, file, nil).Get(); got.Version != want.Version || got.Plans[0].Limit != 72 {
 			t.Errorf("%s: a start finds version %d, limit %v", name, got.Version, got.Plans[0].Limit)
 		}
 	}
@@ -81,27 +81,27 @@
 
 // A disk that is full for a while, here by the largest size of a file: what can't be written
 // is refused, also again, and once there is room changes are taken without a start between.
-func TestADiskThatIsFullForAWhile(t *testing.T) {
+func TestFullDisk(t *testing.T) {
 	if file := os.Getenv(fullDiskEnv); file != "" {
-		fullForAWhile(t, file)
+		runOnFullDisk(t, file)
 		return
 	}
 	file := filepath.Join(t.TempDir(), "settings")
-	cmd := exec.Command(os.Args[0], "-test.run=^TestADiskThatIsFullForAWhile$", "-test.v")
+	cmd := exec.Command(os.Args[0], "-test.run=^TestFullDisk$", "-test.v")
 	cmd.Env = append(os.Environ(), fullDiskEnv+"="+file)
 	if out, err := cmd.CombinedOutput(); err != nil || !bytes.Contains(out, []byte("went on")) {
 		t.Fatalf("%v\n%s", err, out)
 	}
 }
 
-func fullForAWhile(t *testing.T, file string) {
+func runOnFullDisk(t *testing.T, file string) {
 	signal.Ignore(syscall.SIGXFSZ)
 	size := func(most uint64) {
 		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: most, Max: 1 << 30}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	st := opened(t, file, nil)
+	st := openStore(t, file, nil)
 	if _, err := st.Put(Example(3, 9)); err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 		t.Errorf("%v, version %d after %d, %v", err, want.Version, inForce, st.Late())
 	}
 	st.Close()
-	again := opened(t, file, nil)
+	again := openStore(t, file, nil)
 	if got := again.Get(); got.Version != want.Version || got.Plans[0].Limit != 7 {
 		t.Errorf("a start finds version %d of %d", got.Version, want.Version)
 	}
@@ -164,9 +164,9 @@
 
 // A start after a kill in the midst of a snapshot: the record has what it was to hold, and what
 // the kill left is removed.
-func TestAStartAfterAKillInASnapshot(t *testing.T) {
+func TestOpenAfterKillDuringSnapshot(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings")
-	st := opened(t, file, nil)
+	st := openStore(t, file, nil)
 	if _, err := st.Put(Example(3, 9)); err != nil {
 		t.Fatal(err)
 	}
@@ -174,7 +174,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	changed(t, st, func(s *Settings) { s.Plans[0].Limit = 44 })
+	mustChange(t, st, func(s *Settings) { s.Plans[0].Limit = 44 })
 	st.Close()
 	half := file + "-1" + durable.TempSuffix // of a kill in the midst of a write
 	for name, b := range map[string][]byte{file: old, half: old[:20]} {
@@ -182,7 +182,7 @@
 			t.Fatal(err)
 		}
 	}
-	got := opened(t, file, nil)
+	got := openStore(t, file, nil)
 	if got.Get().Plans[0].Limit != 44 || got.Late() != nil {
 		t.Errorf("limit %v, %v", got.Get().Plans[0].Limit, got.Late())
 	}
--- a/internal/control/settings/ledger.go
+++ b/internal/control/settings/ledger.go
@@ -29,12 +29,12 @@
 	return fmt.Sprintf("settings: %s may not change %s", e.Who, e.Path)
 }
 
-// closed finds a change that its author may not make.
-func (by *Author) closed(changes []audit.Change) error {
+// checkAllowed finds a change that its author may not make.
+func (by *Author) checkAllowed(changes []audit.Change) error {
 	for _, c := range changes {
 		for _, p := range by.Closed {
 			below, above := strings.CutPrefix(p, c.Path+".")
-			if strings.HasPrefix(c.Path, p) || above && (has(c.Old, below) || has(c.New, below)) {
+			if strings.HasPrefix(c.Path, p) || above && (hasField(c.Old, below) || hasField(c.New, below)) {
 				return &ClosedError{by.Who, p}
 			}
 		}
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// has tells whether an object has a field.
-func has(object json.RawMessage, field string) bool {
+// hasField tells whether an object hasField a field.
+func hasField(object json.RawMessage, field string) bool {
 	var m map[string]json.RawMessage
 	return json.Unmarshal(object, &m) == nil && m[field] != nil
 }
@@ -51,30 +51,30 @@
 // SecretPaths are where secrets stand.
 var SecretPaths = []string{"target.chap", "target.mutual"}
 
-// chain is where records are kept: audit.Store or audit.Memory.
-type chain interface {
+// recordLog is where records are kept: audit.Store or audit.Memory.
+type recordLog interface {
 	Append(*audit.Record) error
 	Each(from uint64, f func(*audit.Record) error) error
 	Chain() audit.Chain
 	Close() error
 }
 
-// memoryRecords is how many records a store without a file knows.
-const memoryRecords = 1024
+// maxMemoryRecords is how many records a store without a file knows.
+const maxMemoryRecords = 1024
 
 // Store keeps the settings in force and the record of how they came about. A change is
 // accepted once its record is kept; the snapshot follows, and a start after a crash
 // between the two brings it up to the record.
 type Store struct {
-	mu    sync.Mutex
-	file  string
-	key   *Key
-	chain chain
-	now   *Settings
-	late  error // why the snapshot is behind the record
-	doubt error // why it is not known whether the last change is in the record
-	subs  []func(*Settings)
-	allow func(old, next *Settings) []Fault
+	mu          sync.Mutex
+	file        string
+	key         *Key
+	records     recordLog
+	current     *Settings
+	snapshotErr error // why the snapshot is behind the record
+	appendErr   error // why it is not known whether the last change is in the record
+	watchers    []func(*Settings)
+	validate    func(old, next *Settings) []Fault
 }
 
 // auditSuffix goes behind a snapshot's name: the file of its record.
@@ -85,9 +85,9 @@
 func Open(file string, k *Key) (*Store, error) {
 	st := &Store{file: file, key: k}
 	if file == "" {
-		st.chain = audit.NewMemory(memoryRecords)
+		st.records = audit.NewMemory(maxMemoryRecords)
 		if k == nil { // nobody reads the seals later, but a changed secret must show
-			var b [minKey]byte
+			var b [minKeyBytes]byte
 			rand.Read(b[:]) // never fails
 			st.key, _ = NewKey(b[:])
 		}
@@ -101,26 +101,26 @@
 	if err != nil {
 		return nil, err
 	}
-	st.chain = kept
-	if st.now, err = st.catchUp(s); err != nil {
+	st.records = kept
+	if st.current, err = st.catchUp(s); err != nil {
 		kept.Close()
 		return nil, err
 	}
-	if err := durable.RemoveTemp(file); err != nil && st.late == nil {
-		st.late = err
+	if err := durable.RemoveTemp(file); err != nil && st.snapshotErr == nil {
+		st.snapshotErr = err
 	}
 	return st, nil
 }
 
-// resolve finds out whether the change whose append failed stands in the record, before
+// resolveAppend finds out whether the change whose append failed stands in the record, before
 // another may follow it: the record's file is written anew, for after a failed sync nothing
 // tells what of it is on the disk. A change that stands comes into force, as at a start.
 // While the disk fails still, the error says so and what is in force stays. Held: mu.
-func (st *Store) resolve() error {
-	if st.doubt == nil {
+func (st *Store) resolveAppend() error {
+	if st.appendErr == nil {
 		return nil
 	}
-	st.chain.Close()
+	st.records.Close()
 	rewritten := audit.Rewrite(st.file + auditSuffix)
 	if err := st.reopen(); err != nil { // also after an error, for who reads the record
 		return err
@@ -129,13 +129,13 @@
 		return fmt.Errorf("settings: the record can't be written: %w", rewritten)
 	}
 	before := st.version()
-	now, err := st.catchUp(st.now)
+	now, err := st.catchUp(st.current)
 	if err != nil {
 		return err
 	}
-	st.doubt = nil
+	st.appendErr = nil
 	if now.version() != before {
-		st.enforce(now)
+		st.activate(now)
 	}
 	return nil
 }
@@ -143,15 +143,15 @@
 func (st *Store) reopen() error {
 	kept, err := audit.OpenStore(st.file + auditSuffix)
 	if err == nil {
-		st.chain = kept
+		st.records = kept
 	}
 	return err
 }
 
-// enforce puts settings that are in the record in force. Held: mu.
-func (st *Store) enforce(s *Settings) {
-	st.now = s
-	for _, f := range st.subs {
+// activate puts settings that are in the record in force. Held: mu.
+func (st *Store) activate(s *Settings) {
+	st.current = s
+	for _, f := range st.watchers {
 		f(s)
 	}
 }
@@ -166,7 +166,7 @@
 
 // catchUp brings a snapshot up to the record.
 func (st *Store) catchUp(s *Settings) (*Settings, error) {
-	end := st.chain.Chain()
+	end := st.records.Chain()
 	version := s.version()
 	if end.Seq == 0 && s != nil { // from before there were records
 		tree, err := s.tree(st.key)
@@ -175,7 +175,7 @@
 		}
 		r := &audit.Record{From: 0, Version: version, Who: "this host", Why: "found in the snapshot",
 			Changes: audit.Diff(Keys, map[string]any{}, tree), State: audit.StateHash(tree)}
-		return s, st.chain.Append(r)
+		return s, st.records.Append(r)
 	}
 	if version > end.Version {
 		return nil, &DamagedError{st.file, fmt.Sprintf("it is of version %d, its record ends at version %d", version, end.Version)}
@@ -188,7 +188,7 @@
 		return nil, err
 	}
 	var last audit.Hash
-	err = st.chain.Each(1, func(r *audit.Record) error {
+	err = st.records.Each(1, func(r *audit.Record) error {
 		if r.From < version {
 			return nil
 		}
@@ -205,37 +205,37 @@
 	if s, err = fromTree(tree, end.Version, st.key); err != nil {
 		return nil, err
 	}
-	st.late = Save(st.file, s, st.key) // the next start does it then
+	st.snapshotErr = Save(st.file, s, st.key) // the next start does it then
 	return s, nil
 }
 
 // Close lets go of the record.
-func (st *Store) Close() error { return st.chain.Close() }
+func (st *Store) Close() error { return st.records.Close() }
 
 // Get returns the settings in force, nil before the first. They don't change.
 func (st *Store) Get() *Settings {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return st.now
+	return st.current
 }
 
 // Watch calls f with every settings put from now on, in order.
 func (st *Store) Watch(f func(*Settings)) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.subs = append(st.subs, f)
+	st.watchers = append(st.watchers, f)
 }
 
 // Allow has f asked before a change is accepted; what it lists is refused as faults are.
 func (st *Store) Allow(f func(old, next *Settings) []Fault) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.allow = f
+	st.validate = f
 }
 
-// fixed lists what can't change while there are settings in force: whoever holds a name
+// immutableFaults lists what can't change while there are settings in force: whoever holds a name
 // or a block of the old form would be told otherwise in the midst.
-func (s *Settings) fixed(old *Settings) (out []Fault) {
+func (s *Settings) immutableFaults(old *Settings) (out []Fault) {
 	if old == nil {
 		return nil
 	}
@@ -278,30 +278,30 @@
 	}
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if err := st.resolve(); err != nil {
+	if err := st.resolveAppend(); err != nil {
 		return nil, err
 	}
 	if s.Version != st.version() {
-		stale, merged := st.meet(s)
+		stale, merged := st.mergeStale(s)
 		if !merge || merged == nil {
 			return nil, stale
 		}
 		s = merged
 	}
-	return st.accept(s, by)
+	return st.commit(s, by)
 }
 
-func (st *Store) version() uint64 { return st.now.version() }
+func (st *Store) version() uint64 { return st.current.version() }
 
-// accept checks, records and puts in force. Held: mu.
-func (st *Store) accept(s *Settings, by Author) (*Settings, error) {
-	next := s.keepSecrets(st.now)
-	if err := next.complete(); err != nil {
+// commit checks, records and puts in force. Held: mu.
+func (st *Store) commit(s *Settings, by Author) (*Settings, error) {
+	next := s.fillPlaceholders(st.current)
+	if err := next.checkComplete(); err != nil {
 		return nil, err
 	}
-	faults := next.fixed(st.now)
-	if st.allow != nil {
-		faults = append(faults, st.allow(st.now, next)...)
+	faults := next.immutableFaults(st.current)
+	if st.validate != nil {
+		faults = append(faults, st.validate(st.current, next)...)
 	}
 	if len(faults) > 0 {
 		return nil, &FaultsError{faults}
@@ -310,7 +310,7 @@
 		return nil, ErrNoKey
 	}
 	next.Version = st.version() + 1
-	old, err := st.now.tree(st.key)
+	old, err := st.current.tree(st.key)
 	if err != nil {
 		return nil, err
 	}
@@ -320,20 +320,20 @@
 	}
 	r := &audit.Record{At: by.At, From: st.version(), Version: next.Version, Who: by.Who, Why: by.Why,
 		Changes: audit.Diff(Keys, old, tree), State: audit.StateHash(tree)}
-	if err := by.closed(r.Changes); err != nil {
+	if err := by.checkAllowed(r.Changes); err != nil {
 		return nil, err
 	}
-	if err := st.chain.Append(r); err != nil {
+	if err := st.records.Append(r); err != nil {
 		var doubt *audit.DoubtError
 		if errors.As(err, &doubt) {
-			st.doubt = err
+			st.appendErr = err
 		}
 		return nil, err
 	}
-	if st.late = nil; st.file != "" {
-		st.late = Save(st.file, next, st.key) // it stands in the record: a start brings the snapshot up to it
+	if st.snapshotErr = nil; st.file != "" {
+		st.snapshotErr = Save(st.file, next, st.key) // it stands in the record: a start brings the snapshot up to it
 	}
-	st.enforce(next)
+	st.activate(next)
 	return next, nil
 }
 
@@ -342,19 +342,19 @@
 func (st *Store) Late() error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return errors.Join(st.doubt, st.late)
+	return errors.Join(st.appendErr, st.snapshotErr)
 }
 
-// complete checks settings from which no secret may be left out.
-func (s *Settings) complete() error {
-	_, at := s.secrets()
+// checkComplete checks settings from which no secret may be left out.
+func (s *Settings) checkComplete() error {
+	_, at := s.cloneSecrets()
 	c := &checker{}
 	for i, x := range at {
 		path := fmt.Sprintf("target.chap[%d].secret", i)
 		if i >= len(s.Target.Chap) {
 			path = "target.mutual.secret"
 		}
-		c.when(x.Secret == Kept, path, "there is no secret of %.70q to keep", x.User)
+		c.failIf(x.Secret == Kept, path, "there is no secret of %.70q to keep", x.User)
 	}
 	if len(c.faults) > 0 {
 		return &FaultsError{c.faults}
@@ -362,9 +362,9 @@
 	return s.Check()
 }
 
-// meet compares a change that came late with what was changed since, and merges the two
+// mergeStale compares a change that came late with what was changed since, and merges the two
 // if they touch nothing in common. Held: mu.
-func (st *Store) meet(s *Settings) (*StaleError, *Settings) {
+func (st *Store) mergeStale(s *Settings) (*StaleError, *Settings) {
 	stale := &StaleError{Against: s.Version, InForce: st.version()}
 	base, err := st.treeAt(s.Version)
 	if err != nil {
@@ -374,11 +374,11 @@
 	if err != nil {
 		return stale, nil
 	}
-	mine, err := s.keepSecrets(was).tree(st.key)
+	mine, err := s.fillPlaceholders(was).tree(st.key)
 	if err != nil {
 		return stale, nil
 	}
-	theirs, err := st.now.tree(st.key)
+	theirs, err := st.current.tree(st.key)
 	if err != nil {
 		return stale, nil
 	}
@@ -403,13 +403,13 @@
 
 // treeAt walks back from what is in force. Held: mu.
 func (st *Store) treeAt(version uint64) (any, error) {
-	tree, err := st.now.tree(st.key)
+	tree, err := st.current.tree(st.key)
 	if err != nil || version == st.version() {
 		return tree, err
 	}
 	var back []*audit.Record
 	first := st.version()
-	err = st.chain.Each(1, func(r *audit.Record) error {
+	err = st.records.Each(1, func(r *audit.Record) error {
 		if r.From >= version && r.Version <= st.version() { // one in doubt is not in force
 			back = append(back, r)
 			first = min(first, r.From)
@@ -435,7 +435,7 @@
 func (st *Store) At(version uint64) (*Settings, error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if st.now == nil || version == 0 {
+	if st.current == nil || version == 0 {
 		return nil, &UnknownVersionError{version}
 	}
 	tree, err := st.treeAt(version)
@@ -466,21 +466,21 @@
 	}
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if err := st.resolve(); err != nil {
+	if err := st.resolveAppend(); err != nil {
 		return nil, err
 	}
 	s.Version = st.version()
 	if by.Why == "" {
 		by.Why = fmt.Sprintf("back to version %d", to)
 	}
-	return st.accept(s, by)
+	return st.commit(s, by)
 }
 
 // Log returns at most so many records from a number on.
 func (st *Store) Log(from uint64, most int) (out []*audit.Record, err error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	err = st.chain.Each(from, func(r *audit.Record) error {
+	err = st.records.Each(from, func(r *audit.Record) error {
 		if len(out) == most {
 			return io.EOF
 		}
@@ -497,7 +497,7 @@
 	defer st.mu.Unlock()
 	var c audit.Chain
 	first := true
-	err := st.chain.Each(1, func(r *audit.Record) error {
+	err := st.records.Each(1, func(r *audit.Record) error {
 		if first { // a store in memory has forgotten what was before
 			c, first = audit.Chain{Seq: r.Seq - 1, Version: r.From, Hash: r.Prev, At: r.At}, false
 		}
@@ -506,7 +506,7 @@
 	if err != nil {
 		return c, err
 	}
-	if end := st.chain.Chain(); c.Hash != end.Hash || c.Version != st.version() {
+	if end := st.records.Chain(); c.Hash != end.Hash || c.Version != st.version() {
 		return c, &audit.BrokenError{Seq: c.Seq, Reason: "the record does not end at what is in force"}
 	}
 	return c, nil
--- a/internal/control/settings/ledger_test.go
+++ b/internal/control/settings/ledger_test.go
@@ -26,14 +26,14 @@
 	return k
 }
 
-func withSecrets() *Settings {
+func exampleWithSecrets() *Settings {
 	s := Example(3, 9)
 	s.Target.Chap = []Chap{{"posto", "a secret that is long"}, {"balcao", "another that is long"}}
 	s.Target.Mutual = &Chap{"gateway", "the target's own secret"}
 	return s
 }
 
-func opened(t *testing.T, file string, k *Key) *Store {
+func openStore(t *testing.T, file string, k *Key) *Store {
 	t.Helper()
 	st, err := Open(file, k)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return st
 }
 
-func changed(t *testing.T, st *Store, f func(s *Settings)) *Settings {
+func mustChange(t *testing.T, st *Store, f func(s *Settings)) *Settings {
 	t.Helper()
 	s := *st.Get()
 	s.Plans = append([]Plan(nil), s.Plans...)
@@ -60,14 +60,14 @@
 func TestSecretsAreSealed(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "settings")
-	if _, err := opened(t, filepath.Join(dir, "other"), nil).Put(withSecrets()); !errors.Is(err, ErrNoKey) {
+	if _, err := openStore(t, filepath.Join(dir, "other"), nil).Put(exampleWithSecrets()); !errors.Is(err, ErrNoKey) {
 		t.Errorf("without a key: %v", err)
 	}
-	st := opened(t, file, testKey(t, 1))
-	if _, err := st.Put(withSecrets()); err != nil {
+	st := openStore(t, file, testKey(t, 1))
+	if _, err := st.Put(exampleWithSecrets()); err != nil {
 		t.Fatal(err)
 	}
-	changed(t, st, func(s *Settings) { s.Plans[0].Limit = 44 })
+	mustChange(t, st, func(s *Settings) { s.Plans[0].Limit = 44 })
 	srv := httptest.NewServer(Handler(st, func(*http.Request) Author { return Author{Who: "x"} }, func() int64 { return 1 }))
 	defer srv.Close()
 	for _, page := range []string{"/settings", "/settings/log", "/settings/at?version=1", "/settings/diff?from=1&to=2"} {
@@ -96,7 +96,7 @@
 	if _, err := Open(file, nil); !errors.Is(err, ErrNoKey) {
 		t.Errorf("no key: %v", err)
 	}
-	s := opened(t, file, testKey(t, 1)).Get()
+	s := openStore(t, file, testKey(t, 1)).Get()
 	if s.Target.Chap[1].Secret != "another that is long" || s.Target.Mutual.Secret != "the target's own secret" {
 		t.Errorf("%+v", s.Target)
 	}
@@ -104,9 +104,9 @@
 
 // Settings that were read and are handed in again keep their secrets; a new user without
 // one is a fault.
-func TestSecretsAreKept(t *testing.T) {
-	st := opened(t, "", testKey(t, 1))
-	now, err := st.Put(withSecrets())
+func TestPlaceholderKeepsSecret(t *testing.T) {
+	st := openStore(t, "", testKey(t, 1))
+	now, err := st.Put(exampleWithSecrets())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,11 +124,11 @@
 }
 
 // A crash between the record and the snapshot: the change was accepted, and is there.
-func TestACrashBetweenRecordAndSnapshot(t *testing.T) {
+func TestOpenAfterCrashBeforeSnapshot(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings")
 	k := testKey(t, 1)
-	st := opened(t, file, k)
-	if _, err := st.Put(withSecrets()); err != nil {
+	st := openStore(t, file, k)
+	if _, err := st.Put(exampleWithSecrets()); err != nil {
 		t.Fatal(err)
 	}
 	old, err := os.ReadFile(file)
@@ -136,7 +136,7 @@
 		t.Fatal(err)
 	}
 	for n := range 5 {
-		changed(t, st, func(s *Settings) { s.Plans[0].Limit = float64(50 + n) })
+		mustChange(t, st, func(s *Settings) { s.Plans[0].Limit = float64(50 + n) })
 	}
 	want := st.Get()
 	st.Close()
@@ -147,7 +147,7 @@
 				t.Fatal(err)
 			}
 		}
-		st := opened(t, file, k)
+		st := openStore(t, file, k)
 		got := st.Get()
 		if d, err := Diff(got, want, k); err != nil || len(d) > 0 || got.Version != want.Version {
 			t.Errorf("%s: version %d, %v, %v", name, got.Version, d, err)
@@ -161,7 +161,7 @@
 	if err := os.Remove(file + auditSuffix); err != nil {
 		t.Fatal(err)
 	}
-	st = opened(t, file, k) // a snapshot from before there were records
+	st = openStore(t, file, k) // a snapshot from before there were records
 	if c, err := st.Verify(); err != nil || c.Seq != 1 || c.Version != want.Version {
 		t.Errorf("%+v, %v", c, err)
 	}
@@ -177,19 +177,19 @@
 }
 
 // A snapshot that can't be written keeps nothing from being accepted.
-func TestASnapshotThatCantBeWritten(t *testing.T) {
+func TestChangeAcceptedWithoutSnapshot(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "d")
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	st := opened(t, filepath.Join(dir, "settings"), nil)
+	st := openStore(t, filepath.Join(dir, "settings"), nil)
 	if _, err := st.Put(Example(3, 9)); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	now := changed(t, st, func(s *Settings) { s.Plans[0].Limit = 44 })
+	now := mustChange(t, st, func(s *Settings) { s.Plans[0].Limit = 44 })
 	if st.Late() == nil || now.Version != 2 {
 		t.Errorf("%v, version %d", st.Late(), now.Version)
 	}
@@ -197,8 +197,8 @@
 
 // Two operators at once: the second is told what the first did, and where they collide;
 // what touches nothing in common is merged on request.
-func TestTwoOperators(t *testing.T) {
-	st := opened(t, "", nil)
+func TestStaleChangeReportsCollisions(t *testing.T) {
+	st := openStore(t, "", nil)
 	if _, err := st.Put(Example(3, 9)); err != nil {
 		t.Fatal(err)
 	}
@@ -231,8 +231,8 @@
 
 // Many operators: each accepted change stands once in the record, no refused one does,
 // and every former version can be had again.
-func TestManyOperators(t *testing.T) {
-	st := opened(t, filepath.Join(t.TempDir(), "settings"), nil)
+func TestConcurrentChanges(t *testing.T) {
+	st := openStore(t, filepath.Join(t.TempDir(), "settings"), nil)
 	if _, err := st.Put(Example(3, 9)); err != nil {
 		t.Fatal(err)
 	}
@@ -326,8 +326,8 @@
 			if w.Code < 200 || w.Code > 599 {
 				t.Fatal(w.Code)
 			}
-			if s := st.Get(); s != nil && s.complete() != nil {
-				t.Fatal(s.complete())
+			if s := st.Get(); s != nil && s.checkComplete() != nil {
+				t.Fatal(s.checkComplete())
 			}
 		}
 	})
--- a/internal/control/settings/roll.go
+++ b/internal/control/settings/roll.go
@@ -58,7 +58,7 @@
 		if x == nil || x.Plan == y.Plan && slices.Equal(x.Hosts, y.Hosts) {
 			continue
 		}
-		v, ok := stricterVolume(a, b, x, y)
+		v, ok := rollVolume(a, b, x, y)
 		if !ok {
 			faults = append(faults, Fault{fmt.Sprintf("volumes[%d].plan", i), fmt.Sprintf("goes from %s to %s, of which one version has only one, and one is limited: roll the plan out first", x.Plan, y.Plan)})
 			continue
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// stricterVolume picks the plan with the smaller limit, if both versions have both.
-func stricterVolume(a, b *Settings, x, y *Volume) (RollVolume, bool) {
+// rollVolume picks the plan with the smaller limit, if both versions have both.
+func rollVolume(a, b *Settings, x, y *Volume) (RollVolume, bool) {
 	v := RollVolume{Name: x.Name, Plan: x.Plan, Hosts: slices.Clone(x.Hosts)}
 	for _, h := range y.Hosts {
 		if !slices.Contains(v.Hosts, h) {
@@ -159,16 +159,16 @@
 	if s.Roll == nil {
 		return
 	}
-	c.when(s.Roll.ID == "" || len(s.Roll.ID) > 80, "roll.id", "must have 1 to 80 bytes")
+	c.failIf(s.Roll.ID == "" || len(s.Roll.ID) > 80, "roll.id", "must have 1 to 80 bytes")
 	for i, p := range s.Roll.Plans {
 		at := fmt.Sprintf("roll.plans[%d].", i)
-		c.between(at+"limit", p.Limit, 0, 1e9)
-		c.between(at+"burst", p.Burst, 0, 1e9)
-		c.between(at+"slack", p.Slack, 0, 1e9)
+		c.inRange(at+"limit", p.Limit, 0, 1e9)
+		c.inRange(at+"burst", p.Burst, 0, 1e9)
+		c.inRange(at+"slack", p.Slack, 0, 1e9)
 	}
 	for i, v := range s.Roll.Volumes {
 		at := fmt.Sprintf("roll.volumes[%d].", i)
-		c.when(v.Plan != "" && s.plan(v.Plan) == nil, at+"plan", "there is no plan %.70q", v.Plan)
-		c.when(len(v.Hosts) == 0 || slices.ContainsFunc(v.Hosts, func(h int) bool { return h < 0 || h >= 10000 }), at+"hosts", "must name hosts")
+		c.failIf(v.Plan != "" && s.plan(v.Plan) == nil, at+"plan", "there is no plan %.70q", v.Plan)
+		c.failIf(len(v.Hosts) == 0 || slices.ContainsFunc(v.Hosts, func(h int) bool { return h < 0 || h >= 10000 }), at+"hosts", "must name hosts")
 	}
 }
--- a/internal/control/settings/secret.go
+++ b/internal/control/settings/secret.go
@@ -33,17 +33,17 @@
 // secret, so that the same secret looks the same and no difference is seen where there
 // is none. Whoever reads the file learns only which secrets are equal.
 type Key struct {
-	aead  cipher.AEAD
-	nonce []byte
+	aead     cipher.AEAD
+	nonceKey []byte
 }
 
-// minKey is the fewest bytes that a key is derived from.
-const minKey = 32
+// minKeyBytes is the fewest bytes that a key is derived from.
+const minKeyBytes = 32
 
 // NewKey derives a key (HKDF, RFC 5869) from bytes that nobody can guess.
 func NewKey(from []byte) (*Key, error) {
-	if len(from) < minKey {
-		return nil, fmt.Errorf("settings: a key needs %d bytes, these are %d", minKey, len(from))
+	if len(from) < minKeyBytes {
+		return nil, fmt.Errorf("settings: a key needs %d bytes, these are %d", minKeyBytes, len(from))
 	}
 	b, err := hkdf.Key(sha256.New, from, nil, "merlinhitch settings", 64)
 	if err != nil {
@@ -73,18 +73,18 @@
 	return NewKey(b)
 }
 
-const sealMark = "sealed:"
+const sealedPrefix = "sealed:"
 
 // seal closes one secret of that user.
 func (k *Key) seal(user, secret string) string {
-	mac := hmac.New(sha256.New, k.nonce)
+	mac := hmac.New(sha256.New, k.nonceKey)
 	mac.Write([]byte(user + "\x00" + secret))
 	nonce := mac.Sum(nil)[:k.aead.NonceSize()]
-	return sealMark + base64.RawStdEncoding.EncodeToString(k.aead.Seal(nonce, nonce, []byte(secret), []byte(user)))
+	return sealedPrefix + base64.RawStdEncoding.EncodeToString(k.aead.Seal(nonce, nonce, []byte(secret), []byte(user)))
 }
 
 func (k *Key) unseal(user, text string) (string, error) {
-	b, err := base64.RawStdEncoding.DecodeString(strings.TrimPrefix(text, sealMark))
+	b, err := base64.RawStdEncoding.DecodeString(strings.TrimPrefix(text, sealedPrefix))
 	if err != nil || len(b) < k.aead.NonceSize() {
 		return "", &SealError{user}
 	}
@@ -96,8 +96,8 @@
 	return string(plain), nil
 }
 
-// secrets returns a copy of s whose secrets may be altered, and where they are.
-func (s *Settings) secrets() (*Settings, []*Chap) {
+// cloneSecrets returns a copy of s whose cloneSecrets may be altered, and where they are.
+func (s *Settings) cloneSecrets() (*Settings, []*Chap) {
 	c := *s
 	c.Target.Chap = slices.Clone(s.Target.Chap)
 	var at []*Chap
@@ -117,20 +117,20 @@
 
 // Redacted is s as it may be shown: no secret is in it, nor anything made of one.
 func (s *Settings) Redacted() *Settings {
-	c, at := s.secrets()
+	c, at := s.cloneSecrets()
 	for _, k := range at {
 		k.Secret = Kept
 	}
 	return c
 }
 
-// sealed is s with its secrets sealed; those that already are stay. Without a key they
+// withSealedSecrets is s with its secrets withSealedSecrets; those that already are stay. Without a key they
 // are left out.
-func (s *Settings) sealed(k *Key) *Settings {
-	c, at := s.secrets()
+func (s *Settings) withSealedSecrets(k *Key) *Settings {
+	c, at := s.cloneSecrets()
 	for _, x := range at {
 		switch {
-		case strings.HasPrefix(x.Secret, sealMark):
+		case strings.HasPrefix(x.Secret, sealedPrefix):
 		case k == nil:
 			x.Secret = Kept
 		default:
@@ -140,11 +140,11 @@
 	return c
 }
 
-// open opens sealed secrets in place, of settings that nobody else has yet.
-func (s *Settings) open(k *Key) error {
-	c, at := s.secrets()
+// unsealSecrets opens sealed secrets in place, of settings that nobody else has yet.
+func (s *Settings) unsealSecrets(k *Key) error {
+	c, at := s.cloneSecrets()
 	for _, x := range at {
-		if !strings.HasPrefix(x.Secret, sealMark) {
+		if !strings.HasPrefix(x.Secret, sealedPrefix) {
 			continue
 		}
 		if k == nil {
@@ -160,9 +160,9 @@
 	return nil
 }
 
-// keepSecrets fills in those secrets of s that stay what they are in old.
-func (s *Settings) keepSecrets(old *Settings) *Settings {
-	c, at := s.secrets()
+// fillPlaceholders fills in those secrets of s that stay what they are in old.
+func (s *Settings) fillPlaceholders(old *Settings) *Settings {
+	c, at := s.cloneSecrets()
 	for i, x := range at {
 		if x.Secret != Kept || old == nil {
 			continue
--- a/internal/control/settings/settings.go
+++ b/internal/control/settings/settings.go
@@ -87,12 +87,12 @@
 	if r == nil {
 		return
 	}
-	c.between("regions.lease_ms", r.Lease, 200, 60000)
-	c.between("regions.quiet_ms", r.Quiet, 200, 60000)
-	c.between("regions.drift", r.Drift, 0, 0.2)
-	c.when(len(r.Hosts) != s.Hosts, "regions.hosts", "has %d entries for %d hosts", len(r.Hosts), s.Hosts)
+	c.inRange("regions.lease_ms", r.Lease, 200, 60000)
+	c.inRange("regions.quiet_ms", r.Quiet, 200, 60000)
+	c.inRange("regions.drift", r.Drift, 0, 0.2)
+	c.failIf(len(r.Hosts) != s.Hosts, "regions.hosts", "has %d entries for %d hosts", len(r.Hosts), s.Hosts)
 	for i, at := range r.Hosts {
-		c.when(at != 0 && at != 1, fmt.Sprintf("regions.hosts[%d]", i), "is %d, must be 0 or 1", at)
+		c.failIf(at != 0 && at != 1, fmt.Sprintf("regions.hosts[%d]", i), "is %d, must be 0 or 1", at)
 	}
 }
 
@@ -346,20 +346,20 @@
 // checker gathers faults.
 type checker struct{ faults []Fault }
 
-func (c *checker) when(bad bool, path, format string, args ...any) {
+func (c *checker) failIf(bad bool, path, format string, args ...any) {
 	if bad {
 		c.faults = append(c.faults, Fault{path, fmt.Sprintf(format, args...)})
 	}
 }
 
-// between holds a figure to its bounds; NaN never passes.
-func (c *checker) between(path string, v, low, high float64) {
-	c.when(!(v >= low && v <= high), path, "is %g, must be from %g to %g", v, low, high)
+// inRange holds a figure to its bounds; NaN never passes.
+func (c *checker) inRange(path string, v, low, high float64) {
+	c.failIf(!(v >= low && v <= high), path, "is %g, must be from %g to %g", v, low, high)
 }
 
 var (
-	nameForm   = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
-	prefixForm = regexp.MustCompile(`^iqn\.[0-9]{4}-[0-9]{2}\.[a-z0-9.-]{1,120}$`)
+	namePattern   = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
+	prefixPattern = regexp.MustCompile(`^iqn\.[0-9]{4}-[0-9]{2}\.[a-z0-9.-]{1,120}$`)
 )
 
 const (
@@ -367,28 +367,28 @@
 	maxPlans   = 64
 	maxVolumes = 100000
 	maxLayout  = 4096
-	day        = 24 * 3600 * 1000.0
+	dayMS      = 24 * 3600 * 1000.0
 )
 
 // Check returns a *FaultsError with everything wrong, or nil.
 func (s *Settings) Check() error {
 	c := &checker{}
-	c.between("hosts", float64(s.Hosts), 1, 10000)
-	c.between("shards", float64(s.Shards), 1, 100000)
-	c.between("unit_bytes", float64(s.UnitBytes), 512, 1<<24)
-	c.between("mean_units", s.MeanUnits, 0.001, 1e6)
-	c.between("most_units", s.MostUnits, 1, 1e6)
-	c.between("fair_worth", s.FairWorth, 0, 1)
-	c.between("spare_worth", s.SpareWorth, 0, 1)
+	c.inRange("hosts", float64(s.Hosts), 1, 10000)
+	c.inRange("shards", float64(s.Shards), 1, 100000)
+	c.inRange("unit_bytes", float64(s.UnitBytes), 512, 1<<24)
+	c.inRange("mean_units", s.MeanUnits, 0.001, 1e6)
+	c.inRange("most_units", s.MostUnits, 1, 1e6)
+	c.inRange("fair_worth", s.FairWorth, 0, 1)
+	c.inRange("spare_worth", s.SpareWorth, 0, 1)
 	s.checkClasses(c)
 	s.checkPlans(c)
 	s.Rules.check(c)
 	l := s.Limits
-	c.between("limits.max_attempts", float64(l.MaxAttempts), 1, 100)
-	c.between("limits.retry_after_ms", l.RetryAfter, 0, day)
-	c.between("limits.dial_timeout_ms", l.DialTimeout, 1, 60000)
-	c.between("limits.max_open", float64(l.MaxOpen), 1, 1e6)
-	c.when(l.Copies, "limits.copies", "the gateway sends no copies")
+	c.inRange("limits.max_attempts", float64(l.MaxAttempts), 1, 100)
+	c.inRange("limits.retry_after_ms", l.RetryAfter, 0, dayMS)
+	c.inRange("limits.dial_timeout_ms", l.DialTimeout, 1, 60000)
+	c.inRange("limits.max_open", float64(l.MaxOpen), 1, 1e6)
+	c.failIf(l.Copies, "limits.copies", "the gateway sends no copies")
 	s.checkVolumes(c)
 	s.Target.check(c)
 	s.checkNodes(c)
@@ -401,23 +401,23 @@
 	return nil
 }
 
-// names checks a list's names and that none comes twice.
-func (c *checker) names(list string, most int, names []string) {
-	c.when(len(names) == 0, list, "is empty")
-	c.when(len(names) > most, list, "has %d entries, at most %d", len(names), most)
+// uniqueNames checks a list's uniqueNames and that none comes twice.
+func (c *checker) uniqueNames(list string, most int, names []string) {
+	c.failIf(len(names) == 0, list, "is empty")
+	c.failIf(len(names) > most, list, "has %d entries, at most %d", len(names), most)
 	seen := map[string]int{}
 	for i, n := range names {
 		path := fmt.Sprintf("%s[%d].name", list, i)
-		c.when(!nameForm.MatchString(n), path, "%.70q is not of small letters, digits, dots and dashes, at most 63", n)
+		c.failIf(!namePattern.MatchString(n), path, "%.70q is not of small letters, digits, dots and dashes, at most 63", n)
 		first, twice := seen[n]
-		c.when(twice, path, "%q stands already at %s[%d]", n, list, first)
+		c.failIf(twice, path, "%q stands already at %s[%d]", n, list, first)
 		if !twice {
 			seen[n] = i
 		}
 	}
 }
 
-func pluck[T any](list []T, name func(*T) string) []string {
+func collectNames[T any](list []T, name func(*T) string) []string {
 	out := make([]string, len(list))
 	for i := range list {
 		out[i] = name(&list[i])
@@ -426,156 +426,156 @@
 }
 
 func (s *Settings) planNames() []string {
-	return pluck(s.Plans, func(p *Plan) string { return p.Name })
+	return collectNames(s.Plans, func(p *Plan) string { return p.Name })
 }
 
 func (s *Settings) checkClasses(c *checker) {
-	c.names("classes", maxClasses, pluck(s.Classes, func(k *Class) string { return k.Name }))
+	c.uniqueNames("classes", maxClasses, collectNames(s.Classes, func(k *Class) string { return k.Name }))
 	for i := range s.Classes {
 		k, at := &s.Classes[i], fmt.Sprintf("classes[%d].", i)
-		c.between(at+"worth", k.Worth, 0, 1e6)
-		c.between(at+"late_worth", k.LateWorth, 0, 1)
-		c.between(at+"deadline_ms", k.Deadline, 10, day)
-		c.between(at+"aim_ms", k.Aim, 1, max(k.Deadline, 1))
+		c.inRange(at+"worth", k.Worth, 0, 1e6)
+		c.inRange(at+"late_worth", k.LateWorth, 0, 1)
+		c.inRange(at+"deadline_ms", k.Deadline, 10, dayMS)
+		c.inRange(at+"aim_ms", k.Aim, 1, max(k.Deadline, 1))
 		k.checkEffect(c, at)
-		c.when(len(k.Match.Ops) == 0, at+"match.ops", "is empty")
+		c.failIf(len(k.Match.Ops) == 0, at+"match.ops", "is empty")
 		for j, o := range k.Match.Ops {
 			op := scsi.OpByName(o)
 			path := fmt.Sprintf("%smatch.ops[%d]", at, j)
-			c.when(op == 0, path, "unknown operation %.40q", o)
-			c.when(op == scsi.CompareAndWrite && k.Effect != "unsafe", path, "compare-and-write must be of an unsafe class: a repeat would compare with its own first effect")
-			c.when(op.Writes() && k.Effect == "safe", path, "a write is not safe to repeat: it may undo a later one")
+			c.failIf(op == 0, path, "unknown operation %.40q", o)
+			c.failIf(op == scsi.CompareAndWrite && k.Effect != "unsafe", path, "compare-and-write must be of an unsafe class: a repeat would compare with its own first effect")
+			c.failIf(op.Writes() && k.Effect == "safe", path, "a write is not safe to repeat: it may undo a later one")
 		}
-		c.when(k.Match.MinBytes < 0, at+"match.min_bytes", "is below 0")
-		c.when(k.Match.MaxBytes != 0 && k.Match.MaxBytes < k.Match.MinBytes, at+"match.max_bytes", "is below min_bytes")
+		c.failIf(k.Match.MinBytes < 0, at+"match.min_bytes", "is below 0")
+		c.failIf(k.Match.MaxBytes != 0 && k.Match.MaxBytes < k.Match.MinBytes, at+"match.max_bytes", "is below min_bytes")
 		for j, p := range k.Match.Plans {
-			c.when(!slices.Contains(s.planNames(), p), fmt.Sprintf("%smatch.plans[%d]", at, j), "there is no plan %.70q", p)
+			c.failIf(!slices.Contains(s.planNames(), p), fmt.Sprintf("%smatch.plans[%d]", at, j), "there is no plan %.70q", p)
 		}
 	}
 }
 
 func (k *Class) checkEffect(c *checker, at string) {
-	_, known := effects[k.Effect]
-	c.when(!known, at+"effect", "%.20q is none of safe, keyed, unsafe", k.Effect)
+	_, known := effectByName[k.Effect]
+	c.failIf(!known, at+"effect", "%.20q is none of safe, keyed, unsafe", k.Effect)
 	if k.Effect == "keyed" {
-		_, known = groups[k.Group]
-		c.when(!known, at+"group", "%.20q is none of cell, zone, all", k.Group)
-		c.between(at+"window_ms", k.Window, 1, day)
-		c.when(k.Window < k.Deadline, at+"window_ms", "is below deadline_ms: a late attempt could run after its key is forgotten")
+		_, known = dedupScopeByName[k.Group]
+		c.failIf(!known, at+"group", "%.20q is none of cell, zone, all", k.Group)
+		c.inRange(at+"window_ms", k.Window, 1, dayMS)
+		c.failIf(k.Window < k.Deadline, at+"window_ms", "is below deadline_ms: a late attempt could run after its key is forgotten")
 		return
 	}
-	c.when(k.Group != "" || k.Window != 0, at+"group", "only keyed classes have a group and a window")
+	c.failIf(k.Group != "" || k.Window != 0, at+"group", "only keyed classes have a group and a window")
 }
 
 func (s *Settings) checkPlans(c *checker) {
-	c.names("plans", maxPlans, s.planNames())
+	c.uniqueNames("plans", maxPlans, s.planNames())
 	for i := range s.Plans {
 		p, at := &s.Plans[i], fmt.Sprintf("plans[%d].", i)
-		c.between(at+"price", p.Price, 0, 1e6)
-		c.between(at+"weight", p.Weight, 0.001, 1e6)
-		c.between(at+"rate", p.Rate, 0, 1e9)
-		c.between(at+"reserve", p.Reserve, 0, 1e9)
-		c.between(at+"limit", p.Limit, 0, 1e9)
+		c.inRange(at+"price", p.Price, 0, 1e6)
+		c.inRange(at+"weight", p.Weight, 0.001, 1e6)
+		c.inRange(at+"rate", p.Rate, 0, 1e9)
+		c.inRange(at+"reserve", p.Reserve, 0, 1e9)
+		c.inRange(at+"limit", p.Limit, 0, 1e9)
 		if p.Limit > 0 {
-			c.between(at+"burst", p.Burst, s.MostUnits, 1e9)
-			c.between(at+"slack", p.Slack, 0, 1e9)
-			c.when(p.Reserve > p.Limit, at+"reserve", "is above the limit")
+			c.inRange(at+"burst", p.Burst, s.MostUnits, 1e9)
+			c.inRange(at+"slack", p.Slack, 0, 1e9)
+			c.failIf(p.Reserve > p.Limit, at+"reserve", "is above the limit")
 		} else {
-			c.when(p.Burst != 0 || p.Slack != 0, at+"limit", "is 0, but burst or slack is set")
+			c.failIf(p.Burst != 0 || p.Slack != 0, at+"limit", "is 0, but burst or slack is set")
 		}
-		c.when(p.Copied != "" && p.Copied != AckBefore && p.Copied != AckAfter, at+"copied", "%.20q is neither before nor after", p.Copied)
+		c.failIf(p.Copied != "" && p.Copied != AckBefore && p.Copied != AckAfter, at+"copied", "%.20q is neither before nor after", p.Copied)
 	}
 }
 
 func (r *Rules) check(c *checker) {
-	c.between("rules.answer_slack_ms", r.AnswerSlack, 1, 60000)
-	c.between("rules.drain_grace_ms", r.DrainGrace, 0, 60000)
-	c.between("rules.fall_multiple", r.FallMultiple, 1, 1000)
-	c.between("rules.fall_time_ms", r.FallTime, 1, 60000)
-	c.between("rules.cold_from", r.ColdFrom, 0.001, 1)
-	c.between("rules.cold_time_ms", r.ColdTime, 0, day)
-	c.between("rules.cold_units", r.ColdUnits, 0, 1e9)
-	c.between("rules.key_rest_ms", r.KeyRest, 0, 60000)
+	c.inRange("rules.answer_slack_ms", r.AnswerSlack, 1, 60000)
+	c.inRange("rules.drain_grace_ms", r.DrainGrace, 0, 60000)
+	c.inRange("rules.fall_multiple", r.FallMultiple, 1, 1000)
+	c.inRange("rules.fall_time_ms", r.FallTime, 1, 60000)
+	c.inRange("rules.cold_from", r.ColdFrom, 0.001, 1)
+	c.inRange("rules.cold_time_ms", r.ColdTime, 0, dayMS)
+	c.inRange("rules.cold_units", r.ColdUnits, 0, 1e9)
+	c.inRange("rules.key_rest_ms", r.KeyRest, 0, 60000)
 	if b := r.Budget; b != nil {
-		c.between("rules.budget.free", b.Free, 0, 1e6)
-		c.between("rules.budget.share", b.Share, 0, 100)
-		c.between("rules.budget.span_ms", b.Span, 1, day)
+		c.inRange("rules.budget.free", b.Free, 0, 1e6)
+		c.inRange("rules.budget.share", b.Share, 0, 100)
+		c.inRange("rules.budget.span_ms", b.Span, 1, dayMS)
 	}
 }
 
 func (s *Settings) checkVolumes(c *checker) {
-	c.when(len(s.Volumes) > maxVolumes, "volumes", "has %d entries, at most %d", len(s.Volumes), maxVolumes)
+	c.failIf(len(s.Volumes) > maxVolumes, "volumes", "has %d entries, at most %d", len(s.Volumes), maxVolumes)
 	plans := s.planNames()
 	if len(s.Volumes) > 0 {
-		c.names("volumes", maxVolumes, pluck(s.Volumes, func(v *Volume) string { return v.Name }))
+		c.uniqueNames("volumes", maxVolumes, collectNames(s.Volumes, func(v *Volume) string { return v.Name }))
 	}
 	for i := range s.Volumes {
 		v, at := &s.Volumes[i], fmt.Sprintf("volumes[%d].", i)
-		c.when(!slices.Contains(plans, v.Plan), at+"plan", "there is no plan %.70q", v.Plan)
-		c.when(v.BlockSize != 512 && v.BlockSize != 4096, at+"block_size", "is %d, must be 512 or 4096", v.BlockSize)
-		c.when(v.Blocks == 0 || v.Blocks > 1<<48, at+"blocks", "is %d, must be from 1 to 2^48", v.Blocks)
-		c.between(at+"extent_blocks", float64(v.Extent), 1, 1<<20)
-		c.when(len(v.Layout) == 0 || len(v.Layout) > maxLayout, at+"layout", "has %d shards, must be from 1 to %d", len(v.Layout), maxLayout)
-		s.shards(c, at+"layout", v.Layout)
-		s.checkPlaced(c, v, at)
-		c.when(len(v.Hosts) == 0, at+"hosts", "is empty")
+		c.failIf(!slices.Contains(plans, v.Plan), at+"plan", "there is no plan %.70q", v.Plan)
+		c.failIf(v.BlockSize != 512 && v.BlockSize != 4096, at+"block_size", "is %d, must be 512 or 4096", v.BlockSize)
+		c.failIf(v.Blocks == 0 || v.Blocks > 1<<48, at+"blocks", "is %d, must be from 1 to 2^48", v.Blocks)
+		c.inRange(at+"extent_blocks", float64(v.Extent), 1, 1<<20)
+		c.failIf(len(v.Layout) == 0 || len(v.Layout) > maxLayout, at+"layout", "has %d shards, must be from 1 to %d", len(v.Layout), maxLayout)
+		s.checkShards(c, at+"layout", v.Layout)
+		s.checkVolumePlacement(c, v, at)
+		c.failIf(len(v.Hosts) == 0, at+"hosts", "is empty")
 		for j, h := range v.Hosts {
 			path := fmt.Sprintf("%shosts[%d]", at, j)
-			c.when(h < 0 || h >= s.Hosts, path, "there is no host %d", h)
-			c.when(slices.Contains(v.Hosts[:j], h), path, "host %d stands twice", h)
+			c.failIf(h < 0 || h >= s.Hosts, path, "there is no host %d", h)
+			c.failIf(slices.Contains(v.Hosts[:j], h), path, "host %d stands twice", h)
 		}
 	}
 }
 
-// shards checks a list of shards.
-func (s *Settings) shards(c *checker, path string, list []int) {
+// checkShards checks a list of checkShards.
+func (s *Settings) checkShards(c *checker, path string, list []int) {
 	for j, sh := range list {
-		c.when(sh < 0 || sh >= s.Shards, fmt.Sprintf("%s[%d]", path, j), "there is no shard %d", sh)
+		c.failIf(sh < 0 || sh >= s.Shards, fmt.Sprintf("%s[%d]", path, j), "there is no shard %d", sh)
 	}
 }
 
-// checkPlaced checks what a volume asks of its layouts.
-func (s *Settings) checkPlaced(c *checker, v *Volume, at string) {
-	c.between(at+"rate", v.Rate, 0, 1e9)
-	c.between(at+"writes", v.Writes, 0, 1)
-	c.between(at+"max_nodes", float64(v.MaxNodes), 0, maxLayout)
-	c.between(at+"spread", float64(v.Spread), 0, maxLayout)
-	c.between(at+"copies", float64(v.Copies), 0, 2)
-	c.when(len(v.Copy) > 0 && len(v.Copy) != len(v.Layout), at+"copy", "has %d shards, the layout %d", len(v.Copy), len(v.Layout))
-	s.shards(c, at+"copy", v.Copy)
-	s.shards(c, at+"pins", v.Pins)
-	s.shards(c, at+"bans", v.Bans)
+// checkVolumePlacement checks what a volume asks of its layouts.
+func (s *Settings) checkVolumePlacement(c *checker, v *Volume, at string) {
+	c.inRange(at+"rate", v.Rate, 0, 1e9)
+	c.inRange(at+"writes", v.Writes, 0, 1)
+	c.inRange(at+"max_nodes", float64(v.MaxNodes), 0, maxLayout)
+	c.inRange(at+"spread", float64(v.Spread), 0, maxLayout)
+	c.inRange(at+"copies", float64(v.Copies), 0, 2)
+	c.failIf(len(v.Copy) > 0 && len(v.Copy) != len(v.Layout), at+"copy", "has %d shards, the layout %d", len(v.Copy), len(v.Layout))
+	s.checkShards(c, at+"copy", v.Copy)
+	s.checkShards(c, at+"pins", v.Pins)
+	s.checkShards(c, at+"bans", v.Bans)
 	for j, sh := range v.Pins {
-		c.when(slices.Contains(v.Bans, sh), fmt.Sprintf("%spins[%d]", at, j), "shard %d is banned too", sh)
-		c.when(slices.Contains(v.Pins[:j], sh), fmt.Sprintf("%spins[%d]", at, j), "shard %d stands twice", sh)
+		c.failIf(slices.Contains(v.Bans, sh), fmt.Sprintf("%spins[%d]", at, j), "shard %d is banned too", sh)
+		c.failIf(slices.Contains(v.Pins[:j], sh), fmt.Sprintf("%spins[%d]", at, j), "shard %d stands twice", sh)
 	}
 }
 
 // checkNodes checks that there is a node for every shard, or none at all.
 func (s *Settings) checkNodes(c *checker) {
 	if p := s.Placement; p != (Placement{}) {
-		c.between("placement.parts", float64(p.Parts), 1, 1024)
-		c.between("placement.margin", p.Margin, 0, 100)
-		c.when(p.Domain != "" && p.Domain != DomainHall && p.Domain != DomainRegion, "placement.domain", "%.20q is neither hall nor region", p.Domain)
-		c.between("placement.most_moved", p.MostMoved, 0.001, 1e9)
+		c.inRange("placement.parts", float64(p.Parts), 1, 1024)
+		c.inRange("placement.margin", p.Margin, 0, 100)
+		c.failIf(p.Domain != "" && p.Domain != DomainHall && p.Domain != DomainRegion, "placement.domain", "%.20q is neither hall nor region", p.Domain)
+		c.inRange("placement.most_moved", p.MostMoved, 0.001, 1e9)
 	}
 	if len(s.Nodes) == 0 {
 		return
 	}
-	c.when(len(s.Nodes) != s.Shards, "nodes", "has %d entries for %d shards", len(s.Nodes), s.Shards)
+	c.failIf(len(s.Nodes) != s.Shards, "nodes", "has %d entries for %d shards", len(s.Nodes), s.Shards)
 	seen := make(map[int]int, len(s.Nodes))
 	for i, n := range s.Nodes {
 		at := fmt.Sprintf("nodes[%d].", i)
-		c.when(n.Shard < 0 || n.Shard >= s.Shards, at+"shard", "there is no shard %d", n.Shard)
+		c.failIf(n.Shard < 0 || n.Shard >= s.Shards, at+"shard", "there is no shard %d", n.Shard)
 		first, twice := seen[n.Shard]
-		c.when(twice, at+"shard", "shard %d stands already at nodes[%d]", n.Shard, first)
+		c.failIf(twice, at+"shard", "shard %d stands already at nodes[%d]", n.Shard, first)
 		if !twice {
 			seen[n.Shard] = i
 		}
-		c.when(!nameForm.MatchString(n.Hall), at+"hall", "%.70q is not of small letters, digits, dots and dashes, at most 63", n.Hall)
-		c.when(n.Region != 0 && n.Region != 1, at+"region", "is %d, must be 0 or 1", n.Region)
-		c.between(at+"capacity", n.Capacity, 0, 1e9)
-		c.between(at+"cost", n.Cost, 0, 1e9)
+		c.failIf(!namePattern.MatchString(n.Hall), at+"hall", "%.70q is not of small letters, digits, dots and dashes, at most 63", n.Hall)
+		c.failIf(n.Region != 0 && n.Region != 1, at+"region", "is %d, must be 0 or 1", n.Region)
+		c.inRange(at+"capacity", n.Capacity, 0, 1e9)
+		c.inRange(at+"cost", n.Cost, 0, 1e9)
 	}
 }
 
@@ -590,28 +590,28 @@
 	if a == nil {
 		return
 	}
-	c.when(a.AS == 0 || a.AS == 23456, "announce.as", "%d is no AS of one's own", a.AS)
-	c.when(a.HoldTime != 0 && !(a.HoldTime >= 3000 && a.HoldTime <= 65535000), "announce.hold_ms", "is %g, must be 0 or from 3000 to 65535000 (RFC 4271 section 4.2)", a.HoldTime)
+	c.failIf(a.AS == 0 || a.AS == 23456, "announce.as", "%d is no AS of one's own", a.AS)
+	c.failIf(a.HoldTime != 0 && !(a.HoldTime >= 3000 && a.HoldTime <= 65535000), "announce.hold_ms", "is %g, must be 0 or from 3000 to 65535000 (RFC 4271 section 4.2)", a.HoldTime)
 	for _, t := range []struct {
 		name       string
 		v, low, hi float64
-	}{{"probe", a.ProbeEvery, 20, 60000}, {"answer", a.AnswerTime, 20, 60000}, {"steady", a.Steady, 10, day}, {"steady_most", a.SteadyMost, 10, day},
-		{"resort_most", a.ResortMost, 10, day}, {"half_life", a.HalfLife, 10, day}, {"list_bound", a.ListBound, 100, day}, {"beat_bound", a.BeatBound, 50, 60000}, {"move", a.MoveTime, 0, 600000}} {
+	}{{"probe", a.ProbeEvery, 20, 60000}, {"answer", a.AnswerTime, 20, 60000}, {"steady", a.Steady, 10, dayMS}, {"steady_most", a.SteadyMost, 10, dayMS},
+		{"resort_most", a.ResortMost, 10, dayMS}, {"half_life", a.HalfLife, 10, dayMS}, {"list_bound", a.ListBound, 100, dayMS}, {"beat_bound", a.BeatBound, 50, 60000}, {"move", a.MoveTime, 0, 600000}} {
 		if t.v != 0 {
-			c.between("announce."+t.name+"_ms", t.v, t.low, t.hi)
+			c.inRange("announce."+t.name+"_ms", t.v, t.low, t.hi)
 		}
 	}
-	c.when(len(a.Routers) > maxRouters, "announce.routers", "has %d entries, at most %d", len(a.Routers), maxRouters)
+	c.failIf(len(a.Routers) > maxRouters, "announce.routers", "has %d entries, at most %d", len(a.Routers), maxRouters)
 	if len(a.Routers) > 0 {
-		c.names("announce.routers", maxRouters, pluck(a.Routers, func(r *Router) string { return r.Name }))
+		c.uniqueNames("announce.routers", maxRouters, collectNames(a.Routers, func(r *Router) string { return r.Name }))
 	}
 	for i := range a.Routers {
 		r, at := &a.Routers[i], fmt.Sprintf("announce.routers[%d].", i)
 		_, err := netip.ParseAddrPort(r.Addr)
-		c.when(err != nil, at+"addr", "%.70q is no address with a port", r.Addr)
-		c.when(r.AS == 0, at+"as", "is 0 (RFC 7607)")
+		c.failIf(err != nil, at+"addr", "%.70q is no address with a port", r.Addr)
+		c.failIf(r.AS == 0, at+"as", "is 0 (RFC 7607)")
 		for j, h := range r.Hosts {
-			c.when(h < 0 || h >= s.Hosts, fmt.Sprintf("%shosts[%d]", at, j), "there is no host %d", h)
+			c.failIf(h < 0 || h >= s.Hosts, fmt.Sprintf("%shosts[%d]", at, j), "there is no host %d", h)
 		}
 	}
 	s.checkGroups(c, a)
@@ -619,7 +619,7 @@
 
 func (s *Settings) checkGroups(c *checker, a *Announce) {
 	if len(a.Groups) > 0 {
-		c.names("announce.groups", maxGroups, pluck(a.Groups, func(g *AddressGroup) string { return g.Name }))
+		c.uniqueNames("announce.groups", maxGroups, collectNames(a.Groups, func(g *AddressGroup) string { return g.Name }))
 	}
 	volumes := make(map[string]bool, len(s.Volumes))
 	for i := range s.Volumes {
@@ -628,18 +628,18 @@
 	prefixes, grouped := map[netip.Prefix]string{}, map[string]string{}
 	for i := range a.Groups {
 		g, at := &a.Groups[i], fmt.Sprintf("announce.groups[%d].", i)
-		c.when(len(g.Prefixes) == 0 || len(g.Prefixes) > maxPrefixes, at+"prefixes", "has %d entries, must be from 1 to %d", len(g.Prefixes), maxPrefixes)
+		c.failIf(len(g.Prefixes) == 0 || len(g.Prefixes) > maxPrefixes, at+"prefixes", "has %d entries, must be from 1 to %d", len(g.Prefixes), maxPrefixes)
 		for j, t := range g.Prefixes {
 			path := fmt.Sprintf("%sprefixes[%d]", at, j)
 			p, err := netip.ParsePrefix(t)
-			c.when(err != nil || p != p.Masked() || p.Addr().Is4In6(), path, "%.70q is no prefix, or has bits past its length", t)
-			c.when(prefixes[p] != "" && err == nil, path, "%s is also of group %s", t, prefixes[p])
+			c.failIf(err != nil || p != p.Masked() || p.Addr().Is4In6(), path, "%.70q is no prefix, or has bits past its length", t)
+			c.failIf(prefixes[p] != "" && err == nil, path, "%s is also of group %s", t, prefixes[p])
 			prefixes[p] = g.Name
 		}
 		for j, v := range g.Volumes {
 			path := fmt.Sprintf("%svolumes[%d]", at, j)
-			c.when(!volumes[v], path, "there is no volume %.70q", v)
-			c.when(grouped[v] != "", path, "%.70q is also of group %s", v, grouped[v])
+			c.failIf(!volumes[v], path, "there is no volume %.70q", v)
+			c.failIf(grouped[v] != "", path, "%.70q is also of group %s", v, grouped[v])
 			grouped[v] = g.Name
 		}
 	}
@@ -659,14 +659,14 @@
 }
 
 func (t *Target) check(c *checker) {
-	c.when(!prefixForm.MatchString(t.Prefix), "target.prefix", "%.70q is not of the form iqn.yyyy-mm.name", t.Prefix)
-	c.between("target.window", float64(t.Window), 1, 4096)
-	c.between("target.max_sessions", float64(t.MaxSessions), 1, 65535)
-	c.between("target.memory_bytes", float64(t.Memory), 4<<20, math.MaxInt32)
-	c.between("target.login_ms", t.LoginTime, 10, 600000)
-	c.between("target.write_ms", t.WriteTime, 10, 600000)
-	c.between("target.ping_ms", t.PingEvery, 10, 3600000)
-	c.between("target.stop_ms", t.StopTime, 0, 600000)
+	c.failIf(!prefixPattern.MatchString(t.Prefix), "target.prefix", "%.70q is not of the form iqn.yyyy-mm.name", t.Prefix)
+	c.inRange("target.window", float64(t.Window), 1, 4096)
+	c.inRange("target.max_sessions", float64(t.MaxSessions), 1, 65535)
+	c.inRange("target.memory_bytes", float64(t.Memory), 4<<20, math.MaxInt32)
+	c.inRange("target.login_ms", t.LoginTime, 10, 600000)
+	c.inRange("target.write_ms", t.WriteTime, 10, 600000)
+	c.inRange("target.ping_ms", t.PingEvery, 10, 3600000)
+	c.inRange("target.stop_ms", t.StopTime, 0, 600000)
 	all := slices.Clone(t.Chap)
 	if t.Mutual != nil {
 		all = append(all, *t.Mutual)
@@ -676,18 +676,18 @@
 		if i >= len(t.Chap) {
 			path = "target.mutual"
 		}
-		c.when(k.User == "" || len(k.User) > 255, path+".user", "must have 1 to 255 bytes")
+		c.failIf(k.User == "" || len(k.User) > 255, path+".user", "must have 1 to 255 bytes")
 		if k.Secret == Kept { // the store puts the secret in its place or says that there is none
 			continue
 		}
-		c.when(len(k.Secret) < 12 || len(k.Secret) > 255, path+".secret", "must have 12 to 255 bytes (RFC 7143 section 9.2.1 asks for 96 bits)")
-		c.when(i >= len(t.Chap) && slices.ContainsFunc(t.Chap, func(o Chap) bool { return o.Secret == k.Secret }), path+".secret", "is also a client's: each direction needs its own")
+		c.failIf(len(k.Secret) < 12 || len(k.Secret) > 255, path+".secret", "must have 12 to 255 bytes (RFC 7143 section 9.2.1 asks for 96 bits)")
+		c.failIf(i >= len(t.Chap) && slices.ContainsFunc(t.Chap, func(o Chap) bool { return o.Secret == k.Secret }), path+".secret", "is also a client's: each direction needs its own")
 	}
 }
 
 var (
-	effects = map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.Keyed, "unsafe": policy.NonIdempotent}
-	groups  = map[string]policy.DedupScope{"cell": policy.DedupShard, "zone": policy.DedupZone, "all": policy.DedupAll}
+	effectByName     = map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.Keyed, "unsafe": policy.NonIdempotent}
+	dedupScopeByName = map[string]policy.DedupScope{"cell": policy.DedupShard, "zone": policy.DedupZone, "all": policy.DedupAll}
 )
 
 // Policy returns what the module of host number self in that zone is told.
@@ -714,7 +714,7 @@
 	}
 	for _, k := range s.Classes {
 		p.Classes = append(p.Classes, policy.Class{Name: k.Name, Value: k.Worth, LateValue: k.LateWorth,
-			LatencyTarget: k.Aim, Deadline: k.Deadline, Effect: effects[k.Effect], DedupScope: groups[k.Group],
+			LatencyTarget: k.Aim, Deadline: k.Deadline, Effect: effectByName[k.Effect], DedupScope: dedupScopeByName[k.Group],
 			DedupWindow: k.Window, Ordered: k.Ordered})
 	}
 	for _, l := range s.Plans {
--- a/internal/control/settings/settings_test.go
+++ b/internal/control/settings/settings_test.go
@@ -17,7 +17,7 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-func TestExampleIsSound(t *testing.T) {
+func TestExampleIsValid(t *testing.T) {
 	for _, n := range [][2]int{{1, 1}, {3, 9}, {170, 47}} {
 		if err := Example(n[0], n[1]).Check(); err != nil {
 			t.Errorf("%v: %v", n, err)
@@ -115,7 +115,7 @@
 	})
 }
 
-func TestParts(t *testing.T) {
+func TestSegments(t *testing.T) {
 	v := &Volume{Extent: 10, Layout: []int{3, 5, 5}}
 	got := slices.Collect(v.Parts(5, 50))
 	want := []Part{{3, 5, 5, 0}, {5, 10, 20, 1}, {3, 30, 10, 3}, {5, 40, 15, 4}}
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestClassOf(t *testing.T) {
+func TestClass(t *testing.T) {
 	s := Example(3, 9)
 	for _, c := range []struct {
 		op   scsi.Op
@@ -150,7 +150,7 @@
 }
 
 // A snapshot is found whole, found missing, or found damaged, never half used.
-func TestSnapshot(t *testing.T) {
+func TestDamagedSnapshot(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings")
 	if _, err := Load(file, nil); !errors.Is(err, ErrNone) {
 		t.Fatalf("none: %v", err)
@@ -187,7 +187,7 @@
 }
 
 // Of changes made from the same version, one is accepted.
-func TestStaleVersions(t *testing.T) {
+func TestOneChangePerVersion(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings")
 	st, err := Open(file, nil)
 	if err != nil {
@@ -237,7 +237,7 @@
 
 // Clocks of a service over two regions run apart: a server that is cold by its own clock
 // was warm by a host's, which went 10% faster, and was pushed over.
-func TestAColdServerIsColdByEveryClock(t *testing.T) {
+func TestColdTimesAllowForClockDrift(t *testing.T) {
 	s := Example(4, 8)
 	s.Regions = &Regions{Lease: 8000, Quiet: 2000, Drift: 0.1, Hosts: []int{0, 1, 0, 1}}
 	p := s.Policy(0, "")
--- a/internal/control/settings/store.go
+++ b/internal/control/settings/store.go
@@ -51,7 +51,7 @@
 	return b.String()
 }
 
-const snapshotHead = "merlinhitch-settings"
+const snapshotMagic = "merlinhitch-settings"
 
 // Load reads a snapshot. Its secrets are opened with the key; without one it must have
 // none.
@@ -69,7 +69,7 @@
 	if !ok {
 		return nil, &DamagedError{file, "no head line"}
 	}
-	if _, err := fmt.Sscanf(string(head), snapshotHead+" 1 %d %x", &n, &sum); err != nil {
+	if _, err := fmt.Sscanf(string(head), snapshotMagic+" 1 %d %x", &n, &sum); err != nil {
 		return nil, &DamagedError{file, "head line not understood"}
 	}
 	if len(body) != n {
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, &DamagedError{file, err.Error()}
 	}
-	return s, s.open(k)
+	return s, s.unsealSecrets(k)
 }
 
 // Save writes a snapshot so that a reader, or a start after a crash at any point,
@@ -91,12 +91,12 @@
 	if s.HasSecrets() && k == nil {
 		return ErrNoKey
 	}
-	body, err := json.MarshalIndent(s.sealed(k), "", " ")
+	body, err := json.MarshalIndent(s.withSealedSecrets(k), "", " ")
 	if err != nil {
 		return err
 	}
 	body = append(body, '\n')
-	head := fmt.Sprintf("%s 1 %d %016x\n", snapshotHead, len(body), xxhash.Sum64(body))
+	head := fmt.Sprintf("%s 1 %d %016x\n", snapshotMagic, len(body), xxhash.Sum64(body))
 	return durable.Replace(file, 0o600, func(f *os.File) error {
 		_, err := f.Write(append([]byte(head), body...))
 		return err
--- a/internal/control/settings/tree.go
+++ b/internal/control/settings/tree.go
@@ -19,7 +19,7 @@
 	if s == nil {
 		return t, nil
 	}
-	b, err := json.Marshal(s.sealed(k))
+	b, err := json.Marshal(s.withSealedSecrets(k))
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 		return nil, &FaultsError{[]Fault{jsonFault(err)}}
 	}
 	s.Version = version
-	return s, s.open(k)
+	return s, s.unsealSecrets(k)
 }
 
 // Diff lists what makes b of a; their secrets are compared and shown sealed.
