--- a/internal/simulation/world/lint_test.go
+++ b/internal/simulation/world/lint_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// cores are given times and bytes: they meet neither the clock nor the network, and
-// start nothing. Files named after a slash are shells in the same package.
+// cores are the packages whose files must not use the clock, the network or goroutines; they get
+// times and bytes as arguments. The files listed for a package are exempt, as they are shells.
 var cores = map[string][]string{
 	"policy": nil, "iscsi": nil, "scsi": nil, "reserve": nil, "diskproto": nil, "announce": nil, "rates": nil, "rules": nil,
 	"placement": nil, "plan": nil, "region": nil,
@@ -21,19 +21,20 @@
 	"bgp": {"speaker.go"}, "inventory": {"client.go", "caller.go"},
 }
 
-// shells run in the world: all that they do to the outside goes through package env.
+// shells are the packages that run in the world and may use the outside only through package env.
+// Of a package that is also in cores, the files listed there are checked.
 var shells = []string{"gateway", "writequeue", "initiator", "standin", "bgp", "inventory", "scheduler"}
 
-// allowedFindings are the lines that a world has no part in, each with its reason.
+// allowedFindings are the exempted findings, each with its reason.
 var allowedFindings = map[string]string{
-	"gateway/gateway.go: go statement": "the admin API of HTTP, which a world has not",
+	"gateway/gateway.go: go statement": "the HTTP admin API does not run in a world",
 }
 
 var forbiddenCoreImports = []string{"net", "net/http", "os", "os/exec", "time", "context", "sync", "crypto/rand", "math/rand", "runtime"}
 
 var forbiddenShellImports = []string{"os/exec", "crypto/rand", "math/rand"}
 
-// forbiddenShellCalls reach past package env.
+// forbiddenShellCalls are functions, by package, that bypass package env.
 var forbiddenShellCalls = map[string][]string{
 	"time":    {"Now", "Sleep", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick", "Since", "Until"},
 	"net":     {"Dial", "DialTimeout", "Listen", "ListenPacket"},
@@ -42,7 +43,8 @@
 	"context": {"WithTimeout", "WithDeadline"},
 }
 
-// forbiddenUses names what in a file reaches past package env; core is stricter.
+// forbiddenUses returns the imports, calls and statements in a file that bypass package env; a core
+// may import less than a shell.
 func forbiddenUses(name string, src any, core bool) (findings []string, err error) {
 	files := token.NewFileSet()
 	f, err := parser.ParseFile(files, name, src, 0)
@@ -89,7 +91,8 @@
 	return findings, nil
 }
 
-// Nothing that runs in the world reaches past package env.
+// No file of a core or shell may bypass package env, since a run would then depend on more than its
+// seed.
 func TestOnlyEnvReachesOutside(t *testing.T) {
 	files := 0
 	checkDir := func(dir string, core bool, include func(file string) bool) {
@@ -121,11 +124,12 @@
 		checkDir(dir, false, func(file string) bool { return cores[dir] == nil || contains(cores[dir], file) })
 	}
 	if files < 40 {
-		t.Errorf("only %d files were looked at", files)
+		t.Errorf("checked only %d files, want at least 40", files)
 	}
 }
 
-// sourceFiles are the files of a package, which stands at the top or in a group under internal.
+// sourceFiles returns the Go files of a package, which is at the top level or in a group under
+// internal.
 func sourceFiles(t *testing.T, name string) []string {
 	t.Helper()
 	for _, dir := range []string{filepath.Join("..", "..", "..", name), filepath.Join("..", "..", "*", name)} {
@@ -150,7 +154,6 @@
 	return false
 }
 
-// The check rejects each thing that it is for.
 func TestForbiddenUsesRejects(t *testing.T) {
 	for _, source := range []string{
 		"import \"time\"\nfunc f() { time.Now() }", "import \"time\"\nfunc f() { time.Sleep(1) }", "func f() { go f() }",
--- a/internal/simulation/world/net.go
+++ b/internal/simulation/world/net.go
@@ -16,37 +16,36 @@
 // LinkState is the state of a link in one direction.
 type LinkState struct {
 	Delay      time.Duration
-	Jitter     time.Duration // up to so much more, drawn for each segment
-	Loss       float64       // part of the segments that are lost and sent again
-	SplitReads bool          // the reader gets a few bytes at a time
-	// Partitioned: nothing passes. What was sent waits at the sender, as with TCP, and goes on
-	// some time after the cut has ended.
+	Jitter     time.Duration // upper bound of a random delay that is added per segment
+	Loss       float64       // probability that a segment is lost and retransmitted
+	SplitReads bool          // reads return at most 7 bytes
+	// Partitioned: nothing passes. As with TCP, sent bytes stay at the sender and are retransmitted
+	// within maxRecoveryDelay after the partition ends.
 	Partitioned bool
 }
 
-// Link is a way from one process to another that has a state of its own.
+// Link is the direction from one process to another.
 type Link struct {
 	LinkState
 	world        *World
-	blockedConns []*conn // with segments that a cut keeps back
+	blockedConns []*conn // with segments that are blocked by a partition
 }
 
-// Names of processes, without the number of their start.
+// linkKey holds stable names, see StableName.
 type linkKey struct{ from, to string }
 
 const (
-	// maxInFlight bounds the bytes that are on the way or unread, a direction.
+	// maxInFlight bounds the bytes per direction that are sent and not yet read.
 	maxInFlight = 256 << 10
-	// initialRTO is the first time after which a lost segment is sent again; each further
-	// one takes twice as long (RFC 6298 section 5.5, with the least time of common
-	// systems).
+	// initialRTO is the retransmission timeout of a segment's first loss; it doubles with each
+	// further one (RFC 6298 section 5.5, with the minimum RTO of common systems).
 	initialRTO = 200 * time.Millisecond
-	// maxRecoveryDelay bounds how long after a cut its end is noticed.
+	// maxRecoveryDelay bounds the time from the end of a partition to the retransmission.
 	maxRecoveryDelay = 2 * time.Second
 )
 
-// Link returns the way from one process to another, by the names that stay when a
-// process is started again: those before a '#'. It begins with the world's Net.
+// Link returns the link between two processes, given by their stable names. A new link has the
+// state DefaultLink.
 func (w *World) Link(from, to string) *Link {
 	key := linkKey{from, to}
 	link := w.links[key]
@@ -57,7 +56,8 @@
 	return link
 }
 
-// SetState changes the link.
+// SetState changes the state of the link. After a partition each blocked connection resumes at a
+// random time.
 func (l *Link) SetState(state LinkState) {
 	l.world.hashEvent('l', uint64(state.Delay), int(state.Loss*1000))
 	healed := l.Partitioned && !state.Partitioned
@@ -73,7 +73,8 @@
 	}
 }
 
-// StableName is a process's name without the number of its start.
+// StableName returns a process's name without the start number after '#', so that it is the same
+// after a restart.
 func StableName(name string) string {
 	for i := range len(name) {
 		if name[i] == '#' {
@@ -89,30 +90,30 @@
 func (addr) Network() string  { return "tcp" }
 func (a addr) String() string { return string(a) }
 
-// Observer is told what passes on a connection, at the end that it stands by.
+// Observer receives what passes one end of an observed connection.
 type Observer interface {
-	// Bytes is what passes, up from the dialling side.
+	// Bytes is called for bytes sent or delivered at that end.
 	Bytes(fromDialler bool, b []byte)
-	// Closed is called once; up if the dialling side ended it.
+	// Closed is called once, at the first close or reset at that end.
 	Closed(byDialler bool)
 }
 
-// alias is an address behind which a listener can change, and which may be observed.
+// alias is an address whose target can change and whose connections may be observed.
 type alias struct {
 	target      string
-	atDialler   bool // the observer stands by the dialling side
+	atDialler   bool // the observer is at the dialling end
 	newObserver func() Observer
 }
 
-// Alias makes an address that leads to target. observe, if any, is called for each
-// connection made to it; its observer stands by the dialling or the listening side.
+// Alias returns a new address that leads to target. newObserver, unless nil, is called for each
+// connection made to it; the observer is at the dialling or the accepting end.
 func (w *World) Alias(target string, atDialler bool, newObserver func() Observer) string {
 	address := w.newAddress()
 	w.aliases[address] = &alias{target, atDialler, newObserver}
 	return address
 }
 
-// RetargetAlias has an alias lead elsewhere from now on.
+// RetargetAlias changes the target of an alias for new connections.
 func (w *World) RetargetAlias(address, target string) { w.aliases[address].target = target }
 
 func (w *World) newAddress() string {
@@ -204,7 +205,7 @@
 			return fail(err)
 		}
 		l := w.listeners[target]
-		if l == nil { // refused by the machine, which is there
+		if l == nil { // nothing listens: the host refuses
 			w.sleep(p, min(2*w.DefaultLink.Delay, deadline-w.now))
 			return fail(syscall.ECONNREFUSED)
 		}
@@ -227,7 +228,7 @@
 	}
 }
 
-// sleep has the running goroutine of p wait.
+// sleep parks the running task of p for a duration.
 func (w *World) sleep(p *Process, duration time.Duration) {
 	k := &parker{world: w}
 	elapsed := false
@@ -251,7 +252,8 @@
 	return delay
 }
 
-// connect makes both ends; the listener has its end once the first segment is there.
+// connect makes both ends of a connection. The accepting end enters the backlog after one link
+// delay.
 func (w *World) connect(p *Process, l *listener, address string, a *alias, outLink, backLink *Link) *conn {
 	w.nextConn++
 	dialling := &conn{world: w, proc: p, id: 2 * w.nextConn, fromDialler: true, local: addr(w.newAddress()), remote: addr(address), link: outLink}
@@ -288,31 +290,31 @@
 	proc          *Process
 	peer          *conn
 	id            uint64
-	fromDialler   bool // the dialling side's
+	fromDialler   bool // this is the dialling end
 	local, remote addr
-	link          *Link // on which it sends
+	link          *Link // for the direction that this end sends in
 	observer      Observer
-	closeObserved bool // its end has been told
+	closeObserved bool // the observer has got Closed
 
-	received           [][]byte // that came and is unread
+	received           [][]byte // delivered and not read
 	unreadBytes        int
-	finReceived        bool // the other side's end has come
-	resetReceived      bool // by a reset
+	finReceived        bool // the peer has closed its sending direction
+	resetReceived      bool // or the connection was reset at this end
 	closed             bool
-	writeClosed        bool // this side sends no more
-	hostLost           bool // its machine is gone: what comes is not answered
-	inFlight           int  // bytes that it sent and the other side has not read
+	writeClosed        bool // nothing more may be written
+	hostLost           bool // the host is lost: deliveries are dropped without a reset
+	inFlight           int  // bytes written and not yet read by the peer
 	lastArrival        time.Duration
-	blockedSegments    []segment // back, by a cut
+	blockedSegments    []segment // by a partition
 	readParker         *parker
 	writeParker        *parker
-	readDeadline       time.Duration // 0: no limit
+	readDeadline       time.Duration // 0: none
 	writeDeadline      time.Duration
 	armedReadDeadline  time.Duration
 	armedWriteDeadline time.Duration
 }
 
-// segment is bytes on the way, or the end of a direction.
+// segment is bytes in transit, or the end of a direction (FIN).
 type segment struct {
 	data []byte
 	fin  bool
@@ -326,7 +328,7 @@
 	return c.consume(buffer), nil
 }
 
-// ReadAvailable reads what has come, and waits for nothing.
+// ReadAvailable reads bytes that were delivered; env.ErrNoData if there are none.
 func (c *conn) ReadAvailable(buffer []byte) (int, error) {
 	if err := c.readState(); err != nil {
 		return 0, err
@@ -334,7 +336,7 @@
 	return c.consume(buffer), nil
 }
 
-// WaitReadable waits until bytes have come, and leaves them.
+// WaitReadable waits until bytes were delivered, and does not consume them.
 func (c *conn) WaitReadable() error {
 	for {
 		if err := c.readState(); err != env.ErrNoData {
@@ -351,7 +353,8 @@
 	}
 }
 
-// readState tells what a read finds now: nil where bytes have readState.
+// readState returns nil if bytes can be read now, env.ErrNoData if a read has to wait, or the
+// read error.
 func (c *conn) readState() error {
 	switch {
 	case c.closed:
@@ -422,7 +425,8 @@
 	}
 }
 
-// sendSegment puts a segment on the link, in order.
+// sendSegment schedules the delivery of a segment, in order behind earlier ones. A segment is lost
+// at most four times.
 func (c *conn) sendSegment(s segment) {
 	l := c.link
 	if l.Partitioned || len(c.blockedSegments) > 0 {
@@ -443,7 +447,7 @@
 	c.world.schedule(arrival-c.world.now, func() { receiver.deliver(s) })
 }
 
-// resumeSending sends what a cut kept back, unless there is a new one.
+// resumeSending sends the segments that a partition blocked; a new partition blocks them again.
 func (c *conn) resumeSending() {
 	segments := c.blockedSegments
 	if len(segments) == 0 {
@@ -461,7 +465,7 @@
 	case c.hostLost:
 		return
 	case c.closed || c.resetReceived:
-		if !s.fin { // nobody reads it: the sender learns of that
+		if !s.fin { // nobody reads: the sender gets a reset
 			c.world.schedule(c.link.drawDelay(), c.peer.reset)
 		}
 		return
@@ -478,7 +482,7 @@
 	c.readParker.Unpark()
 }
 
-// reset breaks the connection at this end.
+// reset marks the connection as reset at this end and wakes its reader and writer.
 func (c *conn) reset() {
 	if c.closed || c.resetReceived {
 		return
@@ -508,7 +512,7 @@
 	return nil
 }
 
-// closeSide ends this side; what it had sent still goes.
+// closeSide closes this end; bytes that were already written are still delivered.
 func (c *conn) closeSide() {
 	c.closed = true
 	c.notifyClosed(c.fromDialler)
@@ -519,7 +523,7 @@
 	c.writeParker.Unpark()
 }
 
-// CloseWrite ends what this side sends.
+// CloseWrite closes the sending direction.
 func (c *conn) CloseWrite() error {
 	if c.closed || c.resetReceived || c.proc.dead {
 		return net.ErrClosed
@@ -532,7 +536,7 @@
 	return nil
 }
 
-// closeWithProcess ends this side with its process.
+// closeWithProcess closes this end when its process is killed.
 func (c *conn) closeWithProcess(mode KillMode) {
 	if c.closed {
 		return
--- a/internal/simulation/world/process.go
+++ b/internal/simulation/world/process.go
@@ -9,8 +9,8 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// Process is a program's place in the world: its goroutines, timers, sockets and its
-// view of the clock. It implements env.Environment.
+// Process is a simulated process with its goroutines, timers, sockets and
+// clock. It implements env.Environment.
 type Process struct {
 	world        *World
 	name         string
@@ -18,21 +18,21 @@
 	rng          *rand.Rand
 	tasks        []*task
 	idleTasks    []*task
-	stalledTasks []*task // ready, but the process is stalled
+	stalledTasks []*task // ready to run, but the process is stalled
 	conns        []*conn
 	listeners    []*listener
-	clockOffset  time.Duration // what its clock is ahead
-	clockRate    float64       // seconds of its clock in one
+	clockOffset  time.Duration // added to its clock
+	clockRate    float64       // seconds of its clock per second of the world
 	stalled      bool
 	dead         bool
-	// Cores is what Processors tells; at least 1.
+	// Cores is the result of Processors, at least 1.
 	Cores int
-	// writesUntilCrash counts down the writes until the process dies with the last of them.
+	// writesUntilCrash counts down the writes; the process crashes after the last. 0: off.
 	writesUntilCrash int
 	onCrash          func()
 }
 
-// StartProcess starts a process.
+// StartProcess adds a process. Its random source depends on the seed and the name only.
 func (w *World) StartProcess(name string) *Process {
 	p := &Process{world: w, name: name, id: uint64(len(w.processes)), Cores: 2, clockRate: 1, rng: rand.New(rand.NewPCG(w.seed, xxhash.Sum64String(name)))}
 	w.processes = append(w.processes, p)
@@ -47,10 +47,11 @@
 	return time.Duration(float64(p.world.now)*p.clockRate) + p.clockOffset
 }
 
-// SetClockRate has the process's clock run at so many times the world's, from its start on.
+// SetClockRate makes the process's clock run at this rate of the world's clock, counted from time
+// 0 of the world. Call it before the process reads its clock.
 func (p *Process) SetClockRate(rate float64) { p.clockRate = rate }
 
-// epoch is when every world begins.
+// epoch is the wall-clock time of time 0.
 var epoch = time.Unix(1_000_000_000, 0)
 
 // Deadline implements env.Environment.
@@ -104,7 +105,7 @@
 func (p *Process) AfterFunc(delay time.Duration, f func()) env.Timer {
 	t := &timer{proc: p, callback: f}
 	if p.clockRate != 1 {
-		delay = time.Duration(float64(delay)/p.clockRate) + 1 // no earlier than its clock shows
+		delay = time.Duration(float64(delay)/p.clockRate) + 1 // rounded up: a timer must not fire before its time on this clock
 	}
 	p.world.pushEvent(event{at: p.world.now + max(delay, 0), timer: t})
 	return t
@@ -113,7 +114,7 @@
 // parker implements env.Parker.
 type parker struct {
 	world  *World
-	waiter *task // that waits
+	waiter *task // parked task
 	permit bool
 }
 
@@ -138,17 +139,16 @@
 	}
 }
 
-// KillMode is how a process comes to its end.
+// KillMode is how a process is killed.
 type KillMode int
 
-// The endings.
 const (
-	Crash    KillMode = iota // its machine closes its sockets
-	HostLoss                 // the machine is gone with it: nobody is told anything
+	Crash    KillMode = iota // its host closes its sockets
+	HostLoss                 // its host vanishes: peers get neither FIN nor reset
 )
 
-// Kill ends the process at once, wherever its goroutines are; nothing that they would
-// still have done happens. Not from one of its own.
+// Kill ends the process at once, whatever its goroutines are doing. They unwind: their deferred
+// functions run but cannot wait. Kill must not be called from a goroutine of the process.
 func (p *Process) Kill(mode KillMode) {
 	if p.dead {
 		return
@@ -173,11 +173,11 @@
 	p.tasks, p.idleTasks, p.stalledTasks, p.conns, p.listeners = nil, nil, nil, nil, nil
 }
 
-// Dead tells whether the process has ended.
+// Dead reports whether the process was killed.
 func (p *Process) Dead() bool { return p.dead }
 
-// Stall has the process stand still for so long: its machine still takes bytes, and all
-// that came due meanwhile happens as it wakes.
+// Stall stops the process's goroutines and timer callbacks for a duration. Its sockets still
+// receive; all that became due meanwhile runs when it ends.
 func (p *Process) Stall(duration time.Duration) {
 	if p.dead || p.stalled {
 		return
@@ -194,7 +194,8 @@
 	})
 }
 
-// AdvanceClock sets the process's clock forward: its timers come due so much earlier.
+// AdvanceClock moves the process's clock and its pending timers forward. Read and write deadlines
+// do not move.
 func (p *Process) AdvanceClock(d time.Duration) {
 	p.world.hashEvent('j', p.id, int(d))
 	p.clockOffset += d
@@ -209,8 +210,8 @@
 	}
 }
 
-// CrashAfterWrites has the process end, like by Kill(Crash), as the bytes of its n-th
-// write from now are on the wire; 0: no more. then is called as it happens.
+// CrashAfterWrites kills the process as Kill(Crash) does, after its next writes-th write has been
+// sent; onCrash is called just before. writes = 0 turns this off.
 func (p *Process) CrashAfterWrites(writes int, onCrash func()) {
 	p.writesUntilCrash, p.onCrash = writes, onCrash
 }
--- a/internal/simulation/world/world.go
+++ b/internal/simulation/world/world.go
@@ -1,11 +1,9 @@
-// Package world is a machine room in one process: a virtual clock, timers, a network
-// and processes under one queue of events, all drawn from one seed. The product's own
-// shells and cores run in it through package env; what they run is the same code as
-// on sockets. One goroutine runs at a time, and which one is next follows from the
-// seed alone, so a run is the same at any number of processors.
+// Package world simulates hosts and a network in one process: a virtual clock, timers, connections
+// and processes run from one event queue. The program's own cores and shells run in it unchanged
+// through package env.
 //
-// It never reads the machine's clock, its network or its random source, and it never
-// decides anything for the product.
+// One goroutine runs at a time, and the seed alone determines which one is next, so a run is the same
+// at any number of processors. The machine's clock, network and random source are not used.
 package world
 
 import (
@@ -18,11 +16,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// World is one virtual machine room. It is used from one goroutine: that of Run, and
-// those which Run runs.
+// World is one simulation. It may be used only by the caller of Run and by the goroutines that
+// Run runs.
 type World struct {
-	Steps        uint64    // events and turns of goroutines so far
-	DefaultLink  LinkState // the network's ordinary state, for links that have none of their own
+	Steps        uint64    // events and task runs so far
+	DefaultLink  LinkState // initial state of links
 	now          time.Duration
 	lastEventSeq uint64
 	events       []event
@@ -43,48 +41,48 @@
 	haltErr error
 }
 
-// event is something that happens at a time; equals happen in the order in which they
-// were set.
+// event is a callback at a time. Events of the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at     time.Duration
 	seq    uint64
 	action func()
-	timer  *timer // of a process, which may be stalled, killed or its clock jump
+	timer  *timer // of a process, which may be stalled or killed or have its clock advanced
 }
 
-// New makes an empty world. Equal seeds and equal programs make equal runs.
+// New returns an empty world. The same seed and the same programs give the same run.
 func New(seed uint64) *World {
 	return &World{DefaultLink: LinkState{Delay: 100 * time.Microsecond, Jitter: 50 * time.Microsecond}, rng: rand.New(rand.NewPCG(seed, 31)), seed: seed,
 		digest: xxhash.New(), listeners: map[string]*listener{}, aliases: map[string]*alias{}, links: map[linkKey]*Link{}, nextPort: 20000}
 }
 
-// Now is the time since the world began.
+// Now returns the virtual time since the start.
 func (w *World) Now() time.Duration { return w.now }
 
-// Digest is a hash of everything that has happened: times, turns and bytes on links.
+// Digest returns a hash of the run so far: event times, task runs and bytes on links.
 func (w *World) Digest() uint64 { return w.digest.Sum64() }
 
-// Halt ends Run with that error as soon as the present turn is over.
+// Halt makes Run return err once the current event or task run is over. Only the first call counts.
 func (w *World) Halt(err error) {
 	if w.haltErr == nil {
 		w.haltErr = err
 	}
 }
 
-// StuckError says that a run did not come to its end.
+// StuckError reports that main did not return.
 type StuckError struct {
 	At       time.Duration
-	NoEvents bool // nothing was left that could ever happen
+	NoEvents bool // no task was ready and no event pending
 }
 
 func (e *StuckError) Error() string {
 	if e.NoEvents {
-		return fmt.Sprintf("world: nothing can happen any more at %.3f s", e.At.Seconds())
+		return fmt.Sprintf("world: no task is ready and no event is pending at %.3f s", e.At.Seconds())
 	}
-	return fmt.Sprintf("world: not at its end by %.3f s", e.At.Seconds())
+	return fmt.Sprintf("world: main has not returned by the time limit, last event at %.3f s", e.At.Seconds())
 }
 
-// CrashError is a panic of a program in the world.
+// CrashError reports a panic in a process.
 type CrashError struct {
 	Process string
 	Value   any
@@ -92,13 +90,12 @@
 }
 
 func (e *CrashError) Error() string {
-	return fmt.Sprintf("world: %s crashed: %v\n%s", e.Process, e.Value, e.Stack)
+	return fmt.Sprintf("world: process %s panicked: %v\n%s", e.Process, e.Value, e.Stack)
 }
 
-// Run runs main in a process of that name until it returns, and everything else
-// meanwhile. It fails when that takes more virtual time than most, when nothing can
-// happen any more, when a program panics, or with what Halt was told. Afterwards every
-// process is dead.
+// Run runs main in a new process until it returns, and all other processes meanwhile. It fails if
+// virtual time would exceed maxTime, no event is left, a process panics or Halt is called. In the
+// end it kills all processes.
 func (w *World) Run(name string, maxTime time.Duration, main func(p *Process)) error {
 	defer w.killAll()
 	mainDone := false
@@ -115,7 +112,8 @@
 	return w.haltErr
 }
 
-// step does the next thing; false if there is none, or it is too late for it.
+// step runs one callback, task or event. It returns false if there is none, or if the next event is
+// later than maxTime.
 func (w *World) step(maxTime time.Duration) bool {
 	w.Steps++
 	if len(w.immediate) > 0 {
@@ -142,14 +140,14 @@
 	return true
 }
 
-// killAll kills what still runs, so that no goroutine is left behind.
+// killAll kills all processes, so that no goroutine leaks.
 func (w *World) killAll() {
 	for _, p := range w.processes {
 		p.Kill(HostLoss)
 	}
 }
 
-// hashEvent enters something that happened into the digest.
+// hashEvent adds an event to the digest.
 func (w *World) hashEvent(kind byte, id uint64, value int) {
 	var b [25]byte
 	b[0] = kind
@@ -165,7 +163,7 @@
 	}
 }
 
-// schedule has f happen d from now.
+// schedule runs action after delay.
 func (w *World) schedule(delay time.Duration, action func()) {
 	w.pushEvent(event{at: w.now + max(delay, 0), action: action})
 }
@@ -214,10 +212,10 @@
 	return first
 }
 
-// task is a goroutine of a process. It is used again for the process's next ones.
+// task is a goroutine of a process. Once its function has returned it is reused.
 type task struct {
 	proc   *Process
-	index  int // among its process's
+	index  int // in Process.tasks
 	fn     func()
 	resume func() (struct{}, bool)
 	stop   func()
@@ -225,7 +223,7 @@
 	dead   bool
 }
 
-// processKilled unwinds the goroutines of a process that ends.
+// processKilled is the panic value that unwinds the goroutines of a killed process.
 type processKilled struct{}
 
 func (w *World) newTask(p *Process) *task {
@@ -263,7 +261,7 @@
 	t.fn()
 }
 
-// runTask lets a goroutine run until it waits.
+// runTask runs a task until it parks.
 func (w *World) runTask(t *task) {
 	w.hashEvent('t', t.proc.id, t.index)
 	w.running = t
@@ -271,11 +269,11 @@
 	w.running = nil
 }
 
-// parkRunning has the running goroutine wait until it is made ready.
+// parkRunning parks the running task until wake is called for it.
 func (w *World) parkRunning() {
 	t := w.running
 	if t == nil {
-		panic("world: a wait outside of a goroutine of the world")
+		panic("world: park outside of a task")
 	}
 	if t.dead || !t.yield(struct{}{}) {
 		t.dead = true
@@ -283,7 +281,7 @@
 	}
 }
 
-// wake makes a goroutine ready.
+// wake makes a task ready, or defers that to the end of its process's stall.
 func (w *World) wake(t *task) {
 	switch {
 	case t.dead:
@@ -294,7 +292,7 @@
 	}
 }
 
-// taskQueue is a queue of goroutines that can run.
+// taskQueue is a FIFO queue of ready tasks.
 type taskQueue struct {
 	tasks []*task
 	head  int
--- a/internal/simulation/world/world_test.go
+++ b/internal/simulation/world/world_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startServer starts a process that hands each connection to f.
+// startServer starts a process that runs handle for each connection.
 func startServer(t *testing.T, w *World, name string, handle func(p *Process, c net.Conn)) (p *Process, addr string) {
 	t.Helper()
 	p = w.StartProcess(name)
@@ -71,13 +71,13 @@
 				t.Errorf("%+v: %v", state, err)
 			}
 			if p.Now() < 2*time.Millisecond {
-				t.Errorf("%+v: it took %v", state, p.Now())
+				t.Errorf("%+v: %v elapsed, want at least 2ms", state, p.Now())
 			}
 		})
 	}
 }
 
-// A writer whose reader takes nothing waits, and at its deadline gives up.
+// A write blocks when the peer does not read, and fails at its deadline.
 func TestWriteBlocksAtWindow(t *testing.T) {
 	w := New(1)
 	_, addr := startServer(t, w, "deaf", func(*Process, net.Conn) {})
@@ -86,7 +86,7 @@
 		c.SetWriteDeadline(p.Deadline(3 * time.Second))
 		n, err := c.Write(make([]byte, 1<<20))
 		if n != maxInFlight || !errors.Is(err, os.ErrDeadlineExceeded) || p.Now() < 3*time.Second {
-			t.Errorf("%d bytes taken, %v, at %v", n, err, p.Now())
+			t.Errorf("%d bytes written, %v, at %v", n, err, p.Now())
 		}
 	})
 }
@@ -104,8 +104,7 @@
 	})
 }
 
-// What a cut keeps back comes when it has healed, in order; a half-open connection
-// stays silent for ever.
+// Bytes blocked by a partition arrive in order after it; after a host loss reads time out.
 func TestPartitionAndHostLoss(t *testing.T) {
 	w := New(3)
 	remote, addr := startServer(t, w, "far#1", echoConn)
@@ -124,12 +123,12 @@
 		c.SetReadDeadline(p.Deadline(time.Minute))
 		c.Write([]byte("three"))
 		if _, err := c.Read(got); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("a machine that is gone said %v", err)
+			t.Errorf("read from a lost host: %v, want a timeout", err)
 		}
 	})
 }
 
-// A dial to where nobody listens is refused, over a cut it takes its whole time.
+// A dial to a closed port is refused; over a partition it runs into its timeout.
 func TestDialErrors(t *testing.T) {
 	w := New(3)
 	_, addr := startServer(t, w, "far", echoConn)
@@ -150,7 +149,7 @@
 	})
 }
 
-// The other side of a crash reads what was sent, then the end; writes are reset.
+// After a crash the peer reads what was sent and EOF; its later writes are reset.
 func TestCrashClosesSockets(t *testing.T) {
 	w := New(3)
 	remote, addr := startServer(t, w, "far", func(p *Process, c net.Conn) {
@@ -166,12 +165,12 @@
 		c.Write([]byte("?"))
 		env.Sleep(p, time.Second, nil)
 		if _, err := c.Write([]byte("?")); !errors.Is(err, syscall.ECONNRESET) {
-			t.Error("written to a dead process:", err)
+			t.Error("write to a crashed process:", err)
 		}
 	})
 }
 
-// A process that stands still misses nothing and is late for everything.
+// Timers and reads of a stalled process run when the stall ends; none is lost.
 func TestStalledProcessResumesLate(t *testing.T) {
 	w := New(3)
 	var firedAt, readAt time.Duration
@@ -189,7 +188,7 @@
 		env.Sleep(p, 6*time.Second, nil)
 	})
 	if firedAt < 5*time.Second || readAt < 5*time.Second {
-		t.Errorf("rang at %v, read at %v", firedAt, readAt)
+		t.Errorf("timer fired at %v, read returned at %v, want both after the stall of 5s", firedAt, readAt)
 	}
 }
 
@@ -202,12 +201,12 @@
 		other.AdvanceClock(2 * time.Second)
 		env.Sleep(p, 2*time.Second, nil)
 		if firedAt != time.Second || other.Now() != p.Now()+2*time.Second {
-			t.Error("rang at", firedAt, "clock", other.Now())
+			t.Error("timer fired at", firedAt, "clock", other.Now())
 		}
 	})
 }
 
-// Killed programs run nothing more, not even what they had put off.
+// A killed process runs nothing more, neither deferred waits nor timers.
 func TestKilledProcessRunsNothing(t *testing.T) {
 	w := New(3)
 	runs := 0
@@ -225,11 +224,11 @@
 		env.Sleep(p, 5*time.Second, nil)
 	})
 	if runs != 0 || w.StartProcess("r").Dead() {
-		t.Error(runs, "things were done after the end")
+		t.Error(runs, "callbacks ran in a killed process")
 	}
 }
 
-// A run that can't end says so, and a crash names its program.
+// A run that cannot end returns a StuckError, a panic a CrashError with the process's name.
 func TestRunErrors(t *testing.T) {
 	var stuckErr *StuckError
 	if err := New(1).Run("main", time.Second, func(p *Process) { p.NewParker().Park() }); !errors.As(err, &stuckErr) || !stuckErr.NoEvents {
@@ -257,7 +256,7 @@
 	*h.log = append(*h.log, map[bool]string{true: "up ", false: "down "}[up]+"closed")
 }
 
-// An observer hears what passes at its end, whichever listener the address leads to.
+// The observer gets what passes at its end, whichever target the alias has.
 func TestAliasAndObserver(t *testing.T) {
 	for _, atDialler := range []bool{true, false} {
 		w := New(1)
@@ -275,7 +274,7 @@
 			env.Sleep(p, time.Second, nil)
 		})
 		if got := strings.Join(log, ", "); got != "down one, down closed, up hey, down hey, up closed" {
-			t.Errorf("by the dialler %v: %s", atDialler, got)
+			t.Errorf("observer at the dialling end %v: %s", atDialler, got)
 		}
 	}
 }
