--- a/internal/control/expect/answer.go
+++ b/internal/control/expect/answer.go
@@ -241,7 +241,7 @@
 		lost = map[string]bool{}
 		s := *c.set
 		if strings.HasPrefix(e.Domain, "region-") {
-			s.Placement.Domain = settings.DomainRegion
+			s.Placement.FailureDomain = settings.DomainRegion
 		}
 		_, names := plan.FailOver(&s, e.Domain)
 		for _, n := range names {
@@ -313,7 +313,7 @@
 	d := &driver{scheduler: policy.New(p, 1), now: startTime - warmUpTime, requests: map[string]policy.Request{}, arrivals: map[string]float64{}, latencyTargets: map[string]float64{}, attempts: map[string]int{},
 		sentTo: map[string]int{}, requested: map[string]int{}, inTime: map[string]int{}, servedUnits: map[string]float64{}}
 	for _, k := range s.Classes {
-		d.latencyTargets[k.Name] = k.Aim
+		d.latencyTargets[k.Name] = k.LatencyTarget
 	}
 	d.handle(l)
 	return d
--- a/internal/control/gateway/announcer.go
+++ b/internal/control/gateway/announcer.go
@@ -84,8 +84,8 @@
 
 func announceConfig(a *settings.Announce) announce.Config {
 	defaults := announce.DefaultConfig
-	return announce.Config{Steady: valueOr(a.Steady, defaults.Steady), SteadyMost: valueOr(a.SteadyMost, defaults.SteadyMost), ResortMost: valueOr(a.ResortMost, defaults.ResortMost),
-		HalfLife: valueOr(a.HalfLife, defaults.HalfLife), ListBound: valueOr(a.ListBound, defaults.ListBound), BeatBound: valueOr(a.BeatBound, defaults.BeatBound)}
+	return announce.Config{Steady: valueOr(a.StableTime, defaults.Steady), SteadyMost: valueOr(a.MaxStableTime, defaults.SteadyMost), ResortMost: valueOr(a.MaxLastResortTime, defaults.ResortMost),
+		HalfLife: valueOr(a.LossHalfLife, defaults.HalfLife), ListBound: valueOr(a.MaxListAge, defaults.ListBound), BeatBound: valueOr(a.HeartbeatTimeout, defaults.BeatBound)}
 }
 
 // applySettings applies the groups and times of settings. The routers stay those of the start.
@@ -145,7 +145,7 @@
 		a.host.post(event{kind: eventRun, run: a.recordHeartbeat})
 	}
 	if now >= a.nextProbeAt {
-		a.nextProbeAt = now + env.Duration(valueOr(a.settings.Announce.ProbeEvery, defaultProbeIntervalMS))
+		a.nextProbeAt = now + env.Duration(valueOr(a.settings.Announce.ProbeInterval, defaultProbeIntervalMS))
 		for addr, shard := range a.readyNodes {
 			if a.announcedShards[shard] {
 				a.host.pool.probe(addr)
@@ -156,7 +156,7 @@
 	answeringShards, readyShards := map[int]bool{}, map[int]bool{}
 	for addr, shard := range a.readyNodes {
 		readyShards[shard] = true
-		if readAt, open := a.host.pool.lastRead(addr); open && env.MS(now-readAt) <= valueOr(a.settings.Announce.AnswerTime, defaultAnswerTimeoutMS) {
+		if readAt, open := a.host.pool.lastRead(addr); open && env.MS(now-readAt) <= valueOr(a.settings.Announce.ProbeTimeout, defaultAnswerTimeoutMS) {
 			answeringShards[shard] = true
 		}
 	}
@@ -229,7 +229,7 @@
 func (a *announcer) drainClients(wait func(time.Duration)) {
 	a.setStopPhase(announce.Leaving)
 	a.mu.Lock()
-	moveTime := valueOr(a.settings.Announce.MoveTime, defaultMoveTimeMS)
+	moveTime := valueOr(a.settings.Announce.DrainTime, defaultMoveTimeMS)
 	a.mu.Unlock()
 	wait(env.Duration(moveTime))
 	a.setStopPhase(announce.Left)
--- a/internal/control/gateway/announcer_test.go
+++ b/internal/control/gateway/announcer_test.go
@@ -36,7 +36,7 @@
 	t.Cleanup(router.Close)
 	h := newHarness(t, func(s *settings.Settings) {
 		s.Announce = &settings.Announce{AS: 65001, HoldTime: 9000, Routers: []settings.Router{{Name: "r0", Addr: router.Addr, AS: router.AS}},
-			Steady: 100, SteadyMost: 100, ResortMost: 100, MoveTime: 50,
+			StableTime: 100, MaxStableTime: 100, MaxLastResortTime: 100, DrainTime: 50,
 			Groups: []settings.AddressGroup{{Name: "mixed", Prefixes: []string{twoShardPrefix.String()}}, {Name: "alone", Prefixes: []string{oneShardPrefix.String()}}}}
 		for i := range s.Volumes {
 			volume := &s.Volumes[i]
@@ -212,9 +212,9 @@
 	}
 	t.Cleanup(router.Close)
 	s := settings.Example(1, 1)
-	s.Regions = &settings.Regions{Lease: 600, Quiet: 300, Drift: 0.01, Hosts: []int{0}}
+	s.Regions = &settings.Regions{LeaseTime: 600, PeerTimeout: 300, Drift: 0.01, Hosts: []int{0}}
 	s.Announce = &settings.Announce{AS: 65001, HoldTime: 9000, Routers: []settings.Router{{Name: "r0", Addr: router.Addr, AS: router.AS}},
-		Steady: 100, SteadyMost: 100, ResortMost: 100, MoveTime: 50,
+		StableTime: 100, MaxStableTime: 100, MaxLastResortTime: 100, DrainTime: 50,
 		Groups: []settings.AddressGroup{{Name: "all", Prefixes: []string{twoShardPrefix.String()}, Volumes: []string{s.Volumes[1].Name}}}}
 	savedState := &standin.InventoryState{Record: region.Begin(0, []region.ID{0}, make([][2]float64, len(s.Plans)))}
 	serveInventory := func(addr string, start uint64) *standin.Inventory {
--- a/internal/control/gateway/faults_test.go
+++ b/internal/control/gateway/faults_test.go
@@ -96,7 +96,7 @@
 	h := newHarness(t, func(s *settings.Settings) {
 		useOneShard(s)
 		for i := range s.Classes {
-			s.Classes[i].Aim, s.Classes[i].Deadline = 40, 200
+			s.Classes[i].LatencyTarget, s.Classes[i].Deadline = 40, 200
 		}
 	})
 	var lateTag atomic.Uint32
@@ -296,7 +296,7 @@
 	h := newHarness(t, func(s *settings.Settings) {
 		useOneShard(s)
 		for i := range s.Classes {
-			s.Classes[i].Aim, s.Classes[i].Deadline = 40, 300
+			s.Classes[i].LatencyTarget, s.Classes[i].Deadline = 40, 300
 		}
 	})
 	diskServer := h.startFakeDiskServer(func(attempt *receivedAttempt, request diskproto.Do) { attempt.answer(okAnswer(request)) })
--- a/internal/control/gateway/regions.go
+++ b/internal/control/gateway/regions.go
@@ -190,7 +190,7 @@
 const renewalsPerLease = 6
 
 func newLeaseRenewer(environment env.Environment, h *host, inventoryAddr string, regions *settings.Regions, log *zap.Logger) *leaseRenewer {
-	l := &leaseRenewer{environment: environment, host: h, caller: inventory.NewCaller(environment, func() string { return inventoryAddr }), interval: env.Duration(regions.Lease / renewalsPerLease), log: log}
+	l := &leaseRenewer{environment: environment, host: h, caller: inventory.NewCaller(environment, func() string { return inventoryAddr }), interval: env.Duration(regions.LeaseTime / renewalsPerLease), log: log}
 	h.requestLease = l.renewNow
 	environment.Go(l.run)
 	return l
--- a/internal/control/gateway/regions_test.go
+++ b/internal/control/gateway/regions_test.go
@@ -14,7 +14,7 @@
 // region 0 and node b in region 1. The policy sends each request to the nodes listed as ready.
 func newRegionalCore() (*core, *fakeScheduler, *fakeEffects) {
 	s := settings.Example(2, 1)
-	s.Regions = &settings.Regions{Lease: 1000, Quiet: 500, Drift: 0.1, Hosts: []int{0, 1}}
+	s.Regions = &settings.Regions{LeaseTime: 1000, PeerTimeout: 500, Drift: 0.1, Hosts: []int{0, 1}}
 	s.Plans[0].Copied = settings.AckBefore
 	effects := &fakeEffects{}
 	k := newCore(0, s, 0, "", 1, effects)
--- a/internal/control/gateway/settingschange_test.go
+++ b/internal/control/gateway/settingschange_test.go
@@ -47,7 +47,7 @@
 	h.changeSettings(func(s *settings.Settings) {
 		s.Limits.MaxAttempts = 1
 		for i := range s.Classes {
-			s.Classes[i].Aim, s.Classes[i].Deadline = 10, 10
+			s.Classes[i].LatencyTarget, s.Classes[i].Deadline = 10, 10
 		}
 	})
 	attempt.conn.Close() // the old settings allow a second attempt
@@ -100,11 +100,11 @@
 	h.execute(client, initiator.ReadCDB(0, 1), nil, 4096)
 	h.changeSettings(func(s *settings.Settings) {
 		plan := s.Plans[0]
-		plan.Name, plan.Limit, plan.Burst, plan.Slack = "novo", 0, 0, 0
+		plan.Name, plan.Limit, plan.Burst, plan.Overdraft = "novo", 0, 0, 0
 		s.Plans = append(s.Plans, plan)
 		s.Volumes[normalVolume].Plan = "novo"
-		class := settings.Class{Name: "own", Match: settings.Match{Ops: []string{"write"}, Plans: []string{"novo"}}, Worth: 1, LateWorth: 0.1,
-			Aim: 500, Deadline: 5000, Effect: "unsafe"}
+		class := settings.Class{Name: "own", Match: settings.Match{Ops: []string{"write"}, Plans: []string{"novo"}}, Value: 1, LateValue: 0.1,
+			LatencyTarget: 500, Deadline: 5000, Effect: "unsafe"}
 		s.Classes = append([]settings.Class{class}, s.Classes...)
 	})
 	h.execute(client, initiator.WriteCDB(0, 1), make([]byte, 4096), 0)
--- a/internal/control/settings/example.go
+++ b/internal/control/settings/example.go
@@ -6,16 +6,16 @@
 // and classes of every effect, the figures those of a small fuel card service.
 func Example(hosts, shards int) *Settings {
 	s := &Settings{
-		Hosts: hosts, Shards: shards, UnitBytes: 16384, MeanUnits: 2, MostUnits: 6, FairWorth: 1, SpareWorth: 0.05,
+		Hosts: hosts, Shards: shards, UnitBytes: 16384, MeanUnits: 2, MaxUnits: 6, FairFactor: 1, SpareFactor: 0.05,
 		Classes: []Class{
-			{Name: "swap", Match: Match{Ops: []string{"compare-and-write"}}, Worth: 3, LateWorth: 0.1, Aim: 500, Deadline: 4000, Effect: "unsafe"},
-			{Name: "txn-write", Match: Match{Ops: []string{"write", "write-same", "unmap"}, Plans: []string{"normal", "prioritario"}}, Worth: 3, LateWorth: 0.15, Aim: 500, Deadline: 4000, Effect: "keyed", Group: "cell", Window: 6000},
-			{Name: "claim-write", Match: Match{Ops: []string{"write", "write-same", "unmap"}}, Worth: 2, LateWorth: 0.15, Aim: 300, Deadline: 1500, Effect: "keyed", Group: "cell", Window: 1500, Ordered: true},
-			{Name: "card-read", Match: Match{Ops: []string{"read", "verify"}, MaxBytes: 65536}, Worth: 2, LateWorth: 0.1, Aim: 300, Deadline: 2000, Effect: "safe"},
-			{Name: "bulk-read", Match: Match{Ops: []string{"read", "verify"}}, Worth: 1, LateWorth: 0.2, Aim: 1500, Deadline: 5000, Effect: "safe"},
+			{Name: "swap", Match: Match{Ops: []string{"compare-and-write"}}, Value: 3, LateValue: 0.1, LatencyTarget: 500, Deadline: 4000, Effect: "unsafe"},
+			{Name: "txn-write", Match: Match{Ops: []string{"write", "write-same", "unmap"}, Plans: []string{"normal", "prioritario"}}, Value: 3, LateValue: 0.15, LatencyTarget: 500, Deadline: 4000, Effect: "keyed", DedupScope: "cell", DedupWindow: 6000},
+			{Name: "claim-write", Match: Match{Ops: []string{"write", "write-same", "unmap"}}, Value: 2, LateValue: 0.15, LatencyTarget: 300, Deadline: 1500, Effect: "keyed", DedupScope: "cell", DedupWindow: 1500, Ordered: true},
+			{Name: "card-read", Match: Match{Ops: []string{"read", "verify"}, MaxBytes: 65536}, Value: 2, LateValue: 0.1, LatencyTarget: 300, Deadline: 2000, Effect: "safe"},
+			{Name: "bulk-read", Match: Match{Ops: []string{"read", "verify"}}, Value: 1, LateValue: 0.2, LatencyTarget: 1500, Deadline: 5000, Effect: "safe"},
 		},
 		Plans: []Plan{
-			{Name: "basico", Price: 0.96, Weight: 1, Rate: 5, Limit: 40, Burst: 48, Slack: 10},
+			{Name: "basico", Price: 0.96, Weight: 1, Rate: 5, Limit: 40, Burst: 48, Overdraft: 10},
 			{Name: "normal", Price: 1, Weight: 3, Rate: 10},
 			{Name: "prioritario", Price: 1.5, Weight: 6, Rate: 15},
 		},
@@ -42,6 +42,6 @@
 		s.Nodes = append(s.Nodes, Node{Shard: i, Hall: fmt.Sprintf("hall-%c", 'a'+i%halls), Capacity: 140, Cost: 1})
 	}
 	s.Placement = DefaultPlacement
-	s.Placement.Survive = halls > 1
+	s.Placement.SurviveLoss = halls > 1
 	return s
 }
--- a/internal/control/settings/roll.go
+++ b/internal/control/settings/roll.go
@@ -40,11 +40,11 @@
 			continue
 		}
 		y := &b.Plans[j]
-		if x.Limit == y.Limit && x.Burst == y.Burst && x.Slack == y.Slack {
+		if x.Limit == y.Limit && x.Burst == y.Burst && x.Overdraft == y.Overdraft {
 			continue
 		}
-		p := RollPlan{x.Name, x.Limit, x.Burst, x.Slack}
-		p.tighten(y.Limit, y.Burst, y.Slack)
+		p := RollPlan{x.Name, x.Limit, x.Burst, x.Overdraft}
+		p.tighten(y.Limit, y.Burst, y.Overdraft)
 		r.Plans = append(r.Plans, p)
 	}
 	was := make(map[string]*Volume, len(a.Volumes))
@@ -127,9 +127,9 @@
 	h.Plans, h.Volumes = slices.Clone(s.Plans), slices.Clone(s.Volumes)
 	for _, p := range s.Roll.Plans {
 		if i := slices.IndexFunc(h.Plans, func(x Plan) bool { return x.Name == p.Name }); i >= 0 {
-			own := RollPlan{p.Name, h.Plans[i].Limit, h.Plans[i].Burst, h.Plans[i].Slack}
+			own := RollPlan{p.Name, h.Plans[i].Limit, h.Plans[i].Burst, h.Plans[i].Overdraft}
 			own.tighten(p.Limit, p.Burst, p.Slack)
-			h.Plans[i].Limit, h.Plans[i].Burst, h.Plans[i].Slack = own.Limit, own.Burst, own.Slack
+			h.Plans[i].Limit, h.Plans[i].Burst, h.Plans[i].Overdraft = own.Limit, own.Burst, own.Slack
 		}
 	}
 	held := make(map[string]*RollVolume, len(s.Roll.Volumes))
@@ -152,7 +152,7 @@
 			hosts = s.Roll.Volumes[i].Hosts
 		}
 	}
-	return len(s.Near(self, hosts))
+	return len(s.SameRegion(self, hosts))
 }
 
 func (s *Settings) checkRoll(c *checker) {
--- a/internal/control/settings/settings.go
+++ b/internal/control/settings/settings.go
@@ -32,17 +32,17 @@
 	Shards  int    `json:"shards"`
 	// UnitBytes is the size that counts as one unit; MostUnits the most that one
 	// request counts, MeanUnits the usual.
-	UnitBytes  int      `json:"unit_bytes"`
-	MeanUnits  float64  `json:"mean_units"`
-	MostUnits  float64  `json:"most_units"`
-	FairWorth  float64  `json:"fair_worth"`
-	SpareWorth float64  `json:"spare_worth"`
-	Classes    []Class  `json:"classes"`
-	Plans      []Plan   `json:"plans"`
-	Limits     Limits   `json:"limits"`
-	Rules      Rules    `json:"rules"`
-	Volumes    []Volume `json:"volumes"`
-	Target     Target   `json:"target"`
+	UnitBytes   int      `json:"unit_bytes"`
+	MeanUnits   float64  `json:"mean_units"`
+	MaxUnits    float64  `json:"most_units"`
+	FairFactor  float64  `json:"fair_worth"`
+	SpareFactor float64  `json:"spare_worth"`
+	Classes     []Class  `json:"classes"`
+	Plans       []Plan   `json:"plans"`
+	Limits      Limits   `json:"limits"`
+	Rules       Rules    `json:"rules"`
+	Volumes     []Volume `json:"volumes"`
+	Target      Target   `json:"target"`
 	// Nodes says what the disk server of each shard can carry; it may be empty as
 	// long as no layout is asked for.
 	Nodes     []Node    `json:"nodes,omitempty"`
@@ -57,19 +57,19 @@
 // Regions are the bounds of package region, and where each host is. Times of leases are
 // the same for the inventories of both regions, which know them from elsewhere.
 type Regions struct {
-	Lease float64 `json:"lease_ms"`
-	Quiet float64 `json:"quiet_ms"`
-	Drift float64 `json:"drift"` // part by which any clock may run fast or slow
-	Hosts []int   `json:"hosts"` // by host: 0 or 1
+	LeaseTime   float64 `json:"lease_ms"`
+	PeerTimeout float64 `json:"quiet_ms"`
+	Drift       float64 `json:"drift"` // part by which any clock may run fast or slow
+	Hosts       []int   `json:"hosts"` // by host: 0 or 1
 }
 
 // Config is the bounds as package region takes them.
 func (r *Regions) Config() region.Config {
-	return region.Config{Lease: r.Lease, Quiet: r.Quiet, Drift: r.Drift}
+	return region.Config{Lease: r.LeaseTime, Quiet: r.PeerTimeout, Drift: r.Drift}
 }
 
-// Near lists those of some hosts that are in the same region as one.
-func (s *Settings) Near(self int, hosts []int) []int {
+// SameRegion lists those of some hosts that are in the same region as one.
+func (s *Settings) SameRegion(self int, hosts []int) []int {
 	if s.Regions == nil {
 		return hosts
 	}
@@ -87,8 +87,8 @@
 	if r == nil {
 		return
 	}
-	c.inRange("regions.lease_ms", r.Lease, 200, 60000)
-	c.inRange("regions.quiet_ms", r.Quiet, 200, 60000)
+	c.inRange("regions.lease_ms", r.LeaseTime, 200, 60000)
+	c.inRange("regions.quiet_ms", r.PeerTimeout, 200, 60000)
 	c.inRange("regions.drift", r.Drift, 0, 0.2)
 	c.failIf(len(r.Hosts) != s.Hosts, "regions.hosts", "has %d entries for %d hosts", len(r.Hosts), s.Hosts)
 	for i, at := range r.Hosts {
@@ -99,19 +99,19 @@
 // Announce says which service addresses are announced to which routers, and when.
 // Times of 0 mean the defaults of package announce.
 type Announce struct {
-	AS         uint32         `json:"as"`
-	HoldTime   float64        `json:"hold_ms"` // 0: none
-	Routers    []Router       `json:"routers"`
-	Groups     []AddressGroup `json:"groups"`
-	ProbeEvery float64        `json:"probe_ms,omitempty"` // sign of life of a disk server
-	AnswerTime float64        `json:"answer_ms,omitempty"`
-	Steady     float64        `json:"steady_ms,omitempty"`
-	SteadyMost float64        `json:"steady_most_ms,omitempty"`
-	ResortMost float64        `json:"resort_most_ms,omitempty"`
-	HalfLife   float64        `json:"half_life_ms,omitempty"`
-	ListBound  float64        `json:"list_bound_ms,omitempty"`
-	BeatBound  float64        `json:"beat_bound_ms,omitempty"`
-	MoveTime   float64        `json:"move_ms,omitempty"` // for clients to go elsewhere at a graceful stop
+	AS                uint32         `json:"as"`
+	HoldTime          float64        `json:"hold_ms"` // 0: none
+	Routers           []Router       `json:"routers"`
+	Groups            []AddressGroup `json:"groups"`
+	ProbeInterval     float64        `json:"probe_ms,omitempty"` // sign of life of a disk server
+	ProbeTimeout      float64        `json:"answer_ms,omitempty"`
+	StableTime        float64        `json:"steady_ms,omitempty"`
+	MaxStableTime     float64        `json:"steady_most_ms,omitempty"`
+	MaxLastResortTime float64        `json:"resort_most_ms,omitempty"`
+	LossHalfLife      float64        `json:"half_life_ms,omitempty"`
+	MaxListAge        float64        `json:"list_bound_ms,omitempty"`
+	HeartbeatTimeout  float64        `json:"beat_bound_ms,omitempty"`
+	DrainTime         float64        `json:"move_ms,omitempty"` // for clients to go elsewhere at a graceful stop
 }
 
 // Router is a BGP peer.
@@ -150,7 +150,7 @@
 
 // DomainOf is the name of what a node is lost with.
 func (s *Settings) DomainOf(n *Node) string {
-	if s.Placement.Domain == DomainRegion {
+	if s.Placement.FailureDomain == DomainRegion {
 		return fmt.Sprintf("region-%d", n.Region)
 	}
 	return n.Hall
@@ -158,32 +158,32 @@
 
 // Placement says how layouts are worked out. The zero value means DefaultPlacement.
 type Placement struct {
-	Parts   int  `json:"parts"` // into which a volume's extents are dealt
-	Survive bool `json:"survive,omitempty"`
-	// Domain is what is lost at once and what copies are kept apart by: "hall", also if
+	Parts       int  `json:"parts"` // into which a volume's extents are dealt
+	SurviveLoss bool `json:"survive,omitempty"`
+	// FailureDomain is what is lost at once and what copies are kept apart by: "hall", also if
 	// empty, or "region".
-	Domain string `json:"domain,omitempty"`
+	FailureDomain string `json:"domain,omitempty"`
 	// Margin adds so many times the spread of a measured rate to it.
 	Margin float64 `json:"margin"`
-	// MostMoved is the most that one step moves, in units a second.
-	MostMoved float64 `json:"most_moved"`
+	// MaxMoved is the most that one step moves, in units a second.
+	MaxMoved float64 `json:"most_moved"`
 }
 
 // DefaultPlacement is for settings that say nothing on it.
-var DefaultPlacement = Placement{Parts: 8, Margin: 2, MostMoved: 50}
+var DefaultPlacement = Placement{Parts: 8, Margin: 2, MaxMoved: 50}
 
 // Class is a kind of request. The first class whose match fits takes it.
 type Class struct {
-	Name      string  `json:"name"`
-	Match     Match   `json:"match"`
-	Worth     float64 `json:"worth"`
-	LateWorth float64 `json:"late_worth"`
-	Aim       float64 `json:"aim_ms"`
-	Deadline  float64 `json:"deadline_ms"`
-	Effect    string  `json:"effect"` // safe, keyed, unsafe
-	Group     string  `json:"group"`  // of keyed: cell, zone, all
-	Window    float64 `json:"window_ms"`
-	Ordered   bool    `json:"ordered"`
+	Name          string  `json:"name"`
+	Match         Match   `json:"match"`
+	Value         float64 `json:"worth"`
+	LateValue     float64 `json:"late_worth"`
+	LatencyTarget float64 `json:"aim_ms"`
+	Deadline      float64 `json:"deadline_ms"`
+	Effect        string  `json:"effect"` // safe, keyed, unsafe
+	DedupScope    string  `json:"group"`  // of keyed: cell, zone, all
+	DedupWindow   float64 `json:"window_ms"`
+	Ordered       bool    `json:"ordered"`
 }
 
 // Match says which commands a class takes: operations of package scsi and sizes
@@ -197,14 +197,14 @@
 
 // Plan is what a volume has bought.
 type Plan struct {
-	Name    string  `json:"name"`
-	Price   float64 `json:"price"`
-	Weight  float64 `json:"weight"`
-	Rate    float64 `json:"rate"`
-	Reserve float64 `json:"reserve"`
-	Limit   float64 `json:"limit"`
-	Burst   float64 `json:"burst"`
-	Slack   float64 `json:"slack"`
+	Name      string  `json:"name"`
+	Price     float64 `json:"price"`
+	Weight    float64 `json:"weight"`
+	Rate      float64 `json:"rate"`
+	Reserve   float64 `json:"reserve"`
+	Limit     float64 `json:"limit"`
+	Burst     float64 `json:"burst"`
+	Overdraft float64 `json:"slack"`
 	// Copied says when a write is acknowledged in a service over two regions: "before" its
 	// copy is in the other region, which may lose some with the region, or "after"; "" is
 	// after.
@@ -377,9 +377,9 @@
 	c.inRange("shards", float64(s.Shards), 1, 100000)
 	c.inRange("unit_bytes", float64(s.UnitBytes), 512, 1<<24)
 	c.inRange("mean_units", s.MeanUnits, 0.001, 1e6)
-	c.inRange("most_units", s.MostUnits, 1, 1e6)
-	c.inRange("fair_worth", s.FairWorth, 0, 1)
-	c.inRange("spare_worth", s.SpareWorth, 0, 1)
+	c.inRange("most_units", s.MaxUnits, 1, 1e6)
+	c.inRange("fair_worth", s.FairFactor, 0, 1)
+	c.inRange("spare_worth", s.SpareFactor, 0, 1)
 	s.checkClasses(c)
 	s.checkPlans(c)
 	s.Rules.check(c)
@@ -433,10 +433,10 @@
 	c.uniqueNames("classes", maxClasses, collectNames(s.Classes, func(k *Class) string { return k.Name }))
 	for i := range s.Classes {
 		k, at := &s.Classes[i], fmt.Sprintf("classes[%d].", i)
-		c.inRange(at+"worth", k.Worth, 0, 1e6)
-		c.inRange(at+"late_worth", k.LateWorth, 0, 1)
+		c.inRange(at+"worth", k.Value, 0, 1e6)
+		c.inRange(at+"late_worth", k.LateValue, 0, 1)
 		c.inRange(at+"deadline_ms", k.Deadline, 10, dayMS)
-		c.inRange(at+"aim_ms", k.Aim, 1, max(k.Deadline, 1))
+		c.inRange(at+"aim_ms", k.LatencyTarget, 1, max(k.Deadline, 1))
 		k.checkEffect(c, at)
 		c.failIf(len(k.Match.Ops) == 0, at+"match.ops", "is empty")
 		for j, o := range k.Match.Ops {
@@ -458,13 +458,13 @@
 	_, known := effectByName[k.Effect]
 	c.failIf(!known, at+"effect", "%.20q is none of safe, keyed, unsafe", k.Effect)
 	if k.Effect == "keyed" {
-		_, known = dedupScopeByName[k.Group]
-		c.failIf(!known, at+"group", "%.20q is none of cell, zone, all", k.Group)
-		c.inRange(at+"window_ms", k.Window, 1, dayMS)
-		c.failIf(k.Window < k.Deadline, at+"window_ms", "is below deadline_ms: a late attempt could run after its key is forgotten")
+		_, known = dedupScopeByName[k.DedupScope]
+		c.failIf(!known, at+"group", "%.20q is none of cell, zone, all", k.DedupScope)
+		c.inRange(at+"window_ms", k.DedupWindow, 1, dayMS)
+		c.failIf(k.DedupWindow < k.Deadline, at+"window_ms", "is below deadline_ms: a late attempt could run after its key is forgotten")
 		return
 	}
-	c.failIf(k.Group != "" || k.Window != 0, at+"group", "only keyed classes have a group and a window")
+	c.failIf(k.DedupScope != "" || k.DedupWindow != 0, at+"group", "only keyed classes have a group and a window")
 }
 
 func (s *Settings) checkPlans(c *checker) {
@@ -477,11 +477,11 @@
 		c.inRange(at+"reserve", p.Reserve, 0, 1e9)
 		c.inRange(at+"limit", p.Limit, 0, 1e9)
 		if p.Limit > 0 {
-			c.inRange(at+"burst", p.Burst, s.MostUnits, 1e9)
-			c.inRange(at+"slack", p.Slack, 0, 1e9)
+			c.inRange(at+"burst", p.Burst, s.MaxUnits, 1e9)
+			c.inRange(at+"slack", p.Overdraft, 0, 1e9)
 			c.failIf(p.Reserve > p.Limit, at+"reserve", "is above the limit")
 		} else {
-			c.failIf(p.Burst != 0 || p.Slack != 0, at+"limit", "is 0, but burst or slack is set")
+			c.failIf(p.Burst != 0 || p.Overdraft != 0, at+"limit", "is 0, but burst or slack is set")
 		}
 		c.failIf(p.Copied != "" && p.Copied != AckBefore && p.Copied != AckAfter, at+"copied", "%.20q is neither before nor after", p.Copied)
 	}
@@ -556,8 +556,8 @@
 	if p := s.Placement; p != (Placement{}) {
 		c.inRange("placement.parts", float64(p.Parts), 1, 1024)
 		c.inRange("placement.margin", p.Margin, 0, 100)
-		c.failIf(p.Domain != "" && p.Domain != DomainHall && p.Domain != DomainRegion, "placement.domain", "%.20q is neither hall nor region", p.Domain)
-		c.inRange("placement.most_moved", p.MostMoved, 0.001, 1e9)
+		c.failIf(p.FailureDomain != "" && p.FailureDomain != DomainHall && p.FailureDomain != DomainRegion, "placement.domain", "%.20q is neither hall nor region", p.FailureDomain)
+		c.inRange("placement.most_moved", p.MaxMoved, 0.001, 1e9)
 	}
 	if len(s.Nodes) == 0 {
 		return
@@ -595,8 +595,8 @@
 	for _, t := range []struct {
 		name       string
 		v, low, hi float64
-	}{{"probe", a.ProbeEvery, 20, 60000}, {"answer", a.AnswerTime, 20, 60000}, {"steady", a.Steady, 10, dayMS}, {"steady_most", a.SteadyMost, 10, dayMS},
-		{"resort_most", a.ResortMost, 10, dayMS}, {"half_life", a.HalfLife, 10, dayMS}, {"list_bound", a.ListBound, 100, dayMS}, {"beat_bound", a.BeatBound, 50, 60000}, {"move", a.MoveTime, 0, 600000}} {
+	}{{"probe", a.ProbeInterval, 20, 60000}, {"answer", a.ProbeTimeout, 20, 60000}, {"steady", a.StableTime, 10, dayMS}, {"steady_most", a.MaxStableTime, 10, dayMS},
+		{"resort_most", a.MaxLastResortTime, 10, dayMS}, {"half_life", a.LossHalfLife, 10, dayMS}, {"list_bound", a.MaxListAge, 100, dayMS}, {"beat_bound", a.HeartbeatTimeout, 50, 60000}, {"move", a.DrainTime, 0, 600000}} {
 		if t.v != 0 {
 			c.inRange("announce."+t.name+"_ms", t.v, t.low, t.hi)
 		}
@@ -694,7 +694,7 @@
 func (s *Settings) Policy(self int, zone string) policy.Settings {
 	p := policy.Settings{
 		Hosts: s.Hosts, Self: self, Zone: zone, Tick: 1, Shards: s.Shards,
-		MeanUnits: s.MeanUnits, MaxUnits: s.MostUnits, FairFactor: s.FairWorth, SpareFactor: s.SpareWorth,
+		MeanUnits: s.MeanUnits, MaxUnits: s.MaxUnits, FairFactor: s.FairFactor, SpareFactor: s.SpareFactor,
 		Limits: policy.Limits{MaxAttempts: s.Limits.MaxAttempts, Cancel: true, Probe: true,
 			Duplicates: s.Limits.Copies, RetryAfter: s.Limits.RetryAfter},
 		Rules: policy.Rules{AnswerSlack: s.Rules.AnswerSlack, DrainGrace: s.Rules.DrainGrace,
@@ -713,13 +713,13 @@
 		p.Rules.HasBudget, p.Rules.BudgetBase, p.Rules.BudgetRatio, p.Rules.BudgetWindow = true, b.Free, b.Share, b.Span
 	}
 	for _, k := range s.Classes {
-		p.Classes = append(p.Classes, policy.Class{Name: k.Name, Value: k.Worth, LateValue: k.LateWorth,
-			LatencyTarget: k.Aim, Deadline: k.Deadline, Effect: effectByName[k.Effect], DedupScope: dedupScopeByName[k.Group],
-			DedupWindow: k.Window, Ordered: k.Ordered})
+		p.Classes = append(p.Classes, policy.Class{Name: k.Name, Value: k.Value, LateValue: k.LateValue,
+			LatencyTarget: k.LatencyTarget, Deadline: k.Deadline, Effect: effectByName[k.Effect], DedupScope: dedupScopeByName[k.DedupScope],
+			DedupWindow: k.DedupWindow, Ordered: k.Ordered})
 	}
 	for _, l := range s.Plans {
 		p.Plans = append(p.Plans, policy.Plan{Name: l.Name, Price: l.Price, Weight: l.Weight, Rate: l.Rate, Reserve: l.Reserve,
-			Limit: l.Limit, Burst: l.Burst, Overdraft: l.Slack})
+			Limit: l.Limit, Burst: l.Burst, Overdraft: l.Overdraft})
 	}
 	return p
 }
@@ -742,7 +742,7 @@
 
 // Units is what a request of so many bytes counts.
 func (s *Settings) Units(size int) float64 {
-	return min(max(math.Ceil(float64(size)/float64(s.UnitBytes)), 1), s.MostUnits)
+	return min(max(math.Ceil(float64(size)/float64(s.UnitBytes)), 1), s.MaxUnits)
 }
 
 // Part is a run of blocks that lies on one shard, with the piece of data that it
--- a/internal/control/settings/settings_test.go
+++ b/internal/control/settings/settings_test.go
@@ -36,12 +36,12 @@
 		"classes[0].effect":         func(s *Settings) { s.Classes[0].Effect = "sometimes" },
 		"classes[0].match.ops[0]":   func(s *Settings) { s.Classes[0].Effect = "safe" },
 		"classes[1].match.ops[0]":   func(s *Settings) { s.Classes[1].Match.Ops[0] = "erase" },
-		"classes[1].window_ms":      func(s *Settings) { s.Classes[1].Window = 100 },
-		"classes[1].group":          func(s *Settings) { s.Classes[1].Group = "rack" },
-		"classes[3].aim_ms":         func(s *Settings) { s.Classes[3].Aim = 9000 },
+		"classes[1].window_ms":      func(s *Settings) { s.Classes[1].DedupWindow = 100 },
+		"classes[1].group":          func(s *Settings) { s.Classes[1].DedupScope = "rack" },
+		"classes[3].aim_ms":         func(s *Settings) { s.Classes[3].LatencyTarget = 9000 },
 		"classes[1].match.plans[0]": func(s *Settings) { s.Classes[1].Match.Plans = []string{"gold"} },
 		"plans[0].burst":            func(s *Settings) { s.Plans[0].Burst = 1 },
-		"plans[1].limit":            func(s *Settings) { s.Plans[1].Slack = 3 },
+		"plans[1].limit":            func(s *Settings) { s.Plans[1].Overdraft = 3 },
 		"plans[2].weight":           func(s *Settings) { s.Plans[2].Weight = 0 },
 		"rules.cold_from":           func(s *Settings) { s.Rules.ColdFrom = 2 },
 		"rules.budget.span_ms":      func(s *Settings) { s.Rules.Budget.Span = 0 },
@@ -51,14 +51,16 @@
 		"volumes[4].layout[1]":      func(s *Settings) { s.Volumes[4].Layout[1] = 99 },
 		"volumes[4].hosts[1]":       func(s *Settings) { s.Volumes[4].Hosts[1] = s.Volumes[4].Hosts[0] },
 		"plans[0].copied":           func(s *Settings) { s.Plans[0].Copied = "sometimes" },
-		"regions.lease_ms":          func(s *Settings) { s.Regions = &Regions{Lease: 1, Quiet: 1000, Hosts: []int{0, 1, 0}} },
-		"regions.drift":             func(s *Settings) { s.Regions = &Regions{Lease: 3000, Quiet: 1000, Drift: 1, Hosts: []int{0, 1, 0}} },
-		"regions.hosts":             func(s *Settings) { s.Regions = &Regions{Lease: 3000, Quiet: 1000, Hosts: []int{0, 1}} },
-		"regions.hosts[1]":          func(s *Settings) { s.Regions = &Regions{Lease: 3000, Quiet: 1000, Hosts: []int{0, 2, 1}} },
-		"placement.domain":          func(s *Settings) { s.Placement.Domain = "rack" },
-		"nodes[2].region":           func(s *Settings) { s.Nodes[2].Region = 2 },
-		"target.prefix":             func(s *Settings) { s.Target.Prefix = "eui.1" },
-		"target.chap[0].secret":     func(s *Settings) { s.Target.Chap = []Chap{{"u", "short"}} },
+		"regions.lease_ms":          func(s *Settings) { s.Regions = &Regions{LeaseTime: 1, PeerTimeout: 1000, Hosts: []int{0, 1, 0}} },
+		"regions.drift": func(s *Settings) {
+			s.Regions = &Regions{LeaseTime: 3000, PeerTimeout: 1000, Drift: 1, Hosts: []int{0, 1, 0}}
+		},
+		"regions.hosts":         func(s *Settings) { s.Regions = &Regions{LeaseTime: 3000, PeerTimeout: 1000, Hosts: []int{0, 1}} },
+		"regions.hosts[1]":      func(s *Settings) { s.Regions = &Regions{LeaseTime: 3000, PeerTimeout: 1000, Hosts: []int{0, 2, 1}} },
+		"placement.domain":      func(s *Settings) { s.Placement.FailureDomain = "rack" },
+		"nodes[2].region":       func(s *Settings) { s.Nodes[2].Region = 2 },
+		"target.prefix":         func(s *Settings) { s.Target.Prefix = "eui.1" },
+		"target.chap[0].secret": func(s *Settings) { s.Target.Chap = []Chap{{"u", "short"}} },
 		"target.mutual.secret": func(s *Settings) {
 			s.Target.Chap, s.Target.Mutual = []Chap{{"u", "the same secret"}}, &Chap{"v", "the same secret"}
 		},
@@ -239,7 +241,7 @@
 // was warm by a host's, which went 10% faster, and was pushed over.
 func TestColdTimesAllowForClockDrift(t *testing.T) {
 	s := Example(4, 8)
-	s.Regions = &Regions{Lease: 8000, Quiet: 2000, Drift: 0.1, Hosts: []int{0, 1, 0, 1}}
+	s.Regions = &Regions{LeaseTime: 8000, PeerTimeout: 2000, Drift: 0.1, Hosts: []int{0, 1, 0, 1}}
 	p := s.Policy(0, "")
 	fast, slow := 1+s.Regions.Drift, 1-s.Regions.Drift
 	if p.Rules.WarmUpTime/fast < s.Rules.ColdTime/slow-1e-9 || p.Rules.OverloadWindow/fast < s.Rules.FallTime/slow-1e-9 {
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/plan/plan.go
@@ -58,7 +58,7 @@
 			return nil, &Error{fmt.Sprintf("volumes[%d].layout", i), fmt.Sprintf("with %d entries there is no common number of parts up to %d", len(s.Volumes[i].Layout), mostParts)}
 		}
 	}
-	pl := &Plan{Settings: s, Problem: &placement.Problem{Parts: parts, Survive: set.Survive && len(opt.Lost) == 0}, node: map[int]int{}}
+	pl := &Plan{Settings: s, Problem: &placement.Problem{Parts: parts, Survive: set.SurviveLoss && len(opt.Lost) == 0}, node: map[int]int{}}
 	for i, n := range s.Nodes {
 		pl.node[n.Shard] = i
 		node := placement.Node{Name: fmt.Sprintf("shard %d", n.Shard), Hall: s.DomainOf(&n), Capacity: n.Capacity, Cost: n.Cost, Draining: n.Draining}
@@ -160,9 +160,9 @@
 // Steps orders the way from the layout in force to another, each within the amount
 // that the settings let one step move.
 func (pl *Plan) Steps(to placement.Layout) ([]placement.Step, error) {
-	most := pl.Settings.Placement.MostMoved
+	most := pl.Settings.Placement.MaxMoved
 	if most == 0 {
-		most = settings.DefaultPlacement.MostMoved
+		most = settings.DefaultPlacement.MaxMoved
 	}
 	return placement.Steps(pl.Problem, pl.Current, to, most)
 }
@@ -270,7 +270,7 @@
 
 // spread is how many domains a volume must lie in: there are two regions at most.
 func spread(s *settings.Settings, v *settings.Volume) int {
-	if s.Placement.Domain == settings.DomainRegion {
+	if s.Placement.FailureDomain == settings.DomainRegion {
 		return min(v.Spread, 2)
 	}
 	return v.Spread
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -172,7 +172,7 @@
 	for i := range s.Nodes {
 		s.Nodes[i].Region, s.Nodes[i].Capacity = i%2, 300
 	}
-	s.Placement.Domain, s.Placement.Survive = settings.DomainRegion, true
+	s.Placement.FailureDomain, s.Placement.SurviveLoss = settings.DomainRegion, true
 	for i := range s.Volumes {
 		v := &s.Volumes[i]
 		v.Copies, v.Spread, v.Rate = 2, 0, 20
--- a/internal/simulation/lab/changes.go
+++ b/internal/simulation/lab/changes.go
@@ -141,7 +141,7 @@
 			i := rng.IntN(len(s.Classes))
 			k := first.Classes[i]
 			part := 0.5 + rng.Float64()/2
-			s.Classes[i].Deadline, s.Classes[i].Aim = k.Deadline*part, k.Aim*part
+			s.Classes[i].Deadline, s.Classes[i].LatencyTarget = k.Deadline*part, k.LatencyTarget*part
 		case 1:
 			for i := range s.Plans {
 				if l := first.Plans[i].Limit; l > 0 {
--- a/internal/simulation/lab/clients.go
+++ b/internal/simulation/lab/clients.go
@@ -285,7 +285,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if k := a.class(c.fleet.Set); k != nil {
-			c.StrayWorth += k.Worth
+			c.StrayWorth += k.Value
 		}
 		return
 	}
@@ -360,7 +360,7 @@
 		at = c.habits.AbuseAt
 	}
 	c.mu.Unlock()
-	if !env.Sleep(c.fleet.Environment, env.Duration(a.class(c.fleet.Set).Aim*at), &end.done) {
+	if !env.Sleep(c.fleet.Environment, env.Duration(a.class(c.fleet.Set).LatencyTarget*at), &end.done) {
 		return stayed
 	}
 	if a.how == 1 {
--- a/internal/simulation/lab/fleet.go
+++ b/internal/simulation/lab/fleet.go
@@ -192,7 +192,7 @@
 func longestWindow(s *settings.Settings) float64 {
 	w := 0.0
 	for _, k := range s.Classes {
-		w = max(w, k.Window)
+		w = max(w, k.DedupWindow)
 	}
 	return w
 }
--- a/internal/simulation/lab/limits.go
+++ b/internal/simulation/lab/limits.go
@@ -51,8 +51,8 @@
 	v := set.Volumes[0]
 	v.Hosts, v.Layout = []int{0, 1}, []int{0, 1, 2, 3, 4, 5}
 	v.Copies, v.MaxNodes = 1, 0
-	set.Volumes, set.Placement.Survive = []settings.Volume{v}, false
-	set.Plans[0].Limit, set.Plans[0].Burst, set.Plans[0].Slack = limitHigh, 12, 4
+	set.Volumes, set.Placement.SurviveLoss = []settings.Volume{v}, false
+	set.Plans[0].Limit, set.Plans[0].Burst, set.Plans[0].Overdraft = limitHigh, 12, 4
 	opt.Settings, opt.Hosts, opt.Servers, opt.Troubles = set, 2, 6, []string{"none"}
 	opt.Rate = limitTimes * (limitLow + limitHigh) / 2 / set.MeanUnits
 	opt.Commands = int(opt.Rate * span.Seconds())
@@ -124,8 +124,8 @@
 		r.Integral += limit / hosts * float64(last-at) / 1e6
 	}
 	p := set.Plans[0]
-	r.Most = r.Integral + p.Burst + p.Slack
-	r.Least = r.Integral - p.Burst - hosts*set.MostUnits
+	r.Most = r.Integral + p.Burst + p.Overdraft
+	r.Least = r.Integral - p.Burst - hosts*set.MaxUnits
 }
 
 // Print writes the figures.
--- a/internal/simulation/lab/losses.go
+++ b/internal/simulation/lab/losses.go
@@ -220,7 +220,7 @@
 		return out
 	}
 	s.set.Announce = &settings.Announce{AS: 65001, HoldTime: 9000, Routers: []settings.Router{{Name: "r0", Addr: r.router.Addr, AS: r.router.AS}},
-		Steady: rigSteady, SteadyMost: rigSteady, ResortMost: rigSteady, ListBound: env.MS(rigListBound),
+		StableTime: rigSteady, MaxStableTime: rigSteady, MaxLastResortTime: rigSteady, MaxListAge: env.MS(rigListBound),
 		Groups: []settings.AddressGroup{{Name: "one", Prefixes: []string{s.one.String()}, Volumes: names(0, 1)},
 			{Name: "both", Prefixes: []string{s.both.String()}, Volumes: names(1, len(s.set.Volumes))}}}
 	return s, s.start()
--- a/internal/simulation/lab/regioncost.go
+++ b/internal/simulation/lab/regioncost.go
@@ -155,7 +155,7 @@
 	s.change = func(set *settings.Settings) {
 		for i := range set.Plans {
 			if p := &set.Plans[i]; p.Limit > 0 {
-				p.Limit, p.Burst, p.Slack = 4, 12, 10
+				p.Limit, p.Burst, p.Overdraft = 4, 12, 10
 				for _, v := range set.Volumes {
 					if v.Plan == p.Name {
 						n.limited[v.Name], n.bears = true, n.bears+p.Limit*costGone.Seconds()
--- a/internal/simulation/lab/regions.go
+++ b/internal/simulation/lab/regions.go
@@ -27,7 +27,7 @@
 // acknowledged after their copy but in the plan basico.
 func RegionSettings(hosts, shards int) *settings.Settings {
 	s := SmallBlocks(settings.Example(hosts, shards))
-	s.Regions = &settings.Regions{Lease: 3000, Quiet: 1500, Drift: regionDrift}
+	s.Regions = &settings.Regions{LeaseTime: 3000, PeerTimeout: 1500, Drift: regionDrift}
 	for h := range hosts {
 		s.Regions.Hosts = append(s.Regions.Hosts, h%2)
 	}
--- a/internal/simulation/lab/reservations.go
+++ b/internal/simulation/lab/reservations.go
@@ -148,7 +148,7 @@
 	r.set.Volumes = []settings.Volume{v}
 	for i := range r.set.Classes {
 		r.set.Classes[i].Deadline = min(r.set.Classes[i].Deadline, 1500)
-		r.set.Classes[i].Aim = min(r.set.Classes[i].Aim, 500)
+		r.set.Classes[i].LatencyTarget = min(r.set.Classes[i].LatencyTarget, 500)
 	}
 	r.set.Rules.ColdFrom = 1
 	var err error
--- a/internal/simulation/lab/routing.go
+++ b/internal/simulation/lab/routing.go
@@ -33,7 +33,7 @@
 	for i := range all {
 		all[i] = i
 	}
-	s.Announce = &settings.Announce{AS: 65001, HoldTime: 9000, Steady: 500, ResortMost: 2000, SteadyMost: 5000, MoveTime: 500}
+	s.Announce = &settings.Announce{AS: 65001, HoldTime: 9000, StableTime: 500, MaxLastResortTime: 2000, MaxStableTime: 5000, DrainTime: 500}
 	for g := range groups {
 		s.Announce.Groups = append(s.Announce.Groups, settings.AddressGroup{Name: fmt.Sprintf("group-%d", g), Prefixes: []string{groupPrefix(g).String()}})
 	}
--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -389,7 +389,7 @@
 // repeated effect (rule 2).
 func (c *Checker) checkBusy(cmd *command, e *trail.Event) {
 	for _, r := range cmd.requests {
-		if r.class == nil || r.class.Effect == "safe" || r.class.Effect == "keyed" && r.class.Group == "all" {
+		if r.class == nil || r.class.Effect == "safe" || r.class.Effect == "keyed" && r.class.DedupScope == "all" {
 			continue
 		}
 		c.Checks[Effects]++
@@ -650,9 +650,9 @@
 	}
 	bucket.level = min(bucket.level+plan.Limit*float64(e.Time-bucket.updatedAt)/1e6, plan.Burst) - e.Units
 	bucket.updatedAt = e.Time
-	if bucket.level < -plan.Slack-1e-6 {
+	if bucket.level < -plan.Overdraft-1e-6 {
 		violation.Rule = Limits
-		c.violate(violation, "volume %s exceeds its limit by %.2f units, %.2f allowed", e.Volume, -bucket.level, plan.Slack)
+		c.violate(violation, "volume %s exceeds its limit by %.2f units, %.2f allowed", e.Volume, -bucket.level, plan.Overdraft)
 	}
 }
 
@@ -677,10 +677,10 @@
 		c.violate(violation, "attempt %d of unsafe %s sent although attempt %d may have run", e.Attempt, req.class.Name, i)
 		return
 	}
-	if age := float64(e.Time-ran.sentAt) / 1000; age > req.class.Window+MaxRelayDelay/1000 {
-		c.violate(violation, "attempt %d of %s sent %.0f ms after attempt %d, beyond the dedup window of %.0f ms", e.Attempt, req.class.Name, age, i, req.class.Window)
+	if age := float64(e.Time-ran.sentAt) / 1000; age > req.class.DedupWindow+MaxRelayDelay/1000 {
+		c.violate(violation, "attempt %d of %s sent %.0f ms after attempt %d, beyond the dedup window of %.0f ms", e.Attempt, req.class.Name, age, i, req.class.DedupWindow)
 	}
-	if !c.inDedupScope(req.class.Group, ran.server, e.Peer) {
+	if !c.inDedupScope(req.class.DedupScope, ran.server, e.Peer) {
 		c.violate(violation, "attempt %d of %s sent to %s, outside the dedup scope of %s, where attempt %d may have run", e.Attempt, req.class.Name, c.serverName(e.Peer), c.serverName(ran.server), i)
 	}
 }
--- a/internal/verify/rules/rules_test.go
+++ b/internal/verify/rules/rules_test.go
@@ -188,7 +188,7 @@
 			b.status(1420, 2, 50, scsi.Busy)
 		}},
 		{"keyed request repeated after the dedup window", rules.Effects, func(b *trailBuilder) {
-			b.meta.Settings.Classes[1].Window = 700
+			b.meta.Settings.Classes[1].DedupWindow = 700
 		}},
 		{"keyed request repeated outside the dedup scope", rules.Effects, func(b *trailBuilder) {
 			for i := range b.events {
--- a/internal/verify/rules/stats.go
+++ b/internal/verify/rules/stats.go
@@ -71,8 +71,8 @@
 	s.Commands++
 	stats := s.classStats(cmd)
 	stats.Issued++
-	stats.OfferedValue += cmd.class.Worth
-	s.secondOf(cmd).Offered += cmd.class.Worth
+	stats.OfferedValue += cmd.class.Value
+	s.secondOf(cmd).Offered += cmd.class.Value
 }
 
 func (s *Stats) secondOf(cmd *command) *ValueSum {
@@ -94,12 +94,12 @@
 	switch {
 	case e.Status == int32(scsi.Good) || miscompare:
 		stats.Latency.RecordValue(min(max(latency, 1), maxLatency)) // clamped, so it cannot fail
-		value := cmd.class.Worth
-		if float64(latency) <= cmd.class.Aim*1000 {
+		value := cmd.class.Value
+		if float64(latency) <= cmd.class.LatencyTarget*1000 {
 			stats.WithinTarget++
 		} else {
 			stats.Late++
-			value *= cmd.class.LateWorth
+			value *= cmd.class.LateValue
 		}
 		stats.ServedValue += value
 		s.secondOf(cmd).Served += value
