--- a/internal/simulation/standin/connserver.go
+++ b/internal/simulation/standin/connserver.go
@@ -20,19 +20,19 @@
 }
 
 // start starts to accept; serve is given each connection and its number, from 0.
-func (d *connServer) start(w env.Environment, l net.Listener, serve func(c net.Conn, n int)) {
-	d.Addr, d.environment, d.listener = l.Addr().String(), w, l
-	d.tasks.Go(w, func() {
+func (d *connServer) start(environment env.Environment, listener net.Listener, serve func(c net.Conn, n int)) {
+	d.Addr, d.environment, d.listener = listener.Addr().String(), environment, listener
+	d.tasks.Go(environment, func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			d.mu.Lock()
-			n := len(d.conns)
-			d.conns = append(d.conns, c)
+			index := len(d.conns)
+			d.conns = append(d.conns, conn)
 			d.mu.Unlock()
-			d.tasks.Go(w, func() { serve(c, n) })
+			d.tasks.Go(environment, func() { serve(conn, index) })
 		}
 	})
 }
@@ -41,8 +41,8 @@
 func (d *connServer) Close() {
 	d.listener.Close()
 	d.mu.Lock()
-	for _, c := range d.conns {
-		c.Close()
+	for _, conn := range d.conns {
+		conn.Close()
 	}
 	d.mu.Unlock()
 	d.tasks.Wait(d.environment)
--- a/internal/simulation/standin/diskserver.go
+++ b/internal/simulation/standin/diskserver.go
@@ -62,24 +62,24 @@
 )
 
 // ServeDisk starts a disk server on a machine.
-func ServeDisk(w env.Environment, m *Machine, d *DiskServer) error {
-	l, err := w.Listen("tcp", "127.0.0.1:0")
+func ServeDisk(environment env.Environment, machine *Machine, server *DiskServer) error {
+	listener, err := environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	d.environment, d.listener, d.machine = w, l, m
-	d.Addr, d.Started = l.Addr().String(), w.RandomUint64()
-	d.timerDue = math.Inf(1)
-	d.rng = rand.New(rand.NewPCG(d.Started, 2))
-	m.RunAsEvent = d.runAsEvent
-	d.tasks.Go(w, d.accept)
-	if d.Peer != nil {
-		d.tasks.Go(w, d.replicationLoop)
-		d.tasks.Go(w, d.copyReportLoop)
+	server.environment, server.listener, server.machine = environment, listener, machine
+	server.Addr, server.Started = listener.Addr().String(), environment.RandomUint64()
+	server.timerDue = math.Inf(1)
+	server.rng = rand.New(rand.NewPCG(server.Started, 2))
+	machine.RunAsEvent = server.runAsEvent
+	server.tasks.Go(environment, server.accept)
+	if server.Peer != nil {
+		server.tasks.Go(environment, server.replicationLoop)
+		server.tasks.Go(environment, server.copyReportLoop)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.armTimer()
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	server.armTimer()
 	return nil
 }
 
@@ -87,75 +87,75 @@
 
 func (d *DiskServer) accept() {
 	for {
-		c, err := d.listener.Accept()
+		conn, err := d.listener.Accept()
 		if err != nil {
 			return
 		}
 		if d.Keys != nil {
-			c = tls.Server(c, d.Keys.Server(true))
+			conn = tls.Server(conn, d.Keys.Server(true))
 		}
-		o := writequeue.New(d.environment, c, diskQueueBytes, diskWriteTimeout)
-		if !d.addConn(o) {
-			o.Abort()
+		writes := writequeue.New(d.environment, conn, diskQueueBytes, diskWriteTimeout)
+		if !d.addConn(writes) {
+			writes.Abort()
 			return
 		}
-		d.tasks.Go(d.environment, func() { d.serve(c, o) })
+		d.tasks.Go(d.environment, func() { d.serve(conn, writes) })
 	}
 }
 
 // addConn has a connection cut when the process ends; false if it has ended.
-func (d *DiskServer) addConn(o *writequeue.Queue) bool {
+func (d *DiskServer) addConn(writes *writequeue.Queue) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.ended {
 		return false
 	}
-	d.conns.Add(o)
+	d.conns.Add(writes)
 	return true
 }
 
-func (d *DiskServer) removeConn(o *writequeue.Queue) {
+func (d *DiskServer) removeConn(writes *writequeue.Queue) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.conns.Remove(o)
+	d.conns.Remove(writes)
 }
 
 // certificateValid tells whether the peer's certificate still counts: it may run out or be revoked
 // in the midst of a connection.
-func (d *DiskServer) certificateValid(c net.Conn) bool {
-	t, ok := c.(*tls.Conn)
+func (d *DiskServer) certificateValid(conn net.Conn) bool {
+	tlsConn, ok := conn.(*tls.Conn)
 	if !ok {
 		return true
 	}
-	certs := t.ConnectionState().PeerCertificates
+	certs := tlsConn.ConnectionState().PeerCertificates
 	return len(certs) > 0 && d.Keys.Check(certs[0]) == nil
 }
 
-func (d *DiskServer) serve(c net.Conn, o *writequeue.Queue) {
-	defer d.removeConn(o)
-	defer o.Wait()
-	defer o.Abort()
+func (d *DiskServer) serve(conn net.Conn, writes *writequeue.Queue) {
+	defer d.removeConn(writes)
+	defer writes.Wait()
+	defer writes.Abort()
 	if d.hanging() {
-		var b [1]byte
+		var discarded [1]byte
 		for { // the process doesn't read, but the kernel still takes bytes
-			if _, err := c.Read(b[:]); err != nil {
+			if _, err := conn.Read(discarded[:]); err != nil {
 				return
 			}
 		}
 	}
-	r := diskproto.NewReader(bufio.NewReaderSize(c, 32<<10))
+	reader := diskproto.NewReader(bufio.NewReaderSize(conn, 32<<10))
 	var gen uint64 // under which a home copies to here by this connection
 	for {
-		f, err := r.Next()
-		if err != nil || !d.certificateValid(c) {
+		frame, err := reader.Next()
+		if err != nil || !d.certificateValid(conn) {
 			return
 		}
 		ok := false
-		switch f.Kind {
+		switch frame.Kind {
 		case diskproto.KindJoin, diskproto.KindCopy:
-			ok = d.handleReplicationFrame(o, f, &gen)
+			ok = d.handleReplicationFrame(writes, frame, &gen)
 		default:
-			ok = d.handleFrame(o, f)
+			ok = d.handleFrame(writes, frame)
 		}
 		if !ok {
 			return
@@ -164,12 +164,12 @@
 }
 
 // runAsEvent runs f as an event of the machine.
-func (d *DiskServer) runAsEvent(f func()) {
+func (d *DiskServer) runAsEvent(event func()) {
 	d.environment.AfterFunc(0, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if !d.ended {
-			f()
+			event()
 		}
 	})
 }
@@ -181,42 +181,42 @@
 }
 
 // handleFrame handles one message; false ends the connection.
-func (d *DiskServer) handleFrame(o *writequeue.Queue, f diskproto.Frame) bool {
-	switch f.Kind {
+func (d *DiskServer) handleFrame(writes *writequeue.Queue, frame diskproto.Frame) bool {
+	switch frame.Kind {
 	case diskproto.KindHello:
-		var h diskproto.Hello
-		if h.Parse(f.Body) != nil {
+		var hello diskproto.Hello
+		if hello.Parse(frame.Body) != nil {
 			return false
 		}
-		w := &diskproto.Welcome{Version: diskproto.Version, Shard: uint32(d.Shard), Started: d.Started,
+		welcome := &diskproto.Welcome{Version: diskproto.Version, Shard: uint32(d.Shard), Started: d.Started,
 			Clock: uint64(d.environment.Now() / time.Microsecond), Name: d.Name, Zone: d.Zone, Rack: d.Rack}
-		if h.Oldest > diskproto.Version || h.Newest < diskproto.Oldest {
-			w.Version = 0
+		if hello.Oldest > diskproto.Version || hello.Newest < diskproto.Oldest {
+			welcome.Version = 0
 		}
-		return o.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindWelcome, f.Tag, w) })
+		return writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindWelcome, frame.Tag, welcome) })
 	case diskproto.KindDo:
-		var m diskproto.Do
-		if m.Parse(f.Body) != nil {
+		var request diskproto.Do
+		if request.Parse(frame.Body) != nil {
 			return false
 		}
-		m.Data = append([]byte(nil), m.Data...)
-		d.handleRequest(o, f.Tag, m)
+		request.Data = append([]byte(nil), request.Data...)
+		d.handleRequest(writes, frame.Tag, request)
 	case diskproto.KindProbe:
 		d.mu.Lock()
-		p := &diskproto.Probed{Clock: uint64(d.environment.Now() / time.Microsecond), Report: []diskproto.Figure{{Name: "waiting", Value: float64(len(d.machine.queue))}, {Name: "active", Value: float64(len(d.machine.running))}}}
+		probed := &diskproto.Probed{Clock: uint64(d.environment.Now() / time.Microsecond), Report: []diskproto.Figure{{Name: "waiting", Value: float64(len(d.machine.queue))}, {Name: "active", Value: float64(len(d.machine.running))}}}
 		d.mu.Unlock()
-		return o.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindProbed, f.Tag, p) })
+		return writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindProbed, frame.Tag, probed) })
 	}
 	return true // Cancel stops nothing here; unknown kinds are of later versions
 }
 
-func (d *DiskServer) handleRequest(o *writequeue.Queue, tag uint32, m diskproto.Do) {
+func (d *DiskServer) handleRequest(writes *writequeue.Queue, tag uint32, request diskproto.Do) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.ended {
 		return
 	}
-	d.machine.Arrive(d.now(), m, func(a diskproto.Answer) { d.sendAnswer(o, tag, a) })
+	d.machine.Arrive(d.now(), request, func(a diskproto.Answer) { d.sendAnswer(writes, tag, a) })
 	if d.machine.Crashed() {
 		d.ended = true
 		d.environment.Go(d.announceCrash)
@@ -226,38 +226,38 @@
 }
 
 // sendAnswer sends an sendAnswer with whatever is wrong with the connection. Held: mu.
-func (d *DiskServer) sendAnswer(o *writequeue.Queue, tag uint32, a diskproto.Answer) {
-	a.Clock = uint64(d.environment.Now() / time.Microsecond)
-	frame := diskproto.Append(nil, diskproto.KindAnswer, tag, &a)
+func (d *DiskServer) sendAnswer(writes *writequeue.Queue, tag uint32, answer diskproto.Answer) {
+	answer.Clock = uint64(d.environment.Now() / time.Microsecond)
+	frame := diskproto.Append(nil, diskproto.KindAnswer, tag, &answer)
 	switch {
 	case d.networkFaults.TruncateShare > 0 && d.rng.Float64() < d.networkFaults.TruncateShare:
-		o.Enqueue(func(b []byte) []byte { return append(b, frame[:len(frame)/2]...) })
-		o.Finish()
+		writes.Enqueue(func(b []byte) []byte { return append(b, frame[:len(frame)/2]...) })
+		writes.Finish()
 	case d.networkFaults.DelayShare > 0 && d.rng.Float64() < d.networkFaults.DelayShare:
 		d.environment.AfterFunc(env.Duration(d.networkFaults.Delay), func() {
-			o.Enqueue(func(b []byte) []byte { return append(b, frame...) })
+			writes.Enqueue(func(b []byte) []byte { return append(b, frame...) })
 		})
 	case d.networkFaults.ByteAtATime:
 		for i := range frame {
-			o.Enqueue(func(b []byte) []byte { return append(b, frame[i]) })
+			writes.Enqueue(func(b []byte) []byte { return append(b, frame[i]) })
 		}
 	default:
-		o.Enqueue(func(b []byte) []byte { return append(b, frame...) })
+		writes.Enqueue(func(b []byte) []byte { return append(b, frame...) })
 	}
 }
 
 // armTimer sets the timer for what the machine does next. Held: mu.
 func (d *DiskServer) armTimer() {
-	at := d.machine.NextEventAt()
-	if at >= d.timerDue || math.IsInf(at, 1) || d.ended {
+	due := d.machine.NextEventAt()
+	if due >= d.timerDue || math.IsInf(due, 1) || d.ended {
 		return
 	}
 	if d.timer != nil {
 		d.timer.Stop()
 	}
-	d.timerDue = at
+	d.timerDue = due
 	// A moment late, so that rounding never has it come before its time.
-	d.timer = d.environment.AfterFunc(max(env.Duration(at-d.now()), 0)+time.Microsecond, d.handleTimer)
+	d.timer = d.environment.AfterFunc(max(env.Duration(due-d.now()), 0)+time.Microsecond, d.handleTimer)
 }
 
 func (d *DiskServer) handleTimer() {
@@ -272,23 +272,23 @@
 }
 
 // SetFaults changes what is wrong with the machine.
-func (d *DiskServer) SetFaults(t MachineFaults) {
+func (d *DiskServer) SetFaults(faults MachineFaults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.machine.SetFaults(d.now(), t)
+	d.machine.SetFaults(d.now(), faults)
 	d.armTimer()
 }
 
 // SetNetworkFaults changes what is wrong with the connections. Those that are open are cut
 // when they are to hang, so that hosts meet the fault.
-func (d *DiskServer) SetNetworkFaults(t NetworkFaults) {
+func (d *DiskServer) SetNetworkFaults(faults NetworkFaults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	change := d.networkFaults.Hang != t.Hang
-	d.networkFaults = t
-	if change {
-		for _, o := range d.conns.All() {
-			o.Abort()
+	hangChanged := d.networkFaults.Hang != faults.Hang
+	d.networkFaults = faults
+	if hangChanged {
+		for _, writes := range d.conns.All() {
+			writes.Abort()
 		}
 	}
 }
@@ -318,9 +318,9 @@
 func (d *DiskServer) announceCrash() {
 	d.stopped.Open()
 	d.mu.Lock()
-	for _, o := range d.conns.All() {
-		o.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindBye, byeOverloadCrash, nil) })
-		o.Finish()
+	for _, writes := range d.conns.All() {
+		writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindBye, byeOverloadCrash, nil) })
+		writes.Finish()
 	}
 	d.mu.Unlock()
 	d.listener.Close()
@@ -341,8 +341,8 @@
 	if d.timer != nil {
 		d.timer.Stop()
 	}
-	for _, o := range d.conns.All() {
-		o.Abort()
+	for _, writes := range d.conns.All() {
+		writes.Abort()
 	}
 	d.mu.Unlock()
 	d.tasks.Wait(d.environment)
--- a/internal/simulation/standin/framerecorder.go
+++ b/internal/simulation/standin/framerecorder.go
@@ -39,49 +39,49 @@
 	closed   bool
 }
 
-func newFrameRecorder(rec *trail.Recorder, r frameParser) *FrameRecorder {
-	t := &FrameRecorder{recorder: rec, parser: r, conn: rec.NextConn()}
+func newFrameRecorder(recorder *trail.Recorder, parser frameParser) *FrameRecorder {
+	t := &FrameRecorder{recorder: recorder, parser: parser, conn: recorder.NextConn()}
 	t.add(trail.Event{Kind: trail.Open, Dir: trail.Up})
 	return t
 }
 
-func (t *FrameRecorder) add(e trail.Event) {
-	e.Conn = t.conn
-	t.parser.setEndpoints(&e)
-	t.recorder.Add(e)
+func (r *FrameRecorder) add(event trail.Event) {
+	event.Conn = r.conn
+	r.parser.setEndpoints(&event)
+	r.recorder.Add(event)
 }
 
 // Bytes takes what passes; up from the side that dialled. No tap hears nothing.
-func (t *FrameRecorder) Bytes(up bool, b []byte) {
-	if t == nil {
+func (r *FrameRecorder) Bytes(up bool, b []byte) {
+	if r == nil {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.closed {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.closed {
 		return
 	}
-	held := &t.partial[0]
+	partial := &r.partial[0]
 	if !up {
-		held = &t.partial[1]
+		partial = &r.partial[1]
 	}
-	if len(*held) == 0 { // most often: nothing is left of b
-		*held = append([]byte(nil), t.recordFrames(b, up)...)
+	if len(*partial) == 0 { // most often: nothing is left of b
+		*partial = append([]byte(nil), r.recordFrames(b, up)...)
 		return
 	}
-	*held = append([]byte(nil), t.recordFrames(append(*held, b...), up)...)
+	*partial = append([]byte(nil), r.recordFrames(append(*partial, b...), up)...)
 }
 
 // Closed notes which side ended the connection, once.
-func (t *FrameRecorder) Closed(up bool) {
-	if t == nil {
+func (r *FrameRecorder) Closed(up bool) {
+	if r == nil {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !t.closed {
-		t.closed = true
-		t.add(trail.Event{Kind: trail.Close, Dir: dir(up)})
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.closed {
+		r.closed = true
+		r.add(trail.Event{Kind: trail.Close, Dir: dir(up)})
 	}
 }
 
@@ -93,21 +93,21 @@
 }
 
 // recordFrames notes the whole frames in b and returns what remains.
-func (t *FrameRecorder) recordFrames(b []byte, up bool) []byte {
+func (r *FrameRecorder) recordFrames(b []byte, up bool) []byte {
 	for len(b) > 0 {
-		n := t.parser.frameLength(up, b)
-		if n < 0 || n == 0 && len(b) > maxFrameBytes {
-			t.add(trail.Event{Kind: trail.Malformed, Dir: dir(up), Bytes: int64(len(b))})
+		length := r.parser.frameLength(up, b)
+		if length < 0 || length == 0 && len(b) > maxFrameBytes {
+			r.add(trail.Event{Kind: trail.Malformed, Dir: dir(up), Bytes: int64(len(b))})
 			return nil
 		}
-		if n == 0 {
+		if length == 0 {
 			return b
 		}
-		for _, e := range t.parser.events(up, b[:n]) {
-			e.Dir, e.Bytes = dir(up), int64(n)
-			t.add(e)
+		for _, event := range r.parser.events(up, b[:length]) {
+			event.Dir, event.Bytes = dir(up), int64(length)
+			r.add(event)
 		}
-		b = b[n:]
+		b = b[length:]
 	}
 	return nil
 }
@@ -124,129 +124,129 @@
 }
 
 // RecordISCSI reads a connection between an initiator and that host.
-func RecordISCSI(rec *trail.Recorder, host string, set *settings.Settings) *FrameRecorder {
-	return newFrameRecorder(rec, &iscsiParser{host: host, settings: set})
+func RecordISCSI(recorder *trail.Recorder, host string, set *settings.Settings) *FrameRecorder {
+	return newFrameRecorder(recorder, &iscsiParser{host: host, settings: set})
 }
 
-func (c *iscsiParser) setEndpoints(e *trail.Event) {
-	e.Link, e.Host, e.Peer, e.Session = trail.LinkClient, c.host, c.peer, c.session
+func (p *iscsiParser) setEndpoints(e *trail.Event) {
+	e.Link, e.Host, e.Peer, e.Session = trail.LinkClient, p.host, p.peer, p.session
 	if e.Volume == "" {
-		e.Volume = c.volume
+		e.Volume = p.volume
 	}
 }
 
-func (c *iscsiParser) frameLength(up bool, b []byte) int {
+func (p *iscsiParser) frameLength(up bool, b []byte) int {
 	if len(b) < 48 {
 		return 0
 	}
-	data := int(b[5])<<16 | int(b[6])<<8 | int(b[7])
-	n := 48 + 4*int(b[4]) + (data+3)&^3
-	if c.fullFeature && c.digests[0] {
-		n += 4
+	dataLen := int(b[5])<<16 | int(b[6])<<8 | int(b[7])
+	length := 48 + 4*int(b[4]) + (dataLen+3)&^3
+	if p.fullFeature && p.digests[0] {
+		length += 4
 	}
-	if c.fullFeature && c.digests[1] && data > 0 {
-		n += 4
+	if p.fullFeature && p.digests[1] && dataLen > 0 {
+		length += 4
 	}
-	if n > maxFrameBytes {
+	if length > maxFrameBytes {
 		return -1
 	}
-	if len(b) < n {
+	if len(b) < length {
 		return 0
 	}
-	return n
+	return length
 }
 
-func (c *iscsiParser) events(up bool, b []byte) []trail.Event {
-	r := iscsi.NewReader(bufio.NewReader(bytes.NewReader(b)), maxFrameBytes)
-	if c.fullFeature {
-		r.Digests = iscsi.Digests{Header: c.digests[0], Data: c.digests[1]}
+func (p *iscsiParser) events(up bool, b []byte) []trail.Event {
+	reader := iscsi.NewReader(bufio.NewReader(bytes.NewReader(b)), maxFrameBytes)
+	if p.fullFeature {
+		reader.Digests = iscsi.Digests{Header: p.digests[0], Data: p.digests[1]}
 	}
-	p, err := r.Next()
+	pdu, err := reader.Next()
 	if err != nil {
 		return []trail.Event{{Kind: trail.Malformed, Detail: err.Error()}}
 	}
 	if up {
-		return c.request(p)
+		return p.request(pdu)
 	}
-	return c.response(p)
+	return p.response(pdu)
 }
 
-func (c *iscsiParser) request(p *iscsi.PDU) []trail.Event {
-	e := trail.Event{Tag: p.ITT()}
-	switch p.Opcode() {
+func (p *iscsiParser) request(pdu *iscsi.PDU) []trail.Event {
+	event := trail.Event{Tag: pdu.ITT()}
+	switch pdu.Opcode() {
 	case iscsi.OpLoginReq:
-		c.loginData = append(c.loginData, p.Data...)
+		p.loginData = append(p.loginData, pdu.Data...)
 		return nil
 	case iscsi.OpCommand:
-		e.Kind, e.Length = trail.Command, p.Word(20)
-		e.Op, e.LBA, e.Blocks = describeCommand(p.CDB())
-		e.Advice = uint32(len(p.Data)) // immediate data, bytes
-		if p.Flags()&0x20 == 0 {
-			e.Advice = e.Length // nothing is still to come
+		event.Kind, event.Length = trail.Command, pdu.Word(20)
+		event.Op, event.LBA, event.Blocks = describeCommand(pdu.CDB())
+		event.Advice = uint32(len(pdu.Data)) // immediate data, bytes
+		if pdu.Flags()&0x20 == 0 {
+			event.Advice = event.Length // nothing is still to come
 		}
 	case iscsi.OpDataOut:
-		e.Kind, e.Length = trail.DataOut, uint32(len(p.Data))
+		event.Kind, event.Length = trail.DataOut, uint32(len(pdu.Data))
 	case iscsi.OpTaskReq:
-		e.Kind, e.RefTag, e.Status = trail.TaskRequest, p.Word(iscsi.AtTTT), int32(p.Flags()&0x7f)
+		event.Kind, event.RefTag, event.Status = trail.TaskRequest, pdu.Word(iscsi.AtTTT), int32(pdu.Flags()&0x7f)
 	case iscsi.OpLogoutReq:
-		e.Kind = trail.Logout
+		event.Kind = trail.Logout
 	default:
 		return nil
 	}
-	return []trail.Event{e}
+	return []trail.Event{event}
 }
 
-func (c *iscsiParser) response(p *iscsi.PDU) []trail.Event {
-	e := trail.Event{Tag: p.ITT()}
-	switch p.Opcode() {
+func (p *iscsiParser) response(pdu *iscsi.PDU) []trail.Event {
+	event := trail.Event{Tag: pdu.ITT()}
+	switch pdu.Opcode() {
 	case iscsi.OpLoginResp:
-		return c.login(p)
+		return p.login(pdu)
 	case iscsi.OpResponse:
-		e.Kind, e.Status = trail.Status, int32(p.BHS[3])
-		e.Advice = uint32(binary.BigEndian.Uint16(p.BHS[8:]))
-		if len(p.Data) > 2 {
-			if s, ok := scsi.ParseSense(p.Data[2:]); ok {
-				e.Sense = uint32(s.Key)<<16 | uint32(s.ASC)<<8 | uint32(s.ASCQ)
+		event.Kind, event.Status = trail.Status, int32(pdu.BHS[3])
+		event.Advice = uint32(binary.BigEndian.Uint16(pdu.BHS[8:]))
+		if len(pdu.Data) > 2 {
+			if sense, ok := scsi.ParseSense(pdu.Data[2:]); ok {
+				event.Sense = uint32(sense.Key)<<16 | uint32(sense.ASC)<<8 | uint32(sense.ASCQ)
 			}
 		}
 	case iscsi.OpDataIn:
-		if p.Flags()&1 == 0 {
+		if pdu.Flags()&1 == 0 {
 			return nil
 		}
-		e.Kind, e.Status = trail.Status, int32(p.BHS[3])
+		event.Kind, event.Status = trail.Status, int32(pdu.BHS[3])
 	case iscsi.OpTaskResp:
-		e.Kind, e.Status = trail.TaskResponse, int32(p.BHS[2])
+		event.Kind, event.Status = trail.TaskResponse, int32(pdu.BHS[2])
 	default:
 		return nil
 	}
-	return []trail.Event{e}
+	return []trail.Event{event}
 }
 
 // login follows the login to its end: names from the requests, digests from the
 // answers, the session's handle from the last.
-func (c *iscsiParser) login(p *iscsi.PDU) []trail.Event {
-	answers, _ := iscsi.ParseText(p.Data)
-	for _, k := range answers {
-		switch k.Name {
+func (p *iscsiParser) login(pdu *iscsi.PDU) []trail.Event {
+	responseKeys, _ := iscsi.ParseText(pdu.Data)
+	for _, key := range responseKeys {
+		switch key.Name {
 		case "HeaderDigest":
-			c.digests[0] = k.Value == "CRC32C"
+			p.digests[0] = key.Value == "CRC32C"
 		case "DataDigest":
-			c.digests[1] = k.Value == "CRC32C"
+			p.digests[1] = key.Value == "CRC32C"
 		}
 	}
-	if p.BHS[36] != 0 || !p.Final() || p.Flags()&3 != 3 {
+	if pdu.BHS[36] != 0 || !pdu.Final() || pdu.Flags()&3 != 3 {
 		return nil
 	}
-	c.fullFeature = true
-	c.session = uint32(p.BHS[14])<<8 | uint32(p.BHS[15])
-	asked, _ := iscsi.ParseText(c.loginData)
-	c.loginData = nil
-	for _, k := range asked {
-		switch k.Name {
+	p.fullFeature = true
+	p.session = uint32(pdu.BHS[14])<<8 | uint32(pdu.BHS[15])
+	requestKeys, _ := iscsi.ParseText(p.loginData)
+	p.loginData = nil
+	for _, key := range requestKeys {
+		switch key.Name {
 		case "InitiatorName":
-			c.peer = k.Value[strings.LastIndexByte(k.Value, ':')+1:]
+			p.peer = key.Value[strings.LastIndexByte(key.Value, ':')+1:]
 		case "TargetName":
-			c.volume = k.Value[strings.LastIndexByte(k.Value, ':')+1:]
+			p.volume = key.Value[strings.LastIndexByte(key.Value, ':')+1:]
 		}
 	}
 	return []trail.Event{{Kind: trail.Login}}
@@ -257,15 +257,15 @@
 func describeCommand(cdb []byte) (op string, lba uint64, blocks uint32) {
 	var b [16]byte
 	copy(b[:], cdb)
-	every := &scsi.Disk{Blocks: 1 << 62, BlockSize: 1}
-	out := scsi.Decode(every, b, make([]byte, 2*scsi.MaxBlocks), nil)
+	disk := &scsi.Disk{Blocks: 1 << 62, BlockSize: 1}
+	decoded := scsi.Decode(disk, b, make([]byte, 2*scsi.MaxBlocks), nil)
 	if b[0] == 0x42 {
 		return scsi.Unmap.String(), 0, 0
 	}
-	if out.IO == nil || out.IO.Op == scsi.Flush {
+	if decoded.IO == nil || decoded.IO.Op == scsi.Flush {
 		return "", 0, 0
 	}
-	return out.IO.Op.String(), out.IO.LBA, out.IO.Blocks
+	return decoded.IO.Op.String(), decoded.IO.LBA, decoded.IO.Blocks
 }
 
 // diskParser reads the disk servers' protocol.
@@ -277,86 +277,86 @@
 
 // RecordDiskProtocol reads a connection between a host and the disk server that the inventory
 // lists at that address.
-func RecordDiskProtocol(rec *trail.Recorder, addr string) *FrameRecorder {
-	return newFrameRecorder(rec, &diskParser{server: addr})
+func RecordDiskProtocol(recorder *trail.Recorder, addr string) *FrameRecorder {
+	return newFrameRecorder(recorder, &diskParser{server: addr})
 }
 
-func (d *diskParser) setEndpoints(e *trail.Event) {
-	e.Link, e.Host, e.Peer, e.HostID = trail.LinkDisk, d.host, d.server, d.hostID
+func (p *diskParser) setEndpoints(e *trail.Event) {
+	e.Link, e.Host, e.Peer, e.HostID = trail.LinkDisk, p.host, p.server, p.hostID
 }
 
-func (d *diskParser) frameLength(_ bool, b []byte) int {
+func (p *diskParser) frameLength(_ bool, b []byte) int {
 	if len(b) < 16 {
 		return 0
 	}
 	if b[0] != 'M' || b[1] != 'H' {
 		return -1
 	}
-	n := 16 + int(binary.BigEndian.Uint32(b[4:]))
-	if n > maxFrameBytes {
+	length := 16 + int(binary.BigEndian.Uint32(b[4:]))
+	if length > maxFrameBytes {
 		return -1
 	}
-	if len(b) < n {
+	if len(b) < length {
 		return 0
 	}
-	return n
+	return length
 }
 
-func (d *diskParser) events(_ bool, b []byte) []trail.Event {
-	f, err := diskproto.NewReader(bufio.NewReader(bytes.NewReader(b))).Next()
+func (p *diskParser) events(_ bool, b []byte) []trail.Event {
+	frame, err := diskproto.NewReader(bufio.NewReader(bytes.NewReader(b))).Next()
 	if err != nil {
 		return []trail.Event{{Kind: trail.Malformed, Detail: err.Error()}}
 	}
-	e := trail.Event{Tag: f.Tag}
-	switch f.Kind {
+	event := trail.Event{Tag: frame.Tag}
+	switch frame.Kind {
 	case diskproto.KindHello:
-		var m diskproto.Hello
-		if m.Parse(f.Body) != nil {
+		var hello diskproto.Hello
+		if hello.Parse(frame.Body) != nil {
 			return nil
 		}
-		d.host, d.hostID = m.Name, m.Host
-		e.Kind = trail.Hello
+		p.host, p.hostID = hello.Name, hello.Host
+		event.Kind = trail.Hello
 	case diskproto.KindDo:
-		var m diskproto.Do
-		if err := m.Parse(f.Body); err != nil {
+		var request diskproto.Do
+		if err := request.Parse(frame.Body); err != nil {
 			return []trail.Event{{Kind: trail.Malformed, Detail: err.Error()}}
 		}
-		e.Kind, e.Op, e.Effect, e.Attempt, e.Shard = trail.Do, scsi.Op(m.Op).String(), int32(m.Effect), uint32(m.Attempt), int32(m.Shard)
-		e.Seq, e.Deadline, e.Units, e.Volume, e.Key, e.Generation = m.Seq, int64(m.Deadline), m.Units, m.Volume, m.Key, m.Gen
-		e.LBA, e.Blocks, e.Length, e.SettingsVersion, e.Plan = m.LBA, m.Blocks, uint32(len(m.Data)), m.Under, m.Plan
-		e.Session, e.RefTag = uint32(m.Origin>>32), uint32(m.Origin)
+		event.Kind, event.Op, event.Effect, event.Attempt, event.Shard = trail.Do, scsi.Op(request.Op).String(), int32(request.Effect), uint32(request.Attempt), int32(request.Shard)
+		event.Seq, event.Deadline, event.Units, event.Volume, event.Key, event.Generation = request.Seq, int64(request.Deadline), request.Units, request.Volume, request.Key, request.Gen
+		event.LBA, event.Blocks, event.Length, event.SettingsVersion, event.Plan = request.LBA, request.Blocks, uint32(len(request.Data)), request.Under, request.Plan
+		event.Session, event.RefTag = uint32(request.Origin>>32), uint32(request.Origin)
 	case diskproto.KindAnswer:
-		var m diskproto.Answer
-		if err := m.Parse(f.Body); err != nil {
+		var answer diskproto.Answer
+		if err := answer.Parse(frame.Body); err != nil {
 			return []trail.Event{{Kind: trail.Malformed, Detail: err.Error()}}
 		}
-		e.Kind, e.Status, e.Dropped, e.Length = trail.Answer, int32(m.Result), m.Dropped, uint32(len(m.Data))
+		event.Kind, event.Status, event.Dropped, event.Length = trail.Answer, int32(answer.Result), answer.Dropped, uint32(len(answer.Data))
 	case diskproto.KindBye:
-		e.Kind, e.Status = trail.Bye, int32(f.Tag)
+		event.Kind, event.Status = trail.Bye, int32(frame.Tag)
 	default:
 		return nil
 	}
-	return []trail.Event{e}
+	return []trail.Event{event}
 }
 
 // inventoryParser reads the inventory's lines.
 type inventoryParser struct{ host string }
 
 // RecordInventory reads a connection between that host and the inventory.
-func RecordInventory(rec *trail.Recorder, host string) *FrameRecorder {
-	return newFrameRecorder(rec, &inventoryParser{host})
+func RecordInventory(recorder *trail.Recorder, host string) *FrameRecorder {
+	return newFrameRecorder(recorder, &inventoryParser{host})
 }
 
-func (l *inventoryParser) setEndpoints(e *trail.Event) { e.Link, e.Host = trail.LinkInventory, l.host }
+func (p *inventoryParser) setEndpoints(e *trail.Event) { e.Link, e.Host = trail.LinkInventory, p.host }
 
-func (l *inventoryParser) frameLength(_ bool, b []byte) int { return bytes.IndexByte(b, '\n') + 1 }
+func (p *inventoryParser) frameLength(_ bool, b []byte) int { return bytes.IndexByte(b, '\n') + 1 }
 
-func (l *inventoryParser) events(up bool, b []byte) []trail.Event {
+func (p *inventoryParser) events(up bool, b []byte) []trail.Event {
 	if up {
 		return nil
 	}
-	var m inventory.List
-	if json.Unmarshal(b, &m) != nil {
+	var list inventory.List
+	if json.Unmarshal(b, &list) != nil {
 		return []trail.Event{{Kind: trail.Malformed}}
 	}
 	return []trail.Event{{Kind: trail.List, Detail: string(bytes.TrimSpace(b))}}
--- a/internal/simulation/standin/http.go
+++ b/internal/simulation/standin/http.go
@@ -37,41 +37,41 @@
 }
 
 // ServeHTTPDiskServer starts one.
-func ServeHTTPDiskServer(w env.Environment, do func(HTTPRequest) HTTPResponse) (*HTTPDiskServer, error) {
-	l, err := w.Listen("tcp", "127.0.0.1:0")
+func ServeHTTPDiskServer(environment env.Environment, respond func(HTTPRequest) HTTPResponse) (*HTTPDiskServer, error) {
+	listener, err := environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &HTTPDiskServer{respond: do}
-	d.start(w, l, d.serve)
-	return d, nil
+	server := &HTTPDiskServer{respond: respond}
+	server.start(environment, listener, server.serve)
+	return server, nil
 }
 
 var httpLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: 64 << 10}
 
-func (d *HTTPDiskServer) serve(c net.Conn, conn int) {
-	defer c.Close()
-	br := bufio.NewReader(c)
-	for nth := 0; ; nth++ {
-		r, body, err := http1.ReadWholeRequest(br, httpLimits)
+func (d *HTTPDiskServer) serve(conn net.Conn, connIndex int) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
+	for index := 0; ; index++ {
+		request, body, err := http1.ReadWholeRequest(reader, httpLimits)
 		if err != nil {
 			return
 		}
-		ask := HTTPRequest{Conn: conn, Index: nth, Request: r, Body: body, ReceivedAt: d.environment.Now()}
+		received := HTTPRequest{Conn: connIndex, Index: index, Request: request, Body: body, ReceivedAt: d.environment.Now()}
 		d.mu.Lock()
-		d.requests = append(d.requests, ask)
+		d.requests = append(d.requests, received)
 		d.mu.Unlock()
-		a := d.respond(ask)
-		env.Sleep(d.environment, a.Delay, nil)
-		c.Write(a.Raw)
-		if len(a.Extra) > 0 {
-			env.Sleep(d.environment, a.ExtraDelay, nil)
-			c.Write(a.Extra)
+		response := d.respond(received)
+		env.Sleep(d.environment, response.Delay, nil)
+		conn.Write(response.Raw)
+		if len(response.Extra) > 0 {
+			env.Sleep(d.environment, response.ExtraDelay, nil)
+			conn.Write(response.Extra)
 		}
-		if t, ok := c.(*net.TCPConn); ok && a.Reset {
-			t.SetLinger(0)
+		if tcpConn, ok := conn.(*net.TCPConn); ok && response.Reset {
+			tcpConn.SetLinger(0)
 		}
-		if a.Close || a.Reset {
+		if response.Close || response.Reset {
 			return
 		}
 	}
@@ -95,43 +95,43 @@
 }
 
 // ServeHTTPDiscovery starts one whose watches begin with that line of JSON.
-func ServeHTTPDiscovery(w env.Environment, whole string) (*HTTPDiscovery, error) {
-	l, err := w.Listen("tcp", "127.0.0.1:0")
+func ServeHTTPDiscovery(environment env.Environment, initialLine string) (*HTTPDiscovery, error) {
+	l, err := environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	h := &HTTPDiscovery{initialLine: whole}
-	h.start(w, l, h.serve)
-	return h, nil
+	discovery := &HTTPDiscovery{initialLine: initialLine}
+	discovery.start(environment, l, discovery.serve)
+	return discovery, nil
 }
 
-func (h *HTTPDiscovery) serve(c net.Conn, _ int) {
-	r, err := http1.ReadRequest(bufio.NewReader(c), httpLimits)
+func (h *HTTPDiscovery) serve(conn net.Conn, _ int) {
+	request, err := http1.ReadRequest(bufio.NewReader(conn), httpLimits)
 	if err != nil {
-		c.Close()
+		conn.Close()
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.targets = append(h.targets, r.Target)
-	h.watches = append(h.watches, c)
-	c.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
-	c.Write(encodeChunk(h.initialLine + "\n"))
+	h.targets = append(h.targets, request.Target)
+	h.watches = append(h.watches, conn)
+	conn.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
+	conn.Write(encodeChunk(h.initialLine + "\n"))
 }
 
-func encodeChunk(s string) []byte {
+func encodeChunk(data string) []byte {
 	const hex = "0123456789abcdef"
-	n := len(s)
-	return append([]byte{hex[n>>12&15], hex[n>>8&15], hex[n>>4&15], hex[n&15], '\r', '\n'}, s+"\r\n"...)
+	n := len(data)
+	return append([]byte{hex[n>>12&15], hex[n>>8&15], hex[n>>4&15], hex[n&15], '\r', '\n'}, data+"\r\n"...)
 }
 
 // Broadcast sends a line to every watch, in two chunks.
 func (h *HTTPDiscovery) Broadcast(line string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, c := range h.watches {
-		c.Write(encodeChunk(line[:len(line)/2]))
-		c.Write(encodeChunk(line[len(line)/2:] + "\n"))
+	for _, conn := range h.watches {
+		conn.Write(encodeChunk(line[:len(line)/2]))
+		conn.Write(encodeChunk(line[len(line)/2:] + "\n"))
 	}
 }
 
--- a/internal/simulation/standin/immediatediskserver.go
+++ b/internal/simulation/standin/immediatediskserver.go
@@ -19,42 +19,42 @@
 }
 
 // ServeImmediateDiskServer starts one that answers with so many bytes, in clear where it has no keys.
-func ServeImmediateDiskServer(w env.Environment, bytes int, k *keys.Holder) (*ImmediateDiskServer, error) {
-	l, err := w.Listen("tcp", "127.0.0.1:0")
+func ServeImmediateDiskServer(environment env.Environment, blockBytes int, serverKeys *keys.Holder) (*ImmediateDiskServer, error) {
+	listener, err := environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	if k != nil {
-		l = tls.NewListener(l, k.Server(true))
+	if serverKeys != nil {
+		listener = tls.NewListener(listener, serverKeys.Server(true))
 	}
-	q := &ImmediateDiskServer{block: make([]byte, bytes)}
-	q.start(w, l, q.serve)
-	return q, nil
+	server := &ImmediateDiskServer{block: make([]byte, blockBytes)}
+	server.start(environment, listener, server.serve)
+	return server, nil
 }
 
 // serve answers what has come in one write, so that a busy connection costs few
 // calls of the system.
-func (q *ImmediateDiskServer) serve(c net.Conn, _ int) {
-	defer c.Close()
-	br := bufio.NewReaderSize(c, 64<<10)
-	r := diskproto.NewReader(br)
+func (q *ImmediateDiskServer) serve(conn net.Conn, _ int) {
+	defer conn.Close()
+	buffered := bufio.NewReaderSize(conn, 64<<10)
+	reader := diskproto.NewReader(buffered)
 	answer := &diskproto.Answer{Result: diskproto.OK, Data: q.block}
 	var out []byte
 	for {
-		f, err := r.Next()
+		frame, err := reader.Next()
 		if err != nil {
 			return
 		}
-		switch f.Kind {
+		switch frame.Kind {
 		case diskproto.KindHello:
-			out = diskproto.Append(out, diskproto.KindWelcome, f.Tag, &diskproto.Welcome{Version: diskproto.Version, Clock: uint64(q.environment.Now() / time.Microsecond)})
+			out = diskproto.Append(out, diskproto.KindWelcome, frame.Tag, &diskproto.Welcome{Version: diskproto.Version, Clock: uint64(q.environment.Now() / time.Microsecond)})
 		case diskproto.KindDo:
-			out = diskproto.Append(out, diskproto.KindAnswer, f.Tag, answer)
+			out = diskproto.Append(out, diskproto.KindAnswer, frame.Tag, answer)
 		}
-		if br.Buffered() > 0 && len(out) < 128<<10 {
+		if buffered.Buffered() > 0 && len(out) < 128<<10 {
 			continue
 		}
-		if _, err := c.Write(out); err != nil {
+		if _, err := conn.Write(out); err != nil {
 			return
 		}
 		out = out[:0]
--- a/internal/simulation/standin/inventory.go
+++ b/internal/simulation/standin/inventory.go
@@ -39,100 +39,100 @@
 )
 
 // ServeInventory starts an inventory that tells changes so many ms late.
-func ServeInventory(w env.Environment, addr string, late float64) (*Inventory, error) {
-	l, err := w.Listen("tcp", addr)
+func ServeInventory(environment env.Environment, addr string, delay float64) (*Inventory, error) {
+	listener, err := environment.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	v := &Inventory{Addr: l.Addr().String(), environment: w, book: inventory.NewBook(), delay: late, listener: l}
-	v.tasks.Go(w, v.accept)
-	return v, nil
+	server := &Inventory{Addr: listener.Addr().String(), environment: environment, book: inventory.NewBook(), delay: delay, listener: listener}
+	server.tasks.Go(environment, server.accept)
+	return server, nil
 }
 
 func (v *Inventory) accept() {
 	for {
-		c, err := v.listener.Accept()
+		conn, err := v.listener.Accept()
 		if err != nil {
 			return
 		}
 		v.mu.Lock()
 		if v.closed {
 			v.mu.Unlock()
-			c.Close()
+			conn.Close()
 			return
 		}
-		wt := &watcher{writes: writequeue.New(v.environment, c, listQueueBytes, listWriteTimeout)}
-		v.conns.Add(wt)
+		client := &watcher{writes: writequeue.New(v.environment, conn, listQueueBytes, listWriteTimeout)}
+		v.conns.Add(client)
 		v.mu.Unlock()
-		v.tasks.Go(v.environment, func() { v.serve(c, wt) })
+		v.tasks.Go(v.environment, func() { v.serve(conn, client) })
 	}
 }
 
-func (v *Inventory) serve(c net.Conn, wt *watcher) {
-	r := bufio.NewReader(c)
+func (v *Inventory) serve(conn net.Conn, client *watcher) {
+	reader := bufio.NewReader(conn)
 	for {
-		var a inventory.Ask
-		if inventory.ReadLine(r, &a) != nil || a.Check() != nil {
+		var request inventory.Ask
+		if inventory.ReadLine(reader, &request) != nil || request.Check() != nil {
 			break
 		}
 		v.mu.Lock()
-		switch a.Op {
+		switch request.Op {
 		case "watch":
-			wt.watching, wt.knownGeneration = true, a.From
-			v.sendList(wt, true)
+			client.watching, client.knownGeneration = true, request.From
+			v.sendList(client, true)
 		case "fetch":
-			wt.knownGeneration = 0
-			v.sendList(wt, true)
+			client.knownGeneration = 0
+			v.sendList(client, true)
 		default:
-			l := v.handleRequest(&a)
-			wt.writes.Enqueue(func(b []byte) []byte { return append(b, inventory.Line(l)...) })
+			reply := v.handleRequest(&request)
+			client.writes.Enqueue(func(b []byte) []byte { return append(b, inventory.Line(reply)...) })
 		}
 		v.mu.Unlock()
 	}
-	wt.writes.Abort()
-	wt.writes.Wait()
+	client.writes.Abort()
+	client.writes.Wait()
 	v.mu.Lock()
-	v.conns.Remove(wt)
+	v.conns.Remove(client)
 	v.mu.Unlock()
 }
 
 // sendList sends what the watcher lacks. Held: mu.
-func (v *Inventory) sendList(wt *watcher, asked bool) {
+func (v *Inventory) sendList(client *watcher, evenIfEmpty bool) {
 	if v.regional != nil && !v.regional.source.Grants(env.MS(v.environment.Now())) {
 		return // what it lists may be old
 	}
-	l := v.book.List(wt.knownGeneration, env.MS(v.environment.Now()))
-	if len(l.Nodes) == 0 && !asked {
+	list := v.book.List(client.knownGeneration, env.MS(v.environment.Now()))
+	if len(list.Nodes) == 0 && !evenIfEmpty {
 		return
 	}
-	wt.knownGeneration = l.Generation
-	wt.writes.Enqueue(func(b []byte) []byte { return append(b, inventory.Line(l)...) })
+	client.knownGeneration = list.Generation
+	client.writes.Enqueue(func(b []byte) []byte { return append(b, inventory.Line(list)...) })
 }
 
 // Change makes changes to the list, which are told after the delay.
-func (v *Inventory) Change(f func(b *inventory.Book)) {
+func (v *Inventory) Change(change func(b *inventory.Book)) {
 	v.mu.Lock()
-	late := v.delay
+	delay := v.delay
 	v.mu.Unlock()
-	v.environment.AfterFunc(env.Duration(late), func() { v.ChangeNow(f) })
+	v.environment.AfterFunc(env.Duration(delay), func() { v.ChangeNow(change) })
 }
 
 // ChangeNow makes and tells changes at once.
-func (v *Inventory) ChangeNow(f func(b *inventory.Book)) {
+func (v *Inventory) ChangeNow(change func(b *inventory.Book)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.closed {
 		return
 	}
-	f(v.book)
+	change(v.book)
 	v.notifyWatchers()
 }
 
 // notifyWatchers sends every watcher what it lacks. Held: mu.
 func (v *Inventory) notifyWatchers() {
-	for _, wt := range v.conns.All() {
-		if wt.watching {
-			v.sendList(wt, false)
+	for _, client := range v.conns.All() {
+		if client.watching {
+			v.sendList(client, false)
 		}
 	}
 }
@@ -148,8 +148,8 @@
 func (v *Inventory) DropConnections() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, wt := range v.conns.All() {
-		wt.writes.Abort()
+	for _, client := range v.conns.All() {
+		client.writes.Abort()
 	}
 }
 
@@ -159,8 +159,8 @@
 	v.listener.Close()
 	v.mu.Lock()
 	v.closed = true
-	for _, wt := range v.conns.All() {
-		wt.writes.Abort()
+	for _, client := range v.conns.All() {
+		client.writes.Abort()
 	}
 	v.mu.Unlock()
 	v.tasks.Wait(v.environment)
--- a/internal/simulation/standin/links.go
+++ b/internal/simulation/standin/links.go
@@ -38,8 +38,8 @@
 }
 
 // NewLinks returns links that are whole.
-func NewLinks(w env.Environment, seed uint64) *Links {
-	return &Links{environment: w, listenerOwners: map[string]string{}, links: map[[2]string]*link{}, virtualAddresses: map[string]*VirtualAddress{}, relays: map[[2]string]*Relay{}, rng: rand.New(rand.NewPCG(seed, 9))}
+func NewLinks(environment env.Environment, seed uint64) *Links {
+	return &Links{environment: environment, listenerOwners: map[string]string{}, links: map[[2]string]*link{}, virtualAddresses: map[string]*VirtualAddress{}, relays: map[[2]string]*Relay{}, rng: rand.New(rand.NewPCG(seed, 9))}
 }
 
 // Process is the world as the program of that name has it.
@@ -57,77 +57,77 @@
 }
 
 // NewVirtualAddress makes one. No other program can dial it.
-func (l *Links) NewVirtualAddress(target string, tap func(addr string) *FrameRecorder) *VirtualAddress {
+func (l *Links) NewVirtualAddress(target string, newRecorder func(addr string) *FrameRecorder) *VirtualAddress {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := &VirtualAddress{l, fmt.Sprintf("wire-%d", len(l.virtualAddresses)), target, tap}
-	l.virtualAddresses[w.addr], l.listenerOwners[w.addr] = w, l.listenerOwners[target]
-	return w
+	address := &VirtualAddress{l, fmt.Sprintf("wire-%d", len(l.virtualAddresses)), target, newRecorder}
+	l.virtualAddresses[address.addr], l.listenerOwners[address.addr] = address, l.listenerOwners[target]
+	return address
 }
 
 // Address is what programs dial.
-func (w *VirtualAddress) Address() string { return w.addr }
+func (a *VirtualAddress) Address() string { return a.addr }
 
 // Point has connections from now on go to another address.
-func (w *VirtualAddress) Point(target string) {
-	l := w.links
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	w.target = target
-	for k, r := range l.relays {
-		if k[1] == w.addr {
-			r.Point(target)
+func (a *VirtualAddress) Point(target string) {
+	links := a.links
+	links.mu.Lock()
+	defer links.mu.Unlock()
+	a.target = target
+	for key, relay := range links.relays {
+		if key[1] == a.addr {
+			relay.Point(target)
 		}
 	}
 }
 
 // Close does nothing: relays end with their links.
-func (w *VirtualAddress) Close() {}
+func (a *VirtualAddress) Close() {}
 
 // SetState changes the way from one program to another.
-func (l *Links) SetState(from, to string, s LinkState) {
+func (l *Links) SetState(from, to string, state LinkState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.link(from, to)
-	w.LinkState = s
+	link := l.link(from, to)
+	link.LinkState = state
 	switch {
-	case s.Cut && w.restored == nil:
-		w.restored = &env.Gate{}
-	case !s.Cut && w.restored != nil:
-		w.restored.Open()
-		w.restored = nil
+	case state.Cut && link.restored == nil:
+		link.restored = &env.Gate{}
+	case !state.Cut && link.restored != nil:
+		link.restored.Open()
+		link.restored = nil
 	}
 }
 
 // link is the state of a link. Held: mu.
 func (l *Links) link(from, to string) *link {
-	k := [2]string{from, to}
-	if l.links[k] == nil {
-		l.links[k] = &link{}
+	key := [2]string{from, to}
+	if l.links[key] == nil {
+		l.links[key] = &link{}
 	}
-	return l.links[k]
+	return l.links[key]
 }
 
 // transit waits until what is sent from one program to another has come through; false if
 // over opens first.
-func (l *Links) transit(from, to string, over *env.Gate) bool {
+func (l *Links) transit(from, to string, stopped *env.Gate) bool {
 	l.mu.Lock()
-	w := l.link(from, to)
-	whole, late := w.restored, w.Delay
-	for again := minRetransmitDelay; w.Loss > 0 && l.rng.Float64() < w.Loss; again = min(2*again, maxRetransmitDelay) {
-		late += again
+	link := l.link(from, to)
+	restored, delay := link.restored, link.Delay
+	for retransmitDelay := minRetransmitDelay; link.Loss > 0 && l.rng.Float64() < link.Loss; retransmitDelay = min(2*retransmitDelay, maxRetransmitDelay) {
+		delay += retransmitDelay
 	}
 	l.mu.Unlock()
-	for whole != nil {
-		env.WaitAny(l.environment, whole, over)
-		if over.Opened() {
+	for restored != nil {
+		env.WaitAny(l.environment, restored, stopped)
+		if stopped.Opened() {
 			return false
 		}
 		l.mu.Lock()
-		whole = w.restored // it may be cut again already
+		restored = link.restored // it may be cut again already
 		l.mu.Unlock()
 	}
-	return late == 0 || env.Sleep(l.environment, late, over)
+	return delay == 0 || env.Sleep(l.environment, delay, stopped)
 }
 
 // Times after which what was lost is sent again (RFC 6298 section 5.5).
@@ -155,25 +155,25 @@
 	if !ok || l.relays == nil {
 		return addr, nil
 	}
-	k := [2]string{from, addr}
-	if r := l.relays[k]; r != nil {
-		return r.Addr, nil
+	key := [2]string{from, addr}
+	if relay := l.relays[key]; relay != nil {
+		return relay.Addr, nil
 	}
-	target, tap := addr, (func(string) *FrameRecorder)(nil)
-	if w := l.virtualAddresses[addr]; w != nil {
-		target, tap = w.target, func(string) *FrameRecorder { return w.newRecorder(addr) }
+	target, newRecorder := addr, (func(string) *FrameRecorder)(nil)
+	if address := l.virtualAddresses[addr]; address != nil {
+		target, newRecorder = address.target, func(string) *FrameRecorder { return address.newRecorder(addr) }
 	}
-	r, err := serveRelay(l.environment, target, tap, func(up bool, over *env.Gate) bool {
+	relay, err := serveRelay(l.environment, target, newRecorder, func(up bool, stopped *env.Gate) bool {
 		if up {
-			return l.transit(from, to, over)
+			return l.transit(from, to, stopped)
 		}
-		return l.transit(to, from, over)
+		return l.transit(to, from, stopped)
 	})
 	if err != nil {
 		return "", err
 	}
-	l.relays[k] = r
-	return r.Addr, nil
+	l.relays[key] = relay
+	return relay.Addr, nil
 }
 
 // processEnvironment is a program's world.
@@ -185,20 +185,20 @@
 
 // Listen implements env.Environment.
 func (p *processEnvironment) Listen(network, address string) (net.Listener, error) {
-	n, err := p.Environment.Listen(network, address)
+	listener, err := p.Environment.Listen(network, address)
 	if err == nil {
 		p.links.mu.Lock()
-		p.links.listenerOwners[n.Addr().String()] = p.name
+		p.links.listenerOwners[listener.Addr().String()] = p.name
 		p.links.mu.Unlock()
 	}
-	return n, err
+	return listener, err
 }
 
 // Dial implements env.Environment.
-func (p *processEnvironment) Dial(ctx context.Context, network, address string, within time.Duration) (net.Conn, error) {
-	at, err := p.links.relayAddress(p.name, address)
+func (p *processEnvironment) Dial(ctx context.Context, network, address string, timeout time.Duration) (net.Conn, error) {
+	relayAddr, err := p.links.relayAddress(p.name, address)
 	if err != nil {
 		return nil, err
 	}
-	return p.Environment.Dial(ctx, network, at, within)
+	return p.Environment.Dial(ctx, network, relayAddr, timeout)
 }
--- a/internal/simulation/standin/links_test.go
+++ b/internal/simulation/standin/links_test.go
@@ -13,46 +13,46 @@
 // What is sent while a way is cut comes once it is whole, in order; what comes the other
 // way is not held back; a connection through a cut way opens and is silent.
 func TestLinksCutOneWay(t *testing.T) {
-	w := env.NewReal()
-	links := standin.NewLinks(w, 1)
+	environment := env.NewReal()
+	links := standin.NewLinks(environment, 1)
 	defer links.Close()
 	a, b := links.Process("a"), links.Process("b")
-	l, err := b.Listen("tcp", "127.0.0.1:0")
+	listener, err := b.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	c, err := a.Dial(context.Background(), "tcp", l.Addr().String(), time.Second)
+	defer listener.Close()
+	dialled, err := a.Dial(context.Background(), "tcp", listener.Addr().String(), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	s, err := l.Accept()
+	defer dialled.Close()
+	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer accepted.Close()
 	links.SetState("a", "b", standin.LinkState{Cut: true})
-	c.Write([]byte("one"))
-	c.Write([]byte("two"))
-	if _, err := s.Write([]byte("back")); err != nil {
+	dialled.Write([]byte("one"))
+	dialled.Write([]byte("two"))
+	if _, err := accepted.Write([]byte("back")); err != nil {
 		t.Fatal(err)
 	}
 	got := make([]byte, 4)
-	if _, err := io.ReadFull(c, got); err != nil || string(got) != "back" {
+	if _, err := io.ReadFull(dialled, got); err != nil || string(got) != "back" {
 		t.Fatalf("the other way: %q, %v", got, err)
 	}
-	var came env.Gate
+	var received env.Gate
 	got = make([]byte, 6)
 	go func() {
-		io.ReadFull(s, got)
-		came.Open()
+		io.ReadFull(accepted, got)
+		received.Open()
 	}()
-	if env.Sleep(w, 50*time.Millisecond, &came); came.Opened() {
+	if env.Sleep(environment, 50*time.Millisecond, &received); received.Opened() {
 		t.Fatal("it came through a cut")
 	}
 	links.SetState("a", "b", standin.LinkState{Loss: 0.5, Delay: time.Millisecond})
-	came.Wait(w)
+	received.Wait(environment)
 	if string(got) != "onetwo" {
 		t.Fatalf("came: %q", got)
 	}
--- a/internal/simulation/standin/machine.go
+++ b/internal/simulation/standin/machine.go
@@ -92,22 +92,22 @@
 }
 
 // NewMachine returns a machine that started at that time; cold or long warm.
-func NewMachine(cfg MachineConfig, seed uint64, cell *ShardStore, rack *DedupCache, meter *UsageMeter, shard uint32, now float64, cold bool) *Machine {
-	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), store: cell, dedup: rack, meter: meter,
+func NewMachine(cfg MachineConfig, seed uint64, store *ShardStore, dedup *DedupCache, meter *UsageMeter, shard uint32, now float64, cold bool) *Machine {
+	machine := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), store: store, dedup: dedup, meter: meter,
 		shard: shard, started: math.Inf(-1)}
 	if cold {
-		m.started = now
+		machine.started = now
 	}
-	m.flushAt = now + cfg.FlushInterval*(0.5+m.rng.Float64())
-	m.pauseAt = math.Inf(1)
-	return m
+	machine.flushAt = now + cfg.FlushInterval*(0.5+machine.rng.Float64())
+	machine.pauseAt = math.Inf(1)
+	return machine
 }
 
 // SetFaults changes what is wrong with the machine.
-func (m *Machine) SetFaults(now float64, t MachineFaults) {
-	m.faults, m.pauseAt = t, math.Inf(1)
-	if t.PauseInterval > 0 {
-		m.pauseAt = now + t.PauseInterval*m.rng.Float64()
+func (m *Machine) SetFaults(now float64, faults MachineFaults) {
+	m.faults, m.pauseAt = faults, math.Inf(1)
+	if faults.PauseInterval > 0 {
+		m.pauseAt = now + faults.PauseInterval*m.rng.Float64()
 	}
 }
 
@@ -122,9 +122,9 @@
 
 // capacityPart is the part of its capacity that the machine has now.
 func (m *Machine) capacityPart(now float64) float64 {
-	c := &m.cfg
-	if age := now - m.started; age < c.WarmUpTime {
-		return c.ColdCapacity + (1-c.ColdCapacity)*age/c.WarmUpTime
+	cfg := &m.cfg
+	if age := now - m.started; age < cfg.WarmUpTime {
+		return cfg.ColdCapacity + (1-cfg.ColdCapacity)*age/cfg.WarmUpTime
 	}
 	return 1
 }
@@ -132,25 +132,25 @@
 // overloadLimit is the number of units that may reach the machine within FallTime: the
 // multiple of what it can do now, and never below ColdUnits.
 func (m *Machine) overloadLimit(now float64) float64 {
-	c := &m.cfg
-	can := float64(c.Cores) / c.UnitWork * m.capacityPart(now) * c.OverloadWindow
-	return max(can*c.OverloadFactor, c.ColdUnits)
+	cfg := &m.cfg
+	capacity := float64(cfg.Cores) / cfg.UnitWork * m.capacityPart(now) * cfg.OverloadWindow
+	return max(capacity*cfg.OverloadFactor, cfg.ColdUnits)
 }
 
 // Arrive takes an attempt; reply is called exactly once unless the machine dies.
-func (m *Machine) Arrive(now float64, do diskproto.Do, reply func(diskproto.Answer)) {
+func (m *Machine) Arrive(now float64, request diskproto.Do, reply func(diskproto.Answer)) {
 	m.Advance(now)
-	m.countColdArrival(now, do.Units)
-	j := &job{request: do, reply: reply, arrived: now}
+	m.countColdArrival(now, request.Units)
+	attempt := &job{request: request, reply: reply, arrived: now}
 	switch {
-	case do.Shard != m.shard:
+	case request.Shard != m.shard:
 		reply(diskproto.Answer{Result: diskproto.WrongShard})
 	case m.draining || m.crashed:
 		reply(diskproto.Answer{Result: diskproto.Draining})
 	case len(m.queue) >= m.cfg.QueueLimit:
 		reply(diskproto.Answer{Result: diskproto.Full})
 	default:
-		m.queue = append(m.queue, j)
+		m.queue = append(m.queue, attempt)
 		m.startJobs(now)
 	}
 }
@@ -175,132 +175,132 @@
 // is not begun: that is what its sender counts on.
 func (m *Machine) startJobs(now float64) {
 	for len(m.queue) > 0 && len(m.running) < m.cfg.Cores && now >= m.stalledUntil {
-		j := m.queue[0]
+		attempt := m.queue[0]
 		m.queue = m.queue[1:]
-		if float64(j.request.Deadline)/1000 <= now {
-			j.reply(diskproto.Answer{Result: diskproto.Expired})
+		if float64(attempt.request.Deadline)/1000 <= now {
+			attempt.reply(diskproto.Answer{Result: diskproto.Expired})
 			continue
 		}
-		work := m.serviceTime(now, j)
+		duration := m.serviceTime(now, attempt)
 		if m.rng.Float64() < m.faults.FailShare {
-			j.fails, work = true, 1
+			attempt.fails, duration = true, 1
 		}
-		m.execute(now, j)
-		j.endsAt = now + work
-		heap.Push(&m.running, j)
+		m.execute(now, attempt)
+		attempt.endsAt = now + duration
+		heap.Push(&m.running, attempt)
 	}
 }
 
 // serviceTime is how long the request takes on one core.
-func (m *Machine) serviceTime(now float64, j *job) float64 {
-	c := &m.cfg
-	w := c.UnitWork * j.request.Units * (1 + c.Spread*(2*m.rng.Float64()-1))
-	if scsi.Op(j.request.Op).Writes() {
-		w *= c.WriteFactor
-		m.deferredWork += w * c.DeferredWriteShare
-		w *= 1 - c.DeferredWriteShare
+func (m *Machine) serviceTime(now float64, attempt *job) float64 {
+	cfg := &m.cfg
+	work := cfg.UnitWork * attempt.request.Units * (1 + cfg.Spread*(2*m.rng.Float64()-1))
+	if scsi.Op(attempt.request.Op).Writes() {
+		work *= cfg.WriteFactor
+		m.deferredWork += work * cfg.DeferredWriteShare
+		work *= 1 - cfg.DeferredWriteShare
 	}
-	if slices.Contains(m.recentKeys, j.request.Key) {
-		w *= c.CacheHitFactor
-	} else if c.CacheEntries > 0 {
-		m.recentKeys = append(m.recentKeys, j.request.Key)
-		m.recentKeys = m.recentKeys[max(len(m.recentKeys)-c.CacheEntries, 0):]
+	if slices.Contains(m.recentKeys, attempt.request.Key) {
+		work *= cfg.CacheHitFactor
+	} else if cfg.CacheEntries > 0 {
+		m.recentKeys = append(m.recentKeys, attempt.request.Key)
+		m.recentKeys = m.recentKeys[max(len(m.recentKeys)-cfg.CacheEntries, 0):]
 	}
 	if m.faults.SlowFactor > 0 {
-		w *= m.faults.SlowFactor
+		work *= m.faults.SlowFactor
 	}
-	return w / max(1-m.faults.StolenShare, 0.05) / m.capacityPart(now)
+	return work / max(1-m.faults.StolenShare, 0.05) / m.capacityPart(now)
 }
 
 // execute carries the request out as it begins, so that its deadline bounds when
 // it can still change blocks. One that fails has run half of the times.
-func (m *Machine) execute(now float64, j *job) {
-	d := &j.request
-	if j.fails && m.rng.IntN(2) == 0 {
-		j.result = diskproto.Answer{Result: diskproto.Failed}
+func (m *Machine) execute(now float64, attempt *job) {
+	request := &attempt.request
+	if attempt.fails && m.rng.IntN(2) == 0 {
+		attempt.result = diskproto.Answer{Result: diskproto.Failed}
 		return
 	}
-	apply := func() (r diskproto.Result, data []byte) {
-		r, data, j.requiredSeq = m.store.apply(now, d)
-		return r, data
+	apply := func() (result diskproto.Result, data []byte) {
+		result, data, attempt.requiredSeq = m.store.apply(now, request)
+		return result, data
 	}
-	a := &j.result
+	answer := &attempt.result
 	switch {
-	case m.store.Stale(d.Gen):
-		a.Result = diskproto.Stale
-	case d.Effect == diskproto.Keyed:
-		if a.Result, a.Data, a.Dropped = m.dedup.runOnce(now, d, apply); a.Dropped {
-			j.requiredSeq = m.store.lastSeq()
+	case m.store.Stale(request.Gen):
+		answer.Result = diskproto.Stale
+	case request.Effect == diskproto.Keyed:
+		if answer.Result, answer.Data, answer.Dropped = m.dedup.runOnce(now, request, apply); answer.Dropped {
+			attempt.requiredSeq = m.store.lastSeq()
 		}
 	default:
-		a.Result, a.Data = apply()
+		answer.Result, answer.Data = apply()
 	}
-	d.Data = nil // what was written isn't needed any more
-	if j.fails {
-		*a = diskproto.Answer{Result: diskproto.Failed}
+	request.Data = nil // what was written isn't needed any more
+	if attempt.fails {
+		*answer = diskproto.Answer{Result: diskproto.Failed}
 	}
 }
 
 // NextEventAt is when Advance has something to do, +Inf if never.
 func (m *Machine) NextEventAt() float64 {
-	at := min(m.pauseAt, m.flushAt)
+	next := min(m.pauseAt, m.flushAt)
 	if len(m.running) > 0 {
-		at = min(at, m.running[0].endsAt)
+		next = min(next, m.running[0].endsAt)
 	}
 	if len(m.queue) > 0 && m.stalledUntil > 0 {
-		at = min(at, max(m.stalledUntil, 0))
+		next = min(next, max(m.stalledUntil, 0))
 	}
-	return at
+	return next
 }
 
 // Advance does what has come due by now.
 func (m *Machine) Advance(now float64) {
 	for {
-		at := m.NextEventAt()
-		if at > now {
+		due := m.NextEventAt()
+		if due > now {
 			m.startJobs(now)
 			return
 		}
 		switch {
-		case at == m.pauseAt:
-			m.stall(at, m.faults.PauseLength)
-			m.pauseAt = at + m.faults.PauseLength + m.faults.PauseInterval
-		case at == m.flushAt:
-			m.stall(at, m.deferredWork/float64(m.cfg.Cores))
+		case due == m.pauseAt:
+			m.stall(due, m.faults.PauseLength)
+			m.pauseAt = due + m.faults.PauseLength + m.faults.PauseInterval
+		case due == m.flushAt:
+			m.stall(due, m.deferredWork/float64(m.cfg.Cores))
 			m.deferredWork = 0
-			m.flushAt = at + max(m.cfg.FlushInterval, 1)*(0.5+m.rng.Float64())
+			m.flushAt = due + max(m.cfg.FlushInterval, 1)*(0.5+m.rng.Float64())
 			if m.cfg.FlushInterval <= 0 {
 				m.flushAt = math.Inf(1)
 			}
-		case len(m.running) > 0 && at == m.running[0].endsAt:
-			m.finish(at, heap.Pop(&m.running).(*job))
-			m.startJobs(at)
+		case len(m.running) > 0 && due == m.running[0].endsAt:
+			m.finish(due, heap.Pop(&m.running).(*job))
+			m.startJobs(due)
 		default:
 			m.stalledUntil = 0
-			m.startJobs(at)
+			m.startJobs(due)
 		}
 	}
 }
 
 // stall stops the machine: what runs ends later, nothing begins.
-func (m *Machine) stall(now, d float64) {
-	if d <= 0 {
+func (m *Machine) stall(now, duration float64) {
+	if duration <= 0 {
 		return
 	}
 	for _, j := range m.running {
-		j.endsAt += d // all by the same, so the heap stands
+		j.endsAt += duration // all by the same, so the heap stands
 	}
-	m.stalledUntil = max(m.stalledUntil, now) + d
+	m.stalledUntil = max(m.stalledUntil, now) + duration
 }
 
-func (m *Machine) finish(now float64, j *job) {
-	a := j.result
-	if a.Result == diskproto.OK || a.Result == diskproto.Miscompare {
+func (m *Machine) finish(now float64, attempt *job) {
+	answer := attempt.result
+	if answer.Result == diskproto.OK || answer.Result == diskproto.Miscompare {
 		m.Served++
-		a.Use, a.Others = m.meter.add(now, m.faults.UsageDelay, m.shard, j.request.Host, j.request.Volume, j.request.Units)
+		answer.Use, answer.Others = m.meter.add(now, m.faults.UsageDelay, m.shard, attempt.request.Host, attempt.request.Volume, attempt.request.Units)
 	}
-	if m.store.replyWhenCopied(now, j.requiredSeq, func() { m.RunAsEvent(func() { j.reply(a) }) }) {
-		j.reply(a)
+	if m.store.replyWhenCopied(now, attempt.requiredSeq, func() { m.RunAsEvent(func() { attempt.reply(answer) }) }) {
+		attempt.reply(answer)
 	}
 }
 
@@ -330,46 +330,46 @@
 
 // add enters units and returns what the answer is to tell. The late meter of
 // report_late tells the figures of a past period only once they are so old.
-func (t *UsageMeter) add(now, late float64, shard uint32, host uint64, volume string, units float64) (uint32, float64) {
-	if t == nil || t.Period <= 0 {
+func (m *UsageMeter) add(now, usageDelay float64, shard uint32, host uint64, volume string, units float64) (uint32, float64) {
+	if m == nil || m.Period <= 0 {
 		return 0, 0
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.usage == nil {
-		t.usage, t.unitsByOthers, t.knownHosts = map[string]*volumeUsage{}, map[hostVolumeKey]float64{}, map[hostVolumeKey]map[uint64]bool{}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.usage == nil {
+		m.usage, m.unitsByOthers, m.knownHosts = map[string]*volumeUsage{}, map[hostVolumeKey]float64{}, map[hostVolumeKey]map[uint64]bool{}
 	}
-	u := t.usage[volume]
-	if u == nil {
-		u = &volumeUsage{}
-		t.usage[volume] = u
+	usage := m.usage[volume]
+	if usage == nil {
+		usage = &volumeUsage{}
+		m.usage[volume] = usage
 	}
-	if p := int(now / t.Period); p != u.period {
-		u.previousUnits, u.previousSetAt = u.units, now
-		if p != u.period+1 {
-			u.previousUnits = 0
+	if period := int(now / m.Period); period != usage.period {
+		usage.previousUnits, usage.previousSetAt = usage.units, now
+		if period != usage.period+1 {
+			usage.previousUnits = 0
 		}
-		u.period, u.units = p, 0
+		usage.period, usage.units = period, 0
 	}
-	u.units += units
-	all := hostVolumeKey{shard, 0, volume}
-	known := t.knownHosts[all]
-	if known == nil {
-		known = map[uint64]bool{}
-		t.knownHosts[all] = known
+	usage.units += units
+	volumeKey := hostVolumeKey{shard, 0, volume}
+	hosts := m.knownHosts[volumeKey]
+	if hosts == nil {
+		hosts = map[uint64]bool{}
+		m.knownHosts[volumeKey] = hosts
 	}
-	known[host] = true
-	for h := range known {
-		if h != host {
-			t.unitsByOthers[hostVolumeKey{shard, h, volume}] += units
+	hosts[host] = true
+	for other := range hosts {
+		if other != host {
+			m.unitsByOthers[hostVolumeKey{shard, other, volume}] += units
 		}
 	}
-	mine := hostVolumeKey{shard, host, volume}
-	got := t.unitsByOthers[mine]
-	t.unitsByOthers[mine] = 0
-	rate := t.Rate(volume) * t.Period / 1000
-	if rate <= 0 || now-u.previousSetAt < late {
-		return 0, got
+	hostKey := hostVolumeKey{shard, host, volume}
+	byOthers := m.unitsByOthers[hostKey]
+	m.unitsByOthers[hostKey] = 0
+	unitsPerPeriod := m.Rate(volume) * m.Period / 1000
+	if unitsPerPeriod <= 0 || now-usage.previousSetAt < usageDelay {
+		return 0, byOthers
 	}
-	return uint32(1 + 100*u.previousUnits/rate), got
+	return uint32(1 + 100*usage.previousUnits/unitsPerPeriod), byOthers
 }
--- a/internal/simulation/standin/machine_test.go
+++ b/internal/simulation/standin/machine_test.go
@@ -13,27 +13,27 @@
 	if edit != nil {
 		edit(&cfg)
 	}
-	cell, rack := NewShardStore(func(string) int { return 512 }), NewDedupCache(6000)
-	return NewMachine(cfg, 1, cell, rack, nil, 3, 1000, cold), cell, rack
+	store, dedup := NewShardStore(func(string) int { return 512 }), NewDedupCache(6000)
+	return NewMachine(cfg, 1, store, dedup, nil, 3, 1000, cold), store, dedup
 }
 
 // arrive sends an attempt and returns where its answer will stand.
-func arrive(m *Machine, now float64, do diskproto.Do) *diskproto.Answer {
-	got := &diskproto.Answer{}
-	if do.Deadline == 0 {
-		do.Deadline = 1e12
+func arrive(m *Machine, now float64, request diskproto.Do) *diskproto.Answer {
+	answer := &diskproto.Answer{}
+	if request.Deadline == 0 {
+		request.Deadline = 1e12
 	}
-	if do.Units == 0 {
-		do.Units = 1
+	if request.Units == 0 {
+		request.Units = 1
 	}
-	do.Shard = 3
-	m.Arrive(now, do, func(a diskproto.Answer) {
-		if got.Result != 0 {
+	request.Shard = 3
+	m.Arrive(now, request, func(a diskproto.Answer) {
+		if answer.Result != 0 {
 			panic("answered twice")
 		}
-		*got = a
+		*answer = a
 	})
-	return got
+	return answer
 }
 
 func keyedWrite(seq uint64, b byte) diskproto.Do {
@@ -41,25 +41,25 @@
 }
 
 func TestQueueLimitAndOrder(t *testing.T) {
-	m, _, _ := testMachine(nil, false)
-	var got []*diskproto.Answer
+	machine, _, _ := testMachine(nil, false)
+	var answers []*diskproto.Answer
 	for range 6 { // one runs, four wait, one is turned away
-		got = append(got, arrive(m, 1000, diskproto.Do{Op: byte(scsi.Read), Blocks: 1}))
+		answers = append(answers, arrive(machine, 1000, diskproto.Do{Op: byte(scsi.Read), Blocks: 1}))
 	}
-	if got[5].Result != diskproto.Full || got[0].Result != 0 {
-		t.Fatalf("first %v, last %v", got[0].Result, got[5].Result)
+	if answers[5].Result != diskproto.Full || answers[0].Result != 0 {
+		t.Fatalf("first %v, last %v", answers[0].Result, answers[5].Result)
 	}
 	for i := range 5 {
-		m.Advance(1000 + 10*float64(i+1))
-		if got[i].Result != diskproto.OK || i < 4 && got[i+1].Result != 0 {
-			t.Errorf("after %d ms: %v", 10*(i+1), got[i].Result)
+		machine.Advance(1000 + 10*float64(i+1))
+		if answers[i].Result != diskproto.OK || i < 4 && answers[i+1].Result != 0 {
+			t.Errorf("after %d ms: %v", 10*(i+1), answers[i].Result)
 		}
 	}
-	if wrong := arrive(m, 2000, diskproto.Do{}); wrong.Result != 0 {
+	if answer := arrive(machine, 2000, diskproto.Do{}); answer.Result != 0 {
 		t.Error("an answer before its time")
 	}
 	other := &diskproto.Answer{}
-	m.Arrive(2000, diskproto.Do{Shard: 9}, func(a diskproto.Answer) { *other = a })
+	machine.Arrive(2000, diskproto.Do{Shard: 9}, func(a diskproto.Answer) { *other = a })
 	if other.Result != diskproto.WrongShard {
 		t.Errorf("another shard: %v", other.Result)
 	}
@@ -67,75 +67,75 @@
 
 // What has not begun by its deadline never runs.
 func TestDeadlineBoundsTheEffect(t *testing.T) {
-	m, cell, _ := testMachine(nil, false)
-	arrive(m, 1000, diskproto.Do{Op: byte(scsi.Read), Blocks: 1})
-	w := keyedWrite(1, 7)
-	w.Deadline = 1005 * 1000
-	late := arrive(m, 1000, w)
-	m.Advance(2000)
-	if late.Result != diskproto.Expired {
-		t.Errorf("%v", late.Result)
-	}
-	if _, b, _ := cell.apply(0, &diskproto.Do{Op: byte(scsi.Read), Volume: "v", Blocks: 1}); b[0] != 0 {
+	machine, store, _ := testMachine(nil, false)
+	arrive(machine, 1000, diskproto.Do{Op: byte(scsi.Read), Blocks: 1})
+	request := keyedWrite(1, 7)
+	request.Deadline = 1005 * 1000
+	answer := arrive(machine, 1000, request)
+	machine.Advance(2000)
+	if answer.Result != diskproto.Expired {
+		t.Errorf("%v", answer.Result)
+	}
+	if _, data, _ := store.apply(0, &diskproto.Do{Op: byte(scsi.Read), Volume: "v", Blocks: 1}); data[0] != 0 {
 		t.Error("a write landed after its deadline")
 	}
 }
 
 // A rack drops repeats for its time, over machines, and counts what runs again.
 func TestDedupDropsRepeats(t *testing.T) {
-	m, cell, rack := testMachine(nil, false)
-	next := NewMachine(m.cfg, 2, cell, rack, nil, 3, 1000, false)
-	arrive(m, 1000, keyedWrite(1, 7))
-	m.Advance(1010)
-	arrive(m, 1010, keyedWrite(2, 8))
-	m.Advance(1020)
-	again := arrive(next, 1030, keyedWrite(1, 7))
-	next.Advance(1040)
-	if !again.Dropped || again.Result != diskproto.OK {
-		t.Errorf("a repeat: %+v", again)
-	}
-	if _, b, _ := cell.apply(0, &diskproto.Do{Op: byte(scsi.Read), Volume: "v", Blocks: 1}); b[0] != 8 {
-		t.Errorf("the repeat undid a later write: %d", b[0])
-	}
-	if rack.RepeatedEffects() != 0 {
+	machine, store, dedup := testMachine(nil, false)
+	successor := NewMachine(machine.cfg, 2, store, dedup, nil, 3, 1000, false)
+	arrive(machine, 1000, keyedWrite(1, 7))
+	machine.Advance(1010)
+	arrive(machine, 1010, keyedWrite(2, 8))
+	machine.Advance(1020)
+	repeated := arrive(successor, 1030, keyedWrite(1, 7))
+	successor.Advance(1040)
+	if !repeated.Dropped || repeated.Result != diskproto.OK {
+		t.Errorf("a repeat: %+v", repeated)
+	}
+	if _, data, _ := store.apply(0, &diskproto.Do{Op: byte(scsi.Read), Volume: "v", Blocks: 1}); data[0] != 8 {
+		t.Errorf("the repeat undid a later write: %d", data[0])
+	}
+	if dedup.RepeatedEffects() != 0 {
 		t.Error("a dropped repeat was counted")
 	}
-	late := arrive(next, 7001, keyedWrite(1, 7))
-	next.Advance(7011)
-	if late.Dropped || rack.RepeatedEffects() != 1 {
-		t.Errorf("after the window: %+v, %d", late, rack.RepeatedEffects())
+	afterRetention := arrive(successor, 7001, keyedWrite(1, 7))
+	successor.Advance(7011)
+	if afterRetention.Dropped || dedup.RepeatedEffects() != 1 {
+		t.Errorf("after the window: %+v, %d", afterRetention, dedup.RepeatedEffects())
 	}
 }
 
 func TestCompareAndWrite(t *testing.T) {
-	m, _, _ := testMachine(nil, false)
-	caw := func(at float64, old, new byte) diskproto.Result {
-		a := arrive(m, at, diskproto.Do{Op: byte(scsi.CompareAndWrite), Volume: "v", Blocks: 1,
+	machine, _, _ := testMachine(nil, false)
+	compareAndWrite := func(now float64, old, new byte) diskproto.Result {
+		answer := arrive(machine, now, diskproto.Do{Op: byte(scsi.CompareAndWrite), Volume: "v", Blocks: 1,
 			Data: append(bytes.Repeat([]byte{old}, 512), bytes.Repeat([]byte{new}, 512)...)})
-		m.Advance(at + 10)
-		return a.Result
+		machine.Advance(now + 10)
+		return answer.Result
 	}
-	if r := caw(1000, 0, 5); r != diskproto.OK {
-		t.Errorf("equal: %v", r)
+	if result := compareAndWrite(1000, 0, 5); result != diskproto.OK {
+		t.Errorf("equal: %v", result)
 	}
-	if r := caw(1100, 0, 6); r != diskproto.Miscompare {
-		t.Errorf("unequal: %v", r)
+	if result := compareAndWrite(1100, 0, 6); result != diskproto.Miscompare {
+		t.Errorf("unequal: %v", result)
 	}
 }
 
 // A cold machine falls over at more than its multiple, turned away or not, and
 // bears ColdUnits in any case.
 func TestColdMachineCrashesUnderOverload(t *testing.T) {
-	m, _, _ := testMachine(nil, true)
+	machine, _, _ := testMachine(nil, true)
 	// At a fifth of 0.1 units a ms, twice that for a second is borne: 40 units.
 	for range 40 {
-		arrive(m, 1000, diskproto.Do{Op: byte(scsi.Read)})
+		arrive(machine, 1000, diskproto.Do{Op: byte(scsi.Read)})
 	}
-	if m.Crashed() {
+	if machine.Crashed() {
 		t.Fatal("fell within what it bears")
 	}
-	arrive(m, 1001, diskproto.Do{Op: byte(scsi.Read)})
-	if !m.Crashed() {
+	arrive(machine, 1001, diskproto.Do{Op: byte(scsi.Read)})
+	if !machine.Crashed() {
 		t.Error("did not fall")
 	}
 	warm, _, _ := testMachine(nil, false)
@@ -155,35 +155,35 @@
 }
 
 func TestMachineFaults(t *testing.T) {
-	took := func(edit func(*MachineConfig), tr MachineFaults) float64 {
-		m, _, _ := testMachine(edit, false)
-		m.SetFaults(1000, tr)
-		a := arrive(m, 1000, diskproto.Do{Op: byte(scsi.Read)})
-		for at := 1000.0; at < 3000; at++ {
-			if m.Advance(at); a.Result != 0 {
-				return at - 1000
+	measureLatency := func(edit func(*MachineConfig), faults MachineFaults) float64 {
+		machine, _, _ := testMachine(edit, false)
+		machine.SetFaults(1000, faults)
+		answer := arrive(machine, 1000, diskproto.Do{Op: byte(scsi.Read)})
+		for now := 1000.0; now < 3000; now++ {
+			if machine.Advance(now); answer.Result != 0 {
+				return now - 1000
 			}
 		}
 		return -1
 	}
-	if d := took(nil, MachineFaults{}); d != 10 {
-		t.Errorf("calm: %v ms", d)
+	if latency := measureLatency(nil, MachineFaults{}); latency != 10 {
+		t.Errorf("calm: %v ms", latency)
 	}
-	if d := took(nil, MachineFaults{SlowFactor: 5}); d != 50 {
-		t.Errorf("slow: %v ms", d)
+	if latency := measureLatency(nil, MachineFaults{SlowFactor: 5}); latency != 50 {
+		t.Errorf("slow: %v ms", latency)
 	}
-	if d := took(nil, MachineFaults{StolenShare: 0.5}); d != 20 {
-		t.Errorf("a neighbour: %v ms", d)
+	if latency := measureLatency(nil, MachineFaults{StolenShare: 0.5}); latency != 20 {
+		t.Errorf("a neighbour: %v ms", latency)
 	}
-	if d := took(nil, MachineFaults{FailShare: 1}); d != 1 {
-		t.Errorf("a fast error: %v ms", d)
+	if latency := measureLatency(nil, MachineFaults{FailShare: 1}); latency != 1 {
+		t.Errorf("a fast error: %v ms", latency)
 	}
-	if d := took(nil, MachineFaults{PauseLength: 200, PauseInterval: 4}); d < 200 {
-		t.Errorf("a pause: %v ms", d)
+	if latency := measureLatency(nil, MachineFaults{PauseLength: 200, PauseInterval: 4}); latency < 200 {
+		t.Errorf("a pause: %v ms", latency)
 	}
-	m, _, _ := testMachine(nil, false)
-	m.Drain()
-	if a := arrive(m, 1000, diskproto.Do{Op: byte(scsi.Read)}); a.Result != diskproto.Draining {
-		t.Errorf("draining: %v", a.Result)
+	machine, _, _ := testMachine(nil, false)
+	machine.Drain()
+	if answer := arrive(machine, 1000, diskproto.Do{Op: byte(scsi.Read)}); answer.Result != diskproto.Draining {
+		t.Errorf("draining: %v", answer.Result)
 	}
 }
--- a/internal/simulation/standin/regionalinventory.go
+++ b/internal/simulation/standin/regionalinventory.go
@@ -41,46 +41,46 @@
 // ServeRegion starts the inventory of one of two regions; other is the address of the
 // other's. start is greater than that of every earlier run; in saved is what an earlier
 // one kept, or a new service's record and no book.
-func ServeRegion(w env.Environment, addr string, late float64, cfg region.Config, self region.ID, start uint64, saved *InventoryState, other func() string) (*Inventory, error) {
-	l, err := w.Listen("tcp", addr)
+func ServeRegion(environment env.Environment, addr string, delay float64, cfg region.Config, self region.ID, start uint64, saved *InventoryState, peerAddress func() string) (*Inventory, error) {
+	listener, err := environment.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	now := env.MS(w.Now())
-	g := &regionalState{self: self, peerAddress: other, beatInterval: env.Duration(cfg.Quiet / 10), saved: saved, lastRecord: saved.Record.Clone()}
-	v := &Inventory{Addr: l.Addr().String(), environment: w, delay: late, listener: l, regional: g}
+	now := env.MS(environment.Now())
+	state := &regionalState{self: self, peerAddress: peerAddress, beatInterval: env.Duration(cfg.Quiet / 10), saved: saved, lastRecord: saved.Record.Clone()}
+	server := &Inventory{Addr: listener.Addr().String(), environment: environment, delay: delay, listener: listener, regional: state}
 	if saved.Book == nil {
-		v.book = inventory.NewBook()
-		g.source = region.NewSource(cfg, self, start, saved.Record, now)
+		server.book = inventory.NewBook()
+		state.source = region.NewSource(cfg, self, start, saved.Record, now)
 	} else {
-		v.book = saved.Book.Clone()
-		g.source = region.Restart(cfg, self, start, saved.Record, now)
+		server.book = saved.Book.Clone()
+		state.source = region.Restart(cfg, self, start, saved.Record, now)
 	}
-	v.book.Own(self, start)
-	v.tasks.Go(w, v.accept)
-	v.tasks.Go(w, v.beatLoop)
-	return v, nil
+	server.book.Own(self, start)
+	server.tasks.Go(environment, server.accept)
+	server.tasks.Go(environment, server.beatLoop)
+	return server, nil
 }
 
 // beatLoop tells the other region's inventory of this one, and hears of it.
 func (v *Inventory) beatLoop() {
-	g := v.regional
-	c := inventory.NewCaller(v.environment, g.peerAddress)
-	defer c.Close()
-	for env.Sleep(v.environment, g.beatInterval, &v.stopped) {
+	state := v.regional
+	caller := inventory.NewCaller(v.environment, state.peerAddress)
+	defer caller.Close()
+	for env.Sleep(v.environment, state.beatInterval, &v.stopped) {
 		v.mu.Lock()
 		now := v.now()
-		g.source.Tick(now)
+		state.source.Tick(now)
 		v.saveState(now)
-		b := g.source.Beat(now)
+		beat := state.source.Beat(now)
 		known := v.book.Stamps()
 		v.mu.Unlock()
-		l, err := c.Ask(inventory.Ask{Op: "beat", Beat: &b, Known: known}, 3*g.beatInterval)
-		if err != nil || l.Kind != inventory.Heard {
+		reply, err := caller.Ask(inventory.Ask{Op: "beat", Beat: &beat, Known: known}, 3*state.beatInterval)
+		if err != nil || reply.Kind != inventory.Heard {
 			continue
 		}
 		v.mu.Lock()
-		v.handleBeat(l.Beat, l.Nodes)
+		v.handleBeat(reply.Beat, reply.Nodes)
 		v.book.CaughtUp()
 		v.mu.Unlock()
 	}
@@ -89,10 +89,10 @@
 func (v *Inventory) now() float64 { return env.MS(v.environment.Now()) }
 
 // handleBeat takes the other's beat with what it lists. Held: mu.
-func (v *Inventory) handleBeat(b *region.Beat, nodes []inventory.Node) {
+func (v *Inventory) handleBeat(beat *region.Beat, nodes []inventory.Node) {
 	now := v.now()
 	v.book.Merge(nodes, now)
-	v.regional.source.Heard(now, *b)
+	v.regional.source.Heard(now, *beat)
 	v.saveState(now)
 	v.notifyWatchers()
 }
@@ -100,122 +100,122 @@
 // saveState saves the record and notes what became of it; watchers hear what was held back
 // while nothing could be granted. Held: mu.
 func (v *Inventory) saveState(now float64) {
-	g := v.regional
-	r := g.source.Record()
-	if r.Term != g.lastRecord.Term {
-		for _, text := range describeChanges(g.lastRecord, r) {
-			g.history, g.historyAt = append(g.history, inventory.Event{Term: r.Term, Text: text}), append(g.historyAt, now)
+	state := v.regional
+	record := state.source.Record()
+	if record.Term != state.lastRecord.Term {
+		for _, text := range describeChanges(state.lastRecord, record) {
+			state.history, state.historyAt = append(state.history, inventory.Event{Term: record.Term, Text: text}), append(state.historyAt, now)
 		}
-		n := max(len(g.history)-maxHistory, 0)
-		g.history, g.historyAt = g.history[n:], g.historyAt[n:]
-		g.lastRecord = r
+		dropped := max(len(state.history)-maxHistory, 0)
+		state.history, state.historyAt = state.history[dropped:], state.historyAt[dropped:]
+		state.lastRecord = record
 	}
-	g.saved.Record, g.saved.Book = r, v.book
-	if on := g.source.Grants(now); on != g.granting {
-		if g.granting = on; on {
+	state.saved.Record, state.saved.Book = record, v.book
+	if grants := state.source.Grants(now); grants != state.granting {
+		if state.granting = grants; grants {
 			v.notifyWatchers()
 		}
 	}
 }
 
 // describeChanges says what a new term changes, and why.
-func describeChanges(a, b region.Record) (out []string) {
-	say := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
-	if a.Leader != b.Leader {
-		say("region %d leads, on an operator's word", b.Leader)
+func describeChanges(before, after region.Record) (texts []string) {
+	add := func(format string, args ...any) { texts = append(texts, fmt.Sprintf(format, args...)) }
+	if before.Leader != after.Leader {
+		add("region %d leads, on an operator's word", after.Leader)
 	}
-	for i, h := range b.Homes {
-		switch o := a.Homes[i]; {
-		case h.Region == region.Nowhere && o.Region != h.Region:
-			say("shard %d leaves region %d: every lease on it runs out first", i, h.From)
-		case h.Region != o.Region && h.From != o.From && h.Alone:
-			say("shard %d is at home in region %d under generation %s, alone: the other region is lost", i, h.Region, region.TermText(h.Gen))
-		case h.Region != o.Region && h.From != o.From:
-			say("shard %d is at home in region %d under generation %s: moved, with all that its copy had", i, h.Region, region.TermText(h.Gen))
-		case h.Region != o.Region:
-			say("shard %d is at home in region %d again under generation %s", i, h.Region, region.TermText(h.Gen))
-		case h.Alone && !o.Alone:
-			say("shard %d answers alone under generation %s: its copy can't be reached", i, region.TermText(h.Gen))
-		case h.Leaving && !o.Leaving:
-			say("shard %d is to answer alone once the other region knows", i)
-		case !h.Alone && o.Alone:
-			say("shard %d: its copy has everything again", i)
+	for i, home := range after.Homes {
+		switch previous := before.Homes[i]; {
+		case home.Region == region.Nowhere && previous.Region != home.Region:
+			add("shard %d leaves region %d: every lease on it runs out first", i, home.From)
+		case home.Region != previous.Region && home.From != previous.From && home.Alone:
+			add("shard %d is at home in region %d under generation %s, alone: the other region is lost", i, home.Region, region.TermText(home.Gen))
+		case home.Region != previous.Region && home.From != previous.From:
+			add("shard %d is at home in region %d under generation %s: moved, with all that its copy had", i, home.Region, region.TermText(home.Gen))
+		case home.Region != previous.Region:
+			add("shard %d is at home in region %d again under generation %s", i, home.Region, region.TermText(home.Gen))
+		case home.Alone && !previous.Alone:
+			add("shard %d answers alone under generation %s: its copy can't be reached", i, region.TermText(home.Gen))
+		case home.Leaving && !previous.Leaving:
+			add("shard %d is to answer alone once the other region knows", i)
+		case !home.Alone && previous.Alone:
+			add("shard %d: its copy has everything again", i)
 		}
 	}
 	shares := 0
-	for i := range b.Shares {
-		if a.Shares[i] != b.Shares[i] {
+	for i := range after.Shares {
+		if before.Shares[i] != after.Shares[i] {
 			shares++
 		}
 	}
 	if shares > 0 {
-		say("%d limits are split anew", shares)
+		add("%d limits are split anew", shares)
 	}
-	return out
+	return texts
 }
 
 // handleRequest is what is said to anything but a watch. Held: mu.
-func (v *Inventory) handleRequest(a *inventory.Ask) inventory.List {
+func (v *Inventory) handleRequest(request *inventory.Ask) inventory.List {
 	if v.regional == nil {
 		return inventory.List{Kind: inventory.Refused, Reason: "this service has one region"}
 	}
-	now, src := v.now(), v.regional.source
+	now, source := v.now(), v.regional.source
 	defer v.saveState(now)
-	src.Tick(now)
-	if leads := src.Leads(); !leads && (a.Op == "move" || a.Op == "return" || a.Op == "share" || a.Op == "give up") {
-		return inventory.List{Kind: inventory.Refused, Reason: fmt.Sprintf("region %d leads: ask its inventory", src.Record().Leader)}
+	source.Tick(now)
+	if leads := source.Leads(); !leads && (request.Op == "move" || request.Op == "return" || request.Op == "share" || request.Op == "give up") {
+		return inventory.List{Kind: inventory.Refused, Reason: fmt.Sprintf("region %d leads: ask its inventory", source.Record().Leader)}
 	}
-	rec := src.Record()
+	record := source.Record()
 	switch {
-	case a.Op == "lease":
-		g, ok := src.Grant(now, a.Ask, a.From)
+	case request.Op == "lease":
+		grant, ok := source.Grant(now, request.Ask, request.From)
 		if !ok {
 			reason := "the other region has not been heard of for too long"
-			if !src.Sure(now) {
+			if !source.Sure(now) {
 				reason = "this source came back, or something knows more than it: it waits for the other region's, or an operator's word"
 			}
 			return inventory.List{Kind: inventory.Refused, Reason: reason}
 		}
-		return inventory.List{Kind: inventory.Granted, Grant: &g}
-	case a.Op == "beat":
-		v.handleBeat(a.Beat, nil)
-		b := src.Beat(now)
-		return inventory.List{Kind: inventory.Heard, Beat: &b, Nodes: v.book.Since(a.Known, now)}
-	case a.Op == "copies":
-		for _, c := range a.Copies {
-			src.Report(now, c)
+		return inventory.List{Kind: inventory.Granted, Grant: &grant}
+	case request.Op == "beat":
+		v.handleBeat(request.Beat, nil)
+		beat := source.Beat(now)
+		return inventory.List{Kind: inventory.Heard, Beat: &beat, Nodes: v.book.Since(request.Known, now)}
+	case request.Op == "copies":
+		for _, status := range request.Copies {
+			source.Report(now, status)
 		}
-	case a.Op == "record":
+	case request.Op == "record":
 		return v.recordReply(now, v.status(now))
-	case a.Op == "lead":
-		src.Lead(now)
-	case a.Op == "return":
-		src.Return(now)
-	case a.Op == "give up":
-		src.GiveUp(now)
-	case a.Op == "move" && a.Shard >= 0 && a.Shard < len(rec.Homes):
-		src.Move(now, a.Shard, a.To)
-	case a.Op == "share" && a.Shard >= 0 && a.Shard < len(rec.Shares) && a.Parts[0] >= 0 && a.Parts[1] >= 0 && a.Parts[0]+a.Parts[1] <= 1:
-		src.Share(now, a.Shard, a.Parts)
+	case request.Op == "lead":
+		source.Lead(now)
+	case request.Op == "return":
+		source.Return(now)
+	case request.Op == "give up":
+		source.GiveUp(now)
+	case request.Op == "move" && request.Shard >= 0 && request.Shard < len(record.Homes):
+		source.Move(now, request.Shard, request.To)
+	case request.Op == "share" && request.Shard >= 0 && request.Shard < len(record.Shares) && request.Parts[0] >= 0 && request.Parts[1] >= 0 && request.Parts[0]+request.Parts[1] <= 1:
+		source.Share(now, request.Shard, request.Parts)
 	default:
 		return inventory.List{Kind: inventory.Refused, Reason: "there is no such thing to ask for, or no such shard or limit"}
 	}
 	return v.recordReply(now, nil)
 }
 
-func (v *Inventory) recordReply(now float64, s *inventory.Status) inventory.List {
-	r := v.regional.source.Record()
-	return inventory.List{Kind: inventory.Told, Record: &r, Status: s}
+func (v *Inventory) recordReply(now float64, status *inventory.Status) inventory.List {
+	record := v.regional.source.Record()
+	return inventory.List{Kind: inventory.Told, Record: &record, Status: status}
 }
 
 func (v *Inventory) status(now float64) *inventory.Status {
-	g := v.regional
-	s := &inventory.Status{Region: g.self, Grants: g.source.Grants(now), HeardMS: now - g.source.Contact()}
-	for i, e := range g.history {
-		e.AgoMS = now - g.historyAt[i]
-		s.History = append(s.History, e)
+	state := v.regional
+	status := &inventory.Status{Region: state.self, Grants: state.source.Grants(now), HeardMS: now - state.source.Contact()}
+	for i, event := range state.history {
+		event.AgoMS = now - state.historyAt[i]
+		status.History = append(status.History, event)
 	}
-	return s
+	return status
 }
 
 // State is a copy of what the inventory keeps.
--- a/internal/simulation/standin/relay.go
+++ b/internal/simulation/standin/relay.go
@@ -33,84 +33,84 @@
 )
 
 // ServeRelay starts a relay to target; tap, if any, makes what reads a connection.
-func ServeRelay(w env.Environment, target string, tap func(addr string) *FrameRecorder) (*Relay, error) {
-	return serveRelay(w, target, tap, nil)
+func ServeRelay(environment env.Environment, target string, newRecorder func(addr string) *FrameRecorder) (*Relay, error) {
+	return serveRelay(environment, target, newRecorder, nil)
 }
 
 // serveRelay is ServeRelay with a way that holds back what passes, if any.
-func serveRelay(w env.Environment, target string, tap func(addr string) *FrameRecorder, pass func(up bool, over *env.Gate) bool) (*Relay, error) {
-	l, err := w.Listen("tcp", "127.0.0.1:0")
+func serveRelay(environment env.Environment, target string, newRecorder func(addr string) *FrameRecorder, waitTransit func(up bool, over *env.Gate) bool) (*Relay, error) {
+	listener, err := environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{Addr: l.Addr().String(), environment: w, target: target, newRecorder: tap, waitTransit: pass, listener: l}
-	r.tasks.Go(w, r.accept)
-	return r, nil
+	relay := &Relay{Addr: listener.Addr().String(), environment: environment, target: target, newRecorder: newRecorder, waitTransit: waitTransit, listener: listener}
+	relay.tasks.Go(environment, relay.accept)
+	return relay, nil
 }
 
 func (r *Relay) accept() {
 	for {
-		c, err := r.listener.Accept()
+		conn, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		if !r.addConn(c) {
+		if !r.addConn(conn) {
 			return
 		}
-		r.tasks.Go(r.environment, func() { r.serve(c) })
+		r.tasks.Go(r.environment, func() { r.serve(conn) })
 	}
 }
 
-func (r *Relay) addConn(c net.Conn) bool {
+func (r *Relay) addConn(conn net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
-		c.Close()
+		conn.Close()
 		return false
 	}
-	r.conns.Add(c)
+	r.conns.Add(conn)
 	return true
 }
 
-func (r *Relay) closeConn(c net.Conn) {
-	c.Close()
+func (r *Relay) closeConn(conn net.Conn) {
+	conn.Close()
 	r.mu.Lock()
-	r.conns.Remove(c)
+	r.conns.Remove(conn)
 	r.mu.Unlock()
 }
 
-func (r *Relay) serve(c net.Conn) {
-	defer r.closeConn(c)
+func (r *Relay) serve(client net.Conn) {
+	defer r.closeConn(client)
 	r.mu.Lock()
 	target := r.target
 	r.mu.Unlock()
-	s, err := r.environment.Dial(context.Background(), "tcp", target, relayDialTimeout)
+	server, err := r.environment.Dial(context.Background(), "tcp", target, relayDialTimeout)
 	if err != nil {
 		// What the caller sees is a connection that closes, as from a dead process.
 		return
 	}
-	if !r.addConn(s) {
+	if !r.addConn(server) {
 		return
 	}
-	defer r.closeConn(s)
-	var t *FrameRecorder
+	defer r.closeConn(server)
+	var recorder *FrameRecorder
 	if r.newRecorder != nil {
-		t = r.newRecorder(r.Addr)
+		recorder = r.newRecorder(r.Addr)
 	}
-	var both env.WaitGroup
-	both.Go(r.environment, func() { r.forward(t, s, c, true) })
-	both.Go(r.environment, func() { r.forward(t, c, s, false) })
-	both.Wait(r.environment)
+	var directions env.WaitGroup
+	directions.Go(r.environment, func() { r.forward(recorder, server, client, true) })
+	directions.Go(r.environment, func() { r.forward(recorder, client, server, false) })
+	directions.Wait(r.environment)
 }
 
 // forward passes bytes from src to dst. The side that ends first is noted.
-func (r *Relay) forward(t *FrameRecorder, dst, src net.Conn, up bool) {
+func (r *Relay) forward(recorder *FrameRecorder, dst, src net.Conn, up bool) {
 	defer dst.Close()
 	defer src.Close()
-	defer t.Closed(up)
+	defer recorder.Closed(up)
 	if r.waitTransit == nil {
 		r.readChunks(src, func(b []byte) bool {
-			t.Bytes(up, b)
+			recorder.Bytes(up, b)
 			_, err := dst.Write(b)
 			return err == nil
 		})
@@ -118,28 +118,28 @@
 	}
 	// What is held back on the way has been sent all the same: it is read, and on its way
 	// up recorded, as it comes.
-	q := &transitQueue{wake: r.environment.NewParker()}
+	queue := &transitQueue{wake: r.environment.NewParker()}
 	r.tasks.Go(r.environment, func() {
-		defer q.close()
+		defer queue.close()
 		r.readChunks(src, func(b []byte) bool {
 			if up {
-				t.Bytes(up, b)
+				recorder.Bytes(up, b)
 			}
-			return q.push(append([]byte(nil), b...))
+			return queue.push(append([]byte(nil), b...))
 		})
 	})
-	for b, ok := q.pop(); ok; b, ok = q.pop() {
+	for b, ok := queue.pop(); ok; b, ok = queue.pop() {
 		if !r.waitTransit(up, &r.stopped) {
 			break
 		}
 		if !up {
-			t.Bytes(up, b)
+			recorder.Bytes(up, b)
 		}
 		if _, err := dst.Write(b); err != nil {
 			break
 		}
 	}
-	q.close()
+	queue.close()
 }
 
 // readChunks reads until the source ends or f takes no more.
--- a/internal/simulation/standin/replicasender.go
+++ b/internal/simulation/standin/replicasender.go
@@ -30,9 +30,9 @@
 // replicationLoop keeps a connection to the copy while this server is the shard's home.
 func (d *DiskServer) replicationLoop() {
 	for env.Sleep(d.environment, replicaRedialInterval, &d.stopped) {
-		gen, home := d.machine.store.Home()
+		gen, isHome := d.machine.store.Home()
 		addr := d.Peer()
-		if !home || addr == "" {
+		if !isHome || addr == "" {
 			continue
 		}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -44,8 +44,8 @@
 		if d.Keys != nil {
 			conn = tls.Client(conn, d.Keys.Client(""))
 		}
-		c := &replicaSender{server: d, store: d.machine.store, gen: gen, conn: conn, wake: d.environment.NewParker()}
-		c.run()
+		sender := &replicaSender{server: d, store: d.machine.store, gen: gen, conn: conn, wake: d.environment.NewParker()}
+		sender.run()
 		d.machine.store.copyDisconnected(gen)
 	}
 }
@@ -62,137 +62,137 @@
 	sentSeq      uint64 // the last change
 }
 
-func (c *replicaSender) run() {
-	w := c.server.environment
-	c.out = writequeue.New(w, c.conn, diskQueueBytes, diskWriteTimeout)
-	defer c.out.Wait()
-	defer c.out.Abort()
-	if !c.server.addConn(c.out) {
+func (s *replicaSender) run() {
+	environment := s.server.environment
+	s.out = writequeue.New(environment, s.conn, diskQueueBytes, diskWriteTimeout)
+	defer s.out.Wait()
+	defer s.out.Abort()
+	if !s.server.addConn(s.out) {
 		return
 	}
-	defer c.server.removeConn(c.out)
-	c.out.Enqueue(func(b []byte) []byte {
-		b = diskproto.Append(b, diskproto.KindHello, 0, &diskproto.Hello{Oldest: diskproto.Oldest, Newest: diskproto.Version, Host: c.server.Started, Name: c.server.Name})
-		return diskproto.Append(b, diskproto.KindJoin, 0, &diskproto.Join{Shard: uint32(c.server.Shard), Gen: c.gen})
+	defer s.server.removeConn(s.out)
+	s.out.Enqueue(func(b []byte) []byte {
+		b = diskproto.Append(b, diskproto.KindHello, 0, &diskproto.Hello{Oldest: diskproto.Oldest, Newest: diskproto.Version, Host: s.server.Started, Name: s.server.Name})
+		return diskproto.Append(b, diskproto.KindJoin, 0, &diskproto.Join{Shard: uint32(s.server.Shard), Gen: s.gen})
 	})
-	r := diskproto.NewReader(bufio.NewReaderSize(c.conn, 32<<10))
-	c.conn.SetReadDeadline(w.Deadline(replicaDialTimeout))
-	var m diskproto.Joined
-	for m.Result == 0 {
-		f, err := r.Next()
-		if err != nil || f.Kind == diskproto.KindJoined && m.Parse(f.Body) != nil {
+	reader := diskproto.NewReader(bufio.NewReaderSize(s.conn, 32<<10))
+	s.conn.SetReadDeadline(environment.Deadline(replicaDialTimeout))
+	var joined diskproto.Joined
+	for joined.Result == 0 {
+		frame, err := reader.Next()
+		if err != nil || frame.Kind == diskproto.KindJoined && joined.Parse(frame.Body) != nil {
 			return
 		}
 	}
-	if m.Result != diskproto.OK {
+	if joined.Result != diskproto.OK {
 		return
 	}
-	c.store.SetSenderWakeup(c.wake.Unpark)
-	defer c.store.SetSenderWakeup(nil)
-	whole, start, ok := c.store.startReplication(c.gen, m.At)
+	s.store.SetSenderWakeup(s.wake.Unpark)
+	defer s.store.SetSenderWakeup(nil)
+	snapshot, start, ok := s.store.startReplication(s.gen, joined.At)
 	if !ok {
 		return
 	}
-	c.sentSeq = start
-	var done env.Gate
-	w.Go(func() {
-		defer done.Open()
-		c.readAcks(r)
+	s.sentSeq = start
+	var readEnded env.Gate
+	environment.Go(func() {
+		defer readEnded.Open()
+		s.readAcks(reader)
 	})
-	for i := range whole {
-		c.send(&whole[i])
+	for i := range snapshot {
+		s.send(&snapshot[i])
 	}
-	c.sendChanges()
-	c.conn.Close()
-	done.Wait(w)
+	s.sendChanges()
+	s.conn.Close()
+	readEnded.Wait(environment)
 }
 
-func (c *replicaSender) send(m *diskproto.Copy) bool {
-	return c.out.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCopy, 0, m) })
+func (s *replicaSender) send(change *diskproto.Copy) bool {
+	return s.out.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCopy, 0, change) })
 }
 
 // sendChanges sends what follows until the connection or the home is over.
-func (c *replicaSender) sendChanges() {
-	for !c.disconnected.Opened() && !c.server.stopped.Opened() {
-		changes, ok := c.store.changesAfter(env.MS(c.server.environment.Now()), c.gen, c.sentSeq, replicaBatchSize)
+func (s *replicaSender) sendChanges() {
+	for !s.disconnected.Opened() && !s.server.stopped.Opened() {
+		changes, ok := s.store.changesAfter(env.MS(s.server.environment.Now()), s.gen, s.sentSeq, replicaBatchSize)
 		if !ok {
 			return
 		}
 		for i := range changes {
-			if !c.send(&changes[i]) {
+			if !s.send(&changes[i]) {
 				return
 			}
-			c.sentSeq = changes[i].At.Seq
+			s.sentSeq = changes[i].At.Seq
 		}
 		if len(changes) == 0 {
-			c.wake.Park()
+			s.wake.Park()
 		}
 	}
 }
 
 // readAcks hears what the copy has.
-func (c *replicaSender) readAcks(r *diskproto.Reader) {
-	defer c.wake.Unpark()
-	defer c.disconnected.Open()
+func (s *replicaSender) readAcks(reader *diskproto.Reader) {
+	defer s.wake.Unpark()
+	defer s.disconnected.Open()
 	for {
 		// A home with nothing to copy hears nothing; one whose copy is out of reach tries
 		// another connection.
-		c.conn.SetReadDeadline(c.server.environment.Deadline(replicaIdleTimeout))
-		f, err := r.Next()
+		s.conn.SetReadDeadline(s.server.environment.Deadline(replicaIdleTimeout))
+		frame, err := reader.Next()
 		if err != nil {
 			return
 		}
-		var m diskproto.Copied
-		if f.Kind != diskproto.KindCopied {
+		var ack diskproto.Copied
+		if frame.Kind != diskproto.KindCopied {
 			continue
 		}
-		if m.Parse(f.Body) != nil || m.Result != diskproto.OK {
+		if ack.Parse(frame.Body) != nil || ack.Result != diskproto.OK {
 			return
 		}
-		c.store.acknowledgeCopied(c.gen, m.At.Seq)
+		s.store.acknowledgeCopied(s.gen, ack.At.Seq)
 	}
 }
 
 // handleReplicationFrame takes a frame from the shard's home; false ends the connection.
-func (d *DiskServer) handleReplicationFrame(o *writequeue.Queue, f diskproto.Frame, gen *uint64) bool {
-	cell := d.machine.store
-	if f.Kind == diskproto.KindJoin {
-		var m diskproto.Join
-		if m.Parse(f.Body) != nil {
+func (d *DiskServer) handleReplicationFrame(writes *writequeue.Queue, frame diskproto.Frame, gen *uint64) bool {
+	store := d.machine.store
+	if frame.Kind == diskproto.KindJoin {
+		var join diskproto.Join
+		if join.Parse(frame.Body) != nil {
 			return false
 		}
-		a := diskproto.Joined{Result: diskproto.WrongShard}
-		if m.Shard == uint32(d.Shard) {
-			a, *gen = cell.acceptSender(m.Gen), m.Gen
+		joined := diskproto.Joined{Result: diskproto.WrongShard}
+		if join.Shard == uint32(d.Shard) {
+			joined, *gen = store.acceptSender(join.Gen), join.Gen
 		}
-		return o.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindJoined, f.Tag, &a) })
+		return writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindJoined, frame.Tag, &joined) })
 	}
-	var m diskproto.Copy
-	if m.Parse(f.Body) != nil || *gen == 0 {
+	var change diskproto.Copy
+	if change.Parse(frame.Body) != nil || *gen == 0 {
 		return false
 	}
 	now := d.now()
-	a := cell.receiveChange(now, *gen, &m)
-	if a.Result == diskproto.OK {
-		d.machine.dedup.remember(now-float64(m.Age), &m.Do)
+	ack := store.receiveChange(now, *gen, &change)
+	if ack.Result == diskproto.OK {
+		d.machine.dedup.remember(now-float64(change.Age), &change.Do)
 	}
-	if m.Part && a.Result == diskproto.OK {
+	if change.Part && ack.Result == diskproto.OK {
 		return true
 	}
-	return o.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCopied, f.Tag, &a) }) && a.Result == diskproto.OK
+	return writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCopied, frame.Tag, &ack) }) && ack.Result == diskproto.OK
 }
 
 // copyReportLoop tells the inventory of the copy, and hears of the shard's home.
 func (d *DiskServer) copyReportLoop() {
-	c := inventory.NewCaller(d.environment, d.Inventory)
-	defer c.Close()
+	caller := inventory.NewCaller(d.environment, d.Inventory)
+	defer caller.Close()
 	for env.Sleep(d.environment, copyReportInterval, &d.stopped) {
-		word := d.machine.store.CopyStatus(d.now())
-		word.Shard = d.Shard
-		a := inventory.Ask{Op: "copies", Copies: []region.Copy{word}}
-		l, err := c.Ask(a, copyReportTimeout)
-		if err == nil && l.Kind == inventory.Told && d.Shard < len(l.Record.Homes) {
-			d.machine.store.UpdateHome(l.Record.Homes[d.Shard])
+		status := d.machine.store.CopyStatus(d.now())
+		status.Shard = d.Shard
+		request := inventory.Ask{Op: "copies", Copies: []region.Copy{status}}
+		reply, err := caller.Ask(request, copyReportTimeout)
+		if err == nil && reply.Kind == inventory.Told && d.Shard < len(reply.Record.Homes) {
+			d.machine.store.UpdateHome(reply.Record.Homes[d.Shard])
 		}
 	}
 }
--- a/internal/simulation/standin/replication.go
+++ b/internal/simulation/standin/replication.go
@@ -68,15 +68,15 @@
 )
 
 // EnableReplication makes the cell one of two, in that region.
-func (c *ShardStore) EnableReplication(self region.ID) {
-	c.replication = replicationState{enabled: true, region: self, lastWrites: map[blockAddress]uint64{}}
+func (s *ShardStore) EnableReplication(self region.ID) {
+	s.replication = replicationState{enabled: true, region: self, lastWrites: map[blockAddress]uint64{}}
 }
 
 // SetSenderWakeup has f called when there is something to copy.
-func (c *ShardStore) SetSenderWakeup(f func()) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.replication.wakeSender = f
+func (s *ShardStore) SetSenderWakeup(wakeup func()) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.replication.wakeSender = wakeup
 }
 
 func (r *replicationState) wake() {
@@ -86,96 +86,96 @@
 }
 
 // enterGeneration enters a later generation.
-func (r *replicationState) enterGeneration(gen uint64, s storeRole) {
-	r.gen, r.role, r.alone, r.betweenHomes, r.copyConnected, r.recordedAlone = gen, s, false, false, false, false
+func (r *replicationState) enterGeneration(gen uint64, role storeRole) {
+	r.gen, r.role, r.alone, r.betweenHomes, r.copyConnected, r.recordedAlone = gen, role, false, false, false, false
 	r.copiedSeq, r.pendingReplies = 0, nil
-	if s == roleHome {
+	if role == roleHome {
 		r.receivingSnapshot = false // given up: what is there is all there is
 	}
 	r.wake()
 }
 
 // UpdateHome takes the inventory's word on the shard's home.
-func (c *ShardStore) UpdateHome(h region.Home) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r := &c.replication
-	if h.Gen < r.gen {
+func (s *ShardStore) UpdateHome(home region.Home) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	replication := &s.replication
+	if home.Gen < replication.gen {
 		return
 	}
 	switch {
-	case h.Region == region.Nowhere:
-		if h.Gen == r.gen && h.From == r.region {
-			r.betweenHomes = true
+	case home.Region == region.Nowhere:
+		if home.Gen == replication.gen && home.From == replication.region {
+			replication.betweenHomes = true
 		}
 		return
-	case h.Gen > r.gen && h.Region == r.region:
-		r.enterGeneration(h.Gen, roleHome)
-	case h.Gen > r.gen:
-		r.enterGeneration(h.Gen, roleCopy)
-	}
-	if r.role == roleHome {
-		if r.recordedAlone = h.Alone; h.Alone && r.completeGen != r.gen && !r.alone {
-			r.alone = true
-			r.releaseReplies()
+	case home.Gen > replication.gen && home.Region == replication.region:
+		replication.enterGeneration(home.Gen, roleHome)
+	case home.Gen > replication.gen:
+		replication.enterGeneration(home.Gen, roleCopy)
+	}
+	if replication.role == roleHome {
+		if replication.recordedAlone = home.Alone; home.Alone && replication.completeGen != replication.gen && !replication.alone {
+			replication.alone = true
+			replication.releaseReplies()
 		}
 	}
 }
 
 // admitGeneration tells whether a command of that generation may run. Held: mu.
-func (c *ShardStore) admitGeneration(gen uint64) bool {
-	r := &c.replication
+func (s *ShardStore) admitGeneration(gen uint64) bool {
+	replication := &s.replication
 	switch {
-	case !r.enabled || c.IgnoreFences:
+	case !replication.enabled || s.IgnoreFences:
 		return true
-	case faultinject.Active(faultinject.FenceMissing) && gen < r.gen:
+	case faultinject.Active(faultinject.FenceMissing) && gen < replication.gen:
 		return true
-	case gen > r.gen:
-		r.enterGeneration(gen, roleHome)
-	case gen < r.gen || r.role != roleHome || r.betweenHomes:
+	case gen > replication.gen:
+		replication.enterGeneration(gen, roleHome)
+	case gen < replication.gen || replication.role != roleHome || replication.betweenHomes:
 		return false
 	}
 	return true
 }
 
 // Stale tells whether a command's generation is older than what the cell knows.
-func (c *ShardStore) Stale(gen uint64) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return !c.admitGeneration(gen)
+func (s *ShardStore) Stale(gen uint64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return !s.admitGeneration(gen)
 }
 
 // logChange enters a change in the history. Held: mu.
-func (c *ShardStore) logChange(now float64, d *diskproto.Do) {
-	r := &c.replication
-	if !r.enabled {
+func (s *ShardStore) logChange(now float64, request *diskproto.Do) {
+	replication := &s.replication
+	if !replication.enabled {
 		return
 	}
-	r.position = diskproto.Position{Gen: r.gen, Seq: r.position.Seq + 1}
-	c.appendToLog(change{r.position, now, *d})
-	r.wake()
+	replication.position = diskproto.Position{Gen: replication.gen, Seq: replication.position.Seq + 1}
+	s.appendToLog(change{replication.position, now, *request})
+	replication.wake()
 }
 
 // appendToLog adds a change to the history. Held: mu.
-func (c *ShardStore) appendToLog(x change) {
-	r := &c.replication
-	r.log = append(r.log, x)
-	if len(r.log) > 2*retainedChanges {
-		cut := len(r.log) - retainedChanges
-		r.logBase = r.log[cut-1].position
-		r.log = slices.Delete(r.log, 0, cut)
+func (s *ShardStore) appendToLog(entry change) {
+	replication := &s.replication
+	replication.log = append(replication.log, entry)
+	if len(replication.log) > 2*retainedChanges {
+		dropped := len(replication.log) - retainedChanges
+		replication.logBase = replication.log[dropped-1].position
+		replication.log = slices.Delete(replication.log, 0, dropped)
 	}
-	for p := range c.touchedBlocks(&x.request) {
-		r.lastWrites[p] = x.position.Seq
+	for block := range s.touchedBlocks(&entry.request) {
+		replication.lastWrites[block] = entry.position.Seq
 	}
 }
 
 // touchedBlocks are the blocks that a command is about.
-func (c *ShardStore) touchedBlocks(d *diskproto.Do) func(func(blockAddress) bool) {
+func (s *ShardStore) touchedBlocks(request *diskproto.Do) func(func(blockAddress) bool) {
 	return func(yield func(blockAddress) bool) {
-		for _, run := range append([]diskproto.Run{{LBA: d.LBA, Blocks: d.Blocks}}, d.Runs...) {
+		for _, run := range append([]diskproto.Run{{LBA: request.LBA, Blocks: request.Blocks}}, request.Runs...) {
 			for i := range uint64(run.Blocks) {
-				if !yield(blockAddress{d.Volume, run.LBA + i}) {
+				if !yield(blockAddress{request.Volume, run.LBA + i}) {
 					return
 				}
 			}
@@ -184,54 +184,54 @@
 }
 
 // requiredSeq is the change that the copy must have before a command is answered. Held: mu.
-func (c *ShardStore) requiredSeq(d *diskproto.Do, changed bool) uint64 {
-	r := &c.replication
+func (s *ShardStore) requiredSeq(request *diskproto.Do, changed bool) uint64 {
+	replication := &s.replication
 	switch {
-	case !r.enabled:
+	case !replication.enabled:
 		return 0
-	case !d.Copied && changed:
-		return max(r.position.Seq, MaxReplicationLag) - MaxReplicationLag
-	case !d.Copied:
+	case !request.Copied && changed:
+		return max(replication.position.Seq, MaxReplicationLag) - MaxReplicationLag
+	case !request.Copied:
 		return 0
 	case changed:
-		return r.position.Seq
+		return replication.position.Seq
 	}
-	most := uint64(0)
-	for p := range c.touchedBlocks(d) {
-		if at := r.lastWrites[p]; at <= r.copiedSeq {
-			delete(r.lastWrites, p)
+	required := uint64(0)
+	for block := range s.touchedBlocks(request) {
+		if written := replication.lastWrites[block]; written <= replication.copiedSeq {
+			delete(replication.lastWrites, block)
 		} else {
-			most = max(most, at)
+			required = max(required, written)
 		}
 	}
-	return most
+	return required
 }
 
 // lastSeq is the last change: what a repeat that is dropped must wait for.
-func (c *ShardStore) lastSeq() uint64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.replication.position.Seq
+func (s *ShardStore) lastSeq() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.replication.position.Seq
 }
 
 // replyWhenCopied tells whether an answer may go out now; otherwise reply is called once it may, on
 // no particular goroutine, or never if the shard has another home by then.
-func (c *ShardStore) replyWhenCopied(now float64, seq uint64, reply func()) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r := &c.replication
-	if !r.enabled || r.alone || seq <= r.copiedSeq {
+func (s *ShardStore) replyWhenCopied(now float64, seq uint64, reply func()) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	replication := &s.replication
+	if !replication.enabled || replication.alone || seq <= replication.copiedSeq {
 		return true
 	}
-	r.pendingReplies = append(r.pendingReplies, pendingReply{seq, now, reply})
+	replication.pendingReplies = append(replication.pendingReplies, pendingReply{seq, now, reply})
 	return false
 }
 
 // releaseReplies lets go of the answers that wait no longer. Held: mu.
 func (r *replicationState) releaseReplies() {
-	r.pendingReplies = slices.DeleteFunc(r.pendingReplies, func(w pendingReply) bool {
-		if r.alone || w.seq <= r.copiedSeq {
-			w.reply()
+	r.pendingReplies = slices.DeleteFunc(r.pendingReplies, func(pending pendingReply) bool {
+		if r.alone || pending.seq <= r.copiedSeq {
+			pending.reply()
 			return true
 		}
 		return false
@@ -240,183 +240,183 @@
 
 // CopyStatus is what the cell says of its copy, if there is anything to say, and under which
 // generation it is what.
-func (c *ShardStore) CopyStatus(now float64) (out region.Copy) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r := &c.replication
-	has := r.copyConnected && r.copiedSeq >= r.position.Seq
-	out.Gen, out.Home = r.gen, r.role == roleHome
+func (s *ShardStore) CopyStatus(now float64) (status region.Copy) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	replication := &s.replication
+	copyComplete := replication.copyConnected && replication.copiedSeq >= replication.position.Seq
+	status.Gen, status.Home = replication.gen, replication.role == roleHome
 	switch {
-	case r.role != roleHome:
-	case r.betweenHomes && has:
-		out.State = region.Drained
-	case r.betweenHomes:
-	case r.alone && has:
-		r.alone, r.completeGen = false, r.gen // from here on nothing is answered alone
-		out.State = region.Whole
-	case r.alone:
-	case r.recordedAlone && r.completeGen == r.gen:
-		out.State = region.Whole
-	case len(r.pendingReplies) > 0 && now-r.pendingReplies[0].queuedAt > behindThreshold:
-		out.State = region.Behind
-	}
-	return out
+	case replication.role != roleHome:
+	case replication.betweenHomes && copyComplete:
+		status.State = region.Drained
+	case replication.betweenHomes:
+	case replication.alone && copyComplete:
+		replication.alone, replication.completeGen = false, replication.gen // from here on nothing is answered alone
+		status.State = region.Whole
+	case replication.alone:
+	case replication.recordedAlone && replication.completeGen == replication.gen:
+		status.State = region.Whole
+	case len(replication.pendingReplies) > 0 && now-replication.pendingReplies[0].queuedAt > behindThreshold:
+		status.State = region.Behind
+	}
+	return status
 }
 
 // Home tells whether the cell is its shard's home, and under which generation.
-func (c *ShardStore) Home() (gen uint64, ok bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.replication.gen, c.replication.role == roleHome
+func (s *ShardStore) Home() (gen uint64, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.replication.gen, s.replication.role == roleHome
 }
 
 // acceptSender is the home's question what this cell has.
-func (c *ShardStore) acceptSender(gen uint64) diskproto.Joined {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r := &c.replication
-	if !r.enabled || gen < r.gen || gen == r.gen && r.role == roleHome {
+func (s *ShardStore) acceptSender(gen uint64) diskproto.Joined {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	replication := &s.replication
+	if !replication.enabled || gen < replication.gen || gen == replication.gen && replication.role == roleHome {
 		return diskproto.Joined{Result: diskproto.Stale}
 	}
-	if gen > r.gen {
-		r.enterGeneration(gen, roleCopy)
+	if gen > replication.gen {
+		replication.enterGeneration(gen, roleCopy)
 	}
-	if r.receivingSnapshot {
+	if replication.receivingSnapshot {
 		return diskproto.Joined{Result: diskproto.OK} // it has nothing whole
 	}
-	return diskproto.Joined{Result: diskproto.OK, At: r.position}
+	return diskproto.Joined{Result: diskproto.OK, At: replication.position}
 }
 
 // receiveChange is a change, or a piece of a whole state, from the home under that generation.
-func (c *ShardStore) receiveChange(now float64, gen uint64, m *diskproto.Copy) diskproto.Copied {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r := &c.replication
-	if faultinject.Active(faultinject.FenceMissing) && gen < r.gen {
-		d := m.Do
-		d.Data = slices.Clone(d.Data)
-		c.applyChange(&d)
-		return diskproto.Copied{Result: diskproto.OK, At: m.At}
-	}
-	if gen != r.gen || r.role != roleCopy {
+func (s *ShardStore) receiveChange(now float64, gen uint64, message *diskproto.Copy) diskproto.Copied {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	replication := &s.replication
+	if faultinject.Active(faultinject.FenceMissing) && gen < replication.gen {
+		request := message.Do
+		request.Data = slices.Clone(request.Data)
+		s.applyChange(&request)
+		return diskproto.Copied{Result: diskproto.OK, At: message.At}
+	}
+	if gen != replication.gen || replication.role != roleCopy {
 		return diskproto.Copied{Result: diskproto.Stale}
 	}
-	if m.First {
-		r.receivingSnapshot = true
-		clear(c.blocks)
-		clear(c.reservations)
-		clear(r.lastWrites)
-		r.log, r.logBase = nil, r.position
+	if message.First {
+		replication.receivingSnapshot = true
+		clear(s.blocks)
+		clear(s.reservations)
+		clear(replication.lastWrites)
+		replication.log, replication.logBase = nil, replication.position
 	}
-	if !r.receivingSnapshot && m.At.Seq != r.position.Seq+1 {
+	if !replication.receivingSnapshot && message.At.Seq != replication.position.Seq+1 {
 		return diskproto.Copied{Result: diskproto.Failed}
 	}
-	d := m.Do
-	d.Data = slices.Clone(d.Data)
-	c.applyChange(&d)
+	request := message.Do
+	request.Data = slices.Clone(request.Data)
+	s.applyChange(&request)
 	switch {
-	case r.receivingSnapshot && m.Part:
-	case r.receivingSnapshot:
-		r.receivingSnapshot, r.position, r.logBase = false, m.At, m.At
+	case replication.receivingSnapshot && message.Part:
+	case replication.receivingSnapshot:
+		replication.receivingSnapshot, replication.position, replication.logBase = false, message.At, message.At
 	default:
-		r.position = m.At
-		c.appendToLog(change{m.At, now - float64(m.Age), d})
+		replication.position = message.At
+		s.appendToLog(change{message.At, now - float64(message.Age), request})
 	}
-	return diskproto.Copied{Result: diskproto.OK, At: r.position}
+	return diskproto.Copied{Result: diskproto.OK, At: replication.position}
 }
 
 // applyChange makes a change that the home has made. Held: mu.
-func (c *ShardStore) applyChange(d *diskproto.Do) {
-	switch d.Op {
+func (s *ShardStore) applyChange(request *diskproto.Do) {
+	switch request.Op {
 	case 0:
 	case diskproto.OpFence, diskproto.OpSwapRecord:
-		m := c.reservationFor(d.Volume)
-		var s diskproto.Swap
-		if d.Op == diskproto.OpFence {
-			m.fence = max(m.fence, d.Fence)
-		} else if s.Parse(d.Data) == nil {
-			m.record, m.persist = diskproto.Record{Version: s.New.Version, Bytes: slices.Clone(s.New.Bytes)}, s.Persist
+		state := s.reservationFor(request.Volume)
+		var swap diskproto.Swap
+		if request.Op == diskproto.OpFence {
+			state.fence = max(state.fence, request.Fence)
+		} else if swap.Parse(request.Data) == nil {
+			state.record, state.persist = diskproto.Record{Version: swap.New.Version, Bytes: slices.Clone(swap.New.Bytes)}, swap.Persist
 		}
 	case byte(scsi.CompareAndWrite):
-		c.write(d.Volume, d.LBA, d.Data[len(d.Data)/2:], c.BlockSize(d.Volume))
+		s.write(request.Volume, request.LBA, request.Data[len(request.Data)/2:], s.BlockSize(request.Volume))
 	default:
-		c.blindWrite(d, c.BlockSize(d.Volume))
+		s.blindWrite(request, s.BlockSize(request.Volume))
 	}
 }
 
 // startReplication begins copying to a cell that has the history up to at: it returns the changes
 // that follow, or a whole state in pieces.
-func (c *ShardStore) startReplication(gen uint64, at diskproto.Position) (whole []diskproto.Copy, start uint64, ok bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r := &c.replication
-	if r.gen != gen || r.role != roleHome {
+func (s *ShardStore) startReplication(gen uint64, position diskproto.Position) (snapshot []diskproto.Copy, start uint64, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	replication := &s.replication
+	if replication.gen != gen || replication.role != roleHome {
 		return nil, 0, false
 	}
-	r.copyConnected = true
-	if at == r.logBase || slices.ContainsFunc(r.log, func(x change) bool { return x.position == at }) {
-		r.copiedSeq = at.Seq
-		r.releaseReplies()
-		return nil, at.Seq, true
+	replication.copyConnected = true
+	if position == replication.logBase || slices.ContainsFunc(replication.log, func(entry change) bool { return entry.position == position }) {
+		replication.copiedSeq = position.Seq
+		replication.releaseReplies()
+		return nil, position.Seq, true
 	}
-	r.copiedSeq = 0
-	return c.snapshot(), r.position.Seq, true
+	replication.copiedSeq = 0
+	return s.snapshot(), replication.position.Seq, true
 }
 
 // snapshot is the whole state. Held: mu.
-func (c *ShardStore) snapshot() (out []diskproto.Copy) {
-	add := func(d diskproto.Do) {
-		out = append(out, diskproto.Copy{At: c.replication.position, First: len(out) == 0, Part: true, Do: d})
+func (s *ShardStore) snapshot() (changes []diskproto.Copy) {
+	add := func(request diskproto.Do) {
+		changes = append(changes, diskproto.Copy{At: s.replication.position, First: len(changes) == 0, Part: true, Do: request})
 	}
-	for _, p := range slices.SortedFunc(maps.Keys(c.blocks), func(a, b blockAddress) int {
+	for _, block := range slices.SortedFunc(maps.Keys(s.blocks), func(a, b blockAddress) int {
 		return cmp.Or(cmp.Compare(a.volume, b.volume), cmp.Compare(a.lba, b.lba))
 	}) {
-		add(diskproto.Do{Op: byte(scsi.Write), Volume: p.volume, LBA: p.lba, Blocks: 1, Data: c.blocks[p]})
+		add(diskproto.Do{Op: byte(scsi.Write), Volume: block.volume, LBA: block.lba, Blocks: 1, Data: s.blocks[block]})
 	}
-	for _, v := range slices.Sorted(maps.Keys(c.reservations)) {
-		m := c.reservations[v]
-		s := diskproto.Swap{Persist: m.persist, New: m.record}
-		add(diskproto.Do{Op: diskproto.OpSwapRecord, Volume: v, Data: s.Append(nil)})
-		add(diskproto.Do{Op: diskproto.OpFence, Volume: v, Fence: m.fence})
+	for _, volume := range slices.Sorted(maps.Keys(s.reservations)) {
+		state := s.reservations[volume]
+		swap := diskproto.Swap{Persist: state.persist, New: state.record}
+		add(diskproto.Do{Op: diskproto.OpSwapRecord, Volume: volume, Data: swap.Append(nil)})
+		add(diskproto.Do{Op: diskproto.OpFence, Volume: volume, Fence: state.fence})
 	}
 	add(diskproto.Do{})
-	out[len(out)-1].Part = false
-	return out
+	changes[len(changes)-1].Part = false
+	return changes
 }
 
 // changesAfter are the changes after a number, at most so many; false where the cell is no home
 // under that generation any more, or has forgotten them.
-func (c *ShardStore) changesAfter(now float64, gen, after uint64, most int) (out []diskproto.Copy, ok bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r := &c.replication
-	if r.gen != gen || r.role != roleHome || after < r.logBase.Seq {
+func (s *ShardStore) changesAfter(now float64, gen, afterSeq uint64, limit int) (changes []diskproto.Copy, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	replication := &s.replication
+	if replication.gen != gen || replication.role != roleHome || afterSeq < replication.logBase.Seq {
 		return nil, false
 	}
-	for _, x := range r.log[min(int(after-r.logBase.Seq), len(r.log)):] {
-		if len(out) == most {
+	for _, entry := range replication.log[min(int(afterSeq-replication.logBase.Seq), len(replication.log)):] {
+		if len(changes) == limit {
 			break
 		}
-		out = append(out, diskproto.Copy{At: x.position, Age: uint32(max(now-x.executedAt, 0)), Do: x.request})
+		changes = append(changes, diskproto.Copy{At: entry.position, Age: uint32(max(now-entry.executedAt, 0)), Do: entry.request})
 	}
-	return out, true
+	return changes, true
 }
 
 // acknowledgeCopied notes that the copy acknowledgeCopied the history up to a number.
-func (c *ShardStore) acknowledgeCopied(gen, seq uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if r := &c.replication; r.gen == gen && r.role == roleHome {
-		r.copiedSeq = max(r.copiedSeq, seq)
-		r.releaseReplies()
+func (s *ShardStore) acknowledgeCopied(gen, seq uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if replication := &s.replication; replication.gen == gen && replication.role == roleHome {
+		replication.copiedSeq = max(replication.copiedSeq, seq)
+		replication.releaseReplies()
 	}
 }
 
 // copyDisconnected notes that the copy is no longer connected.
-func (c *ShardStore) copyDisconnected(gen uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.replication.gen == gen {
-		c.replication.copyConnected = false
+func (s *ShardStore) copyDisconnected(gen uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.replication.gen == gen {
+		s.replication.copyConnected = false
 	}
 }
--- a/internal/simulation/standin/router.go
+++ b/internal/simulation/standin/router.go
@@ -96,22 +96,22 @@
 )
 
 // ServeRouter starts a router of that AS at an address.
-func ServeRouter(w env.Environment, addr string, as uint32) (*Router, error) {
-	l, err := w.Listen("tcp", addr)
+func ServeRouter(environment env.Environment, addr string, as uint32) (*Router, error) {
+	listener, err := environment.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	r := &Router{Addr: l.Addr().String(), AS: as, ID: uint32(w.RandomUint64()) | 1, environment: w, listener: l, rng: rand.New(rand.NewPCG(w.RandomUint64(), 1)),
+	router := &Router{Addr: listener.Addr().String(), AS: as, ID: uint32(environment.RandomUint64()) | 1, environment: environment, listener: listener, rng: rand.New(rand.NewPCG(environment.RandomUint64(), 1)),
 		rib: map[netip.Prefix]map[uint32]bgp.Path{}}
-	r.tasks.Go(w, r.accept)
-	return r, nil
+	router.tasks.Go(environment, router.accept)
+	return router, nil
 }
 
 // SetFaults changes what is wrong with sessions that begin from now on.
-func (r *Router) SetFaults(f RouterFaults) {
+func (r *Router) SetFaults(faults RouterFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults = f
+	r.faults = faults
 }
 
 // ResetSessions ends every session at once, without a word.
@@ -135,20 +135,20 @@
 
 func (r *Router) accept() {
 	for {
-		c, err := r.listener.Accept()
+		conn, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
 		r.mu.Lock()
 		if r.closed || r.faults.Refuse {
 			r.mu.Unlock()
-			c.Close()
+			conn.Close()
 			continue
 		}
-		s := &routerSession{router: r, conn: c, writes: writequeue.New(r.environment, c, routerQueueBytes, routerHoldTime), state: bgp.Connect, faults: r.faults}
-		r.sessions.Add(s)
+		session := &routerSession{router: r, conn: conn, writes: writequeue.New(r.environment, conn, routerQueueBytes, routerHoldTime), state: bgp.Connect, faults: r.faults}
+		r.sessions.Add(session)
 		r.mu.Unlock()
-		r.tasks.Go(r.environment, func() { s.run() })
+		r.tasks.Go(r.environment, func() { session.run() })
 	}
 }
 
@@ -166,23 +166,23 @@
 func (s *routerSession) run() {
 	r := s.router
 	defer s.close()
-	if f := s.faults.StartDelay; f > 0 {
-		env.Sleep(r.environment, f, nil)
+	if delay := s.faults.StartDelay; delay > 0 {
+		env.Sleep(r.environment, delay, nil)
 	}
-	buf := bufio.NewReaderSize(s.conn, bgp.MaxLen)
+	buffered := bufio.NewReaderSize(s.conn, bgp.MaxLen)
 	if s.faults.SlowReadDelay > 0 {
-		buf = bufio.NewReaderSize(slowReader{s, s.faults.SlowReadDelay}, 64)
+		buffered = bufio.NewReaderSize(slowReader{s, s.faults.SlowReadDelay}, 64)
 	}
-	in := bgp.NewReader(buf)
+	reader := bgp.NewReader(buffered)
 	for {
-		t, body, err := in.Next()
+		messageType, body, err := reader.Next()
 		r.mu.Lock()
 		if err == nil {
-			err = s.handleMessage(t, body)
+			err = s.handleMessage(messageType, body)
 		}
-		var n *bgp.Notification
-		if errors.As(err, &n) {
-			s.send(n.Append(nil))
+		var notification *bgp.Notification
+		if errors.As(err, &notification) {
+			s.send(notification.Append(nil))
 			s.writes.Finish()
 		}
 		r.mu.Unlock()
@@ -194,17 +194,17 @@
 
 var errNotificationReceived = errors.New("standin: session over")
 
-func (s *routerSession) send(b []byte) {
-	s.writes.Enqueue(func(o []byte) []byte { return append(o, b...) })
+func (s *routerSession) send(message []byte) {
+	s.writes.Enqueue(func(o []byte) []byte { return append(o, message...) })
 }
 
 // handleMessage handles one handleMessage. Held: Router.mu.
-func (s *routerSession) handleMessage(t bgp.Type, body []byte) error {
+func (s *routerSession) handleMessage(messageType bgp.Type, body []byte) error {
 	s.lastReceived = s.router.environment.Now()
 	if s.faults.Silent {
 		return nil
 	}
-	switch t {
+	switch messageType {
 	case bgp.TypeOpen:
 		return s.handleOpen(body)
 	case bgp.TypeKeepalive:
@@ -224,23 +224,23 @@
 }
 
 func (s *routerSession) handleOpen(body []byte) error {
-	o, err := bgp.ParseOpen(body)
+	peerOpen, err := bgp.ParseOpen(body)
 	if err != nil {
 		return err
 	}
-	s.host, s.fourOctetAS = o.ID, o.FourAS
-	own := &bgp.Open{AS: s.router.AS, HoldTime: uint16(routerHoldTime / time.Second), ID: s.router.ID, Families: []bgp.Family{bgp.IPv4, bgp.IPv6}, FourAS: true, Refresh: true}
+	s.host, s.fourOctetAS = peerOpen.ID, peerOpen.FourAS
+	ownOpen := &bgp.Open{AS: s.router.AS, HoldTime: uint16(routerHoldTime / time.Second), ID: s.router.ID, Families: []bgp.Family{bgp.IPv4, bgp.IPv6}, FourAS: true, Refresh: true}
 	if s.faults.BadAS {
-		own.AS++
+		ownOpen.AS++
 	}
 	if s.faults.NoIPv6 {
-		own.Families = own.Families[:1]
+		ownOpen.Families = ownOpen.Families[:1]
 	}
 	if s.faults.ZeroHoldTime {
-		own.HoldTime = 0
+		ownOpen.HoldTime = 0
 	}
-	s.holdTime = time.Duration(min(own.HoldTime, o.HoldTime)) * time.Second
-	s.send(own.Append(nil))
+	s.holdTime = time.Duration(min(ownOpen.HoldTime, peerOpen.HoldTime)) * time.Second
+	s.send(ownOpen.Append(nil))
 	s.enterState(bgp.OpenSent)
 	s.send(bgp.AppendKeepalive(nil))
 	s.enterState(bgp.OpenConfirm)
@@ -277,21 +277,21 @@
 			return
 		}
 		s.keepalives++
-		k := bgp.AppendKeepalive(nil)
-		switch f := s.faults; {
-		case f.NoKeepalive:
-		case f.TruncatedKeepalive:
-			s.send(k[:9])
+		keepalive := bgp.AppendKeepalive(nil)
+		switch faults := s.faults; {
+		case faults.NoKeepalive:
+		case faults.TruncatedKeepalive:
+			s.send(keepalive[:9])
 			s.writes.Finish()
 			return
-		case f.BadMarker:
-			k[3] = 0
-			s.send(k)
-		case f.BadLength:
-			binary.BigEndian.PutUint16(k[16:], bgp.MaxLen+1)
-			s.send(k)
+		case faults.BadMarker:
+			keepalive[3] = 0
+			s.send(keepalive)
+		case faults.BadLength:
+			binary.BigEndian.PutUint16(keepalive[16:], bgp.MaxLen+1)
+			s.send(keepalive)
 		default:
-			s.send(k)
+			s.send(keepalive)
 		}
 		s.scheduleKeepalive()
 	})
@@ -300,67 +300,67 @@
 // unknownAttributesUpdate is an UPDATE with an optional transitive attribute of no known type,
 // and one whose faults cost its prefix only (RFC 7606).
 func unknownAttributesUpdate() []byte {
-	u := &bgp.Update{Attrs: &bgp.Attrs{Path: []bgp.Segment{{AS: []uint32{65010}}}, NextHop: netip.AddrFrom4([4]byte{192, 0, 2, 9})},
+	update := &bgp.Update{Attrs: &bgp.Attrs{Path: []bgp.Segment{{AS: []uint32{65010}}}, NextHop: netip.AddrFrom4([4]byte{192, 0, 2, 9})},
 		Prefixes: []netip.Prefix{netip.PrefixFrom(netip.AddrFrom4([4]byte{203, 0, 113, 0}), 24)}}
-	b := u.Append(nil, true)
-	const attrs = 21 // where the attributes' length stands: after the header and no withdrawals
-	extra := []byte{0xc0, 0xfb, 2, 1, 2, 0x40, 4, 1, 0}
-	n := binary.BigEndian.Uint16(b[attrs:])
-	end := attrs + 2 + int(n)
-	b = slices.Insert(b, end, extra...)
-	binary.BigEndian.PutUint16(b[attrs:], n+uint16(len(extra)))
-	binary.BigEndian.PutUint16(b[16:], uint16(len(b)))
-	return b
+	message := update.Append(nil, true)
+	const attrsOffset = 21 // where the attributes' length stands: after the header and no withdrawals
+	extraAttrs := []byte{0xc0, 0xfb, 2, 1, 2, 0x40, 4, 1, 0}
+	attrsLen := binary.BigEndian.Uint16(message[attrsOffset:])
+	end := attrsOffset + 2 + int(attrsLen)
+	message = slices.Insert(message, end, extraAttrs...)
+	binary.BigEndian.PutUint16(message[attrsOffset:], attrsLen+uint16(len(extraAttrs)))
+	binary.BigEndian.PutUint16(message[16:], uint16(len(message)))
+	return message
 }
 
 func (s *routerSession) handleUpdate(body []byte) error {
 	if s.state != bgp.Established {
 		return &bgp.Notification{Code: bgp.CodeFSM}
 	}
-	u, err := bgp.ParseUpdate(body, true, false)
+	update, err := bgp.ParseUpdate(body, true, false)
 	if err != nil {
 		return err
 	}
 	s.router.updates++
-	if u.EndOfRIB != (bgp.Family{}) {
+	if update.EndOfRIB != (bgp.Family{}) {
 		s.router.endOfRIBs++
 	}
-	for _, p := range u.Withdrawn {
-		s.router.removeRoute(s.host, p, false)
+	for _, prefix := range update.Withdrawn {
+		s.router.removeRoute(s.host, prefix, false)
 	}
-	for _, p := range u.Prefixes {
-		path := bgp.Path{MED: u.Attrs.MED, Shutdown: slices.Contains(u.Attrs.Communities, bgp.GracefulShutdown)}
-		for _, seg := range u.Attrs.Path {
-			path.Prepend += uint8(len(seg.AS))
+	for _, prefix := range update.Prefixes {
+		path := bgp.Path{MED: update.Attrs.MED, Shutdown: slices.Contains(update.Attrs.Communities, bgp.GracefulShutdown)}
+		for _, segment := range update.Attrs.Path {
+			path.Prepend += uint8(len(segment.AS))
 		}
 		path.Prepend-- // an AS says itself once in any case
-		s.router.addRoute(s.host, p, path)
+		s.router.addRoute(s.host, prefix, path)
 	}
 	return nil
 }
 
-func (r *Router) recordChange(c RouteChange) {
-	c.At = r.environment.Now()
-	r.changes = append(r.changes, c)
+func (r *Router) recordChange(change RouteChange) {
+	change.At = r.environment.Now()
+	r.changes = append(r.changes, change)
 	if r.OnChange != nil {
-		r.OnChange(c)
+		r.OnChange(change)
 	}
 }
 
-func (r *Router) addRoute(host uint32, p netip.Prefix, path bgp.Path) {
-	if r.rib[p] == nil {
-		r.rib[p] = map[uint32]bgp.Path{}
+func (r *Router) addRoute(host uint32, prefix netip.Prefix, path bgp.Path) {
+	if r.rib[prefix] == nil {
+		r.rib[prefix] = map[uint32]bgp.Path{}
 	}
-	r.rib[p][host] = path
-	r.recordChange(RouteChange{Host: host, Prefix: p, Announced: true, Path: path})
+	r.rib[prefix][host] = path
+	r.recordChange(RouteChange{Host: host, Prefix: prefix, Announced: true, Path: path})
 }
 
-func (r *Router) removeRoute(host uint32, p netip.Prefix, byEnd bool) {
-	if _, had := r.rib[p][host]; !had {
+func (r *Router) removeRoute(host uint32, prefix netip.Prefix, sessionEnded bool) {
+	if _, had := r.rib[prefix][host]; !had {
 		return
 	}
-	delete(r.rib[p], host)
-	r.recordChange(RouteChange{Host: host, Prefix: p, SessionEnded: byEnd})
+	delete(r.rib[prefix], host)
+	r.recordChange(RouteChange{Host: host, Prefix: prefix, SessionEnded: sessionEnded})
 }
 
 // close forgets the session, and with it what its speaker said, unless that has said
@@ -368,68 +368,68 @@
 func (s *routerSession) close() {
 	s.writes.Finish()
 	s.writes.Wait()
-	r := s.router
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.sessions.Remove(s)
+	router := s.router
+	router.mu.Lock()
+	defer router.mu.Unlock()
+	router.sessions.Remove(s)
 	if s.keepaliveTimer != nil {
 		s.keepaliveTimer.Stop()
 	}
 	if s.state != bgp.Established {
 		return
 	}
-	for _, o := range r.sessions.All() {
-		if o.host == s.host && o.state == bgp.Established {
+	for _, other := range router.sessions.All() {
+		if other.host == s.host && other.state == bgp.Established {
 			return
 		}
 	}
-	var gone []netip.Prefix
-	for p, by := range r.rib {
-		if _, had := by[s.host]; had {
-			gone = append(gone, p)
+	var prefixes []netip.Prefix
+	for prefix, byHost := range router.rib {
+		if _, had := byHost[s.host]; had {
+			prefixes = append(prefixes, prefix)
 		}
 	}
-	slices.SortFunc(gone, netip.Prefix.Compare)
-	for _, p := range gone {
-		r.removeRoute(s.host, p, true)
+	slices.SortFunc(prefixes, netip.Prefix.Compare)
+	for _, prefix := range prefixes {
+		router.removeRoute(s.host, prefix, true)
 	}
 }
 
 // BestRoutes lists the routes to a prefix that are equally good and better than the others:
 // no graceful shutdown, then the shorter path, then the lower MED.
-func (r *Router) BestRoutes(p netip.Prefix) (out []RIBEntry) {
+func (r *Router) BestRoutes(prefix netip.Prefix) (best []RIBEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for host, path := range r.rib[p] {
-		out = append(out, RIBEntry{host, path})
+	for host, path := range r.rib[prefix] {
+		best = append(best, RIBEntry{host, path})
 	}
-	rank := func(h RIBEntry) int64 {
-		n := int64(h.Path.Prepend)<<32 | int64(h.Path.MED)
-		if h.Path.Shutdown {
-			n |= 1 << 50
+	rank := func(entry RIBEntry) int64 {
+		value := int64(entry.Path.Prepend)<<32 | int64(entry.Path.MED)
+		if entry.Path.Shutdown {
+			value |= 1 << 50
 		}
-		return n
+		return value
 	}
-	slices.SortFunc(out, func(a, b RIBEntry) int { return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Host, b.Host)) })
-	for i := range out {
-		if rank(out[i]) != rank(out[0]) {
-			return out[:i]
+	slices.SortFunc(best, func(a, b RIBEntry) int { return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Host, b.Host)) })
+	for i := range best {
+		if rank(best[i]) != rank(best[0]) {
+			return best[:i]
 		}
 	}
-	return out
+	return best
 }
 
 // RoutesFrom lists all that a speaker has told.
 func (r *Router) RoutesFrom(host uint32) map[netip.Prefix]bgp.Path {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := map[netip.Prefix]bgp.Path{}
-	for p, by := range r.rib {
-		if path, ok := by[host]; ok {
-			out[p] = path
+	paths := map[netip.Prefix]bgp.Path{}
+	for prefix, byHost := range r.rib {
+		if path, ok := byHost[host]; ok {
+			paths[prefix] = path
 		}
 	}
-	return out
+	return paths
 }
 
 // RouterCounters are figures of a router.
--- a/internal/simulation/standin/shardstore.go
+++ b/internal/simulation/standin/shardstore.go
@@ -46,43 +46,43 @@
 
 // apply carries out an operation and returns its result and data, and which change the
 // cell's copy must have before it is answered.
-func (c *ShardStore) apply(now float64, d *diskproto.Do) (r diskproto.Result, data []byte, needs uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.admitGeneration(d.Gen) {
+func (s *ShardStore) apply(now float64, request *diskproto.Do) (result diskproto.Result, data []byte, requiredSeq uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.admitGeneration(request.Gen) {
 		return diskproto.Stale, nil, 0
 	}
-	r, data, changed := c.execute(d)
+	result, data, changed := s.execute(request)
 	if changed {
-		c.logChange(now, d)
+		s.logChange(now, request)
 	}
-	return r, data, c.requiredSeq(d, changed)
+	return result, data, s.requiredSeq(request, changed)
 }
 
 // execute carries out an operation; changed tells whether anything is not as it was. Held: mu.
-func (c *ShardStore) execute(d *diskproto.Do) (r diskproto.Result, data []byte, changed bool) {
-	if r, data, changed, done := c.executeReservation(d); done {
-		return r, data, changed
+func (s *ShardStore) execute(request *diskproto.Do) (result diskproto.Result, data []byte, changed bool) {
+	if result, data, changed, handled := s.executeReservation(request); handled {
+		return result, data, changed
 	}
-	if c.OnExecute != nil {
-		c.OnExecute(d)
+	if s.OnExecute != nil {
+		s.OnExecute(request)
 	}
-	size := c.BlockSize(d.Volume)
-	switch scsi.Op(d.Op) {
+	blockSize := s.BlockSize(request.Volume)
+	switch scsi.Op(request.Op) {
 	case scsi.Read:
-		return diskproto.OK, c.read(d.Volume, d.LBA, d.Blocks, size), false
+		return diskproto.OK, s.read(request.Volume, request.LBA, request.Blocks, blockSize), false
 	case scsi.Write, scsi.WriteSame, scsi.Unmap:
-		c.blindWrite(d, size)
+		s.blindWrite(request, blockSize)
 		return diskproto.OK, nil, true
 	case scsi.CompareAndWrite:
-		half := len(d.Data) / 2
-		if string(c.read(d.Volume, d.LBA, d.Blocks, size)) != string(d.Data[:half]) {
+		half := len(request.Data) / 2
+		if string(s.read(request.Volume, request.LBA, request.Blocks, blockSize)) != string(request.Data[:half]) {
 			return diskproto.Miscompare, nil, false
 		}
-		c.write(d.Volume, d.LBA, d.Data[half:], size)
+		s.write(request.Volume, request.LBA, request.Data[half:], blockSize)
 		return diskproto.OK, nil, true
 	case scsi.Verify:
-		if len(d.Data) > 0 && string(c.read(d.Volume, d.LBA, d.Blocks, size)) != string(d.Data) {
+		if len(request.Data) > 0 && string(s.read(request.Volume, request.LBA, request.Blocks, blockSize)) != string(request.Data) {
 			return diskproto.Miscompare, nil, false
 		}
 	}
@@ -90,85 +90,85 @@
 }
 
 // blindWrite makes a change that depends on nothing that was there. Held: mu.
-func (c *ShardStore) blindWrite(d *diskproto.Do, size int) {
-	switch scsi.Op(d.Op) {
+func (s *ShardStore) blindWrite(request *diskproto.Do, blockSize int) {
+	switch scsi.Op(request.Op) {
 	case scsi.Write:
-		c.write(d.Volume, d.LBA, d.Data, size)
+		s.write(request.Volume, request.LBA, request.Data, blockSize)
 	case scsi.WriteSame:
-		for i := range uint64(d.Blocks) {
-			c.write(d.Volume, d.LBA+i, d.Data, size)
+		for i := range uint64(request.Blocks) {
+			s.write(request.Volume, request.LBA+i, request.Data, blockSize)
 		}
 	case scsi.Unmap:
-		for _, r := range d.Runs {
-			for i := range uint64(r.Blocks) {
-				delete(c.blocks, blockAddress{d.Volume, r.LBA + i})
+		for _, run := range request.Runs {
+			for i := range uint64(run.Blocks) {
+				delete(s.blocks, blockAddress{request.Volume, run.LBA + i})
 			}
 		}
 	}
 }
 
 // reservationFor is a volume's, made if need be. Held: mu.
-func (c *ShardStore) reservationFor(volume string) *reservationState {
-	m := c.reservations[volume]
-	if m == nil {
-		m = &reservationState{}
-		c.reservations[volume] = m
+func (s *ShardStore) reservationFor(volume string) *reservationState {
+	state := s.reservations[volume]
+	if state == nil {
+		state = &reservationState{}
+		s.reservations[volume] = state
 	}
-	return m
+	return state
 }
 
 // executeReservation carries out what concerns them, and holds the rest to the fence; done is
 // false for an operation that may go on.
-func (c *ShardStore) executeReservation(d *diskproto.Do) (r diskproto.Result, data []byte, changed, done bool) {
-	switch d.Op {
+func (s *ShardStore) executeReservation(request *diskproto.Do) (result diskproto.Result, data []byte, changed, handled bool) {
+	switch request.Op {
 	case diskproto.OpRecord:
-		return diskproto.OK, c.reservationFor(d.Volume).record.Append(nil), false, true
+		return diskproto.OK, s.reservationFor(request.Volume).record.Append(nil), false, true
 	case diskproto.OpFence:
-		m := c.reservationFor(d.Volume)
-		changed = d.Fence > m.fence
-		m.fence = max(m.fence, d.Fence)
+		state := s.reservationFor(request.Volume)
+		changed = request.Fence > state.fence
+		state.fence = max(state.fence, request.Fence)
 		return diskproto.OK, nil, changed, true
 	case diskproto.OpSwapRecord:
-		m := c.reservationFor(d.Volume)
-		var s diskproto.Swap
+		state := s.reservationFor(request.Volume)
+		var swap diskproto.Swap
 		switch {
-		case s.Parse(d.Data) != nil:
+		case swap.Parse(request.Data) != nil:
 			return diskproto.Failed, nil, false, true
-		case s.Expected != m.record.Version:
-			return diskproto.Miscompare, m.record.Append(nil), false, true
+		case swap.Expected != state.record.Version:
+			return diskproto.Miscompare, state.record.Append(nil), false, true
 		}
-		m.record = diskproto.Record{Version: s.New.Version, Bytes: append([]byte(nil), s.New.Bytes...)}
-		m.persist = s.Persist
-		return diskproto.OK, m.record.Append(nil), true, true
+		state.record = diskproto.Record{Version: swap.New.Version, Bytes: append([]byte(nil), swap.New.Bytes...)}
+		state.persist = swap.Persist
+		return diskproto.OK, state.record.Append(nil), true, true
 	}
-	if m := c.reservations[d.Volume]; m != nil && d.Fence < m.fence && !c.IgnoreFences {
+	if state := s.reservations[request.Volume]; state != nil && request.Fence < state.fence && !s.IgnoreFences {
 		return diskproto.Fenced, nil, false, true
 	}
 	return 0, nil, false, false
 }
 
 // PowerLoss empties the records that were not to outlive one.
-func (c *ShardStore) PowerLoss() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, m := range c.reservations {
-		if !m.persist && len(m.record.Bytes) > 0 {
-			m.record = diskproto.Record{Version: m.record.Version + 1}
+func (s *ShardStore) PowerLoss() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, state := range s.reservations {
+		if !state.persist && len(state.record.Bytes) > 0 {
+			state.record = diskproto.Record{Version: state.record.Version + 1}
 		}
 	}
 }
 
-func (c *ShardStore) read(volume string, lba uint64, blocks uint32, size int) []byte {
-	out := make([]byte, int(blocks)*size)
+func (s *ShardStore) read(volume string, lba uint64, blocks uint32, blockSize int) []byte {
+	data := make([]byte, int(blocks)*blockSize)
 	for i := range uint64(blocks) {
-		copy(out[int(i)*size:], c.blocks[blockAddress{volume, lba + i}])
+		copy(data[int(i)*blockSize:], s.blocks[blockAddress{volume, lba + i}])
 	}
-	return out
+	return data
 }
 
-func (c *ShardStore) write(volume string, lba uint64, data []byte, size int) {
-	for i := 0; i+size <= len(data); i += size {
-		c.blocks[blockAddress{volume, lba + uint64(i/size)}] = append([]byte(nil), data[i:i+size]...)
+func (s *ShardStore) write(volume string, lba uint64, data []byte, blockSize int) {
+	for i := 0; i+blockSize <= len(data); i += blockSize {
+		s.blocks[blockAddress{volume, lba + uint64(i/blockSize)}] = append([]byte(nil), data[i:i+blockSize]...)
 	}
 }
 
@@ -192,48 +192,48 @@
 }
 
 // NewDedupCache remembers for so many milliseconds.
-func NewDedupCache(keep float64) *DedupCache {
-	return &DedupCache{retention: keep, entries: map[requestKey]dedupEntry{}, effectCounts: map[requestKey]int{}}
+func NewDedupCache(retention float64) *DedupCache {
+	return &DedupCache{retention: retention, entries: map[requestKey]dedupEntry{}, effectCounts: map[requestKey]int{}}
 }
 
 // runOnce applies a keyed request unless it is a repeat still remembered.
-func (k *DedupCache) runOnce(now float64, d *diskproto.Do, apply func() (diskproto.Result, []byte)) (r diskproto.Result, data []byte, dropped bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for len(k.order) > 0 && now-k.entries[k.order[0]].executedAt >= k.retention {
-		delete(k.entries, k.order[0])
-		k.order = k.order[1:]
+func (c *DedupCache) runOnce(now float64, request *diskproto.Do, apply func() (diskproto.Result, []byte)) (result diskproto.Result, data []byte, dropped bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for len(c.order) > 0 && now-c.entries[c.order[0]].executedAt >= c.retention {
+		delete(c.entries, c.order[0])
+		c.order = c.order[1:]
 	}
-	key := requestKey{d.Host, d.Seq}
-	if was, ok := k.entries[key]; ok {
-		return was.result, nil, true
+	key := requestKey{request.Host, request.Seq}
+	if entry, ok := c.entries[key]; ok {
+		return entry.result, nil, true
 	}
-	if r, data = apply(); r == diskproto.Stale {
-		return r, data, false // it may come again under a newer generation
+	if result, data = apply(); result == diskproto.Stale {
+		return result, data, false // it may come again under a newer generation
 	}
-	k.entries[key] = dedupEntry{now, r}
-	k.order = append(k.order, key)
-	if k.effectCounts[key]++; k.effectCounts[key] > 1 {
-		k.repeated++
+	c.entries[key] = dedupEntry{now, result}
+	c.order = append(c.order, key)
+	if c.effectCounts[key]++; c.effectCounts[key] > 1 {
+		c.repeated++
 	}
-	return r, data, false
+	return result, data, false
 }
 
 // remember enters a keyed request that ran so long ago, elsewhere.
-func (k *DedupCache) remember(at float64, d *diskproto.Do) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	key := requestKey{d.Host, d.Seq}
-	if _, ok := k.entries[key]; ok || d.Effect != diskproto.Keyed || d.Seq == 0 {
+func (c *DedupCache) remember(executedAt float64, request *diskproto.Do) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	key := requestKey{request.Host, request.Seq}
+	if _, ok := c.entries[key]; ok || request.Effect != diskproto.Keyed || request.Seq == 0 {
 		return
 	}
-	k.entries[key] = dedupEntry{at, diskproto.OK}
-	k.order = append(k.order, key)
+	c.entries[key] = dedupEntry{executedAt, diskproto.OK}
+	c.order = append(c.order, key)
 }
 
 // RepeatedEffects is the number of effects that took place more than once.
-func (k *DedupCache) RepeatedEffects() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.repeated
+func (c *DedupCache) RepeatedEffects() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.repeated
 }
