--- a/internal/control/gateway/conformance_test.go
+++ b/internal/control/gateway/conformance_test.go
@@ -17,7 +17,8 @@
 	"merlinhitch/internal/verify/conform"
 )
 
-// unlimitedVolume is the index of a volume on several shards whose plan has no limit.
+// unlimitedVolume is the index of a volume whose plan has no limit. All entries of its layout are
+// shard 2.
 const unlimitedVolume = 5
 
 // runConformanceChecks runs the conformance checks on unlimitedVolume through the target at addr.
--- a/internal/control/gateway/gateway_test.go
+++ b/internal/control/gateway/gateway_test.go
@@ -108,15 +108,15 @@
 	return result
 }
 
-// Data written across extents on two shards must be read back unchanged.
-func TestReadBackAcrossShards(t *testing.T) {
+// Data written across three extents must be read back unchanged.
+func TestReadBackAcrossExtents(t *testing.T) {
 	h := newHarness(t, nil)
-	client := h.connect(4, 1) // its plan has no limit, its layout two shards
+	client := h.connect(4, 1) // its plan has no limit; both entries of its layout are shard 1
 	want := bytes.Repeat([]byte("0123456789abcdef"), 64*4096/16)
 	for i := range want {
 		want[i] ^= byte(i / 4096)
 	}
-	// Blocks 20 to 84 span three extents on two shards.
+	// Blocks 20 to 83 are in three extents of 32 blocks.
 	if result := h.execute(client, initiator.WriteCDB(20, 64), want, 0); result.Status != scsi.Good {
 		t.Fatalf("write: got status %02x, sense %x, want GOOD", result.Status, result.Sense)
 	}
