--- a/internal/control/expect/expect_test.go
+++ b/internal/control/expect/expect_test.go
@@ -24,7 +24,7 @@
 // Each line with whether it holds, and what is found where it does not.
 func TestCheck(t *testing.T) {
 	s := settings.Example(3, 9)
-	s.Volumes[1].Copies, s.Volumes[1].Copy = 2, []int{2, 5}
+	s.Volumes[1].Copies, s.Volumes[1].CopyLayout = 2, []int{2, 5}
 	lay := s.Volumes[1].Layout
 	for _, x := range []struct{ text, found string }{
 		{fmt.Sprintf("volume vol-001 write goes to n%d, n%d", lay[0], lay[1]), ""},
--- a/internal/control/gateway/expect_test.go
+++ b/internal/control/gateway/expect_test.go
@@ -82,7 +82,7 @@
 	client := h.connect(volumeIndex, 1)
 	volume := &h.settings.Volumes[volumeIndex]
 	for extent := range volume.Layout {
-		lba := uint64(extent * volume.Extent)
+		lba := uint64(extent * volume.ExtentBlocks)
 		cdb, data := initiator.ReadCDB(lba, 1), []byte(nil)
 		if expectation.Op == scsi.Write {
 			cdb, data = initiator.WriteCDB(lba, 1), make([]byte, 4096)
--- a/internal/control/gateway/faults_test.go
+++ b/internal/control/gateway/faults_test.go
@@ -466,7 +466,7 @@
 // A client that sends commands and never reads must be disconnected, and the memory used for it
 // must be limited.
 func TestClientThatNeverReads(t *testing.T) {
-	h := newHarness(t, func(s *settings.Settings) { s.Target.WriteTime, s.Target.Memory = 300, 32<<20 })
+	h := newHarness(t, func(s *settings.Settings) { s.Target.WriteTimeout, s.Target.MemoryBytes = 300, 32<<20 })
 	raw := h.connectRaw()
 	raw.login(h, normalVolume)
 	maxMemory := int64(0)
@@ -485,7 +485,7 @@
 // A graceful stop must request logout from clients, reject new connections and answer outstanding
 // commands.
 func TestGracefulStop(t *testing.T) {
-	h := newHarness(t, func(s *settings.Settings) { useOneShard(s); s.Target.StopTime = 100 })
+	h := newHarness(t, func(s *settings.Settings) { useOneShard(s); s.Target.LogoutTimeout = 100 })
 	pending := make(chan *receivedAttempt, 1)
 	h.startFakeDiskServer(func(attempt *receivedAttempt, request diskproto.Do) { pending <- attempt })
 	logoutRequests := make(chan struct{}, 1)
--- a/internal/control/gateway/frontend.go
+++ b/internal/control/gateway/frontend.go
@@ -132,7 +132,7 @@
 // reserveMemory accounts for a command's data. It returns false if that would exceed the
 // configured memory.
 func (f *frontend) reserveMemory(bytes int) bool {
-	if f.memoryBytes.Add(int64(bytes)) <= int64(f.settings.Load().Target.Memory) {
+	if f.memoryBytes.Add(int64(bytes)) <= int64(f.settings.Load().Target.MemoryBytes) {
 		return true
 	}
 	f.memoryBytes.Add(-int64(bytes))
@@ -195,7 +195,7 @@
 	if n := uint32(len(f.responders)); n > 0 {
 		c.responder = f.responders[f.nextResponder.Add(1)%n]
 	}
-	c.out = writequeue.New(f.environment, netConn, clientWriteLimit, env.Duration(f.settings.Load().Target.WriteTime))
+	c.out = writequeue.New(f.environment, netConn, clientWriteLimit, env.Duration(f.settings.Load().Target.WriteTimeout))
 	c.out.OnBytesChanged = func(delta int) { f.memoryBytes.Add(int64(delta)) }
 	return c
 }
@@ -226,7 +226,7 @@
 // login runs the login phase, which must end within the configured time.
 func (c *conn) login(reader *iscsi.Reader) error {
 	active := c.frontend.settings.Load()
-	c.netConn.SetReadDeadline(c.frontend.environment.Deadline(env.Duration(active.Target.LoginTime)))
+	c.netConn.SetReadDeadline(c.frontend.environment.Deadline(env.Duration(active.Target.LoginTimeout)))
 	login := iscsi.NewLogin(c.targetPolicy(active), c.assignTSIH)
 	for {
 		pdu, err := reader.Next()
@@ -270,7 +270,7 @@
 func (c *conn) targetPolicy(active *activeSettings) *iscsi.TargetPolicy {
 	params := iscsi.DefaultParams()
 	params.MaxRecv, params.MaxBurst, params.FirstBurst, params.InitialR2T, params.MaxR2T = maxRecvDataSegment, maxTransferBytes, maxRecvDataSegment, false, 4
-	policy := &iscsi.TargetPolicy{Params: params, Window: uint32(active.Target.Window), PortalGroup: 1,
+	policy := &iscsi.TargetPolicy{Params: params, Window: uint32(active.Target.CommandWindow), PortalGroup: 1,
 		Random: func(b []byte) { env.FillRandom(c.frontend.environment, b) },
 		Admit: func(_, target string) iscsi.LoginStatus {
 			if target != "" && active.unitsByTarget[target] == nil {
@@ -342,7 +342,7 @@
 	if c.closed {
 		return
 	}
-	interval := env.Duration(active.Target.PingEvery)
+	interval := env.Duration(active.Target.PingInterval)
 	c.pingTimer = c.frontend.environment.AfterFunc(interval, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/internal/control/gateway/gateway.go
+++ b/internal/control/gateway/gateway.go
@@ -337,7 +337,7 @@
 	}
 	if f != nil {
 		f.stopAccepting()
-		stopTime := f.settings.Load().Target.StopTime
+		stopTime := f.settings.Load().Target.LogoutTimeout
 		for _, c := range f.allConns() {
 			c.requestLogout(uint16(min(stopTime/1000+1, 3600)))
 		}
--- a/internal/control/gateway/regions.go
+++ b/internal/control/gateway/regions.go
@@ -47,7 +47,7 @@
 func (r *regionState) applySettings(s *settings.Settings) {
 	r.limitIndexes, r.copyBeforeAck = map[string]int{}, map[string]bool{}
 	for i, p := range s.Plans {
-		r.copyBeforeAck[p.Name] = p.Copied != settings.AckBefore
+		r.copyBeforeAck[p.Name] = p.WriteAck != settings.AckBeforeCopy
 		if p.Limit > 0 {
 			r.limitIndexes[p.Name] = i
 		}
--- a/internal/control/gateway/regions_test.go
+++ b/internal/control/gateway/regions_test.go
@@ -15,7 +15,7 @@
 func newRegionalCore() (*core, *fakeScheduler, *fakeEffects) {
 	s := settings.Example(2, 1)
 	s.Regions = &settings.Regions{LeaseTime: 1000, PeerTimeout: 500, Drift: 0.1, Hosts: []int{0, 1}}
-	s.Plans[0].Copied = settings.AckBefore
+	s.Plans[0].WriteAck = settings.AckBeforeCopy
 	effects := &fakeEffects{}
 	k := newCore(0, s, 0, "", 1, effects)
 	scheduler := &fakeScheduler{}
--- a/internal/control/settings/example.go
+++ b/internal/control/settings/example.go
@@ -20,15 +20,15 @@
 			{Name: "prioritario", Price: 1.5, Weight: 6, Rate: 15},
 		},
 		Limits: Limits{MaxAttempts: 4, RetryAfter: 500, DialTimeout: 250, MaxOpen: 33333},
-		Rules: Rules{AnswerSlack: 100, DrainGrace: 500, FallMultiple: 2, FallTime: 1500, ColdFrom: 0.2, ColdTime: 8000,
-			ColdUnits: 26, KeyRest: 200, Budget: &Budget{Free: 3, Share: 0.25, Span: 5000}},
-		Target: Target{Prefix: "iqn.2026-11.example.merlinhitch", Window: 64, MaxSessions: 4096, Memory: 256 << 20,
-			LoginTime: 5000, WriteTime: 5000, PingEvery: 10000, StopTime: 2000},
+		Rules: Rules{AnswerSlack: 100, DrainGrace: 500, OverloadFactor: 2, OverloadWindow: 1500, ColdCapacity: 0.2, WarmUpTime: 8000,
+			ColdUnits: 26, KeyHoldoff: 200, Budget: &Budget{Base: 3, Ratio: 0.25, Window: 5000}},
+		Target: Target{Prefix: "iqn.2026-11.example.merlinhitch", CommandWindow: 64, MaxSessions: 4096, MemoryBytes: 256 << 20,
+			LoginTimeout: 5000, WriteTimeout: 5000, PingInterval: 10000, LogoutTimeout: 2000},
 	}
 	plans := []string{"basico", "normal", "prioritario", "basico", "normal", "normal"}
 	for i := range 4 * shards {
-		v := Volume{Name: fmt.Sprintf("vol-%03d", i), Plan: plans[i%len(plans)], Blocks: 1 << 14, BlockSize: 4096, Extent: 32,
-			Copies: min(2, shards), Writes: 0.35, MaxNodes: 1 + i%3}
+		v := Volume{Name: fmt.Sprintf("vol-%03d", i), Plan: plans[i%len(plans)], Blocks: 1 << 14, BlockSize: 4096, ExtentBlocks: 32,
+			Copies: min(2, shards), WriteFraction: 0.35, MaxNodes: 1 + i%3}
 		for k := range 1 + i%3 {
 			v.Layout = append(v.Layout, (i+k*3)%shards)
 		}
--- a/internal/control/settings/settings.go
+++ b/internal/control/settings/settings.go
@@ -205,22 +205,22 @@
 	Limit     float64 `json:"limit"`
 	Burst     float64 `json:"burst"`
 	Overdraft float64 `json:"slack"`
-	// Copied says when a write is acknowledged in a service over two regions: "before" its
+	// WriteAck says when a write is acknowledged in a service over two regions: "before" its
 	// copy is in the other region, which may lose some with the region, or "after"; "" is
 	// after.
-	Copied string `json:"copied,omitempty"`
+	WriteAck string `json:"copied,omitempty"`
 }
 
 // When writes are acknowledged.
 const (
-	AckBefore = "before"
-	AckAfter  = "after"
+	AckBeforeCopy = "before"
+	AckAfterCopy  = "after"
 )
 
 // Limits bounds what a host does.
 type Limits struct {
 	MaxAttempts int     `json:"max_attempts"`
-	Copies      bool    `json:"copies"`
+	Duplicates  bool    `json:"copies"`
 	RetryAfter  float64 `json:"retry_after_ms"`
 	DialTimeout float64 `json:"dial_timeout_ms"`
 	// MaxOpen is the number of requests that a host holds at most.
@@ -229,22 +229,22 @@
 
 // Rules holds the figures of the seven rules.
 type Rules struct {
-	AnswerSlack  float64 `json:"answer_slack_ms"`
-	DrainGrace   float64 `json:"drain_grace_ms"`
-	FallMultiple float64 `json:"fall_multiple"`
-	FallTime     float64 `json:"fall_time_ms"`
-	ColdFrom     float64 `json:"cold_from"`
-	ColdTime     float64 `json:"cold_time_ms"`
-	ColdUnits    float64 `json:"cold_units"`
-	KeyRest      float64 `json:"key_rest_ms"`
-	Budget       *Budget `json:"budget,omitempty"`
+	AnswerSlack    float64 `json:"answer_slack_ms"`
+	DrainGrace     float64 `json:"drain_grace_ms"`
+	OverloadFactor float64 `json:"fall_multiple"`
+	OverloadWindow float64 `json:"fall_time_ms"`
+	ColdCapacity   float64 `json:"cold_from"`
+	WarmUpTime     float64 `json:"cold_time_ms"`
+	ColdUnits      float64 `json:"cold_units"`
+	KeyHoldoff     float64 `json:"key_rest_ms"`
+	Budget         *Budget `json:"budget,omitempty"`
 }
 
 // Budget bounds attempts beyond a request's first; absent: no bound.
 type Budget struct {
-	Free  float64 `json:"free"`
-	Share float64 `json:"share"`
-	Span  float64 `json:"span_ms"`
+	Base   float64 `json:"free"`
+	Ratio  float64 `json:"share"`
+	Window float64 `json:"span_ms"`
 }
 
 // Volume is one disk that clients see.
@@ -253,38 +253,38 @@
 	Plan      string `json:"plan"`
 	Blocks    uint64 `json:"blocks"`
 	BlockSize int    `json:"block_size"`
-	// Extent is the number of blocks that lie together; extent e lies on shard
+	// ExtentBlocks is the number of blocks that lie together; extent e lies on shard
 	// Layout[e modulo its length].
-	Extent   int   `json:"extent_blocks"`
-	Layout   []int `json:"layout"`
-	Hosts    []int `json:"hosts"` // that its requests come through
-	ReadOnly bool  `json:"read_only,omitempty"`
-	// Copy is, for each entry of Layout, the shard that takes over when the hall of
+	ExtentBlocks int   `json:"extent_blocks"`
+	Layout       []int `json:"layout"`
+	Hosts        []int `json:"hosts"` // that its requests come through
+	ReadOnly     bool  `json:"read_only,omitempty"`
+	// CopyLayout is, for each entry of Layout, the shard that takes over when the hall of
 	// the entry is lost; absent: none.
-	Copy []int `json:"copy,omitempty"`
+	CopyLayout []int `json:"copy,omitempty"`
 	// What a layout must keep to: see package placement. Rate 0 is the plan's.
-	Rate     float64 `json:"rate,omitempty"`
-	Writes   float64 `json:"writes,omitempty"` // part of the rate
-	MaxNodes int     `json:"max_nodes,omitempty"`
-	Spread   int     `json:"spread,omitempty"`
-	Copies   int     `json:"copies,omitempty"` // 0 and 1: the data alone
-	Pins     []int   `json:"pins,omitempty"`
-	Bans     []int   `json:"bans,omitempty"`
+	Rate           float64 `json:"rate,omitempty"`
+	WriteFraction  float64 `json:"writes,omitempty"` // part of the rate
+	MaxNodes       int     `json:"max_nodes,omitempty"`
+	MinHalls       int     `json:"spread,omitempty"`
+	Copies         int     `json:"copies,omitempty"` // 0 and 1: the data alone
+	PinnedShards   []int   `json:"pins,omitempty"`
+	ExcludedShards []int   `json:"bans,omitempty"`
 }
 
 // Target is the face to initiators.
 type Target struct {
 	// Prefix and a colon go before a volume's name: its target name.
-	Prefix      string  `json:"prefix"`
-	Window      int     `json:"window"` // commands a session
-	MaxSessions int     `json:"max_sessions"`
-	Memory      int     `json:"memory_bytes"` // of data held for clients by a host
-	LoginTime   float64 `json:"login_ms"`     // for a whole login
-	WriteTime   float64 `json:"write_ms"`     // for a client to take what it is sent
-	PingEvery   float64 `json:"ping_ms"`      // of silence, then a sign of life is asked for
-	StopTime    float64 `json:"stop_ms"`      // for clients to log out at a graceful stop
-	Chap        []Chap  `json:"chap,omitempty"`
-	Mutual      *Chap   `json:"mutual,omitempty"`
+	Prefix        string  `json:"prefix"`
+	CommandWindow int     `json:"window"` // commands a session
+	MaxSessions   int     `json:"max_sessions"`
+	MemoryBytes   int     `json:"memory_bytes"` // of data held for clients by a host
+	LoginTimeout  float64 `json:"login_ms"`     // for a whole login
+	WriteTimeout  float64 `json:"write_ms"`     // for a client to take what it is sent
+	PingInterval  float64 `json:"ping_ms"`      // of silence, then a sign of life is asked for
+	LogoutTimeout float64 `json:"stop_ms"`      // for clients to log out at a graceful stop
+	Chap          []Chap  `json:"chap,omitempty"`
+	Mutual        *Chap   `json:"mutual,omitempty"`
 }
 
 // Chap is a name with its secret.
@@ -388,7 +388,7 @@
 	c.inRange("limits.retry_after_ms", l.RetryAfter, 0, dayMS)
 	c.inRange("limits.dial_timeout_ms", l.DialTimeout, 1, 60000)
 	c.inRange("limits.max_open", float64(l.MaxOpen), 1, 1e6)
-	c.failIf(l.Copies, "limits.copies", "the gateway sends no copies")
+	c.failIf(l.Duplicates, "limits.copies", "the gateway sends no copies")
 	s.checkVolumes(c)
 	s.Target.check(c)
 	s.checkNodes(c)
@@ -483,23 +483,23 @@
 		} else {
 			c.failIf(p.Burst != 0 || p.Overdraft != 0, at+"limit", "is 0, but burst or slack is set")
 		}
-		c.failIf(p.Copied != "" && p.Copied != AckBefore && p.Copied != AckAfter, at+"copied", "%.20q is neither before nor after", p.Copied)
+		c.failIf(p.WriteAck != "" && p.WriteAck != AckBeforeCopy && p.WriteAck != AckAfterCopy, at+"copied", "%.20q is neither before nor after", p.WriteAck)
 	}
 }
 
 func (r *Rules) check(c *checker) {
 	c.inRange("rules.answer_slack_ms", r.AnswerSlack, 1, 60000)
 	c.inRange("rules.drain_grace_ms", r.DrainGrace, 0, 60000)
-	c.inRange("rules.fall_multiple", r.FallMultiple, 1, 1000)
-	c.inRange("rules.fall_time_ms", r.FallTime, 1, 60000)
-	c.inRange("rules.cold_from", r.ColdFrom, 0.001, 1)
-	c.inRange("rules.cold_time_ms", r.ColdTime, 0, dayMS)
+	c.inRange("rules.fall_multiple", r.OverloadFactor, 1, 1000)
+	c.inRange("rules.fall_time_ms", r.OverloadWindow, 1, 60000)
+	c.inRange("rules.cold_from", r.ColdCapacity, 0.001, 1)
+	c.inRange("rules.cold_time_ms", r.WarmUpTime, 0, dayMS)
 	c.inRange("rules.cold_units", r.ColdUnits, 0, 1e9)
-	c.inRange("rules.key_rest_ms", r.KeyRest, 0, 60000)
+	c.inRange("rules.key_rest_ms", r.KeyHoldoff, 0, 60000)
 	if b := r.Budget; b != nil {
-		c.inRange("rules.budget.free", b.Free, 0, 1e6)
-		c.inRange("rules.budget.share", b.Share, 0, 100)
-		c.inRange("rules.budget.span_ms", b.Span, 1, dayMS)
+		c.inRange("rules.budget.free", b.Base, 0, 1e6)
+		c.inRange("rules.budget.share", b.Ratio, 0, 100)
+		c.inRange("rules.budget.span_ms", b.Window, 1, dayMS)
 	}
 }
 
@@ -514,7 +514,7 @@
 		c.failIf(!slices.Contains(plans, v.Plan), at+"plan", "there is no plan %.70q", v.Plan)
 		c.failIf(v.BlockSize != 512 && v.BlockSize != 4096, at+"block_size", "is %d, must be 512 or 4096", v.BlockSize)
 		c.failIf(v.Blocks == 0 || v.Blocks > 1<<48, at+"blocks", "is %d, must be from 1 to 2^48", v.Blocks)
-		c.inRange(at+"extent_blocks", float64(v.Extent), 1, 1<<20)
+		c.inRange(at+"extent_blocks", float64(v.ExtentBlocks), 1, 1<<20)
 		c.failIf(len(v.Layout) == 0 || len(v.Layout) > maxLayout, at+"layout", "has %d shards, must be from 1 to %d", len(v.Layout), maxLayout)
 		s.checkShards(c, at+"layout", v.Layout)
 		s.checkVolumePlacement(c, v, at)
@@ -537,17 +537,17 @@
 // checkVolumePlacement checks what a volume asks of its layouts.
 func (s *Settings) checkVolumePlacement(c *checker, v *Volume, at string) {
 	c.inRange(at+"rate", v.Rate, 0, 1e9)
-	c.inRange(at+"writes", v.Writes, 0, 1)
+	c.inRange(at+"writes", v.WriteFraction, 0, 1)
 	c.inRange(at+"max_nodes", float64(v.MaxNodes), 0, maxLayout)
-	c.inRange(at+"spread", float64(v.Spread), 0, maxLayout)
+	c.inRange(at+"spread", float64(v.MinHalls), 0, maxLayout)
 	c.inRange(at+"copies", float64(v.Copies), 0, 2)
-	c.failIf(len(v.Copy) > 0 && len(v.Copy) != len(v.Layout), at+"copy", "has %d shards, the layout %d", len(v.Copy), len(v.Layout))
-	s.checkShards(c, at+"copy", v.Copy)
-	s.checkShards(c, at+"pins", v.Pins)
-	s.checkShards(c, at+"bans", v.Bans)
-	for j, sh := range v.Pins {
-		c.failIf(slices.Contains(v.Bans, sh), fmt.Sprintf("%spins[%d]", at, j), "shard %d is banned too", sh)
-		c.failIf(slices.Contains(v.Pins[:j], sh), fmt.Sprintf("%spins[%d]", at, j), "shard %d stands twice", sh)
+	c.failIf(len(v.CopyLayout) > 0 && len(v.CopyLayout) != len(v.Layout), at+"copy", "has %d shards, the layout %d", len(v.CopyLayout), len(v.Layout))
+	s.checkShards(c, at+"copy", v.CopyLayout)
+	s.checkShards(c, at+"pins", v.PinnedShards)
+	s.checkShards(c, at+"bans", v.ExcludedShards)
+	for j, sh := range v.PinnedShards {
+		c.failIf(slices.Contains(v.ExcludedShards, sh), fmt.Sprintf("%spins[%d]", at, j), "shard %d is banned too", sh)
+		c.failIf(slices.Contains(v.PinnedShards[:j], sh), fmt.Sprintf("%spins[%d]", at, j), "shard %d stands twice", sh)
 	}
 }
 
@@ -660,13 +660,13 @@
 
 func (t *Target) check(c *checker) {
 	c.failIf(!prefixPattern.MatchString(t.Prefix), "target.prefix", "%.70q is not of the form iqn.yyyy-mm.name", t.Prefix)
-	c.inRange("target.window", float64(t.Window), 1, 4096)
+	c.inRange("target.window", float64(t.CommandWindow), 1, 4096)
 	c.inRange("target.max_sessions", float64(t.MaxSessions), 1, 65535)
-	c.inRange("target.memory_bytes", float64(t.Memory), 4<<20, math.MaxInt32)
-	c.inRange("target.login_ms", t.LoginTime, 10, 600000)
-	c.inRange("target.write_ms", t.WriteTime, 10, 600000)
-	c.inRange("target.ping_ms", t.PingEvery, 10, 3600000)
-	c.inRange("target.stop_ms", t.StopTime, 0, 600000)
+	c.inRange("target.memory_bytes", float64(t.MemoryBytes), 4<<20, math.MaxInt32)
+	c.inRange("target.login_ms", t.LoginTimeout, 10, 600000)
+	c.inRange("target.write_ms", t.WriteTimeout, 10, 600000)
+	c.inRange("target.ping_ms", t.PingInterval, 10, 3600000)
+	c.inRange("target.stop_ms", t.LogoutTimeout, 0, 600000)
 	all := slices.Clone(t.Chap)
 	if t.Mutual != nil {
 		all = append(all, *t.Mutual)
@@ -696,10 +696,10 @@
 		Hosts: s.Hosts, Self: self, Zone: zone, Tick: 1, Shards: s.Shards,
 		MeanUnits: s.MeanUnits, MaxUnits: s.MaxUnits, FairFactor: s.FairFactor, SpareFactor: s.SpareFactor,
 		Limits: policy.Limits{MaxAttempts: s.Limits.MaxAttempts, Cancel: true, Probe: true,
-			Duplicates: s.Limits.Copies, RetryAfter: s.Limits.RetryAfter},
+			Duplicates: s.Limits.Duplicates, RetryAfter: s.Limits.RetryAfter},
 		Rules: policy.Rules{AnswerSlack: s.Rules.AnswerSlack, DrainGrace: s.Rules.DrainGrace,
-			OverloadFactor: s.Rules.FallMultiple, OverloadWindow: s.Rules.FallTime, ColdCapacity: s.Rules.ColdFrom,
-			WarmUpTime: s.Rules.ColdTime, ColdUnits: s.Rules.ColdUnits, KeyHoldoff: s.Rules.KeyRest,
+			OverloadFactor: s.Rules.OverloadFactor, OverloadWindow: s.Rules.OverloadWindow, ColdCapacity: s.Rules.ColdCapacity,
+			WarmUpTime: s.Rules.WarmUpTime, ColdUnits: s.Rules.ColdUnits, KeyHoldoff: s.Rules.KeyHoldoff,
 			MaxSendDelay: 2 * s.Limits.DialTimeout}, // to connect and to be greeted
 	}
 	if s.Regions != nil {
@@ -710,7 +710,7 @@
 		p.Rules.OverloadWindow *= apart
 	}
 	if b := s.Rules.Budget; b != nil {
-		p.Rules.HasBudget, p.Rules.BudgetBase, p.Rules.BudgetRatio, p.Rules.BudgetWindow = true, b.Free, b.Share, b.Span
+		p.Rules.HasBudget, p.Rules.BudgetBase, p.Rules.BudgetRatio, p.Rules.BudgetWindow = true, b.Base, b.Ratio, b.Window
 	}
 	for _, k := range s.Classes {
 		p.Classes = append(p.Classes, policy.Class{Name: k.Name, Value: k.Value, LateValue: k.LateValue,
@@ -759,8 +759,8 @@
 	return func(yield func(Part) bool) {
 		var p Part
 		for blocks > 0 {
-			e := lba / uint64(v.Extent)
-			n := uint32(min(uint64(blocks), (e+1)*uint64(v.Extent)-lba))
+			e := lba / uint64(v.ExtentBlocks)
+			n := uint32(min(uint64(blocks), (e+1)*uint64(v.ExtentBlocks)-lba))
 			sh := v.Layout[e%uint64(len(v.Layout))]
 			switch {
 			case p.Blocks == 0:
@@ -789,7 +789,7 @@
 
 // Disk describes the volume as a logical unit.
 func (v *Volume) Disk() *scsi.Disk {
-	return &scsi.Disk{Blocks: v.Blocks, BlockSize: uint32(v.BlockSize), Name: v.Name, ReadOnly: v.ReadOnly, Extent: uint32(v.Extent)}
+	return &scsi.Disk{Blocks: v.Blocks, BlockSize: uint32(v.BlockSize), Name: v.Name, ReadOnly: v.ReadOnly, Extent: uint32(v.ExtentBlocks)}
 }
 
 // TargetName is the name under which initiators find the volume.
--- a/internal/control/settings/settings_test.go
+++ b/internal/control/settings/settings_test.go
@@ -43,14 +43,14 @@
 		"plans[0].burst":            func(s *Settings) { s.Plans[0].Burst = 1 },
 		"plans[1].limit":            func(s *Settings) { s.Plans[1].Overdraft = 3 },
 		"plans[2].weight":           func(s *Settings) { s.Plans[2].Weight = 0 },
-		"rules.cold_from":           func(s *Settings) { s.Rules.ColdFrom = 2 },
-		"rules.budget.span_ms":      func(s *Settings) { s.Rules.Budget.Span = 0 },
-		"limits.copies":             func(s *Settings) { s.Limits.Copies = true },
+		"rules.cold_from":           func(s *Settings) { s.Rules.ColdCapacity = 2 },
+		"rules.budget.span_ms":      func(s *Settings) { s.Rules.Budget.Window = 0 },
+		"limits.copies":             func(s *Settings) { s.Limits.Duplicates = true },
 		"volumes[3].plan":           func(s *Settings) { s.Volumes[3].Plan = "gold" },
 		"volumes[3].block_size":     func(s *Settings) { s.Volumes[3].BlockSize = 1000 },
 		"volumes[4].layout[1]":      func(s *Settings) { s.Volumes[4].Layout[1] = 99 },
 		"volumes[4].hosts[1]":       func(s *Settings) { s.Volumes[4].Hosts[1] = s.Volumes[4].Hosts[0] },
-		"plans[0].copied":           func(s *Settings) { s.Plans[0].Copied = "sometimes" },
+		"plans[0].copied":           func(s *Settings) { s.Plans[0].WriteAck = "sometimes" },
 		"regions.lease_ms":          func(s *Settings) { s.Regions = &Regions{LeaseTime: 1, PeerTimeout: 1000, Hosts: []int{0, 1, 0}} },
 		"regions.drift": func(s *Settings) {
 			s.Regions = &Regions{LeaseTime: 3000, PeerTimeout: 1000, Drift: 1, Hosts: []int{0, 1, 0}}
@@ -118,7 +118,7 @@
 }
 
 func TestSegments(t *testing.T) {
-	v := &Volume{Extent: 10, Layout: []int{3, 5, 5}}
+	v := &Volume{ExtentBlocks: 10, Layout: []int{3, 5, 5}}
 	got := slices.Collect(v.Parts(5, 50))
 	want := []Part{{3, 5, 5, 0}, {5, 10, 20, 1}, {3, 30, 10, 3}, {5, 40, 15, 4}}
 	if len(got) != len(want) {
@@ -244,11 +244,11 @@
 	s.Regions = &Regions{LeaseTime: 8000, PeerTimeout: 2000, Drift: 0.1, Hosts: []int{0, 1, 0, 1}}
 	p := s.Policy(0, "")
 	fast, slow := 1+s.Regions.Drift, 1-s.Regions.Drift
-	if p.Rules.WarmUpTime/fast < s.Rules.ColdTime/slow-1e-9 || p.Rules.OverloadWindow/fast < s.Rules.FallTime/slow-1e-9 {
+	if p.Rules.WarmUpTime/fast < s.Rules.WarmUpTime/slow-1e-9 || p.Rules.OverloadWindow/fast < s.Rules.OverloadWindow/slow-1e-9 {
 		t.Errorf("cold for %v ms and counted over %v ms of a fast clock", p.Rules.WarmUpTime, p.Rules.OverloadWindow)
 	}
 	s.Regions = nil
-	if p := s.Policy(0, ""); p.Rules.WarmUpTime != s.Rules.ColdTime {
+	if p := s.Policy(0, ""); p.Rules.WarmUpTime != s.Rules.WarmUpTime {
 		t.Errorf("%v where clocks do not matter", p.Rules.WarmUpTime)
 	}
 }
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/plan/plan.go
@@ -99,7 +99,7 @@
 		v := &s.Volumes[i]
 		cut := pl.cut(v, pl.Problem.Parts)
 		now := pieces(cut)
-		out := placement.Volume{Name: v.Name, Rate: s.RateOf(v), Writes: v.Writes, MaxNodes: v.MaxNodes, Spread: spread(s, v), Copies: max(v.Copies, 1),
+		out := placement.Volume{Name: v.Name, Rate: s.RateOf(v), Writes: v.WriteFraction, MaxNodes: v.MaxNodes, Spread: spread(s, v), Copies: max(v.Copies, 1),
 			Tier: slices.IndexFunc(s.Plans, func(p settings.Plan) bool { return p.Name == v.Plan })}
 		if out.MaxNodes == 0 {
 			out.MaxNodes = max(len(now), 1)
@@ -108,10 +108,10 @@
 			r := measured[v.Name]
 			out.Rate, out.Writes = r.Mean+margin*r.Spread, min(max(r.Writes, 0), 1)
 		}
-		for _, sh := range v.Pins {
+		for _, sh := range v.PinnedShards {
 			out.Pins = append(out.Pins, pl.node[sh])
 		}
-		for _, sh := range v.Bans {
+		for _, sh := range v.ExcludedShards {
 			out.Bans = append(out.Bans, pl.node[sh])
 		}
 		for n, node := range s.Nodes {
@@ -131,8 +131,8 @@
 	c := slots{make([]int, parts), make([]int, parts)}
 	for i := range parts {
 		c.data[i], c.copy[i] = pl.node[v.Layout[i%len(v.Layout)]], -1
-		if len(v.Copy) > 0 {
-			c.copy[i] = pl.node[v.Copy[i%len(v.Copy)]]
+		if len(v.CopyLayout) > 0 {
+			c.copy[i] = pl.node[v.CopyLayout[i%len(v.CopyLayout)]]
 		}
 	}
 	return c
@@ -227,15 +227,15 @@
 
 // lay writes parts into a volume.
 func (pl *Plan) lay(v *settings.Volume, c slots) {
-	v.Layout, v.Copy = make([]int, len(c.data)), nil
+	v.Layout, v.CopyLayout = make([]int, len(c.data)), nil
 	for i, n := range c.data {
 		v.Layout[i] = pl.Settings.Nodes[n].Shard
 		if c.copy[i] >= 0 {
-			v.Copy = append(v.Copy, pl.Settings.Nodes[c.copy[i]].Shard)
+			v.CopyLayout = append(v.CopyLayout, pl.Settings.Nodes[c.copy[i]].Shard)
 		}
 	}
-	if len(v.Copy) != len(v.Layout) {
-		v.Copy = nil
+	if len(v.CopyLayout) != len(v.Layout) {
+		v.CopyLayout = nil
 	}
 }
 
@@ -255,8 +255,8 @@
 		for k, sh := range lay {
 			switch {
 			case !in[sh]:
-			case len(v.Copy) == len(lay) && !in[v.Copy[k]]:
-				lay[k] = v.Copy[k]
+			case len(v.CopyLayout) == len(lay) && !in[v.CopyLayout[k]]:
+				lay[k] = v.CopyLayout[k]
 			default:
 				lost = true
 			}
@@ -271,7 +271,7 @@
 // spread is how many domains a volume must lie in: there are two regions at most.
 func spread(s *settings.Settings, v *settings.Volume) int {
 	if s.Placement.FailureDomain == settings.DomainRegion {
-		return min(v.Spread, 2)
+		return min(v.MinHalls, 2)
 	}
-	return v.Spread
+	return v.MinHalls
 }
--- a/internal/simulation/lab/bench.go
+++ b/internal/simulation/lab/bench.go
@@ -409,12 +409,12 @@
 // gatewaySubject is one host before servers that answer at once.
 func gatewaySubject(w env.Environment, disks []string, k *benchSetup) (*subject, error) {
 	set := settings.Example(1, benchShards)
-	set.Volumes = []settings.Volume{{Name: "bench", Plan: "prioritario", Blocks: 1 << 20, BlockSize: benchBlock, Extent: 32, Hosts: []int{0}}}
+	set.Volumes = []settings.Volume{{Name: "bench", Plan: "prioritario", Blocks: 1 << 20, BlockSize: benchBlock, ExtentBlocks: 32, Hosts: []int{0}}}
 	for i := range benchShards {
 		set.Volumes[0].Layout = append(set.Volumes[0].Layout, i)
 	}
 	set.Plans[2].Rate = 1e6
-	set.Target.Window, set.Target.Memory, set.Limits.MaxOpen = 4096, 1<<30, 200000
+	set.Target.CommandWindow, set.Target.MemoryBytes, set.Limits.MaxOpen = 4096, 1<<30, 200000
 	inv, err := standin.ServeInventory(w, "127.0.0.1:0", 0)
 	if err != nil {
 		return nil, err
--- a/internal/simulation/lab/changes.go
+++ b/internal/simulation/lab/changes.go
@@ -160,7 +160,7 @@
 				s.Volumes[i].Plan = open[rng.IntN(2)]
 			}
 		case 5:
-			s.Rules.KeyRest = first.Rules.KeyRest * (1 + rng.Float64())
+			s.Rules.KeyHoldoff = first.Rules.KeyHoldoff * (1 + rng.Float64())
 		}
 	}
 }
--- a/internal/simulation/lab/fleet.go
+++ b/internal/simulation/lab/fleet.go
@@ -113,8 +113,8 @@
 func Machine(s *settings.Settings) standin.MachineConfig {
 	r := s.Rules
 	return standin.MachineConfig{Cores: 2, QueueLimit: 120, UnitWork: 14, WriteFactor: 1.5, Spread: 0.25, CacheEntries: 2, CacheHitFactor: 0.5,
-		DeferredWriteShare: 0.3, FlushInterval: 2500, ColdCapacity: r.ColdFrom, WarmUpTime: r.ColdTime, OverloadFactor: r.FallMultiple,
-		OverloadWindow: r.FallTime, ColdUnits: r.ColdUnits}
+		DeferredWriteShare: 0.3, FlushInterval: 2500, ColdCapacity: r.ColdCapacity, WarmUpTime: r.WarmUpTime, OverloadFactor: r.OverloadFactor,
+		OverloadWindow: r.OverloadWindow, ColdUnits: r.ColdUnits}
 }
 
 // listLate is how late the inventory tells a change, ms.
--- a/internal/simulation/lab/layouts.go
+++ b/internal/simulation/lab/layouts.go
@@ -46,7 +46,7 @@
 		v := &s.Volumes[i]
 		x := rng.Float64()
 		v.Rate, v.Layout, v.MaxNodes = s.RateOf(v)*(0.2+5.8*x*x*x), []int{i % servers}, 2+i%3
-		v.Writes = 0 // copies here are only read, once their hall is lost
+		v.WriteFraction = 0 // copies here are only read, once their hall is lost
 		total += v.Rate
 	}
 	for i := range s.Volumes {
--- a/internal/simulation/lab/regions.go
+++ b/internal/simulation/lab/regions.go
@@ -33,7 +33,7 @@
 	}
 	for i := range s.Plans {
 		if s.Plans[i].Name == "basico" {
-			s.Plans[i].Copied = settings.AckBefore
+			s.Plans[i].WriteAck = settings.AckBeforeCopy
 		}
 	}
 	for i := range s.Volumes {
@@ -319,7 +319,7 @@
 	c.ledger.Loose = map[string]bool{}
 	for _, v := range c.fleet.Set.Volumes {
 		for _, p := range c.fleet.Set.Plans {
-			if p.Name == v.Plan && p.Copied == settings.AckBefore {
+			if p.Name == v.Plan && p.WriteAck == settings.AckBeforeCopy {
 				c.ledger.Loose[v.Name] = true
 			}
 		}
--- a/internal/simulation/lab/reservations.go
+++ b/internal/simulation/lab/reservations.go
@@ -150,7 +150,7 @@
 		r.set.Classes[i].Deadline = min(r.set.Classes[i].Deadline, 1500)
 		r.set.Classes[i].LatencyTarget = min(r.set.Classes[i].LatencyTarget, 500)
 	}
-	r.set.Rules.ColdFrom = 1
+	r.set.Rules.ColdCapacity = 1
 	var err error
 	if r.inv, err = standin.ServeInventory(r.world, "127.0.0.1:0", 0); err != nil {
 		return nil, err
--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -599,11 +599,11 @@
 	start, known := c.serverStarts[e.Peer]
 	terms := &c.settings.Rules
 	age := float64(e.Time-start) / 1000
-	if !known || age >= terms.ColdTime {
+	if !known || age >= terms.WarmUpTime {
 		return
 	}
 	c.Checks[Cold]++
-	window := int64(terms.FallTime * 1000)
+	window := int64(terms.OverloadWindow * 1000)
 	sends := slices.DeleteFunc(c.coldSends[e.Peer], func(p coldSend) bool { return p.sentAt <= e.Time-window })
 	sends = append(sends, coldSend{e.Time, e.Units, c.process(e.Host).knownStarts[e.Peer] == start})
 	c.coldSends[e.Peer] = sends
@@ -611,11 +611,11 @@
 	for _, p := range sends {
 		total += p.units
 	}
-	capacity := terms.ColdFrom + (1-terms.ColdFrom)*max(age, 0)/terms.ColdTime
-	allowed := max(terms.ColdUnits, terms.FallMultiple*capacity*c.meta.Servers[e.Peer].Rate*terms.FallTime/1000)
+	capacity := terms.ColdCapacity + (1-terms.ColdCapacity)*max(age, 0)/terms.WarmUpTime
+	allowed := max(terms.ColdUnits, terms.OverloadFactor*capacity*c.meta.Servers[e.Peer].Rate*terms.OverloadWindow/1000)
 	if total > allowed+1e-6 && startMostlyKnown(sends) {
 		violation.Rule = Cold
-		c.violate(violation, "cold server %s was sent %.1f units within %.0f ms, at most %.1f allowed", c.serverName(e.Peer), total, terms.FallTime, allowed)
+		c.violate(violation, "cold server %s was sent %.1f units within %.0f ms, at most %.1f allowed", c.serverName(e.Peer), total, terms.OverloadWindow, allowed)
 	}
 }
 
@@ -663,7 +663,7 @@
 	}
 	violation.Rule = Effects
 	c.Checks[Effects]++
-	if !c.settings.Limits.Copies {
+	if !c.settings.Limits.Duplicates {
 		if i := slices.IndexFunc(req.attempts, func(a *attempt) bool { return a.outstandingAt(e.Time) }); i >= 0 {
 			c.violate(violation, "attempt %d of a %s sent while attempt %d is outstanding", e.Attempt, req.class.Name, i)
 		}
@@ -710,7 +710,7 @@
 	queueID := keyQueueID{e.Host, e.Key}
 	unreleased := c.keyQueues[queueID][:0]
 	for _, other := range c.keyQueues[queueID] {
-		if other == req || !other.keyReleased(e.Time, c.settings.Rules.KeyRest) {
+		if other == req || !other.keyReleased(e.Time, c.settings.Rules.KeyHoldoff) {
 			unreleased = append(unreleased, other)
 		}
 		if other != req {
@@ -793,8 +793,8 @@
 		switch {
 		case a.outstandingAt(e.Time):
 			c.violate(violation, "%s of key %s sent while attempt %d of an earlier request is outstanding", req.class.Name, e.Key, i)
-		case !a.answered && e.Time < a.endedBy()+int64(c.settings.Rules.KeyRest*1000)-MaxRelayDelay:
-			c.violate(violation, "%s of key %s sent %.1f ms after a lost attempt, within the key holdoff of %.0f ms", req.class.Name, e.Key, float64(e.Time-a.endedBy())/1000, c.settings.Rules.KeyRest)
+		case !a.answered && e.Time < a.endedBy()+int64(c.settings.Rules.KeyHoldoff*1000)-MaxRelayDelay:
+			c.violate(violation, "%s of key %s sent %.1f ms after a lost attempt, within the key holdoff of %.0f ms", req.class.Name, e.Key, float64(e.Time-a.endedBy())/1000, c.settings.Rules.KeyHoldoff)
 		}
 	}
 }
@@ -828,12 +828,12 @@
 	}
 	c.Checks[Budget]++
 	process := c.process(e.Host)
-	window := int64(budget.Span * 1000)
+	window := int64(budget.Window * 1000)
 	process.retries = append(slices.DeleteFunc(process.retries, func(t int64) bool { return t <= e.Time-window+MaxRelayDelay }), e.Time)
 	process.arrivals = dropBefore(process.arrivals, e.Time-window-MaxRelayDelay)
-	if allowed := budget.Free + budget.Share*float64(len(process.arrivals)); float64(len(process.retries)) > allowed+1e-9 {
+	if allowed := budget.Base + budget.Ratio*float64(len(process.arrivals)); float64(len(process.retries)) > allowed+1e-9 {
 		violation.Rule = Budget
-		c.violate(violation, "%s sent %d retries within %.0f ms, %.1f allowed", e.Host, len(process.retries), budget.Span, allowed)
+		c.violate(violation, "%s sent %d retries within %.0f ms, %.1f allowed", e.Host, len(process.retries), budget.Window, allowed)
 	}
 }
 
