--- a/internal/simulation/soak/rules.go
+++ b/internal/simulation/soak/rules.go
@@ -13,7 +13,7 @@
 // allowed slack.
 type Rules struct {
 	DrainGrace  time.Duration
-	KeyTTL      time.Duration // disk servers drop duplicates of a keyed request for this long
+	KeyTTL      time.Duration // disk servers drop duplicates for this long; checked for every request
 	MaxAttempts int
 	// A disk server that has just started takes ColdUnits within OverloadWindow from all
 	// schedulers together; this grows linearly to ColdUnits/ColdCapacity over WarmUpTime.
@@ -22,15 +22,15 @@
 	// Token bucket of a volume with a limit: VolumeRate in units per second, VolumeBurst and the
 	// extra VolumeBurstSlack in units.
 	VolumeRate, VolumeBurst, VolumeBurstSlack float64
-	// HostSlack is added to all time limits for the scheduling delays of the machine that runs
-	// the stand-ins.
+	// HostSlack is added to the time limits of responses, attempts, drains and volumes, for
+	// delays of the machine that runs the stand-ins.
 	HostSlack time.Duration
 }
 
 // Slack that the platform allows.
 const (
 	answerSlack         = 500 * time.Millisecond // after the request timeout
-	windowSlack         = 50 * time.Millisecond
+	windowSlack         = 50 * time.Millisecond  // after DrainGrace and KeyTTL
 	abandonSlack        = 100 * time.Millisecond // from the client's close to the start of the last attempt
 	timeoutSlack        = 150 * time.Millisecond
 	volumeSlackTime     = 150 * time.Millisecond // a volume may exceed its burst by what it gets in this time
--- a/internal/simulation/soak/servers.go
+++ b/internal/simulation/soak/servers.go
@@ -52,10 +52,10 @@
 
 var messageLimits = http1.Limits{MaxHeadBytes: 16 << 10, MaxFields: 64, MaxBodyBytes: 64 << 10}
 
-// StartServers starts n disk servers on loopback.
-func StartServers(n int, service time.Duration, record *Record) (*Servers, error) {
-	servers := &Servers{record: record, meanServiceTime: service}
-	for index := range n {
+// StartServers starts count disk servers on loopback.
+func StartServers(count int, meanServiceTime time.Duration, record *Record) (*Servers, error) {
+	servers := &Servers{record: record, meanServiceTime: meanServiceTime}
+	for index := range count {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			servers.Close()
--- a/internal/simulation/world/net.go
+++ b/internal/simulation/world/net.go
@@ -299,7 +299,7 @@
 	received           [][]byte // delivered and not read
 	unreadBytes        int
 	finReceived        bool // the peer has closed its sending direction
-	resetReceived      bool // or the connection was reset at this end
+	resetReceived      bool // reset by the peer or by the listener that closed
 	closed             bool
 	writeClosed        bool // nothing more may be written
 	hostLost           bool // the host is lost: deliveries are dropped without a reset
