--- a/cmd/merlinhitch/expect.go
+++ b/cmd/merlinhitch/expect.go
@@ -47,10 +47,10 @@
 	}
 	failed := 0
 	for _, answer := range expect.Check(s, expectations) {
-		if !answer.Held {
+		if !answer.Holds {
 			failed++
 		}
-		if all || !answer.Held {
+		if all || !answer.Holds {
 			fmt.Println(answer)
 		}
 	}
--- a/cmd/merlinhitch/settings.go
+++ b/cmd/merlinhitch/settings.go
@@ -85,13 +85,13 @@
 	Who string `help:"Author, recorded as claimed if the gateway cannot authenticate the caller; by default, the login name." `
 }
 
-func (w changeFlags) provenance() settings.Ask {
+func (w changeFlags) provenance() settings.ChangeOptions {
 	if w.Who == "" {
 		if u, err := user.Current(); err == nil {
 			w.Who = u.Username
 		}
 	}
-	return settings.Ask{Why: w.Why, Who: w.Who}
+	return settings.ChangeOptions{Why: w.Why, Who: w.Who}
 }
 
 type settingsPutCmd struct {
@@ -249,7 +249,7 @@
 		return verifyRecordFile(c.Record)
 	}
 	return c.withAPI(func(ctx context.Context, api *settings.API) error {
-		var result settings.Verified
+		var result settings.Verification
 		if err := api.Read(ctx, "/settings/verify", &result); err != nil {
 			return err
 		}
@@ -258,10 +258,10 @@
 	})
 }
 
-func printVerification(result settings.Verified) {
-	fmt.Printf("%d records up to version %d, head %v: the hash chain is intact; the clock stepped back %d times\n", result.Records, result.Version, result.Head, result.Back)
-	if result.Late != "" {
-		fmt.Println("the snapshot is behind the audit record:", result.Late)
+func printVerification(result settings.Verification) {
+	fmt.Printf("%d records up to version %d, head %v: the hash chain is intact; the clock stepped back %d times\n", result.Records, result.Version, result.Head, result.ClockStepsBack)
+	if result.SnapshotBehind != "" {
+		fmt.Println("the snapshot is behind the audit record:", result.SnapshotBehind)
 	}
 }
 
@@ -274,7 +274,7 @@
 		return err
 	}
 	defer store.Close()
-	printVerification(settings.VerifiedBy(store.Chain()))
+	printVerification(settings.NewVerification(store.Chain()))
 	return nil
 }
 
--- a/internal/control/expect/answer.go
+++ b/internal/control/expect/answer.go
@@ -14,30 +14,30 @@
 	"merlinhitch/policy"
 )
 
-// Answer is what came of an expectation.
-type Answer struct {
+// Result is what came of an expectation.
+type Result struct {
 	Expectation
-	Held  bool
+	Holds bool
 	Found string
 }
 
-func (a Answer) String() string {
-	if a.Held {
+func (a Result) String() string {
+	if a.Holds {
 		return fmt.Sprintf("line %d: holds: %s", a.Line, a.Text)
 	}
 	return fmt.Sprintf("line %d: fails: %s: found %s", a.Line, a.Text, a.Found)
 }
 
 // Check answers expectations under settings. They must have been parsed against them.
-func Check(s *settings.Settings, list []Expectation) []Answer {
+func Check(s *settings.Settings, list []Expectation) []Result {
 	c := &checker{set: s, volumes: make(map[string]*settings.Volume, len(s.Volumes)), lostVolumes: map[string]map[string]bool{}, overloads: map[overloadKey]overloadResult{}}
 	for i := range s.Volumes {
 		c.volumes[s.Volumes[i].Name] = &s.Volumes[i]
 	}
-	out := make([]Answer, len(list))
+	out := make([]Result, len(list))
 	for i, e := range list {
-		out[i] = Answer{Expectation: e}
-		out[i].Held, out[i].Found = c.check(e)
+		out[i] = Result{Expectation: e}
+		out[i].Holds, out[i].Found = c.check(e)
 	}
 	return out
 }
--- a/internal/control/expect/expect_test.go
+++ b/internal/control/expect/expect_test.go
@@ -12,7 +12,7 @@
 	"merlinhitch/internal/control/settings"
 )
 
-func check(t *testing.T, s *settings.Settings, text string) []expect.Answer {
+func check(t *testing.T, s *settings.Settings, text string) []expect.Result {
 	t.Helper()
 	list, err := expect.Parse(strings.NewReader(text), s)
 	if err != nil {
@@ -46,7 +46,7 @@
 		{"hall hall-a lost keeps every volume", " more without a node"},
 	} {
 		got := check(t, s, x.text)
-		if len(got) != 1 || got[0].Held != (x.found == "") || !strings.Contains(got[0].Found, x.found) {
+		if len(got) != 1 || got[0].Holds != (x.found == "") || !strings.Contains(got[0].Found, x.found) {
 			t.Errorf("%+v, want %q", got, x.found)
 		}
 	}
@@ -117,7 +117,7 @@
 	s, text := largeExample()
 	began := time.Now()
 	for _, a := range check(t, s, text) {
-		if !a.Held {
+		if !a.Holds {
 			t.Fatal(a)
 		}
 	}
@@ -133,10 +133,10 @@
 		for i := range 10 {
 			touched = touched || a.Volume == s.Volumes[i*40].Name
 		}
-		if a.Held == touched {
+		if a.Holds == touched {
 			t.Errorf("%v", a)
 		}
-		if !a.Held {
+		if !a.Holds {
 			failed++
 			if line := a.String(); strings.Contains(line, "\n") || !strings.Contains(line, a.Volume) || !strings.Contains(line, "found n") {
 				t.Errorf("%q", line)
@@ -190,7 +190,7 @@
 		t.Fatal(err)
 	}
 	for _, a := range expect.Check(s, list) {
-		if !a.Held {
+		if !a.Holds {
 			t.Error(a)
 		}
 	}
--- a/internal/control/gateway/adminauth.go
+++ b/internal/control/gateway/adminauth.go
@@ -50,7 +50,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requester, err := g.identify(r)
 		if err != nil {
-			settings.Reply(w, http.StatusUnauthorized, map[string]string{"error": err.Error()})
+			settings.WriteJSON(w, http.StatusUnauthorized, map[string]string{"error": err.Error()})
 			return
 		}
 		required := keys.Operate
@@ -61,7 +61,7 @@
 			required = keys.Read
 		}
 		if !requester.role.May(required) {
-			settings.Reply(w, http.StatusForbidden, map[string]string{"error": fmt.Sprintf("%s has the role %q, the request needs %q", requester.name, requester.role, required)})
+			settings.WriteJSON(w, http.StatusForbidden, map[string]string{"error": fmt.Sprintf("%s has the role %q, the request needs %q", requester.name, requester.role, required)})
 			return
 		}
 		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), callerKey{}, requester)))
@@ -109,7 +109,7 @@
 	requester, _ := r.Context().Value(callerKey{}).(caller)
 	a := settings.Author{Who: requester.name}
 	if !requester.role.May(keys.Administer) {
-		a.Closed = settings.SecretPaths
+		a.ReadOnlyPaths = settings.SecretPaths
 	}
 	return a
 }
@@ -117,10 +117,10 @@
 // reloadKeys serves POST /keys/reload.
 func (g *Gateway) reloadKeys(w http.ResponseWriter, r *http.Request) {
 	if err := g.ReloadKeys(); err != nil {
-		settings.Reply(w, http.StatusConflict, map[string]string{"error": err.Error()})
+		settings.WriteJSON(w, http.StatusConflict, map[string]string{"error": err.Error()})
 		return
 	}
-	settings.Reply(w, http.StatusOK, map[string]string{"expires": g.config.Keys.Expires().UTC().Format("2006-01-02T15:04:05Z")})
+	settings.WriteJSON(w, http.StatusOK, map[string]string{"expires": g.config.Keys.Expires().UTC().Format("2006-01-02T15:04:05Z")})
 }
 
 // ReloadKeys reads the host's keys again and replaces each connection to a disk server once it has
--- a/internal/control/gateway/command.go
+++ b/internal/control/gateway/command.go
@@ -152,7 +152,7 @@
 	if len(taskData) > io.Out {
 		taskData = taskData[:io.Out]
 	}
-	for part := range volume.Parts(io.LBA, io.Blocks) {
+	for part := range volume.Segments(io.LBA, io.Blocks) {
 		start := int(part.LBA-io.LBA) * volume.BlockSize
 		size := int(part.Blocks) * volume.BlockSize
 		data := taskData
@@ -171,7 +171,7 @@
 func (cmd *command) splitUnmap(active *activeSettings, volume *settings.Volume, class *settings.Class, io *scsi.IO) {
 	byShard := map[int]*job{}
 	for _, run := range io.Unmaps {
-		for part := range volume.Parts(run.LBA, run.Blocks) {
+		for part := range volume.Segments(run.LBA, run.Blocks) {
 			j := byShard[part.Shard]
 			if j == nil || len(j.message.Runs) == maxRunsPerRequest {
 				j = cmd.addJob(active, volume, class, io.Op, part.Shard, part.Extent, 0)
--- a/internal/control/gateway/core.go
+++ b/internal/control/gateway/core.go
@@ -164,7 +164,7 @@
 
 // applySettings stores the settings that the core itself uses and returns those of the policy.
 func (h *core) applySettings(s *settings.Settings) policy.Settings {
-	s = s.Held()
+	s = s.Effective()
 	h.settingsVersion, h.planLimits, h.dedupScopes, h.latencyTargets = s.Version, map[string]float64{}, map[string]policy.DedupScope{}, map[string]float64{}
 	for _, plan := range s.Plans {
 		if plan.Limit > 0 {
--- a/internal/control/gateway/expect_test.go
+++ b/internal/control/gateway/expect_test.go
@@ -45,7 +45,7 @@
 		if len(answer.When) > 0 && diskServers["m0"] == nil {
 			diskServers["m0"] = h.replaceDiskServer(0)
 		}
-		if !answer.Held {
+		if !answer.Holds {
 			t.Error(answer)
 		}
 		if got := h.serversReached(answer.Expectation, diskServers); got != answer.Found {
--- a/internal/control/gateway/frontend.go
+++ b/internal/control/gateway/frontend.go
@@ -35,13 +35,13 @@
 }
 
 func newActiveSettings(s *settings.Settings, hostIndex int) *activeSettings {
-	s = s.Held()
+	s = s.Effective()
 	active := &activeSettings{Settings: s, unitsByTarget: map[string]*logicalUnit{}, hostCounts: map[string]int{}}
 	for i := range s.Volumes {
 		volume := &s.Volumes[i]
 		if slices.Contains(volume.Hosts, hostIndex) {
 			active.unitsByTarget[s.TargetName(volume)] = &logicalUnit{volume, volume.Disk()}
-			active.hostCounts[volume.Name] = s.Through(hostIndex, volume)
+			active.hostCounts[volume.Name] = s.HostCount(hostIndex, volume)
 		}
 	}
 	return active
--- a/internal/control/gateway/gateway.go
+++ b/internal/control/gateway/gateway.go
@@ -90,7 +90,7 @@
 		g.Kill()
 		return nil, err
 	}
-	store.Allow(g.checkSettings)
+	store.SetValidator(g.checkSettings)
 	store.Watch(g.applySettings)
 	if current := store.Get(); current != nil {
 		g.applySettings(current)
@@ -131,27 +131,27 @@
 	settingsHandler := settings.Handler(g.store, author, func() int64 { return g.config.Environment.Deadline(0).UnixMilli() })
 	mux.Handle("/settings", settingsHandler)
 	mux.Handle("/settings/", settingsHandler)
-	mux.HandleFunc("GET /routes", func(w http.ResponseWriter, _ *http.Request) { settings.Reply(w, http.StatusOK, g.Routes()) })
-	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { settings.Reply(w, http.StatusOK, g.Status()) })
-	mux.HandleFunc("GET /rates", func(w http.ResponseWriter, _ *http.Request) { settings.Reply(w, http.StatusOK, g.Rates()) })
+	mux.HandleFunc("GET /routes", func(w http.ResponseWriter, _ *http.Request) { settings.WriteJSON(w, http.StatusOK, g.Routes()) })
+	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { settings.WriteJSON(w, http.StatusOK, g.Status()) })
+	mux.HandleFunc("GET /rates", func(w http.ResponseWriter, _ *http.Request) { settings.WriteJSON(w, http.StatusOK, g.Rates()) })
 	mux.HandleFunc("POST /keys/reload", g.reloadKeys)
 	mux.Handle("GET /metrics", metrics.Handler(func() (metrics.Reading, bool) { state, ok := g.readState(); return state.Reading, ok }))
 	mux.HandleFunc("GET /history", g.serveHistory)
-	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { settings.Reply(w, http.StatusOK, "lives") })
+	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { settings.WriteJSON(w, http.StatusOK, "lives") })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
 		if reason := g.notReadyReason(); reason != "" {
-			settings.Reply(w, http.StatusServiceUnavailable, reason)
+			settings.WriteJSON(w, http.StatusServiceUnavailable, reason)
 			return
 		}
-		settings.Reply(w, http.StatusOK, "ready")
+		settings.WriteJSON(w, http.StatusOK, "ready")
 	})
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) {
 		state, ok := g.readState()
 		if !ok {
-			settings.Reply(w, http.StatusServiceUnavailable, "no settings are in force")
+			settings.WriteJSON(w, http.StatusServiceUnavailable, "no settings are in force")
 			return
 		}
-		settings.Reply(w, http.StatusOK, map[string]any{"status": state.status, "module": state.View, "settings_version": state.Version, "serves": state.Leased})
+		settings.WriteJSON(w, http.StatusOK, map[string]any{"status": state.status, "module": state.View, "settings_version": state.Version, "serves": state.Leased})
 	})
 	g.adminServer = &http.Server{Handler: g.authorize(mux), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, ConnContext: withSocketUser,
 		ErrorLog: zap.NewStdLog(g.config.Log)}
--- a/internal/control/gateway/keys_test.go
+++ b/internal/control/gateway/keys_test.go
@@ -182,7 +182,7 @@
 			return err
 		}
 		edit(s)
-		_, err = api.Put(ctx, s, settings.Ask{Why: "test", Who: "somebody else"})
+		_, err = api.Put(ctx, s, settings.ChangeOptions{Why: "test", Who: "somebody else"})
 		return err
 	}
 	for _, tt := range []struct {
@@ -238,7 +238,7 @@
 		t.Fatal(err)
 	}
 	s.Plans[0].Limit++
-	if _, err := api.Put(context.Background(), s, settings.Ask{Why: "more", Who: "ines"}); err != nil {
+	if _, err := api.Put(context.Background(), s, settings.ChangeOptions{Why: "more", Who: "ines"}); err != nil {
 		t.Fatal(err)
 	}
 	entries, err := h.gateway.Settings().Log(2, 1)
--- a/internal/control/gateway/recorder.go
+++ b/internal/control/gateway/recorder.go
@@ -88,18 +88,18 @@
 // serveHistory serves /history?from=&to=, with times in seconds since 1970.
 func (g *Gateway) serveHistory(w http.ResponseWriter, r *http.Request) {
 	if g.recorder == nil {
-		settings.Reply(w, http.StatusNotFound, "no history is kept")
+		settings.WriteJSON(w, http.StatusNotFound, "no history is kept")
 		return
 	}
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	to, toErr := strconv.ParseInt(r.URL.Query().Get("to"), 10, 64)
 	if err != nil || toErr != nil || to < from {
-		settings.Reply(w, http.StatusUnprocessableEntity, "from and to must be seconds since 1970, in order")
+		settings.WriteJSON(w, http.StatusUnprocessableEntity, "from and to must be seconds since 1970, in order")
 		return
 	}
 	rows, err := g.recorder.readRows(from, to)
 	if err != nil {
 		w.Header().Set("Warning", `199 - "`+err.Error()+`"`) // RFC 9111 section 5.5; the rows of undamaged files are still returned
 	}
-	settings.Reply(w, http.StatusOK, rows)
+	settings.WriteJSON(w, http.StatusOK, rows)
 }
--- a/internal/control/settings/api.go
+++ b/internal/control/settings/api.go
@@ -29,10 +29,10 @@
 	mux.HandleFunc("GET /settings", func(w http.ResponseWriter, r *http.Request) {
 		s := st.Get()
 		if s == nil {
-			Reply(w, http.StatusNotFound, errorResponse{Error: "no settings yet"})
+			WriteJSON(w, http.StatusNotFound, errorResponse{Error: "no settings yet"})
 			return
 		}
-		Reply(w, http.StatusOK, s.Redacted())
+		WriteJSON(w, http.StatusOK, s.Redacted())
 	})
 	mux.HandleFunc("PUT /settings", h.put)
 	mux.HandleFunc("POST /settings/revert", h.revert)
@@ -51,7 +51,7 @@
 
 func (h *handler) author(r *http.Request) Author {
 	a := h.by(r)
-	a.Why, a.At = r.URL.Query().Get("why"), h.clock()
+	a.Why, a.TimeMS = r.URL.Query().Get("why"), h.clock()
 	return a
 }
 
@@ -101,7 +101,7 @@
 	version, err := queryUint(r, "version", 0)
 	var s *Settings
 	if err == nil {
-		s, err = h.store.At(version)
+		s, err = h.store.AtVersion(version)
 	}
 	writeResult(w, err, func() any { return s.Redacted() })
 }
@@ -114,32 +114,32 @@
 	}
 	var changes []audit.Change
 	if err == nil {
-		changes, err = h.store.Between(from, to)
+		changes, err = h.store.DiffVersions(from, to)
 	}
 	writeResult(w, err, func() any { return changes })
 }
 
-// Verified is what a sound record says of itself.
-type Verified struct {
-	Records uint64     `json:"records"`
-	Version uint64     `json:"version"`
-	Head    audit.Hash `json:"head"`
-	Back    int        `json:"clock_stepped_back"`
-	// Late says why the snapshot is behind the record, "" if it is not.
-	Late string `json:"snapshot_behind,omitempty"`
+// Verification is what a sound record says of itself.
+type Verification struct {
+	Records        uint64     `json:"records"`
+	Version        uint64     `json:"version"`
+	Head           audit.Hash `json:"head"`
+	ClockStepsBack int        `json:"clock_stepped_back"`
+	// SnapshotBehind says why the snapshot is behind the record, "" if it is not.
+	SnapshotBehind string `json:"snapshot_behind,omitempty"`
 }
 
-// VerifiedBy is what the end of a sound chain says.
-func VerifiedBy(c audit.Chain) Verified {
-	return Verified{Records: c.Seq, Version: c.Version, Head: c.Hash, Back: c.Back}
+// NewVerification is what the end of a sound chain says.
+func NewVerification(c audit.Chain) Verification {
+	return Verification{Records: c.Seq, Version: c.Version, Head: c.Hash, ClockStepsBack: c.Back}
 }
 
 func (h *handler) verify(w http.ResponseWriter, r *http.Request) {
 	c, err := h.store.Verify()
 	writeResult(w, err, func() any {
-		v := VerifiedBy(c)
-		if late := h.store.Late(); late != nil {
-			v.Late = late.Error()
+		v := NewVerification(c)
+		if late := h.store.PersistError(); late != nil {
+			v.SnapshotBehind = late.Error()
 		}
 		return v
 	})
@@ -151,22 +151,22 @@
 	var stale *StaleError
 	var unknown *UnknownVersionError
 	var broken *audit.BrokenError
-	var closed *ClosedError
+	var closed *ForbiddenError
 	switch {
 	case errors.As(err, &closed):
-		Reply(w, http.StatusForbidden, errorResponse{Error: err.Error()})
+		WriteJSON(w, http.StatusForbidden, errorResponse{Error: err.Error()})
 	case errors.As(err, &faults):
-		Reply(w, http.StatusUnprocessableEntity, errorResponse{Error: "faulty settings", Faults: faults.Faults})
+		WriteJSON(w, http.StatusUnprocessableEntity, errorResponse{Error: "faulty settings", Faults: faults.Faults})
 	case errors.As(err, &stale):
-		Reply(w, http.StatusConflict, errorResponse{Error: "stale", Stale: stale})
+		WriteJSON(w, http.StatusConflict, errorResponse{Error: "stale", Stale: stale})
 	case errors.As(err, &unknown):
-		Reply(w, http.StatusNotFound, errorResponse{Error: err.Error()})
+		WriteJSON(w, http.StatusNotFound, errorResponse{Error: err.Error()})
 	case errors.As(err, &broken):
-		Reply(w, http.StatusInternalServerError, errorResponse{Error: err.Error(), Broken: broken})
+		WriteJSON(w, http.StatusInternalServerError, errorResponse{Error: err.Error(), Broken: broken})
 	case err != nil:
-		Reply(w, http.StatusInternalServerError, errorResponse{Error: err.Error()})
+		WriteJSON(w, http.StatusInternalServerError, errorResponse{Error: err.Error()})
 	default:
-		Reply(w, http.StatusOK, good())
+		WriteJSON(w, http.StatusOK, good())
 	}
 }
 
@@ -177,8 +177,8 @@
 	Broken *audit.BrokenError `json:"broken,omitempty"`
 }
 
-// Reply answers a call of the admin API with JSON.
-func Reply(w http.ResponseWriter, code int, v any) {
+// WriteJSON answers a call of the admin API with JSON.
+func WriteJSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	e := json.NewEncoder(w)
@@ -215,14 +215,14 @@
 	return s, a.call(ctx, http.MethodGet, "/settings", nil, s)
 }
 
-// Ask goes with a change.
-type Ask struct {
+// ChangeOptions goes with a change.
+type ChangeOptions struct {
 	Why   string
 	Who   string // believed, and recorded as claimed, only where nothing better is known
 	Merge bool   // with what came between, if nothing collides
 }
 
-func (k Ask) query() string {
+func (k ChangeOptions) query() string {
 	q := url.Values{"why": {k.Why}, "who": {k.Who}}
 	if k.Merge {
 		q.Set("merge", "1")
@@ -231,7 +231,7 @@
 }
 
 // Put hands in new settings and returns them as they are in force.
-func (a *API) Put(ctx context.Context, s *Settings, ask Ask) (*Settings, error) {
+func (a *API) Put(ctx context.Context, s *Settings, ask ChangeOptions) (*Settings, error) {
 	b, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
@@ -241,7 +241,7 @@
 }
 
 // Revert puts a former version in force again.
-func (a *API) Revert(ctx context.Context, to uint64, ask Ask) (*Settings, error) {
+func (a *API) Revert(ctx context.Context, to uint64, ask ChangeOptions) (*Settings, error) {
 	now := &Settings{}
 	return now, a.call(ctx, http.MethodPost, fmt.Sprintf("/settings/revert%s&to=%d", ask.query(), to), nil, now)
 }
--- a/internal/control/settings/disk_test.go
+++ b/internal/control/settings/disk_test.go
@@ -47,8 +47,8 @@
 		inDoubt := *st.Get()
 		inDoubt.Plans = append([]Plan(nil), inDoubt.Plans...)
 		inDoubt.Plans[0].Limit = 71
-		if _, err := st.Put(&inDoubt); !errors.Is(err, syscall.EIO) || st.Get().Version != 1 || st.Late() == nil || len(told) > 0 {
-			t.Fatalf("%s: %v, version %d, %v, told %v", name, err, st.Get().Version, st.Late(), told)
+		if _, err := st.Put(&inDoubt); !errors.Is(err, syscall.EIO) || st.Get().Version != 1 || st.PersistError() == nil || len(told) > 0 {
+			t.Fatalf("%s: %v, version %d, %v, told %v", name, err, st.Get().Version, st.PersistError(), told)
 		}
 		next := *st.Get()
 		next.Plans = append([]Plan(nil), next.Plans...)
@@ -64,8 +64,8 @@
 			mustChange(t, st, func(s *Settings) { s.Plans[0].Limit = 72 })
 		}
 		want := st.Get()
-		if len(told) != int(want.Version)-1 || want.Plans[0].Limit != 72 || st.Late() != nil {
-			t.Errorf("%s: told %v, limit %v, %v", name, told, want.Plans[0].Limit, st.Late())
+		if len(told) != int(want.Version)-1 || want.Plans[0].Limit != 72 || st.PersistError() != nil {
+			t.Errorf("%s: told %v, limit %v, %v", name, told, want.Plans[0].Limit, st.PersistError())
 		}
 		if _, err := st.Verify(); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -113,7 +113,7 @@
 		s := *st.Get()
 		s.Plans = append([]Plan(nil), s.Plans...)
 		s.Plans[0].Limit = limit
-		_, err := st.Change(&s, Author{Who: "ines", Why: strings.Repeat("w", audit.MaxText), At: 1}, false)
+		_, err := st.Change(&s, Author{Who: "ines", Why: strings.Repeat("w", audit.MaxText), TimeMS: 1}, false)
 		return err
 	}
 	size(120 << 10)
@@ -143,8 +143,8 @@
 		}
 	}
 	want := st.Get()
-	if _, err := st.Verify(); err != nil || want.Version <= inForce || st.Late() != nil {
-		t.Errorf("%v, version %d after %d, %v", err, want.Version, inForce, st.Late())
+	if _, err := st.Verify(); err != nil || want.Version <= inForce || st.PersistError() != nil {
+		t.Errorf("%v, version %d after %d, %v", err, want.Version, inForce, st.PersistError())
 	}
 	st.Close()
 	again := openStore(t, file, nil)
@@ -156,7 +156,7 @@
 		t.Fatal(err)
 	}
 	size(1) // a start whose disk takes nothing has what the record says in force
-	if st, err := Open(file, nil); err != nil || st.Get().Version != want.Version || st.Late() == nil {
+	if st, err := Open(file, nil); err != nil || st.Get().Version != want.Version || st.PersistError() == nil {
 		t.Errorf("a start on a full disk: %v", err)
 	}
 	t.Logf("refused %d, went on", refused)
@@ -183,8 +183,8 @@
 		}
 	}
 	got := openStore(t, file, nil)
-	if got.Get().Plans[0].Limit != 44 || got.Late() != nil {
-		t.Errorf("limit %v, %v", got.Get().Plans[0].Limit, got.Late())
+	if got.Get().Plans[0].Limit != 44 || got.PersistError() != nil {
+		t.Errorf("limit %v, %v", got.Get().Plans[0].Limit, got.PersistError())
 	}
 	if _, err := os.Stat(half); !errors.Is(err, os.ErrNotExist) {
 		t.Error("a half-written snapshot was left:", err)
--- a/internal/control/settings/ledger.go
+++ b/internal/control/settings/ledger.go
@@ -17,25 +17,25 @@
 // Author says who changes something, when and why.
 type Author struct {
 	Who, Why string
-	At       int64 // wall clock, ms since 1970
-	// Closed are paths at and below which the author may change nothing.
-	Closed []string
+	TimeMS   int64 // wall clock, ms since 1970
+	// ReadOnlyPaths are paths at and below which the author may change nothing.
+	ReadOnlyPaths []string
 }
 
-// ClosedError says that an author may not change something.
-type ClosedError struct{ Who, Path string }
+// ForbiddenError says that an author may not change something.
+type ForbiddenError struct{ Who, Path string }
 
-func (e *ClosedError) Error() string {
+func (e *ForbiddenError) Error() string {
 	return fmt.Sprintf("settings: %s may not change %s", e.Who, e.Path)
 }
 
 // checkAllowed finds a change that its author may not make.
 func (by *Author) checkAllowed(changes []audit.Change) error {
 	for _, c := range changes {
-		for _, p := range by.Closed {
+		for _, p := range by.ReadOnlyPaths {
 			below, above := strings.CutPrefix(p, c.Path+".")
 			if strings.HasPrefix(c.Path, p) || above && (hasField(c.Old, below) || hasField(c.New, below)) {
-				return &ClosedError{by.Who, p}
+				return &ForbiddenError{by.Who, p}
 			}
 		}
 	}
@@ -94,7 +94,7 @@
 		return st, nil
 	}
 	s, err := Load(file, k)
-	if err != nil && !errors.Is(err, ErrNone) {
+	if err != nil && !errors.Is(err, ErrNoSnapshot) {
 		return nil, err
 	}
 	kept, err := audit.OpenStore(file + auditSuffix)
@@ -174,7 +174,7 @@
 			return nil, err
 		}
 		r := &audit.Record{From: 0, Version: version, Who: "this host", Why: "found in the snapshot",
-			Changes: audit.Diff(Keys, map[string]any{}, tree), State: audit.StateHash(tree)}
+			Changes: audit.Diff(ListKeys, map[string]any{}, tree), State: audit.StateHash(tree)}
 		return s, st.records.Append(r)
 	}
 	if version > end.Version {
@@ -193,7 +193,7 @@
 			return nil
 		}
 		last = r.State
-		tree, err = audit.Apply(Keys, tree, r.Changes)
+		tree, err = audit.Apply(ListKeys, tree, r.Changes)
 		return err
 	})
 	if err != nil {
@@ -226,8 +226,8 @@
 	st.watchers = append(st.watchers, f)
 }
 
-// Allow has f asked before a change is accepted; what it lists is refused as faults are.
-func (st *Store) Allow(f func(old, next *Settings) []Fault) {
+// SetValidator has f asked before a change is accepted; what it lists is refused as faults are.
+func (st *Store) SetValidator(f func(old, next *Settings) []Fault) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.validate = f
@@ -318,8 +318,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &audit.Record{At: by.At, From: st.version(), Version: next.Version, Who: by.Who, Why: by.Why,
-		Changes: audit.Diff(Keys, old, tree), State: audit.StateHash(tree)}
+	r := &audit.Record{At: by.TimeMS, From: st.version(), Version: next.Version, Who: by.Who, Why: by.Why,
+		Changes: audit.Diff(ListKeys, old, tree), State: audit.StateHash(tree)}
 	if err := by.checkAllowed(r.Changes); err != nil {
 		return nil, err
 	}
@@ -337,9 +337,9 @@
 	return next, nil
 }
 
-// Late says why the snapshot is behind the record, or why it is not known whether the last
+// PersistError says why the snapshot is behind the record, or why it is not known whether the last
 // change stands in it; nil if neither is so.
-func (st *Store) Late() error {
+func (st *Store) PersistError() error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return errors.Join(st.appendErr, st.snapshotErr)
@@ -354,7 +354,7 @@
 		if i >= len(s.Target.Chap) {
 			path = "target.mutual.secret"
 		}
-		c.failIf(x.Secret == Kept, path, "there is no secret of %.70q to keep", x.User)
+		c.failIf(x.Secret == SecretPlaceholder, path, "there is no secret of %.70q to keep", x.User)
 	}
 	if len(c.faults) > 0 {
 		return &FaultsError{c.faults}
@@ -382,8 +382,8 @@
 	if err != nil {
 		return stale, nil
 	}
-	stale.Theirs = audit.Diff(Keys, base, theirs)
-	tree, collisions, err := audit.Merge(Keys, base, mine, theirs)
+	stale.Theirs = audit.Diff(ListKeys, base, theirs)
+	tree, collisions, err := audit.Merge(ListKeys, base, mine, theirs)
 	if stale.Collisions = collisions; err != nil || len(collisions) > 0 {
 		return stale, nil
 	}
@@ -423,16 +423,16 @@
 		return nil, &UnknownVersionError{version}
 	}
 	for i := len(back) - 1; i >= 0; i-- {
-		if tree, err = audit.Apply(Keys, tree, audit.Invert(back[i].Changes)); err != nil {
+		if tree, err = audit.Apply(ListKeys, tree, audit.Invert(back[i].Changes)); err != nil {
 			return nil, err
 		}
 	}
 	return tree, nil
 }
 
-// At returns the settings as they were in a version, an *UnknownVersionError if there was
+// AtVersion returns the settings as they were in a version, an *UnknownVersionError if there was
 // none.
-func (st *Store) At(version uint64) (*Settings, error) {
+func (st *Store) AtVersion(version uint64) (*Settings, error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if st.current == nil || version == 0 {
@@ -445,13 +445,13 @@
 	return fromTree(tree, version, st.key)
 }
 
-// Between lists what was changed from one version to another.
-func (st *Store) Between(from, to uint64) ([]audit.Change, error) {
-	a, err := st.At(from)
+// DiffVersions lists what was changed from one version to another.
+func (st *Store) DiffVersions(from, to uint64) ([]audit.Change, error) {
+	a, err := st.AtVersion(from)
 	if err != nil {
 		return nil, err
 	}
-	b, err := st.At(to)
+	b, err := st.AtVersion(to)
 	if err != nil {
 		return nil, err
 	}
@@ -460,7 +460,7 @@
 
 // Revert puts a former version in force again, as a change of its own.
 func (st *Store) Revert(to uint64, by Author) (*Settings, error) {
-	s, err := st.At(to)
+	s, err := st.AtVersion(to)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/settings/ledger_test.go
+++ b/internal/control/settings/ledger_test.go
@@ -48,7 +48,7 @@
 	s := *st.Get()
 	s.Plans = append([]Plan(nil), s.Plans...)
 	f(&s)
-	now, err := st.Change(&s, Author{Who: "ines", Why: "test", At: 1}, false)
+	now, err := st.Change(&s, Author{Who: "ines", Why: "test", TimeMS: 1}, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 		t.Fatalf("%v, %+v", err, now)
 	}
 	back = now.Redacted()
-	back.Target.Chap = append(back.Target.Chap, Chap{"novo", Kept})
+	back.Target.Chap = append(back.Target.Chap, Chap{"novo", SecretPlaceholder})
 	var faults *FaultsError
 	if _, err := st.Put(back); !errors.As(err, &faults) || faults.Faults[0].Path != "target.chap[2].secret" {
 		t.Errorf("%v", err)
@@ -190,8 +190,8 @@
 		t.Fatal(err)
 	}
 	now := mustChange(t, st, func(s *Settings) { s.Plans[0].Limit = 44 })
-	if st.Late() == nil || now.Version != 2 {
-		t.Errorf("%v, version %d", st.Late(), now.Version)
+	if st.PersistError() == nil || now.Version != 2 {
+		t.Errorf("%v, version %d", st.PersistError(), now.Version)
 	}
 }
 
@@ -253,7 +253,7 @@
 				}
 				s.Plans[op%len(s.Plans)].Limit = float64(1000 + 100*op + n)
 				why := fmt.Sprintf("%d/%d", op, n)
-				now, err := api.Put(context.Background(), s, Ask{Who: "op", Why: why, Merge: n%2 == 0})
+				now, err := api.Put(context.Background(), s, ChangeOptions{Who: "op", Why: why, Merge: n%2 == 0})
 				mu.Lock()
 				if err == nil {
 					accepted[why] = now.Version
@@ -276,10 +276,10 @@
 	}
 	var tree any = map[string]any{}
 	for _, r := range log {
-		if tree, err = audit.Apply(Keys, tree, r.Changes); err != nil || audit.StateHash(tree) != r.State {
+		if tree, err = audit.Apply(ListKeys, tree, r.Changes); err != nil || audit.StateHash(tree) != r.State {
 			t.Fatalf("record %d does not lead to its state: %v", r.Seq, err)
 		}
-		at, err := st.At(r.Version)
+		at, err := st.AtVersion(r.Version)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -290,7 +290,7 @@
 	if now, err := st.Revert(1, Author{Who: "rui"}); err != nil || now.Version != uint64(len(log))+1 {
 		t.Fatal(now, err)
 	}
-	if d, err := st.Between(1, st.Get().Version); err != nil || len(d) > 0 {
+	if d, err := st.DiffVersions(1, st.Get().Version); err != nil || len(d) > 0 {
 		t.Errorf("%v, %v", d, err)
 	}
 	var unknown *UnknownVersionError
--- a/internal/control/settings/roll.go
+++ b/internal/control/settings/roll.go
@@ -15,10 +15,10 @@
 
 // RollPlan is the stricter limit of a plan.
 type RollPlan struct {
-	Name  string  `json:"name"`
-	Limit float64 `json:"limit"`
-	Burst float64 `json:"burst"`
-	Slack float64 `json:"slack"`
+	Name      string  `json:"name"`
+	Limit     float64 `json:"limit"`
+	Burst     float64 `json:"burst"`
+	Overdraft float64 `json:"slack"`
 }
 
 // RollVolume is a volume that changes its plan or its hosts: it is held to the stricter
@@ -29,9 +29,9 @@
 	Hosts []int  `json:"hosts"`
 }
 
-// Stricter works out what holds while hosts go by two versions. Faults say where nothing
+// NewRoll works out what holds while hosts go by two versions. Faults say where nothing
 // can.
-func Stricter(id string, a, b *Settings) (*Roll, []Fault) {
+func NewRoll(id string, a, b *Settings) (*Roll, []Fault) {
 	r := &Roll{ID: id}
 	for i := range a.Plans {
 		x := &a.Plans[i]
@@ -73,9 +73,9 @@
 	switch {
 	case limit == 0:
 	case p.Limit == 0:
-		p.Limit, p.Burst, p.Slack = limit, burst, slack
+		p.Limit, p.Burst, p.Overdraft = limit, burst, slack
 	default:
-		p.Limit, p.Burst, p.Slack = min(p.Limit, limit), min(p.Burst, burst), min(p.Slack, slack)
+		p.Limit, p.Burst, p.Overdraft = min(p.Limit, limit), min(p.Burst, burst), min(p.Overdraft, slack)
 	}
 }
 
@@ -118,8 +118,8 @@
 	return v, a.plan(v.Plan) != nil && b.plan(v.Plan) != nil
 }
 
-// Held is s as it is in force: with what a roll holds beside it.
-func (s *Settings) Held() *Settings {
+// Effective is s as it is in force: with what a roll holds beside it.
+func (s *Settings) Effective() *Settings {
 	if s.Roll == nil {
 		return s
 	}
@@ -128,8 +128,8 @@
 	for _, p := range s.Roll.Plans {
 		if i := slices.IndexFunc(h.Plans, func(x Plan) bool { return x.Name == p.Name }); i >= 0 {
 			own := RollPlan{p.Name, h.Plans[i].Limit, h.Plans[i].Burst, h.Plans[i].Overdraft}
-			own.tighten(p.Limit, p.Burst, p.Slack)
-			h.Plans[i].Limit, h.Plans[i].Burst, h.Plans[i].Overdraft = own.Limit, own.Burst, own.Slack
+			own.tighten(p.Limit, p.Burst, p.Overdraft)
+			h.Plans[i].Limit, h.Plans[i].Burst, h.Plans[i].Overdraft = own.Limit, own.Burst, own.Overdraft
 		}
 	}
 	held := make(map[string]*RollVolume, len(s.Roll.Volumes))
@@ -144,8 +144,8 @@
 	return &h
 }
 
-// Through is how many hosts a volume's limit is divided by, as one of them sees it.
-func (s *Settings) Through(self int, v *Volume) int {
+// HostCount is how many hosts a volume's limit is divided by, as one of them sees it.
+func (s *Settings) HostCount(self int, v *Volume) int {
 	hosts := v.Hosts
 	if s.Roll != nil {
 		if i := slices.IndexFunc(s.Roll.Volumes, func(r RollVolume) bool { return r.Name == v.Name }); i >= 0 {
@@ -164,7 +164,7 @@
 		at := fmt.Sprintf("roll.plans[%d].", i)
 		c.inRange(at+"limit", p.Limit, 0, 1e9)
 		c.inRange(at+"burst", p.Burst, 0, 1e9)
-		c.inRange(at+"slack", p.Slack, 0, 1e9)
+		c.inRange(at+"slack", p.Overdraft, 0, 1e9)
 	}
 	for i, v := range s.Roll.Volumes {
 		at := fmt.Sprintf("roll.volumes[%d].", i)
--- a/internal/control/settings/secret.go
+++ b/internal/control/settings/secret.go
@@ -14,9 +14,9 @@
 	"strings"
 )
 
-// Kept stands in place of a secret in all that leaves the process; handed in, it means
+// SecretPlaceholder stands in place of a secret in all that leaves the process; handed in, it means
 // the secret that the same user has already.
-const Kept = "(kept)"
+const SecretPlaceholder = "(kept)"
 
 // ErrNoKey says that secrets are to be written and there is no key to seal them with, or
 // sealed ones are to be read.
@@ -119,7 +119,7 @@
 func (s *Settings) Redacted() *Settings {
 	c, at := s.cloneSecrets()
 	for _, k := range at {
-		k.Secret = Kept
+		k.Secret = SecretPlaceholder
 	}
 	return c
 }
@@ -132,7 +132,7 @@
 		switch {
 		case strings.HasPrefix(x.Secret, sealedPrefix):
 		case k == nil:
-			x.Secret = Kept
+			x.Secret = SecretPlaceholder
 		default:
 			x.Secret = k.seal(x.User, x.Secret)
 		}
@@ -164,7 +164,7 @@
 func (s *Settings) fillPlaceholders(old *Settings) *Settings {
 	c, at := s.cloneSecrets()
 	for i, x := range at {
-		if x.Secret != Kept || old == nil {
+		if x.Secret != SecretPlaceholder || old == nil {
 			continue
 		}
 		if i >= len(c.Target.Chap) {
--- a/internal/control/settings/settings.go
+++ b/internal/control/settings/settings.go
@@ -677,7 +677,7 @@
 			path = "target.mutual"
 		}
 		c.failIf(k.User == "" || len(k.User) > 255, path+".user", "must have 1 to 255 bytes")
-		if k.Secret == Kept { // the store puts the secret in its place or says that there is none
+		if k.Secret == SecretPlaceholder { // the store puts the secret in its place or says that there is none
 			continue
 		}
 		c.failIf(len(k.Secret) < 12 || len(k.Secret) > 255, path+".secret", "must have 12 to 255 bytes (RFC 7143 section 9.2.1 asks for 96 bits)")
@@ -745,33 +745,33 @@
 	return min(max(math.Ceil(float64(size)/float64(s.UnitBytes)), 1), s.MaxUnits)
 }
 
-// Part is a run of blocks that lies on one shard, with the piece of data that it
+// Segment is a run of blocks that lies on one shard, with the piece of data that it
 // begins in.
-type Part struct {
+type Segment struct {
 	Shard  int
 	LBA    uint64
 	Blocks uint32
 	Extent uint64
 }
 
-// Parts splits a run of blocks where the shard changes.
-func (v *Volume) Parts(lba uint64, blocks uint32) iter.Seq[Part] {
-	return func(yield func(Part) bool) {
-		var p Part
+// Segments splits a run of blocks where the shard changes.
+func (v *Volume) Segments(lba uint64, blocks uint32) iter.Seq[Segment] {
+	return func(yield func(Segment) bool) {
+		var p Segment
 		for blocks > 0 {
 			e := lba / uint64(v.ExtentBlocks)
 			n := uint32(min(uint64(blocks), (e+1)*uint64(v.ExtentBlocks)-lba))
 			sh := v.Layout[e%uint64(len(v.Layout))]
 			switch {
 			case p.Blocks == 0:
-				p = Part{sh, lba, n, e}
+				p = Segment{sh, lba, n, e}
 			case p.Shard == sh:
 				p.Blocks += n
 			default:
 				if !yield(p) {
 					return
 				}
-				p = Part{sh, lba, n, e}
+				p = Segment{sh, lba, n, e}
 			}
 			lba, blocks = lba+uint64(n), blocks-n
 		}
--- a/internal/control/settings/settings_test.go
+++ b/internal/control/settings/settings_test.go
@@ -108,7 +108,7 @@
 		}
 		for i := range s.Volumes {
 			v := &s.Volumes[i]
-			for p := range v.Parts(0, uint32(min(v.Blocks, 1000))) {
+			for p := range v.Segments(0, uint32(min(v.Blocks, 1000))) {
 				if p.Shard < 0 || p.Shard >= s.Shards {
 					t.Fatalf("shard %d", p.Shard)
 				}
@@ -119,8 +119,8 @@
 
 func TestSegments(t *testing.T) {
 	v := &Volume{ExtentBlocks: 10, Layout: []int{3, 5, 5}}
-	got := slices.Collect(v.Parts(5, 50))
-	want := []Part{{3, 5, 5, 0}, {5, 10, 20, 1}, {3, 30, 10, 3}, {5, 40, 15, 4}}
+	got := slices.Collect(v.Segments(5, 50))
+	want := []Segment{{3, 5, 5, 0}, {5, 10, 20, 1}, {3, 30, 10, 3}, {5, 40, 15, 4}}
 	if len(got) != len(want) {
 		t.Fatalf("%+v", got)
 	}
@@ -154,7 +154,7 @@
 // A snapshot is found whole, found missing, or found damaged, never half used.
 func TestDamagedSnapshot(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings")
-	if _, err := Load(file, nil); !errors.Is(err, ErrNone) {
+	if _, err := Load(file, nil); !errors.Is(err, ErrNoSnapshot) {
 		t.Fatalf("none: %v", err)
 	}
 	s := Example(3, 9)
@@ -210,7 +210,7 @@
 	var all sync.WaitGroup
 	for range 8 {
 		all.Go(func() {
-			if _, err := api.Put(ctx, Example(3, 9), Ask{}); err == nil {
+			if _, err := api.Put(ctx, Example(3, 9), ChangeOptions{}); err == nil {
 				mu.Lock()
 				won++
 				mu.Unlock()
@@ -224,11 +224,11 @@
 	}
 	now.Plans[0].Limit = 1e12
 	var fe *FaultsError
-	if _, err := api.Put(ctx, now, Ask{}); !errors.As(err, &fe) || fe.Faults[0].Path != "plans[0].limit" {
+	if _, err := api.Put(ctx, now, ChangeOptions{}); !errors.As(err, &fe) || fe.Faults[0].Path != "plans[0].limit" {
 		t.Errorf("faulty: %v", err)
 	}
 	now.Plans[0].Limit = 44
-	if now, err = api.Put(ctx, now, Ask{}); err != nil || now.Version != 2 {
+	if now, err = api.Put(ctx, now, ChangeOptions{}); err != nil || now.Version != 2 {
 		t.Fatalf("%v", err)
 	}
 	st.Close()
--- a/internal/control/settings/store.go
+++ b/internal/control/settings/store.go
@@ -15,8 +15,8 @@
 	"merlinhitch/internal/storage/durable"
 )
 
-// ErrNone says that there is no snapshot: nothing was ever saved there.
-var ErrNone = errors.New("settings: no snapshot")
+// ErrNoSnapshot says that there is no snapshot: nothing was ever saved there.
+var ErrNoSnapshot = errors.New("settings: no snapshot")
 
 // DamagedError says that there is a snapshot which can't be trusted. It is never
 // used in part, nor overwritten by a start.
@@ -58,7 +58,7 @@
 func Load(file string, k *Key) (*Settings, error) {
 	b, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, ErrNone
+		return nil, ErrNoSnapshot
 	}
 	if err != nil {
 		return nil, err
--- a/internal/control/settings/tree.go
+++ b/internal/control/settings/tree.go
@@ -7,9 +7,9 @@
 	"merlinhitch/internal/storage/audit"
 )
 
-// Keys tells entries of the settings' lists apart by name, so that a difference names
+// ListKeys tells entries of the settings' lists apart by name, so that a difference names
 // the entry and two changes of different entries can be merged.
-var Keys = audit.Keys{"classes": "name", "plans": "name", "volumes": "name", "nodes": "shard", "target.chap": "user",
+var ListKeys = audit.Keys{"classes": "name", "plans": "name", "volumes": "name", "nodes": "shard", "target.chap": "user",
 	"announce.routers": "name", "announce.groups": "name"}
 
 // tree is what differences are taken of: the settings with their secrets sealed and
@@ -58,5 +58,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return audit.Diff(Keys, ta, tb), nil
+	return audit.Diff(ListKeys, ta, tb), nil
 }
--- a/internal/fleet/roll/roll.go
+++ b/internal/fleet/roll/roll.go
@@ -96,7 +96,7 @@
 // New prepares a roll; it fails where no limits could hold in between.
 func New(id string, from, to *settings.Settings) (*Roll, error) {
 	r := &Roll{From: plain(from), To: plain(to)}
-	both, faults := settings.Stricter(id, r.From, r.To)
+	both, faults := settings.NewRoll(id, r.From, r.To)
 	if len(faults) > 0 {
 		return nil, &settings.FaultsError{Faults: faults}
 	}
--- a/internal/fleet/rollout/roll.go
+++ b/internal/fleet/rollout/roll.go
@@ -152,7 +152,7 @@
 	if x.opt.Why != "" {
 		why += ": " + x.opt.Why
 	}
-	now, err := h.API.Put(ctx, x.For(to, h.now.Version), settings.Ask{Why: why, Who: x.opt.Who})
+	now, err := h.API.Put(ctx, x.For(to, h.now.Version), settings.ChangeOptions{Why: why, Who: x.opt.Who})
 	if err != nil {
 		if again := x.read(ctx, i); again != nil {
 			return again
--- a/internal/fleet/rollout/roll_test.go
+++ b/internal/fleet/rollout/roll_test.go
@@ -98,10 +98,10 @@
 		} else {
 			now++
 		}
-		held := set.Held()
+		held := set.Effective()
 		v := &held.Volumes[0]
 		p := held.Plans[0]
-		sum += p.Limit / float64(set.Through(0, v))
+		sum += p.Limit / float64(set.HostCount(0, v))
 	}
 	return sum, old > 0 && now > 0
 }
--- a/internal/fleet/rollout/rollout.go
+++ b/internal/fleet/rollout/rollout.go
@@ -117,7 +117,7 @@
 func (h *Host) put(ctx context.Context, volumes []settings.Volume) error {
 	s := *h.now
 	s.Volumes = volumes
-	now, err := h.API.Put(ctx, &s, settings.Ask{Why: "a step of a new layout", Who: "rollout"})
+	now, err := h.API.Put(ctx, &s, settings.ChangeOptions{Why: "a step of a new layout", Who: "rollout"})
 	if err != nil {
 		return err
 	}
--- a/internal/simulation/lab/changes.go
+++ b/internal/simulation/lab/changes.go
@@ -112,7 +112,7 @@
 	ch.alter(s, rng)
 	env.SleepContext(ctx, ch.f.Environment, time.Duration(float64(2*ch.gap)*rng.Float64())) // meanwhile others change things
 	c := change{host: trail.HostName(name), why: why, asked: ch.now()}
-	now, err := api.Put(ctx, s, settings.Ask{Why: why, Who: "operator", Merge: rng.IntN(2) == 0})
+	now, err := api.Put(ctx, s, settings.ChangeOptions{Why: why, Who: "operator", Merge: rng.IntN(2) == 0})
 	c.said = ch.now()
 	var stale *settings.StaleError
 	var faults *settings.FaultsError
@@ -215,7 +215,7 @@
 		}
 		for _, x := range log {
 			r.Records++
-			s, err := st.At(x.Version)
+			s, err := st.AtVersion(x.Version)
 			if err != nil {
 				return err
 			}
--- a/internal/simulation/lab/fleet.go
+++ b/internal/simulation/lab/fleet.go
@@ -324,7 +324,7 @@
 	}
 	api := settings.NewAPI(g.Admin().String())
 	defer api.Close()
-	_, err := api.Put(context.Background(), &first, settings.Ask{})
+	_, err := api.Put(context.Background(), &first, settings.ChangeOptions{})
 	return err
 }
 
--- a/internal/simulation/lab/layouts.go
+++ b/internal/simulation/lab/layouts.go
@@ -237,7 +237,7 @@
 		}
 		next := *s
 		next.Version = has.Version
-		if _, err := h.API.Put(ctx, &next, settings.Ask{}); err != nil {
+		if _, err := h.API.Put(ctx, &next, settings.ChangeOptions{}); err != nil {
 			return err
 		}
 	}
--- a/internal/verify/rules/rules.go
+++ b/internal/verify/rules/rules.go
@@ -311,7 +311,7 @@
 	cmd.class, cmd.plan = c.settings.Class(cmd.op, size, connection.volume.Plan), connection.volume.Plan
 	for _, v := range c.variants(connection.volume) {
 		parts := 0
-		for range v.Parts(cmd.lba, cmd.blocks) {
+		for range v.Segments(cmd.lba, cmd.blocks) {
 			parts++
 		}
 		cmd.parts = max(cmd.parts, parts)
@@ -757,7 +757,7 @@
 func (c *Checker) hasKey(cmd *command, key string) bool {
 	for _, v := range c.variants(cmd.conn.volume) {
 		found := false
-		for p := range v.Parts(cmd.lba, cmd.blocks) {
+		for p := range v.Segments(cmd.lba, cmd.blocks) {
 			found = found || v.Key(p.Extent) == key
 		}
 		if !found {
