--- a/internal/simulation/standin/connserver.go
+++ b/internal/simulation/standin/connserver.go
@@ -20,30 +20,30 @@
 }
 
 // start starts to accept; serve is given each connection and its number, from 0.
-func (d *connServer) start(environment env.Environment, listener net.Listener, serve func(c net.Conn, n int)) {
-	d.Addr, d.environment, d.listener = listener.Addr().String(), environment, listener
-	d.tasks.Go(environment, func() {
+func (s *connServer) start(environment env.Environment, listener net.Listener, serve func(conn net.Conn, index int)) {
+	s.Addr, s.environment, s.listener = listener.Addr().String(), environment, listener
+	s.tasks.Go(environment, func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			d.mu.Lock()
-			index := len(d.conns)
-			d.conns = append(d.conns, conn)
-			d.mu.Unlock()
-			d.tasks.Go(environment, func() { serve(conn, index) })
+			s.mu.Lock()
+			index := len(s.conns)
+			s.conns = append(s.conns, conn)
+			s.mu.Unlock()
+			s.tasks.Go(environment, func() { serve(conn, index) })
 		}
 	})
 }
 
 // Close ends the server and its connections.
-func (d *connServer) Close() {
-	d.listener.Close()
-	d.mu.Lock()
-	for _, conn := range d.conns {
+func (s *connServer) Close() {
+	s.listener.Close()
+	s.mu.Lock()
+	for _, conn := range s.conns {
 		conn.Close()
 	}
-	d.mu.Unlock()
-	d.tasks.Wait(d.environment)
+	s.mu.Unlock()
+	s.tasks.Wait(s.environment)
 }
--- a/internal/simulation/standin/framerecorder.go
+++ b/internal/simulation/standin/framerecorder.go
@@ -24,7 +24,7 @@
 	// events describes a whole events; nil leaves it out.
 	events(up bool, b []byte) []trail.Event
 	// setEndpoints fills in the end points.
-	setEndpoints(e *trail.Event)
+	setEndpoints(event *trail.Event)
 }
 
 const maxFrameBytes = 4 << 20 // longer is taken for broken
@@ -40,9 +40,9 @@
 }
 
 func newFrameRecorder(recorder *trail.Recorder, parser frameParser) *FrameRecorder {
-	t := &FrameRecorder{recorder: recorder, parser: parser, conn: recorder.NextConn()}
-	t.add(trail.Event{Kind: trail.Open, Dir: trail.Up})
-	return t
+	frameRecorder := &FrameRecorder{recorder: recorder, parser: parser, conn: recorder.NextConn()}
+	frameRecorder.add(trail.Event{Kind: trail.Open, Dir: trail.Up})
+	return frameRecorder
 }
 
 func (r *FrameRecorder) add(event trail.Event) {
@@ -124,14 +124,14 @@
 }
 
 // RecordISCSI reads a connection between an initiator and that host.
-func RecordISCSI(recorder *trail.Recorder, host string, set *settings.Settings) *FrameRecorder {
-	return newFrameRecorder(recorder, &iscsiParser{host: host, settings: set})
+func RecordISCSI(recorder *trail.Recorder, host string, settings *settings.Settings) *FrameRecorder {
+	return newFrameRecorder(recorder, &iscsiParser{host: host, settings: settings})
 }
 
-func (p *iscsiParser) setEndpoints(e *trail.Event) {
-	e.Link, e.Host, e.Peer, e.Session = trail.LinkClient, p.host, p.peer, p.session
-	if e.Volume == "" {
-		e.Volume = p.volume
+func (p *iscsiParser) setEndpoints(event *trail.Event) {
+	event.Link, event.Host, event.Peer, event.Session = trail.LinkClient, p.host, p.peer, p.session
+	if event.Volume == "" {
+		event.Volume = p.volume
 	}
 }
 
@@ -255,11 +255,11 @@
 // describeCommand names a CDB's operation; "" for those that need no disk. The data of
 // an UNMAP isn't read: its runs are in its attempts.
 func describeCommand(cdb []byte) (op string, lba uint64, blocks uint32) {
-	var b [16]byte
-	copy(b[:], cdb)
+	var padded [16]byte
+	copy(padded[:], cdb)
 	disk := &scsi.Disk{Blocks: 1 << 62, BlockSize: 1}
-	decoded := scsi.Decode(disk, b, make([]byte, 2*scsi.MaxBlocks), nil)
-	if b[0] == 0x42 {
+	decoded := scsi.Decode(disk, padded, make([]byte, 2*scsi.MaxBlocks), nil)
+	if padded[0] == 0x42 {
 		return scsi.Unmap.String(), 0, 0
 	}
 	if decoded.IO == nil || decoded.IO.Op == scsi.Flush {
@@ -281,8 +281,8 @@
 	return newFrameRecorder(recorder, &diskParser{server: addr})
 }
 
-func (p *diskParser) setEndpoints(e *trail.Event) {
-	e.Link, e.Host, e.Peer, e.HostID = trail.LinkDisk, p.host, p.server, p.hostID
+func (p *diskParser) setEndpoints(event *trail.Event) {
+	event.Link, event.Host, event.Peer, event.HostID = trail.LinkDisk, p.host, p.server, p.hostID
 }
 
 func (p *diskParser) frameLength(_ bool, b []byte) int {
@@ -347,7 +347,9 @@
 	return newFrameRecorder(recorder, &inventoryParser{host})
 }
 
-func (p *inventoryParser) setEndpoints(e *trail.Event) { e.Link, e.Host = trail.LinkInventory, p.host }
+func (p *inventoryParser) setEndpoints(event *trail.Event) {
+	event.Link, event.Host = trail.LinkInventory, p.host
+}
 
 func (p *inventoryParser) frameLength(_ bool, b []byte) int { return bytes.IndexByte(b, '\n') + 1 }
 
--- a/internal/simulation/standin/http.go
+++ b/internal/simulation/standin/http.go
@@ -96,12 +96,12 @@
 
 // ServeHTTPDiscovery starts one whose watches begin with that line of JSON.
 func ServeHTTPDiscovery(environment env.Environment, initialLine string) (*HTTPDiscovery, error) {
-	l, err := environment.Listen("tcp", "127.0.0.1:0")
+	listener, err := environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	discovery := &HTTPDiscovery{initialLine: initialLine}
-	discovery.start(environment, l, discovery.serve)
+	discovery.start(environment, listener, discovery.serve)
 	return discovery, nil
 }
 
--- a/internal/simulation/standin/immediatediskserver.go
+++ b/internal/simulation/standin/immediatediskserver.go
@@ -34,11 +34,11 @@
 
 // serve answers what has come in one write, so that a busy connection costs few
 // calls of the system.
-func (q *ImmediateDiskServer) serve(conn net.Conn, _ int) {
+func (s *ImmediateDiskServer) serve(conn net.Conn, _ int) {
 	defer conn.Close()
 	buffered := bufio.NewReaderSize(conn, 64<<10)
 	reader := diskproto.NewReader(buffered)
-	answer := &diskproto.Answer{Result: diskproto.OK, Data: q.block}
+	answer := &diskproto.Answer{Result: diskproto.OK, Data: s.block}
 	var out []byte
 	for {
 		frame, err := reader.Next()
@@ -47,7 +47,7 @@
 		}
 		switch frame.Kind {
 		case diskproto.KindHello:
-			out = diskproto.Append(out, diskproto.KindWelcome, frame.Tag, &diskproto.Welcome{Version: diskproto.Version, Clock: uint64(q.environment.Now() / time.Microsecond)})
+			out = diskproto.Append(out, diskproto.KindWelcome, frame.Tag, &diskproto.Welcome{Version: diskproto.Version, Clock: uint64(s.environment.Now() / time.Microsecond)})
 		case diskproto.KindDo:
 			out = diskproto.Append(out, diskproto.KindAnswer, frame.Tag, answer)
 		}
--- a/internal/simulation/standin/inventory.go
+++ b/internal/simulation/standin/inventory.go
@@ -110,7 +110,7 @@
 }
 
 // Change makes changes to the list, which are told after the delay.
-func (v *Inventory) Change(change func(b *inventory.Book)) {
+func (v *Inventory) Change(change func(book *inventory.Book)) {
 	v.mu.Lock()
 	delay := v.delay
 	v.mu.Unlock()
@@ -118,7 +118,7 @@
 }
 
 // ChangeNow makes and tells changes at once.
-func (v *Inventory) ChangeNow(change func(b *inventory.Book)) {
+func (v *Inventory) ChangeNow(change func(book *inventory.Book)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.closed {
--- a/internal/simulation/standin/machine.go
+++ b/internal/simulation/standin/machine.go
@@ -160,11 +160,11 @@
 	if now-m.started >= m.cfg.WarmUpTime {
 		return
 	}
-	m.coldArrivals = slices.DeleteFunc(m.coldArrivals, func(p coldArrival) bool { return p.arrivedAt <= now-m.cfg.OverloadWindow })
+	m.coldArrivals = slices.DeleteFunc(m.coldArrivals, func(arrival coldArrival) bool { return arrival.arrivedAt <= now-m.cfg.OverloadWindow })
 	m.coldArrivals = append(m.coldArrivals, coldArrival{now, units})
 	total := 0.0
-	for _, p := range m.coldArrivals {
-		total += p.units
+	for _, arrival := range m.coldArrivals {
+		total += arrival.units
 	}
 	if total > m.overloadLimit(now) {
 		m.crashed = true
--- a/internal/simulation/standin/relay.go
+++ b/internal/simulation/standin/relay.go
@@ -24,7 +24,7 @@
 	stopped     env.Gate
 	tasks       env.WaitGroup
 	// waitTransit, if set, waits until what is to go on that way may; false if the relay ended.
-	waitTransit func(up bool, over *env.Gate) bool
+	waitTransit func(up bool, stopped *env.Gate) bool
 }
 
 const (
@@ -38,7 +38,7 @@
 }
 
 // serveRelay is ServeRelay with a way that holds back what passes, if any.
-func serveRelay(environment env.Environment, target string, newRecorder func(addr string) *FrameRecorder, waitTransit func(up bool, over *env.Gate) bool) (*Relay, error) {
+func serveRelay(environment env.Environment, target string, newRecorder func(addr string) *FrameRecorder, waitTransit func(up bool, stopped *env.Gate) bool) (*Relay, error) {
 	listener, err := environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -143,11 +143,11 @@
 }
 
 // readChunks reads until the source ends or f takes no more.
-func (r *Relay) readChunks(src net.Conn, f func(b []byte) bool) {
+func (r *Relay) readChunks(src net.Conn, handle func(b []byte) bool) {
 	buf := make([]byte, relayChunkBytes)
 	for {
 		n, err := src.Read(buf)
-		if n > 0 && !f(buf[:n]) || err != nil {
+		if n > 0 && !handle(buf[:n]) || err != nil {
 			return
 		}
 	}
@@ -187,9 +187,9 @@
 			q.mu.Unlock()
 			return b, true
 		}
-		over := q.closed
+		closed := q.closed
 		q.mu.Unlock()
-		if over {
+		if closed {
 			return nil, false
 		}
 		q.wake.Park()
--- a/internal/simulation/standin/replicasender.go
+++ b/internal/simulation/standin/replicasender.go
@@ -56,7 +56,7 @@
 	store        *ShardStore
 	gen          uint64
 	conn         net.Conn
-	out          *writequeue.Queue
+	writes       *writequeue.Queue
 	wake         env.Parker
 	disconnected env.Gate
 	sentSeq      uint64 // the last change
@@ -64,14 +64,14 @@
 
 func (s *replicaSender) run() {
 	environment := s.server.environment
-	s.out = writequeue.New(environment, s.conn, diskQueueBytes, diskWriteTimeout)
-	defer s.out.Wait()
-	defer s.out.Abort()
-	if !s.server.addConn(s.out) {
+	s.writes = writequeue.New(environment, s.conn, diskQueueBytes, diskWriteTimeout)
+	defer s.writes.Wait()
+	defer s.writes.Abort()
+	if !s.server.addConn(s.writes) {
 		return
 	}
-	defer s.server.removeConn(s.out)
-	s.out.Enqueue(func(b []byte) []byte {
+	defer s.server.removeConn(s.writes)
+	s.writes.Enqueue(func(b []byte) []byte {
 		b = diskproto.Append(b, diskproto.KindHello, 0, &diskproto.Hello{Oldest: diskproto.Oldest, Newest: diskproto.Version, Host: s.server.Started, Name: s.server.Name})
 		return diskproto.Append(b, diskproto.KindJoin, 0, &diskproto.Join{Shard: uint32(s.server.Shard), Gen: s.gen})
 	})
@@ -108,7 +108,7 @@
 }
 
 func (s *replicaSender) send(change *diskproto.Copy) bool {
-	return s.out.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCopy, 0, change) })
+	return s.writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCopy, 0, change) })
 }
 
 // sendChanges sends what follows until the connection or the home is over.
--- a/internal/simulation/standin/replication_test.go
+++ b/internal/simulation/standin/replication_test.go
@@ -33,8 +33,8 @@
 
 func (p *storePair) updateHomes() {
 	home := region.Home{Region: region.ID(p.home), From: region.ID(p.home), Gen: p.gen, Moved: p.gen}
-	for _, c := range p.stores {
-		c.UpdateHome(home)
+	for _, store := range p.stores {
+		store.UpdateHome(home)
 	}
 }
 
--- a/internal/simulation/standin/router.go
+++ b/internal/simulation/standin/router.go
@@ -164,10 +164,10 @@
 }
 
 func (s *routerSession) run() {
-	r := s.router
+	router := s.router
 	defer s.close()
 	if delay := s.faults.StartDelay; delay > 0 {
-		env.Sleep(r.environment, delay, nil)
+		env.Sleep(router.environment, delay, nil)
 	}
 	buffered := bufio.NewReaderSize(s.conn, bgp.MaxLen)
 	if s.faults.SlowReadDelay > 0 {
@@ -176,7 +176,7 @@
 	reader := bgp.NewReader(buffered)
 	for {
 		messageType, body, err := reader.Next()
-		r.mu.Lock()
+		router.mu.Lock()
 		if err == nil {
 			err = s.handleMessage(messageType, body)
 		}
@@ -185,7 +185,7 @@
 			s.send(notification.Append(nil))
 			s.writes.Finish()
 		}
-		r.mu.Unlock()
+		router.mu.Unlock()
 		if err != nil {
 			return
 		}
@@ -195,7 +195,7 @@
 var errNotificationReceived = errors.New("standin: session over")
 
 func (s *routerSession) send(message []byte) {
-	s.writes.Enqueue(func(o []byte) []byte { return append(o, message...) })
+	s.writes.Enqueue(func(b []byte) []byte { return append(b, message...) })
 }
 
 // handleMessage handles one handleMessage. Held: Router.mu.
--- a/internal/simulation/standin/shardstore.go
+++ b/internal/simulation/standin/shardstore.go
@@ -40,8 +40,8 @@
 }
 
 // NewShardStore returns an empty cell, which reads as zeros.
-func NewShardStore(size func(volume string) int) *ShardStore {
-	return &ShardStore{blocks: map[blockAddress][]byte{}, reservations: map[string]*reservationState{}, BlockSize: size}
+func NewShardStore(blockSize func(volume string) int) *ShardStore {
+	return &ShardStore{blocks: map[blockAddress][]byte{}, reservations: map[string]*reservationState{}, BlockSize: blockSize}
 }
 
 // apply carries out an operation and returns its result and data, and which change the
