--- a/cmd/merlinhitch/keys.go
+++ b/cmd/merlinhitch/keys.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	return authority.Forget()
+	return authority.DropOldTrust()
 }
 
 type keysRevokeCmd struct {
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	cert, err := keys.Certificate(c.Holder)
+	cert, err := keys.ReadCertificate(c.Holder)
 	if err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 		return err
 	}
 	for _, holderDir := range c.Holders {
-		if err := authority.Hand(holderDir); err != nil {
+		if err := authority.Distribute(holderDir); err != nil {
 			return err
 		}
 	}
@@ -125,17 +125,17 @@
 }
 
 func (c *keysShowCmd) Run() error {
-	cert, err := keys.Certificate(c.Holder)
+	cert, err := keys.ReadCertificate(c.Holder)
 	if err != nil {
 		return err
 	}
-	name, role := keys.Name(cert)
+	name, role := keys.Identity(cert)
 	fmt.Printf("%s, %s, from %s until %s, serial number %x\n", name, role, cert.NotBefore.UTC().Format(time.RFC3339), cert.NotAfter.UTC().Format(time.RFC3339), cert.SerialNumber)
-	holder, err := keys.Hold(c.Holder, time.Now)
+	holder, err := keys.LoadCredentials(c.Holder, time.Now)
 	if err != nil {
 		return err
 	}
-	return holder.Check(cert)
+	return holder.CheckPeer(cert)
 }
 
 type keysReloadCmd struct{ adminFlag }
@@ -178,7 +178,7 @@
 	if k.Keys == "" || strings.HasPrefix(addr, "unix:") {
 		return settings.NewAPI(addr), nil
 	}
-	holder, err := keys.Hold(k.Keys, time.Now)
+	holder, err := keys.LoadCredentials(k.Keys, time.Now)
 	if err != nil {
 		return nil, err
 	}
@@ -186,7 +186,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return settings.NewTLSAPI(addr, holder.Client(host)), nil
+	return settings.NewTLSAPI(addr, holder.ClientConfig(host)), nil
 }
 
 // hosts returns a client of each admin address; the caller closes them.
--- a/cmd/merlinhitch/serve.go
+++ b/cmd/merlinhitch/serve.go
@@ -72,7 +72,7 @@
 		Listen: c.Listen, Inventory: c.Inventory, Admin: c.Admin, Snapshot: c.Snapshot, History: c.History, BGPListen: c.BGPListen}
 	var err error
 	if c.Keys != "" {
-		if cfg.Keys, err = keys.Hold(c.Keys, time.Now); err != nil {
+		if cfg.Keys, err = keys.LoadCredentials(c.Keys, time.Now); err != nil {
 			return cfg, err
 		}
 	}
@@ -143,7 +143,7 @@
 	diskServer := &standin.DiskServer{Name: fmt.Sprintf("d%d", c.Shard), Zone: c.Zone, Rack: fmt.Sprintf("d%d", c.Shard), Shard: c.Shard}
 	if c.Keys != "" {
 		var err error
-		if diskServer.Keys, err = keys.Hold(c.Keys, time.Now); err != nil {
+		if diskServer.Keys, err = keys.LoadCredentials(c.Keys, time.Now); err != nil {
 			return err
 		}
 		onSIGHUP(func() {
--- a/internal/control/expect/answer.go
+++ b/internal/control/expect/answer.go
@@ -53,7 +53,7 @@
 	switch e.Kind {
 	case Routes, Refused:
 		return c.checkRoute(e)
-	case Is:
+	case ClassIs:
 		got := "no class"
 		if k := c.class(e); k != nil {
 			got = k.Name
@@ -78,10 +78,10 @@
 
 // nodeList is the list that hosts would have: n0 to the last, each with its shard, but for
 // what an expectation says of them.
-func (c *checker) nodeList(when []NodeFact) policy.NodeList {
+func (c *checker) nodeList(when []NodeState) policy.NodeList {
 	l := policy.NodeList{Full: true}
 	for sh := range c.set.Shards {
-		l.Nodes = append(l.Nodes, policy.Node{Addr: NodeOf(sh), Health: policy.Ready, Shard: sh})
+		l.Nodes = append(l.Nodes, policy.Node{Addr: NodeName(sh), Health: policy.Ready, Shard: sh})
 	}
 	for _, f := range when {
 		n := policy.Node{Addr: f.Node, Health: policy.Ready, Shard: f.Shard}
@@ -106,7 +106,7 @@
 	if k == nil {
 		return false, "no class takes it"
 	}
-	d := newDriver(c.set, c.nodeList(e.When))
+	d := newDriver(c.set, c.nodeList(e.NodeStates))
 	shards := slices.Clone(v.Layout)
 	slices.Sort(shards)
 	for i, sh := range slices.Compact(shards) {
@@ -163,7 +163,7 @@
 // checkLimit has one volume of the plan ask for many times its rate, and one of each other
 // plan for its own, through the hosts of the limited one.
 func (c *checker) checkLimit(e Expectation) (bool, string) {
-	key := overloadKey{e.Plan, e.Times}
+	key := overloadKey{e.Plan, e.RateFactor}
 	got, known := c.overloads[key]
 	if !known {
 		got = c.overload(key)
@@ -172,7 +172,7 @@
 	if got.skipReason != "" {
 		return false, got.skipReason
 	}
-	return got.servedRate <= e.Most+got.tolerance && got.othersLate == 0, fmt.Sprintf("%.1f units a second of %s, %d of %d requests of other plans late or lost", got.servedRate, e.Plan, got.othersLate, got.othersTotal)
+	return got.servedRate <= e.MaxRate+got.tolerance && got.othersLate == 0, fmt.Sprintf("%.1f units a second of %s, %d of %d requests of other plans late or lost", got.servedRate, e.Plan, got.othersLate, got.othersTotal)
 }
 
 func (c *checker) overload(r overloadKey) (out overloadResult) {
--- a/internal/control/expect/expect_test.go
+++ b/internal/control/expect/expect_test.go
@@ -97,7 +97,7 @@
 		var to []string
 		for _, sh := range v.Layout {
 			if !seen[sh] {
-				to = append(to, expect.NodeOf(sh))
+				to = append(to, expect.NodeName(sh))
 			}
 			seen[sh] = true
 		}
--- a/internal/control/expect/format.go
+++ b/internal/control/expect/format.go
@@ -19,17 +19,17 @@
 	Line int
 	Text string
 
-	Kind   Kind
-	Volume string  // Routes, Refused, Is
-	Op     scsi.Op // of these
-	Bytes  int     // size of the request; 0: one block
-	Nodes  []string
-	Class  string     // Is
-	When   []NodeFact // Routes, Refused
-	Plan   string     // Limits
-	Times  float64
-	Most   float64
-	Domain string // Survives: a hall, or region-0 or region-1
+	Kind       Kind
+	Volume     string  // Routes, Refused, Is
+	Op         scsi.Op // of these
+	Bytes      int     // size of the request; 0: one block
+	Nodes      []string
+	Class      string      // Is
+	NodeStates []NodeState // Routes, Refused
+	Plan       string      // Limits
+	RateFactor float64
+	MaxRate    float64
+	Domain     string // Survives: a hall, or region-0 or region-1
 }
 
 // Kind is a form of expectation.
@@ -39,14 +39,14 @@
 const (
 	Routes   Kind = iota // volume V write goes to n1, n2 when ...
 	Refused              // volume V read is refused when ...
-	Is                   // volume V write of 8192 bytes is class C
+	ClassIs              // volume V write of 8192 bytes is class C
 	Limits               // plan P at 8 times its rate gets at most 40 and others lose none
 	Survives             // hall H lost keeps every volume; hall H lost keeps volume V
 )
 
-// NodeFact is a node that differs from the usual, which is that node n3 holds shard 3 and
+// NodeState is a node that differs from the usual, which is that node n3 holds shard 3 and
 // is ready.
-type NodeFact struct {
+type NodeState struct {
 	Node  string
 	State string // ready, draining, gone
 	Shard int    // of a ready node that is not the usual one
@@ -220,7 +220,7 @@
 		p.nodeStates(e)
 	case w == "is":
 		p.expect("class")
-		e.Kind, e.Class = Is, p.next()
+		e.Kind, e.Class = ClassIs, p.next()
 		if e.Class == "" {
 			p.fault("names no class")
 		}
@@ -240,21 +240,21 @@
 // defaultShard is the shard of a node with the defaultShard name, -1 of another.
 func (p *parser) defaultShard(name string) int {
 	n, err := strconv.Atoi(strings.TrimPrefix(name, "n"))
-	if err != nil || NodeOf(n) != name || n >= p.set.Shards || n < 0 {
+	if err != nil || NodeName(n) != name || n >= p.set.Shards || n < 0 {
 		return -1
 	}
 	return n
 }
 
-// NodeOf is the usual name of the node that holds a shard.
-func NodeOf(shard int) string { return "n" + strconv.Itoa(shard) }
+// NodeName is the usual name of the node that holds a shard.
+func NodeName(shard int) string { return "n" + strconv.Itoa(shard) }
 
 func (p *parser) nodeStates(e *Expectation) {
 	if p.lineFaulty || !p.accept("when") {
 		return
 	}
 	for more := true; more && !p.lineFaulty; more = p.accept(",") {
-		f := NodeFact{Node: p.node(), State: p.next()}
+		f := NodeState{Node: p.node(), State: p.next()}
 		f.Shard = p.defaultShard(f.Node)
 		switch f.State {
 		case "draining", "gone":
@@ -271,7 +271,7 @@
 		default:
 			p.fault("node %.70q is %.40q, not ready, draining or gone", f.Node, f.State)
 		}
-		if e.When = append(e.When, f); len(e.When) > maxNodeStates {
+		if e.NodeStates = append(e.NodeStates, f); len(e.NodeStates) > maxNodeStates {
 			p.fault("over %d nodes in one line", maxNodeStates)
 		}
 	}
@@ -280,11 +280,11 @@
 func (p *parser) parsePlan(e *Expectation) {
 	e.Kind, e.Plan = Limits, p.knownName("plan", p.plans)
 	p.expect("at")
-	if e.Times = p.number(); e.Times > maxRateFactor || e.Times == 0 {
-		p.fault("%v times is not from 0 to %d", e.Times, maxRateFactor)
+	if e.RateFactor = p.number(); e.RateFactor > maxRateFactor || e.RateFactor == 0 {
+		p.fault("%v times is not from 0 to %d", e.RateFactor, maxRateFactor)
 	}
 	p.expect("times", "its", "rate", "gets", "at", "most")
-	e.Most = p.number()
+	e.MaxRate = p.number()
 	p.expect("and", "others", "lose", "none")
 }
 
--- a/internal/control/gateway/adminauth.go
+++ b/internal/control/gateway/adminauth.go
@@ -53,14 +53,14 @@
 			settings.WriteJSON(w, http.StatusUnauthorized, map[string]string{"error": err.Error()})
 			return
 		}
-		required := keys.Operate
+		required := keys.RoleOperate
 		switch {
 		case r.URL.Path == "/keys/reload":
-			required = keys.Administer
+			required = keys.RoleAdminister
 		case r.Method == http.MethodGet:
-			required = keys.Read
+			required = keys.RoleRead
 		}
-		if !requester.role.May(required) {
+		if !requester.role.Includes(required) {
 			settings.WriteJSON(w, http.StatusForbidden, map[string]string{"error": fmt.Sprintf("%s has the role %q, the request needs %q", requester.name, requester.role, required)})
 			return
 		}
@@ -78,10 +78,10 @@
 			return caller{}, errors.New("no client certificate was presented")
 		}
 		certificate := r.TLS.PeerCertificates[0]
-		if err := g.config.Keys.Check(certificate); err != nil {
+		if err := g.config.Keys.CheckPeer(certificate); err != nil {
 			return caller{}, err
 		}
-		name, role := keys.Name(certificate)
+		name, role := keys.Identity(certificate)
 		return caller{name, role}, nil
 	}
 	if user, unix := r.Context().Value(socketUserKey{}).(socketUser); unix {
@@ -92,12 +92,12 @@
 		if claimed != "" {
 			name += ", claimed " + claimed
 		}
-		return caller{name, keys.Administer}, nil
+		return caller{name, keys.RoleAdminister}, nil
 	}
 	if claimed != "" {
-		return caller{"claimed " + claimed, keys.Administer}, nil
+		return caller{"claimed " + claimed, keys.RoleAdminister}, nil
 	}
-	return caller{"unnamed at " + r.RemoteAddr, keys.Administer}, nil
+	return caller{"unnamed at " + r.RemoteAddr, keys.RoleAdminister}, nil
 }
 
 // maxClaimedNameBytes is the length to which a claimed name is cut.
@@ -108,7 +108,7 @@
 func author(r *http.Request) settings.Author {
 	requester, _ := r.Context().Value(callerKey{}).(caller)
 	a := settings.Author{Who: requester.name}
-	if !requester.role.May(keys.Administer) {
+	if !requester.role.Includes(keys.RoleAdminister) {
 		a.ReadOnlyPaths = settings.SecretPaths
 	}
 	return a
--- a/internal/control/gateway/connpool.go
+++ b/internal/control/gateway/connpool.go
@@ -29,9 +29,9 @@
 	host          *host
 	hostID        uint64
 	hostName      string
-	dialTimeout   atomic.Int64 // ns, for the connect and for the handshake
-	keys          *keys.Holder // nil: connections to disk servers are not encrypted
-	maxClockDrift float64      // fraction by which a clock may run fast or slow; 0: drift is ignored
+	dialTimeout   atomic.Int64      // ns, for the connect and for the handshake
+	keys          *keys.Credentials // nil: connections to disk servers are not encrypted
+	maxClockDrift float64           // fraction by which a clock may run fast or slow; 0: drift is ignored
 	log           *zap.Logger
 
 	mu           sync.Mutex
@@ -229,7 +229,7 @@
 	conn, err := sc.pool.environment.Dial(sc.pool.ctx, "tcp", sc.addr, time.Duration(sc.pool.dialTimeout.Load()))
 	if err == nil {
 		if keyHolder := sc.pool.keys; keyHolder != nil {
-			conn = tls.Client(conn, keyHolder.Client("")) // the TLS handshake runs with the first frame, within the dial timeout
+			conn = tls.Client(conn, keyHolder.ClientConfig("")) // the TLS handshake runs with the first frame, within the dial timeout
 		}
 		err = sc.serve(conn)
 	}
--- a/internal/control/gateway/expect_test.go
+++ b/internal/control/gateway/expect_test.go
@@ -24,7 +24,7 @@
 		shards := slices.Clone(volume.Layout)
 		slices.Sort(shards)
 		for _, shard := range slices.Compact(shards) {
-			nodes = append(nodes, expect.NodeOf(shard))
+			nodes = append(nodes, expect.NodeName(shard))
 		}
 		for _, op := range []string{"read", "write"} {
 			lines = append(lines, fmt.Sprintf("volume %s %s goes to %s", volume.Name, op, strings.Join(nodes, ", ")))
@@ -36,13 +36,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	slices.SortStableFunc(expectations, func(a, b expect.Expectation) int { return len(a.When) - len(b.When) })
+	slices.SortStableFunc(expectations, func(a, b expect.Expectation) int { return len(a.NodeStates) - len(b.NodeStates) })
 	diskServers := map[string]*standin.DiskServer{}
 	for i, diskServer := range h.diskServers {
-		diskServers[expect.NodeOf(i)] = diskServer
+		diskServers[expect.NodeName(i)] = diskServer
 	}
 	for _, answer := range expect.Check(h.settings, expectations) {
-		if len(answer.When) > 0 && diskServers["m0"] == nil {
+		if len(answer.NodeStates) > 0 && diskServers["m0"] == nil {
 			diskServers["m0"] = h.replaceDiskServer(0)
 		}
 		if !answer.Holds {
--- a/internal/control/gateway/gateway.go
+++ b/internal/control/gateway/gateway.go
@@ -38,7 +38,7 @@
 	History     string // directory for the history of counters; "": none
 	// Keys are the host's TLS keys. If nil, the admin API is served without TLS, on loopback
 	// or a Unix socket only, and connections to disk servers do not use TLS.
-	Keys        *keys.Holder
+	Keys        *keys.Credentials
 	SettingsKey *settings.Key // seals the secrets in saved settings; if nil, they must have none
 	// RouterID is the BGP identifier, 0 if the host announces nothing.
 	RouterID uint32
@@ -125,7 +125,7 @@
 			return err
 		}
 	} else if g.config.Keys != nil {
-		listener = tls.NewListener(listener, g.config.Keys.Server(false))
+		listener = tls.NewListener(listener, g.config.Keys.ServerConfig(false))
 	}
 	mux := http.NewServeMux()
 	settingsHandler := settings.Handler(g.store, author, func() int64 { return g.config.Environment.Deadline(0).UnixMilli() })
--- a/internal/control/gateway/gateway_test.go
+++ b/internal/control/gateway/gateway_test.go
@@ -44,7 +44,7 @@
 
 // newHarnessWithConfig starts a harness with edited settings and an edited configuration of the
 // gateway. The disk servers use diskServerKeys; nil: they don't use TLS.
-func newHarnessWithConfig(t *testing.T, editSettings func(*settings.Settings), editConfig func(*gateway.Config), diskServerKeys *keys.Holder) *harness {
+func newHarnessWithConfig(t *testing.T, editSettings func(*settings.Settings), editConfig func(*gateway.Config), diskServerKeys *keys.Credentials) *harness {
 	h := &harness{t: t, environment: env.NewReal(), settings: settings.Example(1, 3)}
 	if editSettings != nil {
 		editSettings(h.settings)
--- a/internal/control/gateway/host.go
+++ b/internal/control/gateway/host.go
@@ -70,7 +70,7 @@
 	settings *settings.Settings
 }
 
-func newHost(w env.Environment, s *settings.Settings, hostIndex int, hostName, zone string, keyHolder *keys.Holder, log *zap.Logger) *host {
+func newHost(w env.Environment, s *settings.Settings, hostIndex int, hostName, zone string, keyHolder *keys.Credentials, log *zap.Logger) *host {
 	h := &host{environment: w, log: log, hostIndex: hostIndex, wake: w.NewParker(), fetchNodeList: func() {}}
 	h.core = newCore(env.MS(w.Now()), s, hostIndex, zone, w.RandomUint64(), h)
 	h.pool = newConnPool(w, h, hostName, env.Duration(s.Limits.DialTimeout), log)
--- a/internal/control/gateway/keys_test.go
+++ b/internal/control/gateway/keys_test.go
@@ -48,10 +48,10 @@
 }
 
 // newHolder issues a certificate and reads the holder's folder.
-func (a *testAuthority) newHolder(name string, role keys.Role, lifetime time.Duration) *keys.Holder {
+func (a *testAuthority) newHolder(name string, role keys.Role, lifetime time.Duration) *keys.Credentials {
 	a.t.Helper()
 	a.issue(name, role, lifetime)
-	holder, err := keys.Hold(a.holderDir(name), a.now)
+	holder, err := keys.LoadCredentials(a.holderDir(name), a.now)
 	if err != nil {
 		a.t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 
 // newAPI returns a TLS client of the admin API at addr, with a certificate of role.
 func (a *testAuthority) newAPI(addr, name string, role keys.Role, lifetime time.Duration) *settings.API {
-	api := settings.NewTLSAPI(addr, a.newHolder(name, role, lifetime).Client("127.0.0.1"))
+	api := settings.NewTLSAPI(addr, a.newHolder(name, role, lifetime).ClientConfig("127.0.0.1"))
 	a.t.Cleanup(api.Close)
 	return api
 }
@@ -69,9 +69,9 @@
 // are rotated under load.
 func TestKeyRotationUnderLoad(t *testing.T) {
 	authority := newTestAuthority(t)
-	hostKeys, diskServerKeys := authority.newHolder("host", keys.Machine, 24*time.Hour), authority.newHolder("disks", keys.Machine, 24*time.Hour)
+	hostKeys, diskServerKeys := authority.newHolder("host", keys.RoleMachine, 24*time.Hour), authority.newHolder("disks", keys.RoleMachine, 24*time.Hour)
 	h := newHarnessWithConfig(t, nil, func(config *gateway.Config) { config.Keys, config.Admin = hostKeys, "127.0.0.1:0" }, diskServerKeys)
-	admin := authority.newAPI(h.gateway.Admin().String(), "rui", keys.Administer, time.Hour)
+	admin := authority.newAPI(h.gateway.Admin().String(), "rui", keys.RoleAdminister, time.Hour)
 	var done atomic.Bool
 	var servedCount atomic.Int64
 	var tasks sync.WaitGroup
@@ -107,19 +107,19 @@
 		waitForCommands()
 	}
 	waitForCommands()
-	authority.issue("host", keys.Machine, 12*time.Hour)
+	authority.issue("host", keys.RoleMachine, 12*time.Hour)
 	reload()
 	if err := authority.ca.Rotate(); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"host", "disks"} {
-		if err := authority.ca.Hand(authority.holderDir(name)); err != nil {
+		if err := authority.ca.Distribute(authority.holderDir(name)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	reload()
-	authority.issue("host", keys.Machine, 12*time.Hour)
-	authority.issue("disks", keys.Machine, 12*time.Hour)
+	authority.issue("host", keys.RoleMachine, 12*time.Hour)
+	authority.issue("disks", keys.RoleMachine, 12*time.Hour)
 	reload()
 	done.Store(true)
 	tasks.Wait()
@@ -130,8 +130,10 @@
 // server, and clients get BUSY.
 func TestOtherAuthorityIsRejected(t *testing.T) {
 	hostAuthority, diskAuthority := newTestAuthority(t), newTestAuthority(t)
-	h := newHarnessWithConfig(t, useOneShard, func(config *gateway.Config) { config.Keys = hostAuthority.newHolder("host", keys.Machine, time.Hour) },
-		diskAuthority.newHolder("disks", keys.Machine, time.Hour))
+	h := newHarnessWithConfig(t, useOneShard, func(config *gateway.Config) {
+		config.Keys = hostAuthority.newHolder("host", keys.RoleMachine, time.Hour)
+	},
+		diskAuthority.newHolder("disks", keys.RoleMachine, time.Hour))
 	if result := h.execute(h.connect(normalVolume, 1), initiator.ReadCDB(0, 1), nil, 4096); result.Status != scsi.Busy {
 		t.Errorf("read: got status %02x, want BUSY", result.Status)
 	}
@@ -144,8 +146,8 @@
 // With a new certificate the host must be served again.
 func TestCertificateExpiresDuringConnections(t *testing.T) {
 	authority := newTestAuthority(t)
-	hostKeys := authority.newHolder("host", keys.Machine, time.Hour)
-	h := newHarnessWithConfig(t, useOneShard, func(config *gateway.Config) { config.Keys = hostKeys }, authority.newHolder("disks", keys.Machine, 48*time.Hour))
+	hostKeys := authority.newHolder("host", keys.RoleMachine, time.Hour)
+	h := newHarnessWithConfig(t, useOneShard, func(config *gateway.Config) { config.Keys = hostKeys }, authority.newHolder("disks", keys.RoleMachine, 48*time.Hour))
 	client := h.connect(normalVolume, 1)
 	if result := h.execute(client, initiator.ReadCDB(0, 1), nil, 4096); result.Status != scsi.Good {
 		t.Fatalf("read before the expiry: got status %02x, want GOOD", result.Status)
@@ -158,7 +160,7 @@
 	if n := h.diskServers[0].Served(); n != served {
 		t.Errorf("disk server served %d requests after the expiry, want 0", n-served)
 	}
-	authority.issue("host", keys.Machine, 12*time.Hour)
+	authority.issue("host", keys.RoleMachine, 12*time.Hour)
 	if err := h.gateway.ReloadKeys(); err != nil {
 		t.Fatal(err)
 	}
@@ -171,8 +173,8 @@
 	h := newHarnessWithConfig(t, func(s *settings.Settings) {
 		s.Target.Chap = []settings.Chap{{User: "posto", Secret: "a secret that is long"}}
 	}, func(config *gateway.Config) {
-		config.Keys, config.Admin = authority.newHolder("host", keys.Machine, time.Hour), "127.0.0.1:0"
-	}, authority.newHolder("disks", keys.Machine, time.Hour))
+		config.Keys, config.Admin = authority.newHolder("host", keys.RoleMachine, time.Hour), "127.0.0.1:0"
+	}, authority.newHolder("disks", keys.RoleMachine, time.Hour))
 	addr, ctx := h.gateway.Admin().String(), context.Background()
 	changeLimit := func(s *settings.Settings) { s.Plans[0].Limit++ }
 	changeSecret := func(s *settings.Settings) { s.Target.Chap[0].Secret = "another that is long" }
@@ -188,7 +190,7 @@
 	for _, tt := range []struct {
 		role                                   keys.Role
 		mayRead, mayChangeLimit, mayAdminister bool
-	}{{keys.Read, true, false, false}, {keys.Operate, true, true, false}, {keys.Administer, true, true, true}, {keys.Machine, false, false, false}} {
+	}{{keys.RoleRead, true, false, false}, {keys.RoleOperate, true, true, false}, {keys.RoleAdminister, true, true, true}, {keys.RoleMachine, false, false, false}} {
 		api := authority.newAPI(addr, "as-"+string(tt.role), tt.role, time.Hour)
 		if _, err := api.Get(ctx); (err == nil) != tt.mayRead {
 			t.Errorf("role %s reads settings: got error %v, want the opposite", tt.role, err)
@@ -207,7 +209,7 @@
 	if err != nil || len(entries) != 4 || entries[1].Who != "as-operate" || entries[3].Who != "as-administer" {
 		t.Errorf("settings log: got %v, error %v, want four entries with the names of the certificates", entries, err)
 	}
-	if _, err := settings.NewTLSAPI(addr, newTestAuthority(t).newHolder("x", keys.Administer, time.Hour).Client("127.0.0.1")).Get(ctx); err == nil {
+	if _, err := settings.NewTLSAPI(addr, newTestAuthority(t).newHolder("x", keys.RoleAdminister, time.Hour).ClientConfig("127.0.0.1")).Get(ctx); err == nil {
 		t.Error("call with a certificate of another authority: got no error")
 	}
 	if _, err := settings.NewTLSAPI(addr, &tls.Config{InsecureSkipVerify: true}).Get(ctx); err == nil {
@@ -216,7 +218,7 @@
 	if _, err := settings.NewAPI(addr).Get(ctx); err == nil {
 		t.Error("call without TLS: got no error")
 	}
-	expiringAPI := authority.newAPI(addr, "short", keys.Operate, time.Minute)
+	expiringAPI := authority.newAPI(addr, "short", keys.RoleOperate, time.Minute)
 	if _, err := expiringAPI.Get(ctx); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/keys/authority.go
+++ b/internal/control/keys/authority.go
@@ -30,22 +30,22 @@
 
 // The roles. Each may do what the one before may.
 const (
-	Read       Role = "read"       // look at everything but secrets
-	Operate    Role = "operate"    // change settings, but none that is about keys and secrets
-	Administer Role = "administer" // change all
-	Machine    Role = "machine"    // a host or a disk server towards the other; nothing at the API
+	RoleRead       Role = "read"       // look at everything but secrets
+	RoleOperate    Role = "operate"    // change settings, but none that is about keys and secrets
+	RoleAdminister Role = "administer" // change all
+	RoleMachine    Role = "machine"    // a host or a disk server towards the other; nothing at the API
 )
 
-var roleOrder = []Role{Read, Operate, Administer}
+var roleOrder = []Role{RoleRead, RoleOperate, RoleAdminister}
 
-// May tells whether a role includes another.
-func (r Role) May(need Role) bool {
+// Includes tells whether a role includes another.
+func (r Role) Includes(need Role) bool {
 	i, j := slices.Index(roleOrder, r), slices.Index(roleOrder, need)
 	return i >= 0 && j >= 0 && i >= j
 }
 
-// Known tells whether r is one of the roles.
-func (r Role) Known() bool { return r == Machine || slices.Contains(roleOrder, r) }
+// Valid tells whether r is one of the roles.
+func (r Role) Valid() bool { return r == RoleMachine || slices.Contains(roleOrder, r) }
 
 // Files of an authority and of a holder of a certificate.
 const (
@@ -61,8 +61,8 @@
 
 const (
 	authorityLifetime = 10 * 365 * 24 * time.Hour
-	// ClockSlack is how much earlier than now a certificate begins: clocks differ.
-	ClockSlack = 5 * time.Minute
+	// ClockSkew is how much earlier than now a certificate begins: clocks differ.
+	ClockSkew = 5 * time.Minute
 	// crlLifetime is long: a list that runs out would shut everybody out, and a stolen
 	// certificate is short-lived by itself.
 	crlLifetime = 10 * 365 * 24 * time.Hour
@@ -104,7 +104,7 @@
 		return err
 	}
 	t := &x509.Certificate{SerialNumber: newSerial(), Subject: pkix.Name{CommonName: "merlinhitch authority"},
-		NotBefore: a.now().Add(-ClockSlack), NotAfter: a.now().Add(authorityLifetime), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
+		NotBefore: a.now().Add(-ClockSkew), NotAfter: a.now().Add(authorityLifetime), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
 	if err != nil {
@@ -152,7 +152,7 @@
 // Issue makes a key and a certificate for a name, in a folder of its holder with what is
 // trusted beside them. Addresses are those at which a server is reached.
 func (a *Authority) Issue(name string, role Role, life time.Duration, addresses []string, out string) (*x509.Certificate, error) {
-	if !role.Known() || name == "" || len(name) > 64 || strings.ContainsAny(name, "/\\\x00") {
+	if !role.Valid() || name == "" || len(name) > 64 || strings.ContainsAny(name, "/\\\x00") {
 		return nil, fmt.Errorf("keys: %q of role %q can't have a certificate", name, role)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -160,9 +160,9 @@
 		return nil, err
 	}
 	t := &x509.Certificate{SerialNumber: newSerial(), Subject: pkix.Name{CommonName: name, OrganizationalUnit: []string{string(role)}},
-		NotBefore: a.now().Add(-ClockSlack), NotAfter: a.now().Add(life), KeyUsage: x509.KeyUsageDigitalSignature,
+		NotBefore: a.now().Add(-ClockSkew), NotAfter: a.now().Add(life), KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}
-	if role == Machine {
+	if role == RoleMachine {
 		t.ExtKeyUsage = append(t.ExtKeyUsage, x509.ExtKeyUsageServerAuth)
 		t.DNSNames = []string{machineName}
 	}
@@ -196,11 +196,11 @@
 	if err := writeFile(filepath.Join(out, CertFile), 0o644, encodeCert(cert)); err != nil {
 		return nil, err
 	}
-	return cert, a.Hand(out)
+	return cert, a.Distribute(out)
 }
 
-// Hand copies what is trusted and what is revoked to a holder's folder.
-func (a *Authority) Hand(out string) error {
+// Distribute copies what is trusted and what is revoked to a holder's folder.
+func (a *Authority) Distribute(out string) error {
 	for _, f := range []string{TrustFile, RevokedFile} {
 		b, err := os.ReadFile(filepath.Join(a.dir, f))
 		if err != nil {
@@ -233,8 +233,8 @@
 	return a.writeRevocationList(revoked)
 }
 
-// Forget ends the trust in all authorities but the present one.
-func (a *Authority) Forget() error {
+// DropOldTrust ends the trust in all authorities but the present one.
+func (a *Authority) DropOldTrust() error {
 	return writeFile(filepath.Join(a.dir, TrustFile), 0o644, encodeCert(a.cert))
 }
 
@@ -254,7 +254,7 @@
 
 // writeRevocationList signs the writeRevocationList of revoked certificates.
 func (a *Authority) writeRevocationList(revoked []x509.RevocationListEntry) error {
-	t := &x509.RevocationList{Number: big.NewInt(a.now().UnixNano()), ThisUpdate: a.now().Add(-ClockSlack), NextUpdate: a.now().Add(crlLifetime),
+	t := &x509.RevocationList{Number: big.NewInt(a.now().UnixNano()), ThisUpdate: a.now().Add(-ClockSkew), NextUpdate: a.now().Add(crlLifetime),
 		RevokedCertificateEntries: revoked}
 	der, err := x509.CreateRevocationList(rand.Reader, t, a.cert, a.key)
 	if err != nil {
@@ -263,8 +263,8 @@
 	return writeFile(filepath.Join(a.dir, RevokedFile), 0o644, pem.EncodeToMemory(&pem.Block{Type: "X509 CRL", Bytes: der}))
 }
 
-// Certificate reads a holder's, for its number.
-func Certificate(dir string) (*x509.Certificate, error) {
+// ReadCertificate reads a holder's, for its number.
+func ReadCertificate(dir string) (*x509.Certificate, error) {
 	c, err := readCerts(filepath.Join(dir, CertFile))
 	if err != nil {
 		return nil, err
--- a/internal/control/keys/holder.go
+++ b/internal/control/keys/holder.go
@@ -14,9 +14,9 @@
 // addresses, which change, so that a name tells only that it is one.
 const machineName = "machine.merlinhitch.internal"
 
-// Holder is what a program has of keys, renewed in place by Reload. Connections that are
+// Credentials is what a program has of keys, renewed in place by Reload. Connections that are
 // up stay up; new ones use the new keys.
-type Holder struct {
+type Credentials struct {
 	dir     string
 	now     func() time.Time
 	current atomic.Pointer[credentialSet]
@@ -36,14 +36,14 @@
 	ErrRole    = errors.New("keys: the certificate is of another role")
 )
 
-// Hold reads a holder's folder.
-func Hold(dir string, now func() time.Time) (*Holder, error) {
-	h := &Holder{dir: dir, now: now}
+// LoadCredentials reads a holder's folder.
+func LoadCredentials(dir string, now func() time.Time) (*Credentials, error) {
+	h := &Credentials{dir: dir, now: now}
 	return h, h.Reload()
 }
 
 // Reload reads the folder again. If anything in it does not fit, the old keys stay.
-func (h *Holder) Reload() error {
+func (h *Credentials) Reload() error {
 	cert, err := tls.LoadX509KeyPair(filepath.Join(h.dir, CertFile), filepath.Join(h.dir, KeyFile))
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
@@ -80,10 +80,10 @@
 }
 
 // Expires is when the holder's own certificate runs out.
-func (h *Holder) Expires() time.Time { return h.current.Load().cert.Leaf.NotAfter }
+func (h *Credentials) Expires() time.Time { return h.current.Load().cert.Leaf.NotAfter }
 
-// Check judges a peer's certificate as of now, also in the midst of a session.
-func (h *Holder) Check(c *x509.Certificate) error {
+// CheckPeer judges a peer's certificate as of now, also in the midst of a session.
+func (h *Credentials) CheckPeer(c *x509.Certificate) error {
 	switch now := h.now(); {
 	case now.After(c.NotAfter) || now.Before(c.NotBefore):
 		return ErrExpired
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// Name and role of a certificate.
-func Name(c *x509.Certificate) (string, Role) {
+// Identity and role of a certificate.
+func Identity(c *x509.Certificate) (string, Role) {
 	if len(c.Subject.OrganizationalUnit) != 1 {
 		return c.Subject.CommonName, ""
 	}
@@ -103,20 +103,20 @@
 
 // verifyPeer verifies what a verifyPeer shows: the chain was verified, what is left is the list of
 // revoked ones and the role.
-func (h *Holder) verifyPeer(s tls.ConnectionState, machine bool) error {
+func (h *Credentials) verifyPeer(s tls.ConnectionState, machine bool) error {
 	if len(s.PeerCertificates) == 0 {
 		return errors.New("keys: no certificate was shown")
 	}
 	c := s.PeerCertificates[0]
-	if _, role := Name(c); machine && role != Machine {
+	if _, role := Identity(c); machine && role != RoleMachine {
 		return ErrRole
 	}
-	return h.Check(c)
+	return h.CheckPeer(c)
 }
 
-// Server is for listeners: TLS 1.3 (RFC 8446) and a certificate of every client. Where
+// ServerConfig is for listeners: TLS 1.3 (RFC 8446) and a certificate of every client. Where
 // machine is set the client must be one.
-func (h *Holder) Server(machine bool) *tls.Config {
+func (h *Credentials) ServerConfig(machine bool) *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS13, Time: h.now, ClientAuth: tls.RequireAndVerifyClientCert}
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		s := h.current.Load()
@@ -127,9 +127,9 @@
 	return base
 }
 
-// Client is for connections that are dialled: to machines by their common name, where
+// ClientConfig is for connections that are dialled: to machines by their common name, where
 // name is "", or to a server of a name or address.
-func (h *Holder) Client(name string) *tls.Config {
+func (h *Credentials) ClientConfig(name string) *tls.Config {
 	s := h.current.Load()
 	machine := name == ""
 	if machine {
--- a/internal/control/keys/keys_test.go
+++ b/internal/control/keys/keys_test.go
@@ -31,13 +31,13 @@
 
 func (f *fixture) now() time.Time { return f.at }
 
-func (f *fixture) issue(name string, role Role, life time.Duration) *Holder {
+func (f *fixture) issue(name string, role Role, life time.Duration) *Credentials {
 	f.t.Helper()
 	dir := filepath.Join(f.t.TempDir(), name)
 	if _, err := f.authority.Issue(name, role, life, []string{"127.0.0.1"}, dir); err != nil {
 		f.t.Fatal(err)
 	}
-	h, err := Hold(dir, f.now)
+	h, err := LoadCredentials(dir, f.now)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -69,29 +69,29 @@
 
 func TestMachineHandshakes(t *testing.T) {
 	f := newFixture(t)
-	host, disk := f.issue("h0", Machine, time.Hour), f.issue("d0", Machine, time.Hour)
-	if s, c := handshake(disk.Server(true), host.Client("")); s != nil || c != nil {
+	host, disk := f.issue("h0", RoleMachine, time.Hour), f.issue("d0", RoleMachine, time.Hour)
+	if s, c := handshake(disk.ServerConfig(true), host.ClientConfig("")); s != nil || c != nil {
 		t.Fatal(s, c)
 	}
 	other := newFixture(t)
-	ines := f.issue("ines", Administer, time.Hour)
-	for name, x := range map[string]struct{ server, client *Holder }{
+	ines := f.issue("ines", RoleAdminister, time.Hour)
+	for name, x := range map[string]struct{ server, client *Credentials }{
 		"an operator as a host":            {disk, ines},
 		"an operator as a disk server":     {ines, host},
-		"a host of another authority":      {disk, other.issue("h0", Machine, time.Hour)},
-		"a disk server of another, as one": {other.issue("d0", Machine, time.Hour), host},
+		"a host of another authority":      {disk, other.issue("h0", RoleMachine, time.Hour)},
+		"a disk server of another, as one": {other.issue("d0", RoleMachine, time.Hour), host},
 	} {
-		if s, c := handshake(x.server.Server(true), x.client.Client("")); s == nil && c == nil {
+		if s, c := handshake(x.server.ServerConfig(true), x.client.ClientConfig("")); s == nil && c == nil {
 			t.Errorf("%s was let in", name)
 		}
 	}
 	plain := &tls.Config{InsecureSkipVerify: true}
-	if s, _ := handshake(disk.Server(true), plain); s == nil {
+	if s, _ := handshake(disk.ServerConfig(true), plain); s == nil {
 		t.Error("a client without a certificate was let in")
 	}
-	old := host.Client("")
+	old := host.ClientConfig("")
 	old.MinVersion, old.MaxVersion = tls.VersionTLS12, tls.VersionTLS12
-	if s, _ := handshake(disk.Server(true), old); s == nil {
+	if s, _ := handshake(disk.ServerConfig(true), old); s == nil {
 		t.Error("TLS 1.2 was spoken")
 	}
 }
@@ -100,42 +100,42 @@
 // well, where Check is asked.
 func TestExpiryAndRevocation(t *testing.T) {
 	f := newFixture(t)
-	host, disk := f.issue("h0", Machine, time.Hour), f.issue("d0", Machine, 24*time.Hour)
-	cert, err := Certificate(host.dir)
+	host, disk := f.issue("h0", RoleMachine, time.Hour), f.issue("d0", RoleMachine, 24*time.Hour)
+	cert, err := ReadCertificate(host.dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := disk.Check(cert); err != nil {
+	if err := disk.CheckPeer(cert); err != nil {
 		t.Error(err)
 	}
 	f.at = f.at.Add(61 * time.Minute)
-	if err := disk.Check(cert); !errors.Is(err, ErrExpired) {
+	if err := disk.CheckPeer(cert); !errors.Is(err, ErrExpired) {
 		t.Error(err)
 	}
-	if s, _ := handshake(disk.Server(true), host.Client("")); s == nil {
+	if s, _ := handshake(disk.ServerConfig(true), host.ClientConfig("")); s == nil {
 		t.Error("an expired certificate was let in")
 	}
 	f.at = f.at.Add(-2 * time.Hour) // a clock that steps back: not begun yet
-	if err := disk.Check(cert); !errors.Is(err, ErrExpired) {
+	if err := disk.CheckPeer(cert); !errors.Is(err, ErrExpired) {
 		t.Error(err)
 	}
 	f.at = f.at.Add(time.Hour)
 	if err := f.authority.Revoke(cert.SerialNumber); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.authority.Hand(disk.dir); err != nil {
+	if err := f.authority.Distribute(disk.dir); err != nil {
 		t.Fatal(err)
 	}
-	if err := disk.Check(cert); err != nil {
+	if err := disk.CheckPeer(cert); err != nil {
 		t.Error("before the reload:", err)
 	}
 	if err := disk.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	if err := disk.Check(cert); !errors.Is(err, ErrRevoked) {
+	if err := disk.CheckPeer(cert); !errors.Is(err, ErrRevoked) {
 		t.Error(err)
 	}
-	if s, _ := handshake(disk.Server(true), host.Client("")); s == nil {
+	if s, _ := handshake(disk.ServerConfig(true), host.ClientConfig("")); s == nil {
 		t.Error("a revoked certificate was let in")
 	}
 }
@@ -144,23 +144,23 @@
 // meet.
 func TestRotation(t *testing.T) {
 	f := newFixture(t)
-	host, disk := f.issue("h0", Machine, time.Hour), f.issue("d0", Machine, time.Hour)
+	host, disk := f.issue("h0", RoleMachine, time.Hour), f.issue("d0", RoleMachine, time.Hour)
 	ok := func(when string) {
 		t.Helper()
-		if s, c := handshake(disk.Server(true), host.Client("")); s != nil || c != nil {
+		if s, c := handshake(disk.ServerConfig(true), host.ClientConfig("")); s != nil || c != nil {
 			t.Errorf("%s: %v, %v", when, s, c)
 		}
 	}
-	revoked := f.issue("ines", Operate, time.Hour)
-	cert, _ := Certificate(revoked.dir)
+	revoked := f.issue("ines", RoleOperate, time.Hour)
+	cert, _ := ReadCertificate(revoked.dir)
 	if err := f.authority.Revoke(cert.SerialNumber); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.authority.Rotate(); err != nil {
 		t.Fatal(err)
 	}
-	for _, h := range []*Holder{host, disk} {
-		if err := f.authority.Hand(h.dir); err != nil {
+	for _, h := range []*Credentials{host, disk} {
+		if err := f.authority.Distribute(h.dir); err != nil {
 			t.Fatal(err)
 		}
 		if err := h.Reload(); err != nil {
@@ -168,8 +168,8 @@
 		}
 		ok("handed the new list")
 	}
-	for _, h := range []*Holder{host, disk} {
-		if _, err := f.authority.Issue("anew", Machine, time.Hour, nil, h.dir); err != nil {
+	for _, h := range []*Credentials{host, disk} {
+		if _, err := f.authority.Issue("anew", RoleMachine, time.Hour, nil, h.dir); err != nil {
 			t.Fatal(err)
 		}
 		if err := h.Reload(); err != nil {
@@ -177,17 +177,17 @@
 		}
 		ok("one has a new certificate")
 	}
-	if err := f.authority.Forget(); err != nil {
+	if err := f.authority.DropOldTrust(); err != nil {
 		t.Fatal(err)
 	}
-	for _, h := range []*Holder{host, disk} {
-		f.authority.Hand(h.dir)
+	for _, h := range []*Credentials{host, disk} {
+		f.authority.Distribute(h.dir)
 		if err := h.Reload(); err != nil {
 			t.Fatal(err)
 		}
 		ok("the old authority is forgotten")
 	}
-	if err := disk.Check(cert); !errors.Is(err, ErrRevoked) {
+	if err := disk.CheckPeer(cert); !errors.Is(err, ErrRevoked) {
 		t.Errorf("a rotation forgot what was revoked: %v", err)
 	}
 	if again, err := Open(f.dir, f.now); err != nil || !again.key.Equal(f.authority.key) {
@@ -201,8 +201,8 @@
 // A reload that finds anything wrong leaves the keys that there are.
 func TestReloadOfBadFiles(t *testing.T) {
 	f := newFixture(t)
-	host, disk := f.issue("h0", Machine, time.Hour), f.issue("d0", Machine, time.Hour)
-	other := newFixture(t).issue("x", Machine, time.Hour)
+	host, disk := f.issue("h0", RoleMachine, time.Hour), f.issue("d0", RoleMachine, time.Hour)
+	other := newFixture(t).issue("x", RoleMachine, time.Hour)
 	for _, file := range []string{CertFile, KeyFile, TrustFile, RevokedFile} {
 		sound, err := os.ReadFile(filepath.Join(host.dir, file))
 		if err != nil {
@@ -219,7 +219,7 @@
 			if err := host.Reload(); err == nil {
 				t.Errorf("%s %s was taken", file, name)
 			}
-			if s, c := handshake(disk.Server(true), host.Client("")); s != nil || c != nil {
+			if s, c := handshake(disk.ServerConfig(true), host.ClientConfig("")); s != nil || c != nil {
 				t.Errorf("%s %s: %v, %v", file, name, s, c)
 			}
 		}
@@ -236,14 +236,14 @@
 	for _, x := range []struct {
 		has, need Role
 		may       bool
-	}{{Read, Read, true}, {Read, Operate, false}, {Operate, Read, true}, {Operate, Administer, false}, {Administer, Operate, true}, {Machine, Read, false}, {"", Read, false}} {
-		if x.has.May(x.need) != x.may {
+	}{{RoleRead, RoleRead, true}, {RoleRead, RoleOperate, false}, {RoleOperate, RoleRead, true}, {RoleOperate, RoleAdminister, false}, {RoleAdminister, RoleOperate, true}, {RoleMachine, RoleRead, false}, {"", RoleRead, false}} {
+		if x.has.Includes(x.need) != x.may {
 			t.Errorf("%q may %q: %v", x.has, x.need, !x.may)
 		}
 	}
 	f := newFixture(t)
 	for _, name := range []string{"", "a/b", string(make([]byte, 80))} {
-		if _, err := f.authority.Issue(name, Read, time.Hour, nil, t.TempDir()); err == nil {
+		if _, err := f.authority.Issue(name, RoleRead, time.Hour, nil, t.TempDir()); err == nil {
 			t.Errorf("%q has a certificate", name)
 		}
 	}
--- a/internal/simulation/lab/bench.go
+++ b/internal/simulation/lab/bench.go
@@ -89,7 +89,7 @@
 // benchSetup is what a measured gateway has beside the usual: keys of it and of its disk
 // servers, a history.
 type benchSetup struct {
-	host, disks *keys.Holder
+	host, disks *keys.Credentials
 	history     string // folder
 	admin       string
 }
--- a/internal/simulation/lab/benchkeys.go
+++ b/internal/simulation/lab/benchkeys.go
@@ -98,13 +98,13 @@
 		return nil, "", err
 	}
 	a, err := keys.Init(filepath.Join(dir, "authority"), time.Now)
-	var held [2]*keys.Holder
+	var held [2]*keys.Credentials
 	for i, name := range []string{"host", "disks"} {
 		if err == nil {
-			_, err = a.Issue(name, keys.Machine, time.Hour, nil, filepath.Join(dir, name))
+			_, err = a.Issue(name, keys.RoleMachine, time.Hour, nil, filepath.Join(dir, name))
 		}
 		if err == nil {
-			held[i], err = keys.Hold(filepath.Join(dir, name), time.Now)
+			held[i], err = keys.LoadCredentials(filepath.Join(dir, name), time.Now)
 		}
 	}
 	if err != nil {
--- a/internal/simulation/standin/diskserver.go
+++ b/internal/simulation/standin/diskserver.go
@@ -51,7 +51,7 @@
 	Inventory func() string
 	Peer      func() string
 	// Keys of the server; nil: it is spoken to in clear.
-	Keys *keys.Holder
+	Keys *keys.Credentials
 	// OnOverloadCrash is called once, from a goroutine of its own, when the server falls over.
 	OnOverloadCrash func()
 }
@@ -92,7 +92,7 @@
 			return
 		}
 		if d.Keys != nil {
-			conn = tls.Server(conn, d.Keys.Server(true))
+			conn = tls.Server(conn, d.Keys.ServerConfig(true))
 		}
 		writes := writequeue.New(d.environment, conn, diskQueueBytes, diskWriteTimeout)
 		if !d.addConn(writes) {
@@ -128,7 +128,7 @@
 		return true
 	}
 	certs := tlsConn.ConnectionState().PeerCertificates
-	return len(certs) > 0 && d.Keys.Check(certs[0]) == nil
+	return len(certs) > 0 && d.Keys.CheckPeer(certs[0]) == nil
 }
 
 func (d *DiskServer) serve(conn net.Conn, writes *writequeue.Queue) {
--- a/internal/simulation/standin/immediatediskserver.go
+++ b/internal/simulation/standin/immediatediskserver.go
@@ -19,13 +19,13 @@
 }
 
 // ServeImmediateDiskServer starts one that answers with so many bytes, in clear where it has no keys.
-func ServeImmediateDiskServer(environment env.Environment, blockBytes int, serverKeys *keys.Holder) (*ImmediateDiskServer, error) {
+func ServeImmediateDiskServer(environment env.Environment, blockBytes int, serverKeys *keys.Credentials) (*ImmediateDiskServer, error) {
 	listener, err := environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	if serverKeys != nil {
-		listener = tls.NewListener(listener, serverKeys.Server(true))
+		listener = tls.NewListener(listener, serverKeys.ServerConfig(true))
 	}
 	server := &ImmediateDiskServer{block: make([]byte, blockBytes)}
 	server.start(environment, listener, server.serve)
--- a/internal/simulation/standin/replicasender.go
+++ b/internal/simulation/standin/replicasender.go
@@ -42,7 +42,7 @@
 			continue
 		}
 		if d.Keys != nil {
-			conn = tls.Client(conn, d.Keys.Client(""))
+			conn = tls.Client(conn, d.Keys.ClientConfig(""))
 		}
 		sender := &replicaSender{server: d, store: d.machine.store, gen: gen, conn: conn, wake: d.environment.NewParker()}
 		sender.run()
