--- a/internal/control/scheduler/config.go
+++ b/internal/control/scheduler/config.go
@@ -134,7 +134,7 @@
 		timeouts.DialTimeout = env.MS(defaultDialTimeout)
 	}
 	if !(timeouts.IdleTimeout > 0) {
-		timeouts.IdleTimeout = defaultConnIdle
+		timeouts.IdleTimeout = defaultIdleTimeout
 	}
 	return timeouts
 }
--- a/internal/control/scheduler/connpool.go
+++ b/internal/control/scheduler/connpool.go
@@ -38,7 +38,7 @@
 	idleKeepFraction = 0.6
 	// Defaults for times that the settings leave out.
 	defaultDialTimeout = time.Second
-	defaultConnIdle    = 10_000.0 // ms
+	defaultIdleTimeout = 10_000.0 // ms
 )
 
 // connPool holds the connections to disk servers, each of which carries one request at a time.
@@ -450,10 +450,10 @@
 	if sc.state == connBusy {
 		sc.attempt = nil
 		sc.conn.SetDeadline(time.Time{})
-		since := sc.idleSince
+		previousIdleSince := sc.idleSince
 		p.assign(at, sc)
-		if sc.state == connIdle && since > 0 {
-			sc.idleSince = since
+		if sc.state == connIdle && previousIdleSince > 0 {
+			sc.idleSince = previousIdleSince
 		}
 	}
 	p.core.failAttempt(at, a, policy.NotSent)
--- a/internal/control/scheduler/core.go
+++ b/internal/control/scheduler/core.go
@@ -228,9 +228,9 @@
 	return true
 }
 
-func (k *core) resetTimer(a *attempt, at float64) {
+func (k *core) resetTimer(a *attempt, due float64) {
 	k.timers.Remove(&a.timer)
-	a.timer.Due = at
+	a.timer.Due = due
 	k.timers.Push(&a.timer)
 }
 
--- a/internal/control/scheduler/loop.go
+++ b/internal/control/scheduler/loop.go
@@ -49,7 +49,7 @@
 
 // post queues f to run on the loop. It blocks while the queue is full, so the loop itself must
 // not call it. It returns false if the loop has stopped.
-func (l *loop) post(at float64, kind eventKind, f func(at float64)) bool {
+func (l *loop) post(occurredAt float64, kind eventKind, f func(occurredAt float64)) bool {
 	var p env.Parker
 	for {
 		l.mu.Lock()
@@ -58,7 +58,7 @@
 			return false
 		}
 		if len(l.queue) < maxQueuedEvents {
-			l.queue = append(l.queue, event{at, kind, f})
+			l.queue = append(l.queue, event{occurredAt, kind, f})
 			l.mu.Unlock()
 			l.wake.Unpark()
 			return true
--- a/internal/control/scheduler/serverconn.go
+++ b/internal/control/scheduler/serverconn.go
@@ -17,13 +17,13 @@
 
 // encodeRequest returns the attempt's HTTP request. Request-Timeout is the time left, in ms,
 // rounded down to whole milliseconds so that the server never assumes more than the client has.
-func (a *attempt) encodeRequest(left float64) []byte {
+func (a *attempt) encodeRequest(timeLeft float64) []byte {
 	c := a.call
 	f := http1.Fields{{Name: "Host", Value: serviceHost}, {Name: "Request-Id", Value: c.req.ID}}
 	if c.key != "" {
 		f = append(f, http1.Field{Name: "Idempotency-Key", Value: c.key})
 	}
-	f = append(f, http1.Field{Name: "Request-Timeout", Value: strconv.FormatFloat(math.Floor(max(left, 1))/1000, 'f', 3, 64)})
+	f = append(f, http1.Field{Name: "Request-Timeout", Value: strconv.FormatFloat(math.Floor(max(timeLeft, 1))/1000, 'f', 3, 64)})
 	return http1.AppendRequest(nil, c.method, c.target, f, c.body)
 }
 
--- a/internal/control/scheduler/waitingattempts_test.go
+++ b/internal/control/scheduler/waitingattempts_test.go
@@ -144,7 +144,7 @@
 			t.Error("got a request on a new connection, want the first one to be reused")
 		}
 		h.onLoop(func() {
-			if p := h.scheduler.pool; p.dialTimeout != defaultDialTimeout || p.maxIdle != defaultConnIdle*idleKeepFraction {
+			if p := h.scheduler.pool; p.dialTimeout != defaultDialTimeout || p.maxIdle != defaultIdleTimeout*idleKeepFraction {
 				t.Error(p.dialTimeout, p.idleConns)
 			}
 		})
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -10,8 +10,8 @@
 	minTotalDepth     = 6.0
 	sampleDecay       = 0.6    // part of the weight of a node's samples that is left after a second
 	sparseSampleDecay = 0.9    // the same while they are fewer than minSamples
-	answerSpan        = 3000.0 // age, ms, above which an answer is removed from the samples of all nodes
-	maxNewerAnswers   = 31     // number of newer answers that push one out of these samples
+	sampleSpan        = 3000.0 // age, ms, above which an answer is removed from the samples of all nodes
+	maxNewerSamples   = 31     // number of newer answers that push one out of these samples
 	priorWeight       = 2.0    // samples that the median of all nodes counts as in the mean of one
 	rankJitter        = 0.1    // relative spread given to equal values, so that a cutoff can separate them
 	minFraction       = 0.2    // lower bound of a depth below 1; without any sends, nothing would be learnt about a node
--- a/policy/depth.go
+++ b/policy/depth.go
@@ -15,7 +15,7 @@
 // did not cause that time.
 func (p *scheduler) updateDepth(sh *shard) {
 	target := p.minLatencyTarget()
-	mean, limited := p.meanServiceTime(sh), sh.depthLimited
+	mean, wasLimited := p.meanServiceTime(sh), sh.depthLimited
 	output := mean / target
 	sh.depthLimited = false
 	sh.meetsTargetAtMaxDepth = sh.servedTime.n >= minSamples && sh.servedTime.mean(p.medianTime, priorWeight)*maxDepth <= targetFraction*target
@@ -25,7 +25,7 @@
 	} else {
 		sh.serviceTime.decay(sampleDecay)
 	}
-	samples := sh.serviceTime.n + float64(len(p.answers))
+	samples := sh.serviceTime.n + float64(len(p.serviceSamples))
 	if sh.depth < 1 {
 		sh.depth += depthRecovery / (1 + samples) * (1 - sh.depth)
 	}
@@ -34,7 +34,7 @@
 	}
 	lastOutput := sh.prevOutput
 	sh.prevOutput = output
-	if !limited && sh.depth >= 1 && output < targetFraction {
+	if !wasLimited && sh.depth >= 1 && output < targetFraction {
 		return
 	}
 	sh.depthModel.update([]float64{lastOutput, sh.depth / maxDepth * depthScale, 1}, output)
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -47,7 +47,7 @@
 // selectNext returns the next request that may be sent, nil if there is none: retries first, then
 // the flow with the smallest start tag, then deferred requests.
 func (p *scheduler) selectNext(sh *shard) *request {
-	for _, r := range sh.retries.all {
+	for _, r := range sh.retries.entries {
 		if r != nil && p.maySend(r, sh) {
 			return r
 		}
@@ -81,7 +81,7 @@
 		return nil
 	}
 	examined, limited, opensAt := 0, 0, math.Inf(1)
-	for _, r := range sh.deferred.all {
+	for _, r := range sh.deferred.entries {
 		if r == nil {
 			continue
 		}
@@ -149,7 +149,7 @@
 	p.markTouched(sh)
 	sh.remove(r)
 	if p.chargeLimit(r); r.attempts > 0 && p.settings.Rules.HasBudget {
-		p.resends.add(p.now, 1)
+		p.recentRetries.add(p.now, 1)
 	}
 	n.recentSends.add(p.now, r.Units)
 	n.recentSends.since(p.now - p.coldWindow())
--- a/policy/estimate.go
+++ b/policy/estimate.go
@@ -113,12 +113,12 @@
 
 // weightedSystem returns, for each output, the gains of the shares and the deviation from the
 // reference. The rows of the latencies are multiplied by latencyWeight.
-func (g *shareRegulator) weightedSystem(reference []float64, latencyWeight float64) (gains [][]float64, deviation []float64) {
+func (g *shareRegulator) weightedSystem(reference []float64, inverseLatencyWeight float64) (gains [][]float64, deviation []float64) {
 	n := len(g.share)
 	for i := range 2 * n {
 		weight := 1.0
 		if i >= n {
-			weight = latencyWeight
+			weight = inverseLatencyWeight
 		}
 		row := make([]float64, n)
 		for k := range row {
@@ -129,17 +129,17 @@
 	return gains, deviation
 }
 
-// valueCutoff returns the value of a unit above which that fraction of the units lies, for demands
+// rankCutoff returns the value of a unit above which that fraction of the units lies, for demands
 // in descending order of value, and the fraction of further such demands that is expected to lie
 // above it.
-func valueCutoff(demands []demand, fraction float64) (cutoff, fractionAbove float64) {
+func rankCutoff(demands []demand, fraction float64) (cutoff, fractionAbove float64) {
 	remaining := 0.0
 	for _, a := range demands {
 		remaining += fraction * a.units
 	}
 	for i, a := range demands {
 		if remaining -= a.units; remaining < 0 {
-			return a.value, float64(i+1) / float64(len(demands)+1)
+			return a.rank, float64(i+1) / float64(len(demands)+1)
 		}
 	}
 	return 0, 1
--- a/policy/fairqueue.go
+++ b/policy/fairqueue.go
@@ -11,32 +11,32 @@
 // fifo is a list of requests in order of arrival. Removal by slot takes constant amortized time: it
 // leaves a gap, and the list is compacted when more than half of it is gaps.
 type fifo struct {
-	all  []*request // nil: a gap
-	gaps int
+	entries []*request // nil: a gap
+	gaps    int
 }
 
 func (l *fifo) add(r *request) {
-	r.fifo, r.slot = l, len(l.all)
-	l.all = append(l.all, r)
+	r.fifo, r.slot = l, len(l.entries)
+	l.entries = append(l.entries, r)
 }
 
 func (l *fifo) remove(r *request) {
-	l.all[r.slot], r.fifo = nil, nil
-	if l.gaps++; 2*l.gaps > len(l.all) {
+	l.entries[r.slot], r.fifo = nil, nil
+	if l.gaps++; 2*l.gaps > len(l.entries) {
 		l.gaps = 0
-		kept := l.all[:0]
-		for _, x := range l.all {
+		kept := l.entries[:0]
+		for _, x := range l.entries {
 			if x != nil {
 				x.slot = len(kept)
 				kept = append(kept, x)
 			}
 		}
-		clear(l.all[len(kept):])
-		l.all = kept
+		clear(l.entries[len(kept):])
+		l.entries = kept
 	}
 }
 
-func (l *fifo) len() int { return len(l.all) - l.gaps }
+func (l *fifo) len() int { return len(l.entries) - l.gaps }
 
 // flow is the queue of one plan at a shard.
 type flow struct {
@@ -53,7 +53,7 @@
 // limits hold the whole queue, only newly queued requests are examined until the first limit
 // admits a request, so that a long queue of limited volumes isn't scanned at each dispatch.
 func (f *flow) next(p *scheduler, sh *shard) *request {
-	if p.now < f.limitedUntil-timeEpsilon && len(f.fresh) <= len(f.queue)+maxNewerAnswers {
+	if p.now < f.limitedUntil-timeEpsilon && len(f.fresh) <= len(f.queue)+maxNewerSamples {
 		if r := f.nextFresh(p, sh); r != nil {
 			return r
 		}
--- a/policy/health.go
+++ b/policy/health.go
@@ -35,7 +35,7 @@
 		p.addServiceTime(sh, max(outcome.Elapsed-p.extraServiceTime(r), 0))
 		sh.servedTime.add(outcome.Elapsed)
 		n.servedShort.add(p.now, rejectSpan)
-		n.servedLong.add(p.now, answerSpan)
+		n.servedLong.add(p.now, sampleSpan)
 		sh.lastServedSend = max(sh.lastServedSend, r.sentAt)
 		p.cancelOvertaken(sh)
 		p.shares.recordServed(r, p.now-r.arrived)
@@ -45,7 +45,7 @@
 		}
 		n.suspect, n.backoff = false, 0
 	case ServerError:
-		n.errorsLong.add(p.now, answerSpan)
+		n.errorsLong.add(p.now, sampleSpan)
 	case NoAnswer: // the service time is at least Elapsed
 		p.addServiceTime(sh, max(outcome.Elapsed, p.meanServiceTime(sh)))
 		if outcome.Elapsed >= p.minLatencyTarget() {
@@ -60,7 +60,7 @@
 			p.backOff(n, p.backoffScale())
 		}
 	case NoConnection, ConnectionLost:
-		n.errorsLong.add(p.now, answerSpan)
+		n.errorsLong.add(p.now, sampleSpan)
 		// A single lost connection is no sign of a dead process.
 		if outcome.Result == NoConnection || n.errorFraction(p.now) > maxFailedFraction {
 			n.suspect = true
@@ -86,7 +86,7 @@
 	// One slow node must not dominate the samples of all nodes.
 	elapsed = min(elapsed, stuckTargets*p.minLatencyTarget())
 	sh.serviceTime.add(elapsed)
-	p.answers = append(p.answers[max(len(p.answers)-maxNewerAnswers, 0):], serviceSample{p.now, elapsed})
+	p.serviceSamples = append(p.serviceSamples[max(len(p.serviceSamples)-maxNewerSamples, 0):], serviceSample{p.now, elapsed})
 }
 
 // node is what this host knows of a disk server.
@@ -110,8 +110,8 @@
 	if n.errorsLong.n == 0 {
 		return 0
 	}
-	errorsLong := n.errorsLong.value(now, answerSpan)
-	return errorsLong / (errorsLong + n.servedLong.value(now, answerSpan) + priorWeight)
+	errorsLong := n.errorsLong.value(now, sampleSpan)
+	return errorsLong / (errorsLong + n.servedLong.value(now, sampleSpan) + priorWeight)
 }
 
 // serviceSample is the time that an attempt took, ms.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -117,7 +117,7 @@
 	if deferred.len() == 0 {
 		t.Fatal("no request deferred, want some")
 	}
-	if deferred.all[0].flow != 0 {
+	if deferred.entries[0].flow != 0 {
 		t.Errorf("first deferred request is of plan high, want low")
 	}
 	_, _ = low, high
--- a/policy/rate_test.go
+++ b/policy/rate_test.go
@@ -209,12 +209,12 @@
 	lastID := sim.offerLoad(5000, 8000, 0)
 	recordCount := func() int {
 		p := sim.scheduler.(*scheduler)
-		total := len(p.timers) + len(p.arrivals.all) + len(p.resends.all) + len(p.requests) + len(p.answers)
+		total := len(p.timers) + len(p.recentArrivals.entries) + len(p.recentRetries.entries) + len(p.requests) + len(p.serviceSamples)
 		for _, n := range p.nodes {
-			total += len(n.recentSends.all)
+			total += len(n.recentSends.entries)
 		}
 		for _, sh := range p.shards {
-			total += len(sh.deferred.all) + len(sh.retries.all)
+			total += len(sh.deferred.entries) + len(sh.retries.entries)
 		}
 		return total
 	}
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -46,7 +46,7 @@
 		return ReasonAttemptsUsed
 	case n == nil || n.excluded:
 		return ReasonNoNode
-	case r.attempts == 0 && p.now-r.vol.limitedAt < samplePeriod:
+	case r.attempts == 0 && p.now-r.tokenBuckets.limitedAt < samplePeriod:
 		return ReasonLimit
 	case r.attempts > 0 && !p.withinRetryBudget():
 		return ReasonBudget
--- a/policy/request.go
+++ b/policy/request.go
@@ -16,18 +16,18 @@
 	}
 	r.firstTriedAt = p.firstTryTime(q) // the latency of a client's retry counts from its first try
 	r.targetTime = min(r.firstTriedAt+r.class.LatencyTarget, q.Expires)
-	r.vol = p.volumeBuckets(q, &p.settings.Plans[r.flow])
-	if hostDivisor := divisor(q.Hosts, q.Fraction); r.vol.divisor != hostDivisor || r.vol.plan != &p.settings.Plans[r.flow] {
-		p.resizeBuckets(r.vol, &p.settings.Plans[r.flow], hostDivisor)
+	r.tokenBuckets = p.volumeBuckets(q, &p.settings.Plans[r.flow])
+	if hostDivisor := divisor(q.Hosts, q.Fraction); r.tokenBuckets.divisor != hostDivisor || r.tokenBuckets.plan != &p.settings.Plans[r.flow] {
+		p.resizeBuckets(r.tokenBuckets, &p.settings.Plans[r.flow], hostDivisor)
 	}
 	if p.settings.Rules.HasBudget {
-		p.arrivals.add(p.now, 1)
-		p.arrivals.since(p.now - p.settings.Rules.BudgetWindow + p.settings.Tick)
+		p.recentArrivals.add(p.now, 1)
+		p.recentArrivals.since(p.now - p.settings.Rules.BudgetWindow + p.settings.Tick)
 	}
-	p.maxUnits = max(p.maxUnits, q.Units)
+	p.maxUnitsSeen = max(p.maxUnitsSeen, q.Units)
 	r.shard = p.selectShard(q.Shard)
-	latest := max(p.now+maxWaitFraction*(q.Expires-p.now), r.targetTime+lateGraceTargets*r.class.LatencyTarget)
-	r.waitDeadline = min(latest, q.Expires-p.settings.Tick-answerMargin)
+	uncappedDeadline := max(p.now+maxWaitFraction*(q.Expires-p.now), r.targetTime+lateGraceTargets*r.class.LatencyTarget)
+	r.waitDeadline = min(uncappedDeadline, q.Expires-p.settings.Tick-answerMargin)
 	p.setTimer(r.waitDeadline, r, nil)
 	p.valueRequest(r)
 	if c := p.keyQueueOf(r); c != nil {
@@ -105,10 +105,10 @@
 		return
 	}
 	r.Expires = e.Deadline
-	lastAnswer := r.Expires - p.settings.Tick - answerMargin
-	r.waitDeadline = min(r.waitDeadline, lastAnswer)
+	answerDeadline := r.Expires - p.settings.Tick - answerMargin
+	r.waitDeadline = min(r.waitDeadline, answerDeadline)
 	r.shard.earliestExpiry = min(r.shard.earliestExpiry, r.Expires)
-	p.setTimer(lastAnswer, r, nil)
+	p.setTimer(answerDeadline, r, nil)
 }
 
 // checkDeadlines ends r if its time is over: shortly before its expiry if no attempt is
@@ -118,13 +118,13 @@
 	if r.done {
 		return
 	}
-	if lastAnswer := r.Expires - p.settings.Tick - answerMargin; p.now < lastAnswer {
+	if answerDeadline := r.Expires - p.settings.Tick - answerMargin; p.now < answerDeadline {
 		p.releaseKey(r) // its key's hold-off may be over
 		if waitOver := p.now >= r.waitDeadline-timeEpsilon; waitOver && !r.reachedNode && r.outstanding == 0 {
 			p.end(r)
 		} else if waitOver && !r.waitExpired {
 			r.waitExpired = true
-			p.setTimer(lastAnswer, r, nil)
+			p.setTimer(answerDeadline, r, nil)
 		}
 		return
 	}
@@ -132,9 +132,9 @@
 		p.end(r)
 		return
 	}
-	lastOutcome := r.Expires + r.arrivalSettings.Rules.AnswerSlack/2
-	if p.now < lastOutcome { // leaves time for the outcome of an attempt that times out at the expiry
-		p.setTimer(lastOutcome, r, nil)
+	outcomeDeadline := r.Expires + r.arrivalSettings.Rules.AnswerSlack/2
+	if p.now < outcomeDeadline { // leaves time for the outcome of an attempt that times out at the expiry
+		p.setTimer(outcomeDeadline, r, nil)
 		return
 	}
 	p.end(r)
@@ -158,7 +158,7 @@
 	class           *Class
 	flow            int
 	shard           *shard
-	vol             *volumeBuckets
+	tokenBuckets    *volumeBuckets
 	arrived         float64
 	firstTriedAt    float64 // when its client first tried it
 	targetTime      float64 // until then an answer has its full value
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -34,9 +34,9 @@
 func (p *scheduler) retryBudget() (used, allowed float64) {
 	rules := &p.settings.Rules
 	windowStart := p.now - rules.BudgetWindow
-	resends, _ := p.resends.since(windowStart - p.settings.Tick - rules.MaxSendDelay) // an attempt may start that much after its Send
-	arrivals, _ := p.arrivals.since(windowStart + p.settings.Tick)
-	return float64(resends), rules.BudgetBase + rules.BudgetRatio*float64(arrivals)
+	recentRetries, _ := p.recentRetries.since(windowStart - p.settings.Tick - rules.MaxSendDelay) // an attempt may start that much after its Send
+	recentArrivals, _ := p.recentArrivals.since(windowStart + p.settings.Tick)
+	return float64(recentRetries), rules.BudgetBase + rules.BudgetRatio*float64(recentArrivals)
 }
 
 // dedupUntil returns until when the nodes surely drop repeats of r, which may have run.
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -36,9 +36,9 @@
 	p.subscribe()
 	p.updateArrivalRate()
 	p.rankedDemand = append(p.rankedDemand[:0], p.recentDemand...)
-	slices.SortFunc(p.rankedDemand, func(a, b demand) int { return cmp.Compare(b.value, a.value) })
-	p.medianTime = medianServiceTime(p.answers, p.minLatencyTarget()*targetFraction/2)
-	if len(p.answers) >= minSamples {
+	slices.SortFunc(p.rankedDemand, func(a, b demand) int { return cmp.Compare(b.rank, a.rank) })
+	p.medianTime = medianServiceTime(p.serviceSamples, p.minLatencyTarget()*targetFraction/2)
+	if len(p.serviceSamples) >= minSamples {
 		p.unloadedServiceTime = min(p.unloadedServiceTime+unloadedGain*(p.medianTime-p.unloadedServiceTime), p.medianTime)
 	}
 	for _, sh := range p.shards {
@@ -46,7 +46,7 @@
 		p.dispatchWaiting(sh)
 	}
 	p.rebuildIndex()
-	p.answers = slices.DeleteFunc(p.answers, func(a serviceSample) bool { return p.now-a.recordedAt > answerSpan })
+	p.serviceSamples = slices.DeleteFunc(p.serviceSamples, func(a serviceSample) bool { return p.now-a.recordedAt > sampleSpan })
 	p.shares.step()
 	p.removeIdle(volumeIdleTime)
 }
@@ -69,15 +69,15 @@
 	timers              timerHeap
 	staleTimers         int     // timers of requests that are over
 	wakeAt              float64 // time of the earliest "wake" timer that is set
-	resends             window  // attempts beyond the first
-	arrivals            window
+	recentRetries       window  // attempts beyond the first
+	recentArrivals      window
 	unserved            map[retryKey]unservedRequest // unserved requests that their clients may still retry
-	maxUnits            float64                      // largest request so far
+	maxUnitsSeen        float64                      // largest request so far
 	limitOpensAt        float64                      // set by maySend: when the volume's limit admits the request; 0: it does not hold it
 	subscribed          bool
 	lastSubscribe       float64
 	shares              shareRegulator
-	answers             []serviceSample // recent answers of all nodes
+	serviceSamples      []serviceSample // recent answers of all nodes
 	medianTime          float64         // median service time of answers
 	unloadedServiceTime float64         // estimate of medianTime without queueing
 	unitsSinceUpdate    float64         // units that arrived since rateUpdatedAt
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -77,7 +77,7 @@
 	if sendsByNode["n0"] > 100 || sendsByNode["n1"]+sendsByNode["n2"] < 200 {
 		t.Errorf("sends by node %v, want at most 100 to n0 and at least 200 to the others", sendsByNode)
 	}
-	if h.advance(10 * answerSpan); h.scheduler.nodes["n0"].errorFraction(h.now) > 0.001 {
+	if h.advance(10 * sampleSpan); h.scheduler.nodes["n0"].errorFraction(h.now) > 0.001 {
 		t.Error("error fraction of n0 above 0.001 after ten times answerSpan without errors")
 	}
 }
--- a/policy/shares.go
+++ b/policy/shares.go
@@ -167,10 +167,10 @@
 	}
 	models, output := g.models, g.output
 	g.models, g.output = nil, make([]float64, 2*n+2)
-	for half := range 2 {
+	for outputKind := range 2 {
 		for i := range n {
-			g.output[half*(n+1)+i] = output[half*n+i]
-			g.models = append(g.models, models[half*n+i].withCoefficient(n+1))
+			g.output[outputKind*(n+1)+i] = output[outputKind*n+i]
+			g.models = append(g.models, models[outputKind*n+i].withCoefficient(n+1))
 		}
 		theta := make([]float64, n+3)
 		theta[0], theta[1+n] = initialOwnGain, initialShareGain
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -16,12 +16,12 @@
 	return min(sh.depth, coldFraction)
 }
 
-// minAdmittedValue returns the rank above which that fraction of the recent demand lies.
-func (p *scheduler) minAdmittedValue(fraction float64) float64 {
+// minAdmittedRank returns the rank above which that fraction of the recent demand lies.
+func (p *scheduler) minAdmittedRank(fraction float64) float64 {
 	if fraction >= 1 {
 		return 0
 	}
-	cutoff, _ := valueCutoff(p.rankedDemand, fraction)
+	cutoff, _ := rankCutoff(p.rankedDemand, fraction)
 	return cutoff
 }
 
@@ -44,31 +44,31 @@
 // The walk is skipped if the bounds show that it would change nothing. A queue longer than
 // longQueue is walked at most once per minWalkInterval.
 func (p *scheduler) shed(sh *shard) {
-	serviceTime, minValue := p.expectedServiceTime(sh), p.minAdmittedValue(p.admittedFraction(sh))
-	maxExtra := max(p.unloadedServiceTime*(p.maxUnits/p.settings.MeanUnits-1), 0)
-	allInTime := minValue == 0 && p.now+p.expectedWait(sh, sh.queuedUnits/p.settings.MeanUnits)+serviceTime+maxExtra+answerMargin <= sh.earliestTarget
+	serviceTime, minRank := p.expectedServiceTime(sh), p.minAdmittedRank(p.admittedFraction(sh))
+	maxExtra := max(p.unloadedServiceTime*(p.maxUnitsSeen/p.settings.MeanUnits-1), 0)
+	allInTime := minRank == 0 && p.now+p.expectedWait(sh, sh.queuedUnits/p.settings.MeanUnits)+serviceTime+maxExtra+answerMargin <= sh.earliestTarget
 	noneExpire := p.now+serviceTime+maxExtra+answerMargin <= sh.earliestExpiry
 	if allInTime && noneExpire || sh.waiting > longQueue && p.now-sh.lastWalk < minWalkInterval {
 		return
 	}
 	sh.lastWalk = p.now
-	p.shedQueues(sh, serviceTime, minValue)
+	p.shedQueues(sh, serviceTime, minRank)
 	p.shedDeferred(sh, serviceTime)
 }
 
 // shedQueues defers requests in sh's retries and flows that rank below minValue, exceed the slow
 // start of its node or would miss their target time.
-func (p *scheduler) shedQueues(sh *shard, serviceTime, minValue float64) {
+func (p *scheduler) shedQueues(sh *shard, serviceTime, minRank float64) {
 	_, coldFraction, warming := p.shardSlowStart(sh)
 	walkBuffer := sh.walkBuffer
 	sh.walkBuffer = nil // ending a request may start a nested walk
-	all := sh.queuedByValue(walkBuffer)
+	entries := sh.queuedByValue(walkBuffer)
 	ahead, earliest := 0.0, math.Inf(1)
 	enqueueCount := sh.enqueueCount
 	check := func(r *request) {
 		switch {
 		case r == nil || !r.queued: // ended or sent by a nested call
-		case r.rank < minValue, warming && !p.inTopFraction(r, coldFraction):
+		case r.rank < minRank, warming && !p.inTopFraction(r, coldFraction):
 			sh.depthLimited = true
 			p.deferRequest(sh, r)
 		case p.now+ahead*serviceTime/max(sh.depth, 1)+serviceTime+p.extraServiceTime(r) > r.targetTime:
@@ -78,14 +78,14 @@
 			earliest = min(earliest, r.targetTime)
 		}
 	}
-	for _, r := range slices.Clone(sh.retries.all) {
+	for _, r := range slices.Clone(sh.retries.entries) {
 		check(r)
 	}
-	for _, r := range all {
+	for _, r := range entries {
 		check(r)
 	}
-	clear(all)
-	sh.walkBuffer = all
+	clear(entries)
+	sh.walkBuffer = entries
 	if sh.enqueueCount == enqueueCount { // no request was queued that this walk has not seen
 		sh.earliestTarget = earliest
 	}
@@ -96,7 +96,7 @@
 // clears the queue of a stalled node, at the cost of requests that it could still have served late.
 func (p *scheduler) shedDeferred(sh *shard, serviceTime float64) {
 	earliest, deferCount := math.Inf(1), sh.deferCount
-	for _, r := range slices.Clone(sh.deferred.all) {
+	for _, r := range slices.Clone(sh.deferred.entries) {
 		switch {
 		case r == nil || !r.queued:
 		case p.now+serviceTime+p.extraServiceTime(r) > r.Expires:
@@ -126,7 +126,7 @@
 }
 
 // demand is the rank and size of a request that arrived.
-type demand struct{ value, units float64 }
+type demand struct{ rank, units float64 }
 
 // queuedByValue merges the queues of the shard's flows into one in the order of byValue; equal
 // requests are ordered by flow. It reuses buf.
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -10,9 +10,9 @@
 	// below the overload threshold of a cold node: about one overload window in 100,000 exceeds it,
 	// and a fleet can have hundreds of cold nodes, each for about ten windows.
 	coldMarginSigmas = 4.5
-	// smallColdLoad is the capacity, in requests, below which the overload threshold lies three
+	// smallColdCapacity is the capacity, in requests, below which the overload threshold lies three
 	// standard deviations above it instead of two.
-	smallColdLoad = 30.0
+	smallColdCapacity = 30.0
 	// rateSmoothing is the weight of the newest second in this host's smoothed rate. rateMemory is
 	// the equivalent averaging time, ms: 2/rateSmoothing - 1 seconds.
 	rateSmoothing = 0.1
@@ -61,7 +61,7 @@
 // deviation is the square root of its mean.
 func maxColdMean(capacity float64) float64 {
 	overload := capacity + 2*math.Sqrt(capacity) + 2
-	if capacity < smallColdLoad {
+	if capacity < smallColdCapacity {
 		overload = capacity + 3*math.Sqrt(capacity) + 3
 	}
 	sqrtMean := (math.Sqrt(coldMarginSigmas*coldMarginSigmas+4*overload) - coldMarginSigmas) / 2
@@ -75,7 +75,7 @@
 	if fraction >= 1 {
 		return true
 	}
-	cutoff, above := valueCutoff(p.rankedDemand, fraction)
+	cutoff, above := rankCutoff(p.rankedDemand, fraction)
 	if fraction <= 0 || r.rank < cutoff {
 		return false
 	}
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -8,7 +8,7 @@
 // Timers of requests and shards.
 
 type timer struct {
-	at  float64
+	due float64
 	req *request
 	sh  *shard
 }
@@ -20,7 +20,7 @@
 
 func (h timerHeap) Len() int { return len(h) }
 
-func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Less(i, j int) bool { return h[i].due < h[j].due }
 
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
@@ -35,27 +35,27 @@
 
 // setTimer schedules a check of r's deadlines or a dispatch of sh. A shard has one timer, the
 // earliest; later ones are dropped.
-func (p *scheduler) setTimer(at float64, r *request, sh *shard) {
+func (p *scheduler) setTimer(due float64, r *request, sh *shard) {
 	if sh != nil {
-		if sh.timerAt > p.now && sh.timerAt <= at {
+		if sh.timerAt > p.now && sh.timerAt <= due {
 			return
 		}
-		sh.timerAt = at
+		sh.timerAt = due
 	}
-	heap.Push(&p.timers, timer{at, r, sh})
+	heap.Push(&p.timers, timer{due, r, sh})
 }
 
 // runTimers runs the timers that are due, removes those of ended requests if they are more than
 // half of many, and sets the caller's timer for the next.
 func (p *scheduler) runTimers() {
-	for len(p.timers) > 0 && p.timers[0].at <= p.now {
+	for len(p.timers) > 0 && p.timers[0].due <= p.now {
 		t := heap.Pop(&p.timers).(timer)
 		if t.req != nil {
 			if t.req.over() {
 				p.staleTimers--
 			}
 			p.checkDeadlines(t.req)
-		} else if t.at == t.sh.timerAt {
+		} else if t.due == t.sh.timerAt {
 			p.dispatch(t.sh)
 		}
 	}
@@ -64,8 +64,8 @@
 		p.staleTimers = 0
 		heap.Init(&p.timers)
 	}
-	if len(p.timers) > 0 && p.timers[0].at < p.wakeAt {
-		p.wakeAt = p.timers[0].at
+	if len(p.timers) > 0 && p.timers[0].due < p.wakeAt {
+		p.wakeAt = p.timers[0].due
 		p.emit(SetTimer{max(p.wakeAt-p.now, 0), "wake"})
 	}
 }
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -54,11 +54,11 @@
 func (p *scheduler) valueRequest(r *request) {
 	plan := &p.settings.Plans[r.flow]
 	factor := p.settings.SpareFactor
-	if plan.Reserve > 0 && r.vol.reserveLevel >= r.Units {
-		r.vol.reserveLevel -= r.Units
+	if plan.Reserve > 0 && r.tokenBuckets.reserveLevel >= r.Units {
+		r.tokenBuckets.reserveLevel -= r.Units
 		factor = 1
-	} else if r.vol.fairLevel >= r.Units || plan.Rate == 0 {
-		r.vol.fairLevel -= r.Units
+	} else if r.tokenBuckets.fairLevel >= r.Units || plan.Rate == 0 {
+		r.tokenBuckets.fairLevel -= r.Units
 		factor = p.settings.FairFactor
 	}
 	r.value = r.class.Value * plan.Price * factor
@@ -71,11 +71,11 @@
 // withinLimit reports whether the limit of r's volume lets r go from this host; if not, it sets a
 // timer for when the bucket will have filled far enough.
 func (p *scheduler) withinLimit(r *request, sh *shard) bool {
-	if r.vol.plan.Limit <= 0 || r.charged {
+	if r.tokenBuckets.plan.Limit <= 0 || r.charged {
 		return true
 	}
-	buckets := p.volumeBuckets(r.Request, r.vol.plan)
-	r.vol = buckets // the old record may have been dropped as idle
+	buckets := p.volumeBuckets(r.Request, r.tokenBuckets.plan)
+	r.tokenBuckets = buckets // the old record may have been dropped as idle
 	if deficit := buckets.limitFloor + r.Units - buckets.limitLevel; deficit > 0 {
 		p.limitOpensAt, buckets.limitedAt = p.now+deficit/buckets.limitRate*1000, p.now
 		p.setTimer(p.limitOpensAt+answerMargin, nil, sh)
@@ -92,20 +92,20 @@
 		return
 	}
 	r.charged = true
-	if r.vol.plan.Limit <= 0 {
+	if r.tokenBuckets.plan.Limit <= 0 {
 		return
 	}
-	r.vol.limitLevel -= r.Units // just refilled by withinLimit
+	r.tokenBuckets.limitLevel -= r.Units // just refilled by withinLimit
 	if p.settings.Rules.MaxSendDelay > 0 {
 		r.pending = r.Units
-		r.vol.pending += r.Units
+		r.tokenBuckets.pending += r.Units
 	}
 }
 
 // settlePending ends the pending state of r's units, after its attempt has ended.
 func (p *scheduler) settlePending(r *request) {
-	p.volumeBuckets(r.Request, r.vol.plan) // refill first, with the units still pending
-	r.vol.pending = max(r.vol.pending-r.pending, 0)
+	p.volumeBuckets(r.Request, r.tokenBuckets.plan) // refill first, with the units still pending
+	r.tokenBuckets.pending = max(r.tokenBuckets.pending-r.pending, 0)
 	r.pending = 0
 }
 
@@ -116,8 +116,8 @@
 	if p.settings.Rules.MaxSendDelay <= 0 || r.reachedNode || !r.charged {
 		return
 	}
-	if r.charged = false; result == NoConnection && r.vol.plan.Limit > 0 {
-		r.vol.limitLevel = min(r.vol.limitLevel+r.Units, r.vol.limitCap)
+	if r.charged = false; result == NoConnection && r.tokenBuckets.plan.Limit > 0 {
+		r.tokenBuckets.limitLevel = min(r.tokenBuckets.limitLevel+r.Units, r.tokenBuckets.limitCap)
 	}
 }
 
