--- a/internal/control/settings/api.go
+++ b/internal/control/settings/api.go
@@ -17,12 +17,13 @@
 	"merlinhitch/internal/storage/audit"
 )
 
-// Handler serves the settings. GET /settings returns those in force, PUT takes new ones,
-// made from the version that they carry; ?merge=1 merges them with what came between,
-// ?why= says the reason. A stale version is answered 409, faulty settings 422 with the
-// list of faults. /settings/log, /at, /diff, /verify and POST /settings/revert are over
-// the record. by tells who calls; the clock is the wall's, ms since 1970. No answer has
-// a secret in it.
+// Handler serves the settings API. GET /settings returns the settings in force; PUT
+// /settings submits settings that were edited from the version which they carry, with
+// ?merge=1 to merge them with changes accepted since and ?why= for the audit log. A stale
+// version is answered with 409, faulty settings with 422 and the list of faults. GET
+// /settings/log, /settings/at, /settings/diff and /settings/verify and POST
+// /settings/revert use the audit log. by returns the author of a request and clock the
+// wall clock in ms since 1970. No answer contains a secret.
 func Handler(st *Store, by func(*http.Request) Author, now func() int64) http.Handler {
 	h := &handler{st, by, now}
 	mux := http.NewServeMux()
@@ -63,7 +64,7 @@
 	writeResult(w, err, func() any { return s.Redacted() })
 }
 
-// queryUint reads a version or the like from the query.
+// queryUint returns a numeric parameter of the query, none if it is absent.
 func queryUint(r *http.Request, name string, none uint64) (uint64, error) {
 	t := r.URL.Query().Get(name)
 	if t == "" {
@@ -71,7 +72,7 @@
 	}
 	n, err := strconv.ParseUint(t, 10, 64)
 	if err != nil {
-		return 0, &FaultsError{[]Fault{{name, fmt.Sprintf("%.40q is no number", t)}}}
+		return 0, &FaultsError{[]Fault{{name, fmt.Sprintf("%.40q is not a number", t)}}}
 	}
 	return n, nil
 }
@@ -85,7 +86,7 @@
 	writeResult(w, err, func() any { return s.Redacted() })
 }
 
-// maxLogRecords bounds the records of one answer.
+// maxLogRecords bounds the audit records of one answer.
 const maxLogRecords = 1000
 
 func (h *handler) log(w http.ResponseWriter, r *http.Request) {
@@ -119,17 +120,17 @@
 	writeResult(w, err, func() any { return changes })
 }
 
-// Verification is what a sound record says of itself.
+// Verification is the result of verifying an intact audit log.
 type Verification struct {
 	Records        uint64     `json:"records"`
 	Version        uint64     `json:"version"`
 	Head           audit.Hash `json:"head"`
 	ClockStepsBack int        `json:"clock_stepped_back"`
-	// SnapshotBehind says why the snapshot is behind the record, "" if it is not.
+	// SnapshotBehind is why the snapshot is behind the audit log, "" if it is not.
 	SnapshotBehind string `json:"snapshot_behind,omitempty"`
 }
 
-// NewVerification is what the end of a sound chain says.
+// NewVerification returns the result for the end of an intact chain of records.
 func NewVerification(c audit.Chain) Verification {
 	return Verification{Records: c.Seq, Version: c.Version, Head: c.Hash, ClockStepsBack: c.Back}
 }
@@ -145,7 +146,7 @@
 	})
 }
 
-// writeResult says what came of a call.
+// writeResult writes the value of a successful call, or an error with its HTTP status.
 func writeResult(w http.ResponseWriter, err error, good func() any) {
 	var faults *FaultsError
 	var stale *StaleError
@@ -177,22 +178,22 @@
 	Broken *audit.BrokenError `json:"broken,omitempty"`
 }
 
-// WriteJSON answers a call of the admin API with JSON.
+// WriteJSON writes an answer of the admin API as JSON.
 func WriteJSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
-	e.Encode(v) // a client that has left needs no answer
+	e.Encode(v) // an error means that the client has disconnected
 }
 
-// API is a client of a gateway's admin address: host:port, or unix:PATH.
+// API is a client of a gateway's admin API.
 type API struct {
 	base   string
 	client *http.Client
 }
 
-// NewAPI returns a client of that address.
+// NewAPI returns a client of the admin API at host:port or unix:PATH.
 func NewAPI(addr string) *API {
 	if path, ok := strings.CutPrefix(addr, "unix:"); ok {
 		t := &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -204,7 +205,7 @@
 	return &API{"http://" + addr, &http.Client{Transport: &http.Transport{}}}
 }
 
-// NewTLSAPI returns a client of an admin address that is served over TLS.
+// NewTLSAPI returns a client of the admin API at host:port, served over TLS.
 func NewTLSAPI(addr string, c *tls.Config) *API {
 	return &API{"https://" + addr, &http.Client{Transport: &http.Transport{TLSClientConfig: c, ForceAttemptHTTP2: false}}}
 }
@@ -215,11 +216,11 @@
 	return s, a.call(ctx, http.MethodGet, "/settings", nil, s)
 }
 
-// ChangeOptions goes with a change.
+// ChangeOptions holds the parameters of a change beside the settings.
 type ChangeOptions struct {
 	Why   string
-	Who   string // believed, and recorded as claimed, only where nothing better is known
-	Merge bool   // with what came between, if nothing collides
+	Who   string // recorded, as claimed, only if the gateway can't identify the caller itself
+	Merge bool   // merge with changes accepted since, if nothing collides
 }
 
 func (k ChangeOptions) query() string {
@@ -230,7 +231,7 @@
 	return "?" + q.Encode()
 }
 
-// Put hands in new settings and returns them as they are in force.
+// Put submits settings and returns them as they are in force.
 func (a *API) Put(ctx context.Context, s *Settings, ask ChangeOptions) (*Settings, error) {
 	b, err := json.Marshal(s)
 	if err != nil {
@@ -240,28 +241,28 @@
 	return now, a.call(ctx, http.MethodPut, "/settings"+ask.query(), b, now)
 }
 
-// Revert puts a former version in force again.
+// Revert puts the settings of a former version in force again and returns them.
 func (a *API) Revert(ctx context.Context, to uint64, ask ChangeOptions) (*Settings, error) {
 	now := &Settings{}
 	return now, a.call(ctx, http.MethodPost, fmt.Sprintf("/settings/revert%s&to=%d", ask.query(), to), nil, now)
 }
 
-// Read fetches another page of the API, such as /rates, into a value.
+// Read decodes another resource of the API, such as /rates, into a value.
 func (a *API) Read(ctx context.Context, path string, into any) error {
 	return a.call(ctx, http.MethodGet, path, nil, into)
 }
 
-// Call has the gateway do something that needs nothing more than its path.
+// Call posts to a path of the API that takes no body.
 func (a *API) Call(ctx context.Context, path string) error {
 	var said map[string]string
 	return a.call(ctx, http.MethodPost, path, nil, &said)
 }
 
-// Close lets go of idle connections.
+// Close closes idle connections.
 func (a *API) Close() { a.client.CloseIdleConnections() }
 
-// call makes one call. A refused change is a *FaultsError
-// or a *StaleError.
+// call makes one request. A refused change is returned as a *FaultsError or *StaleError, a
+// damaged audit log as an *audit.BrokenError.
 func (a *API) call(ctx context.Context, method, path string, body []byte, into any) error {
 	req, err := http.NewRequestWithContext(ctx, method, a.base+path, bytes.NewReader(body))
 	if err != nil {
--- a/internal/control/settings/example.go
+++ b/internal/control/settings/example.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Example returns working settings for that many hosts and shards: three plans,
-// and classes of every effect, the figures those of a small fuel card service.
+// Example returns valid settings of a small fuel card service for a number of hosts and
+// shards: three plans, classes of every effect and four volumes per shard.
 func Example(hosts, shards int) *Settings {
 	s := &Settings{
 		Hosts: hosts, Shards: shards, UnitBytes: 16384, MeanUnits: 2, MaxUnits: 6, FairFactor: 1, SpareFactor: 0.05,
--- a/internal/control/settings/ledger.go
+++ b/internal/control/settings/ledger.go
@@ -14,22 +14,23 @@
 	"merlinhitch/internal/storage/durable"
 )
 
-// Author says who changes something, when and why.
+// Author describes who makes a change, why and when, for the audit log.
 type Author struct {
 	Who, Why string
 	TimeMS   int64 // wall clock, ms since 1970
-	// ReadOnlyPaths are paths at and below which the author may change nothing.
+	// ReadOnlyPaths are the paths at and below which the author may not change anything.
 	ReadOnlyPaths []string
 }
 
-// ForbiddenError says that an author may not change something.
+// ForbiddenError reports a change of a path that its author may not change.
 type ForbiddenError struct{ Who, Path string }
 
 func (e *ForbiddenError) Error() string {
 	return fmt.Sprintf("settings: %s may not change %s", e.Who, e.Path)
 }
 
-// checkAllowed finds a change that its author may not make.
+// checkAllowed returns a *ForbiddenError if a change is at, below or above a read-only path.
+// One above it counts if it adds or removes an object that has the path's field.
 func (by *Author) checkAllowed(changes []audit.Change) error {
 	for _, c := range changes {
 		for _, p := range by.ReadOnlyPaths {
@@ -42,16 +43,16 @@
 	return nil
 }
 
-// hasField tells whether an object hasField a field.
+// hasField reports whether a JSON object has a field.
 func hasField(object json.RawMessage, field string) bool {
 	var m map[string]json.RawMessage
 	return json.Unmarshal(object, &m) == nil && m[field] != nil
 }
 
-// SecretPaths are where secrets stand.
+// SecretPaths are the paths of settings that hold secrets.
 var SecretPaths = []string{"target.chap", "target.mutual"}
 
-// recordLog is where records are kept: audit.Store or audit.Memory.
+// recordLog stores audit records: an audit.Store or an audit.Memory.
 type recordLog interface {
 	Append(*audit.Record) error
 	Each(from uint64, f func(*audit.Record) error) error
@@ -59,34 +60,34 @@
 	Close() error
 }
 
-// maxMemoryRecords is how many records a store without a file knows.
+// maxMemoryRecords is the number of audit records that a store without a file keeps.
 const maxMemoryRecords = 1024
 
-// Store keeps the settings in force and the record of how they came about. A change is
-// accepted once its record is kept; the snapshot follows, and a start after a crash
-// between the two brings it up to the record.
+// Store holds the settings in force, their snapshot and the audit log of their changes. A
+// change is accepted once its audit record is stored. The snapshot is written after it; if
+// a crash comes between the two, Open brings the snapshot up to date from the log.
 type Store struct {
 	mu          sync.Mutex
 	file        string
 	key         *Key
 	records     recordLog
 	current     *Settings
-	snapshotErr error // why the snapshot is behind the record
-	appendErr   error // why it is not known whether the last change is in the record
+	snapshotErr error // why the snapshot is behind the audit log
+	appendErr   error // set while it is unknown whether the last change is in the audit log
 	watchers    []func(*Settings)
 	validate    func(old, next *Settings) []Fault
 }
 
-// auditSuffix goes behind a snapshot's name: the file of its record.
+// auditSuffix is appended to a snapshot's file name for the file of its audit log.
 const auditSuffix = ".audit"
 
-// Open reads the snapshot in file and the record beside it; without any the store is
-// empty. File "" keeps nothing beyond the process. Secrets are sealed with the key.
+// Open reads the snapshot in file and its audit log; if there are none the store is empty.
+// File "" means a store in memory only. Secrets are sealed with the key.
 func Open(file string, k *Key) (*Store, error) {
 	st := &Store{file: file, key: k}
 	if file == "" {
 		st.records = audit.NewMemory(maxMemoryRecords)
-		if k == nil { // nobody reads the seals later, but a changed secret must show
+		if k == nil { // seals are never opened in memory, but make changed secrets differ
 			var b [minKeyBytes]byte
 			rand.Read(b[:]) // never fails
 			st.key, _ = NewKey(b[:])
@@ -112,21 +113,22 @@
 	return st, nil
 }
 
-// resolveAppend finds out whether the change whose append failed stands in the record, before
-// another may follow it: the record's file is written anew, for after a failed sync nothing
-// tells what of it is on the disk. A change that stands comes into force, as at a start.
-// While the disk fails still, the error says so and what is in force stays. Held: mu.
+// resolveAppend determines after a failed append whether the change is in the audit log,
+// before the next change follows it. The log's file is rewritten, since after a failed sync
+// it is unknown what of it is on the disk. A change that is in the log comes into force, as
+// it would in Open. While the disk still fails, an error is returned and the settings in
+// force stay. The caller must hold mu.
 func (st *Store) resolveAppend() error {
 	if st.appendErr == nil {
 		return nil
 	}
 	st.records.Close()
 	rewritten := audit.Rewrite(st.file + auditSuffix)
-	if err := st.reopen(); err != nil { // also after an error, for who reads the record
+	if err := st.reopen(); err != nil { // also after an error, so that the log can be read
 		return err
 	}
 	if rewritten != nil {
-		return fmt.Errorf("settings: the record can't be written: %w", rewritten)
+		return fmt.Errorf("settings: audit log can't be rewritten: %w", rewritten)
 	}
 	before := st.version()
 	now, err := st.catchUp(st.current)
@@ -148,7 +150,8 @@
 	return err
 }
 
-// activate puts settings that are in the record in force. Held: mu.
+// activate puts settings whose audit record is stored in force and calls the watchers. The
+// caller must hold mu.
 func (st *Store) activate(s *Settings) {
 	st.current = s
 	for _, f := range st.watchers {
@@ -156,7 +159,7 @@
 	}
 }
 
-// version is 0 where there are no settings.
+// version returns 0 for nil settings.
 func (s *Settings) version() uint64 {
 	if s == nil {
 		return 0
@@ -164,11 +167,12 @@
 	return s.Version
 }
 
-// catchUp brings a snapshot up to the record.
+// catchUp applies the audit records that are newer than a snapshot to it and saves it. A
+// snapshot without an audit log becomes the log's first record.
 func (st *Store) catchUp(s *Settings) (*Settings, error) {
 	end := st.records.Chain()
 	version := s.version()
-	if end.Seq == 0 && s != nil { // from before there were records
+	if end.Seq == 0 && s != nil { // the snapshot has no audit log yet
 		tree, err := s.tree(st.key)
 		if err != nil {
 			return nil, err
@@ -178,7 +182,7 @@
 		return s, st.records.Append(r)
 	}
 	if version > end.Version {
-		return nil, &DamagedError{st.file, fmt.Sprintf("it is of version %d, its record ends at version %d", version, end.Version)}
+		return nil, &DamagedError{st.file, fmt.Sprintf("it has version %d, but its audit log ends at version %d", version, end.Version)}
 	}
 	if version == end.Version {
 		return s, nil
@@ -200,47 +204,49 @@
 		return nil, err
 	}
 	if audit.StateHash(tree) != last {
-		return nil, &DamagedError{st.file, "with its record it does not lead to what was in force"}
+		return nil, &DamagedError{st.file, "with its audit log applied it differs from the recorded state"}
 	}
 	if s, err = fromTree(tree, end.Version, st.key); err != nil {
 		return nil, err
 	}
-	st.snapshotErr = Save(st.file, s, st.key) // the next start does it then
+	st.snapshotErr = Save(st.file, s, st.key) // after an error the next Open saves it
 	return s, nil
 }
 
-// Close lets go of the record.
+// Close closes the audit log.
 func (st *Store) Close() error { return st.records.Close() }
 
-// Get returns the settings in force, nil before the first. They don't change.
+// Get returns the settings in force, nil before the first. They must not be modified.
 func (st *Store) Get() *Settings {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.current
 }
 
-// Watch calls f with every settings put from now on, in order.
+// Watch has f called with all settings that come into force from now on, in order and with
+// the store locked.
 func (st *Store) Watch(f func(*Settings)) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.watchers = append(st.watchers, f)
 }
 
-// SetValidator has f asked before a change is accepted; what it lists is refused as faults are.
+// SetValidator has f called before a change is accepted; the change is refused with the
+// faults that it returns.
 func (st *Store) SetValidator(f func(old, next *Settings) []Fault) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.validate = f
 }
 
-// immutableFaults lists what can't change while there are settings in force: whoever holds a name
-// or a block of the old form would be told otherwise in the midst.
+// immutableFaults lists changes of settings that are fixed once settings are in force:
+// clients and other hosts already rely on them.
 func (s *Settings) immutableFaults(old *Settings) (out []Fault) {
 	if old == nil {
 		return nil
 	}
 	if s.Target.Prefix != old.Target.Prefix {
-		out = append(out, Fault{"target.prefix", "can't change: clients hold the names that begin with it"})
+		out = append(out, Fault{"target.prefix", "can't change: clients use target names that begin with it"})
 	}
 	sizes := make(map[string]int, len(old.Volumes))
 	for i := range old.Volumes {
@@ -248,30 +254,30 @@
 	}
 	for i := range s.Volumes {
 		if size, had := sizes[s.Volumes[i].Name]; had && size != s.Volumes[i].BlockSize {
-			out = append(out, Fault{fmt.Sprintf("volumes[%d].block_size", i), "can't change: make another volume"})
+			out = append(out, Fault{fmt.Sprintf("volumes[%d].block_size", i), "can't change: create another volume"})
 		}
 	}
 	for i := range old.Plans {
 		if s.Regions != nil && (i >= len(s.Plans) || s.Plans[i].Name != old.Plans[i].Name) {
-			out = append(out, Fault{fmt.Sprintf("plans[%d].name", i), "can't change: shares of limits between regions go by the plans' places"})
+			out = append(out, Fault{fmt.Sprintf("plans[%d].name", i), "can't change: limits are divided between regions by the plans' positions"})
 			break
 		}
 	}
 	if !reflect.DeepEqual(s.Regions, old.Regions) {
-		out = append(out, Fault{"regions", "can't change in flight: the inventories have the same bounds from elsewhere"})
+		out = append(out, Fault{"regions", "can't change while settings are in force: the inventories have the same times in their own configuration"})
 	}
 	return out
 }
 
-// Put is Change by the process itself.
+// Put is Change with this process as the author and without a merge.
 func (st *Store) Put(s *Settings) (*Settings, error) {
 	return st.Change(s, Author{Who: "this process"}, false)
 }
 
-// Change takes settings whose Version is the one that they were made from (0 for the
-// first). They are in force, and their record kept, when it returns without an error.
-// Where another change came first it is a *StaleError, unless merge is asked for and the
-// two touch nothing in common.
+// Change puts settings in force whose Version is the one that they were edited from (0 for
+// the first). When it returns without an error, their audit record is stored. If another
+// change was accepted since that version, it returns a *StaleError, unless merge is set and
+// the two changes don't collide.
 func (st *Store) Change(s *Settings, by Author, merge bool) (*Settings, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -293,7 +299,8 @@
 
 func (st *Store) version() uint64 { return st.current.version() }
 
-// commit checks, records and puts in force. Held: mu.
+// commit checks settings, stores their audit record, puts them in force and saves the
+// snapshot. The caller must hold mu.
 func (st *Store) commit(s *Settings, by Author) (*Settings, error) {
 	next := s.fillPlaceholders(st.current)
 	if err := next.checkComplete(); err != nil {
@@ -331,21 +338,21 @@
 		return nil, err
 	}
 	if st.snapshotErr = nil; st.file != "" {
-		st.snapshotErr = Save(st.file, next, st.key) // it stands in the record: a start brings the snapshot up to it
+		st.snapshotErr = Save(st.file, next, st.key) // the change is in the audit log: Open brings the snapshot up to date
 	}
 	st.activate(next)
 	return next, nil
 }
 
-// PersistError says why the snapshot is behind the record, or why it is not known whether the last
-// change stands in it; nil if neither is so.
+// PersistError returns why the snapshot is behind the audit log, or why it is unknown
+// whether the last change is in the log; nil if neither is the case.
 func (st *Store) PersistError() error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return errors.Join(st.appendErr, st.snapshotErr)
 }
 
-// checkComplete checks settings from which no secret may be left out.
+// checkComplete checks settings in which no secret may be a placeholder.
 func (s *Settings) checkComplete() error {
 	_, at := s.cloneSecrets()
 	c := &checker{}
@@ -354,7 +361,7 @@
 		if i >= len(s.Target.Chap) {
 			path = "target.mutual.secret"
 		}
-		c.failIf(x.Secret == SecretPlaceholder, path, "there is no secret of %.70q to keep", x.User)
+		c.failIf(x.Secret == SecretPlaceholder, path, "there is no stored secret of %.70q to keep", x.User)
 	}
 	if len(c.faults) > 0 {
 		return &FaultsError{c.faults}
@@ -362,8 +369,8 @@
 	return s.Check()
 }
 
-// mergeStale compares a change that came late with what was changed since, and merges the two
-// if they touch nothing in common. Held: mu.
+// mergeStale compares a change of an old version with the changes accepted since and merges
+// them if they don't collide; otherwise the settings are nil. The caller must hold mu.
 func (st *Store) mergeStale(s *Settings) (*StaleError, *Settings) {
 	stale := &StaleError{Against: s.Version, InForce: st.version()}
 	base, err := st.treeAt(s.Version)
@@ -394,14 +401,16 @@
 	return stale, merged
 }
 
-// UnknownVersionError says that a version was never in force, or is not known any more.
+// UnknownVersionError reports a version that is not in the audit log: it was never in force,
+// or its record is no longer kept.
 type UnknownVersionError struct{ Version uint64 }
 
 func (e *UnknownVersionError) Error() string {
-	return fmt.Sprintf("settings: version %d is not in the record", e.Version)
+	return fmt.Sprintf("settings: version %d is not in the audit log", e.Version)
 }
 
-// treeAt walks back from what is in force. Held: mu.
+// treeAt returns the tree of a version, by undoing the changes since then. The caller must
+// hold mu.
 func (st *Store) treeAt(version uint64) (any, error) {
 	tree, err := st.current.tree(st.key)
 	if err != nil || version == st.version() {
@@ -410,7 +419,7 @@
 	var back []*audit.Record
 	first := st.version()
 	err = st.records.Each(1, func(r *audit.Record) error {
-		if r.From >= version && r.Version <= st.version() { // one in doubt is not in force
+		if r.From >= version && r.Version <= st.version() { // a record whose append failed is not in force
 			back = append(back, r)
 			first = min(first, r.From)
 		}
@@ -430,8 +439,7 @@
 	return tree, nil
 }
 
-// AtVersion returns the settings as they were in a version, an *UnknownVersionError if there was
-// none.
+// AtVersion returns the settings of a version, or an *UnknownVersionError.
 func (st *Store) AtVersion(version uint64) (*Settings, error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -445,7 +453,7 @@
 	return fromTree(tree, version, st.key)
 }
 
-// DiffVersions lists what was changed from one version to another.
+// DiffVersions lists the changes from one version to another.
 func (st *Store) DiffVersions(from, to uint64) ([]audit.Change, error) {
 	a, err := st.AtVersion(from)
 	if err != nil {
@@ -458,7 +466,7 @@
 	return Diff(a, b, st.key)
 }
 
-// Revert puts a former version in force again, as a change of its own.
+// Revert puts the settings of a former version in force again, as a new version.
 func (st *Store) Revert(to uint64, by Author) (*Settings, error) {
 	s, err := st.AtVersion(to)
 	if err != nil {
@@ -476,7 +484,7 @@
 	return st.commit(s, by)
 }
 
-// Log returns at most so many records from a number on.
+// Log returns up to limit audit records, beginning with number from.
 func (st *Store) Log(from uint64, most int) (out []*audit.Record, err error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -490,15 +498,15 @@
 	return out, err
 }
 
-// Verify reads the whole record again, from its first entry to what is in force. A
-// broken chain is an *audit.BrokenError that names the record.
+// Verify reads the whole audit log and checks its hash chain and that it ends at the
+// settings in force. If not, it returns an *audit.BrokenError with the number of the record.
 func (st *Store) Verify() (audit.Chain, error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	var c audit.Chain
 	first := true
 	err := st.records.Each(1, func(r *audit.Record) error {
-		if first { // a store in memory has forgotten what was before
+		if first { // a store in memory may have dropped earlier records
 			c, first = audit.Chain{Seq: r.Seq - 1, Version: r.From, Hash: r.Prev, At: r.At}, false
 		}
 		return c.Next(r)
--- a/internal/control/settings/roll.go
+++ b/internal/control/settings/roll.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Roll is in the settings while they are on their way over the hosts: what holds beside
-// them, so that no limit is passed by hosts that go by two versions.
+// Roll is part of settings during their rollout over the hosts. It has the constraints that
+// apply in addition, so that hosts with two versions together exceed no limit.
 type Roll struct {
 	ID      string       `json:"id"`
 	Plans   []RollPlan   `json:"plans,omitempty"`
 	Volumes []RollVolume `json:"volumes,omitempty"`
 }
 
-// RollPlan is the stricter limit of a plan.
+// RollPlan is the limit of a plan that satisfies both versions.
 type RollPlan struct {
 	Name      string  `json:"name"`
 	Limit     float64 `json:"limit"`
@@ -21,16 +21,16 @@
 	Overdraft float64 `json:"slack"`
 }
 
-// RollVolume is a volume that changes its plan or its hosts: it is held to the stricter
-// plan and divided by all hosts of both versions.
+// RollVolume is a volume that changes its plan or its hosts: during the rollout the stricter
+// plan applies ("": each version's own), and its limit is divided by the hosts of both versions.
 type RollVolume struct {
 	Name  string `json:"name"`
 	Plan  string `json:"plan"`
 	Hosts []int  `json:"hosts"`
 }
 
-// NewRoll works out what holds while hosts go by two versions. Faults say where nothing
-// can.
+// NewRoll returns the constraints for a rollout from settings a to b. A fault is a volume
+// whose change of plan can't be rolled out in one step.
 func NewRoll(id string, a, b *Settings) (*Roll, []Fault) {
 	r := &Roll{ID: id}
 	for i := range a.Plans {
@@ -60,7 +60,7 @@
 		}
 		v, ok := rollVolume(a, b, x, y)
 		if !ok {
-			faults = append(faults, Fault{fmt.Sprintf("volumes[%d].plan", i), fmt.Sprintf("goes from %s to %s, of which one version has only one, and one is limited: roll the plan out first", x.Plan, y.Plan)})
+			faults = append(faults, Fault{fmt.Sprintf("volumes[%d].plan", i), fmt.Sprintf("changes from %s to %s, which are not both in both versions, and one is limited: roll the plan out first", x.Plan, y.Plan)})
 			continue
 		}
 		r.Volumes = append(r.Volumes, v)
@@ -68,7 +68,7 @@
 	return r, faults
 }
 
-// tighten holds p to another limit as well; 0 is none.
+// tighten lowers p to a second limit if that is lower; limit 0 means unlimited.
 func (p *RollPlan) tighten(limit, burst, slack float64) {
 	switch {
 	case limit == 0:
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// rollVolume picks the plan with the smaller limit, if both versions have both.
+// rollVolume returns the constraint of a volume with the plan that has the lower limit, and
+// whether both versions have that plan.
 func rollVolume(a, b *Settings, x, y *Volume) (RollVolume, bool) {
 	v := RollVolume{Name: x.Name, Plan: x.Plan, Hosts: slices.Clone(x.Hosts)}
 	for _, h := range y.Hosts {
@@ -98,7 +99,7 @@
 	if x.Plan == y.Plan {
 		return v, true
 	}
-	least := func(name string) float64 { // of a plan in the version that has it
+	least := func(name string) float64 { // lowest limit of a plan over both versions
 		limit := 0.0
 		for _, s := range []*Settings{a, b} {
 			if p := s.plan(name); p != nil && p.Limit > 0 && (limit == 0 || p.Limit < limit) {
@@ -112,13 +113,13 @@
 		v.Plan = y.Plan
 	}
 	if lx == 0 && ly == 0 {
-		v.Plan = "" // each version's own: neither is limited
+		v.Plan = "" // neither plan is limited: each version's own applies
 		return v, true
 	}
 	return v, a.plan(v.Plan) != nil && b.plan(v.Plan) != nil
 }
 
-// Effective is s as it is in force: with what a roll holds beside it.
+// Effective returns the settings with the constraints of a rollout applied, if one is running.
 func (s *Settings) Effective() *Settings {
 	if s.Roll == nil {
 		return s
@@ -144,7 +145,8 @@
 	return &h
 }
 
-// HostCount is how many hosts a volume's limit is divided by, as one of them sees it.
+// HostCount returns the number of hosts that divide a volume's limit, as seen by host self:
+// those of its region.
 func (s *Settings) HostCount(self int, v *Volume) int {
 	hosts := v.Hosts
 	if s.Roll != nil {
@@ -169,6 +171,6 @@
 	for i, v := range s.Roll.Volumes {
 		at := fmt.Sprintf("roll.volumes[%d].", i)
 		c.failIf(v.Plan != "" && s.plan(v.Plan) == nil, at+"plan", "there is no plan %.70q", v.Plan)
-		c.failIf(len(v.Hosts) == 0 || slices.ContainsFunc(v.Hosts, func(h int) bool { return h < 0 || h >= 10000 }), at+"hosts", "must name hosts")
+		c.failIf(len(v.Hosts) == 0 || slices.ContainsFunc(v.Hosts, func(h int) bool { return h < 0 || h >= 10000 }), at+"hosts", "must list hosts from 0 to 9999")
 	}
 }
--- a/internal/control/settings/secret.go
+++ b/internal/control/settings/secret.go
@@ -14,36 +14,35 @@
 	"strings"
 )
 
-// SecretPlaceholder stands in place of a secret in all that leaves the process; handed in, it means
-// the secret that the same user has already.
+// SecretPlaceholder replaces each secret in settings that are shown. In settings that are
+// submitted it means the secret that the same user already has.
 const SecretPlaceholder = "(kept)"
 
-// ErrNoKey says that secrets are to be written and there is no key to seal them with, or
-// sealed ones are to be read.
-var ErrNoKey = errors.New("settings: CHAP secrets are only kept sealed, and there is no key: give the gateway a key file")
+// ErrNoKey is returned if secrets are to be saved or sealed ones to be read without a key.
+var ErrNoKey = errors.New("settings: CHAP secrets are only stored sealed, and there is no key: give the gateway a key file")
 
-// SealError says that a sealed secret can't be opened with the key at hand.
+// SealError reports a sealed secret that can't be opened with the key.
 type SealError struct{ User string }
 
 func (e *SealError) Error() string {
-	return fmt.Sprintf("settings: the sealed secret of %q does not open with this key", e.User)
+	return fmt.Sprintf("settings: sealed secret of %q can't be opened with this key", e.User)
 }
 
-// Key seals secrets: AES-256-GCM (NIST SP 800-38D) under a nonce that is made of the
-// secret, so that the same secret looks the same and no difference is seen where there
-// is none. Whoever reads the file learns only which secrets are equal.
+// Key seals secrets with AES-256-GCM (NIST SP 800-38D). The nonce is derived from user and
+// secret, so that sealing is deterministic and an unchanged secret shows no difference.
+// This reveals only that a user has the same secret as before.
 type Key struct {
 	aead     cipher.AEAD
 	nonceKey []byte
 }
 
-// minKeyBytes is the fewest bytes that a key is derived from.
+// minKeyBytes is the least length of the bytes that a key is derived from.
 const minKeyBytes = 32
 
-// NewKey derives a key (HKDF, RFC 5869) from bytes that nobody can guess.
+// NewKey derives a key with HKDF (RFC 5869) from at least 32 random bytes.
 func NewKey(from []byte) (*Key, error) {
 	if len(from) < minKeyBytes {
-		return nil, fmt.Errorf("settings: a key needs %d bytes, these are %d", minKeyBytes, len(from))
+		return nil, fmt.Errorf("settings: key is too short: want at least %d bytes, got %d", minKeyBytes, len(from))
 	}
 	b, err := hkdf.Key(sha256.New, from, nil, "merlinhitch settings", 64)
 	if err != nil {
@@ -57,14 +56,14 @@
 	return &Key{aead, b[32:]}, err
 }
 
-// ReadKey reads a key file, which nobody but its owner may read.
+// ReadKey reads a key file, which must be accessible to its owner only.
 func ReadKey(file string) (*Key, error) {
 	st, err := os.Stat(file)
 	if err != nil {
 		return nil, err
 	}
 	if st.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("settings: key file %s may be read by others (mode %v)", file, st.Mode().Perm())
+		return nil, fmt.Errorf("settings: key file %s is accessible to others than its owner (mode %v)", file, st.Mode().Perm())
 	}
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -75,7 +74,7 @@
 
 const sealedPrefix = "sealed:"
 
-// seal closes one secret of that user.
+// seal encrypts the secret of a user.
 func (k *Key) seal(user, secret string) string {
 	mac := hmac.New(sha256.New, k.nonceKey)
 	mac.Write([]byte(user + "\x00" + secret))
@@ -96,7 +95,8 @@
 	return string(plain), nil
 }
 
-// cloneSecrets returns a copy of s whose cloneSecrets may be altered, and where they are.
+// cloneSecrets returns a copy of s whose secrets can be modified, with pointers to them:
+// those of the clients first, then the mutual one.
 func (s *Settings) cloneSecrets() (*Settings, []*Chap) {
 	c := *s
 	c.Target.Chap = slices.Clone(s.Target.Chap)
@@ -112,10 +112,10 @@
 	return &c, at
 }
 
-// HasSecrets tells whether there is any secret in s.
+// HasSecrets reports whether s has any secret.
 func (s *Settings) HasSecrets() bool { return len(s.Target.Chap) > 0 || s.Target.Mutual != nil }
 
-// Redacted is s as it may be shown: no secret is in it, nor anything made of one.
+// Redacted returns a copy of s in which SecretPlaceholder replaces every secret.
 func (s *Settings) Redacted() *Settings {
 	c, at := s.cloneSecrets()
 	for _, k := range at {
@@ -124,8 +124,8 @@
 	return c
 }
 
-// withSealedSecrets is s with its secrets withSealedSecrets; those that already are stay. Without a key they
-// are left out.
+// withSealedSecrets returns a copy of s with its secrets sealed; those that are sealed
+// already stay. Without a key placeholders replace them.
 func (s *Settings) withSealedSecrets(k *Key) *Settings {
 	c, at := s.cloneSecrets()
 	for _, x := range at {
@@ -140,7 +140,7 @@
 	return c
 }
 
-// unsealSecrets opens sealed secrets in place, of settings that nobody else has yet.
+// unsealSecrets unseals secrets in place; s must not be in use elsewhere yet.
 func (s *Settings) unsealSecrets(k *Key) error {
 	c, at := s.cloneSecrets()
 	for _, x := range at {
@@ -160,7 +160,8 @@
 	return nil
 }
 
-// fillPlaceholders fills in those secrets of s that stay what they are in old.
+// fillPlaceholders returns a copy of s whose placeholders are replaced by the secrets of the
+// same users in old.
 func (s *Settings) fillPlaceholders(old *Settings) *Settings {
 	c, at := s.cloneSecrets()
 	for i, x := range at {
--- a/internal/control/settings/settings.go
+++ b/internal/control/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings holds what the operators say: classes, plans, volumes with
-// their layout, limits and rules. Settings are checked as a whole, with every
-// fault named by its path, versioned, and saved as one snapshot. The package
-// makes no decision on any request.
+// Package settings holds the operators' configuration of a service: classes, plans,
+// volumes with their layouts, limits and rules. Settings are validated as a whole, with
+// each fault reported by its path, and are versioned, saved as one snapshot and recorded
+// in an audit log.
 package settings
 
 import (
@@ -23,15 +23,15 @@
 	"merlinhitch/policy"
 )
 
-// Settings is all that the gateways of a service share. Times are in
-// milliseconds, rates in units a second over all hosts.
+// Settings is the configuration that the gateways of a service share. Times are in
+// milliseconds, rates in units per second over all hosts.
 type Settings struct {
-	// Version is counted up by each accepted change.
+	// Version is incremented by each accepted change.
 	Version uint64 `json:"version"`
 	Hosts   int    `json:"hosts"`
 	Shards  int    `json:"shards"`
-	// UnitBytes is the size that counts as one unit; MostUnits the most that one
-	// request counts, MeanUnits the usual.
+	// UnitBytes is the size that counts as one unit; MeanUnits and MaxUnits are the mean
+	// and the largest size of a request in units.
 	UnitBytes   int      `json:"unit_bytes"`
 	MeanUnits   float64  `json:"mean_units"`
 	MaxUnits    float64  `json:"most_units"`
@@ -43,32 +43,33 @@
 	Rules       Rules    `json:"rules"`
 	Volumes     []Volume `json:"volumes"`
 	Target      Target   `json:"target"`
-	// Nodes says what the disk server of each shard can carry; it may be empty as
-	// long as no layout is asked for.
+	// Nodes describes the disk server of each shard; it may be empty where layouts are
+	// not planned.
 	Nodes     []Node    `json:"nodes,omitempty"`
 	Placement Placement `json:"placement,omitzero"`
 	Announce  *Announce `json:"announce,omitempty"`
-	// Regions has the service run over two.
+	// Regions is set for a service that runs over two regions.
 	Regions *Regions `json:"regions,omitempty"`
-	// Roll holds while hosts go by two versions.
+	// Roll is set during a rollout, while hosts use two versions.
 	Roll *Roll `json:"roll,omitempty"`
 }
 
-// Regions are the bounds of package region, and where each host is. Times of leases are
-// the same for the inventories of both regions, which know them from elsewhere.
+// Regions holds the times of package region and the region of each host. The inventories
+// of both regions must have the same times, which they read from their own configuration.
 type Regions struct {
 	LeaseTime   float64 `json:"lease_ms"`
 	PeerTimeout float64 `json:"quiet_ms"`
-	Drift       float64 `json:"drift"` // part by which any clock may run fast or slow
-	Hosts       []int   `json:"hosts"` // by host: 0 or 1
+	Drift       float64 `json:"drift"` // fraction by which any clock may run fast or slow
+	Hosts       []int   `json:"hosts"` // region of each host: 0 or 1
 }
 
-// Config is the bounds as package region takes them.
+// Config returns the times as package region takes them.
 func (r *Regions) Config() region.Config {
 	return region.Config{Lease: r.LeaseTime, Quiet: r.PeerTimeout, Drift: r.Drift}
 }
 
-// SameRegion lists those of some hosts that are in the same region as one.
+// SameRegion returns those of hosts that are in the same region as host self: all of them
+// where the service has no regions.
 func (s *Settings) SameRegion(self int, hosts []int) []int {
 	if s.Regions == nil {
 		return hosts
@@ -96,14 +97,14 @@
 	}
 }
 
-// Announce says which service addresses are announced to which routers, and when.
-// Times of 0 mean the defaults of package announce.
+// Announce configures which service addresses are announced to which routers, and when.
+// Times are in ms; those of 0 mean the defaults of package announce and of the gateway.
 type Announce struct {
 	AS                uint32         `json:"as"`
-	HoldTime          float64        `json:"hold_ms"` // 0: none
+	HoldTime          float64        `json:"hold_ms"` // BGP hold time; 0: none
 	Routers           []Router       `json:"routers"`
 	Groups            []AddressGroup `json:"groups"`
-	ProbeInterval     float64        `json:"probe_ms,omitempty"` // sign of life of a disk server
+	ProbeInterval     float64        `json:"probe_ms,omitempty"` // between two probes of a disk server
 	ProbeTimeout      float64        `json:"answer_ms,omitempty"`
 	StableTime        float64        `json:"steady_ms,omitempty"`
 	MaxStableTime     float64        `json:"steady_most_ms,omitempty"`
@@ -111,44 +112,44 @@
 	LossHalfLife      float64        `json:"half_life_ms,omitempty"`
 	MaxListAge        float64        `json:"list_bound_ms,omitempty"`
 	HeartbeatTimeout  float64        `json:"beat_bound_ms,omitempty"`
-	DrainTime         float64        `json:"move_ms,omitempty"` // for clients to go elsewhere at a graceful stop
+	DrainTime         float64        `json:"move_ms,omitempty"` // for clients to move to another gateway at a graceful stop
 }
 
-// Router is a BGP peer.
+// Router configures a BGP peer.
 type Router struct {
 	Name    string `json:"name"`
 	Addr    string `json:"addr"` // host:port
 	AS      uint32 `json:"as"`
 	Passive bool   `json:"passive,omitempty"`
-	Hosts   []int  `json:"hosts,omitempty"` // that peer with it; empty: all
+	Hosts   []int  `json:"hosts,omitempty"` // hosts that peer with it; empty: all
 }
 
-// AddressGroup is volumes that are reached by the same service addresses.
+// AddressGroup is a set of volumes that are reached through the same service addresses.
 type AddressGroup struct {
 	Name     string   `json:"name"`
 	Prefixes []string `json:"prefixes"`
 	Volumes  []string `json:"volumes"`
 }
 
-// Node is the disk server of one shard, as the placement of volumes sees it.
+// Node describes the disk server of one shard for the placement of volumes.
 type Node struct {
 	Shard    int     `json:"shard"`
 	Hall     string  `json:"hall"`
 	Region   int     `json:"region,omitempty"` // 0 or 1
-	Capacity float64 `json:"capacity"`         // units a second
+	Capacity float64 `json:"capacity"`         // units per second
 	Cost     float64 `json:"cost,omitempty"`
-	// Draining keeps new data off; it says nothing on the server's process, whose
-	// drains the inventory tells.
+	// Draining excludes the node from the placement of new data. It is independent of the
+	// draining state of the server's process, which the inventory reports.
 	Draining bool `json:"draining,omitempty"`
 }
 
-// Domains of failure.
+// Values of Placement.FailureDomain.
 const (
 	DomainHall   = "hall"
 	DomainRegion = "region"
 )
 
-// DomainOf is the name of what a node is lost with.
+// DomainOf returns the name of a node's failure domain: its hall, or region-0 or region-1.
 func (s *Settings) DomainOf(n *Node) string {
 	if s.Placement.FailureDomain == DomainRegion {
 		return fmt.Sprintf("region-%d", n.Region)
@@ -156,23 +157,23 @@
 	return n.Hall
 }
 
-// Placement says how layouts are worked out. The zero value means DefaultPlacement.
+// Placement configures the planning of layouts. The zero value means DefaultPlacement.
 type Placement struct {
-	Parts       int  `json:"parts"` // into which a volume's extents are dealt
+	Parts       int  `json:"parts"` // number of parts that a volume's extents are divided into
 	SurviveLoss bool `json:"survive,omitempty"`
-	// FailureDomain is what is lost at once and what copies are kept apart by: "hall", also if
-	// empty, or "region".
+	// FailureDomain is what fails as a whole and what the copies of data are spread over:
+	// "hall" (also if empty) or "region".
 	FailureDomain string `json:"domain,omitempty"`
-	// Margin adds so many times the spread of a measured rate to it.
+	// Margin is the multiple of a measured rate's standard deviation that is added to it.
 	Margin float64 `json:"margin"`
-	// MaxMoved is the most that one step moves, in units a second.
+	// MaxMoved bounds the load that one step of a plan moves, in units per second.
 	MaxMoved float64 `json:"most_moved"`
 }
 
-// DefaultPlacement is for settings that say nothing on it.
+// DefaultPlacement applies where settings have no placement.
 var DefaultPlacement = Placement{Parts: 8, Margin: 2, MaxMoved: 50}
 
-// Class is a kind of request. The first class whose match fits takes it.
+// Class is a class of requests. A request belongs to the first class that matches it.
 type Class struct {
 	Name          string  `json:"name"`
 	Match         Match   `json:"match"`
@@ -181,13 +182,13 @@
 	LatencyTarget float64 `json:"aim_ms"`
 	Deadline      float64 `json:"deadline_ms"`
 	Effect        string  `json:"effect"` // safe, keyed, unsafe
-	DedupScope    string  `json:"group"`  // of keyed: cell, zone, all
+	DedupScope    string  `json:"group"`  // for keyed: cell, zone, all
 	DedupWindow   float64 `json:"window_ms"`
 	Ordered       bool    `json:"ordered"`
 }
 
-// Match says which commands a class takes: operations of package scsi and sizes
-// in bytes. MaxBytes 0: no bound. Plans empty: all.
+// Match selects the commands of a class by operations of package scsi, by size in bytes
+// (MaxBytes 0: unbounded) and by plan (Plans empty: all).
 type Match struct {
 	Ops      []string `json:"ops"`
 	MinBytes int      `json:"min_bytes"`
@@ -195,7 +196,7 @@
 	Plans    []string `json:"plans,omitempty"`
 }
 
-// Plan is what a volume has bought.
+// Plan is the service level of a volume. Its fields are those of policy.Plan.
 type Plan struct {
 	Name      string  `json:"name"`
 	Price     float64 `json:"price"`
@@ -205,29 +206,29 @@
 	Limit     float64 `json:"limit"`
 	Burst     float64 `json:"burst"`
 	Overdraft float64 `json:"slack"`
-	// WriteAck says when a write is acknowledged in a service over two regions: "before" its
-	// copy is in the other region, which may lose some with the region, or "after"; "" is
-	// after.
+	// WriteAck applies to a service over two regions. "before" acknowledges a write before
+	// its copy is in the other region, so that writes can be lost with the region; "after",
+	// which is also the meaning of "", does so once it is there.
 	WriteAck string `json:"copied,omitempty"`
 }
 
-// When writes are acknowledged.
+// Values of Plan.WriteAck.
 const (
 	AckBeforeCopy = "before"
 	AckAfterCopy  = "after"
 )
 
-// Limits bounds what a host does.
+// Limits bounds the attempts, connection set-up and open requests of a host.
 type Limits struct {
 	MaxAttempts int     `json:"max_attempts"`
 	Duplicates  bool    `json:"copies"`
 	RetryAfter  float64 `json:"retry_after_ms"`
 	DialTimeout float64 `json:"dial_timeout_ms"`
-	// MaxOpen is the number of requests that a host holds at most.
+	// MaxOpen bounds the open requests of a host.
 	MaxOpen int `json:"max_open"`
 }
 
-// Rules holds the figures of the seven rules.
+// Rules holds the parameters of the policy. Its fields are those of policy.Rules.
 type Rules struct {
 	AnswerSlack    float64 `json:"answer_slack_ms"`
 	DrainGrace     float64 `json:"drain_grace_ms"`
@@ -240,66 +241,67 @@
 	Budget         *Budget `json:"budget,omitempty"`
 }
 
-// Budget bounds attempts beyond a request's first; absent: no bound.
+// Budget bounds retries: Base per Window in any case and Ratio more for each request that
+// arrived in the window. Without a budget they are unbounded.
 type Budget struct {
 	Base   float64 `json:"free"`
 	Ratio  float64 `json:"share"`
 	Window float64 `json:"span_ms"`
 }
 
-// Volume is one disk that clients see.
+// Volume is a disk that clients see as a logical unit.
 type Volume struct {
 	Name      string `json:"name"`
 	Plan      string `json:"plan"`
 	Blocks    uint64 `json:"blocks"`
 	BlockSize int    `json:"block_size"`
-	// ExtentBlocks is the number of blocks that lie together; extent e lies on shard
-	// Layout[e modulo its length].
+	// ExtentBlocks is the number of blocks of an extent; extent e is on shard
+	// Layout[e % len(Layout)].
 	ExtentBlocks int   `json:"extent_blocks"`
 	Layout       []int `json:"layout"`
-	Hosts        []int `json:"hosts"` // that its requests come through
+	Hosts        []int `json:"hosts"` // hosts that its requests come through
 	ReadOnly     bool  `json:"read_only,omitempty"`
-	// CopyLayout is, for each entry of Layout, the shard that takes over when the hall of
-	// the entry is lost; absent: none.
+	// CopyLayout has for each entry of Layout the shard with its copy, which takes over
+	// when the failure domain of the entry is lost; empty: no copies.
 	CopyLayout []int `json:"copy,omitempty"`
-	// What a layout must keep to: see package placement. Rate 0 is the plan's.
+	// Constraints on layouts, see package placement. Rate 0 means the plan's rate.
 	Rate           float64 `json:"rate,omitempty"`
-	WriteFraction  float64 `json:"writes,omitempty"` // part of the rate
+	WriteFraction  float64 `json:"writes,omitempty"` // fraction of the rate that is writes
 	MaxNodes       int     `json:"max_nodes,omitempty"`
 	MinHalls       int     `json:"spread,omitempty"`
-	Copies         int     `json:"copies,omitempty"` // 0 and 1: the data alone
+	Copies         int     `json:"copies,omitempty"` // including the data itself; 0 means 1
 	PinnedShards   []int   `json:"pins,omitempty"`
 	ExcludedShards []int   `json:"bans,omitempty"`
 }
 
-// Target is the face to initiators.
+// Target configures the iSCSI target that initiators connect to. Times are in ms.
 type Target struct {
-	// Prefix and a colon go before a volume's name: its target name.
+	// Prefix, a colon and a volume's name make up the volume's target name.
 	Prefix        string  `json:"prefix"`
-	CommandWindow int     `json:"window"` // commands a session
+	CommandWindow int     `json:"window"` // commands per session
 	MaxSessions   int     `json:"max_sessions"`
-	MemoryBytes   int     `json:"memory_bytes"` // of data held for clients by a host
+	MemoryBytes   int     `json:"memory_bytes"` // bound of the data that a host buffers for clients
 	LoginTimeout  float64 `json:"login_ms"`     // for a whole login
-	WriteTimeout  float64 `json:"write_ms"`     // for a client to take what it is sent
-	PingInterval  float64 `json:"ping_ms"`      // of silence, then a sign of life is asked for
+	WriteTimeout  float64 `json:"write_ms"`     // for a client to receive what it is sent
+	PingInterval  float64 `json:"ping_ms"`      // of silence after which the client is pinged
 	LogoutTimeout float64 `json:"stop_ms"`      // for clients to log out at a graceful stop
 	Chap          []Chap  `json:"chap,omitempty"`
 	Mutual        *Chap   `json:"mutual,omitempty"`
 }
 
-// Chap is a name with its secret.
+// Chap is a CHAP user name with its secret.
 type Chap struct {
 	User   string `json:"user"`
 	Secret string `json:"secret"`
 }
 
-// Fault is one thing wrong, with its path.
+// Fault is an invalid setting: its path and what is wrong with it.
 type Fault struct {
 	Path   string `json:"path"`
 	Reason string `json:"reason"`
 }
 
-// FaultsError lists everything wrong with settings.
+// FaultsError lists all faults of settings.
 type FaultsError struct{ Faults []Fault }
 
 func (e *FaultsError) Error() string {
@@ -311,17 +313,18 @@
 	return b.String()
 }
 
-// MaxSize bounds settings as text, in bytes.
+// MaxSize is the largest accepted size of settings as JSON, in bytes.
 const MaxSize = 16 << 20
 
-// Parse reads and checks settings.
+// Parse decodes settings from JSON and checks them. Faults, also those of the JSON, are a
+// *FaultsError.
 func Parse(r io.Reader) (*Settings, error) {
 	b, err := io.ReadAll(io.LimitReader(r, MaxSize+1))
 	if err != nil {
 		return nil, err
 	}
 	if len(b) > MaxSize {
-		return nil, &FaultsError{[]Fault{{"", "over 16 MiB"}}}
+		return nil, &FaultsError{[]Fault{{"", "larger than 16 MiB"}}}
 	}
 	dec := json.NewDecoder(bytes.NewReader(b))
 	dec.DisallowUnknownFields()
@@ -343,7 +346,7 @@
 	return Fault{"", strings.TrimPrefix(err.Error(), "json: ")}
 }
 
-// checker gathers faults.
+// checker collects faults.
 type checker struct{ faults []Fault }
 
 func (c *checker) failIf(bad bool, path, format string, args ...any) {
@@ -352,7 +355,7 @@
 	}
 }
 
-// inRange holds a figure to its bounds; NaN never passes.
+// inRange adds a fault if a value is outside its bounds, as NaN always is.
 func (c *checker) inRange(path string, v, low, high float64) {
 	c.failIf(!(v >= low && v <= high), path, "is %g, must be from %g to %g", v, low, high)
 }
@@ -370,7 +373,7 @@
 	dayMS      = 24 * 3600 * 1000.0
 )
 
-// Check returns a *FaultsError with everything wrong, or nil.
+// Check returns a *FaultsError with all faults, or nil.
 func (s *Settings) Check() error {
 	c := &checker{}
 	c.inRange("hosts", float64(s.Hosts), 1, 10000)
@@ -388,7 +391,7 @@
 	c.inRange("limits.retry_after_ms", l.RetryAfter, 0, dayMS)
 	c.inRange("limits.dial_timeout_ms", l.DialTimeout, 1, 60000)
 	c.inRange("limits.max_open", float64(l.MaxOpen), 1, 1e6)
-	c.failIf(l.Duplicates, "limits.copies", "the gateway sends no copies")
+	c.failIf(l.Duplicates, "limits.copies", "must be false: the gateway sends no duplicate attempts")
 	s.checkVolumes(c)
 	s.Target.check(c)
 	s.checkNodes(c)
@@ -401,16 +404,17 @@
 	return nil
 }
 
-// uniqueNames checks a list's uniqueNames and that none comes twice.
+// uniqueNames checks that a list is neither empty nor too long and that its names are
+// well-formed and unique.
 func (c *checker) uniqueNames(list string, most int, names []string) {
 	c.failIf(len(names) == 0, list, "is empty")
 	c.failIf(len(names) > most, list, "has %d entries, at most %d", len(names), most)
 	seen := map[string]int{}
 	for i, n := range names {
 		path := fmt.Sprintf("%s[%d].name", list, i)
-		c.failIf(!namePattern.MatchString(n), path, "%.70q is not of small letters, digits, dots and dashes, at most 63", n)
+		c.failIf(!namePattern.MatchString(n), path, "%.70q must be 1 to 63 lower-case letters, digits, dots or dashes, the first a letter or digit", n)
 		first, twice := seen[n]
-		c.failIf(twice, path, "%q stands already at %s[%d]", n, list, first)
+		c.failIf(twice, path, "%q is already used at %s[%d]", n, list, first)
 		if !twice {
 			seen[n] = i
 		}
@@ -443,8 +447,8 @@
 			op := scsi.OpByName(o)
 			path := fmt.Sprintf("%smatch.ops[%d]", at, j)
 			c.failIf(op == 0, path, "unknown operation %.40q", o)
-			c.failIf(op == scsi.CompareAndWrite && k.Effect != "unsafe", path, "compare-and-write must be of an unsafe class: a repeat would compare with its own first effect")
-			c.failIf(op.Writes() && k.Effect == "safe", path, "a write is not safe to repeat: it may undo a later one")
+			c.failIf(op == scsi.CompareAndWrite && k.Effect != "unsafe", path, "compare-and-write needs an unsafe class: a retry would compare with the effect of the first attempt")
+			c.failIf(op.Writes() && k.Effect == "safe", path, "a write can't be safe: a retry may overwrite a later write")
 		}
 		c.failIf(k.Match.MinBytes < 0, at+"match.min_bytes", "is below 0")
 		c.failIf(k.Match.MaxBytes != 0 && k.Match.MaxBytes < k.Match.MinBytes, at+"match.max_bytes", "is below min_bytes")
@@ -456,12 +460,12 @@
 
 func (k *Class) checkEffect(c *checker, at string) {
 	_, known := effectByName[k.Effect]
-	c.failIf(!known, at+"effect", "%.20q is none of safe, keyed, unsafe", k.Effect)
+	c.failIf(!known, at+"effect", "%.20q must be safe, keyed or unsafe", k.Effect)
 	if k.Effect == "keyed" {
 		_, known = dedupScopeByName[k.DedupScope]
-		c.failIf(!known, at+"group", "%.20q is none of cell, zone, all", k.DedupScope)
+		c.failIf(!known, at+"group", "%.20q must be cell, zone or all", k.DedupScope)
 		c.inRange(at+"window_ms", k.DedupWindow, 1, dayMS)
-		c.failIf(k.DedupWindow < k.Deadline, at+"window_ms", "is below deadline_ms: a late attempt could run after its key is forgotten")
+		c.failIf(k.DedupWindow < k.Deadline, at+"window_ms", "is below deadline_ms: a late attempt could run after its key has expired")
 		return
 	}
 	c.failIf(k.DedupScope != "" || k.DedupWindow != 0, at+"group", "only keyed classes have a group and a window")
@@ -483,7 +487,7 @@
 		} else {
 			c.failIf(p.Burst != 0 || p.Overdraft != 0, at+"limit", "is 0, but burst or slack is set")
 		}
-		c.failIf(p.WriteAck != "" && p.WriteAck != AckBeforeCopy && p.WriteAck != AckAfterCopy, at+"copied", "%.20q is neither before nor after", p.WriteAck)
+		c.failIf(p.WriteAck != "" && p.WriteAck != AckBeforeCopy && p.WriteAck != AckAfterCopy, at+"copied", "%.20q must be before or after", p.WriteAck)
 	}
 }
 
@@ -522,19 +526,19 @@
 		for j, h := range v.Hosts {
 			path := fmt.Sprintf("%shosts[%d]", at, j)
 			c.failIf(h < 0 || h >= s.Hosts, path, "there is no host %d", h)
-			c.failIf(slices.Contains(v.Hosts[:j], h), path, "host %d stands twice", h)
+			c.failIf(slices.Contains(v.Hosts[:j], h), path, "host %d is listed twice", h)
 		}
 	}
 }
 
-// checkShards checks a list of checkShards.
+// checkShards checks that every shard of a list exists.
 func (s *Settings) checkShards(c *checker, path string, list []int) {
 	for j, sh := range list {
 		c.failIf(sh < 0 || sh >= s.Shards, fmt.Sprintf("%s[%d]", path, j), "there is no shard %d", sh)
 	}
 }
 
-// checkVolumePlacement checks what a volume asks of its layouts.
+// checkVolumePlacement checks a volume's constraints on its layouts and its copies.
 func (s *Settings) checkVolumePlacement(c *checker, v *Volume, at string) {
 	c.inRange(at+"rate", v.Rate, 0, 1e9)
 	c.inRange(at+"writes", v.WriteFraction, 0, 1)
@@ -546,17 +550,17 @@
 	s.checkShards(c, at+"pins", v.PinnedShards)
 	s.checkShards(c, at+"bans", v.ExcludedShards)
 	for j, sh := range v.PinnedShards {
-		c.failIf(slices.Contains(v.ExcludedShards, sh), fmt.Sprintf("%spins[%d]", at, j), "shard %d is banned too", sh)
-		c.failIf(slices.Contains(v.PinnedShards[:j], sh), fmt.Sprintf("%spins[%d]", at, j), "shard %d stands twice", sh)
+		c.failIf(slices.Contains(v.ExcludedShards, sh), fmt.Sprintf("%spins[%d]", at, j), "shard %d is also in bans", sh)
+		c.failIf(slices.Contains(v.PinnedShards[:j], sh), fmt.Sprintf("%spins[%d]", at, j), "shard %d is listed twice", sh)
 	}
 }
 
-// checkNodes checks that there is a node for every shard, or none at all.
+// checkNodes checks the placement, and that there is a node for every shard or none at all.
 func (s *Settings) checkNodes(c *checker) {
 	if p := s.Placement; p != (Placement{}) {
 		c.inRange("placement.parts", float64(p.Parts), 1, 1024)
 		c.inRange("placement.margin", p.Margin, 0, 100)
-		c.failIf(p.FailureDomain != "" && p.FailureDomain != DomainHall && p.FailureDomain != DomainRegion, "placement.domain", "%.20q is neither hall nor region", p.FailureDomain)
+		c.failIf(p.FailureDomain != "" && p.FailureDomain != DomainHall && p.FailureDomain != DomainRegion, "placement.domain", "%.20q must be hall or region", p.FailureDomain)
 		c.inRange("placement.most_moved", p.MaxMoved, 0.001, 1e9)
 	}
 	if len(s.Nodes) == 0 {
@@ -568,11 +572,11 @@
 		at := fmt.Sprintf("nodes[%d].", i)
 		c.failIf(n.Shard < 0 || n.Shard >= s.Shards, at+"shard", "there is no shard %d", n.Shard)
 		first, twice := seen[n.Shard]
-		c.failIf(twice, at+"shard", "shard %d stands already at nodes[%d]", n.Shard, first)
+		c.failIf(twice, at+"shard", "shard %d is already used at nodes[%d]", n.Shard, first)
 		if !twice {
 			seen[n.Shard] = i
 		}
-		c.failIf(!namePattern.MatchString(n.Hall), at+"hall", "%.70q is not of small letters, digits, dots and dashes, at most 63", n.Hall)
+		c.failIf(!namePattern.MatchString(n.Hall), at+"hall", "%.70q must be 1 to 63 lower-case letters, digits, dots or dashes, the first a letter or digit", n.Hall)
 		c.failIf(n.Region != 0 && n.Region != 1, at+"region", "is %d, must be 0 or 1", n.Region)
 		c.inRange(at+"capacity", n.Capacity, 0, 1e9)
 		c.inRange(at+"cost", n.Cost, 0, 1e9)
@@ -590,7 +594,7 @@
 	if a == nil {
 		return
 	}
-	c.failIf(a.AS == 0 || a.AS == 23456, "announce.as", "%d is no AS of one's own", a.AS)
+	c.failIf(a.AS == 0 || a.AS == 23456, "announce.as", "%d can't be the service's own AS number", a.AS)
 	c.failIf(a.HoldTime != 0 && !(a.HoldTime >= 3000 && a.HoldTime <= 65535000), "announce.hold_ms", "is %g, must be 0 or from 3000 to 65535000 (RFC 4271 section 4.2)", a.HoldTime)
 	for _, t := range []struct {
 		name       string
@@ -608,7 +612,7 @@
 	for i := range a.Routers {
 		r, at := &a.Routers[i], fmt.Sprintf("announce.routers[%d].", i)
 		_, err := netip.ParseAddrPort(r.Addr)
-		c.failIf(err != nil, at+"addr", "%.70q is no address with a port", r.Addr)
+		c.failIf(err != nil, at+"addr", "%.70q is not an IP address with a port", r.Addr)
 		c.failIf(r.AS == 0, at+"as", "is 0 (RFC 7607)")
 		for j, h := range r.Hosts {
 			c.failIf(h < 0 || h >= s.Hosts, fmt.Sprintf("%shosts[%d]", at, j), "there is no host %d", h)
@@ -632,20 +636,20 @@
 		for j, t := range g.Prefixes {
 			path := fmt.Sprintf("%sprefixes[%d]", at, j)
 			p, err := netip.ParsePrefix(t)
-			c.failIf(err != nil || p != p.Masked() || p.Addr().Is4In6(), path, "%.70q is no prefix, or has bits past its length", t)
-			c.failIf(prefixes[p] != "" && err == nil, path, "%s is also of group %s", t, prefixes[p])
+			c.failIf(err != nil || p != p.Masked() || p.Addr().Is4In6(), path, "%.70q is not an IP prefix, or has bits set beyond its length", t)
+			c.failIf(prefixes[p] != "" && err == nil, path, "%s is also in group %s", t, prefixes[p])
 			prefixes[p] = g.Name
 		}
 		for j, v := range g.Volumes {
 			path := fmt.Sprintf("%svolumes[%d]", at, j)
 			c.failIf(!volumes[v], path, "there is no volume %.70q", v)
-			c.failIf(grouped[v] != "", path, "%.70q is also of group %s", v, grouped[v])
+			c.failIf(grouped[v] != "", path, "%.70q is also in group %s", v, grouped[v])
 			grouped[v] = g.Name
 		}
 	}
 }
 
-// RateOf is the units a second that are expected of a volume.
+// RateOf returns the expected rate of a volume in units per second: its own or its plan's.
 func (s *Settings) RateOf(v *Volume) float64 {
 	if v.Rate > 0 {
 		return v.Rate
@@ -677,11 +681,11 @@
 			path = "target.mutual"
 		}
 		c.failIf(k.User == "" || len(k.User) > 255, path+".user", "must have 1 to 255 bytes")
-		if k.Secret == SecretPlaceholder { // the store puts the secret in its place or says that there is none
+		if k.Secret == SecretPlaceholder { // the store fills the secret in, or reports that there is none
 			continue
 		}
 		c.failIf(len(k.Secret) < 12 || len(k.Secret) > 255, path+".secret", "must have 12 to 255 bytes (RFC 7143 section 9.2.1 asks for 96 bits)")
-		c.failIf(i >= len(t.Chap) && slices.ContainsFunc(t.Chap, func(o Chap) bool { return o.Secret == k.Secret }), path+".secret", "is also a client's: each direction needs its own")
+		c.failIf(i >= len(t.Chap) && slices.ContainsFunc(t.Chap, func(o Chap) bool { return o.Secret == k.Secret }), path+".secret", "equals a client's secret: each direction needs its own")
 	}
 }
 
@@ -690,7 +694,7 @@
 	dedupScopeByName = map[string]policy.DedupScope{"cell": policy.DedupShard, "zone": policy.DedupZone, "all": policy.DedupAll}
 )
 
-// Policy returns what the module of host number self in that zone is told.
+// Policy converts the settings to those of the policy of host number self in that zone.
 func (s *Settings) Policy(self int, zone string) policy.Settings {
 	p := policy.Settings{
 		Hosts: s.Hosts, Self: self, Zone: zone, Tick: 1, Shards: s.Shards,
@@ -700,11 +704,12 @@
 		Rules: policy.Rules{AnswerSlack: s.Rules.AnswerSlack, DrainGrace: s.Rules.DrainGrace,
 			OverloadFactor: s.Rules.OverloadFactor, OverloadWindow: s.Rules.OverloadWindow, ColdCapacity: s.Rules.ColdCapacity,
 			WarmUpTime: s.Rules.WarmUpTime, ColdUnits: s.Rules.ColdUnits, KeyHoldoff: s.Rules.KeyHoldoff,
-			MaxSendDelay: 2 * s.Limits.DialTimeout}, // to connect and to be greeted
+			MaxSendDelay: 2 * s.Limits.DialTimeout}, // one dial time-out each for the connection and for the handshake
 	}
 	if s.Regions != nil {
-		// Clocks may differ by twice the drift: what is short by this host's may still
-		// run by a disk server's, which goes by its own while it is cold.
+		// A disk server measures its warm-up by its own clock, and two clocks may drift
+		// apart in opposite directions: a host with a fast clock must not treat a server
+		// as warm too early.
 		apart := (1 + s.Regions.Drift) / (1 - s.Regions.Drift)
 		p.Rules.WarmUpTime *= apart
 		p.Rules.OverloadWindow *= apart
@@ -724,8 +729,8 @@
 	return p
 }
 
-// Class returns the class of a command of that operation and size on a volume of
-// that plan, or nil.
+// Class returns the class of a command with an operation and a size in bytes on a volume
+// of a plan, or nil.
 func (s *Settings) Class(op scsi.Op, size int, plan string) *Class {
 	name := op.String()
 	for i := range s.Classes {
@@ -740,13 +745,13 @@
 	return nil
 }
 
-// Units is what a request of so many bytes counts.
+// Units returns the size of a request of size bytes in units: rounded up, and from 1 to
+// MaxUnits.
 func (s *Settings) Units(size int) float64 {
 	return min(max(math.Ceil(float64(size)/float64(s.UnitBytes)), 1), s.MaxUnits)
 }
 
-// Segment is a run of blocks that lies on one shard, with the piece of data that it
-// begins in.
+// Segment is a run of blocks on one shard. Extent is the extent that its first block is in.
 type Segment struct {
 	Shard  int
 	LBA    uint64
@@ -754,7 +759,7 @@
 	Extent uint64
 }
 
-// Segments splits a run of blocks where the shard changes.
+// Segments splits a run of blocks into segments of one shard each.
 func (v *Volume) Segments(lba uint64, blocks uint32) iter.Seq[Segment] {
 	return func(yield func(Segment) bool) {
 		var p Segment
@@ -781,16 +786,16 @@
 	}
 }
 
-// Key names the piece of data that an extent is, for order.
+// Key returns the ordering key of an extent.
 func (v *Volume) Key(extent uint64) string {
 	var buf [96]byte
 	return string(strconv.AppendUint(append(append(buf[:0], v.Name...), '/'), extent, 10))
 }
 
-// Disk describes the volume as a logical unit.
+// Disk returns the volume as a logical unit of package scsi.
 func (v *Volume) Disk() *scsi.Disk {
 	return &scsi.Disk{Blocks: v.Blocks, BlockSize: uint32(v.BlockSize), Name: v.Name, ReadOnly: v.ReadOnly, Extent: uint32(v.ExtentBlocks)}
 }
 
-// TargetName is the name under which initiators find the volume.
+// TargetName returns the iSCSI name of a volume's target.
 func (s *Settings) TargetName(v *Volume) string { return s.Target.Prefix + ":" + v.Name }
--- a/internal/control/settings/store.go
+++ b/internal/control/settings/store.go
@@ -15,23 +15,23 @@
 	"merlinhitch/internal/storage/durable"
 )
 
-// ErrNoSnapshot says that there is no snapshot: nothing was ever saved there.
+// ErrNoSnapshot is returned by Load if the snapshot file does not exist.
 var ErrNoSnapshot = errors.New("settings: no snapshot")
 
-// DamagedError says that there is a snapshot which can't be trusted. It is never
-// used in part, nor overwritten by a start.
+// DamagedError reports a snapshot that is damaged or does not fit its audit log. It is
+// neither used in part nor overwritten by Open.
 type DamagedError struct{ File, Reason string }
 
 func (e *DamagedError) Error() string {
 	return fmt.Sprintf("settings: snapshot %s is damaged: %s", e.File, e.Reason)
 }
 
-// StaleError says that a change was made against a version that is not in force.
+// StaleError reports a change that was made from a version which is no longer in force.
 type StaleError struct {
 	Against, InForce uint64
-	// Theirs is what was changed since by others; nil where that is not known any more.
+	// Theirs lists the changes accepted since; nil if the version is not in the audit log.
 	Theirs []audit.Change `json:",omitempty"`
-	// Collisions are where the refused change touches the same. Without any it can be
+	// Collisions lists where the refused change collides with them. Without any it can be
 	// merged.
 	Collisions []audit.Collision `json:",omitempty"`
 }
@@ -53,8 +53,8 @@
 
 const snapshotMagic = "merlinhitch-settings"
 
-// Load reads a snapshot. Its secrets are opened with the key; without one it must have
-// none.
+// Load reads a snapshot and unseals its secrets with the key. Without a key, sealed
+// secrets are ErrNoKey.
 func Load(file string, k *Key) (*Settings, error) {
 	b, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -67,13 +67,13 @@
 	var sum uint64
 	var n int
 	if !ok {
-		return nil, &DamagedError{file, "no head line"}
+		return nil, &DamagedError{file, "no header line"}
 	}
 	if _, err := fmt.Sscanf(string(head), snapshotMagic+" 1 %d %x", &n, &sum); err != nil {
-		return nil, &DamagedError{file, "head line not understood"}
+		return nil, &DamagedError{file, "malformed header line"}
 	}
 	if len(body) != n {
-		return nil, &DamagedError{file, fmt.Sprintf("%d bytes where %d were written", len(body), n)}
+		return nil, &DamagedError{file, fmt.Sprintf("got %d bytes, want %d", len(body), n)}
 	}
 	if xxhash.Sum64(body) != sum {
 		return nil, &DamagedError{file, "checksum does not match"}
@@ -85,8 +85,8 @@
 	return s, s.unsealSecrets(k)
 }
 
-// Save writes a snapshot so that a reader, or a start after a crash at any point,
-// finds the old one or the new one, whole. Secrets are sealed with the key.
+// Save replaces the snapshot atomically: a reader, also after a crash at any point, finds
+// the old or the new one complete. Secrets are sealed with the key.
 func Save(file string, s *Settings, k *Key) error {
 	if s.HasSecrets() && k == nil {
 		return ErrNoKey
--- a/internal/control/settings/tree.go
+++ b/internal/control/settings/tree.go
@@ -7,13 +7,13 @@
 	"merlinhitch/internal/storage/audit"
 )
 
-// ListKeys tells entries of the settings' lists apart by name, so that a difference names
-// the entry and two changes of different entries can be merged.
+// ListKeys gives for each list of the settings the field that identifies its entries, so
+// that differences name the entry and changes of different entries can be merged.
 var ListKeys = audit.Keys{"classes": "name", "plans": "name", "volumes": "name", "nodes": "shard", "target.chap": "user",
 	"announce.routers": "name", "announce.groups": "name"}
 
-// tree is what differences are taken of: the settings with their secrets sealed and
-// without the version, which every change counts up.
+// tree returns the settings as the JSON tree that differences are computed on: with sealed
+// secrets and without the version, which every change increments.
 func (s *Settings) tree(k *Key) (any, error) {
 	t := map[string]any{}
 	if s == nil {
@@ -27,12 +27,12 @@
 	if err != nil {
 		return nil, err
 	}
-	t = v.(map[string]any) // of a struct
+	t = v.(map[string]any) // a struct is encoded as an object
 	delete(t, "version")
 	return t, nil
 }
 
-// fromTree is the inverse. Secrets are opened; the settings are not checked.
+// fromTree is the inverse of tree. It unseals the secrets and does not check the settings.
 func fromTree(t any, version uint64, k *Key) (*Settings, error) {
 	b, err := json.Marshal(t)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return s, s.unsealSecrets(k)
 }
 
-// Diff lists what makes b of a; their secrets are compared and shown sealed.
+// Diff lists the changes from a to b. Secrets are compared and shown sealed.
 func Diff(a, b *Settings, k *Key) ([]audit.Change, error) {
 	ta, err := a.tree(k)
 	if err != nil {
