--- a/internal/control/scheduler/client.go
+++ b/internal/control/scheduler/client.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// close writes what is queued and closes the connection, after a linger so that a reset does not
-// overtake the last answer. Requests that arrive meanwhile stay unread, so the client may safely
+// close writes what is queued and closes the connection. After a recent answer it lingers first, so
+// that a reset does not overtake the answer. Requests that arrive meanwhile stay unread, so the client may safely
 // send them elsewhere.
 func (c *client) close(cause error) {
 	f := c.frontend
@@ -74,8 +74,8 @@
 	}
 }
 
-// answeredSince reports whether the last answer is newer than since and the client has not closed
-// its side, so that the answer may still be in flight.
+// answeredSince reports whether the last answer was given after since (ms, loop's clock) and the client
+// has not closed its side, so that the answer may still be in flight.
 func (c *client) answeredSince(since float64) bool {
 	c.frontend.mu.Lock()
 	defer c.frontend.mu.Unlock()
@@ -83,7 +83,7 @@
 }
 
 // awaitFirstByte waits for a request's first byte. After a timeout it checks the socket once more:
-// if the process was held up, a request may have arrived in time without being read.
+// if the process was descheduled, a request may have arrived in time without being read.
 func (c *client) awaitFirstByte() error {
 	_, err := c.in.Peek(1)
 	if env.IsTimeout(err) {
@@ -239,7 +239,7 @@
 	return resp.done.Opened() && !resp.closeAfter
 }
 
-// deliver implements answerer, on the loop.
+// deliver implements recipient. It is called on the loop.
 func (r *responder) deliver(outcome callOutcome, retryAfterMS float64, body []byte) {
 	status, fields := 504, http1.Fields(nil)
 	switch outcome {
--- a/internal/control/scheduler/config.go
+++ b/internal/control/scheduler/config.go
@@ -17,7 +17,7 @@
 	Name      string
 	Listen    string // listen address for clients, host:port
 	Discovery string // address of the discovery service, host:port
-	Seed      uint64
+	Seed      uint64 // of the policy's random numbers
 	Limits    Limits
 	Known     ServerList // disk servers known before the start; may be out of date
 	Settings  policy.Settings
@@ -28,7 +28,7 @@
 // Limits are the machine's resources that the scheduler may use.
 type Limits struct {
 	Cores    float64
-	MemoryMB int
+	MemoryMB int // MiB
 	Sockets  int // file descriptors
 }
 
--- a/internal/control/scheduler/connpool.go
+++ b/internal/control/scheduler/connpool.go
@@ -307,7 +307,7 @@
 }
 
 // assign gives a free connection to the attempt that has waited longest and may still begin, or
-// makes it idle if there is none. One with unexpected input or an end of stream is closed.
+// makes it idle if there is none. A connection with unexpected input or an end of stream is closed.
 func (p *connPool) assign(at float64, sc *serverConn) {
 	s := sc.server
 	sc.state = connIdle
--- a/internal/control/scheduler/core.go
+++ b/internal/control/scheduler/core.go
@@ -30,7 +30,7 @@
 	body           []byte
 }
 
-// call is one request of a client, from its last byte to its response.
+// call is one request of a client, from its last byte to its answer.
 type call struct {
 	forwardedRequest
 	req         policy.Request
@@ -87,7 +87,7 @@
 	send(a *attempt)
 	abandon(a *attempt) attemptProgress // the caller then ends the attempt
 	serverListed(e ServerEntry)         // adds a server or updates its address
-	serverRemoved(host string)          // no new attempts go there
+	serverRemoved(host string)          // no new attempts are sent there
 	warn(text string)
 }
 
@@ -296,7 +296,7 @@
 }
 
 // shortenDeadline brings a call's deadline forward, because pipelined requests with earlier
-// deadlines wait for its response.
+// deadlines wait for its answer.
 func (k *core) shortenDeadline(now float64, c *call, deadline float64) {
 	k.advance(now)
 	if c.ended || k.calls[c.req.ID] != c {
@@ -393,7 +393,7 @@
 
 // updateServers applies a list of disk servers, full or of changes. Only entries that differ from
 // the last report are passed to the policy. Servers that a full list leaves out are reported as
-// removed, so that no state of theirs is kept.
+// removed, so that none of their state is kept.
 func (k *core) updateServers(now float64, l ServerList, cached bool) {
 	k.advance(now)
 	entries := l.Entries
@@ -446,7 +446,8 @@
 	}
 }
 
-// maxClockSkew is the difference of two hosts' wall clocks, ms, above which an entry is at fault.
+// maxClockSkew is how far in the future, ms, the start time of an entry may be without a fault: the wall
+// clocks of two hosts differ.
 const maxClockSkew = 5000.0
 
 // removedEntries returns the known servers missing from a full list, as removed, sorted by host so
@@ -465,7 +466,7 @@
 	return removed
 }
 
-// startTime returns a disk server's start on the core's clock. Once discovery has been heard, a new
+// startTime returns a disk server's start on the core's clock. Once discovery has sent a list, a new
 // start counts from now: wall clocks may be stepped on either host, and a start taken for an older
 // one would overload a cold server. Before that only the timestamp is known; one in the future
 // counts from now.
--- a/internal/control/scheduler/discovery.go
+++ b/internal/control/scheduler/discovery.go
@@ -17,8 +17,8 @@
 	discoveryPath = "/discovery/hosts"
 	// Discovery sends a message or an empty line on an open watch every 2 s. A watch that is
 	// silent for watchSilenceTimeout is reopened. Discovery takes a change as delivered 6 s after
-	// the silence began, which leaves time for a second watch to fall silent. Requests are
-	// answered at once or not at all.
+	// the silence began, which leaves time for a second watch to fall silent.
+	// watchResponseTimeout bounds the dial, and then the time to the head of the response.
 	watchSilenceTimeout  = 2700 * time.Millisecond
 	watchResponseTimeout = 400 * time.Millisecond
 	// Backoff between watches: it doubles with each watch that brings nothing.
@@ -172,7 +172,7 @@
 		received := false
 		return objects.forEach(stream, func(item streamItem) (more bool, err error) {
 			if item == itemPartial {
-				return true, nil // an incomplete message does not count as a sign of life
+				return true, nil // an incomplete message does not extend the read deadline
 			}
 			conn.SetReadDeadline(d.environment.Deadline(watchSilenceTimeout))
 			if item == itemObject {
--- a/internal/control/scheduler/eventlog.go
+++ b/internal/control/scheduler/eventlog.go
@@ -69,7 +69,7 @@
 		zap.Int("attempts", c.attempts), zap.Float64("left_ms", c.req.Expires-now))
 }
 
-// clientLeft logs a client that disconnected before its response.
+// clientLeft logs a client that disconnected before its answer.
 func (l *eventLog) clientLeft(c *call) {
 	if l == nil {
 		return
@@ -121,7 +121,7 @@
 	l.log.Info("dial failed", zap.String("server", host), zap.Error(err))
 }
 
-// closeReason is the reason for which a client's connection ended.
+// closeReason says why a client's connection ended.
 type closeReason int
 
 const (
@@ -129,7 +129,7 @@
 	closeRejected                       // the request is invalid or not servable here
 	closeDuplicateID                    // the request ID was used before
 	closeRequested                      // the client requested the close or disconnected
-	closeDraining                       // the scheduler drains and closes after each response
+	closeDraining                       // the scheduler drains and closes after each answer
 	closeIdle                           // idle timeout, or closed to make room for others
 	closeByClient                       // the client closed it between requests
 	closeLoopEnded                      // the loop had stopped
--- a/internal/control/scheduler/frontend.go
+++ b/internal/control/scheduler/frontend.go
@@ -30,8 +30,8 @@
 	evictNewAfterMS       = 100.0
 	evictIdleAfterMS      = 500.0
 	acceptRetryInterval   = 5 * time.Millisecond
-	maxQueuedAcceptWaitMS = 1.0 // an accept that returns sooner took a connection that was already queued
-	clientWriteLimit      = maxResponseBytes + maxHTTPMessageBytes
+	maxQueuedAcceptWaitMS = 1.0                                    // an accept that returns sooner took a connection that was already queued
+	clientWriteLimit      = maxResponseBytes + maxHTTPMessageBytes // bytes queued for one client
 	clientWriteTimeout    = 3 * time.Second
 	// lingerTimeout bounds how long a connection stays half-closed after its last answer, until
 	// the client closes its side (RFC 9112, section 9.6): closing it with unread data would send
@@ -134,7 +134,7 @@
 	}
 }
 
-// maxListenQueueMS is the longest time in the listener's queue that is believed, ms.
+// maxListenQueueMS is the longest plausible time, ms, of a connection in the listener's queue.
 const maxListenQueueMS = 60_000.0
 
 // arrivalTime returns when data last arrived on a connection that was just accepted, or else when it
--- a/internal/control/scheduler/list.go
+++ b/internal/control/scheduler/list.go
@@ -38,7 +38,7 @@
 
 var policyHealth = map[string]policy.Health{stateActive: policy.Ready, stateLeaving: policy.Draining, stateLeft: policy.Removed}
 
-// severity orders the states by how much they forbid.
+// severity orders the states by how restrictive they are.
 var severity = map[string]int{stateActive: 0, stateLeaving: 1, stateLeft: 2}
 
 // entryFault reports an invalid entry of a list; the list's other entries are unaffected.
--- a/internal/control/scheduler/readahead.go
+++ b/internal/control/scheduler/readahead.go
@@ -120,7 +120,7 @@
 	return err
 }
 
-// arrivalTime returns when the stream had arrived up to offset, or the present if no mark tells.
+// arrivalTime returns when the stream had arrived up to offset, or the present if no mark covers it.
 func (a *readAhead) arrivalTime(offset int64) float64 {
 	for _, m := range a.marks {
 		if m.offset >= offset {
--- a/internal/control/scheduler/reusestats.go
+++ b/internal/control/scheduler/reusestats.go
@@ -15,8 +15,8 @@
 
 const (
 	idleBuckets = 16
-	// reuseDecayTime is the time constant of the decay, ms. It lets an avoided idle time be tried
-	// again later.
+	// reuseDecayTime is the time constant of the decay, ms. After the decay, connections of an idle
+	// time that was avoided are tried again.
 	reuseDecayTime = 20_000.0
 	// reusePriorIntact is the number of intact connections that each bucket starts with, and
 	// maxBrokenFraction the broken part above which a bucket's connections are replaced. A new
--- a/internal/control/scheduler/serverconn.go
+++ b/internal/control/scheduler/serverconn.go
@@ -15,8 +15,8 @@
 // serviceHost is the Host field of requests to disk servers.
 const serviceHost = "api.internal"
 
-// encodeRequest returns the attempt's HTTP request. Request-Timeout is the time left, in ms,
-// rounded down to whole milliseconds so that the server never assumes more than the client has.
+// encodeRequest returns the attempt's HTTP request. Request-Timeout is timeLeft, ms, rounded down to
+// whole milliseconds, so that the server never assumes more time than the client has.
 func (a *attempt) encodeRequest(timeLeft float64) []byte {
 	c := a.call
 	f := http1.Fields{{Name: "Host", Value: serviceHost}, {Name: "Request-Id", Value: c.req.ID}}
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,11 +1,11 @@
 // Package policy decides, for one host, which storage request is sent to which
 // node and when. It does no input or output: its caller feeds it events and
 // carries out the actions that it returns.
-package policy
-
+//
 // All times and durations are in milliseconds. Times are read from the host's
 // own monotonic clock, whose zero has no meaning. The size of a request is
 // measured in units.
+package policy
 
 // Scheduler is one host's instance. It is not safe for concurrent use, and
 // instances share no state.
@@ -26,7 +26,7 @@
 // The kinds of effect.
 const (
 	NonIdempotent Effect = iota // every further attempt takes effect once more
-	Keyed                       // the nodes of a DedupScope drop repeats of one key for a while
+	Keyed                       // the nodes of the DedupScope drop repeats of one key for DedupWindow
 	Idempotent                  // repeating does no harm
 )
 
@@ -88,7 +88,7 @@
 	Overdraft float64 // units by which that bucket may go below zero
 }
 
-// Limits says what the site lets a host do.
+// Limits says what an installation permits its hosts to do.
 type Limits struct {
 	MaxAttempts int     // attempts per request; 0: unlimited
 	Cancel      bool    // attempts may be cancelled
@@ -101,9 +101,9 @@
 // Rules holds the parameters of the safety rules.
 type Rules struct {
 	AnswerSlack    float64 // time after a request's expiry by which it must have its final answer
-	DrainGrace     float64 // time within which sending to a draining node must stop; not read here
+	DrainGrace     float64 // time within which sending to a draining node must stop; not read by this policy
 	AskWithin      float64 // not read by this policy
-	OverloadFactor float64 // multiple of a node's capacity at which it becomes overloaded; not read here
+	OverloadFactor float64 // multiple of a node's capacity at which it becomes overloaded; not read by this policy
 	OverloadWindow float64 // time over which the load on a cold node is summed
 	ColdCapacity   float64 // capacity of a node that has just started, as a fraction of its full one
 	WarmUpTime     float64 // time from a node's start to its full capacity
@@ -201,13 +201,13 @@
 // new settings. Learnt state is kept.
 type SettingsChanged struct{ Settings Settings }
 
-// Outcome ends an attempt. Done is set if the request is over with it.
+// Outcome ends an attempt.
 type Outcome struct {
 	ID         string
 	Node       string
-	Attempt    int
-	Done       bool
-	Elapsed    float64
+	Attempt    int     // counted from 0
+	Done       bool    // the request has ended: it was answered, or its client left
+	Elapsed    float64 // time since the Send
 	Result     Result
 	FromOthers float64   // the node's figure for the load from other hosts; not read by this policy
 	Use        float64   // the node's figure for its utilization; not read by this policy
@@ -276,7 +276,7 @@
 type Action interface{ action() }
 
 // Send starts an attempt. TimeoutAt 0 leaves the time-out to the request's expiry. An attempt that
-// waits for its connection has to start by StartBy; otherwise it ends as NotSent.
+// waits for its connection has to start by StartBy, or else it ends as NotSent; 0 or +Inf: no bound.
 type Send struct {
 	ID, Node           string
 	TimeoutAt, StartBy float64
--- a/policy/counting.go
+++ b/policy/counting.go
@@ -6,7 +6,7 @@
 
 type windowEntry struct{ time, amount float64 }
 
-// window is a sliding window of entries, oldest first, and the sum of their units. Each entry is
+// window is a sliding window of entries, oldest first, and the sum of their amounts. Each entry is
 // added and dropped once.
 type window struct {
 	entries []windowEntry
--- a/policy/depth.go
+++ b/policy/depth.go
@@ -11,7 +11,7 @@
 // updateDepth sets the depth of sh for the next second, by a control law on the mean service time.
 // The reference is targetFraction of the tightest latency target, less the mean wait of served
 // requests; below a depth of 1 it is lowDepthTargetFraction of the target. A depth of at least 1
-// that held nothing back is kept while the service time is below targetFraction, since the depth
+// that delayed no request is kept while the service time is below targetFraction, since the depth
 // did not cause that time.
 func (p *scheduler) updateDepth(sh *shard) {
 	target := p.minLatencyTarget()
--- a/policy/estimate.go
+++ b/policy/estimate.go
@@ -112,7 +112,7 @@
 }
 
 // weightedSystem returns, for each output, the gains of the shares and the deviation from the
-// reference. The rows of the latencies are multiplied by latencyWeight.
+// reference. The rows of the inverse latencies are multiplied by inverseLatencyWeight.
 func (g *shareRegulator) weightedSystem(reference []float64, inverseLatencyWeight float64) (gains [][]float64, deviation []float64) {
 	n := len(g.share)
 	for i := range 2 * n {
@@ -129,9 +129,8 @@
 	return gains, deviation
 }
 
-// rankCutoff returns the value of a unit above which that fraction of the units lies, for demands
-// in descending order of value, and the fraction of further such demands that is expected to lie
-// above it.
+// rankCutoff returns the rank above which that fraction of the units lies, for demands in descending
+// order of rank, and the fraction of further such demands that is expected to lie above it.
 func rankCutoff(demands []demand, fraction float64) (cutoff, fractionAbove float64) {
 	remaining := 0.0
 	for _, a := range demands {
--- a/policy/fairqueue.go
+++ b/policy/fairqueue.go
@@ -51,7 +51,8 @@
 
 // next returns the request of highest value that may be sent, nil if there is none. While volume
 // limits hold the whole queue, only newly queued requests are examined until the first limit
-// admits a request, so that a long queue of limited volumes isn't scanned at each dispatch.
+// admits a request, so that a long queue of limited volumes isn't scanned at each dispatch. fresh also
+// holds requests that have left the queue; if they get too many, the whole queue is examined again.
 func (f *flow) next(p *scheduler, sh *shard) *request {
 	if p.now < f.limitedUntil-timeEpsilon && len(f.fresh) <= len(f.queue)+maxNewerSamples {
 		if r := f.nextFresh(p, sh); r != nil {
@@ -137,7 +138,7 @@
 	serviceTime           decayingMean // for a request of mean size
 	servedTime            decayingMean // of served attempts only, whatever their size
 	meetsTargetAtMaxDepth bool         // maxDepth requests served one after the other would be in time
-	depthLimited          bool         // the depth bound held a request back since the last second
+	depthLimited          bool         // the depth bound delayed a request since the last second
 	prevOutput            float64      // output of depthModel at the last sample
 	lastServedSend        float64      // latest send time among served attempts
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -100,8 +100,8 @@
 	recentSends   window        // attempts within coldWindow
 	servedShort   decayingCount // served attempts, decaying with rejectSpan
 	rejectedShort decayingCount // rejected attempts, decaying with rejectSpan
-	servedLong    decayingCount // served attempts, decaying with answerSpan
-	errorsLong    decayingCount // server errors and lost or failed connections, decaying with answerSpan
+	servedLong    decayingCount // served attempts, decaying with sampleSpan
+	errorsLong    decayingCount // server errors and lost or failed connections, decaying with sampleSpan
 }
 
 // errorFraction returns the fraction of recent outcomes that were errors or lost connections,
@@ -114,7 +114,7 @@
 	return errorsLong / (errorsLong + n.servedLong.value(now, sampleSpan) + priorWeight)
 }
 
-// serviceSample is the time that an attempt took, ms.
+// serviceSample is a sample of the service time, ms.
 type serviceSample struct{ recordedAt, elapsed float64 }
 
 // medianServiceTime returns the median of the samples, or fallback if there are none.
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -39,13 +39,14 @@
 	return float64(recentRetries), rules.BudgetBase + rules.BudgetRatio*float64(recentArrivals)
 }
 
-// dedupUntil returns until when the nodes surely drop repeats of r, which may have run.
+// dedupUntil returns the time up to which the nodes are certain to drop repeats of r, which may have
+// run.
 func (p *scheduler) dedupUntil(r *request) float64 {
 	return r.mayHaveRunAt + r.class.DedupWindow - p.settings.Tick - answerMargin
 }
 
 // cancelOvertaken cancels attempts overtaken by one that was sent several service times later, since
-// their answers are lost. During a pause of the node nothing is overtaken. A cancelled attempt may
+// their answers are presumed lost. During a pause of the node nothing is overtaken. A cancelled attempt may
 // still be running, so this needs Limits.Duplicates.
 func (p *scheduler) cancelOvertaken(sh *shard) {
 	for _, r := range sh.outstanding {
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -28,7 +28,7 @@
 }
 
 // placementCost returns the cost of a new object at sh: its expected wait and service time in ms,
-// raised where only a fraction may be sent or attempts fail. It is false if none may go there.
+// raised where only a fraction may be sent or attempts fail. It returns false if none may be sent there.
 func (p *scheduler) placementCost(sh *shard) (float64, bool) {
 	p.visits++
 	if sh.node == nil || sh.node.suspect {
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -67,18 +67,18 @@
 	volumes             map[string]*volumeBuckets
 	keyQueues           map[string]*keyQueue
 	timers              timerHeap
-	staleTimers         int     // timers of requests that are over
-	wakeAt              float64 // time of the earliest "wake" timer that is set
-	recentRetries       window  // attempts beyond the first
-	recentArrivals      window
+	staleTimers         int                          // timers of requests that are over
+	wakeAt              float64                      // time of the earliest "wake" timer that is set
+	recentRetries       window                       // attempts beyond the first of a request, for the retry budget
+	recentArrivals      window                       // arrivals of requests, for the retry budget
 	unserved            map[retryKey]unservedRequest // unserved requests that their clients may still retry
 	maxUnitsSeen        float64                      // largest request so far
-	limitOpensAt        float64                      // set by maySend: when the volume's limit admits the request; 0: it does not hold it
+	limitOpensAt        float64                      // set by maySend: when the volume's limit admits the request; 0: the limit does not delay it
 	subscribed          bool
 	lastSubscribe       float64
 	shares              shareRegulator
-	serviceSamples      []serviceSample // recent answers of all nodes
-	medianTime          float64         // median service time of answers
+	serviceSamples      []serviceSample // recent samples from all nodes
+	medianTime          float64         // median of serviceSamples
 	unloadedServiceTime float64         // estimate of medianTime without queueing
 	unitsSinceUpdate    float64         // units that arrived since rateUpdatedAt
 	rateUpdatedAt       float64
@@ -86,7 +86,7 @@
 	// recentUnits counts arrived units, decaying with time constant burstMemory.
 	recentUnits  decayingCount
 	recentDemand []demand
-	rankedDemand []demand // recentDemand as of the last second, highest value first
+	rankedDemand []demand // recentDemand as of the last second, highest rank first
 }
 
 func (p *scheduler) emit(a Action) { p.actions = append(p.actions, a) }
--- a/policy/shares.go
+++ b/policy/shares.go
@@ -33,9 +33,8 @@
 	g.applyControl(g.optimalOutputs(min(totalAnswers, maxShareSteps)))
 }
 
-// flowUtility predicts what flow i earns at those shares: its mean value per unit, times its
-// throughput, times the ratio of latency target to latency, capped at 1. A flow without answers
-// earns nothing.
+// flowUtility predicts the utility of flow i at those shares: its mean value per unit, times its
+// throughput, times the ratio of latency target to latency, capped at 1. Without answers it is 0.
 func (g *shareRegulator) flowUtility(i int, share []float64) float64 {
 	if g.answers[i] == 0 {
 		return 0
@@ -76,7 +75,7 @@
 }
 
 // applyControl moves the shares by the change du that minimises |W(y - reference)|^2 + |Q du|^2 for
-// the outputs y, then scales their sum to 1 and holds each above a minimum.
+// the outputs y, then scales their sum to 1 and raises each to at least minShare / number of flows.
 func (g *shareRegulator) applyControl(reference []float64) {
 	gains, deviation := g.weightedSystem(reference, latencyWeight)
 	change := controlStep(gains, deviation, sharePenalty)
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -16,7 +16,8 @@
 	return min(sh.depth, coldFraction)
 }
 
-// minAdmittedRank returns the rank above which that fraction of the recent demand lies.
+// minAdmittedRank returns the least rank within the highest-ranked fraction of the recent demand; 0 if
+// all of it is admitted.
 func (p *scheduler) minAdmittedRank(fraction float64) float64 {
 	if fraction >= 1 {
 		return 0
@@ -25,12 +26,13 @@
 	return cutoff
 }
 
-// expectedWait returns the queueing delay behind ahead requests of mean size.
+// expectedWait returns the queueing delay, ms, of a request that has ahead requests of mean size before
+// it.
 func (p *scheduler) expectedWait(sh *shard, ahead float64) float64 {
 	return ahead * p.expectedServiceTime(sh) / max(sh.depth, 1)
 }
 
-// byValue orders requests by falling value, equal ones by target time. Earliest target first would,
+// byValue orders requests by descending value, equal ones by target time. Earliest target first would,
 // under overload, serve old requests of low value before new ones of high value.
 func byValue(a, b *request) int {
 	return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(a.targetTime, b.targetTime))
@@ -56,7 +58,7 @@
 	p.shedDeferred(sh, serviceTime)
 }
 
-// shedQueues defers requests in sh's retries and flows that rank below minValue, exceed the slow
+// shedQueues defers requests in sh's retries and flows that rank below minRank, exceed the slow
 // start of its node or would miss their target time.
 func (p *scheduler) shedQueues(sh *shard, serviceTime, minRank float64) {
 	_, coldFraction, warming := p.shardSlowStart(sh)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -57,7 +57,7 @@
 // maxColdMean returns the mean number of requests that all hosts together may send within
 // Rules.OverloadWindow, so that their sum hardly ever overloads a node of that capacity, in
 // requests. The overload threshold is c + 2 sqrt(c) + 2 for a capacity c, and c + 3 sqrt(c) + 3
-// below smallColdLoad. The sum over many independent hosts is Poisson distributed: its standard
+// below smallColdCapacity. The sum over many independent hosts is Poisson distributed: its standard
 // deviation is the square root of its mean.
 func maxColdMean(capacity float64) float64 {
 	overload := capacity + 2*math.Sqrt(capacity) + 2
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -45,8 +45,8 @@
 	heap.Push(&p.timers, timer{due, r, sh})
 }
 
-// runTimers runs the timers that are due, removes those of ended requests if they are more than
-// half of many, and sets the caller's timer for the next.
+// runTimers runs the timers that are due and sets the caller's timer for the next. Of more than
+// pruneTimersAbove timers it removes those of ended requests if these are more than half.
 func (p *scheduler) runTimers() {
 	for len(p.timers) > 0 && p.timers[0].due <= p.now {
 		t := heap.Pop(&p.timers).(timer)
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -4,7 +4,7 @@
 
 // Token buckets: this host's part of the reserve, rate and limit in each volume's plan.
 
-// volumeBuckets returns the token buckets of q's volume at this host, refilled to the present. On
+// volumeBuckets returns the token buckets of req's volume at this host, refilled to the present. On
 // first use they are created, with the reserve and the fair share full.
 func (p *scheduler) volumeBuckets(req Request, plan *Plan) *volumeBuckets {
 	buckets := p.volumes[req.Volume]
@@ -68,7 +68,7 @@
 	p.recentDemand = append(p.recentDemand[max(len(p.recentDemand)-maxNewerDemand, 0):], demand{r.rank, r.Units})
 }
 
-// withinLimit reports whether the limit of r's volume lets r go from this host; if not, it sets a
+// withinLimit reports whether the limit of r's volume admits r at this host; if not, it sets a
 // timer for when the bucket will have filled far enough.
 func (p *scheduler) withinLimit(r *request, sh *shard) bool {
 	if r.tokenBuckets.plan.Limit <= 0 || r.charged {
@@ -111,7 +111,7 @@
 
 // refundLimit has a request that reached no node charged again at its next attempt, since the
 // bucket has filled meanwhile. Its units are returned only if no connection was made; otherwise it
-// is less sure that they were not used.
+// is less certain that they were not used.
 func (p *scheduler) refundLimit(r *request, result Result) {
 	if p.settings.Rules.MaxSendDelay <= 0 || r.reachedNode || !r.charged {
 		return
@@ -158,7 +158,7 @@
 	p.recheckLimited()
 }
 
-// recheckLimited dispatches from all shards again after a change that may let limited requests go.
+// recheckLimited dispatches from all shards again after a change that may admit limited requests.
 func (p *scheduler) recheckLimited() {
 	for _, sh := range p.shards {
 		sh.clearLimitHolds()
