--- a/internal/simulation/standin/connserver.go
+++ b/internal/simulation/standin/connserver.go
@@ -7,8 +7,8 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// connServer is a listener and the connections that came in by it, each served on a goroutine
-// of its own until its other end or Close ends it.
+// connServer accepts connections on a listener and serves each on a goroutine of its own. Close
+// closes all of them.
 type connServer struct {
 	Addr        string
 	environment env.Environment
@@ -19,7 +19,7 @@
 	conns []net.Conn
 }
 
-// start starts to accept; serve is given each connection and its number, from 0.
+// start starts to accept connections; serve gets each connection and its index, from 0.
 func (s *connServer) start(environment env.Environment, listener net.Listener, serve func(conn net.Conn, index int)) {
 	s.Addr, s.environment, s.listener = listener.Addr().String(), environment, listener
 	s.tasks.Go(environment, func() {
@@ -37,7 +37,7 @@
 	})
 }
 
-// Close ends the server and its connections.
+// Close closes the listener and all connections, and waits for their goroutines.
 func (s *connServer) Close() {
 	s.listener.Close()
 	s.mu.Lock()
--- a/internal/simulation/standin/diskserver.go
+++ b/internal/simulation/standin/diskserver.go
@@ -15,44 +15,44 @@
 	"merlinhitch/internal/runtime/writequeue"
 )
 
-// NetworkFaults is what is wrong with a disk server's connections.
+// NetworkFaults are the faults of a disk server's connections.
 type NetworkFaults struct {
-	Hang          bool    // connections open, and nothing is read or said on them
-	TruncateShare float64 // part of the answers that are cut short, with the connection
-	ByteAtATime   bool    // answers go out a byte at a time
-	Delay         float64 // answers are held back for so many ms
-	DelayShare    float64 // part of them that are
+	Hang          bool    // connections are accepted, but requests on them are ignored
+	TruncateShare float64 // share of the answers that are truncated, after which the connection is closed
+	ByteAtATime   bool    // answers are written one byte at a time
+	Delay         float64 // delay of the answers that DelayShare selects, ms
+	DelayShare    float64 // share of the answers that are delayed
 }
 
-// DiskServer is the shell of a machine: a listener, and two goroutines for each
-// connection.
+// DiskServer serves a Machine over TCP, with two goroutines for each connection.
 type DiskServer struct {
 	Addr    string
 	Name    string
 	Zone    string
 	Rack    string
 	Shard   int
-	Started uint64
+	Started uint64 // random number that identifies this run of the server
 
 	environment   env.Environment
 	listener      net.Listener
 	mu            sync.Mutex
 	machine       *Machine
 	timer         env.Timer
-	timerDue      float64
+	timerDue      float64 // ms, +Inf if no timer is set
 	conns         env.OrderedSet[*writequeue.Queue]
 	networkFaults NetworkFaults
 	rng           *rand.Rand
-	ended         bool
+	ended         bool // crashed or killed
 	tasks         env.WaitGroup
 	stopped       env.Gate
-	// Of one of two regions: where the inventory is, and the disk server of the same shard
-	// in the other region; "" while there is none.
+	// Inventory and Peer are set in a service with two regions. They return the addresses of the
+	// inventory and of the disk server of the same shard in the other region, "" for none.
 	Inventory func() string
 	Peer      func() string
-	// Keys of the server; nil: it is spoken to in clear.
+	// Keys are the server's credentials for TLS; nil for none.
 	Keys *keys.Credentials
-	// OnOverloadCrash is called once, from a goroutine of its own, when the server falls over.
+	// OnOverloadCrash, if set, is called once, on a goroutine of its own, when the server crashes
+	// because it was overloaded while cold.
 	OnOverloadCrash func()
 }
 
@@ -61,7 +61,7 @@
 	diskWriteTimeout = 10 * time.Second
 )
 
-// ServeDisk starts a disk server on a machine.
+// ServeDisk starts the disk server on loopback, in front of the machine.
 func ServeDisk(environment env.Environment, machine *Machine, server *DiskServer) error {
 	listener, err := environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -103,7 +103,7 @@
 	}
 }
 
-// addConn has a connection cut when the process ends; false if it has ended.
+// addConn registers a connection to be aborted when the process ends; false if it has ended already.
 func (d *DiskServer) addConn(writes *writequeue.Queue) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,8 +120,8 @@
 	d.conns.Remove(writes)
 }
 
-// certificateValid tells whether the peer's certificate still counts: it may run out or be revoked
-// in the midst of a connection.
+// certificateValid reports whether the peer's certificate is still valid: it may expire or be revoked
+// while the connection is open.
 func (d *DiskServer) certificateValid(conn net.Conn) bool {
 	tlsConn, ok := conn.(*tls.Conn)
 	if !ok {
@@ -137,14 +137,14 @@
 	defer writes.Abort()
 	if d.hanging() {
 		var discarded [1]byte
-		for { // the process doesn't read, but the kernel still takes bytes
+		for { // a hanging process does not read, but its kernel still accepts bytes
 			if _, err := conn.Read(discarded[:]); err != nil {
 				return
 			}
 		}
 	}
 	reader := diskproto.NewReader(bufio.NewReaderSize(conn, 32<<10))
-	var gen uint64 // under which a home copies to here by this connection
+	var gen uint64 // generation under which a home replicates over this connection; 0: none
 	for {
 		frame, err := reader.Next()
 		if err != nil || !d.certificateValid(conn) {
@@ -163,7 +163,7 @@
 	}
 }
 
-// runAsEvent runs f as an event of the machine.
+// runAsEvent calls event later, with the lock that serialises calls of the machine.
 func (d *DiskServer) runAsEvent(event func()) {
 	d.environment.AfterFunc(0, func() {
 		d.mu.Lock()
@@ -180,7 +180,7 @@
 	return d.networkFaults.Hang
 }
 
-// handleFrame handles one message; false ends the connection.
+// handleFrame handles a frame from a host; false ends the connection.
 func (d *DiskServer) handleFrame(writes *writequeue.Queue, frame diskproto.Frame) bool {
 	switch frame.Kind {
 	case diskproto.KindHello:
@@ -207,7 +207,7 @@
 		d.mu.Unlock()
 		return writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindProbed, frame.Tag, probed) })
 	}
-	return true // Cancel stops nothing here; unknown kinds are of later versions
+	return true // cancels are ignored, and so are kinds of later versions
 }
 
 func (d *DiskServer) handleRequest(writes *writequeue.Queue, tag uint32, request diskproto.Do) {
@@ -225,7 +225,7 @@
 	d.armTimer()
 }
 
-// sendAnswer sends an sendAnswer with whatever is wrong with the connection. Held: mu.
+// sendAnswer sends an answer, subject to the network faults. The caller holds mu.
 func (d *DiskServer) sendAnswer(writes *writequeue.Queue, tag uint32, answer diskproto.Answer) {
 	answer.Clock = uint64(d.environment.Now() / time.Microsecond)
 	frame := diskproto.Append(nil, diskproto.KindAnswer, tag, &answer)
@@ -246,7 +246,7 @@
 	}
 }
 
-// armTimer sets the timer for what the machine does next. Held: mu.
+// armTimer sets the timer for the machine's next event. The caller holds mu.
 func (d *DiskServer) armTimer() {
 	due := d.machine.NextEventAt()
 	if due >= d.timerDue || math.IsInf(due, 1) || d.ended {
@@ -256,7 +256,7 @@
 		d.timer.Stop()
 	}
 	d.timerDue = due
-	// A moment late, so that rounding never has it come before its time.
+	// One microsecond later, so that rounding cannot make the timer fire before the event is due.
 	d.timer = d.environment.AfterFunc(max(env.Duration(due-d.now()), 0)+time.Microsecond, d.handleTimer)
 }
 
@@ -271,7 +271,7 @@
 	d.armTimer()
 }
 
-// SetFaults changes what is wrong with the machine.
+// SetFaults replaces the faults of the machine.
 func (d *DiskServer) SetFaults(faults MachineFaults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -279,8 +279,8 @@
 	d.armTimer()
 }
 
-// SetNetworkFaults changes what is wrong with the connections. Those that are open are cut
-// when they are to hang, so that hosts meet the fault.
+// SetNetworkFaults replaces the faults of the connections. Open connections are aborted when Hang
+// changes, since it applies only to new ones.
 func (d *DiskServer) SetNetworkFaults(faults NetworkFaults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -293,28 +293,28 @@
 	}
 }
 
-// Drain has the server finish what it has.
+// Drain makes the server finish the accepted requests and refuse new ones.
 func (d *DiskServer) Drain() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.machine.Drain()
 }
 
-// Idle tells whether it has nothing to do.
+// Idle reports whether no request waits or runs.
 func (d *DiskServer) Idle() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.machine.Idle()
 }
 
-// Served is the number of requests that it has served.
+// Served returns the number of requests served.
 func (d *DiskServer) Served() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.machine.Served
 }
 
-// announceCrash tells every host before the process ends for good.
+// announceCrash sends Bye on every connection and stops the server after an overload crash.
 func (d *DiskServer) announceCrash() {
 	d.stopped.Open()
 	d.mu.Lock()
@@ -329,10 +329,11 @@
 	}
 }
 
-// byeOverloadCrash is the tag of a Bye that says that the server was pushed over.
+// byeOverloadCrash is the tag of a Bye frame after a crash by overload.
 const byeOverloadCrash = 1
 
-// Kill ends the process at once: what it had is lost, unless it was begun.
+// Kill ends the process at once. Requests that were not begun are lost, and so are the answers of all
+// others.
 func (d *DiskServer) Kill() {
 	d.listener.Close()
 	d.stopped.Open()
--- a/internal/simulation/standin/framerecorder.go
+++ b/internal/simulation/standin/framerecorder.go
@@ -16,26 +16,26 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// frameParser reads the frames of one connection.
+// frameParser parses the frames of one connection.
 type frameParser interface {
-	// frameLength returns the length of the frame that b begins with, 0 if it isn't all
-	// there, -1 if it is none.
+	// frameLength returns the length of the first frame of b, 0 if it is incomplete, -1 if it is
+	// invalid.
 	frameLength(up bool, b []byte) int
-	// events describes a whole events; nil leaves it out.
+	// events returns the events of a complete frame, nil if it is not recorded.
 	events(up bool, b []byte) []trail.Event
-	// setEndpoints fills in the end points.
+	// setEndpoints sets the fields that identify the connection's endpoints.
 	setEndpoints(event *trail.Event)
 }
 
-const maxFrameBytes = 4 << 20 // longer is taken for broken
+const maxFrameBytes = 4 << 20 // longer frames are recorded as malformed
 
-// FrameRecorder records the frames of one connection from the bytes that pass.
+// FrameRecorder records the frames of one connection in a trail. A nil FrameRecorder records nothing.
 type FrameRecorder struct {
 	recorder *trail.Recorder
 	conn     uint32
-	mu       sync.Mutex // both directions record through one tapper
+	mu       sync.Mutex // guards the parser, which both directions use
 	parser   frameParser
-	partial  [2][]byte // of a frame that isn't whole yet, up and down
+	partial  [2][]byte // bytes of an incomplete frame, up and down
 	closed   bool
 }
 
@@ -51,7 +51,7 @@
 	r.recorder.Add(event)
 }
 
-// Bytes takes what passes; up from the side that dialled. No tap hears nothing.
+// Bytes records the frames that b completes; up is true for bytes from the side that dialled.
 func (r *FrameRecorder) Bytes(up bool, b []byte) {
 	if r == nil {
 		return
@@ -65,14 +65,14 @@
 	if !up {
 		partial = &r.partial[1]
 	}
-	if len(*partial) == 0 { // most often: nothing is left of b
+	if len(*partial) == 0 { // the usual case, without a copy of b
 		*partial = append([]byte(nil), r.recordFrames(b, up)...)
 		return
 	}
 	*partial = append([]byte(nil), r.recordFrames(append(*partial, b...), up)...)
 }
 
-// Closed notes which side ended the connection, once.
+// Closed records which side closed the connection first; later calls are ignored.
 func (r *FrameRecorder) Closed(up bool) {
 	if r == nil {
 		return
@@ -92,7 +92,7 @@
 	return trail.Down
 }
 
-// recordFrames notes the whole frames in b and returns what remains.
+// recordFrames records the complete frames of b and returns the rest.
 func (r *FrameRecorder) recordFrames(b []byte, up bool) []byte {
 	for len(b) > 0 {
 		length := r.parser.frameLength(up, b)
@@ -112,18 +112,18 @@
 	return nil
 }
 
-// iscsiParser reads iSCSI.
+// iscsiParser parses iSCSI PDUs.
 type iscsiParser struct {
 	host, peer  string
 	settings    *settings.Settings
 	digests     [2]bool // header, data
-	fullFeature bool
-	session     uint32
+	fullFeature bool    // the login is complete
+	session     uint32  // TSIH
 	volume      string
-	loginData   []byte
+	loginData   []byte // text of the login requests
 }
 
-// RecordISCSI reads a connection between an initiator and that host.
+// RecordISCSI returns a recorder for a connection between an initiator and a host.
 func RecordISCSI(recorder *trail.Recorder, host string, settings *settings.Settings) *FrameRecorder {
 	return newFrameRecorder(recorder, &iscsiParser{host: host, settings: settings})
 }
@@ -182,7 +182,7 @@
 		event.Op, event.LBA, event.Blocks = describeCommand(pdu.CDB())
 		event.Advice = uint32(len(pdu.Data)) // immediate data, bytes
 		if pdu.Flags()&0x20 == 0 {
-			event.Advice = event.Length // nothing is still to come
+			event.Advice = event.Length // not a write: no data follows
 		}
 	case iscsi.OpDataOut:
 		event.Kind, event.Length = trail.DataOut, uint32(len(pdu.Data))
@@ -222,8 +222,8 @@
 	return []trail.Event{event}
 }
 
-// login follows the login to its end: names from the requests, digests from the
-// answers, the session's handle from the last.
+// login takes the digests from the login responses and, from the final one, the session handle
+// (TSIH); initiator and target names are those of the requests.
 func (p *iscsiParser) login(pdu *iscsi.PDU) []trail.Event {
 	responseKeys, _ := iscsi.ParseText(pdu.Data)
 	for _, key := range responseKeys {
@@ -252,8 +252,8 @@
 	return []trail.Event{{Kind: trail.Login}}
 }
 
-// describeCommand names a CDB's operation; "" for those that need no disk. The data of
-// an UNMAP isn't read: its runs are in its attempts.
+// describeCommand returns the operation of a CDB, "" if it needs no disk server, and its range of
+// blocks, which is 0 for an UNMAP, whose data is not parsed.
 func describeCommand(cdb []byte) (op string, lba uint64, blocks uint32) {
 	var padded [16]byte
 	copy(padded[:], cdb)
@@ -268,15 +268,15 @@
 	return decoded.IO.Op.String(), decoded.IO.LBA, decoded.IO.Blocks
 }
 
-// diskParser reads the disk servers' protocol.
+// diskParser parses the protocol of disk servers.
 type diskParser struct {
 	server string
 	host   string
 	hostID uint64
 }
 
-// RecordDiskProtocol reads a connection between a host and the disk server that the inventory
-// lists at that address.
+// RecordDiskProtocol returns a recorder for a connection between a host and the disk server that the
+// inventory lists at addr.
 func RecordDiskProtocol(recorder *trail.Recorder, addr string) *FrameRecorder {
 	return newFrameRecorder(recorder, &diskParser{server: addr})
 }
@@ -339,10 +339,10 @@
 	return []trail.Event{event}
 }
 
-// inventoryParser reads the inventory's lines.
+// inventoryParser parses the lines that the inventory sends.
 type inventoryParser struct{ host string }
 
-// RecordInventory reads a connection between that host and the inventory.
+// RecordInventory returns a recorder for a connection between a host and the inventory.
 func RecordInventory(recorder *trail.Recorder, host string) *FrameRecorder {
 	return newFrameRecorder(recorder, &inventoryParser{host})
 }
--- a/internal/simulation/standin/http.go
+++ b/internal/simulation/standin/http.go
@@ -9,34 +9,34 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// HTTPRequest is one request that an HTTPDisk got whole.
+// HTTPRequest is a complete request that an HTTPDiskServer received.
 type HTTPRequest struct {
-	Conn  int // the connection's number, in the order in which they came
-	Index int // the request's number on that connection
+	Conn  int // index of the connection, in the order of acceptance
+	Index int // index of the request on that connection
 	*http1.Request
 	Body       []byte
 	ReceivedAt time.Duration
 }
 
-// HTTPResponse is what an HTTPDisk does about a request.
+// HTTPResponse is the reaction of an HTTPDiskServer to a request.
 type HTTPResponse struct {
-	Delay      time.Duration // of work
-	Raw        []byte        // written as it is; nil: nothing is
-	Extra      []byte        // written by itself after it, as by a server that says more,
-	ExtraDelay time.Duration // so much later
-	Close      bool
-	Reset      bool // it closes so that what it wrote may be lost
+	Delay      time.Duration // service time, before anything is written
+	Raw        []byte        // the bytes to write, unchecked; nil for none
+	Extra      []byte        // unsolicited bytes in a separate write after Raw
+	ExtraDelay time.Duration // between Raw and Extra
+	Close      bool          // the connection is closed afterwards
+	Reset      bool          // the connection is reset, so that written bytes may be lost
 }
 
-// HTTPDiskServer is a disk server that speaks HTTP/1.1, one request at a time on a connection,
-// and answers as it is told, however wrong that is.
+// HTTPDiskServer is a disk server that speaks HTTP/1.1, one request at a time on a connection, and
+// sends the given responses, even malformed ones.
 type HTTPDiskServer struct {
 	connServer
 	respond  func(HTTPRequest) HTTPResponse
-	requests []HTTPRequest // under the door's lock
+	requests []HTTPRequest // guarded by connServer.mu
 }
 
-// ServeHTTPDiskServer starts one.
+// ServeHTTPDiskServer starts a server that calls respond for each request.
 func ServeHTTPDiskServer(environment env.Environment, respond func(HTTPRequest) HTTPResponse) (*HTTPDiskServer, error) {
 	listener, err := environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -77,24 +77,25 @@
 	}
 }
 
-// Requests lists what came whole so far.
+// Requests returns the complete requests received so far.
 func (d *HTTPDiskServer) Requests() []HTTPRequest {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]HTTPRequest(nil), d.requests...)
 }
 
-// HTTPDiscovery is discovery over HTTP/1.1: each watch gets a chunked answer that stays open.
+// HTTPDiscovery serves discovery over HTTP/1.1: each watch gets a chunked response that stays open.
 type HTTPDiscovery struct {
 	connServer
 
-	// Under the door's lock.
+	// Guarded by connServer.mu.
 	initialLine string // the first line of every watch
 	watches     []net.Conn
 	targets     []string
 }
 
-// ServeHTTPDiscovery starts one whose watches begin with that line of JSON.
+// ServeHTTPDiscovery starts a discovery server that sends initialLine, a line of JSON, first on every
+// watch.
 func ServeHTTPDiscovery(environment env.Environment, initialLine string) (*HTTPDiscovery, error) {
 	listener, err := environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,7 +126,7 @@
 	return append([]byte{hex[n>>12&15], hex[n>>8&15], hex[n>>4&15], hex[n&15], '\r', '\n'}, data+"\r\n"...)
 }
 
-// Broadcast sends a line to every watch, in two chunks.
+// Broadcast sends a line to every watch, split into two chunks.
 func (h *HTTPDiscovery) Broadcast(line string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -135,7 +136,7 @@
 	}
 }
 
-// Targets are what watches asked for so far.
+// Targets returns the request targets of the watches so far.
 func (h *HTTPDiscovery) Targets() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/simulation/standin/immediatediskserver.go
+++ b/internal/simulation/standin/immediatediskserver.go
@@ -11,14 +11,15 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// ImmediateDiskServer is a disk server without a machine: it answers every read at once, on
-// the goroutine of its connection. It serves measurements of what stands before it.
+// ImmediateDiskServer is a disk server with no service time: it answers every request at once with
+// the same block. It is used to measure the components in front of it.
 type ImmediateDiskServer struct {
 	connServer
 	block []byte
 }
 
-// ServeImmediateDiskServer starts one that answers with so many bytes, in clear where it has no keys.
+// ServeImmediateDiskServer starts a server that answers with blockBytes bytes; without serverKeys it
+// does not use TLS.
 func ServeImmediateDiskServer(environment env.Environment, blockBytes int, serverKeys *keys.Credentials) (*ImmediateDiskServer, error) {
 	listener, err := environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,8 +33,8 @@
 	return server, nil
 }
 
-// serve answers what has come in one write, so that a busy connection costs few
-// calls of the system.
+// serve answers all requests that have been read with one write, to save system calls on a busy
+// connection.
 func (s *ImmediateDiskServer) serve(conn net.Conn, _ int) {
 	defer conn.Close()
 	buffered := bufio.NewReaderSize(conn, 64<<10)
--- a/internal/simulation/standin/inventory.go
+++ b/internal/simulation/standin/inventory.go
@@ -11,26 +11,26 @@
 	"merlinhitch/internal/runtime/writequeue"
 )
 
-// Inventory is the shell of a node list: it pushes each change to all clients,
-// so late.
+// Inventory serves the list of nodes over TCP and pushes each change to all watchers after a delay.
 type Inventory struct {
 	Addr        string
 	environment env.Environment
 	mu          sync.Mutex
 	book        *inventory.Book
-	delay       float64
+	delay       float64 // ms
 	conns       env.OrderedSet[*watcher]
 	listener    net.Listener
 	tasks       env.WaitGroup
 	closed      bool
 	stopped     env.Gate
-	regional    *regionalState // of one of two regions
+	regional    *regionalState // nil for a service with one region
 }
 
+// watcher is a client connection.
 type watcher struct {
 	writes          *writequeue.Queue
-	knownGeneration uint64
-	watching        bool
+	knownGeneration uint64 // newest generation of the list that the client has
+	watching        bool   // changes are pushed
 }
 
 const (
@@ -38,7 +38,7 @@
 	listWriteTimeout = 5 * time.Second
 )
 
-// ServeInventory starts an inventory that tells changes so many ms late.
+// ServeInventory starts an inventory that publishes changes after delay ms.
 func ServeInventory(environment env.Environment, addr string, delay float64) (*Inventory, error) {
 	listener, err := environment.Listen("tcp", addr)
 	if err != nil {
@@ -96,10 +96,11 @@
 	v.mu.Unlock()
 }
 
-// sendList sends what the watcher lacks. Held: mu.
+// sendList sends the entries that changed after the generation the client knows; an empty list only
+// if evenIfEmpty. The caller holds mu.
 func (v *Inventory) sendList(client *watcher, evenIfEmpty bool) {
 	if v.regional != nil && !v.regional.source.Grants(env.MS(v.environment.Now())) {
-		return // what it lists may be old
+		return // without a grant the list may be stale
 	}
 	list := v.book.List(client.knownGeneration, env.MS(v.environment.Now()))
 	if len(list.Nodes) == 0 && !evenIfEmpty {
@@ -109,7 +110,7 @@
 	client.writes.Enqueue(func(b []byte) []byte { return append(b, inventory.Line(list)...) })
 }
 
-// Change makes changes to the list, which are told after the delay.
+// Change changes the list and publishes it, both after the delay.
 func (v *Inventory) Change(change func(book *inventory.Book)) {
 	v.mu.Lock()
 	delay := v.delay
@@ -117,7 +118,7 @@
 	v.environment.AfterFunc(env.Duration(delay), func() { v.ChangeNow(change) })
 }
 
-// ChangeNow makes and tells changes at once.
+// ChangeNow changes and publishes the list at once.
 func (v *Inventory) ChangeNow(change func(book *inventory.Book)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -128,7 +129,7 @@
 	v.notifyWatchers()
 }
 
-// notifyWatchers sends every watcher what it lacks. Held: mu.
+// notifyWatchers sends every watcher the changes that it lacks. The caller holds mu.
 func (v *Inventory) notifyWatchers() {
 	for _, client := range v.conns.All() {
 		if client.watching {
@@ -137,14 +138,14 @@
 	}
 }
 
-// SetDelay changes how late changes are told, in ms.
+// SetDelay sets the delay of later calls of Change, in ms.
 func (v *Inventory) SetDelay(ms float64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.delay = ms
 }
 
-// DropConnections breaks every connection; clients come again.
+// DropConnections aborts every connection; clients are expected to reconnect.
 func (v *Inventory) DropConnections() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -153,7 +154,7 @@
 	}
 }
 
-// Close ends the inventory.
+// Close stops the inventory, aborts its connections and waits for its goroutines.
 func (v *Inventory) Close() {
 	v.stopped.Open()
 	v.listener.Close()
--- a/internal/simulation/standin/links.go
+++ b/internal/simulation/standin/links.go
@@ -11,44 +11,43 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// LinkState is the state of the way from one program to another. On a real socket nothing can
-// be lost without the kernel sending it again, so what is lost comes late, as it would by
-// a link that drops packets.
+// LinkState is the state of the link from one process to another. On TCP, loss only shows as the
+// delay of retransmissions.
 type LinkState struct {
 	Delay time.Duration
-	Loss  float64 // part of what is sent that must be sent again
-	Cut   bool    // nothing passes until it is whole again
+	Loss  float64 // share of transmissions that are lost and retransmitted
+	Cut   bool    // data waits until the link is restored
 }
 
-// Links are the ways between programs on loopback: each program has a World of its own,
-// whose connections go through relays that delay, drop and cut.
+// Links simulates the network between processes on loopback. Each process has an environment of its
+// own, whose connections go through relays that delay data or hold it back.
 type Links struct {
 	environment      env.Environment
 	mu               sync.Mutex
-	listenerOwners   map[string]string // program that listens at an address
-	links            map[[2]string]*link
-	relays           map[[2]string]*Relay       // by who dials, and the address
-	virtualAddresses map[string]*VirtualAddress // by the address that they stand for
+	listenerOwners   map[string]string          // the process that listens, by address
+	links            map[[2]string]*link        // by sending and receiving process
+	relays           map[[2]string]*Relay       // by dialling process and address
+	virtualAddresses map[string]*VirtualAddress // by the address that processes dial
 	rng              *rand.Rand
 }
 
 type link struct {
 	LinkState
-	restored *env.Gate // while it is cut
+	restored *env.Gate // opened when the link is restored; nil unless cut
 }
 
-// NewLinks returns links that are whole.
+// NewLinks returns links without delay, loss or cuts.
 func NewLinks(environment env.Environment, seed uint64) *Links {
 	return &Links{environment: environment, listenerOwners: map[string]string{}, links: map[[2]string]*link{}, virtualAddresses: map[string]*VirtualAddress{}, relays: map[[2]string]*Relay{}, rng: rand.New(rand.NewPCG(seed, 9))}
 }
 
-// Process is the world as the program of that name has it.
+// Process returns the environment of the process with the given name.
 func (l *Links) Process(name string) env.Environment {
 	return &processEnvironment{l.environment, l, name}
 }
 
-// VirtualAddress is an address that programs dial, behind which a listener can change, and on whose
-// connections each frame is recorded beside the side that dials.
+// VirtualAddress is an address for processes to dial whose target can change. Each frame on its
+// connections is recorded at the dialling side of the link.
 type VirtualAddress struct {
 	links       *Links
 	addr        string
@@ -56,7 +55,8 @@
 	newRecorder func(addr string) *FrameRecorder
 }
 
-// NewVirtualAddress makes one. No other program can dial it.
+// NewVirtualAddress returns an address that leads to target. It can only be dialled from the
+// environments of these links.
 func (l *Links) NewVirtualAddress(target string, newRecorder func(addr string) *FrameRecorder) *VirtualAddress {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,10 +65,10 @@
 	return address
 }
 
-// Address is what programs dial.
+// Address returns the address to dial.
 func (a *VirtualAddress) Address() string { return a.addr }
 
-// Point has connections from now on go to another address.
+// Point makes new connections go to target.
 func (a *VirtualAddress) Point(target string) {
 	links := a.links
 	links.mu.Lock()
@@ -81,10 +81,10 @@
 	}
 }
 
-// Close does nothing: relays end with their links.
+// Close does nothing: the relays are closed by Links.Close.
 func (a *VirtualAddress) Close() {}
 
-// SetState changes the way from one program to another.
+// SetState changes the state of the link from one process to another.
 func (l *Links) SetState(from, to string, state LinkState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +99,8 @@
 	}
 }
 
-// link is the state of a link. Held: mu.
+// link returns the link from one process to another and creates it if there is none. The caller
+// holds mu.
 func (l *Links) link(from, to string) *link {
 	key := [2]string{from, to}
 	if l.links[key] == nil {
@@ -108,8 +109,8 @@
 	return l.links[key]
 }
 
-// transit waits until what is sent from one program to another has come through; false if
-// over opens first.
+// transit waits for as long as data sent now is under way from one process to another. It returns
+// false if stopped opens first.
 func (l *Links) transit(from, to string, stopped *env.Gate) bool {
 	l.mu.Lock()
 	link := l.link(from, to)
@@ -124,19 +125,19 @@
 			return false
 		}
 		l.mu.Lock()
-		restored = link.restored // it may be cut again already
+		restored = link.restored // the link may be cut again already
 		l.mu.Unlock()
 	}
 	return delay == 0 || env.Sleep(l.environment, delay, stopped)
 }
 
-// Times after which what was lost is sent again (RFC 6298 section 5.5).
+// Retransmission timeouts, doubled after each loss (RFC 6298 section 5.5).
 const (
 	minRetransmitDelay = 200 * time.Millisecond
 	maxRetransmitDelay = 3 * time.Second
 )
 
-// Close ends the relays.
+// Close closes the relays.
 func (l *Links) Close() {
 	l.mu.Lock()
 	relays := l.relays
@@ -147,7 +148,9 @@
 	}
 }
 
-// relayAddress is where a program dials an address.
+// relayAddress returns the address of the relay through which the process from dials addr, and
+// starts the relay if need be. Addresses that no process of these links listens at are dialled
+// directly.
 func (l *Links) relayAddress(from, addr string) (string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -176,7 +179,7 @@
 	return relay.Addr, nil
 }
 
-// processEnvironment is a program's world.
+// processEnvironment is the environment of a process whose connections go through relays.
 type processEnvironment struct {
 	env.Environment
 	links *Links
--- a/internal/simulation/standin/links_test.go
+++ b/internal/simulation/standin/links_test.go
@@ -10,8 +10,8 @@
 	"merlinhitch/internal/simulation/standin"
 )
 
-// What is sent while a way is cut comes once it is whole, in order; what comes the other
-// way is not held back; a connection through a cut way opens and is silent.
+// Data sent while a link is cut arrives in order once the link is restored; the other direction is
+// not held back.
 func TestLinksCutOneWay(t *testing.T) {
 	environment := env.NewReal()
 	links := standin.NewLinks(environment, 1)
@@ -40,7 +40,7 @@
 	}
 	got := make([]byte, 4)
 	if _, err := io.ReadFull(dialled, got); err != nil || string(got) != "back" {
-		t.Fatalf("the other way: %q, %v", got, err)
+		t.Fatalf("direction that is not cut: got %q, %v, want \"back\"", got, err)
 	}
 	var received env.Gate
 	got = make([]byte, 6)
@@ -49,11 +49,11 @@
 		received.Open()
 	}()
 	if env.Sleep(environment, 50*time.Millisecond, &received); received.Opened() {
-		t.Fatal("it came through a cut")
+		t.Fatal("data passed a link that is cut")
 	}
 	links.SetState("a", "b", standin.LinkState{Loss: 0.5, Delay: time.Millisecond})
 	received.Wait(environment)
 	if string(got) != "onetwo" {
-		t.Fatalf("came: %q", got)
+		t.Fatalf("after the link was restored: got %q, want \"onetwo\"", got)
 	}
 }
--- a/internal/simulation/standin/machine.go
+++ b/internal/simulation/standin/machine.go
@@ -11,42 +11,45 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// MachineConfig describes a disk server. Times are in milliseconds.
+// MachineConfig describes the performance of a disk server. Times are in milliseconds.
 type MachineConfig struct {
 	Cores              int
-	QueueLimit         int     // waiting requests beyond which it turns away
-	UnitWork           float64 // work of one unit of a read
-	WriteFactor        float64 // work of a write, times that of a read
-	Spread             float64 // part of the work that chance adds or takes away
-	CacheEntries       int     // pieces of data whose next request costs CachedX as much
-	CacheHitFactor     float64
-	DeferredWriteShare float64 // part of a write's work that is done later in one go,
-	FlushInterval      float64 // so often
-	// A cold start, and the load at which it falls over (rule 4).
+	QueueLimit         int     // waiting requests beyond which a request is refused as Full
+	UnitWork           float64 // service time of one unit of a read on one core
+	WriteFactor        float64 // service time of a write relative to a read
+	Spread             float64 // largest relative random deviation of the service time
+	CacheEntries       int     // keys whose data is cached
+	CacheHitFactor     float64 // service time of a request for cached data relative to others
+	DeferredWriteShare float64 // share of a write's work that is deferred to the next flush
+	FlushInterval      float64 // mean time between flushes; 0 for none
+	// Capacity grows linearly from ColdCapacity, a share of the full one, to 1 within WarmUpTime.
+	// Until then, the machine crashes if the units that arrive within OverloadWindow exceed both
+	// ColdUnits and OverloadFactor times those that it can serve in that time.
 	ColdCapacity, WarmUpTime, OverloadFactor, OverloadWindow, ColdUnits float64
 }
 
-// MachineFaults is what is wrong with a machine now. The zero value is a calm one.
+// MachineFaults are the faults of a machine. The zero value has none. Times are in milliseconds.
 type MachineFaults struct {
-	SlowFactor    float64 // work takes so many times as long; 0: once
-	StolenShare   float64 // part of the machine that another program takes
-	FailShare     float64 // part of the requests that fail at once
-	PauseLength   float64 // it stands still so long
-	PauseInterval float64 // every so often
-	UsageDelay    float64 // figures of use come so much later
+	SlowFactor    float64 // factor of all service times; 0 means 1
+	StolenShare   float64 // share of the capacity that another program uses
+	FailShare     float64 // share of the requests that fail after 1 ms
+	PauseLength   float64 // the machine stalls for so long
+	PauseInterval float64 // from the end of a pause to the next; 0 for none
+	UsageDelay    float64 // from the first use in a period until the usage of the previous one is reported
 }
 
-// job is one attempt in a machine.
+// job is an attempt that waits or runs on a machine.
 type job struct {
 	request     diskproto.Do
 	reply       func(diskproto.Answer)
-	arrived     float64
-	endsAt      float64
+	arrived     float64 // ms
+	endsAt      float64 // ms
 	fails       bool
 	result      diskproto.Answer
-	requiredSeq uint64 // the change that the cell's copy must have first
+	requiredSeq uint64 // of the last change that the copy must have before the answer
 }
 
+// runHeap orders running jobs by their end.
 type runHeap []*job
 
 func (r runHeap) Len() int           { return len(r) }
@@ -60,11 +63,11 @@
 	return x
 }
 
-// coldArrival is work that reached a cold machine.
+// coldArrival is the arrival of a request while the machine was cold.
 type coldArrival struct{ arrivedAt, units float64 }
 
-// Machine is the core of a disk server: requests in, answers out, on the times
-// that it is given. Its caller serialises the calls.
+// Machine simulates the processing of a disk server as a queue with several cores, on the times that
+// its methods get. The caller serialises the calls.
 type Machine struct {
 	cfg     MachineConfig
 	rng     *rand.Rand
@@ -72,26 +75,27 @@
 	dedup   *DedupCache
 	meter   *UsageMeter
 	shard   uint32
-	started float64 // -Inf: warm
+	started float64 // ms; -Inf if warm from the start
 	faults  MachineFaults
 
 	queue        []*job
 	running      runHeap
-	recentKeys   []string
-	deferredWork float64 // work put off
+	recentKeys   []string // the keys in the cache, oldest first
+	deferredWork float64  // of writes since the last flush, ms on one core
 	flushAt      float64
 	pauseAt      float64
-	stalledUntil float64 // nothing begins before
+	stalledUntil float64 // no job starts before
 	coldArrivals []coldArrival
 	draining     bool
 	crashed      bool
 
 	Served int // requests served
-	// RunAsEvent runs f as if the machine's caller had called, for what comes due elsewhere.
+	// RunAsEvent calls f later, serialised with the calls of the machine's methods. It delivers
+	// answers that had to wait for the copy.
 	RunAsEvent func(f func())
 }
 
-// NewMachine returns a machine that started at that time; cold or long warm.
+// NewMachine returns a machine that starts at now, cold or already warm.
 func NewMachine(cfg MachineConfig, seed uint64, store *ShardStore, dedup *DedupCache, meter *UsageMeter, shard uint32, now float64, cold bool) *Machine {
 	machine := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), store: store, dedup: dedup, meter: meter,
 		shard: shard, started: math.Inf(-1)}
@@ -103,7 +107,7 @@
 	return machine
 }
 
-// SetFaults changes what is wrong with the machine.
+// SetFaults replaces the faults of the machine.
 func (m *Machine) SetFaults(now float64, faults MachineFaults) {
 	m.faults, m.pauseAt = faults, math.Inf(1)
 	if faults.PauseInterval > 0 {
@@ -111,16 +115,16 @@
 	}
 }
 
-// Drain has the machine finish its work and take none.
+// Drain makes the machine finish the accepted requests and refuse new ones.
 func (m *Machine) Drain() { m.draining = true }
 
-// Idle tells whether nothing waits or runs.
+// Idle reports whether no job waits or runs.
 func (m *Machine) Idle() bool { return len(m.queue)+len(m.running) == 0 }
 
-// Crashed tells whether the machine was pushed over while cold.
+// Crashed reports whether the machine was overloaded while cold.
 func (m *Machine) Crashed() bool { return m.crashed }
 
-// capacityPart is the part of its capacity that the machine has now.
+// capacityPart returns the share of its full capacity that the machine has now.
 func (m *Machine) capacityPart(now float64) float64 {
 	cfg := &m.cfg
 	if age := now - m.started; age < cfg.WarmUpTime {
@@ -129,15 +133,15 @@
 	return 1
 }
 
-// overloadLimit is the number of units that may reach the machine within FallTime: the
-// multiple of what it can do now, and never below ColdUnits.
+// overloadLimit returns the number of units that may arrive within OverloadWindow without a crash.
 func (m *Machine) overloadLimit(now float64) float64 {
 	cfg := &m.cfg
 	capacity := float64(cfg.Cores) / cfg.UnitWork * m.capacityPart(now) * cfg.OverloadWindow
 	return max(capacity*cfg.OverloadFactor, cfg.ColdUnits)
 }
 
-// Arrive takes an attempt; reply is called exactly once unless the machine dies.
+// Arrive accepts or refuses an attempt. reply is called once, unless the machine ends or the answer
+// waits for the copy and the shard gets another home first.
 func (m *Machine) Arrive(now float64, request diskproto.Do, reply func(diskproto.Answer)) {
 	m.Advance(now)
 	m.countColdArrival(now, request.Units)
@@ -155,7 +159,8 @@
 	}
 }
 
-// countColdArrival counts work that reaches a cold machine, taken or not.
+// countColdArrival counts the units that reach a cold machine, refused ones included, and crashes the
+// machine above the limit.
 func (m *Machine) countColdArrival(now, units float64) {
 	if now-m.started >= m.cfg.WarmUpTime {
 		return
@@ -171,8 +176,8 @@
 	}
 }
 
-// startJobs gives waiting requests to free cores. A request whose deadline is past
-// is not begun: that is what its sender counts on.
+// startJobs starts waiting jobs on free cores. A job whose deadline has passed is never started: the
+// sender relies on this.
 func (m *Machine) startJobs(now float64) {
 	for len(m.queue) > 0 && len(m.running) < m.cfg.Cores && now >= m.stalledUntil {
 		attempt := m.queue[0]
@@ -191,7 +196,7 @@
 	}
 }
 
-// serviceTime is how long the request takes on one core.
+// serviceTime returns how long the request takes on one core, ms.
 func (m *Machine) serviceTime(now float64, attempt *job) float64 {
 	cfg := &m.cfg
 	work := cfg.UnitWork * attempt.request.Units * (1 + cfg.Spread*(2*m.rng.Float64()-1))
@@ -212,8 +217,8 @@
 	return work / max(1-m.faults.StolenShare, 0.05) / m.capacityPart(now)
 }
 
-// execute carries the request out as it begins, so that its deadline bounds when
-// it can still change blocks. One that fails has run half of the times.
+// execute applies the request when its job starts, so that no block changes after the deadline. Of
+// the requests that fail, half are applied.
 func (m *Machine) execute(now float64, attempt *job) {
 	request := &attempt.request
 	if attempt.fails && m.rng.IntN(2) == 0 {
@@ -235,13 +240,13 @@
 	default:
 		answer.Result, answer.Data = apply()
 	}
-	request.Data = nil // what was written isn't needed any more
+	request.Data = nil // no longer needed
 	if attempt.fails {
 		*answer = diskproto.Answer{Result: diskproto.Failed}
 	}
 }
 
-// NextEventAt is when Advance has something to do, +Inf if never.
+// NextEventAt returns the time of the next event for Advance, +Inf if there is none.
 func (m *Machine) NextEventAt() float64 {
 	next := min(m.pauseAt, m.flushAt)
 	if len(m.running) > 0 {
@@ -253,7 +258,7 @@
 	return next
 }
 
-// Advance does what has come due by now.
+// Advance processes all events that are due by now.
 func (m *Machine) Advance(now float64) {
 	for {
 		due := m.NextEventAt()
@@ -282,13 +287,13 @@
 	}
 }
 
-// stall stops the machine: what runs ends later, nothing begins.
+// stall stops the machine for a time: running jobs end later and no job starts.
 func (m *Machine) stall(now, duration float64) {
 	if duration <= 0 {
 		return
 	}
 	for _, j := range m.running {
-		j.endsAt += duration // all by the same, so the heap stands
+		j.endsAt += duration // the same for all, so the heap order stays valid
 	}
 	m.stalledUntil = max(m.stalledUntil, now) + duration
 }
@@ -304,32 +309,34 @@
 	}
 }
 
-// UsageMeter adds up what volumes use, over all disk servers.
+// UsageMeter adds up the units that volumes use on all disk servers.
 type UsageMeter struct {
-	// Rate tells a volume's rate in units a second, Period the span in ms.
-	Rate   func(volume string) float64
-	Period float64
+	Rate   func(volume string) float64 // a volume's limit in units per second
+	Period float64                     // length of a metering period in ms; 0 switches the meter off
 
 	mu            sync.Mutex
 	usage         map[string]*volumeUsage
-	unitsByOthers map[hostVolumeKey]float64
-	knownHosts    map[hostVolumeKey]map[uint64]bool
+	unitsByOthers map[hostVolumeKey]float64         // units of other hosts since the host's last answer
+	knownHosts    map[hostVolumeKey]map[uint64]bool // hosts that used the volume; keyed with host 0
 }
 
+// volumeUsage is the usage of a volume in the current and the previous period.
 type volumeUsage struct {
-	period               int
+	period               int // number of the current period
 	units, previousUnits float64
-	previousSetAt        float64
+	previousSetAt        float64 // ms
 }
 
 type hostVolumeKey struct {
 	shard  uint32
-	host   uint64
+	host   uint64 // 0 for all hosts
 	volume string
 }
 
-// add enters units and returns what the answer is to tell. The late meter of
-// report_late tells the figures of a past period only once they are so old.
+// add counts units of a host and returns the two figures of its answer: 1 plus the percentage of the
+// volume's rate used in the previous period, or 0 if the volume has no rate or the current period
+// started less than usageDelay ms ago; and the units that other hosts used of the volume on this
+// shard since this host's last answer.
 func (m *UsageMeter) add(now, usageDelay float64, shard uint32, host uint64, volume string, units float64) (uint32, float64) {
 	if m == nil || m.Period <= 0 {
 		return 0, 0
--- a/internal/simulation/standin/machine_test.go
+++ b/internal/simulation/standin/machine_test.go
@@ -17,7 +17,7 @@
 	return NewMachine(cfg, 1, store, dedup, nil, 3, 1000, cold), store, dedup
 }
 
-// arrive sends an attempt and returns where its answer will stand.
+// arrive sends an attempt to the machine and returns a pointer to its answer, zero until it is given.
 func arrive(m *Machine, now float64, request diskproto.Do) *diskproto.Answer {
 	answer := &diskproto.Answer{}
 	if request.Deadline == 0 {
@@ -43,29 +43,29 @@
 func TestQueueLimitAndOrder(t *testing.T) {
 	machine, _, _ := testMachine(nil, false)
 	var answers []*diskproto.Answer
-	for range 6 { // one runs, four wait, one is turned away
+	for range 6 { // one runs, four wait, one is refused
 		answers = append(answers, arrive(machine, 1000, diskproto.Do{Op: byte(scsi.Read), Blocks: 1}))
 	}
 	if answers[5].Result != diskproto.Full || answers[0].Result != 0 {
-		t.Fatalf("first %v, last %v", answers[0].Result, answers[5].Result)
+		t.Fatalf("results of the first request %v and the sixth %v, want none yet and Full", answers[0].Result, answers[5].Result)
 	}
 	for i := range 5 {
 		machine.Advance(1000 + 10*float64(i+1))
 		if answers[i].Result != diskproto.OK || i < 4 && answers[i+1].Result != 0 {
-			t.Errorf("after %d ms: %v", 10*(i+1), answers[i].Result)
+			t.Errorf("after %d ms: result %v, want OK for one more request and none for the next", 10*(i+1), answers[i].Result)
 		}
 	}
 	if answer := arrive(machine, 2000, diskproto.Do{}); answer.Result != 0 {
-		t.Error("an answer before its time")
+		t.Error("request answered before its service time has passed")
 	}
 	other := &diskproto.Answer{}
 	machine.Arrive(2000, diskproto.Do{Shard: 9}, func(a diskproto.Answer) { *other = a })
 	if other.Result != diskproto.WrongShard {
-		t.Errorf("another shard: %v", other.Result)
+		t.Errorf("request for another shard: result %v, want WrongShard", other.Result)
 	}
 }
 
-// What has not begun by its deadline never runs.
+// A request that has not started by its deadline is never executed.
 func TestDeadlineBoundsTheEffect(t *testing.T) {
 	machine, store, _ := testMachine(nil, false)
 	arrive(machine, 1000, diskproto.Do{Op: byte(scsi.Read), Blocks: 1})
@@ -74,14 +74,14 @@
 	answer := arrive(machine, 1000, request)
 	machine.Advance(2000)
 	if answer.Result != diskproto.Expired {
-		t.Errorf("%v", answer.Result)
+		t.Errorf("request after its deadline: result %v, want Expired", answer.Result)
 	}
 	if _, data, _ := store.apply(0, &diskproto.Do{Op: byte(scsi.Read), Volume: "v", Blocks: 1}); data[0] != 0 {
-		t.Error("a write landed after its deadline")
+		t.Error("write was executed after its deadline")
 	}
 }
 
-// A rack drops repeats for its time, over machines, and counts what runs again.
+// Repeats are dropped within the retention time, also by a successor, and counted after it.
 func TestDedupDropsRepeats(t *testing.T) {
 	machine, store, dedup := testMachine(nil, false)
 	successor := NewMachine(machine.cfg, 2, store, dedup, nil, 3, 1000, false)
@@ -92,18 +92,18 @@
 	repeated := arrive(successor, 1030, keyedWrite(1, 7))
 	successor.Advance(1040)
 	if !repeated.Dropped || repeated.Result != diskproto.OK {
-		t.Errorf("a repeat: %+v", repeated)
+		t.Errorf("repeat within the retention: %+v, want dropped with result OK", repeated)
 	}
 	if _, data, _ := store.apply(0, &diskproto.Do{Op: byte(scsi.Read), Volume: "v", Blocks: 1}); data[0] != 8 {
-		t.Errorf("the repeat undid a later write: %d", data[0])
+		t.Errorf("the repeat overwrote a later write: got %d, want 8", data[0])
 	}
 	if dedup.RepeatedEffects() != 0 {
-		t.Error("a dropped repeat was counted")
+		t.Error("a dropped repeat was counted as executed again")
 	}
 	afterRetention := arrive(successor, 7001, keyedWrite(1, 7))
 	successor.Advance(7011)
 	if afterRetention.Dropped || dedup.RepeatedEffects() != 1 {
-		t.Errorf("after the window: %+v, %d", afterRetention, dedup.RepeatedEffects())
+		t.Errorf("repeat after the retention: %+v, %d repeated effects, want not dropped and 1", afterRetention, dedup.RepeatedEffects())
 	}
 }
 
@@ -116,41 +116,41 @@
 		return answer.Result
 	}
 	if result := compareAndWrite(1000, 0, 5); result != diskproto.OK {
-		t.Errorf("equal: %v", result)
+		t.Errorf("compare with equal data: result %v, want OK", result)
 	}
 	if result := compareAndWrite(1100, 0, 6); result != diskproto.Miscompare {
-		t.Errorf("unequal: %v", result)
+		t.Errorf("compare with unequal data: result %v, want Miscompare", result)
 	}
 }
 
-// A cold machine falls over at more than its multiple, turned away or not, and
-// bears ColdUnits in any case.
+// A cold machine crashes when more units arrive than OverloadFactor times its capacity, refused ones
+// included, but never within ColdUnits.
 func TestColdMachineCrashesUnderOverload(t *testing.T) {
 	machine, _, _ := testMachine(nil, true)
-	// At a fifth of 0.1 units a ms, twice that for a second is borne: 40 units.
+	// A capacity of 0.2 times 0.1 units per ms, with a factor of 2, allows 40 units in 1000 ms.
 	for range 40 {
 		arrive(machine, 1000, diskproto.Do{Op: byte(scsi.Read)})
 	}
 	if machine.Crashed() {
-		t.Fatal("fell within what it bears")
+		t.Fatal("cold machine crashed within its overload limit")
 	}
 	arrive(machine, 1001, diskproto.Do{Op: byte(scsi.Read)})
 	if !machine.Crashed() {
-		t.Error("did not fall")
+		t.Error("cold machine did not crash above its overload limit")
 	}
 	warm, _, _ := testMachine(nil, false)
 	for range 100 {
 		arrive(warm, 1000, diskproto.Do{Op: byte(scsi.Read)})
 	}
 	if warm.Crashed() {
-		t.Error("a warm machine fell")
+		t.Error("warm machine crashed")
 	}
 	small, _, _ := testMachine(func(c *MachineConfig) { c.ColdUnits = 60 }, true)
 	for range 60 {
 		arrive(small, 1000, diskproto.Do{Op: byte(scsi.Read)})
 	}
 	if small.Crashed() {
-		t.Error("fell within ColdUnits")
+		t.Error("cold machine crashed within ColdUnits")
 	}
 }
 
@@ -167,23 +167,23 @@
 		return -1
 	}
 	if latency := measureLatency(nil, MachineFaults{}); latency != 10 {
-		t.Errorf("calm: %v ms", latency)
+		t.Errorf("no faults: latency %v ms, want 10", latency)
 	}
 	if latency := measureLatency(nil, MachineFaults{SlowFactor: 5}); latency != 50 {
-		t.Errorf("slow: %v ms", latency)
+		t.Errorf("slow machine: latency %v ms, want 50", latency)
 	}
 	if latency := measureLatency(nil, MachineFaults{StolenShare: 0.5}); latency != 20 {
-		t.Errorf("a neighbour: %v ms", latency)
+		t.Errorf("half of the capacity stolen: latency %v ms, want 20", latency)
 	}
 	if latency := measureLatency(nil, MachineFaults{FailShare: 1}); latency != 1 {
-		t.Errorf("a fast error: %v ms", latency)
+		t.Errorf("failing request: latency %v ms, want 1", latency)
 	}
 	if latency := measureLatency(nil, MachineFaults{PauseLength: 200, PauseInterval: 4}); latency < 200 {
-		t.Errorf("a pause: %v ms", latency)
+		t.Errorf("paused machine: latency %v ms, want at least 200", latency)
 	}
 	machine, _, _ := testMachine(nil, false)
 	machine.Drain()
 	if answer := arrive(machine, 1000, diskproto.Do{Op: byte(scsi.Read)}); answer.Result != diskproto.Draining {
-		t.Errorf("draining: %v", answer.Result)
+		t.Errorf("request to a draining machine: result %v, want Draining", answer.Result)
 	}
 }
--- a/internal/simulation/standin/regionalinventory.go
+++ b/internal/simulation/standin/regionalinventory.go
@@ -9,38 +9,38 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// regionalState is what an inventory of one of two regions has beside its list: the shell of
-// region.Source. The other region's inventory is told and asked by beats.
+// regionalState is the part of an inventory that serves one of two regions: it runs a region.Source
+// and exchanges beats with the inventory of the other region.
 type regionalState struct {
 	source       *region.Source
 	self         region.ID
-	peerAddress  func() string
+	peerAddress  func() string // of the other region's inventory
 	beatInterval time.Duration
-	granting     bool // as watchers last knew
-	history      []inventory.Event
-	historyAt    []float64 // of history
-	lastRecord   region.Record
+	granting     bool              // whether the source granted leases when last checked
+	history      []inventory.Event // oldest first
+	historyAt    []float64         // time of each event of history, ms
+	lastRecord   region.Record     // whose changes are in history
 	saved        *InventoryState
 }
 
-// InventoryState is what an inventory keeps through its own restarts. A copy of it that was put
-// by is an old list to come back with.
+// InventoryState is the state that an inventory keeps across restarts. Tests restore an older copy
+// to restart an inventory with stale state.
 type InventoryState struct {
 	Record region.Record
 	Book   *inventory.Book
 	Starts uint64
 }
 
-// Clone is a copy that shares nothing.
+// Clone returns a deep copy.
 func (s *InventoryState) Clone() *InventoryState {
 	return &InventoryState{Record: s.Record.Clone(), Book: s.Book.Clone(), Starts: s.Starts}
 }
 
-const maxHistory = 64
+const maxHistory = 64 // events
 
-// ServeRegion starts the inventory of one of two regions; other is the address of the
-// other's. start is greater than that of every earlier run; in saved is what an earlier
-// one kept, or a new service's record and no book.
+// ServeRegion starts the inventory of one of two regions. Changes are published after delay ms.
+// start must be greater than in every earlier run. saved is the state of an earlier run, or the
+// record of a new service and a nil Book; it is updated as the inventory runs.
 func ServeRegion(environment env.Environment, addr string, delay float64, cfg region.Config, self region.ID, start uint64, saved *InventoryState, peerAddress func() string) (*Inventory, error) {
 	listener, err := environment.Listen("tcp", addr)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return server, nil
 }
 
-// beatLoop tells the other region's inventory of this one, and hears of it.
+// beatLoop exchanges beats and node lists with the other region's inventory.
 func (v *Inventory) beatLoop() {
 	state := v.regional
 	caller := inventory.NewCaller(v.environment, state.peerAddress)
@@ -88,7 +88,8 @@
 
 func (v *Inventory) now() float64 { return env.MS(v.environment.Now()) }
 
-// handleBeat takes the other's beat with what it lists. Held: mu.
+// handleBeat applies a beat of the other region's inventory and the nodes it lists. The caller holds
+// mu.
 func (v *Inventory) handleBeat(beat *region.Beat, nodes []inventory.Node) {
 	now := v.now()
 	v.book.Merge(nodes, now)
@@ -97,8 +98,9 @@
 	v.notifyWatchers()
 }
 
-// saveState saves the record and notes what became of it; watchers hear what was held back
-// while nothing could be granted. Held: mu.
+// saveState saves the record and the list and adds changes of the record to the history. If the
+// source can grant leases again, it sends watchers the changes that were held back. The caller holds
+// mu.
 func (v *Inventory) saveState(now float64) {
 	state := v.regional
 	record := state.source.Record()
@@ -118,7 +120,7 @@
 	}
 }
 
-// describeChanges says what a new term changes, and why.
+// describeChanges returns a text for each change from one record to another.
 func describeChanges(before, after region.Record) (texts []string) {
 	add := func(format string, args ...any) { texts = append(texts, fmt.Sprintf(format, args...)) }
 	if before.Leader != after.Leader {
@@ -154,7 +156,7 @@
 	return texts
 }
 
-// handleRequest is what is said to anything but a watch. Held: mu.
+// handleRequest answers every request other than watch and fetch. The caller holds mu.
 func (v *Inventory) handleRequest(request *inventory.Ask) inventory.List {
 	if v.regional == nil {
 		return inventory.List{Kind: inventory.Refused, Reason: "this service has one region"}
@@ -218,7 +220,7 @@
 	return status
 }
 
-// State is a copy of what the inventory keeps.
+// State returns a copy of the state that the inventory keeps across restarts.
 func (v *Inventory) State() *InventoryState {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/simulation/standin/relay.go
+++ b/internal/simulation/standin/relay.go
@@ -9,8 +9,8 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// Relay stands on a socket, passes the bytes on as they are and records each
-// frame before its last byte goes on.
+// Relay forwards connections to a target unchanged and records each frame before its last byte is
+// forwarded.
 type Relay struct {
 	Addr string
 
@@ -23,7 +23,8 @@
 	closed      bool
 	stopped     env.Gate
 	tasks       env.WaitGroup
-	// waitTransit, if set, waits until what is to go on that way may; false if the relay ended.
+	// waitTransit, if set, waits until the next chunk in that direction may be forwarded; false if
+	// the relay was closed.
 	waitTransit func(up bool, stopped *env.Gate) bool
 }
 
@@ -32,12 +33,12 @@
 	relayDialTimeout = 2 * time.Second
 )
 
-// ServeRelay starts a relay to target; tap, if any, makes what reads a connection.
+// ServeRelay starts a relay to target; newRecorder, if not nil, makes the recorder of a connection.
 func ServeRelay(environment env.Environment, target string, newRecorder func(addr string) *FrameRecorder) (*Relay, error) {
 	return serveRelay(environment, target, newRecorder, nil)
 }
 
-// serveRelay is ServeRelay with a way that holds back what passes, if any.
+// serveRelay is ServeRelay with an optional function that delays the forwarded data.
 func serveRelay(environment env.Environment, target string, newRecorder func(addr string) *FrameRecorder, waitTransit func(up bool, stopped *env.Gate) bool) (*Relay, error) {
 	listener, err := environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -86,7 +87,7 @@
 	r.mu.Unlock()
 	server, err := r.environment.Dial(context.Background(), "tcp", target, relayDialTimeout)
 	if err != nil {
-		// What the caller sees is a connection that closes, as from a dead process.
+		// The client sees its connection close, as if the process had died.
 		return
 	}
 	if !r.addConn(server) {
@@ -103,7 +104,7 @@
 	directions.Wait(r.environment)
 }
 
-// forward passes bytes from src to dst. The side that ends first is noted.
+// forward copies bytes from src to dst. The side that closes first is recorded.
 func (r *Relay) forward(recorder *FrameRecorder, dst, src net.Conn, up bool) {
 	defer dst.Close()
 	defer src.Close()
@@ -116,8 +117,8 @@
 		})
 		return
 	}
-	// What is held back on the way has been sent all the same: it is read, and on its way
-	// up recorded, as it comes.
+	// Data is read as soon as it is sent, as by a network. Up is recorded on arrival here and down
+	// after the transit, since the recorder is at the dialling side.
 	queue := &transitQueue{wake: r.environment.NewParker()}
 	r.tasks.Go(r.environment, func() {
 		defer queue.close()
@@ -142,7 +143,7 @@
 	queue.close()
 }
 
-// readChunks reads until the source ends or f takes no more.
+// readChunks passes what it reads to handle until the source ends or handle returns false.
 func (r *Relay) readChunks(src net.Conn, handle func(b []byte) bool) {
 	buf := make([]byte, relayChunkBytes)
 	for {
@@ -153,7 +154,7 @@
 	}
 }
 
-// transitQueue is what waits to go on.
+// transitQueue holds the chunks that are under way in one direction.
 type transitQueue struct {
 	mu     sync.Mutex
 	wake   env.Parker
@@ -162,8 +163,8 @@
 	closed bool
 }
 
-// maxTransitBytes bounds the bytes that wait; past it the connection ends, as one does whose
-// sender gives up.
+// maxTransitBytes is the most that may be under way; beyond it the connection ends, as if the sender
+// had timed out.
 const maxTransitBytes = 16 << 20
 
 func (q *transitQueue) push(b []byte) bool {
@@ -177,7 +178,7 @@
 	return true
 }
 
-// pop waits for the next; false once all is taken and nothing more comes.
+// pop waits for the next chunk; false once the queue is closed and empty.
 func (q *transitQueue) pop() ([]byte, bool) {
 	for {
 		q.mu.Lock()
@@ -203,18 +204,17 @@
 	q.wake.Unpark()
 }
 
-// Address is where the relay listens.
+// Address returns the address at which the relay listens.
 func (r *Relay) Address() string { return r.Addr }
 
-// Point has connections from now on go to another address, as when a process
-// behind a stable address is started anew.
+// Point makes new connections go to target, as when a process behind a stable address is restarted.
 func (r *Relay) Point(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = target
 }
 
-// Close ends the relay and every connection through it.
+// Close closes the relay and every connection through it, and waits for its goroutines.
 func (r *Relay) Close() {
 	r.stopped.Open()
 	r.listener.Close()
--- a/internal/simulation/standin/replicasender.go
+++ b/internal/simulation/standin/replicasender.go
@@ -14,20 +14,20 @@
 	"merlinhitch/internal/runtime/writequeue"
 )
 
-// What a disk server of one of two regions does beside its requests: as its shard's home
-// it copies changes to the other region's cell, and it tells its inventory how that
-// stands and hears from it where the shard is at home.
+// A disk server of a service with two regions replicates its changes to the copy in the other region
+// while it is its shard's home. It reports the state of the copy to its inventory and learns from it
+// where the shard's home is.
 
 const (
 	replicaRedialInterval = 50 * time.Millisecond
 	replicaDialTimeout    = 500 * time.Millisecond
-	replicaBatchSize      = 64
+	replicaBatchSize      = 64 // changes
 	replicaIdleTimeout    = 2 * time.Second
 	copyReportInterval    = 100 * time.Millisecond
 	copyReportTimeout     = 500 * time.Millisecond
 )
 
-// replicationLoop keeps a connection to the copy while this server is the shard's home.
+// replicationLoop keeps a connection to the copy open while this server is the shard's home.
 func (d *DiskServer) replicationLoop() {
 	for env.Sleep(d.environment, replicaRedialInterval, &d.stopped) {
 		gen, isHome := d.machine.store.Home()
@@ -50,7 +50,7 @@
 	}
 }
 
-// replicaSender is one connection to the copy.
+// replicaSender replicates changes over one connection to the copy.
 type replicaSender struct {
 	server       *DiskServer
 	store        *ShardStore
@@ -59,7 +59,7 @@
 	writes       *writequeue.Queue
 	wake         env.Parker
 	disconnected env.Gate
-	sentSeq      uint64 // the last change
+	sentSeq      uint64 // of the last change sent
 }
 
 func (s *replicaSender) run() {
@@ -111,7 +111,8 @@
 	return s.writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCopy, 0, change) })
 }
 
-// sendChanges sends what follows until the connection or the home is over.
+// sendChanges sends the logged changes until the connection ends, the server stops or this store is
+// no longer the home.
 func (s *replicaSender) sendChanges() {
 	for !s.disconnected.Opened() && !s.server.stopped.Opened() {
 		changes, ok := s.store.changesAfter(env.MS(s.server.environment.Now()), s.gen, s.sentSeq, replicaBatchSize)
@@ -130,13 +131,13 @@
 	}
 }
 
-// readAcks hears what the copy has.
+// readAcks reads the copy's acknowledgements.
 func (s *replicaSender) readAcks(reader *diskproto.Reader) {
 	defer s.wake.Unpark()
 	defer s.disconnected.Open()
 	for {
-		// A home with nothing to copy hears nothing; one whose copy is out of reach tries
-		// another connection.
+		// The deadline ends a connection to a copy that cannot be reached. It also ends one on which
+		// there was nothing to replicate; replicationLoop opens another in both cases.
 		s.conn.SetReadDeadline(s.server.environment.Deadline(replicaIdleTimeout))
 		frame, err := reader.Next()
 		if err != nil {
@@ -153,7 +154,8 @@
 	}
 }
 
-// handleReplicationFrame takes a frame from the shard's home; false ends the connection.
+// handleReplicationFrame handles a frame from the shard's home; gen is the generation of the join on
+// this connection, 0 before it. False ends the connection.
 func (d *DiskServer) handleReplicationFrame(writes *writequeue.Queue, frame diskproto.Frame, gen *uint64) bool {
 	store := d.machine.store
 	if frame.Kind == diskproto.KindJoin {
@@ -182,7 +184,8 @@
 	return writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCopied, frame.Tag, &ack) }) && ack.Result == diskproto.OK
 }
 
-// copyReportLoop tells the inventory of the copy, and hears of the shard's home.
+// copyReportLoop reports the state of the copy to the inventory and applies the home that the
+// inventory's answer names.
 func (d *DiskServer) copyReportLoop() {
 	caller := inventory.NewCaller(d.environment, d.Inventory)
 	defer caller.Close()
--- a/internal/simulation/standin/replication.go
+++ b/internal/simulation/standin/replication.go
@@ -11,7 +11,8 @@
 	"merlinhitch/internal/simulation/faultinject"
 )
 
-// storeRole is what a cell is to its shard.
+// storeRole is the role of a store among the two of its shard: the home serves requests and
+// replicates its changes to the copy in the other region.
 type storeRole int
 
 const (
@@ -20,59 +21,60 @@
 	roleCopy
 )
 
-// replicationState is what a cell knows of its shard's homes, and its history of changes: as the
-// home for the copy in the other region, or as that copy. It is part of a cell, and as
-// durable.
+// replicationState is a store's role under the newest generation it knows, and its log of changes.
+// It is as durable as the blocks.
 type replicationState struct {
 	enabled           bool // the service has two regions
 	region            region.ID
 	role              storeRole
-	gen               uint64
-	alone             bool   // the home answers without its copy
-	betweenHomes      bool   // the shard is between two homes: nothing more runs under gen
-	completeGen       uint64 // the generation under which the copy was said to be whole
-	recordedAlone     bool   // the record says alone for gen
-	copyConnected     bool   // the copy is connected
-	position          diskproto.Position
-	logBase           diskproto.Position // before log[0]
+	gen               uint64 // the newest generation of the shard that the store knows
+	alone             bool   // the home answers without waiting for its copy
+	betweenHomes      bool   // the shard is moving to another home: no more requests run under gen
+	completeGen       uint64 // the generation under which the copy was last reported complete
+	recordedAlone     bool   // the inventory's record has the home alone under gen
+	copyConnected     bool
+	position          diskproto.Position // of the last change
+	logBase           diskproto.Position // of the change before log[0]
 	log               []change
-	copiedSeq         uint64 // the copy has the history up to here
-	lastWrites        map[blockAddress]uint64
+	copiedSeq         uint64                  // the copy has all changes up to this sequence number
+	lastWrites        map[blockAddress]uint64 // sequence number of the last change of a block
 	pendingReplies    []pendingReply
-	receivingSnapshot bool // a whole state is coming in: what is there is none
+	receivingSnapshot bool // a snapshot is incomplete: the content is unusable
 	wakeSender        func()
 }
 
-// change is one change of the cell.
+// change is an entry of a store's log.
 type change struct {
 	position   diskproto.Position
 	executedAt float64 // ms
 	request    diskproto.Do
 }
 
-// pendingReply is an answer that the copy must have first.
+// pendingReply is an answer that waits until the copy has the change it depends on.
 type pendingReply struct {
-	seq      uint64
-	queuedAt float64
+	seq      uint64  // of that change
+	queuedAt float64 // ms
 	reply    func()
 }
 
 const (
-	// retainedChanges bounds the history; a copy that lacks more gets the whole state.
+	// retainedChanges is the number of changes kept when the log has grown beyond twice as many. A
+	// copy that lacks changes that are not in the log gets a snapshot.
 	retainedChanges = 4096
-	// MaxReplicationLag is how many changes that were acknowledged before they were copied a shard
-	// may lose with its region.
+	// MaxReplicationLag is the largest number of changes of a shard that may be acknowledged before
+	// they are copied, and so be lost with the region.
 	MaxReplicationLag = 64
-	// behindThreshold is how long an answer waits until the copy is said to be lost, ms.
+	// behindThreshold is how long an answer waits, in ms, before the copy is reported as behind.
 	behindThreshold = 400
 )
 
-// EnableReplication makes the cell one of two, in that region.
+// EnableReplication makes the store one of two of its shard, in the region self.
 func (s *ShardStore) EnableReplication(self region.ID) {
 	s.replication = replicationState{enabled: true, region: self, lastWrites: map[blockAddress]uint64{}}
 }
 
-// SetSenderWakeup has f called when there is something to copy.
+// SetSenderWakeup sets the function that is called, with the lock held, when there are changes to
+// copy or the generation has changed; nil for none.
 func (s *ShardStore) SetSenderWakeup(wakeup func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,17 +87,19 @@
 	}
 }
 
-// enterGeneration enters a later generation.
+// enterGeneration starts a newer generation in the given role. Answers that still wait are never
+// sent. The caller holds the store's lock.
 func (r *replicationState) enterGeneration(gen uint64, role storeRole) {
 	r.gen, r.role, r.alone, r.betweenHomes, r.copyConnected, r.recordedAlone = gen, role, false, false, false, false
 	r.copiedSeq, r.pendingReplies = 0, nil
 	if role == roleHome {
-		r.receivingSnapshot = false // given up: what is there is all there is
+		r.receivingSnapshot = false // a partial snapshot is all that is left
 	}
 	r.wake()
 }
 
-// UpdateHome takes the inventory's word on the shard's home.
+// UpdateHome applies the inventory's record of the shard's home. Records of older generations are
+// ignored.
 func (s *ShardStore) UpdateHome(home region.Home) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +126,8 @@
 	}
 }
 
-// admitGeneration tells whether a command of that generation may run. Held: mu.
+// admitGeneration reports whether a request of the given generation may run. A newer generation
+// than the known one makes this store the home. The caller holds mu.
 func (s *ShardStore) admitGeneration(gen uint64) bool {
 	replication := &s.replication
 	switch {
@@ -138,14 +143,15 @@
 	return true
 }
 
-// Stale tells whether a command's generation is older than what the cell knows.
+// Stale reports whether a request of the given generation must be refused, since a newer one is
+// known, this store is not the home, or the shard is moving.
 func (s *ShardStore) Stale(gen uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.admitGeneration(gen)
 }
 
-// logChange enters a change in the history. Held: mu.
+// logChange numbers a change made here and logs it. The caller holds mu.
 func (s *ShardStore) logChange(now float64, request *diskproto.Do) {
 	replication := &s.replication
 	if !replication.enabled {
@@ -156,7 +162,7 @@
 	replication.wake()
 }
 
-// appendToLog adds a change to the history. Held: mu.
+// appendToLog adds a numbered change to the log. The caller holds mu.
 func (s *ShardStore) appendToLog(entry change) {
 	replication := &s.replication
 	replication.log = append(replication.log, entry)
@@ -170,7 +176,7 @@
 	}
 }
 
-// touchedBlocks are the blocks that a command is about.
+// touchedBlocks iterates over the blocks that a request addresses.
 func (s *ShardStore) touchedBlocks(request *diskproto.Do) func(func(blockAddress) bool) {
 	return func(yield func(blockAddress) bool) {
 		for _, run := range append([]diskproto.Run{{LBA: request.LBA, Blocks: request.Blocks}}, request.Runs...) {
@@ -183,7 +189,8 @@
 	}
 }
 
-// requiredSeq is the change that the copy must have before a command is answered. Held: mu.
+// requiredSeq returns the sequence number of the last change that the copy must have before a
+// request is answered, 0 for none. The caller holds mu.
 func (s *ShardStore) requiredSeq(request *diskproto.Do, changed bool) uint64 {
 	replication := &s.replication
 	switch {
@@ -207,15 +214,16 @@
 	return required
 }
 
-// lastSeq is the last change: what a repeat that is dropped must wait for.
+// lastSeq returns the sequence number of the last change, for which the answer to a dropped repeat
+// must wait.
 func (s *ShardStore) lastSeq() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.replication.position.Seq
 }
 
-// replyWhenCopied tells whether an answer may go out now; otherwise reply is called once it may, on
-// no particular goroutine, or never if the shard has another home by then.
+// replyWhenCopied reports whether an answer may be sent now. Otherwise reply is called once it may,
+// on any goroutine and with mu held, or never if a newer generation starts first.
 func (s *ShardStore) replyWhenCopied(now float64, seq uint64, reply func()) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,7 +235,7 @@
 	return false
 }
 
-// releaseReplies lets go of the answers that wait no longer. Held: mu.
+// releaseReplies sends the answers that need not wait any longer. The caller holds the store's lock.
 func (r *replicationState) releaseReplies() {
 	r.pendingReplies = slices.DeleteFunc(r.pendingReplies, func(pending pendingReply) bool {
 		if r.alone || pending.seq <= r.copiedSeq {
@@ -238,8 +246,8 @@
 	})
 }
 
-// CopyStatus is what the cell says of its copy, if there is anything to say, and under which
-// generation it is what.
+// CopyStatus returns the report for the inventory: generation, role and, if there is one to report,
+// the state of the copy.
 func (s *ShardStore) CopyStatus(now float64) (status region.Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -252,7 +260,7 @@
 		status.State = region.Drained
 	case replication.betweenHomes:
 	case replication.alone && copyComplete:
-		replication.alone, replication.completeGen = false, replication.gen // from here on nothing is answered alone
+		replication.alone, replication.completeGen = false, replication.gen // answers wait for the copy from here on
 		status.State = region.Whole
 	case replication.alone:
 	case replication.recordedAlone && replication.completeGen == replication.gen:
@@ -263,14 +271,15 @@
 	return status
 }
 
-// Home tells whether the cell is its shard's home, and under which generation.
+// Home reports whether the store is its shard's home, and the generation it knows.
 func (s *ShardStore) Home() (gen uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.replication.gen, s.replication.role == roleHome
 }
 
-// acceptSender is the home's question what this cell has.
+// acceptSender answers a home that wants to replicate to this store under the given generation:
+// Stale, or the position up to which this store has the changes.
 func (s *ShardStore) acceptSender(gen uint64) diskproto.Joined {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -282,12 +291,12 @@
 		replication.enterGeneration(gen, roleCopy)
 	}
 	if replication.receivingSnapshot {
-		return diskproto.Joined{Result: diskproto.OK} // it has nothing whole
+		return diskproto.Joined{Result: diskproto.OK} // position 0: the content is incomplete
 	}
 	return diskproto.Joined{Result: diskproto.OK, At: replication.position}
 }
 
-// receiveChange is a change, or a piece of a whole state, from the home under that generation.
+// receiveChange applies a change, or a part of a snapshot, from the home of the given generation.
 func (s *ShardStore) receiveChange(now float64, gen uint64, message *diskproto.Copy) diskproto.Copied {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -325,7 +334,7 @@
 	return diskproto.Copied{Result: diskproto.OK, At: replication.position}
 }
 
-// applyChange makes a change that the home has made. Held: mu.
+// applyChange repeats a change that the home has executed. The caller holds mu.
 func (s *ShardStore) applyChange(request *diskproto.Do) {
 	switch request.Op {
 	case 0:
@@ -344,8 +353,9 @@
 	}
 }
 
-// startReplication begins copying to a cell that has the history up to at: it returns the changes
-// that follow, or a whole state in pieces.
+// startReplication starts to replicate to a copy that has the changes up to position. It returns the
+// sequence number after which changes are to be sent, and the parts of a snapshot that must be sent
+// first if the log does not contain position; ok is false if this store is not the home under gen.
 func (s *ShardStore) startReplication(gen uint64, position diskproto.Position) (snapshot []diskproto.Copy, start uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -363,7 +373,7 @@
 	return s.snapshot(), replication.position.Seq, true
 }
 
-// snapshot is the whole state. Held: mu.
+// snapshot returns the whole content as a list of changes. The caller holds mu.
 func (s *ShardStore) snapshot() (changes []diskproto.Copy) {
 	add := func(request diskproto.Do) {
 		changes = append(changes, diskproto.Copy{At: s.replication.position, First: len(changes) == 0, Part: true, Do: request})
@@ -384,8 +394,8 @@
 	return changes
 }
 
-// changesAfter are the changes after a number, at most so many; false where the cell is no home
-// under that generation any more, or has forgotten them.
+// changesAfter returns up to limit changes after afterSeq. ok is false if this store is no longer the
+// home under gen or the log no longer contains them.
 func (s *ShardStore) changesAfter(now float64, gen, afterSeq uint64, limit int) (changes []diskproto.Copy, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -402,7 +412,7 @@
 	return changes, true
 }
 
-// acknowledgeCopied notes that the copy acknowledgeCopied the history up to a number.
+// acknowledgeCopied records that the copy has all changes up to seq.
 func (s *ShardStore) acknowledgeCopied(gen, seq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -412,7 +422,7 @@
 	}
 }
 
-// copyDisconnected notes that the copy is no longer connected.
+// copyDisconnected records that the connection to the copy has ended.
 func (s *ShardStore) copyDisconnected(gen uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulation/standin/replication_test.go
+++ b/internal/simulation/standin/replication_test.go
@@ -10,15 +10,14 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// storePair are a shard's cells in both regions, with the copying between them played by
-// hand.
+// storePair holds a shard's stores in both regions; the test replicates between them step by step.
 type storePair struct {
 	stores    [2]*ShardStore
 	gen       uint64
 	home      int
 	sentSeq   uint64
 	snapshot  []diskproto.Copy
-	connected bool // the copy is joined
+	connected bool // the copy is connected
 }
 
 func newStorePair() *storePair {
@@ -41,16 +40,16 @@
 func (p *storePair) connectCopy(t *testing.T) {
 	joined := p.stores[1-p.home].acceptSender(p.gen)
 	if joined.Result != diskproto.OK {
-		t.Fatal("not joined:", joined)
+		t.Fatal("copy did not accept the home:", joined)
 	}
 	var ok bool
 	if p.snapshot, p.sentSeq, ok = p.stores[p.home].startReplication(p.gen, joined.At); !ok {
-		t.Fatal("not the home")
+		t.Fatal("replication did not start: the store is not the home")
 	}
 	p.connected = true
 }
 
-// replicate takes up to n changes over.
+// replicate sends a pending snapshot and up to n changes to the copy.
 func (p *storePair) replicate(t *testing.T, n int) {
 	home, replica := p.stores[p.home], p.stores[1-p.home]
 	changes := p.snapshot
@@ -61,7 +60,7 @@
 	for i := range changes {
 		ack := replica.receiveChange(0, p.gen, &changes[i])
 		if ack.Result != diskproto.OK {
-			t.Fatal("a change is refused:", ack.Result)
+			t.Fatal("copy refused a change:", ack.Result)
 		}
 		if !changes[i].Part {
 			home.acknowledgeCopied(p.gen, ack.At.Seq)
@@ -80,8 +79,8 @@
 	return text
 }
 
-// Whatever is written, joined, lost on the way and moved, a copy that has caught up equals
-// its home, and nothing that was answered as copied is missing after a move.
+// After any sequence of writes, reconnects and moves, a copy that has caught up equals its home, and
+// no write that was answered as copied is missing after a move.
 func TestCopyMatchesHome(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -117,30 +116,30 @@
 				if pair.connected = false; !complete || rng.IntN(3) > 0 {
 					break
 				}
-				// The home is lost; its copy, which was whole, takes its place.
+				// The home is lost and its copy, which was complete, becomes the home.
 				pair.home, pair.gen = 1-pair.home, pair.gen+1
 				pair.updateHomes()
 				for lba, text := range answered {
 					result, data, _ := pair.stores[pair.home].apply(0, &diskproto.Do{Op: byte(scsi.Read), Volume: "v", LBA: lba, Blocks: 1, Gen: pair.gen})
 					if result != diskproto.OK || string(data) != text {
-						t.Fatalf("seed %d: block %d is %q (%v), %q was answered", seed, lba, data, result, text)
+						t.Fatalf("seed %d: block %d is %q (%v), want %q, which was answered as copied", seed, lba, data, result, text)
 					}
 				}
 				if pair.stores[1-pair.home].Stale(pair.gen-1) != true {
-					t.Fatal("the lost home takes commands of its old generation")
+					t.Fatal("the lost home accepts requests of its old generation")
 				}
 			}
 		}
 		pair.connectCopy(t)
 		pair.replicate(t, 1<<20)
 		if a, b := pair.stores[0].contentString(), pair.stores[1].contentString(); a != b {
-			t.Fatalf("seed %d: the cells differ:\n%s\n%s", seed, a, b)
+			t.Fatalf("seed %d: the stores differ:\n%s\n%s", seed, a, b)
 		}
 	}
 }
 
-// A cell says what its home's copy is, lets answers go alone only as it is told, and
-// refuses what is older than it knows.
+// A home reports the state of its copy, answers without the copy only while the inventory says so,
+// and refuses requests of older generations.
 func TestCopyStatusAndAdmission(t *testing.T) {
 	pair := newStorePair()
 	store := pair.stores[0]
@@ -151,57 +150,57 @@
 	replies := 0
 	_, requiredSeq := write(1, true)
 	if store.replyWhenCopied(100, requiredSeq, func() { replies++ }) {
-		t.Fatal("answered before its copy")
+		t.Fatal("write answered before it was copied")
 	}
 	if status := store.CopyStatus(100 + behindThreshold/2); status.State != 0 || !status.Home || status.Gen != 1 {
-		t.Fatalf("said at once: %+v", status)
+		t.Fatalf("before the threshold: status %+v, want home of generation 1 without a state", status)
 	}
 	if status := store.CopyStatus(101 + behindThreshold); status.State != region.Behind {
-		t.Fatalf("an answer waits for long: %+v", status)
+		t.Fatalf("answer has waited beyond the threshold: status %+v, want Behind", status)
 	}
 	aloneHome := region.Home{Region: 0, From: 0, Gen: 5, Moved: 1, Alone: true}
 	store.UpdateHome(aloneHome)
 	if result, _ := write(1, true); result != diskproto.Stale {
-		t.Fatal("an older generation runs:", result)
+		t.Fatal("request of an older generation, want Stale, got:", result)
 	}
 	_, requiredSeq = write(5, true)
 	if !store.replyWhenCopied(0, requiredSeq, nil) {
-		t.Fatal("alone, and yet the answer waits")
+		t.Fatal("home is alone, but the answer waits for the copy")
 	}
 	pair.gen = 5
 	pair.connectCopy(t)
 	pair.replicate(t, 100)
 	if status := store.CopyStatus(0); status.State != region.Whole {
-		t.Fatalf("the copy has all: %+v", status)
+		t.Fatalf("copy is complete: status %+v, want Whole", status)
 	}
 	_, requiredSeq = write(5, true)
 	if store.replyWhenCopied(0, requiredSeq, func() {}) {
-		t.Fatal("said to be whole, and yet answered alone")
+		t.Fatal("copy was reported complete, but the answer does not wait for it")
 	}
-	store.UpdateHome(aloneHome) // an old word
+	store.UpdateHome(aloneHome) // an outdated record
 	if store.replyWhenCopied(0, requiredSeq, func() {}) {
-		t.Fatal("an old word lets it answer alone again")
+		t.Fatal("after an outdated record the answer does not wait for the copy")
 	}
 	aloneHome.Alone = false
 	store.UpdateHome(aloneHome)
 	store.UpdateHome(region.Home{Region: region.Nowhere, From: 0, Gen: 5, Moved: 1})
 	if result, _ := write(5, true); result != diskproto.Stale {
-		t.Fatal("between two homes something runs:", result)
+		t.Fatal("request while the shard is between two homes, want Stale, got:", result)
 	}
 	if status := store.CopyStatus(0); status.State != 0 {
-		t.Fatalf("drained, though the copy lacks something: %+v", status)
+		t.Fatalf("copy lacks a change: status %+v, want no state", status)
 	}
 	pair.replicate(t, 100)
 	if status := store.CopyStatus(0); status.State != region.Drained {
-		t.Fatalf("the copy has all: %+v", status)
+		t.Fatalf("between two homes with a complete copy: status %+v, want Drained", status)
 	}
 	if joined := pair.stores[1].acceptSender(4); joined.Result != diskproto.Stale {
-		t.Fatal("a home of an older generation may copy:", joined)
+		t.Fatal("home of an older generation, want Stale, got:", joined)
 	}
-	for range 3 * MaxReplicationLag { // acknowledged before their copy: so many at the most
+	for range 3 * MaxReplicationLag { // more than may be acknowledged before they are copied
 		_, requiredSeq = write(6, false)
 	}
 	if lag := store.lastSeq() - requiredSeq; lag != MaxReplicationLag {
-		t.Fatalf("%d changes may lack a copy", lag)
+		t.Fatalf("%d changes may be acknowledged before they are copied, want MaxReplicationLag", lag)
 	}
 }
--- a/internal/simulation/standin/router.go
+++ b/internal/simulation/standin/router.go
@@ -17,48 +17,48 @@
 	"merlinhitch/internal/runtime/writequeue"
 )
 
-// RouterFaults is what is wrong with a router's sessions. The zero value is a sound one.
+// RouterFaults are the faults of a router's sessions. The zero value has none.
 type RouterFaults struct {
-	Refuse             bool          // connections are closed as they come
-	StartDelay         time.Duration // before anything is read or said
-	Silent             bool          // it accepts and says nothing
-	BadAS              bool          // its OPEN names another AS
-	ZeroHoldTime       bool          // it offers no hold time
-	NoIPv6             bool          // it knows one family
-	ResetInState       bgp.State     // the connection is reset on reaching this state; Idle: never
-	ResetAfter         time.Duration // a session is reset so long after it was established
-	NoKeepalive        bool          // after the first it gives no sign of life
-	SlowReadDelay      time.Duration // before each read, of few bytes
-	TruncatedKeepalive bool          // half a message, and the end, in the place of its second KEEPALIVE
-	BadMarker          bool          // so instead
-	BadLength          bool          // so instead
-	UnknownAttributes  bool          // it sends an UPDATE of attributes that nobody knows
+	Refuse             bool          // connections are closed at once
+	StartDelay         time.Duration // before the first read
+	Silent             bool          // messages are read but never answered
+	BadAS              bool          // the OPEN has a wrong AS
+	ZeroHoldTime       bool          // the OPEN has hold time 0
+	NoIPv6             bool          // the OPEN has only the IPv4 family
+	ResetInState       bgp.State     // the connection is reset on entering this state; Idle: never
+	ResetAfter         time.Duration // a session is reset this long after it was established; 0: never
+	NoKeepalive        bool          // no KEEPALIVE after the first
+	SlowReadDelay      time.Duration // before each read of at most 16 bytes
+	TruncatedKeepalive bool          // the second KEEPALIVE is truncated and the connection closed
+	BadMarker          bool          // later KEEPALIVEs have a wrong marker
+	BadLength          bool          // later KEEPALIVEs have a wrong length
+	UnknownAttributes  bool          // an UPDATE with unknown path attributes is sent once established
 }
 
-// RouteChange is an entry of a router's log: what it learned, and when its socket
-// brought it.
+// RouteChange is an entry of a router's log of route changes.
 type RouteChange struct {
-	At           time.Duration
-	Host         uint32 // the identifier of the speaker that said so
+	At           time.Duration // when the message was handled
+	Host         uint32        // BGP identifier of the speaker
 	Prefix       netip.Prefix
-	Announced    bool
+	Announced    bool // false: withdrawn
 	Path         bgp.Path
-	SessionEnded bool // it went with its session
+	SessionEnded bool // withdrawn because the session ended
 }
 
-// RIBEntry is a route as a router holds it.
+// RIBEntry is a route of a router's table.
 type RIBEntry struct {
-	Host uint32
+	Host uint32 // BGP identifier of the speaker
 	Path bgp.Path
 }
 
-// Router is a BGP peer with a table of what it was told: a stand-in for the routers
-// that lead clients to hosts.
+// Router is a BGP peer that keeps a table of received routes, in place of the routers that forward
+// clients to hosts.
 type Router struct {
 	Addr string
 	AS   uint32
 	ID   uint32
-	// OnChange, if set before the first session, is told each change, with the lock held.
+	// OnChange is called with each change, with the lock held. It must be set before the first
+	// session.
 	OnChange func(RouteChange)
 
 	environment env.Environment
@@ -70,8 +70,8 @@
 	rib         map[netip.Prefix]map[uint32]bgp.Path
 	changes     []RouteChange
 	updates     int
-	endOfRIBs   int // End-of-RIB marks
-	established int
+	endOfRIBs   int // End-of-RIB markers received
+	established int // sessions that were established
 	closed      bool
 	tasks       env.WaitGroup
 }
@@ -80,11 +80,11 @@
 	router         *Router
 	conn           net.Conn
 	writes         *writequeue.Queue
-	host           uint32
-	fourOctetAS    bool
+	host           uint32 // BGP identifier of the speaker
+	fourOctetAS    bool   // the speaker supports four-octet AS numbers
 	state          bgp.State
 	holdTime       time.Duration
-	faults         RouterFaults // as the session began
+	faults         RouterFaults // when the session started
 	keepalives     int
 	keepaliveTimer env.Timer
 	lastReceived   time.Duration
@@ -95,7 +95,7 @@
 	routerHoldTime   = 9 * time.Second
 )
 
-// ServeRouter starts a router of that AS at an address.
+// ServeRouter starts a router of the given AS that listens at addr.
 func ServeRouter(environment env.Environment, addr string, as uint32) (*Router, error) {
 	listener, err := environment.Listen("tcp", addr)
 	if err != nil {
@@ -107,14 +107,14 @@
 	return router, nil
 }
 
-// SetFaults changes what is wrong with sessions that begin from now on.
+// SetFaults replaces the faults of sessions that start later.
 func (r *Router) SetFaults(faults RouterFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = faults
 }
 
-// ResetSessions ends every session at once, without a word.
+// ResetSessions aborts every session without a NOTIFICATION.
 func (r *Router) ResetSessions() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,7 +123,7 @@
 	}
 }
 
-// Close ends the router and waits for its goroutines.
+// Close stops the router and waits for its goroutines.
 func (r *Router) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -152,7 +152,7 @@
 	}
 }
 
-// slowReader lets little through, late.
+// slowReader reads at most 16 bytes at a time, each time after a delay.
 type slowReader struct {
 	session *routerSession
 	delay   time.Duration
@@ -192,13 +192,13 @@
 	}
 }
 
-var errNotificationReceived = errors.New("standin: session over")
+var errNotificationReceived = errors.New("standin: router received a NOTIFICATION")
 
 func (s *routerSession) send(message []byte) {
 	s.writes.Enqueue(func(b []byte) []byte { return append(b, message...) })
 }
 
-// handleMessage handles one handleMessage. Held: Router.mu.
+// handleMessage handles a message from the speaker. The caller holds Router.mu.
 func (s *routerSession) handleMessage(messageType bgp.Type, body []byte) error {
 	s.lastReceived = s.router.environment.Now()
 	if s.faults.Silent {
@@ -248,7 +248,8 @@
 	return nil
 }
 
-// enterState enters a state, in which the session may be reset.
+// enterState enters a state and applies the faults that reset the session. The caller holds
+// Router.mu.
 func (s *routerSession) enterState(state bgp.State) {
 	s.state = state
 	if s.faults.ResetInState == state && state != bgp.Idle {
@@ -259,8 +260,8 @@
 	}
 }
 
-// scheduleKeepalive gives signs of life, or what stands in their place, and ends a session from
-// which none came. Held: Router.mu.
+// scheduleKeepalive sends a KEEPALIVE, or what the faults have in its place, every third of the hold
+// time, and closes the session when the hold timer has expired. The caller holds Router.mu.
 func (s *routerSession) scheduleKeepalive() {
 	if s.holdTime == 0 {
 		return
@@ -297,13 +298,13 @@
 	})
 }
 
-// unknownAttributesUpdate is an UPDATE with an optional transitive attribute of no known type,
-// and one whose faults cost its prefix only (RFC 7606).
+// unknownAttributesUpdate returns an UPDATE with an optional transitive attribute of an unknown type
+// and a malformed attribute that only withdraws the prefix (RFC 7606).
 func unknownAttributesUpdate() []byte {
 	update := &bgp.Update{Attrs: &bgp.Attrs{Path: []bgp.Segment{{AS: []uint32{65010}}}, NextHop: netip.AddrFrom4([4]byte{192, 0, 2, 9})},
 		Prefixes: []netip.Prefix{netip.PrefixFrom(netip.AddrFrom4([4]byte{203, 0, 113, 0}), 24)}}
 	message := update.Append(nil, true)
-	const attrsOffset = 21 // where the attributes' length stands: after the header and no withdrawals
+	const attrsOffset = 21 // of the attributes' length, after the header and no withdrawn routes
 	extraAttrs := []byte{0xc0, 0xfb, 2, 1, 2, 0x40, 4, 1, 0}
 	attrsLen := binary.BigEndian.Uint16(message[attrsOffset:])
 	end := attrsOffset + 2 + int(attrsLen)
@@ -333,7 +334,7 @@
 		for _, segment := range update.Attrs.Path {
 			path.Prepend += uint8(len(segment.AS))
 		}
-		path.Prepend-- // an AS says itself once in any case
+		path.Prepend-- // the path contains the speaker's AS once without prepending
 		s.router.addRoute(s.host, prefix, path)
 	}
 	return nil
@@ -363,8 +364,7 @@
 	r.recordChange(RouteChange{Host: host, Prefix: prefix, SessionEnded: sessionEnded})
 }
 
-// close forgets the session, and with it what its speaker said, unless that has said
-// it over another session since.
+// close removes the session and, unless the same speaker has another established session, its routes.
 func (s *routerSession) close() {
 	s.writes.Finish()
 	s.writes.Wait()
@@ -395,8 +395,8 @@
 	}
 }
 
-// BestRoutes lists the routes to a prefix that are equally good and better than the others:
-// no graceful shutdown, then the shorter path, then the lower MED.
+// BestRoutes returns the equally best routes to a prefix: without graceful shutdown first, then by
+// shorter path, then by lower MED.
 func (r *Router) BestRoutes(prefix netip.Prefix) (best []RIBEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -419,7 +419,7 @@
 	return best
 }
 
-// RoutesFrom lists all that a speaker has told.
+// RoutesFrom returns the routes that a speaker currently announces.
 func (r *Router) RoutesFrom(host uint32) map[netip.Prefix]bgp.Path {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -432,17 +432,18 @@
 	return paths
 }
 
-// RouterCounters are figures of a router.
+// RouterCounters are the numbers of UPDATEs and End-of-RIB markers received and of sessions
+// established.
 type RouterCounters struct{ Updates, EndOfRIBs, Established int }
 
-// Counters reads the figures.
+// Counters returns the current counters.
 func (r *Router) Counters() RouterCounters {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return RouterCounters{r.updates, r.endOfRIBs, r.established}
 }
 
-// Changes is a copy of the log.
+// Changes returns a copy of the log of route changes.
 func (r *Router) Changes() []RouteChange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/simulation/standin/shardstore.go
+++ b/internal/simulation/standin/shardstore.go
@@ -1,7 +1,6 @@
-// Package standin plays the systems that the gateway works with, on loopback and
-// for tests: disk servers with their blocks, the inventory, clients, and relays
-// that record what passes. Each can be given the faults of a bad day. Nothing but
-// cmd, lab and tests imports it.
+// Package standin simulates the systems around the gateway and the scheduler, for tests, the lab
+// and local trials: disk servers with their storage, the inventory, HTTP discovery, BGP routers, and
+// relays that record the frames that pass. Faults can be injected into each of them.
 package standin
 
 import (
@@ -11,27 +10,28 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// ShardStore holds the blocks of one shard. It outlives the disk server before it, as
-// disks outlive a process, and is handed to its successor.
+// ShardStore holds the blocks and reservations of one shard. Like a disk, it outlives the disk
+// server process that uses it and is passed to that process's successor.
 type ShardStore struct {
 	mu           sync.Mutex
 	blocks       map[blockAddress][]byte
 	reservations map[string]*reservationState
-	BlockSize    func(volume string) int // block size of a volume
-	// OnExecute, if set, is told of each operation on blocks as it takes effect.
+	BlockSize    func(volume string) int // block size of a volume, bytes
+	// OnExecute, if set, is called with each block operation as it is executed, with the lock held.
 	OnExecute func(*diskproto.Do)
-	// IgnoreFences has the cell forget every fence: a broken server, for tests of checkers.
+	// IgnoreFences disables the checks of reservation fences and shard generations, to test
+	// that checkers detect a broken server.
 	IgnoreFences bool
 
 	replication replicationState
 }
 
-// reservationState is what a cell keeps of a volume's reservations: the record, where it is the
-// first extent's cell, and the fence.
+// reservationState is what a store keeps for a volume's reservations. The record is kept only in
+// the store of the volume's first extent, the fence in every store.
 type reservationState struct {
 	record  diskproto.Record
-	persist bool
-	fence   uint64
+	persist bool   // the record survives a power loss
+	fence   uint64 // requests with a lower fence are refused
 }
 
 type blockAddress struct {
@@ -39,13 +39,13 @@
 	lba    uint64
 }
 
-// NewShardStore returns an empty cell, which reads as zeros.
+// NewShardStore returns an empty store. Blocks that were never written read as zeros.
 func NewShardStore(blockSize func(volume string) int) *ShardStore {
 	return &ShardStore{blocks: map[blockAddress][]byte{}, reservations: map[string]*reservationState{}, BlockSize: blockSize}
 }
 
-// apply carries out an operation and returns its result and data, and which change the
-// cell's copy must have before it is answered.
+// apply executes an operation and returns its result and data, and the sequence number of the last
+// change that the copy must have before the operation is answered.
 func (s *ShardStore) apply(now float64, request *diskproto.Do) (result diskproto.Result, data []byte, requiredSeq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +59,7 @@
 	return result, data, s.requiredSeq(request, changed)
 }
 
-// execute carries out an operation; changed tells whether anything is not as it was. Held: mu.
+// execute executes an operation and reports whether it changed the store. The caller holds mu.
 func (s *ShardStore) execute(request *diskproto.Do) (result diskproto.Result, data []byte, changed bool) {
 	if result, data, changed, handled := s.executeReservation(request); handled {
 		return result, data, changed
@@ -89,7 +89,7 @@
 	return diskproto.OK, nil, false
 }
 
-// blindWrite makes a change that depends on nothing that was there. Held: mu.
+// blindWrite executes a change that does not depend on the previous content. The caller holds mu.
 func (s *ShardStore) blindWrite(request *diskproto.Do, blockSize int) {
 	switch scsi.Op(request.Op) {
 	case scsi.Write:
@@ -107,7 +107,8 @@
 	}
 }
 
-// reservationFor is a volume's, made if need be. Held: mu.
+// reservationFor returns the reservation state of a volume and creates it if there is none. The
+// caller holds mu.
 func (s *ShardStore) reservationFor(volume string) *reservationState {
 	state := s.reservations[volume]
 	if state == nil {
@@ -117,8 +118,8 @@
 	return state
 }
 
-// executeReservation carries out what concerns them, and holds the rest to the fence; done is
-// false for an operation that may go on.
+// executeReservation executes operations on reservations and refuses others that are below the
+// fence. If handled is false, the operation is still to be executed. The caller holds mu.
 func (s *ShardStore) executeReservation(request *diskproto.Do) (result diskproto.Result, data []byte, changed, handled bool) {
 	switch request.Op {
 	case diskproto.OpRecord:
@@ -147,7 +148,7 @@
 	return 0, nil, false, false
 }
 
-// PowerLoss empties the records that were not to outlive one.
+// PowerLoss empties the reservation records that are not persistent through a power loss.
 func (s *ShardStore) PowerLoss() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,31 +173,30 @@
 	}
 }
 
-// DedupCache is the memory in which the disk servers of a rack drop the repeats of
-// keyed requests. It forgets a key so long after its first run, not later: a
-// repeat that comes too late runs again, and is counted.
+// DedupCache lets the disk servers of a rack drop repeats of keyed requests. A key is forgotten
+// after the retention time; a repeat that arrives later is executed again and counted.
 type DedupCache struct {
 	mu           sync.Mutex
-	retention    float64 // ms
+	retention    float64 // ms since execution
 	entries      map[requestKey]dedupEntry
-	order        []requestKey
-	repeated     int // effects that took place once more
-	effectCounts map[requestKey]int
+	order        []requestKey       // in the order of entry, oldest first
+	repeated     int                // executions of a key after its first
+	effectCounts map[requestKey]int // executions by key
 }
 
 type requestKey struct{ host, seq uint64 }
 
 type dedupEntry struct {
-	executedAt float64
+	executedAt float64 // ms
 	result     diskproto.Result
 }
 
-// NewDedupCache remembers for so many milliseconds.
+// NewDedupCache returns a cache that retains keys for the given number of milliseconds.
 func NewDedupCache(retention float64) *DedupCache {
 	return &DedupCache{retention: retention, entries: map[requestKey]dedupEntry{}, effectCounts: map[requestKey]int{}}
 }
 
-// runOnce applies a keyed request unless it is a repeat still remembered.
+// runOnce executes a keyed request unless its key is still retained; dropped reports that it was.
 func (c *DedupCache) runOnce(now float64, request *diskproto.Do, apply func() (diskproto.Result, []byte)) (result diskproto.Result, data []byte, dropped bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -209,7 +209,7 @@
 		return entry.result, nil, true
 	}
 	if result, data = apply(); result == diskproto.Stale {
-		return result, data, false // it may come again under a newer generation
+		return result, data, false // not executed: it may be repeated under a newer generation
 	}
 	c.entries[key] = dedupEntry{now, result}
 	c.order = append(c.order, key)
@@ -219,7 +219,7 @@
 	return result, data, false
 }
 
-// remember enters a keyed request that ran so long ago, elsewhere.
+// remember enters a keyed request that was executed at the shard's home in the other region.
 func (c *DedupCache) remember(executedAt float64, request *diskproto.Do) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -231,7 +231,7 @@
 	c.order = append(c.order, key)
 }
 
-// RepeatedEffects is the number of effects that took place more than once.
+// RepeatedEffects returns how many times a keyed request was executed again.
 func (c *DedupCache) RepeatedEffects() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
