--- a/cmd/merlinhitch/badday.go
+++ b/cmd/merlinhitch/badday.go
@@ -44,8 +44,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	options := lab.Options{Seed: c.Seed, Commands: c.Commands, Troubles: c.Troubles, Hosts: c.Hosts,
-		Servers: c.Servers, Rate: c.Rate, Out: c.Out, Log: log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)), Progress: os.Stderr}
+	options := lab.Options{Seed: c.Seed, Commands: c.Commands, FaultKinds: c.Troubles, Hosts: c.Hosts,
+		Servers: c.Servers, Rate: c.Rate, OutDir: c.Out, Log: log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)), Progress: os.Stderr}
 	if c.Counters {
 		return c.runCounterDay(ctx, options)
 	}
@@ -54,15 +54,15 @@
 		return err
 	}
 	result.Print(os.Stdout)
-	fmt.Println("trail:", result.Trail)
+	fmt.Println("trail:", result.TrailFile)
 	if result.OK() {
 		return nil
 	}
-	_, events, err := trail.Read(result.Trail)
+	_, events, err := trail.Read(result.TrailFile)
 	if err != nil {
 		return err
 	}
-	for _, violation := range result.Check.Violations[:min(len(result.Check.Violations), 3)] {
+	for _, violation := range result.Checker.Violations[:min(len(result.Checker.Violations), 3)] {
 		fmt.Printf("\n%s\n%s", violation, trail.Trace(events, violation.Conn, violation.Tag, violation.HostID, violation.Seq))
 	}
 	return errReported
@@ -92,7 +92,7 @@
 		return err
 	}
 	for _, row := range rows {
-		if row.Bad > 0 {
+		if row.FailedRuns > 0 {
 			return errReported
 		}
 	}
--- a/cmd/merlinhitch/explore.go
+++ b/cmd/merlinhitch/explore.go
@@ -39,19 +39,19 @@
 		c.Parallel = runtime.GOMAXPROCS(0)
 	}
 	begin := time.Now()
-	summary, err := lab.Explore(ctx, lab.Exploration{First: c.First, Seeds: c.Seeds, Hosts: c.Hosts, Servers: c.Servers, Rate: c.Rate,
-		Span: time.Duration(c.Seconds * float64(time.Second)), Swarm: c.Swarm, Regions: c.Regions, Parallel: c.Parallel, StopAtFirst: c.Stop, Out: c.Out}, os.Stderr)
+	summary, err := lab.Explore(ctx, lab.ExploreOptions{FirstSeed: c.First, Seeds: c.Seeds, Hosts: c.Hosts, Servers: c.Servers, Rate: c.Rate,
+		Span: time.Duration(c.Seconds * float64(time.Second)), Swarm: c.Swarm, Regions: c.Regions, Parallel: c.Parallel, StopAtFirst: c.Stop, OutDir: c.Out}, os.Stderr)
 	if err != nil {
 		return err
 	}
 	elapsed := time.Since(begin)
-	fmt.Printf("%d scenarios of %.0f s, %d hosts and %d disk servers: %d failed\n", summary.Played, c.Seconds, c.Hosts, c.Servers, len(summary.Failures))
+	fmt.Printf("%d scenarios of %.0f s, %d hosts and %d disk servers: %d failed\n", summary.Runs, c.Seconds, c.Hosts, c.Servers, len(summary.Failures))
 	fmt.Printf("%d steps, %d rule checks, %d blocks read and verified, %d block histories checked for linearizability (%d timed out)\n",
-		summary.Steps, summary.Checks, summary.Reads, summary.Blocks-summary.Unknown, summary.Unknown)
-	fmt.Printf("mean goodput %.3f; %.0f virtual seconds in %.1f s, %.0f steps a second\n", summary.Goodput, summary.Virtual.Seconds(), elapsed.Seconds(), float64(summary.Steps)/elapsed.Seconds())
+		summary.Steps, summary.RuleChecks, summary.CheckedReads, summary.CheckedBlocks-summary.UndecidedBlocks, summary.UndecidedBlocks)
+	fmt.Printf("mean goodput %.3f; %.0f virtual seconds in %.1f s, %.0f steps a second\n", summary.MeanGoodput, summary.VirtualTime.Seconds(), elapsed.Seconds(), float64(summary.Steps)/elapsed.Seconds())
 	var troubles []string
-	for _, kind := range slices.Sorted(maps.Keys(summary.Kinds)) {
-		troubles = append(troubles, fmt.Sprintf("%s %d", kind, summary.Kinds[kind]))
+	for _, kind := range slices.Sorted(maps.Keys(summary.FaultCounts)) {
+		troubles = append(troubles, fmt.Sprintf("%s %d", kind, summary.FaultCounts[kind]))
 	}
 	fmt.Println("faults:", strings.Join(troubles, ", "))
 	if c.Regions {
@@ -72,7 +72,7 @@
 		if err := shrunk.Save(file); err != nil {
 			return err
 		}
-		fmt.Printf("shrunk scenario: %s, %d faults, %d commands, %d hosts\n", file, len(shrunk.Script), shrunk.Commands, shrunk.Hosts)
+		fmt.Printf("shrunk scenario: %s, %d faults, %d commands, %d hosts\n", file, len(shrunk.Faults), shrunk.Commands, shrunk.Hosts)
 	}
 	return errReported
 }
@@ -83,7 +83,7 @@
 }
 
 func (c *replayCmd) Run() error {
-	scene, err := lab.LoadScene(c.File)
+	scene, err := lab.LoadScenario(c.File)
 	if err != nil {
 		return err
 	}
@@ -96,12 +96,12 @@
 		}
 		c.Trail = filepath.Join(dir, "trail.parquet")
 	}
-	outcome, err := scene.Play(ctx, c.Trail)
+	outcome, err := scene.Run(ctx, c.Trail)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("digest %016x after %d steps, %.3f virtual seconds; trail: %s\n", outcome.Scene.Digest, outcome.Steps, outcome.Took.Seconds(), c.Trail)
-	if scene.Digest != 0 && scene.Digest != outcome.Scene.Digest {
+	fmt.Printf("digest %016x after %d steps, %.3f virtual seconds; trail: %s\n", outcome.Scenario.Digest, outcome.Steps, outcome.VirtualTime.Seconds(), c.Trail)
+	if scene.Digest != 0 && scene.Digest != outcome.Scenario.Digest {
 		return errors.New("replay: digest differs from the recorded one; the scenario was probably recorded by another build")
 	}
 	if outcome.Failure == nil {
--- a/cmd/merlinhitch/regions.go
+++ b/cmd/merlinhitch/regions.go
@@ -164,8 +164,8 @@
 	defer stop()
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	script, span := lab.EveryRegionTrouble(seconds(c.Each), seconds(c.Calm), c.Seed)
-	result, err := lab.RegionDay(ctx, lab.Options{Seed: c.Seed, Commands: int(span.Seconds() * c.Rate), Hosts: c.Hosts, Servers: c.Servers, Rate: c.Rate, Script: script,
-		Out: c.Out, Log: log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)), Progress: os.Stderr})
+	result, err := lab.RegionDay(ctx, lab.Options{Seed: c.Seed, Commands: int(span.Seconds() * c.Rate), Hosts: c.Hosts, Servers: c.Servers, Rate: c.Rate, Faults: script,
+		OutDir: c.Out, Log: log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)), Progress: os.Stderr})
 	if err != nil {
 		return err
 	}
--- a/cmd/merlinhitch/settings.go
+++ b/cmd/merlinhitch/settings.go
@@ -340,7 +340,7 @@
 	failed := 0
 	for i := range c.Seeds {
 		result, err := lab.ChangeDay(ctx, lab.Options{Seed: c.Seed + uint64(i), Commands: c.Commands, Rate: c.Rate, Hosts: c.Hosts, Servers: c.Servers,
-			Troubles: c.Troubles, Log: log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))}, c.Operators, c.Changes)
+			FaultKinds: c.Troubles, Log: log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))}, c.Operators, c.Changes)
 		if err != nil {
 			return err
 		}
--- a/internal/simulation/lab/badday.go
+++ b/internal/simulation/lab/badday.go
@@ -24,99 +24,99 @@
 
 // Options of a bad day.
 type Options struct {
-	Seed     uint64
-	Commands int
-	Troubles []string // kinds; nil: all, "none": a calm day
-	Script   []Strike // in place of one that is drawn; nil: none
-	Hosts    int
-	Servers  int
-	Rate     float64 // commands a second
-	Out      string  // folder for the trail and the table, or none
-	Log      *zap.Logger
-	Progress io.Writer
+	Seed       uint64
+	Commands   int
+	FaultKinds []string         // kinds; nil: all, "none": a calm day
+	Faults     []ScheduledFault // in place of one that is drawn; nil: none
+	Hosts      int
+	Servers    int
+	Rate       float64 // commands a second
+	OutDir     string  // folder for the trail and the table, or none
+	Log        *zap.Logger
+	Progress   io.Writer
 	// Settings of the service; nil: the example's.
 	Settings *settings.Settings
-	// Shared has the disk servers share their shelves, as layouts that change need.
-	Shared bool
+	// SharedStores has the disk servers share their shelves, as layouts that change need.
+	SharedStores bool
 	// Routing has clients find hosts by the announcements in a router's table (RouteOn),
 	// or by a fixed choice among all hosts (RouteFixed); "": by the order of each
 	// volume's hosts.
 	Routing string
-	// during is started with the day, for what is more than a kind of trouble.
-	during func(d *day, span time.Duration)
-	// still, if set, is called once nothing is under way, before the hosts stop.
-	still func(d *day)
-	// after, if set, is given the trail once the hosts have stopped.
-	after func(d *day, events []trail.Event)
-	// live, if set, is given the fleet before the day begins and returns the checker that
+	// onStart is started with the day, for what is more than a kind of trouble.
+	onStart func(d *dayRun, span time.Duration)
+	// onQuiescent, if set, is called once nothing is under way, before the hosts stop.
+	onQuiescent func(d *dayRun)
+	// onStopped, if set, is given the trail once the hosts have stopped.
+	onStopped func(d *dayRun, events []trail.Event)
+	// newChecker, if set, is given the fleet before the day begins and returns the checker that
 	// hears of each event as it happens.
-	live func(*Fleet) *rules.Checker
-	// lateBy is how much later than its time a command may still take effect once its
+	newChecker func(*Fleet) *rules.Checker
+	// maxEffectDelay is how much later than its time a command may still take effect once its
 	// client has lost it, for what stands still on the way.
-	lateBy time.Duration
-	// keep is a folder for the hosts' snapshots and records; "": a host that starts anew
+	maxEffectDelay time.Duration
+	// stateDir is a folder for the hosts' snapshots and records; "": a host that starts anew
 	// is given the settings anew.
-	keep string
+	stateDir string
 	// fixedShares has parts of limits never move between regions.
 	fixedShares bool
 }
 
 // Result of a day.
 type Result struct {
-	Check   *rules.Checker
-	Wrong   []string // blocks read that could not be
-	Blocks  int      // judged
-	Missed  int      // blocks that could not be read back
-	Repeats int      // effects that took place once more, counted at the racks
-	Fell    []string
-	Trail   string
-	Took    time.Duration
-	Events  int
-	Steps   int // of a layout that were applied
+	Checker         *rules.Checker
+	InvalidReads    []string // blocks read that could not be
+	CheckedReads    int      // judged
+	UnreadBlocks    int      // blocks that could not be read back
+	RepeatedEffects int      // effects that took place once more, counted at the racks
+	OverloadCrashed []string
+	TrailFile       string
+	Elapsed         time.Duration
+	TrailEvents     int
+	LayoutSteps     int // of a layout that were applied
 	// Of a service over two regions: writes that were acknowledged before their copy and
 	// lost with a region, what the operator said, and when a region was lost.
-	Lost   int
-	Said   map[string]int
-	Losses []Loss
-	// Strays and Unanswered are the clients': see Crowd. Wanted is the goodput with
+	LostWrites       int
+	OperatorCommands map[string]int
+	RegionLosses     []Loss
+	// Unrouted and Unanswered are the clients': see Crowd. Wanted is the goodput with
 	// the worth of strays counted as asked for.
-	Strays, Unanswered int
-	Wanted             float64
+	Unrouted, Unanswered int
+	GoodputWithUnrouted  float64
 
-	ledger *Ledger
+	history *BlockHistory
 }
 
 // OK tells whether the day kept everything.
 func (r *Result) OK() bool {
-	return r.Check.OK() && len(r.Wrong) == 0 && r.Missed == 0 && r.Repeats == 0 && r.Check.Stats.Commands == r.Check.Stats.Finished
+	return r.Checker.OK() && len(r.InvalidReads) == 0 && r.UnreadBlocks == 0 && r.RepeatedEffects == 0 && r.Checker.Stats.Commands == r.Checker.Stats.Finished
 }
 
-// trouble says in a few words what was not kept.
-func (r *Result) trouble() string {
-	s := fmt.Sprintf("%d commands, %d answers, %d not read back, %d twice", r.Check.Stats.Commands, r.Check.Stats.Finished, r.Missed, r.Repeats)
-	for _, b := range r.Check.Violations {
+// failureSummary says in a few words what was not kept.
+func (r *Result) failureSummary() string {
+	s := fmt.Sprintf("%d commands, %d answers, %d not read back, %d twice", r.Checker.Stats.Commands, r.Checker.Stats.Finished, r.UnreadBlocks, r.RepeatedEffects)
+	for _, b := range r.Checker.Violations {
 		s += "; " + b.String()
 	}
-	for _, t := range r.Wrong {
+	for _, t := range r.InvalidReads {
 		s += "; " + t
 	}
 	return s[:min(len(s), 600)]
 }
 
-// Strike is one trouble of a day.
-type Strike struct {
-	Kind string        `json:"kind"`
-	At   time.Duration `json:"at_ns"`  // after the day's begin
-	Len  time.Duration `json:"len_ns"` // how long it lasts
-	Seed uint64        `json:"seed"`   // draws its sizes and whom it strikes
+// ScheduledFault is one trouble of a day.
+type ScheduledFault struct {
+	Kind     string        `json:"kind"`
+	At       time.Duration `json:"at_ns"`  // after the day's begin
+	Duration time.Duration `json:"len_ns"` // how long it lasts
+	Seed     uint64        `json:"seed"`   // draws its sizes and whom it strikes
 }
 
-// kinds of trouble, each with what it does for so long.
-var kinds = map[string]func(d *day, rng *rand.Rand, len time.Duration){
+// faultFuncs of trouble, each with what it does for so long.
+var faultFuncs = map[string]func(d *dayRun, rng *rand.Rand, len time.Duration){
 	"crash":          crash,
 	"slow":           slow,
 	"pauses":         pauses,
-	"neighbour":      neighbour,
+	"neighbour":      noisyNeighbour,
 	"fast_errors":    fastErrors,
 	"mass_restart":   massRestart,
 	"deploy":         deploy,
@@ -135,32 +135,32 @@
 	"list_cut":       listCut,
 }
 
-// Kinds lists the kinds of trouble.
-func Kinds() []string {
-	return sortedKeys(kinds)
+// FaultKinds lists the kinds of trouble.
+func FaultKinds() []string {
+	return sortedKeys(faultFuncs)
 }
 
 func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
 
-// day is a running day.
-type day struct {
-	opt      Options
-	fleet    *Fleet
-	crowd    *Crowd
-	mu       sync.Mutex
-	now      map[string]int // kinds under way
-	steps    int            // of a layout that are in force
-	operator *operator
-	err      error
-	putBy    [2]*standin.InventoryState // the inventories' state as the day begins
-	check    *rules.Checker             // that hears of the day as it goes; nil: it is checked at the end
+// dayRun is a running dayRun.
+type dayRun struct {
+	opt                Options
+	fleet              *Fleet
+	clients            *Clients
+	mu                 sync.Mutex
+	activeFaults       map[string]int // kinds under way
+	layoutSteps        int            // of a layout that are in force
+	operator           *operator
+	err                error
+	initialInventories [2]*standin.InventoryState // the inventories' state as the day begins
+	checker            *rules.Checker             // that hears of the day as it goes; nil: it is checked at the end
 }
 
 // BadDay plays a day and checks it.
 func BadDay(ctx context.Context, opt Options) (*Result, error) {
-	for _, k := range opt.Troubles {
-		if kinds[k] == nil && k != "none" {
-			return nil, fmt.Errorf("unknown trouble %q; there are %s", k, strings.Join(Kinds(), ", "))
+	for _, k := range opt.FaultKinds {
+		if faultFuncs[k] == nil && k != "none" {
+			return nil, fmt.Errorf("unknown trouble %q; there are %s", k, strings.Join(FaultKinds(), ", "))
 		}
 	}
 	if opt.Log == nil {
@@ -171,116 +171,116 @@
 		set = settings.Example(opt.Hosts, opt.Servers)
 	}
 	w := env.NewReal()
-	return playDay(ctx, w, loopback{Environment: w}, set, opt)
+	return runDay(ctx, w, loopbackTestbed{Environment: w}, set, opt)
 }
 
-// playDay plays and checks a day at a site, of which w is the part that clients and
+// runDay plays and checks a day at a site, of which w is the part that clients and
 // troubles have.
-func playDay(ctx context.Context, w env.Environment, at site, set *settings.Settings, opt Options) (*Result, error) {
-	f, err := NewFleet(w, at, set, Machine(set), opt)
+func runDay(ctx context.Context, w env.Environment, at testbed, set *settings.Settings, opt Options) (*Result, error) {
+	f, err := NewFleet(w, at, set, DefaultMachine(set), opt)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	d := &day{opt: opt, fleet: f, crowd: NewCrowd(f, opt.Seed), now: map[string]int{}}
-	d.crowd.lateBy = opt.lateBy
-	if opt.live != nil {
-		d.check = opt.live(f)
+	d := &dayRun{opt: opt, fleet: f, clients: NewClients(f, opt.Seed), activeFaults: map[string]int{}}
+	d.clients.maxEffectDelay = opt.maxEffectDelay
+	if opt.newChecker != nil {
+		d.checker = opt.newChecker(f)
 	}
-	defer d.crowd.Close()
-	d.crowd.routed(opt.Routing)
+	defer d.clients.Close()
+	d.clients.routed(opt.Routing)
 	if set.Regions != nil {
-		d.crowd.spanRegions()
+		d.clients.spanRegions()
 	}
-	d.crowd.Login()
+	d.clients.Login()
 	if opt.Routing == RouteOn {
 		f.awaitRoutes(ctx, 10*time.Second)
 	}
-	return d.play(ctx)
+	return d.run(ctx)
 }
 
-func (d *day) play(ctx context.Context) (*Result, error) {
+func (d *dayRun) run(ctx context.Context) (*Result, error) {
 	rng := rand.New(rand.NewPCG(d.opt.Seed, 3))
 	begin := d.fleet.Environment.Now()
 	span := time.Duration(float64(d.opt.Commands) / d.opt.Rate * float64(time.Second))
-	script := d.opt.Script
+	script := d.opt.Faults
 	if script == nil {
-		script = drawScript(d.opt.Troubles, rng, span)
+		script = drawFaults(d.opt.FaultKinds, rng, span)
 	}
 	for _, t := range script {
-		d.fleet.after(t.At, func() {
-			d.count(t.Kind, 1)
-			strikes(t.Kind)(d, rand.New(rand.NewPCG(t.Seed, 4)), t.Len)
-			d.fleet.after(t.Len, func() { d.count(t.Kind, -1) })
+		d.fleet.afterFunc(t.At, func() {
+			d.countActive(t.Kind, 1)
+			faultFunc(t.Kind)(d, rand.New(rand.NewPCG(t.Seed, 4)), t.Duration)
+			d.fleet.afterFunc(t.Duration, func() { d.countActive(t.Kind, -1) })
 		})
 	}
-	if d.opt.during != nil {
-		d.opt.during(d, span)
+	if d.opt.onStart != nil {
+		d.opt.onStart(d, span)
 	}
 	var over env.Gate
-	if d.fleet.Set.Regions != nil {
-		d.putBy = d.fleet.PutBy()
+	if d.fleet.Settings.Regions != nil {
+		d.initialInventories = d.fleet.PutBy()
 		if d.opt.Progress != nil {
-			fmt.Fprintf(d.opt.Progress, "inventories of regions 0 and 1: %s %s\n", at(&d.fleet.invs[0].where), at(&d.fleet.invs[1].where))
+			fmt.Fprintf(d.opt.Progress, "inventories of regions 0 and 1: %s %s\n", at(&d.fleet.inventories[0].addr), at(&d.fleet.inventories[1].addr))
 		}
 		d.operator = &operator{f: d.fleet, Said: map[string]int{}, returns: true}
 		d.fleet.Environment.Go(func() { d.operator.run(&over) })
 	}
-	progress := d.progress(begin)
-	d.crowd.Run(ctx, d.opt.Commands, d.opt.Rate)
-	d.crowd.Wait()
+	progress := d.reportProgress(begin)
+	d.clients.Run(ctx, d.opt.Commands, d.opt.Rate)
+	d.clients.Wait()
 	res := &Result{}
 	defer over.Open()
-	res.Missed = d.crowd.ReadBack(ctx, 60*time.Second)
+	res.UnreadBlocks = d.clients.ReadBack(ctx, 60*time.Second)
 	progress()
-	d.crowd.Close()
-	if d.opt.still != nil {
-		d.opt.still(d)
+	d.clients.Close()
+	if d.opt.onQuiescent != nil {
+		d.opt.onQuiescent(d)
 	}
 	d.fleet.StopHosts(ctx)
-	events := d.fleet.Rec.Stop()
-	if d.opt.after != nil {
-		d.opt.after(d, events)
+	events := d.fleet.Recorder.Stop()
+	if d.opt.onStopped != nil {
+		d.opt.onStopped(d, events)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if res.Steps = d.steps; d.err != nil {
+	if res.LayoutSteps = d.layoutSteps; d.err != nil {
 		return nil, d.err
 	}
-	return d.judge(res, events, d.fleet.Environment.Now()-begin)
+	return d.evaluate(res, events, d.fleet.Environment.Now()-begin)
 }
 
-func (d *day) judge(res *Result, events []trail.Event, took time.Duration) (*Result, error) {
-	res.Took, res.Events = took, len(events)
-	if res.Check = d.check; d.check == nil {
-		res.Check = rules.Check(d.fleet.Meta, events)
+func (d *dayRun) evaluate(res *Result, events []trail.Event, took time.Duration) (*Result, error) {
+	res.Elapsed, res.TrailEvents = took, len(events)
+	if res.Checker = d.checker; d.checker == nil {
+		res.Checker = rules.Check(d.fleet.Meta, events)
 	} else {
-		d.check.Finish()
+		d.checker.Finish()
 	}
-	res.ledger = d.crowd.ledger
-	res.Wrong = d.crowd.ledger.Judge()
-	res.Blocks = d.crowd.ledger.Checked
-	res.Strays, res.Unanswered = int(d.crowd.Strays.Load()), int(d.crowd.Unanswered.Load())
-	res.Wanted = res.Check.Stats.GoodputWithUnseen(d.crowd.StrayWorth)
-	res.Lost = len(d.crowd.ledger.Lost)
+	res.history = d.clients.history
+	res.InvalidReads = d.clients.history.CheckReads()
+	res.CheckedReads = d.clients.history.CheckedReads
+	res.Unrouted, res.Unanswered = int(d.clients.Unrouted.Load()), int(d.clients.Unanswered.Load())
+	res.GoodputWithUnrouted = res.Checker.Stats.GoodputWithUnseen(d.clients.UnroutedValue)
+	res.LostWrites = len(d.clients.history.LostWrites)
 	if o := d.operator; o != nil {
-		res.Said, res.Losses = o.Said, d.fleet.losses
+		res.OperatorCommands, res.RegionLosses = o.Said, d.fleet.regionLosses
 	}
-	res.Repeats, res.Fell = d.fleet.Repeats(), d.fleet.Fell()
-	if d.opt.Out == "" {
+	res.RepeatedEffects, res.OverloadCrashed = d.fleet.RepeatedEffects(), d.fleet.OverloadCrashed()
+	if d.opt.OutDir == "" {
 		return res, nil
 	}
-	if err := os.MkdirAll(d.opt.Out, 0o777); err != nil {
+	if err := os.MkdirAll(d.opt.OutDir, 0o777); err != nil {
 		return nil, err
 	}
-	res.Trail = filepath.Join(d.opt.Out, fmt.Sprintf("badday-%d.parquet", d.opt.Seed))
-	return res, trail.Write(res.Trail, d.fleet.Meta, events)
+	res.TrailFile = filepath.Join(d.opt.OutDir, fmt.Sprintf("badday-%d.parquet", d.opt.Seed))
+	return res, trail.Write(res.TrailFile, d.fleet.Meta, events)
 }
 
-// drawScript draws a day's troubles: each kind once, overlapping as they come.
-func drawScript(which []string, rng *rand.Rand, span time.Duration) (out []Strike) {
+// drawFaults draws a day's troubles: each kind once, overlapping as they come.
+func drawFaults(which []string, rng *rand.Rand, span time.Duration) (out []ScheduledFault) {
 	if len(which) == 0 {
-		which = Kinds()
+		which = FaultKinds()
 	}
 	for _, k := range which {
 		if k == "none" {
@@ -289,7 +289,7 @@
 		part := func(low, high float64) time.Duration {
 			return time.Duration((low + (high-low)*rng.Float64()) * float64(span))
 		}
-		out = append(out, Strike{Kind: k, At: part(0.05, 0.7), Len: part(0.08, 0.2)})
+		out = append(out, ScheduledFault{Kind: k, At: part(0.05, 0.7), Duration: part(0.08, 0.2)})
 	}
 	for i := range out {
 		out[i].Seed = rng.Uint64()
@@ -297,18 +297,18 @@
 	return out
 }
 
-func (d *day) count(kind string, by int) {
+func (d *dayRun) countActive(kind string, by int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.now[kind] += by; d.now[kind] == 0 {
-		delete(d.now, kind)
+	if d.activeFaults[kind] += by; d.activeFaults[kind] == 0 {
+		delete(d.activeFaults, kind)
 	}
 }
 
-const progressEvery = 5 * time.Second
+const progressInterval = 5 * time.Second
 
-// progress prints a line now and then until the function it returns is called.
-func (d *day) progress(begin time.Duration) (end func()) {
+// reportProgress prints a line now and then until the function it returns is called.
+func (d *dayRun) reportProgress(begin time.Duration) (end func()) {
 	if d.opt.Progress == nil {
 		return func() {}
 	}
@@ -323,7 +323,7 @@
 		}
 		d.mu.Lock()
 		var on []string
-		for k := range d.now {
+		for k := range d.activeFaults {
 			on = append(on, k)
 		}
 		d.mu.Unlock()
@@ -332,10 +332,10 @@
 			on = []string{"none"}
 		}
 		fmt.Fprintf(d.opt.Progress, "%5.0f s  %d asked, %d ended; troubles: %s\n", (d.fleet.Environment.Now() - begin).Seconds(),
-			d.crowd.Asked.Load(), d.crowd.Ended.Load(), strings.Join(on, " "))
-		d.fleet.Environment.AfterFunc(progressEvery, again)
+			d.clients.Submitted.Load(), d.clients.Completed.Load(), strings.Join(on, " "))
+		d.fleet.Environment.AfterFunc(progressInterval, again)
 	}
-	d.fleet.Environment.AfterFunc(progressEvery, again)
+	d.fleet.Environment.AfterFunc(progressInterval, again)
 	return func() {
 		mu.Lock()
 		defer mu.Unlock()
@@ -345,18 +345,18 @@
 
 // Print writes what came of the day.
 func (r *Result) Print(w io.Writer) {
-	r.Check.Stats.Print(w)
-	fmt.Fprintf(w, "goodput %.3f of the worth asked for\n\n", r.Check.Stats.Goodput())
-	r.Check.Print(w)
+	r.Checker.Stats.Print(w)
+	fmt.Fprintf(w, "goodput %.3f of the worth asked for\n\n", r.Checker.Stats.Goodput())
+	r.Checker.Print(w)
 	fmt.Fprintf(w, "%d blocks read and judged, %d wrong, %d not read back; %d keyed effects twice; %d frames and events on the trail; %.0f s\n",
-		r.Blocks, len(r.Wrong), r.Missed, r.Repeats, r.Events, r.Took.Seconds())
-	if len(r.Fell) > 0 {
-		fmt.Fprintf(w, "pushed over: %s\n", strings.Join(r.Fell, ", "))
+		r.CheckedReads, len(r.InvalidReads), r.UnreadBlocks, r.RepeatedEffects, r.TrailEvents, r.Elapsed.Seconds())
+	if len(r.OverloadCrashed) > 0 {
+		fmt.Fprintf(w, "pushed over: %s\n", strings.Join(r.OverloadCrashed, ", "))
 	}
-	for _, t := range r.Wrong[:min(len(r.Wrong), 5)] {
+	for _, t := range r.InvalidReads[:min(len(r.InvalidReads), 5)] {
 		fmt.Fprintln(w, "WRONG:", t)
 	}
-	for _, b := range r.Check.Violations[:min(len(r.Check.Violations), 5)] {
+	for _, b := range r.Checker.Violations[:min(len(r.Checker.Violations), 5)] {
 		fmt.Fprintln(w, "BROKEN:", b)
 	}
 }
--- a/internal/simulation/lab/bench.go
+++ b/internal/simulation/lab/bench.go
@@ -481,7 +481,7 @@
 		server.Close()
 		return nil, nil, nil, err
 	}
-	f, err := newFan(env.NewReal(), server.Addr().String(), benchShards)
+	f, err := newMuxRelay(env.NewReal(), server.Addr().String(), benchShards)
 	if err != nil {
 		server.Close()
 		straight.Close()
@@ -489,7 +489,7 @@
 	}
 	greet := func(net.Conn, *bufio.Reader) (uint32, error) { return 1, nil }
 	pipe = &subject{name: "pipe", addr: straight.Addr().String(), greet: greet}
-	fans = &subject{name: "fan", addr: f.l.Addr().String(), greet: greet}
+	fans = &subject{name: "fan", addr: f.listener.Addr().String(), greet: greet}
 	return pipe, fans, func() { f.close(); straight.Close(); server.Close() }, nil
 }
 
--- a/internal/simulation/lab/changes.go
+++ b/internal/simulation/lab/changes.go
@@ -66,18 +66,18 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	opt.keep = dir
+	opt.stateDir = dir
 	ch := &changing{each: changes / operators}
 	var events []trail.Event
 	var meta *trail.Meta
-	opt.during = func(d *day, span time.Duration) {
+	opt.onStart = func(d *dayRun, span time.Duration) {
 		ch.f, ch.gap = d.fleet, span*4/10/time.Duration(max(ch.each, 1))
 		for op := range operators {
 			rng := rand.New(rand.NewPCG(opt.Seed, uint64(100+op)))
 			ch.done.Go(d.fleet.Environment, func() { ch.operate(ctx, op, rng) })
 		}
 	}
-	opt.after = func(d *day, all []trail.Event) {
+	opt.onStopped = func(d *dayRun, all []trail.Event) {
 		ch.done.Wait(d.fleet.Environment)
 		events, meta = all, d.fleet.Meta
 	}
@@ -92,7 +92,7 @@
 func (ch *changing) operate(ctx context.Context, op int, rng *rand.Rand) {
 	for n := range ch.each {
 		env.SleepContext(ctx, ch.f.Environment, time.Duration(float64(ch.gap)*(0.5+rng.Float64())))
-		hosts := ch.f.Admins()
+		hosts := ch.f.AdminAPIs()
 		if len(hosts) == 0 {
 			continue
 		}
@@ -134,7 +134,7 @@
 // the rules are checked: deadlines, limits and attempts only shrink from there and grow
 // back to it.
 func (ch *changing) alter(s *settings.Settings, rng *rand.Rand) {
-	first := ch.f.Set
+	first := ch.f.Settings
 	for range 1 + rng.IntN(3) {
 		switch rng.IntN(6) {
 		case 0:
@@ -246,18 +246,18 @@
 
 // Print writes what came of the day.
 func (r *ChangeResult) Print(w io.Writer) {
-	r.Check.Print(w)
+	r.Checker.Print(w)
 	fmt.Fprintf(w, "%d changes asked for: %d accepted (%d of them merged), %d refused, %d without an answer; %d records at the hosts, %d faults\n",
 		r.Asked, r.Accepted, r.Merged, r.Refused, r.Unknown, r.Records, len(r.Faults))
 	fmt.Fprintln(w, r.Versions.Summary())
 	fmt.Fprintf(w, "goodput %.3f; %d blocks read and judged, %d wrong, %d not read back; %d keyed effects twice; %.0f s\n",
-		r.Check.Stats.Goodput(), r.Blocks, len(r.Wrong), r.Missed, r.Repeats, r.Took.Seconds())
-	for _, list := range [][]string{r.Faults, r.Versions.Violations, r.Wrong} {
+		r.Checker.Stats.Goodput(), r.CheckedReads, len(r.InvalidReads), r.UnreadBlocks, r.RepeatedEffects, r.Elapsed.Seconds())
+	for _, list := range [][]string{r.Faults, r.Versions.Violations, r.InvalidReads} {
 		for _, t := range list[:min(len(list), 5)] {
 			fmt.Fprintln(w, "BROKEN:", t)
 		}
 	}
-	for _, b := range r.Check.Violations[:min(len(r.Check.Violations), 5)] {
+	for _, b := range r.Checker.Violations[:min(len(r.Checker.Violations), 5)] {
 		fmt.Fprintln(w, "BROKEN:", b)
 	}
 }
--- a/internal/simulation/lab/changes_test.go
+++ b/internal/simulation/lab/changes_test.go
@@ -17,7 +17,7 @@
 	if testing.Short() {
 		rate = 75
 	}
-	r, err := ChangeDay(context.Background(), Options{Seed: 5, Commands: int(4 * rate), Rate: rate, Hosts: 2, Servers: 6, Troubles: []string{"crash", "balancer_crash", "net_hang"}}, 4, 80)
+	r, err := ChangeDay(context.Background(), Options{Seed: 5, Commands: int(4 * rate), Rate: rate, Hosts: 2, Servers: 6, FaultKinds: []string{"crash", "balancer_crash", "net_hang"}}, 4, 80)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/lab/counters.go
+++ b/internal/simulation/lab/counters.go
@@ -48,18 +48,18 @@
 func CountDay(ctx context.Context, opt Options) (*Counted, error) {
 	out := &Counted{got: counters{map[nodeKey]map[string]float64{}}, seen: map[nodeKey]*seenAt{}}
 	var failed error
-	opt.still = func(d *day) {
+	opt.onQuiescent = func(d *dayRun) {
 		for _, h := range d.fleet.hosts {
-			if h.clients == nil {
+			if h.clientRelay == nil {
 				continue
 			}
-			if err := out.got.fetch(ctx, h.name, h.gate.Admin().String()); err != nil {
+			if err := out.got.fetch(ctx, h.name, h.gateway.Admin().String()); err != nil {
 				failed = err
 			}
 			out.Hosts++
 		}
 	}
-	opt.after = func(_ *day, events []trail.Event) { out.read(events) }
+	opt.onStopped = func(_ *dayRun, events []trail.Event) { out.read(events) }
 	res, err := BadDay(ctx, opt)
 	if err == nil {
 		err = failed
@@ -170,7 +170,7 @@
 
 // Print writes what was compared.
 func (c *Counted) Print(w io.Writer) {
-	c.Check.Print(w)
+	c.Checker.Print(w)
 	fmt.Fprintf(w, "%d hosts, %d nodes as they know them, %v attempts counted; at %d nodes every figure is known from the trail; %d figures wrong\n",
 		c.Hosts, c.Nodes, c.Attempts, c.Exact, len(c.Wrong))
 	for _, t := range c.Wrong[:min(len(c.Wrong), 5)] {
--- a/internal/simulation/lab/counters_test.go
+++ b/internal/simulation/lab/counters_test.go
@@ -13,7 +13,7 @@
 	if testing.Short() {
 		rate = 75
 	}
-	c, err := CountDay(context.Background(), Options{Seed: 3, Commands: int(4 * rate), Rate: rate, Hosts: 2, Servers: 6, Troubles: []string{"crash", "fast_errors", "balancer_crash"}})
+	c, err := CountDay(context.Background(), Options{Seed: 3, Commands: int(4 * rate), Rate: rate, Hosts: 2, Servers: 6, FaultKinds: []string{"crash", "fast_errors", "balancer_crash"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/lab/cutworld.go
+++ b/internal/simulation/lab/cutworld.go
@@ -10,127 +10,127 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// cutKind is how an address can't be reached.
-type cutKind int
+// partitionKind is how an address can't be reached.
+type partitionKind int
 
 const (
-	cutReset cutKind = iota // connections end at once, new ones are refused
-	cutHang                 // nothing passes, and nothing says so
-	cutHold                 // what is sent waits on its way until the address is healed
+	partitionReset     partitionKind = iota // connections end at once, new ones are refused
+	partitionBlackhole                      // nothing passes, and nothing says so
+	partitionDelay                          // what is sent waits on its way until the address is healed
 )
 
-// cutWorld is a host's world in which addresses can be cut off for that host alone.
-type cutWorld struct {
+// partitionEnvironment is a host's world in which addresses can be cut off for that host alone.
+type partitionEnvironment struct {
 	env.Environment
-	mu    sync.Mutex
-	cut   map[string]cutKind
-	conns map[*cutConn]string
+	mu          sync.Mutex
+	partitioned map[string]partitionKind
+	conns       map[*partitionConn]string
 }
 
-func newCutWorld(w env.Environment) *cutWorld {
-	return &cutWorld{Environment: w, cut: map[string]cutKind{}, conns: map[*cutConn]string{}}
+func newPartitionEnvironment(w env.Environment) *partitionEnvironment {
+	return &partitionEnvironment{Environment: w, partitioned: map[string]partitionKind{}, conns: map[*partitionConn]string{}}
 }
 
-// cutConn is a connection that can be cut.
-type cutConn struct {
+// partitionConn is a connection that can be cut.
+type partitionConn struct {
 	net.Conn
-	w    *cutWorld
-	mu   sync.Mutex
-	hung bool
-	hold bool
-	held []byte
+	env      *partitionEnvironment
+	mu       sync.Mutex
+	dropping bool
+	delaying bool
+	delayed  []byte
 }
 
-var errCut = errors.New("lab: cut off")
+var errPartitioned = errors.New("lab: cut off")
 
 // Dial implements env.Environment.
-func (w *cutWorld) Dial(ctx context.Context, network, address string, within time.Duration) (net.Conn, error) {
+func (w *partitionEnvironment) Dial(ctx context.Context, network, address string, within time.Duration) (net.Conn, error) {
 	w.mu.Lock()
-	kind, cut := w.cut[address]
+	kind, cut := w.partitioned[address]
 	w.mu.Unlock()
-	if cut && kind == cutReset {
-		return nil, errCut
+	if cut && kind == partitionReset {
+		return nil, errPartitioned
 	}
 	if cut {
 		env.SleepContext(ctx, w, within)
-		return nil, errCut
+		return nil, errPartitioned
 	}
 	c, err := w.Environment.Dial(ctx, network, address, within)
 	if err != nil {
 		return nil, err
 	}
-	k := &cutConn{Conn: c, w: w}
+	k := &partitionConn{Conn: c, env: w}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, cut := w.cut[address]; cut { // it came in between
+	if _, cut := w.partitioned[address]; cut { // it came in between
 		c.Close()
-		return nil, errCut
+		return nil, errPartitioned
 	}
 	w.conns[k] = address
 	return k, nil
 }
 
-func (c *cutConn) lost() bool {
+func (c *partitionConn) isDropping() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.hung
+	return c.dropping
 }
 
 // Read implements net.Conn; what comes over a hung connection is lost.
-func (c *cutConn) Read(b []byte) (int, error) {
+func (c *partitionConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
-		if err != nil || !c.lost() {
+		if err != nil || !c.isDropping() {
 			return n, err
 		}
 	}
 }
 
 // Write implements net.Conn.
-func (c *cutConn) Write(b []byte) (int, error) {
+func (c *partitionConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	if c.hold {
-		c.held = append(c.held, b...)
+	if c.delaying {
+		c.delayed = append(c.delayed, b...)
 		c.mu.Unlock()
 		return len(b), nil
 	}
 	c.mu.Unlock()
-	if c.lost() {
+	if c.isDropping() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
 // Close implements net.Conn.
-func (c *cutConn) Close() error {
-	c.w.mu.Lock()
-	delete(c.w.conns, c)
-	c.w.mu.Unlock()
+func (c *partitionConn) Close() error {
+	c.env.mu.Lock()
+	delete(c.env.conns, c)
+	c.env.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// off cuts addresses off.
-func (w *cutWorld) off(kind cutKind, addrs ...string) {
-	for _, c := range w.on(addrs, func(a string) { w.cut[a] = kind }) {
+// partition cuts addresses partition.
+func (w *partitionEnvironment) partition(kind partitionKind, addrs ...string) {
+	for _, c := range w.updateAddresses(addrs, func(a string) { w.partitioned[a] = kind }) {
 		c.mu.Lock()
-		c.hung, c.hold = kind != cutHold, kind == cutHold
+		c.dropping, c.delaying = kind != partitionDelay, kind == partitionDelay
 		c.mu.Unlock()
-		if kind == cutReset {
+		if kind == partitionReset {
 			c.Close()
 		}
 	}
 }
 
 // heal lets addresses be reached again; what hung ends, for bytes of it are missing.
-func (w *cutWorld) heal(addrs ...string) {
-	for _, c := range w.on(addrs, func(a string) { delete(w.cut, a) }) {
-		if c.lost() {
+func (w *partitionEnvironment) heal(addrs ...string) {
+	for _, c := range w.updateAddresses(addrs, func(a string) { delete(w.partitioned, a) }) {
+		if c.isDropping() {
 			c.Close()
 			continue
 		}
 		c.mu.Lock()
-		held := c.held
-		c.hold, c.held = false, nil
+		held := c.delayed
+		c.delaying, c.delayed = false, nil
 		if len(held) > 0 {
 			c.Conn.Write(held) // under the lock, before what comes next; a failure ends the reader
 		}
@@ -138,8 +138,8 @@
 	}
 }
 
-// on does f for each address under the lock and returns the connections to them.
-func (w *cutWorld) on(addrs []string, f func(string)) (out []*cutConn) {
+// updateAddresses does f for each address under the lock and returns the connections to them.
+func (w *partitionEnvironment) updateAddresses(addrs []string, f func(string)) (out []*partitionConn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range addrs {
--- a/internal/simulation/lab/experiment.go
+++ b/internal/simulation/lab/experiment.go
@@ -87,7 +87,7 @@
 
 // cell is a run that is to be made.
 type cell struct {
-	Scene
+	Scenario
 	load    float64
 	trouble string
 	figure  string
@@ -113,9 +113,9 @@
 						for _, tr := range g.Troubles {
 							for _, v := range values {
 								for seed := range g.Seeds {
-									c := cell{Scene{Seed: uint64(seed + 1), Hosts: h, Servers: s, Rate: r * load, Commands: int(r * load * g.Span.Seconds()), Layout: lay},
+									c := cell{Scenario{Seed: uint64(seed + 1), Hosts: h, Servers: s, Rate: r * load, Commands: int(r * load * g.Span.Seconds()), Layout: lay},
 										load, tr, g.Figure, v, g.Span}
-									if c.Script, err = g.script(tr, c.Seed); err != nil {
+									if c.Faults, err = g.script(tr, c.Seed); err != nil {
 										return nil, err
 									}
 									if g.Figure != "" {
@@ -135,19 +135,19 @@
 
 // script draws a cell's troubles: the same for the same seed, whatever the rest, so that
 // runs can be compared in pairs.
-func (g Grid) script(trouble string, seed uint64) ([]Strike, error) {
+func (g Grid) script(trouble string, seed uint64) ([]ScheduledFault, error) {
 	rng := rand.New(rand.NewPCG(seed, 23))
 	switch {
 	case trouble == "none":
 		return nil, nil
 	case trouble == "all":
-		return drawScript(Kinds(), rng, g.Span*2/3), nil
+		return drawFaults(FaultKinds(), rng, g.Span*2/3), nil
 	case trouble == "world":
-		return drawScript(slices.DeleteFunc(WorldKinds(), func(k string) bool { return k == beyond }), rng, g.Span*2/3), nil
-	case slices.Contains(WorldKinds(), trouble): // in the midst, a sixth of the day long
-		return []Strike{{Kind: trouble, At: g.Span / 3, Len: g.Span / 6, Seed: rng.Uint64()}}, nil
+		return drawFaults(slices.DeleteFunc(WorldFaultKinds(), func(k string) bool { return k == excludedFault }), rng, g.Span*2/3), nil
+	case slices.Contains(WorldFaultKinds(), trouble): // in the midst, a sixth of the day long
+		return []ScheduledFault{{Kind: trouble, At: g.Span / 3, Duration: g.Span / 6, Seed: rng.Uint64()}}, nil
 	}
-	return nil, fmt.Errorf("lab: unknown trouble %q; there are none, all, world, %s", trouble, strings.Join(WorldKinds(), ", "))
+	return nil, fmt.Errorf("lab: unknown trouble %q; there are none, all, world, %s", trouble, strings.Join(WorldFaultKinds(), ", "))
 }
 
 // Experiment makes every run of a grid.
@@ -196,7 +196,7 @@
 	begin := w.Now()
 	whole := hdrhistogram.New(1, longestLoss, 3)
 	bySecond := map[int64]*hdrhistogram.Histogram{}
-	c.ended = func(at, took int64, served bool) {
+	c.onAnswer = func(at, took int64, served bool) {
 		if !served {
 			return
 		}
@@ -209,16 +209,16 @@
 			h.RecordValue(min(max(took, 1), longestLoss)) // in range by the line itself
 		}
 	}
-	out, err := c.Play(ctx, "")
+	out, err := c.Run(ctx, "")
 	if err != nil {
 		return row, nil, err
 	}
-	t := out.Check.Stats
+	t := out.Checker.Stats
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	row = ExperimentRow{Hosts: int32(c.Hosts), Servers: int32(c.Servers), Rate: c.Rate, Load: c.load, Layout: c.Layout, Trouble: c.trouble, Figure: c.figure,
 		Value: c.value, Seed: c.Seed, Commands: int64(t.Commands), Goodput: t.Goodput(), Worst: t.WorstPlanGoodput(), Worst10: t.WorstWindowGoodput(10), Back: c.back(t),
 		P50: ms(whole, 50), P99: ms(whole, 99), P999: ms(whole, 99.9), StepsPer: float64(out.Steps) / float64(max(t.Commands, 1)),
-		CPU: float64((w.Now()-begin)/time.Microsecond) / float64(max(t.Commands, 1)), Digest: out.Scene.Digest}
+		CPU: float64((w.Now()-begin)/time.Microsecond) / float64(max(t.Commands, 1)), Digest: out.Scenario.Digest}
 	if out.Failure != nil {
 		row.Failure = out.Failure.Error()
 	}
@@ -239,12 +239,12 @@
 // back is when goodput was again that of the time before the first trouble, within a
 // twentieth.
 func (c cell) back(t *rules.Stats) float64 {
-	if len(c.Script) == 0 {
+	if len(c.Faults) == 0 {
 		return 0
 	}
 	first, last := c.span, time.Duration(0)
-	for _, s := range c.Script {
-		first, last = min(first, s.At), max(last, s.At+s.Len)
+	for _, s := range c.Faults {
+		first, last = min(first, s.At), max(last, s.At+s.Duration)
 	}
 	before := t.GoodputBetween(0, int64(first/time.Second))
 	for at := int64(last / time.Second); at+backSpan <= int64(c.span/time.Second); at++ {
--- a/internal/simulation/lab/experiment_test.go
+++ b/internal/simulation/lab/experiment_test.go
@@ -113,9 +113,9 @@
 	if testing.Short() {
 		t.Skip("long")
 	}
-	s := Draw(1, 170, 47, 10*time.Second, 760, true)
+	s := DrawScenario(1, 170, 47, 10*time.Second, 760, true)
 	out := kept(t, s)
-	if n := out.Check.Stats.Commands; n < 7000 {
+	if n := out.Checker.Stats.Commands; n < 7000 {
 		t.Fatalf("%d commands", n)
 	}
 }
--- a/internal/simulation/lab/explore.go
+++ b/internal/simulation/lab/explore.go
@@ -25,15 +25,15 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// Scene is a day in a virtual world, whole: the same scene is always the same run.
-type Scene struct {
-	Seed     uint64   `json:"seed"`
-	Hosts    int      `json:"hosts"`
-	Servers  int      `json:"servers"`
-	Commands int      `json:"commands"`
-	Rate     float64  `json:"rate"` // commands a second
-	Script   []Strike `json:"script"`
-	Planted  string   `json:"planted,omitempty"`
+// Scenario is a day in a virtual world, whole: the same scene is always the same run.
+type Scenario struct {
+	Seed     uint64           `json:"seed"`
+	Hosts    int              `json:"hosts"`
+	Servers  int              `json:"servers"`
+	Commands int              `json:"commands"`
+	Rate     float64          `json:"rate"` // commands a second
+	Faults   []ScheduledFault `json:"script"`
+	Planted  string           `json:"planted,omitempty"`
 	// Figures are figures of the settings, by path, in place of the example's; Layout is
 	// one of SceneLayouts.
 	Figures map[string]float64 `json:"figures,omitempty"`
@@ -41,13 +41,13 @@
 	// Regions has the service run over two.
 	Regions bool `json:"regions,omitempty"`
 
-	change  func(*settings.Settings)          // what else is not the example's
-	fixed   bool                              // parts of limits never move
-	heard   func(*trail.Event)                // is told what passes
-	ended   func(at, took int64, served bool) // see rules.Table
-	Failure *Failure                          `json:"failure,omitempty"` // that it ends with
-	Digest  uint64                            `json:"digest,omitempty"`
-	Steps   uint64                            `json:"steps,omitempty"`
+	changeSettings func(*settings.Settings)          // what else is not the example's
+	fixedShares    bool                              // parts of limits never move
+	onEvent        func(*trail.Event)                // is told what passes
+	onAnswer       func(at, took int64, served bool) // see rules.Table
+	Failure        *Failure                          `json:"failure,omitempty"` // that it ends with
+	Digest         uint64                            `json:"digest,omitempty"`
+	Steps          uint64                            `json:"steps,omitempty"`
 }
 
 // Failure is what a scene came to. Kind is the same for equal failures.
@@ -66,53 +66,53 @@
 
 // Kinds of failure beside "rule N".
 const (
-	failBlocks   = "blocks"       // what was read could not be
-	failLinear   = "linear"       // a block's history has no order
-	failTwice    = "effect twice" // counted at the disk servers
-	failUnread   = "not read back"
-	failStuck    = "stuck"
-	failCrash    = "crash"
-	failRecovery = "recovery"
-	failAnswers  = "unanswered"
+	failureInvalidRead     = "blocks"       // what was read could not be
+	failureNotLinearizable = "linear"       // a block's history has no order
+	failureRepeatedEffect  = "effect twice" // counted at the disk servers
+	failureUnreadBlocks    = "not read back"
+	failureStuck           = "stuck"
+	failureCrash           = "crash"
+	failureRecovery        = "recovery"
+	failureUnanswered      = "unanswered"
 )
 
 // Outcome is what a scene showed.
 type Outcome struct {
-	Scene    Scene
-	Failure  *Failure
-	Check    *rules.Checker
-	Took     time.Duration // virtual
-	Steps    uint64
-	Checks   int     // of the rules
-	Blocks   int     // whose history was judged
-	Unknown  int     // that could not be judged in time
-	Reads    int     // blocks read and judged
-	Recovery float64 // goodput after the last trouble
+	Scenario        Scenario
+	Failure         *Failure
+	Checker         *rules.Checker
+	VirtualTime     time.Duration // virtual
+	Steps           uint64
+	RuleChecks      int     // of the rules
+	CheckedBlocks   int     // whose history was judged
+	UndecidedBlocks int     // that could not be judged in time
+	CheckedReads    int     // blocks read and judged
+	RecoveryGoodput float64 // goodput after the last trouble
 	// Of a service over two regions: the time for which each shard of a lost region that
 	// was taken over was not served, and acknowledged writes lost that were not copied yet.
-	Outages []time.Duration
-	Lost    int
-	Said    map[string]int
-	Goodput float64
+	Outages          []time.Duration
+	LostWrites       int
+	OperatorCommands map[string]int
+	Goodput          float64
 }
 
 const (
-	// sceneMost bounds a day's virtual time: what was taken is long over by then.
-	sceneMost = 6 * time.Minute
-	// settleIn is within which goodput comes back after the last trouble: a cold start
+	// maxScenarioTime bounds a day's virtual time: what was taken is long over by then.
+	maxScenarioTime = 6 * time.Minute
+	// recoveryTime is within which goodput comes back after the last trouble: a cold start
 	// and what the inventory needs to tell of it.
-	settleIn = 15 * time.Second
-	// regionSettle is how much longer that takes after a region was lost: leases run out,
+	recoveryTime = 15 * time.Second
+	// regionRecoveryTime is how much longer that takes after a region was lost: leases run out,
 	// copies are made whole, and shards go home.
-	regionSettle = 15 * time.Second
-	// recovered is the least goodput after that. Calm days have 0.95 and more; a plan's
+	regionRecoveryTime = 15 * time.Second
+	// minRecoveryGoodput is the least goodput after that. Calm days have 0.95 and more; a plan's
 	// own limit takes the rest.
-	recovered = 0.75
-	// recoverySpan is the least time over which it is judged.
-	recoverySpan = 5 * time.Second
-	// standMost bounds how long anything stands still in a scene, so how late a lost
+	minRecoveryGoodput = 0.75
+	// minRecoverySpan is the least time over which it is judged.
+	minRecoverySpan = 5 * time.Second
+	// maxStall bounds how long anything stands still in a scene, so how late a lost
 	// command may land.
-	standMost = 20 * time.Second
+	maxStall = 20 * time.Second
 )
 
 // SmallBlocks gives settings with blocks of 512 bytes and every size an eighth: the
@@ -130,16 +130,16 @@
 	return s
 }
 
-// beyond is what the service does not withstand in every case, so that it is no part of
+// excludedFault is what the service does not withstand in every case, so that it is no part of
 // drawn scenes: deadlines at disk servers are told by the host's clock, and one that
 // jumps takes them along (docs/world.md).
-const beyond = "clock_jump"
+const excludedFault = "clock_jump"
 
-// Draw makes a scene from a seed. With swarm only some kinds of trouble come up, others
+// DrawScenario makes a scene from a seed. With swarm only some kinds of trouble come up, others
 // on other seeds, so that rare mixes do; without it, all of them.
-func Draw(seed uint64, hosts, servers int, span time.Duration, rate float64, swarm bool) Scene {
+func DrawScenario(seed uint64, hosts, servers int, span time.Duration, rate float64, swarm bool) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 17))
-	all := slices.DeleteFunc(WorldKinds(), func(k string) bool { return k == beyond })
+	all := slices.DeleteFunc(WorldFaultKinds(), func(k string) bool { return k == excludedFault })
 	var which []string
 	part := 0.1 + 0.4*rng.Float64()
 	for _, k := range all {
@@ -151,51 +151,51 @@
 		which = []string{all[rng.IntN(len(all))]}
 	}
 	// Troubles end at two thirds of the day, so that it shows whether the rest is calm.
-	return Scene{Seed: seed, Hosts: hosts, Servers: servers, Commands: int(span.Seconds() * rate), Rate: rate,
-		Script: drawScript(which, rng, span*2/3)}
+	return Scenario{Seed: seed, Hosts: hosts, Servers: servers, Commands: int(span.Seconds() * rate), Rate: rate,
+		Faults: drawFaults(which, rng, span*2/3)}
 }
 
-// shadows are the troubles that are drawn close to those of regions.
-var shadows = []string{"disk_stall", "slow", "link_cut", "host_stall"}
+// companionFaults are the troubles that are drawn close to those of regions.
+var companionFaults = []string{"disk_stall", "slow", "link_cut", "host_stall"}
 
-// DrawRegions makes a scene of a service over two regions from a seed: one to three
+// DrawRegionScenario makes a scene of a service over two regions from a seed: one to three
 // troubles of regions, and some of the others.
-func DrawRegions(seed uint64, hosts, servers int, span time.Duration, rate float64) Scene {
+func DrawRegionScenario(seed uint64, hosts, servers int, span time.Duration, rate float64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 19))
 	kinds := RegionKinds()
 	which := []string{"tenant_burst"} // a limit that nobody asks for can't be passed
 	for _, i := range rng.Perm(len(kinds))[:1+rng.IntN(3)] {
 		which = append(which, kinds[i])
 	}
-	for _, k := range WorldKinds() {
-		if k != beyond && k != "tenant_burst" && rng.Float64() < 0.1 {
+	for _, k := range WorldFaultKinds() {
+		if k != excludedFault && k != "tenant_burst" && rng.Float64() < 0.1 {
 			which = append(which, k)
 		}
 	}
-	script := drawScript(which, rng, span*2/3)
+	script := drawFaults(which, rng, span*2/3)
 	for i := range script { // long enough for leases to run out
 		if regionKinds[script[i].Kind] != nil {
-			script[i].Len *= 2
+			script[i].Duration *= 2
 		}
 	}
 	// What stands still as leases run out shows what relies on its being quick.
 	for _, t := range script {
 		if regionKinds[t.Kind] != nil && rng.IntN(2) == 0 {
-			script = append(script, Strike{Kind: shadows[rng.IntN(len(shadows))], At: t.At + time.Duration(rng.Float64()*9*float64(time.Second)),
-				Len: time.Duration((2 + 6*rng.Float64()) * float64(time.Second)), Seed: rng.Uint64()})
+			script = append(script, ScheduledFault{Kind: companionFaults[rng.IntN(len(companionFaults))], At: t.At + time.Duration(rng.Float64()*9*float64(time.Second)),
+				Duration: time.Duration((2 + 6*rng.Float64()) * float64(time.Second)), Seed: rng.Uint64()})
 		}
 	}
-	return Scene{Seed: seed, Hosts: hosts, Servers: servers, Commands: int(span.Seconds() * rate), Rate: rate, Regions: true, Script: script}
+	return Scenario{Seed: seed, Hosts: hosts, Servers: servers, Commands: int(span.Seconds() * rate), Rate: rate, Regions: true, Faults: script}
 }
 
-// Play plays a scene to its end or to its first failure. keep, if any, is a file for
+// Run plays a scene to its end or to its first failure. keep, if any, is a file for
 // its trail.
-func (s Scene) Play(ctx context.Context, keep string) (*Outcome, error) {
+func (s Scenario) Run(ctx context.Context, keep string) (*Outcome, error) {
 	if s.Planted != "" && !faultinject.Enabled {
 		return nil, errors.New("lab: the scene has a planted fault, and this build can have none")
 	}
-	for _, t := range s.Script {
-		if kinds[t.Kind] == nil && worldKinds[t.Kind] == nil && (regionKinds[t.Kind] == nil || !s.Regions) {
+	for _, t := range s.Faults {
+		if faultFuncs[t.Kind] == nil && worldFaultFuncs[t.Kind] == nil && (regionKinds[t.Kind] == nil || !s.Regions) {
 			return nil, fmt.Errorf("lab: unknown trouble %q", t.Kind)
 		}
 	}
@@ -207,61 +207,61 @@
 		return nil, err
 	}
 	w := world.New(s.Seed)
-	out := &Outcome{Scene: s}
+	out := &Outcome{Scenario: s}
 	var fleet *Fleet
-	opt := Options{Seed: s.Seed, Commands: s.Commands, Rate: s.Rate, Hosts: s.Hosts, Servers: s.Servers, Script: s.Script, Log: zap.NewNop(),
-		lateBy: standMost, fixedShares: s.fixed}
+	opt := Options{Seed: s.Seed, Commands: s.Commands, Rate: s.Rate, Hosts: s.Hosts, Servers: s.Servers, Faults: s.Faults, Log: zap.NewNop(),
+		maxEffectDelay: maxStall, fixedShares: s.fixedShares}
 	if s.Regions {
-		opt.lateBy = 2 * standMost
+		opt.maxEffectDelay = 2 * maxStall
 	}
-	if opt.Script == nil {
-		opt.Script = []Strike{} // none, where nil would have one drawn
+	if opt.Faults == nil {
+		opt.Faults = []ScheduledFault{} // none, where nil would have one drawn
 	}
-	opt.live = func(f *Fleet) *rules.Checker {
-		fleet, out.Check = f, rules.New(f.Meta)
-		out.Check.Stats.OnAnswer = s.ended
-		f.Rec.SetObserver(func(e *trail.Event) {
-			if s.heard != nil {
-				s.heard(e)
+	opt.newChecker = func(f *Fleet) *rules.Checker {
+		fleet, out.Checker = f, rules.New(f.Meta)
+		out.Checker.Stats.OnAnswer = s.onAnswer
+		f.Recorder.SetObserver(func(e *trail.Event) {
+			if s.onEvent != nil {
+				s.onEvent(e)
 			}
-			out.hear(w, e)
+			out.feed(w, e)
 		}, keep != "")
-		return out.Check
+		return out.Checker
 	}
 	var res *Result
 	var failed error
-	err = w.Run("lab", sceneMost, func(p *world.Process) {
-		res, failed = playDay(ctx, p, virtual{w}, set, opt)
+	err = w.Run("lab", maxScenarioTime, func(p *world.Process) {
+		res, failed = runDay(ctx, p, virtualTestbed{w}, set, opt)
 	})
 	if err == nil {
 		err = failed
 	}
-	if err = out.over(err, w.Now()); err != nil {
+	if err = out.setRunFailure(err, w.Now()); err != nil {
 		return nil, err
 	}
 	if res != nil {
-		out.judge(res, w.Now())
+		out.evaluate(res, w.Now())
 	}
-	out.Took, out.Steps = w.Now(), w.Steps
-	for _, n := range out.Check.Checks {
-		out.Checks += n
+	out.VirtualTime, out.Steps = w.Now(), w.Steps
+	for _, n := range out.Checker.Checks {
+		out.RuleChecks += n
 	}
-	out.Scene.Failure, out.Scene.Digest, out.Scene.Steps = out.Failure, w.Digest(), w.Steps
+	out.Scenario.Failure, out.Scenario.Digest, out.Scenario.Steps = out.Failure, w.Digest(), w.Steps
 	if keep != "" {
-		return out, trail.Write(keep, fleet.Meta, fleet.Rec.Stop())
+		return out, trail.Write(keep, fleet.Meta, fleet.Recorder.Stop())
 	}
 	return out, nil
 }
 
-// SceneLayouts are the ways in which a scene's volumes can lie on its servers.
-var SceneLayouts = []string{"", "narrow", "wide"}
+// ScenarioLayouts are the ways in which a scene's volumes can lie on its servers.
+var ScenarioLayouts = []string{"", "narrow", "wide"}
 
 // settings are the scene's: the example's with small blocks, its figures and its layout.
-func (s Scene) settings() (*settings.Settings, error) {
+func (s Scenario) settings() (*settings.Settings, error) {
 	if s.Regions {
 		set := RegionSettings(s.Hosts, s.Servers)
-		if s.change != nil {
-			s.change(set)
+		if s.changeSettings != nil {
+			s.changeSettings(set)
 		}
 		return withFigures(set, s.Figures)
 	}
@@ -322,107 +322,107 @@
 	return out, out.Check()
 }
 
-// hear checks the rules on one event, and ends the run at the first that is broken.
-func (o *Outcome) hear(w *world.World, e *trail.Event) {
-	o.Check.Feed(e)
-	if o.Failure != nil || o.Check.OK() {
+// feed checks the rules on one event, and ends the run at the first that is broken.
+func (o *Outcome) feed(w *world.World, e *trail.Event) {
+	o.Checker.Feed(e)
+	if o.Failure != nil || o.Checker.OK() {
 		return
 	}
-	b := o.Check.Violations[0]
+	b := o.Checker.Violations[0]
 	o.Failure = &Failure{Kind: fmt.Sprintf("rule %d", b.Rule), Text: b.String(), At: w.Now(), Conn: b.Conn, Tag: b.Tag, HostID: b.HostID, Seq: b.Seq}
 	w.Halt(o.Failure)
 }
 
-// over takes how the run ended; what is no failure of the scene is an error.
-func (o *Outcome) over(err error, now time.Duration) error {
+// setRunFailure takes how the run ended; what is no failure of the scene is an error.
+func (o *Outcome) setRunFailure(err error, now time.Duration) error {
 	var stuck *world.StuckError
 	var crash *world.CrashError
 	switch {
 	case err == nil || o.Failure != nil:
 	case errors.As(err, &stuck):
-		o.Failure = &Failure{Kind: failStuck, Text: err.Error(), At: now}
+		o.Failure = &Failure{Kind: failureStuck, Text: err.Error(), At: now}
 	case errors.As(err, &crash):
-		o.Failure = &Failure{Kind: failCrash, Text: err.Error(), At: now}
+		o.Failure = &Failure{Kind: failureCrash, Text: err.Error(), At: now}
 	default:
 		return err
 	}
 	return nil
 }
 
-// judge looks at a day that came to its end.
-func (o *Outcome) judge(res *Result, now time.Duration) {
+// evaluate looks at a day that came to its end.
+func (o *Outcome) evaluate(res *Result, now time.Duration) {
 	fail := func(kind, format string, args ...any) {
 		if o.Failure == nil {
 			o.Failure = &Failure{Kind: kind, Text: fmt.Sprintf(format, args...), At: now}
 		}
 	}
-	o.Goodput, o.Reads = res.Check.Stats.Goodput(), res.Blocks
-	o.Lost, o.Said, o.Outages = res.Lost, res.Said, outages(res)
+	o.Goodput, o.CheckedReads = res.Checker.Stats.Goodput(), res.CheckedReads
+	o.LostWrites, o.OperatorCommands, o.Outages = res.LostWrites, res.OperatorCommands, outages(res)
 	var wrong []string
-	if o.Blocks, o.Unknown, wrong = res.ledger.Linear(); len(res.Wrong) > 0 {
-		fail(failBlocks, "%s", res.Wrong[0])
+	if o.CheckedBlocks, o.UndecidedBlocks, wrong = res.history.CheckLinearizable(); len(res.InvalidReads) > 0 {
+		fail(failureInvalidRead, "%s", res.InvalidReads[0])
 	} else if len(wrong) > 0 {
-		fail(failLinear, "%s", wrong[0])
+		fail(failureNotLinearizable, "%s", wrong[0])
 	}
-	if !res.Check.OK() {
-		b := res.Check.Violations[0]
+	if !res.Checker.OK() {
+		b := res.Checker.Violations[0]
 		fail(fmt.Sprintf("rule %d", b.Rule), "%s", b)
 	}
-	if res.Repeats > 0 {
-		fail(failTwice, "%d keyed effects took place once more", res.Repeats)
+	if res.RepeatedEffects > 0 {
+		fail(failureRepeatedEffect, "%d keyed effects took place once more", res.RepeatedEffects)
 	}
-	if t := res.Check.Stats; t.Commands != t.Finished {
-		fail(failAnswers, "%d of %d commands have no end", t.Commands-t.Finished, t.Commands)
+	if t := res.Checker.Stats; t.Commands != t.Finished {
+		fail(failureUnanswered, "%d of %d commands have no end", t.Commands-t.Finished, t.Commands)
 	}
-	if res.Missed > 0 {
-		fail(failUnread, "%d blocks could not be read back", res.Missed)
+	if res.UnreadBlocks > 0 {
+		fail(failureUnreadBlocks, "%d blocks could not be read back", res.UnreadBlocks)
 	}
-	span := time.Duration(float64(o.Scene.Commands) / o.Scene.Rate * float64(time.Second))
-	calm := settleIn
-	if o.Scene.Regions {
-		calm += regionSettle
+	span := time.Duration(float64(o.Scenario.Commands) / o.Scenario.Rate * float64(time.Second))
+	calm := recoveryTime
+	if o.Scenario.Regions {
+		calm += regionRecoveryTime
 	}
-	for _, t := range o.Scene.Script {
-		end := t.At + t.Len + settleIn
-		if o.Scene.Regions {
-			end += regionSettle
+	for _, t := range o.Scenario.Faults {
+		end := t.At + t.Duration + recoveryTime
+		if o.Scenario.Regions {
+			end += regionRecoveryTime
 		}
 		calm = max(calm, end)
 	}
-	if o.Recovery = 1; calm+recoverySpan <= span {
-		if o.Recovery = res.Check.Stats.GoodputBetween(int64(calm/time.Second), int64(span/time.Second)); o.Recovery < recovered {
-			fail(failRecovery, "goodput is %.3f of the worth asked for later than %v after the last trouble", o.Recovery, settleIn)
+	if o.RecoveryGoodput = 1; calm+minRecoverySpan <= span {
+		if o.RecoveryGoodput = res.Checker.Stats.GoodputBetween(int64(calm/time.Second), int64(span/time.Second)); o.RecoveryGoodput < minRecoveryGoodput {
+			fail(failureRecovery, "goodput is %.3f of the worth asked for later than %v after the last trouble", o.RecoveryGoodput, recoveryTime)
 		}
 	}
 }
 
 // Shrink looks for a smaller scene with the same kind of failure: fewer troubles, a
 // shorter day, fewer hosts. It plays at most so many.
-func (s Scene) Shrink(ctx context.Context, most int, progress io.Writer) (Scene, error) {
+func (s Scenario) Shrink(ctx context.Context, most int, progress io.Writer) (Scenario, error) {
 	if s.Failure == nil {
 		return s, errors.New("lab: the scene has no failure to keep")
 	}
 	plays := 0
-	try := func(t Scene) (ok bool, err error) {
+	try := func(t Scenario) (ok bool, err error) {
 		if plays >= most || ctx.Err() != nil {
 			return false, ctx.Err()
 		}
 		plays++
 		kind := s.Failure.Kind
 		t.Failure = nil
-		out, err := t.Play(ctx, "")
+		out, err := t.Run(ctx, "")
 		if err != nil || out.Failure == nil || out.Failure.Kind != kind {
 			return false, err
 		}
-		s = out.Scene
-		fmt.Fprintf(progress, "%d troubles, %d commands, %d hosts: still %s\n", len(s.Script), s.Commands, s.Hosts, kind)
+		s = out.Scenario
+		fmt.Fprintf(progress, "%d troubles, %d commands, %d hosts: still %s\n", len(s.Faults), s.Commands, s.Hosts, kind)
 		return true, nil
 	}
 	smaller := func() (any bool, err error) {
-		for n := max(len(s.Script)/2, 1); n >= 1; n /= 2 {
-			for i := 0; i+n <= len(s.Script); {
+		for n := max(len(s.Faults)/2, 1); n >= 1; n /= 2 {
+			for i := 0; i+n <= len(s.Faults); {
 				t := s
-				t.Script = slices.Delete(slices.Clone(s.Script), i, i+n)
+				t.Faults = slices.Delete(slices.Clone(s.Faults), i, i+n)
 				ok, err := try(t)
 				if err != nil {
 					return any, err
@@ -460,7 +460,7 @@
 }
 
 // Save writes the scene to a file.
-func (s Scene) Save(file string) error {
+func (s Scenario) Save(file string) error {
 	b, err := json.MarshalIndent(s, "", "\t")
 	if err != nil {
 		return err
@@ -468,8 +468,8 @@
 	return os.WriteFile(file, append(b, '\n'), 0o666)
 }
 
-// LoadScene reads a scene's file.
-func LoadScene(file string) (s Scene, err error) {
+// LoadScenario reads a scene's file.
+func LoadScenario(file string) (s Scenario, err error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return s, err
@@ -480,37 +480,37 @@
 	return s, nil
 }
 
-// Exploration says which scenes to play.
-type Exploration struct {
-	First, Seeds   uint64
-	Hosts, Servers int
-	Span           time.Duration
-	Rate           float64
-	Swarm          bool
-	Planted        string
-	Regions        bool                    // scenes of a service over two
-	Draw           func(seed uint64) Scene // in place of those that are drawn
-	Parallel       int
-	StopAtFirst    bool
-	Out            string // folder for the scenes that fail, or none
+// ExploreOptions says which scenes to play.
+type ExploreOptions struct {
+	FirstSeed, Seeds uint64
+	Hosts, Servers   int
+	Span             time.Duration
+	Rate             float64
+	Swarm            bool
+	Planted          string
+	Regions          bool                       // scenes of a service over two
+	DrawScenario     func(seed uint64) Scenario // in place of those that are drawn
+	Parallel         int
+	StopAtFirst      bool
+	OutDir           string // folder for the scenes that fail, or none
 }
 
-// Explored is what an exploration came to.
-type Explored struct {
-	Played, Checks, Blocks, Unknown, Reads int
-	Steps                                  uint64
-	Virtual                                time.Duration
-	Goodput                                float64 // mean
-	Kinds                                  map[string]int
-	Outages                                []time.Duration
-	Lost                                   int
-	Said                                   map[string]int
-	Failures                               []Scene // by seed
+// ExploreSummary is what an exploration came to.
+type ExploreSummary struct {
+	Runs, RuleChecks, CheckedBlocks, UndecidedBlocks, CheckedReads int
+	Steps                                                          uint64
+	VirtualTime                                                    time.Duration
+	MeanGoodput                                                    float64 // mean
+	FaultCounts                                                    map[string]int
+	Outages                                                        []time.Duration
+	LostWrites                                                     int
+	OperatorCommands                                               map[string]int
+	Failures                                                       []Scenario // by seed
 }
 
 // Explore plays scene after scene, some at once.
-func Explore(ctx context.Context, x Exploration, progress io.Writer) (*Explored, error) {
-	sum := &Explored{Kinds: map[string]int{}, Said: map[string]int{}}
+func Explore(ctx context.Context, x ExploreOptions, progress io.Writer) (*ExploreSummary, error) {
+	sum := &ExploreSummary{FaultCounts: map[string]int{}, OperatorCommands: map[string]int{}}
 	var mu sync.Mutex
 	var failed error
 	next := uint64(0)
@@ -520,34 +520,34 @@
 		all.Go(w, func() {
 			for {
 				mu.Lock()
-				seed := x.First + next
+				seed := x.FirstSeed + next
 				next++
-				over := seed >= x.First+x.Seeds || failed != nil || ctx.Err() != nil || x.StopAtFirst && len(sum.Failures) > 0
+				over := seed >= x.FirstSeed+x.Seeds || failed != nil || ctx.Err() != nil || x.StopAtFirst && len(sum.Failures) > 0
 				mu.Unlock()
 				if over {
 					return
 				}
-				s := Draw(seed, x.Hosts, x.Servers, x.Span, x.Rate, x.Swarm)
+				s := DrawScenario(seed, x.Hosts, x.Servers, x.Span, x.Rate, x.Swarm)
 				switch {
-				case x.Draw != nil:
-					s = x.Draw(seed)
+				case x.DrawScenario != nil:
+					s = x.DrawScenario(seed)
 				case x.Regions:
-					s = DrawRegions(seed, x.Hosts, x.Servers, x.Span, x.Rate)
+					s = DrawRegionScenario(seed, x.Hosts, x.Servers, x.Span, x.Rate)
 				}
 				s.Planted = x.Planted
-				out, err := s.Play(ctx, "")
+				out, err := s.Run(ctx, "")
 				if ctx.Err() != nil {
 					return // what was played is cut short
 				}
 				mu.Lock()
 				if err == nil {
-					err = sum.enter(out, x)
+					err = sum.add(out, x)
 				}
 				if err != nil {
 					failed = fmt.Errorf("seed %d: %w", seed, err)
 				}
-				if sum.Played%25 == 0 && err == nil {
-					fmt.Fprintf(progress, "%d of %d played, %d failed, %d million steps, %.0f s virtual\n", sum.Played, x.Seeds, len(sum.Failures), sum.Steps/1e6, sum.Virtual.Seconds())
+				if sum.Runs%25 == 0 && err == nil {
+					fmt.Fprintf(progress, "%d of %d played, %d failed, %d million steps, %.0f s virtual\n", sum.Runs, x.Seeds, len(sum.Failures), sum.Steps/1e6, sum.VirtualTime.Seconds())
 				}
 				mu.Unlock()
 			}
@@ -557,33 +557,33 @@
 	if failed == nil {
 		failed = ctx.Err()
 	}
-	slices.SortFunc(sum.Failures, func(a, b Scene) int { return int(int64(a.Seed) - int64(b.Seed)) })
+	slices.SortFunc(sum.Failures, func(a, b Scenario) int { return int(int64(a.Seed) - int64(b.Seed)) })
 	return sum, failed
 }
 
-func (e *Explored) enter(o *Outcome, x Exploration) error {
-	e.Played++
+func (e *ExploreSummary) add(o *Outcome, x ExploreOptions) error {
+	e.Runs++
 	e.Steps += o.Steps
-	e.Checks += o.Checks
-	e.Blocks, e.Unknown, e.Reads = e.Blocks+o.Blocks, e.Unknown+o.Unknown, e.Reads+o.Reads
-	e.Virtual += o.Took
-	e.Goodput += (o.Check.Stats.Goodput() - e.Goodput) / float64(e.Played)
-	for _, t := range o.Scene.Script {
-		e.Kinds[t.Kind]++
+	e.RuleChecks += o.RuleChecks
+	e.CheckedBlocks, e.UndecidedBlocks, e.CheckedReads = e.CheckedBlocks+o.CheckedBlocks, e.UndecidedBlocks+o.UndecidedBlocks, e.CheckedReads+o.CheckedReads
+	e.VirtualTime += o.VirtualTime
+	e.MeanGoodput += (o.Checker.Stats.Goodput() - e.MeanGoodput) / float64(e.Runs)
+	for _, t := range o.Scenario.Faults {
+		e.FaultCounts[t.Kind]++
 	}
-	e.Outages, e.Lost = append(e.Outages, o.Outages...), e.Lost+o.Lost
-	for op, n := range o.Said {
-		e.Said[op] += n
+	e.Outages, e.LostWrites = append(e.Outages, o.Outages...), e.LostWrites+o.LostWrites
+	for op, n := range o.OperatorCommands {
+		e.OperatorCommands[op] += n
 	}
 	if o.Failure == nil {
 		return nil
 	}
-	e.Failures = append(e.Failures, o.Scene)
-	if x.Out == "" {
+	e.Failures = append(e.Failures, o.Scenario)
+	if x.OutDir == "" {
 		return nil
 	}
-	if err := os.MkdirAll(x.Out, 0o777); err != nil {
+	if err := os.MkdirAll(x.OutDir, 0o777); err != nil {
 		return err
 	}
-	return o.Scene.Save(filepath.Join(x.Out, fmt.Sprintf("scene-%d.json", o.Scene.Seed)))
+	return o.Scenario.Save(filepath.Join(x.OutDir, fmt.Sprintf("scene-%d.json", o.Scenario.Seed)))
 }
--- a/internal/simulation/lab/fan.go
+++ b/internal/simulation/lab/fan.go
@@ -12,52 +12,52 @@
 	"merlinhitch/internal/runtime/writequeue"
 )
 
-// fan is a bare relay with the gateway's own connections: many clients in front,
+// muxRelay is a bare relay with the gateway's own connections: many clients in front,
 // one connection to each of a few servers behind. It pairs replies by tag and
 // knows nothing else of what it passes on.
-type fan struct {
-	ups []*fanUp
-	l   net.Listener
+type muxRelay struct {
+	upstreams []*muxUpstream
+	listener  net.Listener
 }
 
-// fanUp is a connection to one server.
-type fanUp struct {
-	conn net.Conn
-	out  *writequeue.Queue
-	mu   sync.Mutex
-	next uint32
-	wait map[uint32]fanAsk
+// muxUpstream is a connection to one server.
+type muxUpstream struct {
+	conn    net.Conn
+	out     *writequeue.Queue
+	mu      sync.Mutex
+	lastTag uint32
+	pending map[uint32]pendingReply
 }
 
-// fanAsk is whose reply is awaited.
-type fanAsk struct {
+// pendingReply is whose reply is awaited.
+type pendingReply struct {
 	out *writequeue.Queue
 	tag uint32
 }
 
 const (
-	fanOut  = 64 << 20
-	fanTime = 10 * time.Second
+	muxMaxQueueBytes = 64 << 20
+	muxWriteTimeout  = 10 * time.Second
 )
 
-// newFan relays to so many connections of the server.
-func newFan(w env.Environment, server string, ups int) (*fan, error) {
-	f := &fan{}
+// newMuxRelay relays to so many connections of the server.
+func newMuxRelay(w env.Environment, server string, ups int) (*muxRelay, error) {
+	f := &muxRelay{}
 	for range ups {
 		c, err := net.Dial("tcp", server)
 		if err != nil {
 			return nil, err
 		}
-		u := &fanUp{conn: c, out: writequeue.New(w, c, fanOut, fanTime), wait: map[uint32]fanAsk{}}
-		f.ups = append(f.ups, u)
-		go u.read()
+		u := &muxUpstream{conn: c, out: writequeue.New(w, c, muxMaxQueueBytes, muxWriteTimeout), pending: map[uint32]pendingReply{}}
+		f.upstreams = append(f.upstreams, u)
+		go u.readReplies()
 	}
 	var err error
-	f.l, err = fixed("127.0.0.1:0", func(c net.Conn) { f.serve(c, writequeue.New(w, c, fanOut, fanTime)) })
+	f.listener, err = fixed("127.0.0.1:0", func(c net.Conn) { f.serve(c, writequeue.New(w, c, muxMaxQueueBytes, muxWriteTimeout)) })
 	return f, err
 }
 
-func (f *fan) serve(c net.Conn, out *writequeue.Queue) {
+func (f *muxRelay) serve(c net.Conn, out *writequeue.Queue) {
 	defer out.Wait()
 	defer out.Abort()
 	r := bufio.NewReaderSize(c, 64<<10)
@@ -66,15 +66,15 @@
 		if _, err := io.ReadFull(r, p[:]); err != nil {
 			return
 		}
-		f.ups[n%uint32(len(f.ups))].send(&p, out)
+		f.upstreams[n%uint32(len(f.upstreams))].send(&p, out)
 	}
 }
 
-func (u *fanUp) send(p *[requestLen]byte, client *writequeue.Queue) {
+func (u *muxUpstream) send(p *[requestLen]byte, client *writequeue.Queue) {
 	u.mu.Lock()
-	u.next++
-	tag := u.next
-	u.wait[tag] = fanAsk{client, binary.BigEndian.Uint32(p[16:])}
+	u.lastTag++
+	tag := u.lastTag
+	u.pending[tag] = pendingReply{client, binary.BigEndian.Uint32(p[16:])}
 	u.mu.Unlock()
 	u.out.Enqueue(func(b []byte) []byte {
 		at := len(b)
@@ -84,7 +84,7 @@
 	})
 }
 
-func (u *fanUp) read() {
+func (u *muxUpstream) readReplies() {
 	defer u.out.Abort()
 	r := bufio.NewReaderSize(u.conn, 256<<10)
 	p := make([]byte, replyLen)
@@ -94,8 +94,8 @@
 		}
 		tag := binary.BigEndian.Uint32(p[16:])
 		u.mu.Lock()
-		a := u.wait[tag]
-		delete(u.wait, tag)
+		a := u.pending[tag]
+		delete(u.pending, tag)
 		u.mu.Unlock()
 		if a.out == nil {
 			return
@@ -110,9 +110,9 @@
 	}
 }
 
-func (f *fan) close() {
-	f.l.Close()
-	for _, u := range f.ups {
+func (f *muxRelay) close() {
+	f.listener.Close()
+	for _, u := range f.upstreams {
 		u.conn.Close()
 		u.out.Wait()
 	}
--- a/internal/simulation/lab/lab_test.go
+++ b/internal/simulation/lab/lab_test.go
@@ -17,7 +17,7 @@
 
 func play(t *testing.T, seed uint64, commands int, rate float64, troubles ...string) *lab.Result {
 	t.Helper()
-	res, err := lab.BadDay(context.Background(), lab.Options{Seed: seed, Commands: commands, Rate: rate, Hosts: 3, Servers: 9, Troubles: troubles})
+	res, err := lab.BadDay(context.Background(), lab.Options{Seed: seed, Commands: commands, Rate: rate, Hosts: 3, Servers: 9, FaultKinds: troubles})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 // killed and started again: the limit holds over all of them.
 func TestLimitOverThreeHostsAndARestart(t *testing.T) {
 	res := play(t, 2, 900, 300, "tenant_burst", "balancer_crash")
-	if res.Check.Checks[rules.Limits] == 0 {
+	if res.Checker.Checks[rules.Limits] == 0 {
 		t.Error("no send of a limited volume")
 	}
 }
@@ -42,7 +42,7 @@
 // heed of advice.
 func TestHallRestartsUnderAbuse(t *testing.T) {
 	res := play(t, 3, 900, 300, "mass_restart", "retry_abuse")
-	if res.Check.Checks[rules.Cold] == 0 {
+	if res.Checker.Checks[rules.Cold] == 0 {
 		t.Error("no send to a cold server")
 	}
 }
@@ -52,25 +52,25 @@
 func TestGivingUpUnderNetTroubles(t *testing.T) {
 	res := play(t, 4, 1800, 300, "give_up", "deploy", "net_torn", "net_late", "fast_errors")
 	// With the race detector a machine may be too slow for any repeat to be in time.
-	if !testing.Short() && (res.Check.Checks[rules.Drains] == 0 || res.Check.Checks[rules.Effects] == 0) {
-		t.Errorf("checks: %v", res.Check.Checks)
+	if !testing.Short() && (res.Checker.Checks[rules.Drains] == 0 || res.Checker.Checks[rules.Effects] == 0) {
+		t.Errorf("checks: %v", res.Checker.Checks)
 	}
 }
 
 // The ledger rejects what could not have been read.
 func TestLedgerRejects(t *testing.T) {
 	s := func(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
-	base := func() (*lab.Ledger, uint64, uint64) {
-		l := lab.NewLedger()
-		a := l.Begin("v", 10, 2, s(1))
-		l.End(a, lab.FateAcked, s(2))
-		b := l.Begin("v", 10, 1, s(3))
-		l.End(b, lab.FateAcked, s(4))
+	base := func() (*lab.BlockHistory, uint64, uint64) {
+		l := lab.NewBlockHistory()
+		a := l.BeginWrite("v", 10, 2, s(1))
+		l.EndWrite(a, lab.WriteAcked, s(2))
+		b := l.BeginWrite("v", 10, 1, s(3))
+		l.EndWrite(b, lab.WriteAcked, s(4))
 		return l, a, b
 	}
-	read := func(l *lab.Ledger, lba uint64, data []byte, at float64) []string {
-		l.Read("v", lba, data, 512, s(at), s(at+0.1))
-		return l.Judge()
+	read := func(l *lab.BlockHistory, lba uint64, data []byte, at float64) []string {
+		l.RecordRead("v", lba, data, 512, s(at), s(at+0.1))
+		return l.CheckReads()
 	}
 	l, _, b := base()
 	if w := read(l, 10, lab.Stamp(b, 512), 5); len(w) != 0 {
@@ -80,25 +80,25 @@
 	if w := read(l, 10, lab.Stamp(a, 512), 3.5); len(w) != 0 {
 		t.Errorf("the write before, while the last is under way: %v", w)
 	}
-	bad := map[string]func(l *lab.Ledger, a, b uint64) []string{
-		"older than the last acknowledged": func(l *lab.Ledger, a, _ uint64) []string { return read(l, 10, lab.Stamp(a, 512), 5) },
-		"zeros after a write":              func(l *lab.Ledger, _, _ uint64) []string { return read(l, 11, make([]byte, 512), 5) },
-		"a write nobody sent":              func(l *lab.Ledger, _, _ uint64) []string { return read(l, 10, lab.Stamp(99, 512), 5) },
-		"a write of another place":         func(l *lab.Ledger, a, _ uint64) []string { return read(l, 12, lab.Stamp(a, 512), 5) },
-		"before it was sent":               func(l *lab.Ledger, _, b uint64) []string { return read(l, 10, lab.Stamp(b, 512), 2.5) },
-		"parts of two": func(l *lab.Ledger, a, b uint64) []string {
+	bad := map[string]func(l *lab.BlockHistory, a, b uint64) []string{
+		"older than the last acknowledged": func(l *lab.BlockHistory, a, _ uint64) []string { return read(l, 10, lab.Stamp(a, 512), 5) },
+		"zeros after a write":              func(l *lab.BlockHistory, _, _ uint64) []string { return read(l, 11, make([]byte, 512), 5) },
+		"a write nobody sent":              func(l *lab.BlockHistory, _, _ uint64) []string { return read(l, 10, lab.Stamp(99, 512), 5) },
+		"a write of another place":         func(l *lab.BlockHistory, a, _ uint64) []string { return read(l, 12, lab.Stamp(a, 512), 5) },
+		"before it was sent":               func(l *lab.BlockHistory, _, b uint64) []string { return read(l, 10, lab.Stamp(b, 512), 2.5) },
+		"parts of two": func(l *lab.BlockHistory, a, b uint64) []string {
 			return read(l, 10, append(lab.Stamp(a, 256), lab.Stamp(b, 256)...), 3.5)
 		},
-		"a write that was refused": func(l *lab.Ledger, _, _ uint64) []string {
-			c := l.Begin("v", 10, 1, s(5))
-			l.End(c, lab.FateNothing, s(6))
+		"a write that was refused": func(l *lab.BlockHistory, _, _ uint64) []string {
+			c := l.BeginWrite("v", 10, 1, s(5))
+			l.EndWrite(c, lab.WriteNotApplied, s(6))
 			return read(l, 10, lab.Stamp(c, 512), 7)
 		},
-		"a failed write that lands after a later one": func(l *lab.Ledger, _, _ uint64) []string {
-			c := l.Begin("v", 10, 1, s(5))
-			l.End(c, lab.FateMaybe, s(6))
-			d := l.Begin("v", 10, 1, s(7))
-			l.End(d, lab.FateAcked, s(8))
+		"a failed write that lands after a later one": func(l *lab.BlockHistory, _, _ uint64) []string {
+			c := l.BeginWrite("v", 10, 1, s(5))
+			l.EndWrite(c, lab.WriteIndeterminate, s(6))
+			d := l.BeginWrite("v", 10, 1, s(7))
+			l.EndWrite(d, lab.WriteAcked, s(8))
 			return read(l, 10, lab.Stamp(c, 512), 9)
 		},
 	}
@@ -111,7 +111,7 @@
 }
 
 func TestUnknownTrouble(t *testing.T) {
-	if _, err := lab.BadDay(context.Background(), lab.Options{Hosts: 1, Servers: 3, Commands: 1, Rate: 1, Troubles: []string{"earthquake"}}); err == nil {
+	if _, err := lab.BadDay(context.Background(), lab.Options{Hosts: 1, Servers: 3, Commands: 1, Rate: 1, FaultKinds: []string{"earthquake"}}); err == nil {
 		t.Error("taken")
 	}
 }
--- a/internal/simulation/lab/layouts.go
+++ b/internal/simulation/lab/layouts.go
@@ -34,7 +34,7 @@
 	s := settings.Example(hosts, servers)
 	rng := rand.New(rand.NewPCG(seed, 11))
 	s.Placement.Parts = 8
-	work := Machine(s).UnitWork
+	work := DefaultMachine(s).UnitWork
 	for hall := range Halls { // each has as much, unevenly within
 		cores := rng.Perm(3)
 		for k, i := 0, hall; i < servers; k, i = k+1, i+len(Halls) {
@@ -100,16 +100,16 @@
 
 // loseHall ends every disk server of a hall a third into the day, until its end, and
 // then has the other halls serve what they have copies of.
-func loseHall(d *day, span time.Duration) {
+func loseHall(d *dayRun, span time.Duration) {
 	f := d.fleet
 	hall := Halls[d.opt.Seed%uint64(len(Halls))]
-	f.after(span/3, func() {
-		for _, n := range f.Set.Nodes {
+	f.afterFunc(span/3, func() {
+		for _, n := range f.Settings.Nodes {
 			if n.Hall == hall {
 				f.KillDisk(n.Shard, span*2/3)
 			}
 		}
-		f.after(lossNotice, func() {
+		f.afterFunc(lossNotice, func() {
 			next, _ := plan.FailOver(f.InForce(), hall)
 			d.fail(f.putAll(next))
 		})
@@ -118,7 +118,7 @@
 
 // applySolver takes the layout in force to the solver's, from a quarter of the day on
 // and as far as the day lasts. It is worked out before the day begins.
-func applySolver(d *day, span time.Duration) {
+func applySolver(d *dayRun, span time.Duration) {
 	f := d.fleet
 	pl, steps, err := solverSteps(f.InForce())
 	if err != nil {
@@ -139,8 +139,8 @@
 		f.mayLie(s)
 	}
 	pause := span / 2 / time.Duration(max(len(steps), 1))
-	f.after(span/4, func() {
-		hosts := f.Admins()
+	f.afterFunc(span/4, func() {
+		hosts := f.AdminAPIs()
 		defer closeAPIs(hosts)
 		ctx, cancel := context.WithTimeout(context.Background(), span*2/3)
 		defer cancel()
@@ -148,7 +148,7 @@
 		if err == nil {
 			err = rollout.Apply(ctx, f.Environment, hosts, pl, steps, pause, func(n int) {
 				d.mu.Lock()
-				d.steps = n
+				d.layoutSteps = n
 				d.mu.Unlock()
 			})
 		}
@@ -178,7 +178,7 @@
 }
 
 // fail keeps the first error of what is done beside the script.
-func (d *day) fail(err error) {
+func (d *dayRun) fail(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.err == nil {
@@ -196,7 +196,7 @@
 func (f *Fleet) InForce() *settings.Settings {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now
+	return f.currentSettings
 }
 
 // laid notes new layouts, for hosts that start from now on and for the trail.
@@ -204,7 +204,7 @@
 	f.mayLie(s)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.now = s
+	f.currentSettings = s
 }
 
 // mayLie tells the trail's reader of layouts that hosts may have.
@@ -217,7 +217,7 @@
 	for i := range s.Volumes {
 		v := &s.Volumes[i]
 		known := slices.ContainsFunc(f.Meta.Layouts[v.Name], func(l []int) bool { return slices.Equal(l, v.Layout) })
-		if !known && !slices.Equal(v.Layout, f.Set.Volumes[i].Layout) {
+		if !known && !slices.Equal(v.Layout, f.Settings.Volumes[i].Layout) {
 			f.Meta.Layouts[v.Name] = append(f.Meta.Layouts[v.Name], v.Layout)
 		}
 	}
@@ -225,7 +225,7 @@
 
 // putAll hands settings to every host that is up.
 func (f *Fleet) putAll(s *settings.Settings) error {
-	hosts := f.Admins()
+	hosts := f.AdminAPIs()
 	defer closeAPIs(hosts)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -273,12 +273,12 @@
 	list = append(list, kind{"round robin", "busy, solver's applied", dayApplied, false},
 		kind{"round robin", "calm", dayPlain, true}, kind{"round robin", "calm, solver's applied", dayApplied, true})
 	rows := make([]LayoutRow, len(list))
-	return rows, overSeeds(len(rows), n, parallel, progress, func(row int, seed uint64) (string, func(), error) {
+	return rows, runSeeds(len(rows), n, parallel, progress, func(row int, seed uint64) (string, func(), error) {
 		k := list[row]
 		o := opt
-		o.Seed, o.Progress, o.Shared = seed, nil, true
-		if o.Troubles = BusyKinds; k.calm {
-			o.Troubles, o.Rate, o.Commands = []string{"none"}, opt.Rate/2, opt.Commands/2
+		o.Seed, o.Progress, o.SharedStores = seed, nil, true
+		if o.FaultKinds = BusyKinds; k.calm {
+			o.FaultKinds, o.Rate, o.Commands = []string{"none"}, opt.Rate/2, opt.Commands/2
 		}
 		res, steps, err := layoutDay(ctx, o, opt.Rate, k.layout, k.shape)
 		return k.name + ", " + k.layout, func() { rows[row].add(k.layout, k.name, seed, res, steps) }, err
@@ -294,19 +294,19 @@
 	steps := 0
 	switch shape {
 	case dayHallLost:
-		opt.during = loseHall
+		opt.onStart = loseHall
 	case dayApplied:
-		opt.during = applySolver
+		opt.onStart = applySolver
 	}
 	res, err := BadDay(ctx, opt)
 	if err == nil {
-		steps = res.Steps
+		steps = res.LayoutSteps
 	}
 	return res, steps, err
 }
 
 func (r *LayoutRow) add(layout, name string, seed uint64, res *Result, steps int) {
-	t := res.Check.Stats
+	t := res.Checker.Stats
 	r.Layout, r.Day = layout, name
 	r.Runs++
 	r.Steps += steps
@@ -317,7 +317,7 @@
 	if !res.OK() {
 		r.Bad++
 		if r.FirstBad == "" {
-			r.FirstBad = fmt.Sprintf("seed %d: %s", seed, res.trouble())
+			r.FirstBad = fmt.Sprintf("seed %d: %s", seed, res.failureSummary())
 		}
 	}
 }
@@ -351,7 +351,7 @@
 
 // AppliedDay is one busy day in the midst of which the solver's layout is applied.
 func AppliedDay(ctx context.Context, opt Options) (*LayoutRow, error) {
-	opt.Shared, opt.Troubles = true, BusyKinds
+	opt.SharedStores, opt.FaultKinds = true, BusyKinds
 	res, steps, err := layoutDay(ctx, opt, opt.Rate, "round robin", dayApplied)
 	if err != nil {
 		return nil, err
--- a/internal/simulation/lab/linear.go
+++ b/internal/simulation/lab/linear.go
@@ -12,9 +12,9 @@
 
 // blockOp is what one command did to one block.
 type blockOp struct {
-	write bool
-	maybe bool // it may have had no effect
-	id    uint64
+	write         bool
+	indeterminate bool // it may have had no effect
+	writeID       uint64
 }
 
 // blockModel is a register that holds the number of the write that it was last given.
@@ -23,11 +23,11 @@
 	Step: func(state, in, _ any) []any {
 		op, held := in.(blockOp), state.(uint64)
 		switch {
-		case op.write && op.maybe:
-			return []any{held, op.id}
+		case op.write && op.indeterminate:
+			return []any{held, op.writeID}
 		case op.write:
-			return []any{op.id}
-		case op.id == held:
+			return []any{op.writeID}
+		case op.writeID == held:
 			return []any{held}
 		}
 		return nil
@@ -35,29 +35,29 @@
 	Equal: func(a, b any) bool { return a.(uint64) == b.(uint64) },
 }).ToModel()
 
-// blockTime bounds the check of one block's history.
-const blockTime = 2 * time.Second
+// blockCheckTimeout bounds the check of one block's history.
+const blockCheckTimeout = 2 * time.Second
 
-// Linear checks that each block's history can be put in one order. It returns how many
+// CheckLinearizable checks that each block's history can be put in one order. It returns how many
 // blocks it judged, how many it could not judge in time, and what is wrong.
-func (l *Ledger) Linear() (judged, unknown int, wrong []string) {
+func (l *BlockHistory) CheckLinearizable() (judged, unknown int, wrong []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	reads := map[blockAt][]*seen{}
+	reads := map[blockAddr][]*readRecord{}
 	for i := range l.reads {
-		reads[l.reads[i].at] = append(reads[l.reads[i].at], &l.reads[i])
+		reads[l.reads[i].addr] = append(reads[l.reads[i].addr], &l.reads[i])
 	}
-	places := make([]blockAt, 0, len(l.blocks))
+	places := make([]blockAddr, 0, len(l.blocks))
 	for at := range l.blocks {
 		places = append(places, at)
 	}
-	slices.SortFunc(places, func(a, b blockAt) int { return cmp.Or(cmp.Compare(a.volume, b.volume), cmp.Compare(a.lba, b.lba)) })
+	slices.SortFunc(places, func(a, b blockAddr) int { return cmp.Or(cmp.Compare(a.volume, b.volume), cmp.Compare(a.lba, b.lba)) })
 	for _, at := range places {
-		if l.Loose[at.volume] {
+		if l.AsyncVolumes[at.volume] {
 			continue
 		}
 		judged++
-		switch porcupine.CheckOperationsTimeout(blockModel, l.history(at, reads[at]), blockTime) {
+		switch porcupine.CheckOperationsTimeout(blockModel, l.operations(at, reads[at]), blockCheckTimeout) {
 		case porcupine.Illegal:
 			wrong = append(wrong, fmt.Sprintf("block %d of %s: its %d writes and %d reads can't be put in one order", at.lba, at.volume, len(l.blocks[at]), len(reads[at])))
 		case porcupine.Unknown:
@@ -67,19 +67,19 @@
 	return judged, unknown, wrong
 }
 
-// history is one block's. A write of which nothing is known may take effect at any time.
-func (l *Ledger) history(at blockAt, reads []*seen) (ops []porcupine.Operation) {
+// operations is one block's. A write of which nothing is known may take effect at any time.
+func (l *BlockHistory) operations(at blockAddr, reads []*readRecord) (ops []porcupine.Operation) {
 	read := map[uint64]bool{}
 	for _, r := range reads {
-		read[r.id] = true
-		ops = append(ops, porcupine.Operation{Input: blockOp{id: r.id}, Call: int64(r.begin), Return: int64(r.end)})
+		read[r.writeID] = true
+		ops = append(ops, porcupine.Operation{Input: blockOp{writeID: r.writeID}, Call: int64(r.begin), Return: int64(r.end)})
 	}
 	for _, w := range l.blocks[at] {
-		if w.fate == FateNothing || w.fate != FateAcked && !read[w.id] {
+		if w.outcome == WriteNotApplied || w.outcome != WriteAcked && !read[w.id] {
 			continue // no effect, or none that anyone saw
 		}
-		op := porcupine.Operation{Input: blockOp{write: true, maybe: w.fate != FateAcked, id: w.id}, Call: int64(w.begin), Return: int64(w.end)}
-		if w.fate != FateAcked {
+		op := porcupine.Operation{Input: blockOp{write: true, indeterminate: w.outcome != WriteAcked, writeID: w.id}, Call: int64(w.begin), Return: int64(w.end)}
+		if w.outcome != WriteAcked {
 			op.Return = math.MaxInt64
 		}
 		ops = append(ops, op)
--- a/internal/simulation/lab/losses.go
+++ b/internal/simulation/lab/losses.go
@@ -137,7 +137,7 @@
 	}
 	set := settings.Example(1, 3)
 	for i := range 3 {
-		m := standin.NewMachine(Machine(set), uint64(i), standin.NewShardStore(func(string) int { return 4096 }), standin.NewDedupCache(6000), nil, uint32(i), 0, false)
+		m := standin.NewMachine(DefaultMachine(set), uint64(i), standin.NewShardStore(func(string) int { return 4096 }), standin.NewDedupCache(6000), nil, uint32(i), 0, false)
 		d := &standin.DiskServer{Name: fmt.Sprint("d", i), Zone: Halls[i], Rack: fmt.Sprint("d", i), Shard: i}
 		if err := standin.ServeDisk(r.world, m, d); err != nil {
 			return nil, err
@@ -195,7 +195,7 @@
 type loser struct {
 	rig   *lossRig
 	n     int
-	world *cutWorld
+	world *partitionEnvironment
 	rng   *rand.Rand
 	set   *settings.Settings
 	gate  *gateway.Gateway
@@ -204,7 +204,7 @@
 }
 
 func (r *lossRig) loser(n int) (*loser, error) {
-	s := &loser{rig: r, n: n, world: newCutWorld(r.world), rng: rand.New(rand.NewPCG(uint64(n), 9)), set: settings.Example(1, 3)}
+	s := &loser{rig: r, n: n, world: newPartitionEnvironment(r.world), rng: rand.New(rand.NewPCG(uint64(n), 9)), set: settings.Example(1, 3)}
 	s.one = netip.PrefixFrom(netip.AddrFrom4([4]byte{10, 0, byte(n), 1}), 32)
 	s.both = netip.PrefixFrom(netip.AddrFrom4([4]byte{10, 0, byte(n), 2}), 32)
 	for i := range s.set.Volumes {
@@ -259,7 +259,7 @@
 	for i, d := range s.rig.disks {
 		all[i] = d.Addr
 	}
-	how := cutKind(s.rng.IntN(2))
+	how := partitionKind(s.rng.IntN(2))
 	from, at := s.rig.mark(), w.Now()
 	var hung env.Gate
 	gone := []netip.Prefix{s.one, s.both}
@@ -267,10 +267,10 @@
 	var heal func() error
 	switch LossKinds[kind] {
 	case "all nodes":
-		s.world.off(how, all...)
+		s.world.partition(how, all...)
 		heal = func() error { s.world.heal(all...); return nil }
 	case "a volume's nodes":
-		s.world.off(how, all[0])
+		s.world.partition(how, all[0])
 		gone = gone[:1]
 		heal = func() error { s.world.heal(all[0]); return nil }
 	case "core hung":
@@ -280,7 +280,7 @@
 		s.gate.Kill()
 		heal = func() error { return s.start() }
 	default:
-		s.world.off(cutReset, s.rig.inv.Addr)
+		s.world.partition(partitionReset, s.rig.inv.Addr)
 		at += rigListBound
 		down = func(c standin.RouteChange) bool { return c.Announced && c.Path.Shutdown }
 		heal = func() error { s.world.heal(s.rig.inv.Addr); return nil }
--- a/internal/simulation/lab/regioncost.go
+++ b/internal/simulation/lab/regioncost.go
@@ -56,13 +56,17 @@
 // costKinds are the losses that are measured.
 var costKinds = []struct {
 	name   string
-	script func(rng *rand.Rand) []Strike
+	script func(rng *rand.Rand) []ScheduledFault
 }{
-	{"the region that does not lead is lost", func(rng *rand.Rand) []Strike { return []Strike{{Kind: "region_loss", Seed: struck(rng, 1)}} }},
-	{"the leading region is lost, an operator says so", func(rng *rand.Rand) []Strike { return []Strike{{Kind: "region_loss", Seed: struck(rng, 0)}} }},
-	{"the regions are cut from each other", func(*rand.Rand) []Strike { return []Strike{{Kind: "region_cut"}} }},
-	{"lost at opening time, 1.7 to 2.4 times the load", func(rng *rand.Rand) []Strike {
-		return []Strike{{Kind: "region_loss", Seed: struck(rng, 1)}, {Kind: "burst", Seed: rng.Uint64()}}
+	{"the region that does not lead is lost", func(rng *rand.Rand) []ScheduledFault {
+		return []ScheduledFault{{Kind: "region_loss", Seed: struck(rng, 1)}}
+	}},
+	{"the leading region is lost, an operator says so", func(rng *rand.Rand) []ScheduledFault {
+		return []ScheduledFault{{Kind: "region_loss", Seed: struck(rng, 0)}}
+	}},
+	{"the regions are cut from each other", func(*rand.Rand) []ScheduledFault { return []ScheduledFault{{Kind: "region_cut"}} }},
+	{"lost at opening time, 1.7 to 2.4 times the load", func(rng *rand.Rand) []ScheduledFault {
+		return []ScheduledFault{{Kind: "region_loss", Seed: struck(rng, 1)}, {Kind: "burst", Seed: rng.Uint64()}}
 	}},
 }
 
@@ -85,34 +89,34 @@
 	for _, way := range []string{"parts that move", "parts fixed for ever"} {
 		c.Limits = append(c.Limits, &LimitRow{Name: way})
 	}
-	err := overSeeds(len(c.Rows)+len(c.Limits), int(seeds), max(parallel, 1), progress, func(row int, seed uint64) (string, func(), error) {
+	err := runSeeds(len(c.Rows)+len(c.Limits), int(seeds), max(parallel, 1), progress, func(row int, seed uint64) (string, func(), error) {
 		if k := row - len(c.Rows); k >= 0 {
 			s, units := limitScene(seed, k == 1)
-			_, err := s.Play(ctx, "")
+			_, err := s.Run(ctx, "")
 			return c.Limits[k].Name, func() { c.Limits[k].add(units) }, cmp.Or(ctx.Err(), err)
 		}
 		s, r := costScene(seed), c.Rows[row]
 		for _, t := range costKinds[row].script(rand.New(rand.NewPCG(seed-1, 41))) {
-			t.At, t.Len = costLoss, costGone
-			s.Script = append(s.Script, t)
+			t.At, t.Duration = costLoss, costGone
+			s.Faults = append(s.Faults, t)
 		}
-		out, err := s.Play(ctx, "")
+		out, err := s.Run(ctx, "")
 		return r.Name, func() { r.add(out) }, cmp.Or(ctx.Err(), err)
 	})
 	return c, err
 }
 
-func costScene(seed uint64) Scene {
-	return Scene{Seed: seed, Hosts: costHosts, Servers: costServers, Commands: int(costDay.Seconds() * costRate), Rate: costRate, Regions: true}
+func costScene(seed uint64) Scenario {
+	return Scenario{Seed: seed, Hosts: costHosts, Servers: costServers, Commands: int(costDay.Seconds() * costRate), Rate: costRate, Regions: true}
 }
 
 func (r *CostRow) add(o *Outcome) {
 	r.Days++
 	if o.Failure != nil {
-		r.Failed = append(r.Failed, fmt.Sprintf("seed %d: %v", o.Scene.Seed, o.Failure))
+		r.Failed = append(r.Failed, fmt.Sprintf("seed %d: %v", o.Scenario.Seed, o.Failure))
 	}
-	r.Outages, r.Writes = append(r.Outages, o.Outages...), r.Writes+o.Lost
-	t := o.Check.Stats
+	r.Outages, r.Writes = append(r.Outages, o.Outages...), r.Writes+o.LostWrites
+	t := o.Checker.Stats
 	day := int64(costDay / time.Second)
 	calm, n := 0.0, 0.0
 	for s := int64(5); s < int64(costLoss/time.Second); s++ {
@@ -147,12 +151,12 @@
 
 // limitScene asks for far more than limits bear, all day, and cuts the regions from each
 // other. The units of limited volumes that went out from the cut to its end are added up.
-func limitScene(seed uint64, fixed bool) (Scene, *limitCount) {
+func limitScene(seed uint64, fixed bool) (Scenario, *limitCount) {
 	n := &limitCount{limited: map[string]bool{}}
 	s := costScene(seed)
-	s.fixed = fixed
-	s.Script = []Strike{{Kind: "region_cut", At: costLoss, Len: costGone}}
-	s.change = func(set *settings.Settings) {
+	s.fixedShares = fixed
+	s.Faults = []ScheduledFault{{Kind: "region_cut", At: costLoss, Duration: costGone}}
+	s.changeSettings = func(set *settings.Settings) {
 		for i := range set.Plans {
 			if p := &set.Plans[i]; p.Limit > 0 {
 				p.Limit, p.Burst, p.Overdraft = 4, 12, 10
@@ -169,7 +173,7 @@
 			}
 		}
 	}
-	s.heard = func(e *trail.Event) {
+	s.onEvent = func(e *trail.Event) {
 		at := time.Duration(e.Time) * time.Microsecond
 		if e.Kind == trail.Do && e.Attempt == 0 && n.limited[e.Volume] && at >= costLoss && at < costLoss+costGone {
 			n.units += e.Units
--- a/internal/simulation/lab/regionday.go
+++ b/internal/simulation/lab/regionday.go
@@ -19,7 +19,7 @@
 )
 
 // regionKinds are the troubles of a service over two regions.
-var regionKinds = map[string]func(d *day, rng *rand.Rand, len time.Duration){
+var regionKinds = map[string]func(d *dayRun, rng *rand.Rand, len time.Duration){
 	"region_loss":     regionLoss,
 	"region_loss_two": regionLossTwice,
 	"region_cut":      regionCut,
@@ -38,48 +38,48 @@
 func RegionKinds() []string { return sortedKeys(regionKinds) }
 
 // regionLoss ends a region; it comes back with the inventory that it began the day with.
-func regionLoss(d *day, rng *rand.Rand, len time.Duration) {
+func regionLoss(d *dayRun, rng *rand.Rand, len time.Duration) {
 	d.fleet.LoseRegion(rng.IntN(2), len, d.old(rng))
 }
 
 // regionLossTwice loses a region again while it recovers.
-func regionLossTwice(d *day, rng *rand.Rand, len time.Duration) {
+func regionLossTwice(d *dayRun, rng *rand.Rand, len time.Duration) {
 	r := rng.IntN(2)
-	again := time.Duration(between(rng, 0.3, 4) * float64(time.Second))
+	again := time.Duration(uniform(rng, 0.3, 4) * float64(time.Second))
 	d.fleet.LoseRegion(r, len/3, d.old(rng))
-	d.fleet.after(len/3+again, func() { d.fleet.LoseRegion(r, len/3, [2]*standin.InventoryState{}) })
+	d.fleet.afterFunc(len/3+again, func() { d.fleet.LoseRegion(r, len/3, [2]*standin.InventoryState{}) })
 }
 
 // old is the inventories' state of long ago, or none.
-func (d *day) old(rng *rand.Rand) (out [2]*standin.InventoryState) {
+func (d *dayRun) old(rng *rand.Rand) (out [2]*standin.InventoryState) {
 	if rng.IntN(2) == 0 {
-		out = d.putBy
+		out = d.initialInventories
 	}
 	return out
 }
 
-func regionCut(d *day, _ *rand.Rand, len time.Duration) {
+func regionCut(d *dayRun, _ *rand.Rand, len time.Duration) {
 	d.across(len, true, true, world.LinkState{Partitioned: true})
 }
 
 // regionHalf drops half of what passes between the regions.
-func regionHalf(d *day, _ *rand.Rand, len time.Duration) {
+func regionHalf(d *dayRun, _ *rand.Rand, len time.Duration) {
 	d.across(len, true, true, world.LinkState{Loss: 0.5})
 }
 
-func regionOneWay(d *day, rng *rand.Rand, len time.Duration) {
+func regionOneWay(d *dayRun, rng *rand.Rand, len time.Duration) {
 	there := rng.IntN(2) == 0
 	d.across(len, there, !there, world.LinkState{Partitioned: true})
 }
 
-func regionSlow(d *day, rng *rand.Rand, len time.Duration) {
-	late := time.Duration(between(rng, 5, 80) * float64(time.Millisecond))
+func regionSlow(d *dayRun, rng *rand.Rand, len time.Duration) {
+	late := time.Duration(uniform(rng, 5, 80) * float64(time.Millisecond))
 	d.across(len, true, true, world.LinkState{Delay: late, Jitter: late})
 }
 
 // regionHosts ends every host of the region that leads as the day begins, and one of the
 // other.
-func regionHosts(d *day, _ *rand.Rand, len time.Duration) {
+func regionHosts(d *dayRun, _ *rand.Rand, len time.Duration) {
 	spared := false
 	for i := range d.fleet.hosts {
 		if d.fleet.regionOf(i) == 0 || !spared {
@@ -90,7 +90,7 @@
 }
 
 // across changes the ways between the regions for a while.
-func (d *day) across(len time.Duration, there, back bool, n world.LinkState) {
+func (d *dayRun) across(len time.Duration, there, back bool, n world.LinkState) {
 	set := func(n world.LinkState) {
 		if there {
 			d.fleet.Across(0, n)
@@ -100,39 +100,39 @@
 		}
 	}
 	set(n)
-	d.fleet.after(len, func() { set(d.fleet.calm) })
+	d.fleet.afterFunc(len, func() { set(d.fleet.normalRegionLink) })
 }
 
 // inventoryCut has nobody reach any inventory, nor these each other, while hosts and disk
 // servers of both regions reach each other.
-func inventoryCut(d *day, _ *rand.Rand, len time.Duration) {
+func inventoryCut(d *dayRun, _ *rand.Rand, len time.Duration) {
 	d.fleet.ToInventories(world.LinkState{Partitioned: true})
-	d.fleet.after(len, func() { d.fleet.ToInventories(d.fleet.calm) })
+	d.fleet.afterFunc(len, func() { d.fleet.ToInventories(d.fleet.normalRegionLink) })
 }
 
 // inventoryOld has a region's inventory come back with the state of long ago; all else runs on.
-func inventoryOld(d *day, rng *rand.Rand, len time.Duration) {
-	d.fleet.LoseInventory(rng.IntN(2), len/4, d.putBy)
+func inventoryOld(d *dayRun, rng *rand.Rand, len time.Duration) {
+	d.fleet.LoseInventory(rng.IntN(2), len/4, d.initialInventories)
 }
 
 // leaseStall has a host stand still for up to 30 s.
-func leaseStall(d *day, rng *rand.Rand, len time.Duration) {
-	d.fleet.StallHost(rng.IntN(d.opt.Hosts), min(time.Duration(between(rng, 1, 30)*float64(time.Second)), len))
+func leaseStall(d *dayRun, rng *rand.Rand, len time.Duration) {
+	d.fleet.StallHost(rng.IntN(d.opt.Hosts), min(time.Duration(uniform(rng, 1, 30)*float64(time.Second)), len))
 }
 
 // opening is a region lost as the morning begins: 1.7 to 2.4 times the usual, for all of
 // the loss and while the region comes back.
-func opening(d *day, rng *rand.Rand, len time.Duration) {
-	x := between(rng, 1.7, 2.4)
-	d.habit(len, func(h *Habits) { h.Rate = x }, func(h *Habits) { h.Rate = 0 })
+func opening(d *dayRun, rng *rand.Rand, len time.Duration) {
+	x := uniform(rng, 1.7, 2.4)
+	d.changeBehaviour(len, func(h *ClientBehaviour) { h.RateFactor = x }, func(h *ClientBehaviour) { h.RateFactor = 0 })
 	d.fleet.LoseRegion(rng.IntN(2), len/2, d.old(rng))
 }
 
 // moves has shards moved to and fro by an operator.
-func moves(d *day, rng *rand.Rand, len time.Duration) {
+func moves(d *dayRun, rng *rand.Rand, len time.Duration) {
 	for range 4 {
-		shard, to := rng.IntN(d.fleet.Set.Shards), rng.IntN(2)
-		d.fleet.after(time.Duration(rng.Float64()*float64(len)), func() {
+		shard, to := rng.IntN(d.fleet.Settings.Shards), rng.IntN(2)
+		d.fleet.afterFunc(time.Duration(rng.Float64()*float64(len)), func() {
 			for r := range 2 { // one of them leads
 				d.fleet.Tell(r, inventory.Ask{Op: "move", Shard: shard, To: region.ID(to)})
 			}
@@ -245,8 +245,8 @@
 // outages are the times for which shards of a lost region were not served, of those that
 // were served in the other before theirs came back.
 func outages(res *Result) (out []time.Duration) {
-	homes := res.Check.HomeHistory()
-	for _, l := range res.Losses {
+	homes := res.Checker.HomeHistory()
+	for _, l := range res.RegionLosses {
 		last := map[int]rules.FirstServed{} // by shard, before the loss
 		for _, s := range homes {
 			at := time.Duration(s.At) * time.Microsecond
@@ -262,7 +262,7 @@
 }
 
 // PrintRegions writes what an exploration showed of regions.
-func (e *Explored) PrintRegions(w io.Writer) {
+func (e *ExploreSummary) PrintRegions(w io.Writer) {
 	slices.Sort(e.Outages)
 	at := func(q float64) float64 {
 		if len(e.Outages) == 0 {
@@ -272,16 +272,16 @@
 	}
 	fmt.Fprintf(w, "%d shards of lost regions were taken over: not served for %.1f s at the least, %.1f s in the median, %.1f s at the 90th percentile, %.1f s at the most\n",
 		len(e.Outages), at(0), at(0.5), at(0.9), at(1))
-	fmt.Fprintf(w, "%d writes lost that were acknowledged before their copy; operators said lead %d and return %d times\n", e.Lost, e.Said["lead"], e.Said["return"])
+	fmt.Fprintf(w, "%d writes lost that were acknowledged before their copy; operators said lead %d and return %d times\n", e.LostWrites, e.OperatorCommands["lead"], e.OperatorCommands["return"])
 }
 
 // EveryRegionTrouble is a day with each trouble of regions in turn, so long each and with
 // so much calm between them.
-func EveryRegionTrouble(each, calm time.Duration, seed uint64) (script []Strike, span time.Duration) {
+func EveryRegionTrouble(each, calm time.Duration, seed uint64) (script []ScheduledFault, span time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 23))
 	span = calm / 2
 	for _, k := range RegionKinds() {
-		script = append(script, Strike{Kind: k, At: span, Len: each, Seed: rng.Uint64()})
+		script = append(script, ScheduledFault{Kind: k, At: span, Duration: each, Seed: rng.Uint64()})
 		span += each + calm
 	}
 	return script, span
@@ -298,18 +298,18 @@
 	w := env.NewReal()
 	links := standin.NewLinks(w, opt.Seed)
 	defer links.Close()
-	return playDay(ctx, w, loopback{w, links}, opt.Settings, opt)
+	return runDay(ctx, w, loopbackTestbed{w, links}, opt.Settings, opt)
 }
 
 // PrintRegions writes what a day of two regions showed of them.
 func (r *Result) PrintRegions(w io.Writer) {
-	e := &Explored{Outages: outages(r), Lost: r.Lost, Said: r.Said}
+	e := &ExploreSummary{Outages: outages(r), LostWrites: r.LostWrites, OperatorCommands: r.OperatorCommands}
 	e.PrintRegions(w)
 	writes := 0
-	for k, row := range r.Check.Stats.ByClass {
+	for k, row := range r.Checker.Stats.ByClass {
 		if k.Class == "txn-write" || k.Class == "claim-write" {
 			writes += row.Issued
 		}
 	}
-	fmt.Fprintf(w, "%d keyed writes asked for, %d took effect more than once at the disk servers of both regions\n", writes, r.Repeats)
+	fmt.Fprintf(w, "%d keyed writes asked for, %d took effect more than once at the disk servers of both regions\n", writes, r.RepeatedEffects)
 }
--- a/internal/simulation/lab/regions.go
+++ b/internal/simulation/lab/regions.go
@@ -54,10 +54,10 @@
 
 // regionOf is the region of a host.
 func (f *Fleet) regionOf(host int) int {
-	if f.Set.Regions == nil {
+	if f.Settings.Regions == nil {
 		return 0
 	}
-	return f.Set.Regions.Hosts[host]
+	return f.Settings.Regions.Hosts[host]
 }
 
 // firstRecord is that of a new service: region 0 leads, limits are split by the hosts.
@@ -78,7 +78,7 @@
 }
 
 // name is that of the inventory's program, without the number of its start.
-func (p *invProc) name() string {
+func (p *inventoryProcess) name() string {
 	if p.saved == nil {
 		return "inventory"
 	}
@@ -87,21 +87,21 @@
 
 // startInventories starts the inventory, or both.
 func (f *Fleet) startInventories() error {
-	if f.Set.Regions == nil {
-		p := &invProc{}
-		p.world = f.site.process(p.name())
-		f.invs = []*invProc{p}
+	if f.Settings.Regions == nil {
+		p := &inventoryProcess{}
+		p.process = f.testbed.startProcess(p.name())
+		f.inventories = []*inventoryProcess{p}
 		var err error
-		if p.inv, err = standin.ServeInventory(p.world, "127.0.0.1:0", listLate); err == nil {
-			p.where.Store(&p.inv.Addr)
+		if p.server, err = standin.ServeInventory(p.process, "127.0.0.1:0", inventoryDelay); err == nil {
+			p.addr.Store(&p.server.Addr)
 		}
 		return err
 	}
-	f.ran = map[effectKey]bool{}
+	f.effects = map[effectKey]bool{}
 	for r := range 2 {
-		f.invs = append(f.invs, &invProc{region: r, saved: &standin.InventoryState{Record: firstRecord(f.Set)}})
+		f.inventories = append(f.inventories, &inventoryProcess{region: r, saved: &standin.InventoryState{Record: firstRecord(f.Settings)}})
 	}
-	for _, p := range f.invs {
+	for _, p := range f.inventories {
 		if err := f.startInventory(p); err != nil {
 			return err
 		}
@@ -110,29 +110,29 @@
 }
 
 // startInventory starts a region's inventory with what was saved.
-func (f *Fleet) startInventory(p *invProc) error {
+func (f *Fleet) startInventory(p *inventoryProcess) error {
 	p.starts++
-	p.world = f.site.process(fmt.Sprintf("%s#%d", p.name(), p.starts))
+	p.process = f.testbed.startProcess(fmt.Sprintf("%s#%d", p.name(), p.starts))
 	// One clock runs fast and one slow, by what the bound leaves.
-	f.site.pace(p.world, 1+(0.9-1.8*float64(p.region))*f.Set.Regions.Drift)
-	other := f.invs[1-p.region]
-	cfg := f.Set.Regions.Config()
-	cfg.Fixed = f.fixed
+	f.testbed.setClockRate(p.process, 1+(0.9-1.8*float64(p.region))*f.Settings.Regions.Drift)
+	other := f.inventories[1-p.region]
+	cfg := f.Settings.Regions.Config()
+	cfg.Fixed = f.fixedShares
 	serve := func(addr string) (*standin.Inventory, error) {
-		return standin.ServeRegion(p.world, addr, listLate, cfg, region.ID(p.region), uint64(p.starts), p.saved, func() string { return at(&other.where) })
+		return standin.ServeRegion(p.process, addr, inventoryDelay, cfg, region.ID(p.region), uint64(p.starts), p.saved, func() string { return at(&other.addr) })
 	}
-	inv, err := serve(cmp.Or(at(&p.where), "127.0.0.1:0"))
+	inv, err := serve(cmp.Or(at(&p.addr), "127.0.0.1:0"))
 	if err != nil { // somebody else has the port that it had
 		inv, err = serve("127.0.0.1:0")
 	}
 	if err != nil {
 		return err
 	}
-	p.inv = inv
-	p.where.Store(&inv.Addr)
+	p.server = inv
+	p.addr.Store(&inv.Addr)
 	for _, h := range f.hosts {
-		if h.list != nil && f.regionOf(h.self) == p.region {
-			h.list.Point(inv.Addr)
+		if h.inventoryRelay != nil && f.regionOf(h.index) == p.region {
+			h.inventoryRelay.Point(inv.Addr)
 		}
 	}
 	return nil
@@ -147,14 +147,14 @@
 }
 
 // regional gives a disk server its inventory and its peer.
-func (f *Fleet) regional(d *disk, s *standin.DiskServer) {
-	if f.Set.Regions == nil {
+func (f *Fleet) regional(d *diskProcess, s *standin.DiskServer) {
+	if f.Settings.Regions == nil {
 		return
 	}
-	inv := f.invs[d.region]
-	s.Inventory = func() string { return at(&inv.where) }
-	peer := f.disks[d.shard+(1-d.region)*f.Set.Shards]
-	s.Peer = func() string { return at(&peer.where) }
+	inv := f.inventories[d.region]
+	s.Inventory = func() string { return at(&inv.addr) }
+	peer := f.disks[d.shard+(1-d.region)*f.Settings.Shards]
+	s.Peer = func() string { return at(&peer.serverAddr) }
 }
 
 type effectKey struct{ host, seq uint64 }
@@ -165,12 +165,12 @@
 		return
 	}
 	k := effectKey{d.Host, d.Seq}
-	f.counting.Lock()
-	defer f.counting.Unlock()
-	if f.ran[k] {
-		f.again++
+	f.effectsMu.Lock()
+	defer f.effectsMu.Unlock()
+	if f.effects[k] {
+		f.repeatedEffects++
 	}
-	f.ran[k] = true
+	f.effects[k] = true
 }
 
 // LoseRegion ends everything in a region at once, and starts it again after down, with
@@ -180,8 +180,8 @@
 		return
 	}
 	f.mu.Lock()
-	f.gone[r] = true
-	f.losses = append(f.losses, Loss{r, f.Environment.Now(), f.Environment.Now() + down})
+	f.regionDown[r] = true
+	f.regionLosses = append(f.regionLosses, Loss{r, f.Environment.Now(), f.Environment.Now() + down})
 	f.mu.Unlock()
 	for i := range f.hosts {
 		if f.regionOf(i) == r {
@@ -190,7 +190,7 @@
 	}
 	for i, d := range f.disks {
 		if d.region == r {
-			f.CutPower(i, down+100*time.Millisecond)
+			f.PowerOffDisk(i, down+100*time.Millisecond)
 		}
 	}
 }
@@ -205,20 +205,20 @@
 // put by, if anything; false if it is down.
 func (f *Fleet) LoseInventory(r int, down time.Duration, old [2]*standin.InventoryState) bool {
 	f.mu.Lock()
-	p := f.invs[r]
-	v, w := p.inv, p.world
-	p.inv = nil
+	p := f.inventories[r]
+	v, w := p.server, p.process
+	p.server = nil
 	f.mu.Unlock()
 	if v == nil {
 		return false
 	}
-	if !f.site.crash(w, true) {
+	if !f.testbed.killProcess(w, true) {
 		v.Close()
 	}
-	f.after(down, func() {
+	f.afterFunc(down, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.gone[r] = false
+		f.regionDown[r] = false
 		if old[r] != nil {
 			p.saved = old[r].Clone()
 		}
@@ -228,7 +228,7 @@
 		}
 		for _, d := range f.disks { // those that are up all the same
 			if d.region == r && d.server != nil {
-				f.list(r, true, d.entry())
+				f.changeInventory(r, true, d.inventoryEntry())
 			}
 		}
 	})
@@ -239,14 +239,14 @@
 func (f *Fleet) Gone(r int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.gone[r]
+	return f.regionDown[r]
 }
 
 // PutBy is a copy of what the inventories have now.
 func (f *Fleet) PutBy() (out [2]*standin.InventoryState) {
-	for r, p := range f.invs {
-		if p.inv != nil && p.saved != nil {
-			out[r] = p.inv.State()
+	for r, p := range f.inventories {
+		if p.server != nil && p.saved != nil {
+			out[r] = p.server.State()
 		}
 	}
 	return out
@@ -254,7 +254,7 @@
 
 // programs names the programs of a region, without its clients.
 func (f *Fleet) programs(r int) (out []string) {
-	out = append(out, f.invs[r].name())
+	out = append(out, f.inventories[r].name())
 	for i := range f.hosts {
 		if f.regionOf(i) == r {
 			out = append(out, fmt.Sprintf("h%d", i))
@@ -272,7 +272,7 @@
 func (f *Fleet) Across(from int, n world.LinkState) {
 	for _, a := range f.programs(from) {
 		for _, b := range f.programs(1 - from) {
-			f.site.link(a, b, n)
+			f.testbed.setLink(a, b, n)
 		}
 	}
 }
@@ -281,11 +281,11 @@
 func (f *Fleet) ToInventories(n world.LinkState) {
 	all := append(f.programs(0), f.programs(1)...)
 	for r := range 2 {
-		inv := f.invs[r].name()
+		inv := f.inventories[r].name()
 		for _, p := range all {
 			if p != inv {
-				f.site.link(p, inv, n)
-				f.site.link(inv, p, n)
+				f.testbed.setLink(p, inv, n)
+				f.testbed.setLink(inv, p, n)
 			}
 		}
 	}
@@ -293,17 +293,17 @@
 
 // spanRegions has clients try the hosts of the region that their volume prefers first, and
 // others while those do not serve, as multipath does.
-func (c *Crowd) spanRegions() {
-	for i, ls := range c.lanes {
-		prefers := int(homeOf(c.fleet.Set.Volumes[i].Layout[0]))
-		slices.SortStableFunc(ls, func(a, b *lane) int {
+func (c *Clients) spanRegions() {
+	for i, ls := range c.paths {
+		prefers := int(homeOf(c.fleet.Settings.Volumes[i].Layout[0]))
+		slices.SortStableFunc(ls, func(a, b *clientPath) int {
 			return cmp.Compare((c.fleet.regionOf(a.host)+prefers)%2, (c.fleet.regionOf(b.host)+prefers)%2)
 		})
 	}
-	c.choose = func(volume int) *lane {
+	c.choosePath = func(volume int) *clientPath {
 		now := c.fleet.Environment.Now()
-		var up *lane
-		for _, l := range c.lanes[volume] {
+		var up *clientPath
+		for _, l := range c.paths[volume] {
 			if c.fleet.HostAddr(l.host) == "" {
 				continue
 			}
@@ -316,11 +316,11 @@
 		}
 		return up
 	}
-	c.ledger.Loose = map[string]bool{}
-	for _, v := range c.fleet.Set.Volumes {
-		for _, p := range c.fleet.Set.Plans {
+	c.history.AsyncVolumes = map[string]bool{}
+	for _, v := range c.fleet.Settings.Volumes {
+		for _, p := range c.fleet.Settings.Plans {
 			if p.Name == v.Plan && p.WriteAck == settings.AckBeforeCopy {
-				c.ledger.Loose[v.Name] = true
+				c.history.AsyncVolumes[v.Name] = true
 			}
 		}
 	}
@@ -332,26 +332,26 @@
 )
 
 // judge notes how a command fared on the lane.
-func (l *lane) judge(now time.Duration, served bool) {
+func (l *clientPath) judge(now time.Duration, served bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.missed++; served {
-		l.missed = 0
-	} else if l.missed >= shunAfter {
-		l.missed, l.shunned = 0, now+shunFor
+	if l.consecutiveFailures++; served {
+		l.consecutiveFailures = 0
+	} else if l.consecutiveFailures >= shunAfter {
+		l.consecutiveFailures, l.avoidUntil = 0, now+shunFor
 	}
 }
 
 // tried tells whether the lane is one to try now.
-func (l *lane) tried(now time.Duration) bool {
+func (l *clientPath) tried(now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return now >= l.shunned
+	return now >= l.avoidUntil
 }
 
 // Tell asks a region's inventory for something, as an operator would.
 func (f *Fleet) Tell(r int, a inventory.Ask) (inventory.List, error) {
-	c := inventory.NewCaller(f.Environment, func() string { return at(&f.invs[r].where) })
+	c := inventory.NewCaller(f.Environment, func() string { return at(&f.inventories[r].addr) })
 	defer c.Close()
 	return c.Ask(a, time.Second)
 }
@@ -361,14 +361,14 @@
 	f.mu.Lock()
 	h := f.hosts[i]
 	f.mu.Unlock()
-	f.Rec.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Stalled, Host: h.name, Deadline: int64((f.Environment.Now() + still) / time.Microsecond)})
-	if p, ok := h.world.(*world.Process); ok {
+	f.Recorder.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Stalled, Host: h.name, Deadline: int64((f.Environment.Now() + still) / time.Microsecond)})
+	if p, ok := h.process.(*world.Process); ok {
 		if !p.Dead() {
 			p.Stall(still)
 		}
 		return
 	}
 	var until env.Gate
-	h.gate.Freeze(&until)
+	h.gateway.Freeze(&until)
 	f.Environment.AfterFunc(still, until.Open)
 }
--- a/internal/simulation/lab/reservations.go
+++ b/internal/simulation/lab/reservations.go
@@ -86,7 +86,7 @@
 // fence.
 func ReservationRun(ctx context.Context, seed uint64, steps int, unfenced bool) (*ReservationHistory, error) {
 	w := env.NewReal()
-	return reservationRun(ctx, w, loopback{Environment: w}, seed, steps, unfenced)
+	return reservationRun(ctx, w, loopbackTestbed{Environment: w}, seed, steps, unfenced)
 }
 
 // reservationMost bounds a run's virtual time.
@@ -97,12 +97,12 @@
 	w := world.New(seed)
 	var failed error
 	err = w.Run("lab", reservationMost, func(p *world.Process) {
-		h, failed = reservationRun(ctx, p, virtual{w}, seed, steps, unfenced)
+		h, failed = reservationRun(ctx, p, virtualTestbed{w}, seed, steps, unfenced)
 	})
 	return h, cmp.Or(err, failed)
 }
 
-func reservationRun(ctx context.Context, w env.Environment, at site, seed uint64, steps int, unfenced bool) (*ReservationHistory, error) {
+func reservationRun(ctx context.Context, w env.Environment, at testbed, seed uint64, steps int, unfenced bool) (*ReservationHistory, error) {
 	r, err := newReservationRig(w, at, seed, unfenced)
 	if err != nil {
 		return nil, err
@@ -125,7 +125,7 @@
 
 type reservationRig struct {
 	world   env.Environment
-	site    site
+	site    testbed
 	rng     *rand.Rand // of the faults
 	seed    uint64
 	set     *settings.Settings
@@ -134,13 +134,13 @@
 	disks   []*standin.DiskServer
 	mu      sync.Mutex
 	hosts   [rHosts]*gateway.Gateway
-	worlds  [rHosts]*cutWorld
+	worlds  [rHosts]*partitionEnvironment
 	history ReservationHistory
 	failed  error
 	stamp   uint64
 }
 
-func newReservationRig(w env.Environment, at site, seed uint64, unfenced bool) (*reservationRig, error) {
+func newReservationRig(w env.Environment, at testbed, seed uint64, unfenced bool) (*reservationRig, error) {
 	r := &reservationRig{world: w, site: at, rng: rand.New(rand.NewPCG(seed, 21)), seed: seed, set: settings.Example(rHosts, rShards)}
 	r.history = ReservationHistory{Persist: r.rng.Float64() < rPersist, Effects: map[uint64][]time.Duration{}}
 	v := r.set.Volumes[5] // of a plan without a limit
@@ -164,7 +164,7 @@
 		}
 	}
 	for i := range rHosts {
-		r.worlds[i] = newCutWorld(r.site.process(fmt.Sprint("h", i)))
+		r.worlds[i] = newPartitionEnvironment(r.site.startProcess(fmt.Sprint("h", i)))
 		if err := r.startHost(i); err != nil {
 			return nil, err
 		}
@@ -187,7 +187,7 @@
 	m := standin.NewMachine(standin.MachineConfig{Cores: 2, QueueLimit: 64, UnitWork: 1, WriteFactor: 1, ColdCapacity: 1, OverloadWindow: 1000, OverloadFactor: 2},
 		r.seed*10+uint64(i), r.cells[i], standin.NewDedupCache(6000), nil, uint32(i), 0, false)
 	d := &standin.DiskServer{Name: fmt.Sprint("d", i), Zone: Halls[i], Rack: fmt.Sprint("d", i), Shard: i}
-	if err := standin.ServeDisk(r.site.process(d.Name), m, d); err != nil {
+	if err := standin.ServeDisk(r.site.startProcess(d.Name), m, d); err != nil {
 		return err
 	}
 	r.mu.Lock()
@@ -249,7 +249,7 @@
 		lasts := time.Duration(50+r.rng.IntN(300)) * time.Millisecond
 		switch r.rng.IntN(5) {
 		case 0, 1: // a link
-			r.worlds[h].off(cutKind(r.rng.IntN(2)), addr)
+			r.worlds[h].partition(partitionKind(r.rng.IntN(2)), addr)
 			env.Sleep(r.world, lasts, stop)
 			r.worlds[h].heal(addr)
 		case 2: // a pause of a host
@@ -380,12 +380,12 @@
 
 // do gives a command so long that only a lost one does not end.
 func (r *reservationRig) do(s *initiator.Client, cdb, out []byte, in int) (iscsi.Result, error) {
-	end := &ending{}
+	end := &completion{}
 	s.Submit(0, cdb, out, in, end.set)
 	if env.Sleep(r.world, 8*time.Second, &end.done) {
 		end.set(iscsi.Result{}, context.DeadlineExceeded)
 	}
-	return end.res, end.err
+	return end.result, end.err
 }
 
 var outAction = map[string]byte{stepRegister: 6, stepUnregister: 6, stepReserve: 1, stepRelease: 2, stepClear: 3, stepPreempt: 4}
@@ -618,7 +618,7 @@
 func ReservationRuns(ctx context.Context, virtual bool, runs, steps, parallel int, out io.Writer, progress io.Writer) (bad int, err error) {
 	said := map[string]int{}
 	effects, total := 0, 0
-	err = overSeeds(1, runs, parallel, progress, func(_ int, seed uint64) (string, func(), error) {
+	err = runSeeds(1, runs, parallel, progress, func(_ int, seed uint64) (string, func(), error) {
 		play := ReservationRun
 		if virtual {
 			play = VirtualReservationRun
--- a/internal/simulation/lab/reservations_test.go
+++ b/internal/simulation/lab/reservations_test.go
@@ -96,7 +96,7 @@
 func quiet(t *testing.T) (*reservationRig, func(who int, kind string, typ byte, whom int, want string)) {
 	t.Helper()
 	w := env.NewReal()
-	r, err := newReservationRig(w, loopback{Environment: w}, 1, false)
+	r, err := newReservationRig(w, loopbackTestbed{Environment: w}, 1, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -190,7 +190,7 @@
 	for _, d := range r.disks {
 		addrs = append(addrs, d.Addr)
 	}
-	r.worlds[0].off(cutHold, addrs...)
+	r.worlds[0].partition(partitionDelay, addrs...)
 	s := r.dial(context.Background(), 0)
 	if s == nil {
 		t.Fatal("no session")
@@ -233,7 +233,7 @@
 	if _, err := s.Do(context.Background(), make([]byte, 6), nil, 0); err != nil { // takes a unit attention, if any
 		t.Fatal(err)
 	}
-	r.worlds[0].off(cutHold, addrs...)
+	r.worlds[0].partition(partitionDelay, addrs...)
 	h := s.Submit(0, []byte{0x5f, 6, 0, 0, 0, 0, 0, 0, 24, 0}, append(make([]byte, 15), 9, 0, 0, 0, 0, 0, 0, 0, 0), 0, func(iscsi.Result, error) {})
 	for r.worlds[0].waiting() == 0 {
 		env.Sleep(r.world, time.Millisecond, nil)
@@ -268,12 +268,12 @@
 }
 
 // waiting is the number of bytes that are held on their way.
-func (w *cutWorld) waiting() (n int) {
+func (w *partitionEnvironment) waiting() (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for c := range w.conns {
 		c.mu.Lock()
-		n += len(c.held)
+		n += len(c.delayed)
 		c.mu.Unlock()
 	}
 	return n
@@ -284,7 +284,7 @@
 func crowd(t *testing.T, n, atOnce int) int {
 	t.Helper()
 	w := env.NewReal()
-	r, err := newReservationRig(w, loopback{Environment: w}, 1, false)
+	r, err := newReservationRig(w, loopbackTestbed{Environment: w}, 1, false)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/lab/routing.go
+++ b/internal/simulation/lab/routing.go
@@ -55,15 +55,15 @@
 
 // routed has clients choose hosts by rendezvous hashing: among those that the router's
 // best routes to the volume's address lead to, or among all, up or down.
-func (c *Crowd) routed(how string) {
+func (c *Clients) routed(how string) {
 	if how == "" {
 		return
 	}
-	c.choose = func(v int) *lane {
-		lanes := c.lanes[v]
+	c.choosePath = func(v int) *clientPath {
+		lanes := c.paths[v]
 		if how == RouteOn {
 			best := c.fleet.Router.BestRoutes(groupPrefix(groupOf(v)))
-			lanes = slices.DeleteFunc(slices.Clone(lanes), func(l *lane) bool {
+			lanes = slices.DeleteFunc(slices.Clone(lanes), func(l *clientPath) bool {
 				for _, r := range best {
 					if r.Host == routerID(l.host) {
 						return false
@@ -91,10 +91,10 @@
 
 // rendezvous picks the lane whose hash with the volume is highest, so that a host that
 // comes or goes moves only its own clients.
-func rendezvous(lanes []*lane) (best *lane) {
+func rendezvous(lanes []*clientPath) (best *clientPath) {
 	high := uint64(0)
 	for _, l := range lanes {
-		if h := xxhash.Sum64String(fmt.Sprintf("%s at %d", l.vol.Name, l.host)); best == nil || h > high {
+		if h := xxhash.Sum64String(fmt.Sprintf("%s at %d", l.volume.Name, l.host)); best == nil || h > high {
 			best, high = l, h
 		}
 	}
@@ -105,10 +105,10 @@
 var RouteShapes = []string{"a hall dark", "hosts killed"}
 
 // hallDark ends a hall's servers and hosts for two fifths of the day.
-func hallDark(d *day, span time.Duration) {
+func hallDark(d *dayRun, span time.Duration) {
 	f := d.fleet
 	hall := Halls[d.opt.Seed%uint64(len(Halls))]
-	f.after(span*3/10, func() {
+	f.afterFunc(span*3/10, func() {
 		for i, k := range f.disks {
 			if k.zone == hall {
 				f.KillDisk(i, span*4/10)
@@ -123,10 +123,10 @@
 }
 
 // hostsKilled ends each host once, one after the other, for a sixth of the day.
-func hostsKilled(d *day, span time.Duration) {
+func hostsKilled(d *dayRun, span time.Duration) {
 	rng := rand.New(rand.NewPCG(d.opt.Seed, 13))
 	for k, i := range rng.Perm(d.opt.Hosts) {
-		d.fleet.after(span*time.Duration(1+2*k)/8, func() { d.fleet.KillHost(i, span/6) })
+		d.fleet.afterFunc(span*time.Duration(1+2*k)/8, func() { d.fleet.KillHost(i, span/6) })
 	}
 }
 
@@ -143,11 +143,11 @@
 // RouteDays plays the days over seeds with announcements on and off.
 func RouteDays(ctx context.Context, opt Options, n, parallel int, progress io.Writer) ([]RouteRow, error) {
 	rows := make([]RouteRow, 2*len(RouteShapes))
-	return rows, overSeeds(len(rows), n, parallel, progress, func(row int, seed uint64) (string, func(), error) {
+	return rows, runSeeds(len(rows), n, parallel, progress, func(row int, seed uint64) (string, func(), error) {
 		o := opt
-		o.Seed, o.Progress, o.Troubles = seed, nil, []string{"none"}
+		o.Seed, o.Progress, o.FaultKinds = seed, nil, []string{"none"}
 		o.Settings = AnnouncedSettings(opt.Hosts, opt.Servers)
-		o.during = []func(*day, time.Duration){hallDark, hostsKilled}[row/2]
+		o.onStart = []func(*dayRun, time.Duration){hallDark, hostsKilled}[row/2]
 		o.Routing = []string{RouteFixed, RouteOn}[row%2]
 		res, err := BadDay(ctx, o)
 		return RouteShapes[row/2] + ", " + o.Routing, func() { rows[row].add(RouteShapes[row/2], o.Routing, seed, res) }, err
@@ -157,15 +157,15 @@
 func (r *RouteRow) add(name, routing string, seed uint64, res *Result) {
 	r.Day, r.Routing = name, routing
 	r.Runs++
-	r.Wanted = append(r.Wanted, res.Wanted)
-	r.Strays, r.Unanswered = r.Strays+res.Strays, r.Unanswered+res.Unanswered
-	for _, x := range res.Check.Stats.ByClass {
+	r.Wanted = append(r.Wanted, res.GoodputWithUnrouted)
+	r.Strays, r.Unanswered = r.Strays+res.Unrouted, r.Unanswered+res.Unanswered
+	for _, x := range res.Checker.Stats.ByClass {
 		r.Refused, r.Failed, r.Asked = r.Refused+x.Refused, r.Failed+x.Failed, r.Asked+x.Issued
 	}
-	r.Asked += res.Strays
+	r.Asked += res.Unrouted
 	if !res.OK() {
 		if r.Bad++; r.FirstBad == "" {
-			r.FirstBad = fmt.Sprintf("seed %d: %s", seed, res.trouble())
+			r.FirstBad = fmt.Sprintf("seed %d: %s", seed, res.failureSummary())
 		}
 	}
 }
--- a/internal/simulation/lab/runs.go
+++ b/internal/simulation/lab/runs.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-type run struct {
+type blockRange struct {
 	lba    uint64
 	blocks uint32
 }
 
-// runs joins neighbouring blocks into runs of at most that many.
-func runs(lbas []uint64, most uint32) (out []run) {
+// mergeBlocks joins neighbouring blocks into mergeBlocks of at most that many.
+func mergeBlocks(lbas []uint64, most uint32) (out []blockRange) {
 	slices.Sort(lbas)
 	for _, l := range slices.Compact(lbas) {
 		if k := len(out) - 1; k >= 0 && out[k].lba+uint64(out[k].blocks) == l && out[k].blocks < most {
 			out[k].blocks++
 		} else {
-			out = append(out, run{l, 1})
+			out = append(out, blockRange{l, 1})
 		}
 	}
 	return out
--- a/internal/simulation/lab/site.go
+++ b/internal/simulation/lab/site.go
@@ -8,59 +8,59 @@
 	"merlinhitch/internal/simulation/world"
 )
 
-// site is where a service runs: on loopback, or in a virtual world. All that differs
+// testbed is where a service runs: on loopback, or in a virtual world. All that differs
 // between the two stands here.
-type site interface {
-	// process is the world as a new program of that name has it.
-	process(name string) env.Environment
-	// crash ends a program where it stands; false if the site can't, and the program
+type testbed interface {
+	// startProcess is the world as a new program of that name has it.
+	startProcess(name string) env.Environment
+	// killProcess ends a program where it stands; false if the site can't, and the program
 	// is to be told to end.
-	crash(w env.Environment, power bool) bool
-	// wire makes an address that leads to target and on which what passes is recorded,
+	killProcess(w env.Environment, power bool) bool
+	// newRelay makes an address that leads to target and on which what passes is recorded,
 	// beside the side that dials or the one that listens.
-	wire(target string, byDialler bool, tap func(addr string) *standin.FrameRecorder) (wire, error)
-	// link gives the way from one program to another a state, by their lasting names.
-	link(from, to string, n world.LinkState)
-	// between is the state of the ways between two regions on a calm day.
-	between() world.LinkState
-	// pace has a new program's clock run at so many times the world's, if the site can.
-	pace(w env.Environment, x float64)
-	// remains tells whether programs stay until they are told to end.
-	remains() bool
-	// admin is where a host serves its admin API, "" where that has no HTTP.
-	admin() string
+	newRelay(target string, byDialler bool, tap func(addr string) *standin.FrameRecorder) (relay, error)
+	// setLink gives the way from one program to another a state, by their lasting names.
+	setLink(from, to string, n world.LinkState)
+	// regionLink is the state of the ways regionLink two regions on a calm day.
+	regionLink() world.LinkState
+	// setClockRate has a new program's clock run at so many times the world's, if the site can.
+	setClockRate(w env.Environment, x float64)
+	// mustStopProcesses tells whether programs stay until they are told to end.
+	mustStopProcesses() bool
+	// adminListen is where a host serves its adminListen API, "" where that has no HTTP.
+	adminListen() string
 }
 
-// wire is an address with a recorder.
-type wire interface {
+// relay is an address with a recorder.
+type relay interface {
 	Address() string
 	// Point has connections from now on go to another address.
 	Point(target string)
 	Close()
 }
 
-// loopback is the site of real sockets. Programs of a service over two regions meet by
+// loopbackTestbed is the site of real sockets. Programs of a service over two regions meet by
 // way of links.
-type loopback struct {
+type loopbackTestbed struct {
 	env.Environment
 	links *standin.Links // nil: sockets as they are
 }
 
-func (l loopback) process(name string) env.Environment {
+func (l loopbackTestbed) startProcess(name string) env.Environment {
 	if l.links == nil {
 		return l.Environment
 	}
 	return l.links.Process(world.StableName(name))
 }
-func (l loopback) link(from, to string, n world.LinkState) {
+func (l loopbackTestbed) setLink(from, to string, n world.LinkState) {
 	l.links.SetState(from, to, standin.LinkState{Delay: n.Delay, Loss: n.Loss, Cut: n.Partitioned})
 }
-func (loopback) between() world.LinkState         { return world.LinkState{} }
-func (loopback) pace(env.Environment, float64)    {}
-func (loopback) crash(env.Environment, bool) bool { return false }
-func (loopback) remains() bool                    { return true }
-func (loopback) admin() string                    { return "127.0.0.1:0" }
-func (l loopback) wire(target string, byDialler bool, tap func(addr string) *standin.FrameRecorder) (wire, error) {
+func (loopbackTestbed) regionLink() world.LinkState            { return world.LinkState{} }
+func (loopbackTestbed) setClockRate(env.Environment, float64)  {}
+func (loopbackTestbed) killProcess(env.Environment, bool) bool { return false }
+func (loopbackTestbed) mustStopProcesses() bool                { return true }
+func (loopbackTestbed) adminListen() string                    { return "127.0.0.1:0" }
+func (l loopbackTestbed) newRelay(target string, byDialler bool, tap func(addr string) *standin.FrameRecorder) (relay, error) {
 	if byDialler && l.links != nil {
 		return l.links.NewVirtualAddress(target, tap), nil
 	}
@@ -71,18 +71,22 @@
 	return r, nil
 }
 
-// virtual is the site in a virtual world.
-type virtual struct{ w *world.World }
+// virtualTestbed is the site in a virtualTestbed world.
+type virtualTestbed struct{ world *world.World }
 
-func (v virtual) link(from, to string, n world.LinkState) { v.w.Link(from, to).SetState(n) }
-func (v virtual) between() world.LinkState {
+func (v virtualTestbed) setLink(from, to string, n world.LinkState) {
+	v.world.Link(from, to).SetState(n)
+}
+func (v virtualTestbed) regionLink() world.LinkState {
 	return world.LinkState{Delay: 3 * time.Millisecond, Jitter: time.Millisecond}
 }
-func (v virtual) pace(w env.Environment, x float64) { w.(*world.Process).SetClockRate(x) }
+func (v virtualTestbed) setClockRate(w env.Environment, x float64) {
+	w.(*world.Process).SetClockRate(x)
+}
 
-func (v virtual) process(name string) env.Environment { return v.w.StartProcess(name) }
+func (v virtualTestbed) startProcess(name string) env.Environment { return v.world.StartProcess(name) }
 
-func (v virtual) crash(w env.Environment, power bool) bool {
+func (v virtualTestbed) killProcess(w env.Environment, power bool) bool {
 	how := world.Crash
 	if power {
 		how = world.HostLoss
@@ -91,21 +95,21 @@
 	return true
 }
 
-func (virtual) remains() bool { return false } // the world ends them
+func (virtualTestbed) mustStopProcesses() bool { return false } // the world ends them
 
-func (virtual) admin() string { return "" }
+func (virtualTestbed) adminListen() string { return "" }
 
-func (v virtual) wire(target string, byDialler bool, tap func(addr string) *standin.FrameRecorder) (wire, error) {
-	a := &virtualWire{w: v.w}
-	a.addr = v.w.Alias(target, byDialler, func() world.Observer { return tap(a.addr) })
+func (v virtualTestbed) newRelay(target string, byDialler bool, tap func(addr string) *standin.FrameRecorder) (relay, error) {
+	a := &virtualRelay{world: v.world}
+	a.addr = v.world.Alias(target, byDialler, func() world.Observer { return tap(a.addr) })
 	return a, nil
 }
 
-type virtualWire struct {
-	w    *world.World
-	addr string
+type virtualRelay struct {
+	world *world.World
+	addr  string
 }
 
-func (a *virtualWire) Address() string     { return a.addr }
-func (a *virtualWire) Point(target string) { a.w.RetargetAlias(a.addr, target) }
-func (a *virtualWire) Close()              {} // ends with its world
+func (a *virtualRelay) Address() string     { return a.addr }
+func (a *virtualRelay) Point(target string) { a.world.RetargetAlias(a.addr, target) }
+func (a *virtualRelay) Close()              {} // ends with its world
--- a/internal/simulation/lab/sweep.go
+++ b/internal/simulation/lab/sweep.go
@@ -13,35 +13,35 @@
 
 // SweepRow is one kind of trouble over its seeds.
 type SweepRow struct {
-	Kind      string
-	Runs      int
-	Bad       int // runs that broke something
-	Commands  int
-	Checks    [8]int
-	Goodputs  []float64
-	FirstBad  string
-	BlocksBad int
+	Kind          string
+	Runs          int
+	FailedRuns    int // runs that broke something
+	Commands      int
+	RuleChecks    [8]int
+	Goodputs      []float64
+	FirstFailure  string
+	InvalidBlocks int
 }
 
 // Sweep plays each kind of trouble alone, then all together and none, over the
 // seeds 1 to n, so many days at once.
 func Sweep(ctx context.Context, opt Options, n, parallel int, progress io.Writer) ([]SweepRow, error) {
-	names := append(Kinds(), "all together", "none")
+	names := append(FaultKinds(), "all together", "none")
 	rows := make([]SweepRow, len(names))
-	return rows, overSeeds(len(rows), n, parallel, progress, func(row int, seed uint64) (string, func(), error) {
+	return rows, runSeeds(len(rows), n, parallel, progress, func(row int, seed uint64) (string, func(), error) {
 		o := opt
-		o.Seed, o.Progress, o.Troubles = seed, nil, []string{names[row]}
+		o.Seed, o.Progress, o.FaultKinds = seed, nil, []string{names[row]}
 		if names[row] == "all together" {
-			o.Troubles = nil
+			o.FaultKinds = nil
 		}
 		res, err := BadDay(ctx, o)
 		return names[row], func() { rows[row].add(names[row], seed, res) }, err
 	})
 }
 
-// overSeeds plays each row with the seeds 1 to n, so many at once. play returns a name
+// runSeeds plays each row with the seeds 1 to n, so many at once. play returns a name
 // for the progress and what enters its result, which is called one at a time.
-func overSeeds(rows, n, parallel int, progress io.Writer, play func(row int, seed uint64) (name string, enter func(), err error)) error {
+func runSeeds(rows, n, parallel int, progress io.Writer, play func(row int, seed uint64) (name string, enter func(), err error)) error {
 	type job struct {
 		row  int
 		seed uint64
@@ -79,18 +79,18 @@
 func (r *SweepRow) add(kind string, seed uint64, res *Result) {
 	r.Kind = kind
 	r.Runs++
-	r.Commands += res.Check.Stats.Commands
-	r.BlocksBad += len(res.Wrong) + res.Missed
-	for i, n := range res.Check.Checks {
-		r.Checks[i] += n
+	r.Commands += res.Checker.Stats.Commands
+	r.InvalidBlocks += len(res.InvalidReads) + res.UnreadBlocks
+	for i, n := range res.Checker.Checks {
+		r.RuleChecks[i] += n
 	}
-	r.Goodputs = append(r.Goodputs, res.Check.Stats.Goodput())
+	r.Goodputs = append(r.Goodputs, res.Checker.Stats.Goodput())
 	if res.OK() {
 		return
 	}
-	r.Bad++
-	if r.FirstBad == "" {
-		r.FirstBad = fmt.Sprintf("seed %d: %s", seed, res.trouble())
+	r.FailedRuns++
+	if r.FirstFailure == "" {
+		r.FirstFailure = fmt.Sprintf("seed %d: %s", seed, res.failureSummary())
 	}
 }
 
@@ -108,10 +108,10 @@
 			continue
 		}
 		slices.Sort(r.Goodputs)
-		fmt.Fprintf(tw, "| %s\t| %d\t| %d\t| %d\t| %.3f\t| %.3f\t| %.3f", r.Kind, r.Runs, r.Bad, r.Commands,
+		fmt.Fprintf(tw, "| %s\t| %d\t| %d\t| %d\t| %.3f\t| %.3f\t| %.3f", r.Kind, r.Runs, r.FailedRuns, r.Commands,
 			r.Goodputs[0], r.Goodputs[len(r.Goodputs)/2], r.Goodputs[len(r.Goodputs)-1])
 		for k := rules.Answers; k <= rules.Budget; k++ {
-			fmt.Fprintf(tw, "\t| %d", r.Checks[k])
+			fmt.Fprintf(tw, "\t| %d", r.RuleChecks[k])
 		}
 		fmt.Fprintln(tw, "\t|")
 	}
@@ -119,8 +119,8 @@
 		return err
 	}
 	for _, r := range rows {
-		if r.FirstBad != "" {
-			fmt.Fprintf(w, "BROKEN with %s: %s\n", r.Kind, r.FirstBad)
+		if r.FirstFailure != "" {
+			fmt.Fprintf(w, "BROKEN with %s: %s\n", r.Kind, r.FirstFailure)
 		}
 	}
 	return nil
--- a/internal/simulation/lab/virtual_test.go
+++ b/internal/simulation/lab/virtual_test.go
@@ -27,16 +27,16 @@
 	}
 }
 
-func played(t *testing.T, s Scene) *Outcome {
+func played(t *testing.T, s Scenario) *Outcome {
 	t.Helper()
-	out, err := s.Play(context.Background(), "")
+	out, err := s.Run(context.Background(), "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	return out
 }
 
-func kept(t *testing.T, s Scene) *Outcome {
+func kept(t *testing.T, s Scenario) *Outcome {
 	t.Helper()
 	out := played(t, s)
 	if out.Failure != nil {
@@ -46,10 +46,10 @@
 }
 
 // passed is the trail of a scene that keeps everything.
-func passed(t *testing.T, s Scene) []trail.Event {
+func passed(t *testing.T, s Scenario) []trail.Event {
 	t.Helper()
 	file := t.TempDir() + "/trail.parquet"
-	out, err := s.Play(context.Background(), file)
+	out, err := s.Run(context.Background(), file)
 	if err != nil || out.Failure != nil {
 		t.Fatal(err, out.Failure)
 	}
@@ -67,12 +67,12 @@
 	var digests []uint64
 	for _, procs := range []int{1, 4, 4} {
 		runtime.GOMAXPROCS(procs)
-		digests = append(digests, kept(t, Draw(1, 3, 9, 12*time.Second, 120, false)).Scene.Digest)
+		digests = append(digests, kept(t, DrawScenario(1, 3, 9, 12*time.Second, 120, false)).Scenario.Digest)
 	}
 	if digests[0] != digests[1] || digests[1] != digests[2] {
 		t.Fatalf("three runs of one seed differ: %x", digests)
 	}
-	if played(t, Draw(2, 3, 9, 12*time.Second, 120, false)).Scene.Digest == digests[0] {
+	if played(t, DrawScenario(2, 3, 9, 12*time.Second, 120, false)).Scenario.Digest == digests[0] {
 		t.Fatal("another seed gives the same run")
 	}
 }
@@ -84,7 +84,7 @@
 func TestSceneIsTheSameInTwoProcesses(t *testing.T) {
 	whole(t)
 	if os.Getenv(digestOf) != "" {
-		os.Stdout.WriteString("digest " + itoa(kept(t, Draw(5, 3, 9, 8*time.Second, 120, true)).Scene.Digest) + "\n")
+		os.Stdout.WriteString("digest " + itoa(kept(t, DrawScenario(5, 3, 9, 8*time.Second, 120, true)).Scenario.Digest) + "\n")
 		return
 	}
 	var said []string
@@ -122,7 +122,7 @@
 		748: "commands that waited for the window never ended when their connection did",
 	}
 	for _, seed := range []uint64{1, 48, 103, 748} {
-		t.Run(scenes[seed], func(t *testing.T) { kept(t, Draw(seed, 3, 9, 60*time.Second, 120, true)) })
+		t.Run(scenes[seed], func(t *testing.T) { kept(t, DrawScenario(seed, 3, 9, 60*time.Second, 120, true)) })
 	}
 	t.Run("a reservation change that others overtook was called a conflict", func(t *testing.T) {
 		for _, seed := range []uint64{371, 661, 1709} {
@@ -138,13 +138,13 @@
 }
 
 // strike is a scene of some troubles at given times, with the load of a calm day.
-func strike(seed uint64, seconds int, list ...Strike) Scene {
+func strike(seed uint64, seconds int, list ...ScheduledFault) Scenario {
 	for i := range list {
 		if list[i].Seed == 0 {
 			list[i].Seed = seed*100 + uint64(i)
 		}
 	}
-	return Scene{Seed: seed, Hosts: 3, Servers: 9, Commands: 120 * seconds, Rate: 120, Script: list}
+	return Scenario{Seed: seed, Hosts: 3, Servers: 9, Commands: 120 * seconds, Rate: 120, Faults: list}
 }
 
 // A hall's servers restart inside the window in which repeats of txn-write are dropped,
@@ -155,10 +155,10 @@
 	again := 0
 	for seed := range uint64(4) {
 		out := kept(t, strike(seed+1, 20,
-			Strike{Kind: "net_late", At: 3 * time.Second, Len: 5 * time.Second},
-			Strike{Kind: "net_torn", At: 3 * time.Second, Len: 5 * time.Second},
-			Strike{Kind: "mass_restart", At: 5 * time.Second, Len: 4 * time.Second}))
-		again += out.Check.Checks[2]
+			ScheduledFault{Kind: "net_late", At: 3 * time.Second, Duration: 5 * time.Second},
+			ScheduledFault{Kind: "net_torn", At: 3 * time.Second, Duration: 5 * time.Second},
+			ScheduledFault{Kind: "mass_restart", At: 5 * time.Second, Duration: 4 * time.Second}))
+		again += out.Checker.Checks[2]
 	}
 	if again == 0 {
 		t.Fatal("nothing was repeated: the case was not caused")
@@ -171,7 +171,7 @@
 	whole(t)
 	late := 0
 	for seed := range uint64(3) {
-		s := strike(seed+1, 15, Strike{Kind: "net_late", At: 2 * time.Second, Len: 8 * time.Second}, Strike{Kind: "net_late", At: 3 * time.Second, Len: 8 * time.Second})
+		s := strike(seed+1, 15, ScheduledFault{Kind: "net_late", At: 2 * time.Second, Duration: 8 * time.Second}, ScheduledFault{Kind: "net_late", At: 3 * time.Second, Duration: 8 * time.Second})
 		late += lateAnswers(passed(t, s))
 	}
 	if late == 0 {
@@ -200,8 +200,8 @@
 func TestHostsEndAsTheirBytesLeave(t *testing.T) {
 	whole(t)
 	for seed := range uint64(4) {
-		s := strike(seed+1, 15, Strike{Kind: "host_torn", At: 2 * time.Second, Len: 4 * time.Second},
-			Strike{Kind: "host_torn", At: 5 * time.Second, Len: 4 * time.Second})
+		s := strike(seed+1, 15, ScheduledFault{Kind: "host_torn", At: 2 * time.Second, Duration: 4 * time.Second},
+			ScheduledFault{Kind: "host_torn", At: 5 * time.Second, Duration: 4 * time.Second})
 		if !slices.ContainsFunc(passed(t, s), func(e trail.Event) bool { return e.Kind == trail.Killed }) {
 			t.Fatal("no host died: the case was not caused")
 		}
@@ -212,10 +212,10 @@
 func TestStalledHostWakesWithEveryTimerDue(t *testing.T) {
 	whole(t)
 	for seed := range uint64(3) {
-		s := strike(seed+1, 25, Strike{Kind: "host_stall", At: 3 * time.Second, Len: 8 * time.Second}, Strike{Kind: "crash", At: 4 * time.Second, Len: 4 * time.Second})
+		s := strike(seed+1, 25, ScheduledFault{Kind: "host_stall", At: 3 * time.Second, Duration: 8 * time.Second}, ScheduledFault{Kind: "crash", At: 4 * time.Second, Duration: 4 * time.Second})
 		out := kept(t, s)
-		if out.Recovery < recovered {
-			t.Fatalf("goodput %.3f after the stall", out.Recovery)
+		if out.RecoveryGoodput < minRecoveryGoodput {
+			t.Fatalf("goodput %.3f after the stall", out.RecoveryGoodput)
 		}
 	}
 }
@@ -225,7 +225,7 @@
 func TestClockJumpsForward(t *testing.T) {
 	whole(t)
 	for seed := range uint64(4) {
-		out := played(t, strike(seed+1, 20, Strike{Kind: "clock_jump", At: 4 * time.Second, Len: time.Second}, Strike{Kind: "clock_jump", At: 9 * time.Second, Len: time.Second}))
+		out := played(t, strike(seed+1, 20, ScheduledFault{Kind: "clock_jump", At: 4 * time.Second, Duration: time.Second}, ScheduledFault{Kind: "clock_jump", At: 9 * time.Second, Duration: time.Second}))
 		if out.Failure != nil && out.Failure.Kind != "rule 2" {
 			t.Fatalf("seed %d: %v", seed+1, out.Failure)
 		}
@@ -261,26 +261,26 @@
 // One scripted day in both places: what does not depend on the machine's time agrees.
 func TestOneDayOnSocketsAndInTheWorld(t *testing.T) {
 	whole(t)
-	opt := Options{Seed: 3, Commands: 600, Rate: 120, Hosts: 3, Servers: 9, Troubles: []string{"none"}}
+	opt := Options{Seed: 3, Commands: 600, Rate: 120, Hosts: 3, Servers: 9, FaultKinds: []string{"none"}}
 	set := func() *settings.Settings { return SmallBlocks(settings.Example(3, 9)) }
 	w := env.NewReal()
-	real, err := playDay(context.Background(), w, loopback{Environment: w}, set(), opt)
+	real, err := runDay(context.Background(), w, loopbackTestbed{Environment: w}, set(), opt)
 	if err != nil {
 		t.Fatal(err)
 	}
 	v := world.New(3)
 	var virt *Result
-	if err := v.Run("lab", sceneMost, func(p *world.Process) { virt, err = playDay(context.Background(), p, virtual{v}, set(), opt) }); err != nil {
+	if err := v.Run("lab", maxScenarioTime, func(p *world.Process) { virt, err = runDay(context.Background(), p, virtualTestbed{v}, set(), opt) }); err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range []*Result{real, virt} {
 		if err != nil || !r.OK() {
-			t.Fatal("a calm day was not kept:", err, r.trouble())
+			t.Fatal("a calm day was not kept:", err, r.failureSummary())
 		}
 	}
 	asked := func(r *Result) map[string]int {
 		out := map[string]int{}
-		for k, row := range r.Check.Stats.ByClass {
+		for k, row := range r.Checker.Stats.ByClass {
 			out[k.Class+" "+k.Plan] = row.Issued
 		}
 		return out
@@ -292,7 +292,7 @@
 			t.Errorf("%s: %d asked on sockets, %d in the world", k, n, b[k])
 		}
 	}
-	if g, h := real.Check.Stats.Goodput(), virt.Check.Stats.Goodput(); g < 0.9 || h < 0.9 {
+	if g, h := real.Checker.Stats.Goodput(), virt.Checker.Stats.Goodput(); g < 0.9 || h < 0.9 {
 		t.Errorf("goodput of a calm day: %.3f on sockets, %.3f in the world", g, h)
 	}
 }
@@ -307,13 +307,13 @@
 		t.Run(name, func(t *testing.T) {
 			faultinject.Activate(name)
 			defer faultinject.Activate("")
-			x := Exploration{First: 1, Seeds: 200, Hosts: 3, Servers: 9, Span: 30 * time.Second, Rate: 300, Swarm: true,
+			x := ExploreOptions{FirstSeed: 1, Seeds: 200, Hosts: 3, Servers: 9, Span: 30 * time.Second, Rate: 300, Swarm: true,
 				Planted: name, Parallel: 4, StopAtFirst: true}
 			switch {
 			case slices.Contains(faultinject.RegionFaults, name):
 				x.Regions, x.Hosts, x.Servers, x.Span, x.Rate = true, 4, 8, time.Minute, 120
 				if name == faultinject.LeaseNoDrift {
-					x.Draw = leaderWithoutHosts
+					x.DrawScenario = leaderWithoutHosts
 				}
 			case name == faultinject.LimitMisread:
 				x.Span *= 2 // a volume must stay above its limit until its burst is spent
@@ -323,10 +323,10 @@
 				t.Fatal(err)
 			}
 			if len(sum.Failures) == 0 {
-				t.Fatalf("not found in %d scenes", sum.Played)
+				t.Fatalf("not found in %d scenes", sum.Runs)
 			}
 			s := sum.Failures[0]
-			if again := played(t, s); again.Scene.Digest != s.Digest || again.Failure == nil || again.Failure.Kind != s.Failure.Kind {
+			if again := played(t, s); again.Scenario.Digest != s.Digest || again.Failure == nil || again.Failure.Kind != s.Failure.Kind {
 				t.Fatalf("played again: %v, was %v", again.Failure, s.Failure)
 			}
 			small, err := s.Shrink(context.Background(), 30, &strings.Builder{})
@@ -337,35 +337,35 @@
 			sane := s
 			sane.Planted, sane.Failure = "", nil
 			kept(t, sane) // it is the fault that fails it
-			t.Logf("seed %d of %d played: %v; %d troubles shrunk to %d, %d commands to %d, %d hosts", s.Seed, sum.Played, s.Failure, len(s.Script),
-				len(small.Script), s.Commands, small.Commands, small.Hosts)
+			t.Logf("seed %d of %d played: %v; %d troubles shrunk to %d, %d commands to %d, %d hosts", s.Seed, sum.Runs, s.Failure, len(s.Faults),
+				len(small.Faults), s.Commands, small.Commands, small.Hosts)
 		})
 	}
 }
 
 // A scene's file is read back as it was; another is refused with a reason.
 func TestSceneFiles(t *testing.T) {
-	s := Draw(rand.Uint64(), 3, 9, time.Minute, 120, true)
+	s := DrawScenario(rand.Uint64(), 3, 9, time.Minute, 120, true)
 	file := t.TempDir() + "/scene.json"
 	if err := s.Save(file); err != nil {
 		t.Fatal(err)
 	}
-	got, err := LoadScene(file)
-	if err != nil || got.Seed != s.Seed || !slices.Equal(got.Script, s.Script) {
+	got, err := LoadScenario(file)
+	if err != nil || got.Seed != s.Seed || !slices.Equal(got.Faults, s.Faults) {
 		t.Fatal("read back:", got, err)
 	}
 	if err := os.WriteFile(file, []byte("{"), 0o666); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := LoadScene(file); err == nil {
+	if _, err := LoadScenario(file); err == nil {
 		t.Fatal("a damaged file was taken")
 	}
-	for _, bad := range []Scene{{Hosts: 0, Servers: 9, Commands: 1, Rate: 1}, {Hosts: 1, Servers: 9, Commands: 1, Rate: 1, Script: []Strike{{Kind: "earthquake"}}},
+	for _, bad := range []Scenario{{Hosts: 0, Servers: 9, Commands: 1, Rate: 1}, {Hosts: 1, Servers: 9, Commands: 1, Rate: 1, Faults: []ScheduledFault{{Kind: "earthquake"}}},
 		{Hosts: 1, Servers: 9, Commands: 1, Rate: 1, Planted: faultinject.HostFaults[0] + "?"}} {
 		if bad.Planted != "" && faultinject.Enabled {
 			continue
 		}
-		if _, err := bad.Play(context.Background(), ""); err == nil {
+		if _, err := bad.Run(context.Background(), ""); err == nil {
 			t.Fatalf("%+v was played", bad)
 		}
 	}
