--- a/internal/control/gateway/command.go
+++ b/internal/control/gateway/command.go
@@ -213,7 +213,7 @@
 // diskEffects maps the effects of classes to those of the disk protocol.
 var diskEffects = map[string]byte{"safe": diskproto.Safe, "keyed": diskproto.Keyed, "unsafe": diskproto.Unsafe}
 
-// abandon aborts the command's jobs. wait, if not nil, is told when no attempt of them can take
+// abandon aborts the command's jobs. wait, if not nil, is notified once no attempt of them can take
 // effect any more. The caller holds conn.mu.
 func (cmd *command) abandon(wait *abortWait) {
 	cmd.conn.frontend.host.post(event{kind: eventRun, run: func(c *core) {
@@ -288,8 +288,8 @@
 	return true
 }
 
-// complete passes the command's response to the connection's responder, or gives it itself if there
-// is none. An aborted command gets no response.
+// complete passes the command's response to the connection's responder. Without one, the host's
+// goroutine sends it. An aborted command gets no response.
 func (cmd *command) complete() {
 	c := cmd.conn
 	c.frontend.releaseMemory(cmd.reservedBytes)
@@ -381,7 +381,7 @@
 	}
 }
 
-// notifyAbort tells a waiting abort that no part can take effect any more.
+// notifyAbort notifies a waiting abort that no part can take effect any more.
 func (cmd *command) notifyAbort() {
 	wait := cmd.abortWait
 	cmd.abortWait = nil
--- a/internal/control/gateway/connpool.go
+++ b/internal/control/gateway/connpool.go
@@ -105,8 +105,8 @@
 	return sc
 }
 
-// probe sends a server a probe. If it has no connection yet, one is dialled, and the handshake
-// stands for the probe.
+// probe sends a server a probe. If it has no established connection, one is dialled if necessary, and
+// the handshake serves as the probe.
 func (p *connPool) probe(addr string) {
 	p.mu.Lock()
 	if p.closed {
@@ -145,9 +145,9 @@
 
 // lastRead returns when the last frame from a server arrived, and whether its connection is
 // established and not retired.
-func (p *connPool) lastRead(addr string) (at time.Duration, open bool) {
-	p.withConn(addr, func(sc *serverConn) { at, open = sc.lastReadAt, sc.established && !sc.closed && !sc.retired })
-	return at, open
+func (p *connPool) lastRead(addr string) (readAt time.Duration, open bool) {
+	p.withConn(addr, func(sc *serverConn) { readAt, open = sc.lastReadAt, sc.established && !sc.closed && !sc.retired })
+	return readAt, open
 }
 
 // usable reports whether the connection takes new attempts, now or once it is established.
--- a/internal/control/gateway/core.go
+++ b/internal/control/gateway/core.go
@@ -43,7 +43,7 @@
 	noNewAttempts   atomic.Bool // ended, for other goroutines: no attempt may begin
 	lastAttempt     *attempt
 	effectDeadline  float64          // an attempt without an answer may take effect until then
-	settled         bool             // its owner was told that no attempt can take effect any more
+	settled         bool             // owner.jobSettled was called
 	generation      uint64           // of the shard's home at the first attempt; 0: not known
 	classCounters   *requestCounters // counters of its class and plan
 	submittedAt     float64
@@ -518,7 +518,7 @@
 	}
 }
 
-// reportNodes passes nodes to the policy; full says that they are all.
+// reportNodes passes nodes to the policy. If full is set, they are the whole list.
 func (h *core) reportNodes(full bool, list []inventory.Node) {
 	nodes := make([]policy.Node, len(list))
 	for i, n := range list {
--- a/internal/control/gateway/gateway.go
+++ b/internal/control/gateway/gateway.go
@@ -167,8 +167,8 @@
 	return g.adminListener.Addr()
 }
 
-// applySettings applies settings. The first start the frontend, later ones apply to commands
-// accepted from then on.
+// applySettings applies a version of the settings. The first one starts the frontend; later ones apply
+// to commands accepted from then on.
 func (g *Gateway) applySettings(s *settings.Settings) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -193,7 +193,7 @@
 // checkSettings returns the faults for which this host rejects new settings.
 func (g *Gateway) checkSettings(_, s *settings.Settings) (faults []settings.Fault) {
 	if g.config.HostIndex >= s.Hosts {
-		faults = append(faults, settings.Fault{Path: "hosts", Reason: fmt.Sprintf("is %d, which does not include this host's number %d", s.Hosts, g.config.HostIndex)})
+		faults = append(faults, settings.Fault{Path: "hosts", Reason: fmt.Sprintf("is %d, which does not include this host's index %d", s.Hosts, g.config.HostIndex)})
 	}
 	if s.Announce != nil && g.config.RouterID == 0 {
 		faults = append(faults, settings.Fault{Path: "announce", Reason: "needs a router identifier, but none is configured on this host"})
@@ -203,7 +203,7 @@
 
 func (g *Gateway) startServing(s *settings.Settings) error {
 	if g.config.HostIndex >= s.Hosts {
-		return errors.New("gateway: this host's number is not below the settings' number of hosts")
+		return errors.New("gateway: this host's index is not below the number of hosts in the settings")
 	}
 	if s.Announce != nil && g.config.RouterID == 0 {
 		return errors.New("gateway: the settings enable announcements, but no router identifier is configured")
--- a/internal/control/gateway/regions.go
+++ b/internal/control/gateway/regions.go
@@ -60,19 +60,19 @@
 
 // regionShare returns the region's share of a limit, reduced by the maximum clock drift, and since
 // when it has been no smaller, ms.
-func (r *regionState) regionShare(now float64, limit int) (share, since float64) {
-	share, since = r.Share(now, limit)
+func (r *regionState) regionShare(now float64, limitIndex int) (share, since float64) {
+	share, since = r.Share(now, limitIndex)
 	return max(share*(1-r.clockDrift), minLimitShare), since
 }
 
 // setLimitShare sets a request's fraction of its plan's limit to the region's share.
 func (r *regionState) setLimitShare(now float64, request *policy.Request) {
-	limit, ok := r.limitIndexes[request.Plan]
+	limitIndex, ok := r.limitIndexes[request.Plan]
 	if !ok {
 		return
 	}
-	r.volumeLimits[request.Volume] = volumeLimit{max(request.Hosts, 1), limit}
-	request.Fraction, request.FractionSince = r.regionShare(now, limit)
+	r.volumeLimits[request.Volume] = volumeLimit{max(request.Hosts, 1), limitIndex}
+	request.Fraction, request.FractionSince = r.regionShare(now, limitIndex)
 }
 
 // applyGrant applies a lease granted by the inventory. The policy is notified if the host had no
--- a/internal/control/gateway/reservations.go
+++ b/internal/control/gateway/reservations.go
@@ -94,17 +94,17 @@
 // startRead starts a read for the current waiters. The caller holds mu.
 func (k *reservationCache) startRead(volume *settings.Volume, entry *volumeReservations) {
 	entry.reading = true
-	latest := 0.0
+	latestExpiry := 0.0
 	for _, w := range entry.waiters {
-		latest = max(latest, w.expires)
+		latestExpiry = max(latestExpiry, w.expires)
 	}
-	k.frontend.accessRecord(volume, diskproto.OpRecord, scsi.Read, nil, 0, latest, func(answer *diskproto.Answer) {
+	k.frontend.accessRecord(volume, diskproto.OpRecord, scsi.Read, nil, 0, latestExpiry, func(answer *diskproto.Answer) {
 		state, err := parseRecord(answer)
 		if err != nil {
 			k.finishRead(volume, nil, err)
 			return
 		}
-		k.update(volume, state, latest, func(err error) { k.finishRead(volume, state, err) })
+		k.update(volume, state, latestExpiry, func(err error) { k.finishRead(volume, state, err) })
 	})
 }
 
@@ -374,7 +374,7 @@
 	}
 }
 
-// notifyAbort tells a waiting abort that the command has ended. It does so on another goroutine,
+// notifyAbort notifies a waiting abort that the command has ended. It does so on another goroutine,
 // since the caller holds conn.mu, which may be the lock of the abort too.
 func (p *reservationCommand) notifyAbort() {
 	if wait := p.abortWait; wait != nil {
@@ -424,8 +424,8 @@
 	p.respond(iscsi.Answer{Data: data[:min(len(data), reservation.Alloc)]})
 }
 
-// tryChange applies the change to a state that was just read and swaps the record. Where an earlier
-// swap has no known result, the state's stamp or unchanged version shows what became of it.
+// tryChange applies the change to a state that was just read and swaps the record. If the result of an
+// earlier swap is unknown, the stamp or the unchanged version of the state shows whether it took effect.
 func (p *reservationCommand) tryChange(state *reserve.State, err error) {
 	if err != nil {
 		p.fail()
--- a/internal/control/scheduler/eventlog.go
+++ b/internal/control/scheduler/eventlog.go
@@ -38,7 +38,7 @@
 	eventClientGone
 	eventDeadlineShortened
 	eventDialled
-	eventAnswered
+	eventReplyReceived
 	eventQuarantineEnded
 	eventNotBegun
 	eventConnBroken
--- a/internal/control/scheduler/serverconn.go
+++ b/internal/control/scheduler/serverconn.go
@@ -54,7 +54,7 @@
 		return
 	}
 	reusable = reusable && err == nil && sc.reader.Buffered() == 0
-	if !p.loop.post(p.loop.now(), eventAnswered, func(at float64) {
+	if !p.loop.post(p.loop.now(), eventReplyReceived, func(at float64) {
 		p.replyReceived(at, sc, a, r, reusable)
 		p.replyBytes.Add(-r.reservedBytes)
 	}) || !reusable {
