--- a/cmd/merlinhitch/serve.go
+++ b/cmd/merlinhitch/serve.go
@@ -143,11 +143,11 @@
 	diskServer := &standin.DiskServer{Name: fmt.Sprintf("d%d", c.Shard), Zone: c.Zone, Rack: fmt.Sprintf("d%d", c.Shard), Shard: c.Shard}
 	if c.Keys != "" {
 		var err error
-		if diskServer.Keys, err = keys.LoadCredentials(c.Keys, time.Now); err != nil {
+		if diskServer.Credentials, err = keys.LoadCredentials(c.Keys, time.Now); err != nil {
 			return err
 		}
 		onSIGHUP(func() {
-			if err := diskServer.Keys.Reload(); err != nil {
+			if err := diskServer.Credentials.Reload(); err != nil {
 				log.Error("keys not reloaded", zap.Error(err))
 			}
 		})
--- a/internal/control/gateway/gateway_test.go
+++ b/internal/control/gateway/gateway_test.go
@@ -57,7 +57,7 @@
 	for i := range h.settings.Shards {
 		shardStore := standin.NewShardStore(func(string) int { return 4096 })
 		machine := standin.NewMachine(fastMachineConfig(), uint64(i), shardStore, standin.NewDedupCache(6000), nil, uint32(i), 0, false)
-		diskServer := &standin.DiskServer{Name: "disk", Zone: "hall-a", Rack: "r", Shard: i, Keys: diskServerKeys}
+		diskServer := &standin.DiskServer{Name: "disk", Zone: "hall-a", Rack: "r", Shard: i, Credentials: diskServerKeys}
 		if err := standin.ServeDisk(h.environment, machine, diskServer); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulation/standin/replicasender.go
+++ b/internal/simulation/standin/copysender.go
@@ -19,39 +19,39 @@
 // where the shard's home is.
 
 const (
-	replicaRedialInterval = 50 * time.Millisecond
-	replicaDialTimeout    = 500 * time.Millisecond
-	replicaBatchSize      = 64 // changes
-	replicaIdleTimeout    = 2 * time.Second
-	copyReportInterval    = 100 * time.Millisecond
-	copyReportTimeout     = 500 * time.Millisecond
+	copyRedialInterval = 50 * time.Millisecond
+	copyDialTimeout    = 500 * time.Millisecond
+	copyBatchSize      = 64 // changes
+	copyIdleTimeout    = 2 * time.Second
+	copyReportInterval = 100 * time.Millisecond
+	copyReportTimeout  = 500 * time.Millisecond
 )
 
 // replicationLoop keeps a connection to the copy open while this server is the shard's home.
 func (d *DiskServer) replicationLoop() {
-	for env.Sleep(d.environment, replicaRedialInterval, &d.stopped) {
+	for env.Sleep(d.environment, copyRedialInterval, &d.stopped) {
 		gen, isHome := d.machine.store.Home()
 		addr := d.Peer()
 		if !isHome || addr == "" {
 			continue
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		conn, err := d.environment.Dial(ctx, "tcp", addr, replicaDialTimeout)
+		conn, err := d.environment.Dial(ctx, "tcp", addr, copyDialTimeout)
 		cancel()
 		if err != nil {
 			continue
 		}
-		if d.Keys != nil {
-			conn = tls.Client(conn, d.Keys.ClientConfig(""))
+		if d.Credentials != nil {
+			conn = tls.Client(conn, d.Credentials.ClientConfig(""))
 		}
-		sender := &replicaSender{server: d, store: d.machine.store, gen: gen, conn: conn, wake: d.environment.NewParker()}
+		sender := &copySender{server: d, store: d.machine.store, gen: gen, conn: conn, wake: d.environment.NewParker()}
 		sender.run()
 		d.machine.store.copyDisconnected(gen)
 	}
 }
 
-// replicaSender replicates changes over one connection to the copy.
-type replicaSender struct {
+// copySender replicates changes over one connection to the copy.
+type copySender struct {
 	server       *DiskServer
 	store        *ShardStore
 	gen          uint64
@@ -62,7 +62,7 @@
 	sentSeq      uint64 // of the last change sent
 }
 
-func (s *replicaSender) run() {
+func (s *copySender) run() {
 	environment := s.server.environment
 	s.writes = writequeue.New(environment, s.conn, diskQueueBytes, diskWriteTimeout)
 	defer s.writes.Wait()
@@ -76,7 +76,7 @@
 		return diskproto.Append(b, diskproto.KindJoin, 0, &diskproto.Join{Shard: uint32(s.server.Shard), Gen: s.gen})
 	})
 	reader := diskproto.NewReader(bufio.NewReaderSize(s.conn, 32<<10))
-	s.conn.SetReadDeadline(environment.Deadline(replicaDialTimeout))
+	s.conn.SetReadDeadline(environment.Deadline(copyDialTimeout))
 	var joined diskproto.Joined
 	for joined.Result == 0 {
 		frame, err := reader.Next()
@@ -107,15 +107,15 @@
 	readEnded.Wait(environment)
 }
 
-func (s *replicaSender) send(change *diskproto.Copy) bool {
+func (s *copySender) send(change *diskproto.Copy) bool {
 	return s.writes.Enqueue(func(b []byte) []byte { return diskproto.Append(b, diskproto.KindCopy, 0, change) })
 }
 
 // sendChanges sends the logged changes until the connection ends, the server stops or this store is
 // no longer the home.
-func (s *replicaSender) sendChanges() {
+func (s *copySender) sendChanges() {
 	for !s.disconnected.Opened() && !s.server.stopped.Opened() {
-		changes, ok := s.store.changesAfter(env.MS(s.server.environment.Now()), s.gen, s.sentSeq, replicaBatchSize)
+		changes, ok := s.store.changesAfter(env.MS(s.server.environment.Now()), s.gen, s.sentSeq, copyBatchSize)
 		if !ok {
 			return
 		}
@@ -132,13 +132,13 @@
 }
 
 // readAcks reads the copy's acknowledgements.
-func (s *replicaSender) readAcks(reader *diskproto.Reader) {
+func (s *copySender) readAcks(reader *diskproto.Reader) {
 	defer s.wake.Unpark()
 	defer s.disconnected.Open()
 	for {
 		// The deadline ends a connection to a copy that cannot be reached. It also ends one on which
 		// there was nothing to replicate; replicationLoop opens another in both cases.
-		s.conn.SetReadDeadline(s.server.environment.Deadline(replicaIdleTimeout))
+		s.conn.SetReadDeadline(s.server.environment.Deadline(copyIdleTimeout))
 		frame, err := reader.Next()
 		if err != nil {
 			return
--- a/internal/simulation/standin/diskserver.go
+++ b/internal/simulation/standin/diskserver.go
@@ -49,8 +49,8 @@
 	// inventory and of the disk server of the same shard in the other region, "" for none.
 	Inventory func() string
 	Peer      func() string
-	// Keys are the server's credentials for TLS; nil for none.
-	Keys *keys.Credentials
+	// Credentials are the server's credentials for TLS; nil for none.
+	Credentials *keys.Credentials
 	// OnOverloadCrash, if set, is called once, on a goroutine of its own, when the server crashes
 	// because it was overloaded while cold.
 	OnOverloadCrash func()
@@ -91,8 +91,8 @@
 		if err != nil {
 			return
 		}
-		if d.Keys != nil {
-			conn = tls.Server(conn, d.Keys.ServerConfig(true))
+		if d.Credentials != nil {
+			conn = tls.Server(conn, d.Credentials.ServerConfig(true))
 		}
 		writes := writequeue.New(d.environment, conn, diskQueueBytes, diskWriteTimeout)
 		if !d.addConn(writes) {
@@ -128,7 +128,7 @@
 		return true
 	}
 	certs := tlsConn.ConnectionState().PeerCertificates
-	return len(certs) > 0 && d.Keys.CheckPeer(certs[0]) == nil
+	return len(certs) > 0 && d.Credentials.CheckPeer(certs[0]) == nil
 }
 
 func (d *DiskServer) serve(conn net.Conn, writes *writequeue.Queue) {
--- a/internal/simulation/standin/framerecorder.go
+++ b/internal/simulation/standin/framerecorder.go
@@ -41,11 +41,11 @@
 
 func newFrameRecorder(recorder *trail.Recorder, parser frameParser) *FrameRecorder {
 	frameRecorder := &FrameRecorder{recorder: recorder, parser: parser, conn: recorder.NextConn()}
-	frameRecorder.add(trail.Event{Kind: trail.Open, Dir: trail.Up})
+	frameRecorder.addEvent(trail.Event{Kind: trail.Open, Dir: trail.Up})
 	return frameRecorder
 }
 
-func (r *FrameRecorder) add(event trail.Event) {
+func (r *FrameRecorder) addEvent(event trail.Event) {
 	event.Conn = r.conn
 	r.parser.setEndpoints(&event)
 	r.recorder.Add(event)
@@ -81,11 +81,11 @@
 	defer r.mu.Unlock()
 	if !r.closed {
 		r.closed = true
-		r.add(trail.Event{Kind: trail.Close, Dir: dir(up)})
+		r.addEvent(trail.Event{Kind: trail.Close, Dir: direction(up)})
 	}
 }
 
-func dir(up bool) string {
+func direction(up bool) string {
 	if up {
 		return trail.Up
 	}
@@ -97,15 +97,15 @@
 	for len(b) > 0 {
 		length := r.parser.frameLength(up, b)
 		if length < 0 || length == 0 && len(b) > maxFrameBytes {
-			r.add(trail.Event{Kind: trail.Malformed, Dir: dir(up), Bytes: int64(len(b))})
+			r.addEvent(trail.Event{Kind: trail.Malformed, Dir: direction(up), Bytes: int64(len(b))})
 			return nil
 		}
 		if length == 0 {
 			return b
 		}
 		for _, event := range r.parser.events(up, b[:length]) {
-			event.Dir, event.Bytes = dir(up), int64(length)
-			r.add(event)
+			event.Dir, event.Bytes = direction(up), int64(length)
+			r.addEvent(event)
 		}
 		b = b[length:]
 	}
--- a/internal/simulation/standin/http.go
+++ b/internal/simulation/standin/http.go
@@ -90,7 +90,7 @@
 
 	// Guarded by connServer.mu.
 	initialLine string // the first line of every watch
-	watches     []net.Conn
+	watchers    []net.Conn
 	targets     []string
 }
 
@@ -115,7 +115,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.targets = append(h.targets, request.Target)
-	h.watches = append(h.watches, conn)
+	h.watchers = append(h.watchers, conn)
 	conn.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
 	conn.Write(encodeChunk(h.initialLine + "\n"))
 }
@@ -130,7 +130,7 @@
 func (h *HTTPDiscovery) Broadcast(line string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, conn := range h.watches {
+	for _, conn := range h.watchers {
 		conn.Write(encodeChunk(line[:len(line)/2]))
 		conn.Write(encodeChunk(line[len(line)/2:] + "\n"))
 	}
--- a/internal/simulation/standin/immediatediskserver.go
+++ b/internal/simulation/standin/immediatediskserver.go
@@ -18,15 +18,15 @@
 	block []byte
 }
 
-// ServeImmediateDiskServer starts a server that answers with blockBytes bytes; without serverKeys it
+// ServeImmediateDiskServer starts a server that answers with blockBytes bytes; without credentials it
 // does not use TLS.
-func ServeImmediateDiskServer(environment env.Environment, blockBytes int, serverKeys *keys.Credentials) (*ImmediateDiskServer, error) {
+func ServeImmediateDiskServer(environment env.Environment, blockBytes int, credentials *keys.Credentials) (*ImmediateDiskServer, error) {
 	listener, err := environment.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	if serverKeys != nil {
-		listener = tls.NewListener(listener, serverKeys.ServerConfig(true))
+	if credentials != nil {
+		listener = tls.NewListener(listener, credentials.ServerConfig(true))
 	}
 	server := &ImmediateDiskServer{block: make([]byte, blockBytes)}
 	server.start(environment, listener, server.serve)
--- a/internal/simulation/standin/machine_test.go
+++ b/internal/simulation/standin/machine_test.go
@@ -8,10 +8,10 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-func testMachine(edit func(*MachineConfig), cold bool) (*Machine, *ShardStore, *DedupCache) {
+func testMachine(editConfig func(*MachineConfig), cold bool) (*Machine, *ShardStore, *DedupCache) {
 	cfg := MachineConfig{Cores: 1, QueueLimit: 4, UnitWork: 10, WriteFactor: 1, ColdCapacity: 0.2, WarmUpTime: 10000, OverloadFactor: 2, OverloadWindow: 1000, ColdUnits: 5}
-	if edit != nil {
-		edit(&cfg)
+	if editConfig != nil {
+		editConfig(&cfg)
 	}
 	store, dedup := NewShardStore(func(string) int { return 512 }), NewDedupCache(6000)
 	return NewMachine(cfg, 1, store, dedup, nil, 3, 1000, cold), store, dedup
@@ -66,7 +66,7 @@
 }
 
 // A request that has not started by its deadline is never executed.
-func TestDeadlineBoundsTheEffect(t *testing.T) {
+func TestNoExecutionAfterDeadline(t *testing.T) {
 	machine, store, _ := testMachine(nil, false)
 	arrive(machine, 1000, diskproto.Do{Op: byte(scsi.Read), Blocks: 1})
 	request := keyedWrite(1, 7)
@@ -155,8 +155,8 @@
 }
 
 func TestMachineFaults(t *testing.T) {
-	measureLatency := func(edit func(*MachineConfig), faults MachineFaults) float64 {
-		machine, _, _ := testMachine(edit, false)
+	measureLatency := func(editConfig func(*MachineConfig), faults MachineFaults) float64 {
+		machine, _, _ := testMachine(editConfig, false)
 		machine.SetFaults(1000, faults)
 		answer := arrive(machine, 1000, diskproto.Do{Op: byte(scsi.Read)})
 		for now := 1000.0; now < 3000; now++ {
--- a/internal/simulation/standin/replication_test.go
+++ b/internal/simulation/standin/replication_test.go
@@ -51,19 +51,19 @@
 
 // replicate sends a pending snapshot and up to n changes to the copy.
 func (p *storePair) replicate(t *testing.T, n int) {
-	home, replica := p.stores[p.home], p.stores[1-p.home]
+	homeStore, copyStore := p.stores[p.home], p.stores[1-p.home]
 	changes := p.snapshot
 	p.snapshot = nil
-	if logged, ok := home.changesAfter(0, p.gen, p.sentSeq, n); ok {
+	if logged, ok := homeStore.changesAfter(0, p.gen, p.sentSeq, n); ok {
 		changes = append(changes, logged...)
 	}
 	for i := range changes {
-		ack := replica.receiveChange(0, p.gen, &changes[i])
+		ack := copyStore.receiveChange(0, p.gen, &changes[i])
 		if ack.Result != diskproto.OK {
 			t.Fatal("copy refused a change:", ack.Result)
 		}
 		if !changes[i].Part {
-			home.acknowledgeCopied(p.gen, ack.At.Seq)
+			homeStore.acknowledgeCopied(p.gen, ack.At.Seq)
 			p.sentSeq = max(p.sentSeq, changes[i].At.Seq)
 		}
 	}
@@ -87,7 +87,7 @@
 		pair := newStorePair()
 		answered := map[uint64]string{} // the last write of a block that was answered as copied
 		for range 600 {
-			home := pair.stores[pair.home]
+			homeStore := pair.stores[pair.home]
 			switch rng.IntN(12) {
 			default:
 				lba, text := uint64(rng.IntN(20)), fmt.Sprintf("%08d", rng.IntN(1e8))
@@ -95,13 +95,13 @@
 				if rng.IntN(9) == 0 {
 					request = &diskproto.Do{Op: diskproto.OpFence, Volume: "w", Fence: rng.Uint64N(99), Gen: pair.gen, Copied: true}
 				}
-				result, _, requiredSeq := home.apply(0, request)
-				if result != diskproto.OK || requiredSeq != home.lastSeq() && request.Op == byte(scsi.Write) {
+				result, _, requiredSeq := homeStore.apply(0, request)
+				if result != diskproto.OK || requiredSeq != homeStore.lastSeq() && request.Op == byte(scsi.Write) {
 					t.Fatal(result, requiredSeq)
 				}
 				if request.Op == byte(scsi.Write) {
 					delete(answered, lba)
-					if home.replyWhenCopied(0, requiredSeq, func() { answered[lba] = text }) {
+					if homeStore.replyWhenCopied(0, requiredSeq, func() { answered[lba] = text }) {
 						answered[lba] = text
 					}
 				}
