--- a/internal/control/settings/api.go
+++ b/internal/control/settings/api.go
@@ -22,13 +22,13 @@
 // ?merge=1 to merge them with changes accepted since and ?why= for the audit log. A stale
 // version is answered with 409, faulty settings with 422 and the list of faults. GET
 // /settings/log, /settings/at, /settings/diff and /settings/verify and POST
-// /settings/revert use the audit log. by returns the author of a request and clock the
+// /settings/revert use the audit log. authorOf returns the author of a request and now the
 // wall clock in ms since 1970. No answer contains a secret.
-func Handler(st *Store, by func(*http.Request) Author, now func() int64) http.Handler {
-	h := &handler{st, by, now}
+func Handler(store *Store, authorOf func(*http.Request) Author, now func() int64) http.Handler {
+	h := &handler{store, authorOf, now}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /settings", func(w http.ResponseWriter, r *http.Request) {
-		s := st.Get()
+		s := store.Get()
 		if s == nil {
 			WriteJSON(w, http.StatusNotFound, errorResponse{Error: "no settings yet"})
 			return
@@ -45,14 +45,14 @@
 }
 
 type handler struct {
-	store *Store
-	by    func(*http.Request) Author
-	clock func() int64
+	store    *Store
+	authorOf func(*http.Request) Author
+	now      func() int64
 }
 
 func (h *handler) author(r *http.Request) Author {
-	a := h.by(r)
-	a.Why, a.TimeMS = r.URL.Query().Get("why"), h.clock()
+	a := h.authorOf(r)
+	a.Why, a.TimeMS = r.URL.Query().Get("why"), h.now()
 	return a
 }
 
@@ -65,14 +65,14 @@
 }
 
 // queryUint returns a numeric parameter of the query, none if it is absent.
-func queryUint(r *http.Request, name string, none uint64) (uint64, error) {
-	t := r.URL.Query().Get(name)
-	if t == "" {
-		return none, nil
+func queryUint(r *http.Request, name string, absent uint64) (uint64, error) {
+	text := r.URL.Query().Get(name)
+	if text == "" {
+		return absent, nil
 	}
-	n, err := strconv.ParseUint(t, 10, 64)
+	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, &FaultsError{[]Fault{{name, fmt.Sprintf("%.40q is not a number", t)}}}
+		return 0, &FaultsError{[]Fault{{name, fmt.Sprintf("%.40q is not a number", text)}}}
 	}
 	return n, nil
 }
@@ -91,11 +91,11 @@
 
 func (h *handler) log(w http.ResponseWriter, r *http.Request) {
 	from, err := queryUint(r, "from", 1)
-	var list []*audit.Record
+	var records []*audit.Record
 	if err == nil {
-		list, err = h.store.Log(from, maxLogRecords)
+		records, err = h.store.Log(from, maxLogRecords)
 	}
-	writeResult(w, err, func() any { return list })
+	writeResult(w, err, func() any { return records })
 }
 
 func (h *handler) at(w http.ResponseWriter, r *http.Request) {
@@ -147,7 +147,7 @@
 }
 
 // writeResult writes the value of a successful call, or an error with its HTTP status.
-func writeResult(w http.ResponseWriter, err error, good func() any) {
+func writeResult(w http.ResponseWriter, err error, value func() any) {
 	var faults *FaultsError
 	var stale *StaleError
 	var unknown *UnknownVersionError
@@ -167,7 +167,7 @@
 	case err != nil:
 		WriteJSON(w, http.StatusInternalServerError, errorResponse{Error: err.Error()})
 	default:
-		WriteJSON(w, http.StatusOK, good())
+		WriteJSON(w, http.StatusOK, value())
 	}
 }
 
@@ -223,28 +223,28 @@
 	Merge bool   // merge with changes accepted since, if nothing collides
 }
 
-func (k ChangeOptions) query() string {
-	q := url.Values{"why": {k.Why}, "who": {k.Who}}
-	if k.Merge {
-		q.Set("merge", "1")
+func (o ChangeOptions) query() string {
+	values := url.Values{"why": {o.Why}, "who": {o.Who}}
+	if o.Merge {
+		values.Set("merge", "1")
 	}
-	return "?" + q.Encode()
+	return "?" + values.Encode()
 }
 
 // Put submits settings and returns them as they are in force.
-func (a *API) Put(ctx context.Context, s *Settings, ask ChangeOptions) (*Settings, error) {
+func (a *API) Put(ctx context.Context, s *Settings, opt ChangeOptions) (*Settings, error) {
 	b, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
-	now := &Settings{}
-	return now, a.call(ctx, http.MethodPut, "/settings"+ask.query(), b, now)
+	accepted := &Settings{}
+	return accepted, a.call(ctx, http.MethodPut, "/settings"+opt.query(), b, accepted)
 }
 
 // Revert puts the settings of a former version in force again and returns them.
-func (a *API) Revert(ctx context.Context, to uint64, ask ChangeOptions) (*Settings, error) {
-	now := &Settings{}
-	return now, a.call(ctx, http.MethodPost, fmt.Sprintf("/settings/revert%s&to=%d", ask.query(), to), nil, now)
+func (a *API) Revert(ctx context.Context, to uint64, opt ChangeOptions) (*Settings, error) {
+	accepted := &Settings{}
+	return accepted, a.call(ctx, http.MethodPost, fmt.Sprintf("/settings/revert%s&to=%d", opt.query(), to), nil, accepted)
 }
 
 // Read decodes another resource of the API, such as /rates, into a value.
@@ -254,8 +254,8 @@
 
 // Call posts to a path of the API that takes no body.
 func (a *API) Call(ctx context.Context, path string) error {
-	var said map[string]string
-	return a.call(ctx, http.MethodPost, path, nil, &said)
+	var reply map[string]string
+	return a.call(ctx, http.MethodPost, path, nil, &reply)
 }
 
 // Close closes idle connections.
--- a/internal/control/settings/disk_test.go
+++ b/internal/control/settings/disk_test.go
@@ -15,8 +15,7 @@
 	"merlinhitch/internal/storage/durable"
 )
 
-// failingLog is a record whose disk fails at the next append: before the record is on it, or
-// after.
+// failingLog is an audit log whose appends fail, before the record is written or after it.
 type failingLog struct {
 	recordLog
 	written bool
@@ -31,24 +30,23 @@
 	return &audit.DoubtError{Err: syscall.EIO}
 }
 
-// An append that fails on its way to the disk is not acknowledged. Once the disk works the
-// record says whether the change stands; either way the store goes on, and a start finds all
-// that was acknowledged.
+// A change whose append fails is not accepted. Once the disk works again it is in force if its
+// record was written; either way the store goes on and no accepted change is lost.
 func TestFailedAppend(t *testing.T) {
-	for name, stands := range map[string]bool{"the change stands": true, "it does not": false} {
+	for name, stands := range map[string]bool{"the record is written": true, "it is not": false} {
 		file := filepath.Join(t.TempDir(), "settings")
 		st := openStore(t, file, nil)
 		if _, err := st.Put(Example(3, 9)); err != nil {
 			t.Fatal(err)
 		}
-		var told []uint64
-		st.Watch(func(s *Settings) { told = append(told, s.Version) })
+		var versions []uint64
+		st.Watch(func(s *Settings) { versions = append(versions, s.Version) })
 		st.records = &failingLog{st.records, stands}
-		inDoubt := *st.Get()
-		inDoubt.Plans = append([]Plan(nil), inDoubt.Plans...)
-		inDoubt.Plans[0].Limit = 71
-		if _, err := st.Put(&inDoubt); !errors.Is(err, syscall.EIO) || st.Get().Version != 1 || st.PersistError() == nil || len(told) > 0 {
-			t.Fatalf("%s: %v, version %d, %v, told %v", name, err, st.Get().Version, st.PersistError(), told)
+		uncertain := *st.Get()
+		uncertain.Plans = append([]Plan(nil), uncertain.Plans...)
+		uncertain.Plans[0].Limit = 71
+		if _, err := st.Put(&uncertain); !errors.Is(err, syscall.EIO) || st.Get().Version != 1 || st.PersistError() == nil || len(versions) > 0 {
+			t.Fatalf("%s: %v, version %d, persist error %v, watcher got versions %v", name, err, st.Get().Version, st.PersistError(), versions)
 		}
 		next := *st.Get()
 		next.Plans = append([]Plan(nil), next.Plans...)
@@ -57,30 +55,30 @@
 		if _, err := st.Put(&next); stands != errors.As(err, &stale) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if stands { // it came into force, and the change after it is made from there
+		if stands { // the change came into force, and the next one is made from it
 			if st.Get().Version != 2 || st.Get().Plans[0].Limit != 71 {
 				t.Errorf("%s: version %d, limit %v", name, st.Get().Version, st.Get().Plans[0].Limit)
 			}
 			mustChange(t, st, func(s *Settings) { s.Plans[0].Limit = 72 })
 		}
 		want := st.Get()
-		if len(told) != int(want.Version)-1 || want.Plans[0].Limit != 72 || st.PersistError() != nil {
-			t.Errorf("%s: told %v, limit %v, %v", name, told, want.Plans[0].Limit, st.PersistError())
+		if len(versions) != int(want.Version)-1 || want.Plans[0].Limit != 72 || st.PersistError() != nil {
+			t.Errorf("%s: watcher got versions %v, limit %v, persist error %v", name, versions, want.Plans[0].Limit, st.PersistError())
 		}
 		if _, err := st.Verify(); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		st.Close()
 		if got := openStore(t, file, nil).Get(); got.Version != want.Version || got.Plans[0].Limit != 72 {
-			t.Errorf("%s: a start finds version %d, limit %v", name, got.Version, got.Plans[0].Limit)
+			t.Errorf("%s: reopened with version %d, limit %v", name, got.Version, got.Plans[0].Limit)
 		}
 	}
 }
 
 const fullDiskEnv = "SETTINGS_TEST_FULL_DISK"
 
-// A disk that is full for a while, here by the largest size of a file: what can't be written
-// is refused, also again, and once there is room changes are taken without a start between.
+// While the disk is full, which a limit on file size stands for, changes are refused; once
+// there is room they are accepted again without a restart. Runs in a process of its own.
 func TestFullDisk(t *testing.T) {
 	if file := os.Getenv(fullDiskEnv); file != "" {
 		runOnFullDisk(t, file)
@@ -89,15 +87,15 @@
 	file := filepath.Join(t.TempDir(), "settings")
 	cmd := exec.Command(os.Args[0], "-test.run=^TestFullDisk$", "-test.v")
 	cmd.Env = append(os.Environ(), fullDiskEnv+"="+file)
-	if out, err := cmd.CombinedOutput(); err != nil || !bytes.Contains(out, []byte("went on")) {
+	if out, err := cmd.CombinedOutput(); err != nil || !bytes.Contains(out, []byte("continued")) {
 		t.Fatalf("%v\n%s", err, out)
 	}
 }
 
 func runOnFullDisk(t *testing.T, file string) {
 	signal.Ignore(syscall.SIGXFSZ)
-	size := func(most uint64) {
-		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: most, Max: 1 << 30}); err != nil {
+	limitFileSize := func(bytes uint64) {
+		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: bytes, Max: 1 << 30}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -105,7 +103,7 @@
 	if _, err := st.Put(Example(3, 9)); err != nil {
 		t.Fatal(err)
 	}
-	first, err := os.ReadFile(file)
+	firstSnapshot, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,24 +114,24 @@
 		_, err := st.Change(&s, Author{Who: "ines", Why: strings.Repeat("w", audit.MaxText), TimeMS: 1}, false)
 		return err
 	}
-	size(120 << 10)
+	limitFileSize(120 << 10)
 	acknowledged, refused := st.Get().Version, 0
-	for n := 0; n < 200 && refused < 5; n++ {
-		if change(float64(50+n)) != nil {
+	for i := 0; i < 200 && refused < 5; i++ {
+		if change(float64(50+i)) != nil {
 			refused++
 		} else if refused == 0 {
 			acknowledged++
 		}
 		if refused > 0 && st.Get().Version < acknowledged {
-			t.Fatal("an acknowledged change is gone")
+			t.Fatal("an accepted change is lost")
 		}
 	}
 	if refused == 0 {
-		t.Fatal("never full")
+		t.Fatal("no change was refused: the disk was never full")
 	}
-	size(1 << 30)
+	limitFileSize(1 << 30)
 	inForce := st.Get().Version
-	if err := change(7); err != nil { // one in doubt may stand: the change is made from it then
+	if err := change(7); err != nil { // the last refused change may be in force: then the next is made from it
 		var stale *StaleError
 		if !errors.As(err, &stale) {
 			t.Fatal(err)
@@ -144,26 +142,26 @@
 	}
 	want := st.Get()
 	if _, err := st.Verify(); err != nil || want.Version <= inForce || st.PersistError() != nil {
-		t.Errorf("%v, version %d after %d, %v", err, want.Version, inForce, st.PersistError())
+		t.Errorf("%v, version %d after %d, persist error %v", err, want.Version, inForce, st.PersistError())
 	}
 	st.Close()
-	again := openStore(t, file, nil)
-	if got := again.Get(); got.Version != want.Version || got.Plans[0].Limit != 7 {
-		t.Errorf("a start finds version %d of %d", got.Version, want.Version)
+	reopened := openStore(t, file, nil)
+	if got := reopened.Get(); got.Version != want.Version || got.Plans[0].Limit != 7 {
+		t.Errorf("reopened with version %d, want %d", got.Version, want.Version)
 	}
-	again.Close()
-	if err := os.WriteFile(file, first, 0o600); err != nil {
+	reopened.Close()
+	if err := os.WriteFile(file, firstSnapshot, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	size(1) // a start whose disk takes nothing has what the record says in force
+	limitFileSize(1) // on a full disk, Open still puts the audit log's last version in force
 	if st, err := Open(file, nil); err != nil || st.Get().Version != want.Version || st.PersistError() == nil {
-		t.Errorf("a start on a full disk: %v", err)
+		t.Errorf("open on a full disk: %v", err)
 	}
-	t.Logf("refused %d, went on", refused)
+	t.Logf("refused %d, continued", refused)
 }
 
-// A start after a kill in the midst of a snapshot: the record has what it was to hold, and what
-// the kill left is removed.
+// Open after a kill during a snapshot write takes the change from the audit log and removes
+// the temporary file.
 func TestOpenAfterKillDuringSnapshot(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings")
 	st := openStore(t, file, nil)
@@ -176,17 +174,17 @@
 	}
 	mustChange(t, st, func(s *Settings) { s.Plans[0].Limit = 44 })
 	st.Close()
-	half := file + "-1" + durable.TempSuffix // of a kill in the midst of a write
-	for name, b := range map[string][]byte{file: old, half: old[:20]} {
+	temp := file + "-1" + durable.TempSuffix // left by a kill during a write
+	for name, b := range map[string][]byte{file: old, temp: old[:20]} {
 		if err := os.WriteFile(name, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	got := openStore(t, file, nil)
 	if got.Get().Plans[0].Limit != 44 || got.PersistError() != nil {
-		t.Errorf("limit %v, %v", got.Get().Plans[0].Limit, got.PersistError())
+		t.Errorf("limit %v, persist error %v", got.Get().Plans[0].Limit, got.PersistError())
 	}
-	if _, err := os.Stat(half); !errors.Is(err, os.ErrNotExist) {
-		t.Error("a half-written snapshot was left:", err)
+	if _, err := os.Stat(temp); !errors.Is(err, os.ErrNotExist) {
+		t.Error("the temporary snapshot was not removed:", err)
 	}
 }
--- a/internal/control/settings/ledger.go
+++ b/internal/control/settings/ledger.go
@@ -31,12 +31,12 @@
 
 // checkAllowed returns a *ForbiddenError if a change is at, below or above a read-only path.
 // One above it counts if it adds or removes an object that has the path's field.
-func (by *Author) checkAllowed(changes []audit.Change) error {
+func (a *Author) checkAllowed(changes []audit.Change) error {
 	for _, c := range changes {
-		for _, p := range by.ReadOnlyPaths {
-			below, above := strings.CutPrefix(p, c.Path+".")
-			if strings.HasPrefix(c.Path, p) || above && (hasField(c.Old, below) || hasField(c.New, below)) {
-				return &ForbiddenError{by.Who, p}
+		for _, p := range a.ReadOnlyPaths {
+			field, isAbove := strings.CutPrefix(p, c.Path+".")
+			if strings.HasPrefix(c.Path, p) || isAbove && (hasField(c.Old, field) || hasField(c.New, field)) {
+				return &ForbiddenError{a.Who, p}
 			}
 		}
 	}
@@ -98,13 +98,13 @@
 	if err != nil && !errors.Is(err, ErrNoSnapshot) {
 		return nil, err
 	}
-	kept, err := audit.OpenStore(file + auditSuffix)
+	records, err := audit.OpenStore(file + auditSuffix)
 	if err != nil {
 		return nil, err
 	}
-	st.records = kept
+	st.records = records
 	if st.current, err = st.catchUp(s); err != nil {
-		kept.Close()
+		records.Close()
 		return nil, err
 	}
 	if err := durable.RemoveTemp(file); err != nil && st.snapshotErr == nil {
@@ -123,29 +123,29 @@
 		return nil
 	}
 	st.records.Close()
-	rewritten := audit.Rewrite(st.file + auditSuffix)
+	rewriteErr := audit.Rewrite(st.file + auditSuffix)
 	if err := st.reopen(); err != nil { // also after an error, so that the log can be read
 		return err
 	}
-	if rewritten != nil {
-		return fmt.Errorf("settings: audit log can't be rewritten: %w", rewritten)
+	if rewriteErr != nil {
+		return fmt.Errorf("settings: audit log can't be rewritten: %w", rewriteErr)
 	}
-	before := st.version()
-	now, err := st.catchUp(st.current)
+	oldVersion := st.version()
+	updated, err := st.catchUp(st.current)
 	if err != nil {
 		return err
 	}
 	st.appendErr = nil
-	if now.version() != before {
-		st.activate(now)
+	if updated.version() != oldVersion {
+		st.activate(updated)
 	}
 	return nil
 }
 
 func (st *Store) reopen() error {
-	kept, err := audit.OpenStore(st.file + auditSuffix)
+	records, err := audit.OpenStore(st.file + auditSuffix)
 	if err == nil {
-		st.records = kept
+		st.records = records
 	}
 	return err
 }
@@ -191,19 +191,19 @@
 	if err != nil {
 		return nil, err
 	}
-	var last audit.Hash
+	var state audit.Hash
 	err = st.records.Each(1, func(r *audit.Record) error {
 		if r.From < version {
 			return nil
 		}
-		last = r.State
+		state = r.State
 		tree, err = audit.Apply(ListKeys, tree, r.Changes)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	if audit.StateHash(tree) != last {
+	if audit.StateHash(tree) != state {
 		return nil, &DamagedError{st.file, "with its audit log applied it differs from the recorded state"}
 	}
 	if s, err = fromTree(tree, end.Version, st.key); err != nil {
@@ -253,7 +253,7 @@
 		sizes[old.Volumes[i].Name] = old.Volumes[i].BlockSize
 	}
 	for i := range s.Volumes {
-		if size, had := sizes[s.Volumes[i].Name]; had && size != s.Volumes[i].BlockSize {
+		if size, found := sizes[s.Volumes[i].Name]; found && size != s.Volumes[i].BlockSize {
 			out = append(out, Fault{fmt.Sprintf("volumes[%d].block_size", i), "can't change: create another volume"})
 		}
 	}
@@ -278,7 +278,7 @@
 // the first). When it returns without an error, their audit record is stored. If another
 // change was accepted since that version, it returns a *StaleError, unless merge is set and
 // the two changes don't collide.
-func (st *Store) Change(s *Settings, by Author, merge bool) (*Settings, error) {
+func (st *Store) Change(s *Settings, author Author, merge bool) (*Settings, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
@@ -294,14 +294,14 @@
 		}
 		s = merged
 	}
-	return st.commit(s, by)
+	return st.commit(s, author)
 }
 
 func (st *Store) version() uint64 { return st.current.version() }
 
 // commit checks settings, stores their audit record, puts them in force and saves the
 // snapshot. The caller must hold mu.
-func (st *Store) commit(s *Settings, by Author) (*Settings, error) {
+func (st *Store) commit(s *Settings, author Author) (*Settings, error) {
 	next := s.fillPlaceholders(st.current)
 	if err := next.checkComplete(); err != nil {
 		return nil, err
@@ -325,9 +325,9 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &audit.Record{At: by.TimeMS, From: st.version(), Version: next.Version, Who: by.Who, Why: by.Why,
+	r := &audit.Record{At: author.TimeMS, From: st.version(), Version: next.Version, Who: author.Who, Why: author.Why,
 		Changes: audit.Diff(ListKeys, old, tree), State: audit.StateHash(tree)}
-	if err := by.checkAllowed(r.Changes); err != nil {
+	if err := author.checkAllowed(r.Changes); err != nil {
 		return nil, err
 	}
 	if err := st.records.Append(r); err != nil {
@@ -354,14 +354,14 @@
 
 // checkComplete checks settings in which no secret may be a placeholder.
 func (s *Settings) checkComplete() error {
-	_, at := s.cloneSecrets()
+	_, secrets := s.cloneSecrets()
 	c := &checker{}
-	for i, x := range at {
+	for i, chap := range secrets {
 		path := fmt.Sprintf("target.chap[%d].secret", i)
 		if i >= len(s.Target.Chap) {
 			path = "target.mutual.secret"
 		}
-		c.failIf(x.Secret == SecretPlaceholder, path, "there is no stored secret of %.70q to keep", x.User)
+		c.failIf(chap.Secret == SecretPlaceholder, path, "there is no stored secret of %.70q to keep", chap.User)
 	}
 	if len(c.faults) > 0 {
 		return &FaultsError{c.faults}
@@ -377,11 +377,11 @@
 	if err != nil {
 		return stale, nil
 	}
-	was, err := fromTree(base, s.Version, st.key)
+	baseSettings, err := fromTree(base, s.Version, st.key)
 	if err != nil {
 		return stale, nil
 	}
-	mine, err := s.fillPlaceholders(was).tree(st.key)
+	mine, err := s.fillPlaceholders(baseSettings).tree(st.key)
 	if err != nil {
 		return stale, nil
 	}
@@ -416,23 +416,23 @@
 	if err != nil || version == st.version() {
 		return tree, err
 	}
-	var back []*audit.Record
-	first := st.version()
+	var undo []*audit.Record
+	oldest := st.version()
 	err = st.records.Each(1, func(r *audit.Record) error {
 		if r.From >= version && r.Version <= st.version() { // a record whose append failed is not in force
-			back = append(back, r)
-			first = min(first, r.From)
+			undo = append(undo, r)
+			oldest = min(oldest, r.From)
 		}
 		return nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	if first != version || len(back) == 0 {
+	if oldest != version || len(undo) == 0 {
 		return nil, &UnknownVersionError{version}
 	}
-	for i := len(back) - 1; i >= 0; i-- {
-		if tree, err = audit.Apply(ListKeys, tree, audit.Invert(back[i].Changes)); err != nil {
+	for i := len(undo) - 1; i >= 0; i-- {
+		if tree, err = audit.Apply(ListKeys, tree, audit.Invert(undo[i].Changes)); err != nil {
 			return nil, err
 		}
 	}
@@ -467,7 +467,7 @@
 }
 
 // Revert puts the settings of a former version in force again, as a new version.
-func (st *Store) Revert(to uint64, by Author) (*Settings, error) {
+func (st *Store) Revert(to uint64, author Author) (*Settings, error) {
 	s, err := st.AtVersion(to)
 	if err != nil {
 		return nil, err
@@ -478,18 +478,18 @@
 		return nil, err
 	}
 	s.Version = st.version()
-	if by.Why == "" {
-		by.Why = fmt.Sprintf("back to version %d", to)
+	if author.Why == "" {
+		author.Why = fmt.Sprintf("back to version %d", to)
 	}
-	return st.commit(s, by)
+	return st.commit(s, author)
 }
 
 // Log returns up to limit audit records, beginning with number from.
-func (st *Store) Log(from uint64, most int) (out []*audit.Record, err error) {
+func (st *Store) Log(from uint64, limit int) (out []*audit.Record, err error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	err = st.records.Each(from, func(r *audit.Record) error {
-		if len(out) == most {
+		if len(out) == limit {
 			return io.EOF
 		}
 		out = append(out, r)
@@ -514,7 +514,7 @@
 	if err != nil {
 		return c, err
 	}
-	if end := st.records.Chain(); c.Hash != end.Hash || c.Version != st.version() {
+	if last := st.records.Chain(); c.Hash != last.Hash || c.Version != st.version() {
 		return c, &audit.BrokenError{Seq: c.Seq, Reason: "the record does not end at what is in force"}
 	}
 	return c, nil
--- a/internal/control/settings/ledger_test.go
+++ b/internal/control/settings/ledger_test.go
@@ -48,15 +48,15 @@
 	s := *st.Get()
 	s.Plans = append([]Plan(nil), s.Plans...)
 	f(&s)
-	now, err := st.Change(&s, Author{Who: "ines", Why: "test", TimeMS: 1}, false)
+	accepted, err := st.Change(&s, Author{Who: "ines", Why: "test", TimeMS: 1}, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return now
+	return accepted
 }
 
-// No secret stands in the snapshot, in the record or in an answer; with the key they are
-// there again, with another they are refused.
+// No secret is in clear in the snapshot, the audit log or an answer. Only the same key opens
+// them.
 func TestSecretsAreSealed(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "settings")
@@ -71,22 +71,22 @@
 	srv := httptest.NewServer(Handler(st, func(*http.Request) Author { return Author{Who: "x"} }, func() int64 { return 1 }))
 	defer srv.Close()
 	for _, page := range []string{"/settings", "/settings/log", "/settings/at?version=1", "/settings/diff?from=1&to=2"} {
-		r, err := http.Get(srv.URL + page)
+		response, err := http.Get(srv.URL + page)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var b bytes.Buffer
-		b.ReadFrom(r.Body)
-		r.Body.Close()
-		if r.StatusCode != http.StatusOK || strings.Contains(b.String(), "that is long") || strings.Contains(b.String(), "own secret") {
-			t.Errorf("%s: %d %s", page, r.StatusCode, b.String())
+		var body bytes.Buffer
+		body.ReadFrom(response.Body)
+		response.Body.Close()
+		if response.StatusCode != http.StatusOK || strings.Contains(body.String(), "that is long") || strings.Contains(body.String(), "own secret") {
+			t.Errorf("%s: %d %s", page, response.StatusCode, body.String())
 		}
 	}
 	st.Close()
 	for _, f := range []string{file, file + auditSuffix} {
 		b, err := os.ReadFile(f)
 		if err != nil || bytes.Contains(b, []byte("that is long")) || bytes.Contains(b, []byte("own secret")) {
-			t.Errorf("%s has a secret in clear, or %v", f, err)
+			t.Errorf("%s contains a secret in clear, or error %v", f, err)
 		}
 	}
 	var seal *SealError
@@ -102,28 +102,29 @@
 	}
 }
 
-// Settings that were read and are handed in again keep their secrets; a new user without
-// one is a fault.
+// Settings that are read and submitted again keep their secrets; a new user with a
+// placeholder is a fault.
 func TestPlaceholderKeepsSecret(t *testing.T) {
 	st := openStore(t, "", testKey(t, 1))
-	now, err := st.Put(exampleWithSecrets())
+	current, err := st.Put(exampleWithSecrets())
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := now.Redacted()
-	back.Target.Chap[0], back.Target.Chap[1] = back.Target.Chap[1], Chap{"posto", "a new secret for posto"}
-	if now, err = st.Put(back); err != nil || now.Target.Chap[0].Secret != "another that is long" || now.Target.Chap[1].Secret != "a new secret for posto" {
-		t.Fatalf("%v, %+v", err, now)
+	edited := current.Redacted()
+	edited.Target.Chap[0], edited.Target.Chap[1] = edited.Target.Chap[1], Chap{"posto", "a new secret for posto"}
+	if current, err = st.Put(edited); err != nil || current.Target.Chap[0].Secret != "another that is long" || current.Target.Chap[1].Secret != "a new secret for posto" {
+		t.Fatalf("%v, %+v", err, current)
 	}
-	back = now.Redacted()
-	back.Target.Chap = append(back.Target.Chap, Chap{"novo", SecretPlaceholder})
+	edited = current.Redacted()
+	edited.Target.Chap = append(edited.Target.Chap, Chap{"novo", SecretPlaceholder})
 	var faults *FaultsError
-	if _, err := st.Put(back); !errors.As(err, &faults) || faults.Faults[0].Path != "target.chap[2].secret" {
+	if _, err := st.Put(edited); !errors.As(err, &faults) || faults.Faults[0].Path != "target.chap[2].secret" {
 		t.Errorf("%v", err)
 	}
 }
 
-// A crash between the record and the snapshot: the change was accepted, and is there.
+// After a crash between audit record and snapshot, the accepted change is in force. A
+// snapshot ahead of its audit log is refused.
 func TestOpenAfterCrashBeforeSnapshot(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings")
 	k := testKey(t, 1)
@@ -135,8 +136,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := range 5 {
-		mustChange(t, st, func(s *Settings) { s.Plans[0].Limit = float64(50 + n) })
+	for i := range 5 {
+		mustChange(t, st, func(s *Settings) { s.Plans[0].Limit = float64(50 + i) })
 	}
 	want := st.Get()
 	st.Close()
@@ -161,7 +162,7 @@
 	if err := os.Remove(file + auditSuffix); err != nil {
 		t.Fatal(err)
 	}
-	st = openStore(t, file, k) // a snapshot from before there were records
+	st = openStore(t, file, k) // a snapshot without an audit log
 	if c, err := st.Verify(); err != nil || c.Seq != 1 || c.Version != want.Version {
 		t.Errorf("%+v, %v", c, err)
 	}
@@ -176,7 +177,7 @@
 	}
 }
 
-// A snapshot that can't be written keeps nothing from being accepted.
+// A change is accepted although the snapshot can't be written.
 func TestChangeAcceptedWithoutSnapshot(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "d")
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -189,14 +190,14 @@
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	now := mustChange(t, st, func(s *Settings) { s.Plans[0].Limit = 44 })
-	if st.PersistError() == nil || now.Version != 2 {
-		t.Errorf("%v, version %d", st.PersistError(), now.Version)
+	accepted := mustChange(t, st, func(s *Settings) { s.Plans[0].Limit = 44 })
+	if st.PersistError() == nil || accepted.Version != 2 {
+		t.Errorf("%v, version %d", st.PersistError(), accepted.Version)
 	}
 }
 
-// Two operators at once: the second is told what the first did, and where they collide;
-// what touches nothing in common is merged on request.
+// A stale change is refused with the changes accepted since and the collisions; one without
+// collisions is merged on request.
 func TestStaleChangeReportsCollisions(t *testing.T) {
 	st := openStore(t, "", nil)
 	if _, err := st.Put(Example(3, 9)); err != nil {
@@ -218,19 +219,19 @@
 	if _, err := st.Change(&third, Author{Who: "rui"}, false); !errors.As(err, &stale) || len(stale.Collisions) != 0 || !strings.Contains(err.Error(), "can be merged") {
 		t.Fatalf("%+v", err)
 	}
-	now, err := st.Change(&third, Author{Who: "rui"}, true)
-	if err != nil || now.Plans[0].Limit != 41 || now.Limits.MaxOpen != base.Limits.MaxOpen+1 || now.Version != 3 {
-		t.Fatalf("%v, %+v", err, now)
+	merged, err := st.Change(&third, Author{Who: "rui"}, true)
+	if err != nil || merged.Plans[0].Limit != 41 || merged.Limits.MaxOpen != base.Limits.MaxOpen+1 || merged.Version != 3 {
+		t.Fatalf("%v, %+v", err, merged)
 	}
-	never := *base
-	never.Version = 77
-	if _, err := st.Change(&never, Author{}, true); !errors.As(err, &stale) || stale.Theirs != nil {
-		t.Errorf("a version that never was: %v", err)
+	unknown := *base
+	unknown.Version = 77
+	if _, err := st.Change(&unknown, Author{}, true); !errors.As(err, &stale) || stale.Theirs != nil {
+		t.Errorf("unknown version: %v", err)
 	}
 }
 
-// Many operators: each accepted change stands once in the record, no refused one does,
-// and every former version can be had again.
+// With concurrent clients, each accepted change is once in the audit log, no refused one is,
+// and every former version can be restored.
 func TestConcurrentChanges(t *testing.T) {
 	st := openStore(t, filepath.Join(t.TempDir(), "settings"), nil)
 	if _, err := st.Put(Example(3, 9)); err != nil {
@@ -240,9 +241,9 @@
 	defer srv.Close()
 	var mu sync.Mutex
 	accepted, refused := map[string]uint64{}, map[string]bool{}
-	var all sync.WaitGroup
+	var operators sync.WaitGroup
 	for op := range 4 {
-		all.Go(func() {
+		operators.Go(func() {
 			api := NewAPI(strings.TrimPrefix(srv.URL, "http://"))
 			defer api.Close()
 			for n := range 25 {
@@ -264,7 +265,7 @@
 			}
 		})
 	}
-	all.Wait()
+	operators.Wait()
 	log, err := st.Log(1, 1000)
 	if err != nil || len(log) != len(accepted)+1 {
 		t.Fatalf("%d records for %d accepted, %v", len(log), len(accepted), err)
@@ -277,14 +278,14 @@
 	var tree any = map[string]any{}
 	for _, r := range log {
 		if tree, err = audit.Apply(ListKeys, tree, r.Changes); err != nil || audit.StateHash(tree) != r.State {
-			t.Fatalf("record %d does not lead to its state: %v", r.Seq, err)
+			t.Fatalf("record %d does not give its recorded state: %v", r.Seq, err)
 		}
-		at, err := st.AtVersion(r.Version)
+		settings, err := st.AtVersion(r.Version)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := at.tree(nil); err != nil || audit.StateHash(got) != r.State {
-			t.Errorf("version %d is not what was in force: %v", r.Version, err)
+		if got, err := settings.tree(nil); err != nil || audit.StateHash(got) != r.State {
+			t.Errorf("version %d differs from its recorded state: %v", r.Version, err)
 		}
 	}
 	if now, err := st.Revert(1, Author{Who: "rui"}); err != nil || now.Version != uint64(len(log))+1 {
@@ -299,13 +300,13 @@
 	}
 }
 
-// FuzzHandler: whatever is sent to the API, it answers, and puts nothing faulty in force.
+// The API answers any request and puts no faulty settings in force.
 func FuzzHandler(f *testing.F) {
-	good, err := json.Marshal(Example(1, 1))
+	valid, err := json.Marshal(Example(1, 1))
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add("PUT", "/settings?merge=1&why=x", good)
+	f.Add("PUT", "/settings?merge=1&why=x", valid)
 	f.Add("GET", "/settings/at?version=1", []byte{})
 	f.Add("GET", "/settings/diff?from=1&to=-1", []byte{})
 	f.Add("POST", "/settings/revert?to=18446744073709551615", []byte{})
--- a/internal/control/settings/roll.go
+++ b/internal/control/settings/roll.go
@@ -31,36 +31,36 @@
 
 // NewRoll returns the constraints for a rollout from settings a to b. A fault is a volume
 // whose change of plan can't be rolled out in one step.
-func NewRoll(id string, a, b *Settings) (*Roll, []Fault) {
+func NewRoll(id string, from, to *Settings) (*Roll, []Fault) {
 	r := &Roll{ID: id}
-	for i := range a.Plans {
-		x := &a.Plans[i]
-		j := slices.IndexFunc(b.Plans, func(p Plan) bool { return p.Name == x.Name })
+	for i := range from.Plans {
+		old := &from.Plans[i]
+		j := slices.IndexFunc(to.Plans, func(p Plan) bool { return p.Name == old.Name })
 		if j < 0 {
 			continue
 		}
-		y := &b.Plans[j]
-		if x.Limit == y.Limit && x.Burst == y.Burst && x.Overdraft == y.Overdraft {
+		next := &to.Plans[j]
+		if old.Limit == next.Limit && old.Burst == next.Burst && old.Overdraft == next.Overdraft {
 			continue
 		}
-		p := RollPlan{x.Name, x.Limit, x.Burst, x.Overdraft}
-		p.tighten(y.Limit, y.Burst, y.Overdraft)
+		p := RollPlan{old.Name, old.Limit, old.Burst, old.Overdraft}
+		p.tighten(next.Limit, next.Burst, next.Overdraft)
 		r.Plans = append(r.Plans, p)
 	}
-	was := make(map[string]*Volume, len(a.Volumes))
-	for i := range a.Volumes {
-		was[a.Volumes[i].Name] = &a.Volumes[i]
+	oldVolumes := make(map[string]*Volume, len(from.Volumes))
+	for i := range from.Volumes {
+		oldVolumes[from.Volumes[i].Name] = &from.Volumes[i]
 	}
 	var faults []Fault
-	for i := range b.Volumes {
-		y := &b.Volumes[i]
-		x := was[y.Name]
-		if x == nil || x.Plan == y.Plan && slices.Equal(x.Hosts, y.Hosts) {
+	for i := range to.Volumes {
+		next := &to.Volumes[i]
+		old := oldVolumes[next.Name]
+		if old == nil || old.Plan == next.Plan && slices.Equal(old.Hosts, next.Hosts) {
 			continue
 		}
-		v, ok := rollVolume(a, b, x, y)
+		v, ok := rollVolume(from, to, old, next)
 		if !ok {
-			faults = append(faults, Fault{fmt.Sprintf("volumes[%d].plan", i), fmt.Sprintf("changes from %s to %s, which are not both in both versions, and one is limited: roll the plan out first", x.Plan, y.Plan)})
+			faults = append(faults, Fault{fmt.Sprintf("volumes[%d].plan", i), fmt.Sprintf("changes from %s to %s, which are not both in both versions, and one is limited: roll the plan out first", old.Plan, next.Plan)})
 			continue
 		}
 		r.Volumes = append(r.Volumes, v)
@@ -88,35 +88,35 @@
 
 // rollVolume returns the constraint of a volume with the plan that has the lower limit, and
 // whether both versions have that plan.
-func rollVolume(a, b *Settings, x, y *Volume) (RollVolume, bool) {
-	v := RollVolume{Name: x.Name, Plan: x.Plan, Hosts: slices.Clone(x.Hosts)}
-	for _, h := range y.Hosts {
+func rollVolume(from, to *Settings, old, next *Volume) (RollVolume, bool) {
+	v := RollVolume{Name: old.Name, Plan: old.Plan, Hosts: slices.Clone(old.Hosts)}
+	for _, h := range next.Hosts {
 		if !slices.Contains(v.Hosts, h) {
 			v.Hosts = append(v.Hosts, h)
 		}
 	}
 	slices.Sort(v.Hosts)
-	if x.Plan == y.Plan {
+	if old.Plan == next.Plan {
 		return v, true
 	}
-	least := func(name string) float64 { // lowest limit of a plan over both versions
+	lowestLimit := func(name string) float64 { // lowest limit of a plan over both versions
 		limit := 0.0
-		for _, s := range []*Settings{a, b} {
+		for _, s := range []*Settings{from, to} {
 			if p := s.plan(name); p != nil && p.Limit > 0 && (limit == 0 || p.Limit < limit) {
 				limit = p.Limit
 			}
 		}
 		return limit
 	}
-	lx, ly := least(x.Plan), least(y.Plan)
-	if ly > 0 && (lx == 0 || ly < lx) {
-		v.Plan = y.Plan
+	oldLimit, nextLimit := lowestLimit(old.Plan), lowestLimit(next.Plan)
+	if nextLimit > 0 && (oldLimit == 0 || nextLimit < oldLimit) {
+		v.Plan = next.Plan
 	}
-	if lx == 0 && ly == 0 {
+	if oldLimit == 0 && nextLimit == 0 {
 		v.Plan = "" // neither plan is limited: each version's own applies
 		return v, true
 	}
-	return v, a.plan(v.Plan) != nil && b.plan(v.Plan) != nil
+	return v, from.plan(v.Plan) != nil && to.plan(v.Plan) != nil
 }
 
 // Effective returns the settings with the constraints of a rollout applied, if one is running.
@@ -124,25 +124,25 @@
 	if s.Roll == nil {
 		return s
 	}
-	h := *s
-	h.Plans, h.Volumes = slices.Clone(s.Plans), slices.Clone(s.Volumes)
+	effective := *s
+	effective.Plans, effective.Volumes = slices.Clone(s.Plans), slices.Clone(s.Volumes)
 	for _, p := range s.Roll.Plans {
-		if i := slices.IndexFunc(h.Plans, func(x Plan) bool { return x.Name == p.Name }); i >= 0 {
-			own := RollPlan{p.Name, h.Plans[i].Limit, h.Plans[i].Burst, h.Plans[i].Overdraft}
-			own.tighten(p.Limit, p.Burst, p.Overdraft)
-			h.Plans[i].Limit, h.Plans[i].Burst, h.Plans[i].Overdraft = own.Limit, own.Burst, own.Overdraft
+		if i := slices.IndexFunc(effective.Plans, func(x Plan) bool { return x.Name == p.Name }); i >= 0 {
+			tightened := RollPlan{p.Name, effective.Plans[i].Limit, effective.Plans[i].Burst, effective.Plans[i].Overdraft}
+			tightened.tighten(p.Limit, p.Burst, p.Overdraft)
+			effective.Plans[i].Limit, effective.Plans[i].Burst, effective.Plans[i].Overdraft = tightened.Limit, tightened.Burst, tightened.Overdraft
 		}
 	}
-	held := make(map[string]*RollVolume, len(s.Roll.Volumes))
+	rolling := make(map[string]*RollVolume, len(s.Roll.Volumes))
 	for i := range s.Roll.Volumes {
-		held[s.Roll.Volumes[i].Name] = &s.Roll.Volumes[i]
+		rolling[s.Roll.Volumes[i].Name] = &s.Roll.Volumes[i]
 	}
-	for i := range h.Volumes {
-		if v := held[h.Volumes[i].Name]; v != nil && v.Plan != "" {
-			h.Volumes[i].Plan = v.Plan
+	for i := range effective.Volumes {
+		if v := rolling[effective.Volumes[i].Name]; v != nil && v.Plan != "" {
+			effective.Volumes[i].Plan = v.Plan
 		}
 	}
-	return &h
+	return &effective
 }
 
 // HostCount returns the number of hosts that divide a volume's limit, as seen by host self:
@@ -162,15 +162,15 @@
 		return
 	}
 	c.failIf(s.Roll.ID == "" || len(s.Roll.ID) > 80, "roll.id", "must have 1 to 80 bytes")
-	for i, p := range s.Roll.Plans {
-		at := fmt.Sprintf("roll.plans[%d].", i)
-		c.inRange(at+"limit", p.Limit, 0, 1e9)
-		c.inRange(at+"burst", p.Burst, 0, 1e9)
-		c.inRange(at+"slack", p.Overdraft, 0, 1e9)
+	for i, plan := range s.Roll.Plans {
+		prefix := fmt.Sprintf("roll.plans[%d].", i)
+		c.inRange(prefix+"limit", plan.Limit, 0, 1e9)
+		c.inRange(prefix+"burst", plan.Burst, 0, 1e9)
+		c.inRange(prefix+"slack", plan.Overdraft, 0, 1e9)
 	}
 	for i, v := range s.Roll.Volumes {
-		at := fmt.Sprintf("roll.volumes[%d].", i)
-		c.failIf(v.Plan != "" && s.plan(v.Plan) == nil, at+"plan", "there is no plan %.70q", v.Plan)
-		c.failIf(len(v.Hosts) == 0 || slices.ContainsFunc(v.Hosts, func(h int) bool { return h < 0 || h >= 10000 }), at+"hosts", "must list hosts from 0 to 9999")
+		prefix := fmt.Sprintf("roll.volumes[%d].", i)
+		c.failIf(v.Plan != "" && s.plan(v.Plan) == nil, prefix+"plan", "there is no plan %.70q", v.Plan)
+		c.failIf(len(v.Hosts) == 0 || slices.ContainsFunc(v.Hosts, func(h int) bool { return h < 0 || h >= 10000 }), prefix+"hosts", "must list hosts from 0 to 9999")
 	}
 }
--- a/internal/control/settings/secret.go
+++ b/internal/control/settings/secret.go
@@ -40,30 +40,30 @@
 const minKeyBytes = 32
 
 // NewKey derives a key with HKDF (RFC 5869) from at least 32 random bytes.
-func NewKey(from []byte) (*Key, error) {
-	if len(from) < minKeyBytes {
-		return nil, fmt.Errorf("settings: key is too short: want at least %d bytes, got %d", minKeyBytes, len(from))
+func NewKey(material []byte) (*Key, error) {
+	if len(material) < minKeyBytes {
+		return nil, fmt.Errorf("settings: key is too short: want at least %d bytes, got %d", minKeyBytes, len(material))
 	}
-	b, err := hkdf.Key(sha256.New, from, nil, "merlinhitch settings", 64)
+	derived, err := hkdf.Key(sha256.New, material, nil, "merlinhitch settings", 64)
 	if err != nil {
 		return nil, err
 	}
-	block, err := aes.NewCipher(b[:32])
+	block, err := aes.NewCipher(derived[:32])
 	if err != nil {
 		return nil, err
 	}
 	aead, err := cipher.NewGCM(block)
-	return &Key{aead, b[32:]}, err
+	return &Key{aead, derived[32:]}, err
 }
 
 // ReadKey reads a key file, which must be accessible to its owner only.
 func ReadKey(file string) (*Key, error) {
-	st, err := os.Stat(file)
+	info, err := os.Stat(file)
 	if err != nil {
 		return nil, err
 	}
-	if st.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("settings: key file %s is accessible to others than its owner (mode %v)", file, st.Mode().Perm())
+	if info.Mode().Perm()&0o077 != 0 {
+		return nil, fmt.Errorf("settings: key file %s is accessible to others than its owner (mode %v)", file, info.Mode().Perm())
 	}
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -98,18 +98,18 @@
 // cloneSecrets returns a copy of s whose secrets can be modified, with pointers to them:
 // those of the clients first, then the mutual one.
 func (s *Settings) cloneSecrets() (*Settings, []*Chap) {
-	c := *s
-	c.Target.Chap = slices.Clone(s.Target.Chap)
-	var at []*Chap
-	for i := range c.Target.Chap {
-		at = append(at, &c.Target.Chap[i])
+	clone := *s
+	clone.Target.Chap = slices.Clone(s.Target.Chap)
+	var secrets []*Chap
+	for i := range clone.Target.Chap {
+		secrets = append(secrets, &clone.Target.Chap[i])
 	}
 	if s.Target.Mutual != nil {
 		m := *s.Target.Mutual
-		c.Target.Mutual = &m
-		at = append(at, &m)
+		clone.Target.Mutual = &m
+		secrets = append(secrets, &m)
 	}
-	return &c, at
+	return &clone, secrets
 }
 
 // HasSecrets reports whether s has any secret.
@@ -117,66 +117,66 @@
 
 // Redacted returns a copy of s in which SecretPlaceholder replaces every secret.
 func (s *Settings) Redacted() *Settings {
-	c, at := s.cloneSecrets()
-	for _, k := range at {
-		k.Secret = SecretPlaceholder
+	clone, secrets := s.cloneSecrets()
+	for _, secret := range secrets {
+		secret.Secret = SecretPlaceholder
 	}
-	return c
+	return clone
 }
 
 // withSealedSecrets returns a copy of s with its secrets sealed; those that are sealed
 // already stay. Without a key placeholders replace them.
 func (s *Settings) withSealedSecrets(k *Key) *Settings {
-	c, at := s.cloneSecrets()
-	for _, x := range at {
+	clone, secrets := s.cloneSecrets()
+	for _, secret := range secrets {
 		switch {
-		case strings.HasPrefix(x.Secret, sealedPrefix):
+		case strings.HasPrefix(secret.Secret, sealedPrefix):
 		case k == nil:
-			x.Secret = SecretPlaceholder
+			secret.Secret = SecretPlaceholder
 		default:
-			x.Secret = k.seal(x.User, x.Secret)
+			secret.Secret = k.seal(secret.User, secret.Secret)
 		}
 	}
-	return c
+	return clone
 }
 
 // unsealSecrets unseals secrets in place; s must not be in use elsewhere yet.
 func (s *Settings) unsealSecrets(k *Key) error {
-	c, at := s.cloneSecrets()
-	for _, x := range at {
-		if !strings.HasPrefix(x.Secret, sealedPrefix) {
+	clone, secrets := s.cloneSecrets()
+	for _, secret := range secrets {
+		if !strings.HasPrefix(secret.Secret, sealedPrefix) {
 			continue
 		}
 		if k == nil {
 			return ErrNoKey
 		}
-		plain, err := k.unseal(x.User, x.Secret)
+		plain, err := k.unseal(secret.User, secret.Secret)
 		if err != nil {
 			return err
 		}
-		x.Secret = plain
+		secret.Secret = plain
 	}
-	s.Target = c.Target
+	s.Target = clone.Target
 	return nil
 }
 
 // fillPlaceholders returns a copy of s whose placeholders are replaced by the secrets of the
 // same users in old.
 func (s *Settings) fillPlaceholders(old *Settings) *Settings {
-	c, at := s.cloneSecrets()
-	for i, x := range at {
-		if x.Secret != SecretPlaceholder || old == nil {
+	clone, secrets := s.cloneSecrets()
+	for i, secret := range secrets {
+		if secret.Secret != SecretPlaceholder || old == nil {
 			continue
 		}
-		if i >= len(c.Target.Chap) {
-			if m := old.Target.Mutual; m != nil && m.User == x.User {
-				x.Secret = m.Secret
+		if i >= len(clone.Target.Chap) {
+			if m := old.Target.Mutual; m != nil && m.User == secret.User {
+				secret.Secret = m.Secret
 			}
 			continue
 		}
-		if j := slices.IndexFunc(old.Target.Chap, func(o Chap) bool { return o.User == x.User }); j >= 0 {
-			x.Secret = old.Target.Chap[j].Secret
+		if j := slices.IndexFunc(old.Target.Chap, func(o Chap) bool { return o.User == secret.User }); j >= 0 {
+			secret.Secret = old.Target.Chap[j].Secret
 		}
 	}
-	return c
+	return clone
 }
--- a/internal/control/settings/settings.go
+++ b/internal/control/settings/settings.go
@@ -92,8 +92,8 @@
 	c.inRange("regions.quiet_ms", r.PeerTimeout, 200, 60000)
 	c.inRange("regions.drift", r.Drift, 0, 0.2)
 	c.failIf(len(r.Hosts) != s.Hosts, "regions.hosts", "has %d entries for %d hosts", len(r.Hosts), s.Hosts)
-	for i, at := range r.Hosts {
-		c.failIf(at != 0 && at != 1, fmt.Sprintf("regions.hosts[%d]", i), "is %d, must be 0 or 1", at)
+	for i, number := range r.Hosts {
+		c.failIf(number != 0 && number != 1, fmt.Sprintf("regions.hosts[%d]", i), "is %d, must be 0 or 1", number)
 	}
 }
 
@@ -268,7 +268,7 @@
 	Rate           float64 `json:"rate,omitempty"`
 	WriteFraction  float64 `json:"writes,omitempty"` // fraction of the rate that is writes
 	MaxNodes       int     `json:"max_nodes,omitempty"`
-	MinHalls       int     `json:"spread,omitempty"`
+	MinDomains     int     `json:"spread,omitempty"`
 	Copies         int     `json:"copies,omitempty"` // including the data itself; 0 means 1
 	PinnedShards   []int   `json:"pins,omitempty"`
 	ExcludedShards []int   `json:"bans,omitempty"`
@@ -339,9 +339,9 @@
 }
 
 func jsonFault(err error) Fault {
-	var t *json.UnmarshalTypeError
-	if errors.As(err, &t) {
-		return Fault{t.Field, fmt.Sprintf("is a %s, want a %s", t.Value, t.Type)}
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return Fault{typeErr.Field, fmt.Sprintf("is a %s, want a %s", typeErr.Value, typeErr.Type)}
 	}
 	return Fault{"", strings.TrimPrefix(err.Error(), "json: ")}
 }
@@ -349,15 +349,15 @@
 // checker collects faults.
 type checker struct{ faults []Fault }
 
-func (c *checker) failIf(bad bool, path, format string, args ...any) {
-	if bad {
+func (c *checker) failIf(faulty bool, path, format string, args ...any) {
+	if faulty {
 		c.faults = append(c.faults, Fault{path, fmt.Sprintf(format, args...)})
 	}
 }
 
 // inRange adds a fault if a value is outside its bounds, as NaN always is.
-func (c *checker) inRange(path string, v, low, high float64) {
-	c.failIf(!(v >= low && v <= high), path, "is %g, must be from %g to %g", v, low, high)
+func (c *checker) inRange(path string, value, low, high float64) {
+	c.failIf(!(value >= low && value <= high), path, "is %g, must be from %g to %g", value, low, high)
 }
 
 var (
@@ -406,16 +406,16 @@
 
 // uniqueNames checks that a list is neither empty nor too long and that its names are
 // well-formed and unique.
-func (c *checker) uniqueNames(list string, most int, names []string) {
+func (c *checker) uniqueNames(list string, limit int, names []string) {
 	c.failIf(len(names) == 0, list, "is empty")
-	c.failIf(len(names) > most, list, "has %d entries, at most %d", len(names), most)
+	c.failIf(len(names) > limit, list, "has %d entries, at most %d", len(names), limit)
 	seen := map[string]int{}
 	for i, n := range names {
 		path := fmt.Sprintf("%s[%d].name", list, i)
 		c.failIf(!namePattern.MatchString(n), path, "%.70q must be 1 to 63 lower-case letters, digits, dots or dashes, the first a letter or digit", n)
-		first, twice := seen[n]
-		c.failIf(twice, path, "%q is already used at %s[%d]", n, list, first)
-		if !twice {
+		first, duplicate := seen[n]
+		c.failIf(duplicate, path, "%q is already used at %s[%d]", n, list, first)
+		if !duplicate {
 			seen[n] = i
 		}
 	}
@@ -436,58 +436,58 @@
 func (s *Settings) checkClasses(c *checker) {
 	c.uniqueNames("classes", maxClasses, collectNames(s.Classes, func(k *Class) string { return k.Name }))
 	for i := range s.Classes {
-		k, at := &s.Classes[i], fmt.Sprintf("classes[%d].", i)
-		c.inRange(at+"worth", k.Value, 0, 1e6)
-		c.inRange(at+"late_worth", k.LateValue, 0, 1)
-		c.inRange(at+"deadline_ms", k.Deadline, 10, dayMS)
-		c.inRange(at+"aim_ms", k.LatencyTarget, 1, max(k.Deadline, 1))
-		k.checkEffect(c, at)
-		c.failIf(len(k.Match.Ops) == 0, at+"match.ops", "is empty")
-		for j, o := range k.Match.Ops {
-			op := scsi.OpByName(o)
-			path := fmt.Sprintf("%smatch.ops[%d]", at, j)
-			c.failIf(op == 0, path, "unknown operation %.40q", o)
-			c.failIf(op == scsi.CompareAndWrite && k.Effect != "unsafe", path, "compare-and-write needs an unsafe class: a retry would compare with the effect of the first attempt")
-			c.failIf(op.Writes() && k.Effect == "safe", path, "a write can't be safe: a retry may overwrite a later write")
+		class, prefix := &s.Classes[i], fmt.Sprintf("classes[%d].", i)
+		c.inRange(prefix+"worth", class.Value, 0, 1e6)
+		c.inRange(prefix+"late_worth", class.LateValue, 0, 1)
+		c.inRange(prefix+"deadline_ms", class.Deadline, 10, dayMS)
+		c.inRange(prefix+"aim_ms", class.LatencyTarget, 1, max(class.Deadline, 1))
+		class.checkEffect(c, prefix)
+		c.failIf(len(class.Match.Ops) == 0, prefix+"match.ops", "is empty")
+		for j, name := range class.Match.Ops {
+			op := scsi.OpByName(name)
+			path := fmt.Sprintf("%smatch.ops[%d]", prefix, j)
+			c.failIf(op == 0, path, "unknown operation %.40q", name)
+			c.failIf(op == scsi.CompareAndWrite && class.Effect != "unsafe", path, "compare-and-write needs an unsafe class: a retry would compare with the effect of the first attempt")
+			c.failIf(op.Writes() && class.Effect == "safe", path, "a write can't be safe: a retry may overwrite a later write")
 		}
-		c.failIf(k.Match.MinBytes < 0, at+"match.min_bytes", "is below 0")
-		c.failIf(k.Match.MaxBytes != 0 && k.Match.MaxBytes < k.Match.MinBytes, at+"match.max_bytes", "is below min_bytes")
-		for j, p := range k.Match.Plans {
-			c.failIf(!slices.Contains(s.planNames(), p), fmt.Sprintf("%smatch.plans[%d]", at, j), "there is no plan %.70q", p)
+		c.failIf(class.Match.MinBytes < 0, prefix+"match.min_bytes", "is below 0")
+		c.failIf(class.Match.MaxBytes != 0 && class.Match.MaxBytes < class.Match.MinBytes, prefix+"match.max_bytes", "is below min_bytes")
+		for j, p := range class.Match.Plans {
+			c.failIf(!slices.Contains(s.planNames(), p), fmt.Sprintf("%smatch.plans[%d]", prefix, j), "there is no plan %.70q", p)
 		}
 	}
 }
 
-func (k *Class) checkEffect(c *checker, at string) {
+func (k *Class) checkEffect(c *checker, prefix string) {
 	_, known := effectByName[k.Effect]
-	c.failIf(!known, at+"effect", "%.20q must be safe, keyed or unsafe", k.Effect)
+	c.failIf(!known, prefix+"effect", "%.20q must be safe, keyed or unsafe", k.Effect)
 	if k.Effect == "keyed" {
 		_, known = dedupScopeByName[k.DedupScope]
-		c.failIf(!known, at+"group", "%.20q must be cell, zone or all", k.DedupScope)
-		c.inRange(at+"window_ms", k.DedupWindow, 1, dayMS)
-		c.failIf(k.DedupWindow < k.Deadline, at+"window_ms", "is below deadline_ms: a late attempt could run after its key has expired")
+		c.failIf(!known, prefix+"group", "%.20q must be cell, zone or all", k.DedupScope)
+		c.inRange(prefix+"window_ms", k.DedupWindow, 1, dayMS)
+		c.failIf(k.DedupWindow < k.Deadline, prefix+"window_ms", "is below deadline_ms: a late attempt could run after its key has expired")
 		return
 	}
-	c.failIf(k.DedupScope != "" || k.DedupWindow != 0, at+"group", "only keyed classes have a group and a window")
+	c.failIf(k.DedupScope != "" || k.DedupWindow != 0, prefix+"group", "only keyed classes have a group and a window")
 }
 
 func (s *Settings) checkPlans(c *checker) {
 	c.uniqueNames("plans", maxPlans, s.planNames())
 	for i := range s.Plans {
-		p, at := &s.Plans[i], fmt.Sprintf("plans[%d].", i)
-		c.inRange(at+"price", p.Price, 0, 1e6)
-		c.inRange(at+"weight", p.Weight, 0.001, 1e6)
-		c.inRange(at+"rate", p.Rate, 0, 1e9)
-		c.inRange(at+"reserve", p.Reserve, 0, 1e9)
-		c.inRange(at+"limit", p.Limit, 0, 1e9)
-		if p.Limit > 0 {
-			c.inRange(at+"burst", p.Burst, s.MaxUnits, 1e9)
-			c.inRange(at+"slack", p.Overdraft, 0, 1e9)
-			c.failIf(p.Reserve > p.Limit, at+"reserve", "is above the limit")
+		plan, prefix := &s.Plans[i], fmt.Sprintf("plans[%d].", i)
+		c.inRange(prefix+"price", plan.Price, 0, 1e6)
+		c.inRange(prefix+"weight", plan.Weight, 0.001, 1e6)
+		c.inRange(prefix+"rate", plan.Rate, 0, 1e9)
+		c.inRange(prefix+"reserve", plan.Reserve, 0, 1e9)
+		c.inRange(prefix+"limit", plan.Limit, 0, 1e9)
+		if plan.Limit > 0 {
+			c.inRange(prefix+"burst", plan.Burst, s.MaxUnits, 1e9)
+			c.inRange(prefix+"slack", plan.Overdraft, 0, 1e9)
+			c.failIf(plan.Reserve > plan.Limit, prefix+"reserve", "is above the limit")
 		} else {
-			c.failIf(p.Burst != 0 || p.Overdraft != 0, at+"limit", "is 0, but burst or slack is set")
+			c.failIf(plan.Burst != 0 || plan.Overdraft != 0, prefix+"limit", "is 0, but burst or slack is set")
 		}
-		c.failIf(p.WriteAck != "" && p.WriteAck != AckBeforeCopy && p.WriteAck != AckAfterCopy, at+"copied", "%.20q must be before or after", p.WriteAck)
+		c.failIf(plan.WriteAck != "" && plan.WriteAck != AckBeforeCopy && plan.WriteAck != AckAfterCopy, prefix+"copied", "%.20q must be before or after", plan.WriteAck)
 	}
 }
 
@@ -514,44 +514,44 @@
 		c.uniqueNames("volumes", maxVolumes, collectNames(s.Volumes, func(v *Volume) string { return v.Name }))
 	}
 	for i := range s.Volumes {
-		v, at := &s.Volumes[i], fmt.Sprintf("volumes[%d].", i)
-		c.failIf(!slices.Contains(plans, v.Plan), at+"plan", "there is no plan %.70q", v.Plan)
-		c.failIf(v.BlockSize != 512 && v.BlockSize != 4096, at+"block_size", "is %d, must be 512 or 4096", v.BlockSize)
-		c.failIf(v.Blocks == 0 || v.Blocks > 1<<48, at+"blocks", "is %d, must be from 1 to 2^48", v.Blocks)
-		c.inRange(at+"extent_blocks", float64(v.ExtentBlocks), 1, 1<<20)
-		c.failIf(len(v.Layout) == 0 || len(v.Layout) > maxLayout, at+"layout", "has %d shards, must be from 1 to %d", len(v.Layout), maxLayout)
-		s.checkShards(c, at+"layout", v.Layout)
-		s.checkVolumePlacement(c, v, at)
-		c.failIf(len(v.Hosts) == 0, at+"hosts", "is empty")
-		for j, h := range v.Hosts {
-			path := fmt.Sprintf("%shosts[%d]", at, j)
+		volume, prefix := &s.Volumes[i], fmt.Sprintf("volumes[%d].", i)
+		c.failIf(!slices.Contains(plans, volume.Plan), prefix+"plan", "there is no plan %.70q", volume.Plan)
+		c.failIf(volume.BlockSize != 512 && volume.BlockSize != 4096, prefix+"block_size", "is %d, must be 512 or 4096", volume.BlockSize)
+		c.failIf(volume.Blocks == 0 || volume.Blocks > 1<<48, prefix+"blocks", "is %d, must be from 1 to 2^48", volume.Blocks)
+		c.inRange(prefix+"extent_blocks", float64(volume.ExtentBlocks), 1, 1<<20)
+		c.failIf(len(volume.Layout) == 0 || len(volume.Layout) > maxLayout, prefix+"layout", "has %d shards, must be from 1 to %d", len(volume.Layout), maxLayout)
+		s.checkShards(c, prefix+"layout", volume.Layout)
+		s.checkVolumePlacement(c, volume, prefix)
+		c.failIf(len(volume.Hosts) == 0, prefix+"hosts", "is empty")
+		for j, h := range volume.Hosts {
+			path := fmt.Sprintf("%shosts[%d]", prefix, j)
 			c.failIf(h < 0 || h >= s.Hosts, path, "there is no host %d", h)
-			c.failIf(slices.Contains(v.Hosts[:j], h), path, "host %d is listed twice", h)
+			c.failIf(slices.Contains(volume.Hosts[:j], h), path, "host %d is listed twice", h)
 		}
 	}
 }
 
 // checkShards checks that every shard of a list exists.
 func (s *Settings) checkShards(c *checker, path string, list []int) {
-	for j, sh := range list {
-		c.failIf(sh < 0 || sh >= s.Shards, fmt.Sprintf("%s[%d]", path, j), "there is no shard %d", sh)
+	for j, shard := range list {
+		c.failIf(shard < 0 || shard >= s.Shards, fmt.Sprintf("%s[%d]", path, j), "there is no shard %d", shard)
 	}
 }
 
 // checkVolumePlacement checks a volume's constraints on its layouts and its copies.
-func (s *Settings) checkVolumePlacement(c *checker, v *Volume, at string) {
-	c.inRange(at+"rate", v.Rate, 0, 1e9)
-	c.inRange(at+"writes", v.WriteFraction, 0, 1)
-	c.inRange(at+"max_nodes", float64(v.MaxNodes), 0, maxLayout)
-	c.inRange(at+"spread", float64(v.MinHalls), 0, maxLayout)
-	c.inRange(at+"copies", float64(v.Copies), 0, 2)
-	c.failIf(len(v.CopyLayout) > 0 && len(v.CopyLayout) != len(v.Layout), at+"copy", "has %d shards, the layout %d", len(v.CopyLayout), len(v.Layout))
-	s.checkShards(c, at+"copy", v.CopyLayout)
-	s.checkShards(c, at+"pins", v.PinnedShards)
-	s.checkShards(c, at+"bans", v.ExcludedShards)
-	for j, sh := range v.PinnedShards {
-		c.failIf(slices.Contains(v.ExcludedShards, sh), fmt.Sprintf("%spins[%d]", at, j), "shard %d is also in bans", sh)
-		c.failIf(slices.Contains(v.PinnedShards[:j], sh), fmt.Sprintf("%spins[%d]", at, j), "shard %d is listed twice", sh)
+func (s *Settings) checkVolumePlacement(c *checker, v *Volume, prefix string) {
+	c.inRange(prefix+"rate", v.Rate, 0, 1e9)
+	c.inRange(prefix+"writes", v.WriteFraction, 0, 1)
+	c.inRange(prefix+"max_nodes", float64(v.MaxNodes), 0, maxLayout)
+	c.inRange(prefix+"spread", float64(v.MinDomains), 0, maxLayout)
+	c.inRange(prefix+"copies", float64(v.Copies), 0, 2)
+	c.failIf(len(v.CopyLayout) > 0 && len(v.CopyLayout) != len(v.Layout), prefix+"copy", "has %d shards, the layout %d", len(v.CopyLayout), len(v.Layout))
+	s.checkShards(c, prefix+"copy", v.CopyLayout)
+	s.checkShards(c, prefix+"pins", v.PinnedShards)
+	s.checkShards(c, prefix+"bans", v.ExcludedShards)
+	for j, shard := range v.PinnedShards {
+		c.failIf(slices.Contains(v.ExcludedShards, shard), fmt.Sprintf("%spins[%d]", prefix, j), "shard %d is also in bans", shard)
+		c.failIf(slices.Contains(v.PinnedShards[:j], shard), fmt.Sprintf("%spins[%d]", prefix, j), "shard %d is listed twice", shard)
 	}
 }
 
@@ -569,17 +569,17 @@
 	c.failIf(len(s.Nodes) != s.Shards, "nodes", "has %d entries for %d shards", len(s.Nodes), s.Shards)
 	seen := make(map[int]int, len(s.Nodes))
 	for i, n := range s.Nodes {
-		at := fmt.Sprintf("nodes[%d].", i)
-		c.failIf(n.Shard < 0 || n.Shard >= s.Shards, at+"shard", "there is no shard %d", n.Shard)
-		first, twice := seen[n.Shard]
-		c.failIf(twice, at+"shard", "shard %d is already used at nodes[%d]", n.Shard, first)
-		if !twice {
+		prefix := fmt.Sprintf("nodes[%d].", i)
+		c.failIf(n.Shard < 0 || n.Shard >= s.Shards, prefix+"shard", "there is no shard %d", n.Shard)
+		other, duplicate := seen[n.Shard]
+		c.failIf(duplicate, prefix+"shard", "shard %d is already used at nodes[%d]", n.Shard, other)
+		if !duplicate {
 			seen[n.Shard] = i
 		}
-		c.failIf(!namePattern.MatchString(n.Hall), at+"hall", "%.70q must be 1 to 63 lower-case letters, digits, dots or dashes, the first a letter or digit", n.Hall)
-		c.failIf(n.Region != 0 && n.Region != 1, at+"region", "is %d, must be 0 or 1", n.Region)
-		c.inRange(at+"capacity", n.Capacity, 0, 1e9)
-		c.inRange(at+"cost", n.Cost, 0, 1e9)
+		c.failIf(!namePattern.MatchString(n.Hall), prefix+"hall", "%.70q must be 1 to 63 lower-case letters, digits, dots or dashes, the first a letter or digit", n.Hall)
+		c.failIf(n.Region != 0 && n.Region != 1, prefix+"region", "is %d, must be 0 or 1", n.Region)
+		c.inRange(prefix+"capacity", n.Capacity, 0, 1e9)
+		c.inRange(prefix+"cost", n.Cost, 0, 1e9)
 	}
 }
 
@@ -610,12 +610,12 @@
 		c.uniqueNames("announce.routers", maxRouters, collectNames(a.Routers, func(r *Router) string { return r.Name }))
 	}
 	for i := range a.Routers {
-		r, at := &a.Routers[i], fmt.Sprintf("announce.routers[%d].", i)
-		_, err := netip.ParseAddrPort(r.Addr)
-		c.failIf(err != nil, at+"addr", "%.70q is not an IP address with a port", r.Addr)
-		c.failIf(r.AS == 0, at+"as", "is 0 (RFC 7607)")
-		for j, h := range r.Hosts {
-			c.failIf(h < 0 || h >= s.Hosts, fmt.Sprintf("%shosts[%d]", at, j), "there is no host %d", h)
+		router, prefix := &a.Routers[i], fmt.Sprintf("announce.routers[%d].", i)
+		_, err := netip.ParseAddrPort(router.Addr)
+		c.failIf(err != nil, prefix+"addr", "%.70q is not an IP address with a port", router.Addr)
+		c.failIf(router.AS == 0, prefix+"as", "is 0 (RFC 7607)")
+		for j, h := range router.Hosts {
+			c.failIf(h < 0 || h >= s.Hosts, fmt.Sprintf("%shosts[%d]", prefix, j), "there is no host %d", h)
 		}
 	}
 	s.checkGroups(c, a)
@@ -629,22 +629,22 @@
 	for i := range s.Volumes {
 		volumes[s.Volumes[i].Name] = true
 	}
-	prefixes, grouped := map[netip.Prefix]string{}, map[string]string{}
+	prefixGroups, volumeGroups := map[netip.Prefix]string{}, map[string]string{}
 	for i := range a.Groups {
-		g, at := &a.Groups[i], fmt.Sprintf("announce.groups[%d].", i)
-		c.failIf(len(g.Prefixes) == 0 || len(g.Prefixes) > maxPrefixes, at+"prefixes", "has %d entries, must be from 1 to %d", len(g.Prefixes), maxPrefixes)
-		for j, t := range g.Prefixes {
-			path := fmt.Sprintf("%sprefixes[%d]", at, j)
-			p, err := netip.ParsePrefix(t)
-			c.failIf(err != nil || p != p.Masked() || p.Addr().Is4In6(), path, "%.70q is not an IP prefix, or has bits set beyond its length", t)
-			c.failIf(prefixes[p] != "" && err == nil, path, "%s is also in group %s", t, prefixes[p])
-			prefixes[p] = g.Name
+		group, base := &a.Groups[i], fmt.Sprintf("announce.groups[%d].", i)
+		c.failIf(len(group.Prefixes) == 0 || len(group.Prefixes) > maxPrefixes, base+"prefixes", "has %d entries, must be from 1 to %d", len(group.Prefixes), maxPrefixes)
+		for j, text := range group.Prefixes {
+			path := fmt.Sprintf("%sprefixes[%d]", base, j)
+			prefix, err := netip.ParsePrefix(text)
+			c.failIf(err != nil || prefix != prefix.Masked() || prefix.Addr().Is4In6(), path, "%.70q is not an IP prefix, or has bits set beyond its length", text)
+			c.failIf(prefixGroups[prefix] != "" && err == nil, path, "%s is also in group %s", text, prefixGroups[prefix])
+			prefixGroups[prefix] = group.Name
 		}
-		for j, v := range g.Volumes {
-			path := fmt.Sprintf("%svolumes[%d]", at, j)
+		for j, v := range group.Volumes {
+			path := fmt.Sprintf("%svolumes[%d]", base, j)
 			c.failIf(!volumes[v], path, "there is no volume %.70q", v)
-			c.failIf(grouped[v] != "", path, "%.70q is also in group %s", v, grouped[v])
-			grouped[v] = g.Name
+			c.failIf(volumeGroups[v] != "", path, "%.70q is also in group %s", v, volumeGroups[v])
+			volumeGroups[v] = group.Name
 		}
 	}
 }
@@ -671,21 +671,21 @@
 	c.inRange("target.write_ms", t.WriteTimeout, 10, 600000)
 	c.inRange("target.ping_ms", t.PingInterval, 10, 3600000)
 	c.inRange("target.stop_ms", t.LogoutTimeout, 0, 600000)
-	all := slices.Clone(t.Chap)
+	chaps := slices.Clone(t.Chap)
 	if t.Mutual != nil {
-		all = append(all, *t.Mutual)
+		chaps = append(chaps, *t.Mutual)
 	}
-	for i, k := range all {
+	for i, chap := range chaps {
 		path := fmt.Sprintf("target.chap[%d]", i)
 		if i >= len(t.Chap) {
 			path = "target.mutual"
 		}
-		c.failIf(k.User == "" || len(k.User) > 255, path+".user", "must have 1 to 255 bytes")
-		if k.Secret == SecretPlaceholder { // the store fills the secret in, or reports that there is none
+		c.failIf(chap.User == "" || len(chap.User) > 255, path+".user", "must have 1 to 255 bytes")
+		if chap.Secret == SecretPlaceholder { // the store fills the secret in, or reports that there is none
 			continue
 		}
-		c.failIf(len(k.Secret) < 12 || len(k.Secret) > 255, path+".secret", "must have 12 to 255 bytes (RFC 7143 section 9.2.1 asks for 96 bits)")
-		c.failIf(i >= len(t.Chap) && slices.ContainsFunc(t.Chap, func(o Chap) bool { return o.Secret == k.Secret }), path+".secret", "equals a client's secret: each direction needs its own")
+		c.failIf(len(chap.Secret) < 12 || len(chap.Secret) > 255, path+".secret", "must have 12 to 255 bytes (RFC 7143 section 9.2.1 asks for 96 bits)")
+		c.failIf(i >= len(t.Chap) && slices.ContainsFunc(t.Chap, func(o Chap) bool { return o.Secret == chap.Secret }), path+".secret", "equals a client's secret: each direction needs its own")
 	}
 }
 
@@ -710,21 +710,21 @@
 		// A disk server measures its warm-up by its own clock, and two clocks may drift
 		// apart in opposite directions: a host with a fast clock must not treat a server
 		// as warm too early.
-		apart := (1 + s.Regions.Drift) / (1 - s.Regions.Drift)
-		p.Rules.WarmUpTime *= apart
-		p.Rules.OverloadWindow *= apart
+		driftFactor := (1 + s.Regions.Drift) / (1 - s.Regions.Drift)
+		p.Rules.WarmUpTime *= driftFactor
+		p.Rules.OverloadWindow *= driftFactor
 	}
 	if b := s.Rules.Budget; b != nil {
 		p.Rules.HasBudget, p.Rules.BudgetBase, p.Rules.BudgetRatio, p.Rules.BudgetWindow = true, b.Base, b.Ratio, b.Window
 	}
-	for _, k := range s.Classes {
-		p.Classes = append(p.Classes, policy.Class{Name: k.Name, Value: k.Value, LateValue: k.LateValue,
-			LatencyTarget: k.LatencyTarget, Deadline: k.Deadline, Effect: effectByName[k.Effect], DedupScope: dedupScopeByName[k.DedupScope],
-			DedupWindow: k.DedupWindow, Ordered: k.Ordered})
+	for _, class := range s.Classes {
+		p.Classes = append(p.Classes, policy.Class{Name: class.Name, Value: class.Value, LateValue: class.LateValue,
+			LatencyTarget: class.LatencyTarget, Deadline: class.Deadline, Effect: effectByName[class.Effect], DedupScope: dedupScopeByName[class.DedupScope],
+			DedupWindow: class.DedupWindow, Ordered: class.Ordered})
 	}
-	for _, l := range s.Plans {
-		p.Plans = append(p.Plans, policy.Plan{Name: l.Name, Price: l.Price, Weight: l.Weight, Rate: l.Rate, Reserve: l.Reserve,
-			Limit: l.Limit, Burst: l.Burst, Overdraft: l.Overdraft})
+	for _, plan := range s.Plans {
+		p.Plans = append(p.Plans, policy.Plan{Name: plan.Name, Price: plan.Price, Weight: plan.Weight, Rate: plan.Rate, Reserve: plan.Reserve,
+			Limit: plan.Limit, Burst: plan.Burst, Overdraft: plan.Overdraft})
 	}
 	return p
 }
@@ -762,26 +762,26 @@
 // Segments splits a run of blocks into segments of one shard each.
 func (v *Volume) Segments(lba uint64, blocks uint32) iter.Seq[Segment] {
 	return func(yield func(Segment) bool) {
-		var p Segment
+		var segment Segment
 		for blocks > 0 {
-			e := lba / uint64(v.ExtentBlocks)
-			n := uint32(min(uint64(blocks), (e+1)*uint64(v.ExtentBlocks)-lba))
-			sh := v.Layout[e%uint64(len(v.Layout))]
+			extent := lba / uint64(v.ExtentBlocks)
+			count := uint32(min(uint64(blocks), (extent+1)*uint64(v.ExtentBlocks)-lba))
+			shard := v.Layout[extent%uint64(len(v.Layout))]
 			switch {
-			case p.Blocks == 0:
-				p = Segment{sh, lba, n, e}
-			case p.Shard == sh:
-				p.Blocks += n
+			case segment.Blocks == 0:
+				segment = Segment{shard, lba, count, extent}
+			case segment.Shard == shard:
+				segment.Blocks += count
 			default:
-				if !yield(p) {
+				if !yield(segment) {
 					return
 				}
-				p = Segment{sh, lba, n, e}
+				segment = Segment{shard, lba, count, extent}
 			}
-			lba, blocks = lba+uint64(n), blocks-n
+			lba, blocks = lba+uint64(count), blocks-count
 		}
-		if p.Blocks > 0 {
-			yield(p)
+		if segment.Blocks > 0 {
+			yield(segment)
 		}
 	}
 }
--- a/internal/control/settings/settings_test.go
+++ b/internal/control/settings/settings_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Every fault is found, at its path, and all of them at once.
-func TestFaultsByPath(t *testing.T) {
+// Every fault is reported at its path, and all of them together.
+func TestFaultPaths(t *testing.T) {
 	cases := map[string]func(*Settings){
 		"hosts":                     func(s *Settings) { s.Hosts = 0 },
 		"unit_bytes":                func(s *Settings) { s.UnitBytes = 1 },
@@ -66,11 +66,11 @@
 		},
 	}
 	all := Example(3, 9)
-	for path, spoil := range cases {
+	for path, invalidate := range cases {
 		s := Example(3, 9)
-		spoil(s)
-		var fe *FaultsError
-		if err := s.Check(); !errors.As(err, &fe) || fe.Faults[0].Path != path {
+		invalidate(s)
+		var faults *FaultsError
+		if err := s.Check(); !errors.As(err, &faults) || faults.Faults[0].Path != path {
 			t.Errorf("%s: %v", path, err)
 		}
 	}
@@ -82,15 +82,15 @@
 }
 
 func TestParse(t *testing.T) {
-	good, _ := json.Marshal(Example(2, 3))
-	if _, err := Parse(bytes.NewReader(good)); err != nil {
+	valid, _ := json.Marshal(Example(2, 3))
+	if _, err := Parse(bytes.NewReader(valid)); err != nil {
 		t.Fatal(err)
 	}
 	for text, want := range map[string]string{
-		strings.Replace(string(good), `"hosts":2`, `"hosts":"two"`, 1): "hosts",
-		strings.Replace(string(good), `"hosts":2`, `"hostess":2`, 1):   "unknown field",
-		string(good) + string(good):                                    "more than one value",
-		string(good[:100]):                                             "unexpected EOF",
+		strings.Replace(string(valid), `"hosts":2`, `"hosts":"two"`, 1): "hosts",
+		strings.Replace(string(valid), `"hosts":2`, `"hostess":2`, 1):   "unknown field",
+		string(valid) + string(valid):                                   "more than one value",
+		string(valid[:100]):                                             "unexpected EOF",
 	} {
 		if _, err := Parse(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.40s...: %v, want %q", text, err, want)
@@ -147,15 +147,15 @@
 		}
 	}
 	if s.Class(scsi.Flush, 0, "basico") != nil {
-		t.Error("a flush has a class")
+		t.Error("flush has a class, want none")
 	}
 }
 
-// A snapshot is found whole, found missing, or found damaged, never half used.
+// A snapshot is loaded completely or reported as missing or damaged.
 func TestDamagedSnapshot(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings")
 	if _, err := Load(file, nil); !errors.Is(err, ErrNoSnapshot) {
-		t.Fatalf("none: %v", err)
+		t.Fatalf("no snapshot: %v", err)
 	}
 	s := Example(3, 9)
 	s.Version = 4
@@ -166,29 +166,29 @@
 	if err != nil || got.Version != 4 || len(got.Volumes) != len(s.Volumes) {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	whole, _ := os.ReadFile(file)
-	var de *DamagedError
-	for n := 0; n < len(whole); n += 97 {
-		os.WriteFile(file, whole[:n], 0o666)
-		if _, err := Load(file, nil); !errors.As(err, &de) {
-			t.Fatalf("torn at %d: %v", n, err)
+	complete, _ := os.ReadFile(file)
+	var damaged *DamagedError
+	for n := 0; n < len(complete); n += 97 {
+		os.WriteFile(file, complete[:n], 0o666)
+		if _, err := Load(file, nil); !errors.As(err, &damaged) {
+			t.Fatalf("truncated at %d: %v", n, err)
 		}
-		turned := bytes.Clone(whole)
-		turned[n] ^= 0x10
-		os.WriteFile(file, turned, 0o666)
-		if _, err := Load(file, nil); !errors.As(err, &de) {
-			t.Fatalf("a bit turned at %d: %v", n, err)
+		flipped := bytes.Clone(complete)
+		flipped[n] ^= 0x10
+		os.WriteFile(file, flipped, 0o666)
+		if _, err := Load(file, nil); !errors.As(err, &damaged) {
+			t.Fatalf("bit flipped at %d: %v", n, err)
 		}
-		if _, err := Open(file, nil); !errors.As(err, &de) {
-			t.Fatalf("opened though damaged: %v", err)
+		if _, err := Open(file, nil); !errors.As(err, &damaged) {
+			t.Fatalf("damaged snapshot was opened: %v", err)
 		}
 	}
-	if left, _ := filepath.Glob(filepath.Join(filepath.Dir(file), ".settings-*")); len(left) > 0 {
-		t.Errorf("left behind: %v", left)
+	if leftover, _ := filepath.Glob(filepath.Join(filepath.Dir(file), ".settings-*")); len(leftover) > 0 {
+		t.Errorf("temporary files left: %v", leftover)
 	}
 }
 
-// Of changes made from the same version, one is accepted.
+// Of concurrent changes made from the same version, exactly one is accepted.
 func TestOneChangePerVersion(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings")
 	st, err := Open(file, nil)
@@ -201,54 +201,54 @@
 	defer api.Close()
 	ctx := context.Background()
 	if _, err := api.Get(ctx); err == nil {
-		t.Error("settings before the first")
+		t.Error("got settings before the first change")
 	}
-	var told []uint64
-	st.Watch(func(s *Settings) { told = append(told, s.Version) })
+	var versions []uint64
+	st.Watch(func(s *Settings) { versions = append(versions, s.Version) })
 	var mu sync.Mutex
-	won := 0
-	var all sync.WaitGroup
+	accepted := 0
+	var clients sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		clients.Go(func() {
 			if _, err := api.Put(ctx, Example(3, 9), ChangeOptions{}); err == nil {
 				mu.Lock()
-				won++
+				accepted++
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
-	now, err := api.Get(ctx)
-	if won != 1 || err != nil || now.Version != 1 || len(told) != 1 {
-		t.Fatalf("%d accepted, %v, %v, told %v", won, now, err, told)
+	clients.Wait()
+	current, err := api.Get(ctx)
+	if accepted != 1 || err != nil || current.Version != 1 || len(versions) != 1 {
+		t.Fatalf("%d accepted, %v, %v, watcher got versions %v", accepted, current, err, versions)
 	}
-	now.Plans[0].Limit = 1e12
+	current.Plans[0].Limit = 1e12
 	var fe *FaultsError
-	if _, err := api.Put(ctx, now, ChangeOptions{}); !errors.As(err, &fe) || fe.Faults[0].Path != "plans[0].limit" {
-		t.Errorf("faulty: %v", err)
+	if _, err := api.Put(ctx, current, ChangeOptions{}); !errors.As(err, &fe) || fe.Faults[0].Path != "plans[0].limit" {
+		t.Errorf("faulty settings: %v", err)
 	}
-	now.Plans[0].Limit = 44
-	if now, err = api.Put(ctx, now, ChangeOptions{}); err != nil || now.Version != 2 {
+	current.Plans[0].Limit = 44
+	if current, err = api.Put(ctx, current, ChangeOptions{}); err != nil || current.Version != 2 {
 		t.Fatalf("%v", err)
 	}
 	st.Close()
-	if again, err := Open(file, nil); err != nil || again.Close() != nil || again.Get().Version != 2 || again.Get().Plans[0].Limit != 44 {
-		t.Errorf("after a start: %v", err)
+	if reopened, err := Open(file, nil); err != nil || reopened.Close() != nil || reopened.Get().Version != 2 || reopened.Get().Plans[0].Limit != 44 {
+		t.Errorf("after reopening: %v", err)
 	}
 }
 
-// Clocks of a service over two regions run apart: a server that is cold by its own clock
-// was warm by a host's, which went 10% faster, and was pushed over.
+// A disk server that is cold by its own clock must not be warm by a host's faster clock,
+// which would overload it.
 func TestColdTimesAllowForClockDrift(t *testing.T) {
 	s := Example(4, 8)
 	s.Regions = &Regions{LeaseTime: 8000, PeerTimeout: 2000, Drift: 0.1, Hosts: []int{0, 1, 0, 1}}
 	p := s.Policy(0, "")
 	fast, slow := 1+s.Regions.Drift, 1-s.Regions.Drift
 	if p.Rules.WarmUpTime/fast < s.Rules.WarmUpTime/slow-1e-9 || p.Rules.OverloadWindow/fast < s.Rules.OverloadWindow/slow-1e-9 {
-		t.Errorf("cold for %v ms and counted over %v ms of a fast clock", p.Rules.WarmUpTime, p.Rules.OverloadWindow)
+		t.Errorf("warm-up %v ms, overload window %v ms: too short by a fast clock", p.Rules.WarmUpTime, p.Rules.OverloadWindow)
 	}
 	s.Regions = nil
 	if p := s.Policy(0, ""); p.Rules.WarmUpTime != s.Rules.WarmUpTime {
-		t.Errorf("%v where clocks do not matter", p.Rules.WarmUpTime)
+		t.Errorf("warm-up %v ms without regions, want it unchanged", p.Rules.WarmUpTime)
 	}
 }
--- a/internal/control/settings/store.go
+++ b/internal/control/settings/store.go
@@ -63,19 +63,19 @@
 	if err != nil {
 		return nil, err
 	}
-	head, body, ok := bytes.Cut(b, []byte("\n"))
-	var sum uint64
-	var n int
+	header, body, ok := bytes.Cut(b, []byte("\n"))
+	var checksum uint64
+	var size int
 	if !ok {
 		return nil, &DamagedError{file, "no header line"}
 	}
-	if _, err := fmt.Sscanf(string(head), snapshotMagic+" 1 %d %x", &n, &sum); err != nil {
+	if _, err := fmt.Sscanf(string(header), snapshotMagic+" 1 %d %x", &size, &checksum); err != nil {
 		return nil, &DamagedError{file, "malformed header line"}
 	}
-	if len(body) != n {
-		return nil, &DamagedError{file, fmt.Sprintf("got %d bytes, want %d", len(body), n)}
+	if len(body) != size {
+		return nil, &DamagedError{file, fmt.Sprintf("got %d bytes, want %d", len(body), size)}
 	}
-	if xxhash.Sum64(body) != sum {
+	if xxhash.Sum64(body) != checksum {
 		return nil, &DamagedError{file, "checksum does not match"}
 	}
 	s, err := Parse(bytes.NewReader(body))
@@ -96,9 +96,9 @@
 		return err
 	}
 	body = append(body, '\n')
-	head := fmt.Sprintf("%s 1 %d %016x\n", snapshotMagic, len(body), xxhash.Sum64(body))
+	header := fmt.Sprintf("%s 1 %d %016x\n", snapshotMagic, len(body), xxhash.Sum64(body))
 	return durable.Replace(file, 0o600, func(f *os.File) error {
-		_, err := f.Write(append([]byte(head), body...))
+		_, err := f.Write(append([]byte(header), body...))
 		return err
 	})
 }
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/plan/plan.go
@@ -271,7 +271,7 @@
 // spread is how many domains a volume must lie in: there are two regions at most.
 func spread(s *settings.Settings, v *settings.Volume) int {
 	if s.Placement.FailureDomain == settings.DomainRegion {
-		return min(v.MinHalls, 2)
+		return min(v.MinDomains, 2)
 	}
-	return v.MinHalls
+	return v.MinDomains
 }
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -175,7 +175,7 @@
 	s.Placement.FailureDomain, s.Placement.SurviveLoss = settings.DomainRegion, true
 	for i := range s.Volumes {
 		v := &s.Volumes[i]
-		v.Copies, v.MinHalls, v.Rate = 2, 0, 20
+		v.Copies, v.MinDomains, v.Rate = 2, 0, 20
 	}
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
