--- a/internal/control/scheduler/client.go
+++ b/internal/control/scheduler/client.go
@@ -187,10 +187,10 @@
 	return c.submit(call, r.receivedAt, closeConn)
 }
 
-// submit hands the call to the core and waits until it is answered or the client leaves; at is the
-// arrival time of the request. A client that has already left is not served. It returns false if
+// submit hands the call to the core and waits until it is answered or the client leaves. occurredAt is
+// the arrival time of the request, ms on the loop's clock. A client that has already left is not served. It returns false if
 // the connection is to be closed.
-func (c *client) submit(call *call, at float64, closeConn bool) bool {
+func (c *client) submit(call *call, occurredAt float64, closeConn bool) bool {
 	resp := &responder{client: c, closeAfter: closeConn}
 	call.replyTo = resp
 	c.lastRequestID = call.req.ID
@@ -203,8 +203,8 @@
 		return false
 	}
 	deadline := call.req.Expires
-	posted := f.loop.post(at, eventRequest, func(at float64) {
-		if !f.core.startCall(at, call) {
+	posted := f.loop.post(occurredAt, eventRequest, func(occurredAt float64) {
+		if !f.core.startCall(occurredAt, call) {
 			resp.closeAfter, resp.duplicate = true, true
 			c.reject(409)
 			resp.done.Open()
@@ -217,11 +217,11 @@
 	for !resp.done.Opened() && !c.readAhead.full() {
 		if earlier := c.earliestPipelinedDeadline(); earlier < deadline {
 			deadline = earlier
-			f.loop.post(f.loop.now(), eventDeadlineShortened, func(at float64) { f.core.shortenDeadline(at, call, earlier) })
+			f.loop.post(f.loop.now(), eventDeadlineShortened, func(occurredAt float64) { f.core.shortenDeadline(occurredAt, call, earlier) })
 		}
 		if err := c.readAhead.readMore(); err != nil && !env.IsTimeout(err) {
 			call.noNewAttempts.Store(true)
-			f.loop.post(f.loop.now(), eventClientGone, func(at float64) { f.core.clientGone(at, call) })
+			f.loop.post(f.loop.now(), eventClientGone, func(occurredAt float64) { f.core.clientGone(occurredAt, call) })
 			return false
 		} else if err != nil {
 			break // answered: only becomeIdle sets a read deadline here
--- a/internal/control/scheduler/connpool.go
+++ b/internal/control/scheduler/connpool.go
@@ -264,12 +264,12 @@
 
 func (p *connPool) dialAddr(s *diskServer, addr string, timeout time.Duration) {
 	conn, err := p.environment.Dial(p.ctx, "tcp", addr, timeout)
-	if !p.loop.post(p.loop.now(), eventDialled, func(at float64) { p.dialDone(at, s, addr, conn, err) }) && err == nil {
+	if !p.loop.post(p.loop.now(), eventDialled, func(occurredAt float64) { p.dialDone(occurredAt, s, addr, conn, err) }) && err == nil {
 		conn.Close()
 	}
 }
 
-func (p *connPool) dialDone(at float64, s *diskServer, addr string, conn net.Conn, err error) {
+func (p *connPool) dialDone(occurredAt float64, s *diskServer, addr string, conn net.Conn, err error) {
 	s.expectedConns--
 	if err != nil {
 		p.connCount--
@@ -277,14 +277,14 @@
 		if s.localSocketError = localSocketError(err); s.localSocketError {
 			p.pauseDials()
 		} else if len(s.waiting) > s.expectedConns { // otherwise each waiting attempt still has an expected connection
-			p.core.failAttempt(at, s.popWaiting(), policy.NoConnection)
+			p.core.failAttempt(occurredAt, s.popWaiting(), policy.NoConnection)
 		}
 		p.dialForWaiting(s)
 		p.dialQueuedServers()
 		p.removeIfUnused(s)
 		return
 	}
-	s.lastActiveAt, s.localSocketError = at, false
+	s.lastActiveAt, s.localSocketError = occurredAt, false
 	sc := &serverConn{pool: p, server: s, conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes)}
 	s.openConns++
 	p.conns.Add(sc)
@@ -292,7 +292,7 @@
 		p.discard(sc)
 		return
 	}
-	p.assign(at, sc)
+	p.assign(occurredAt, sc)
 }
 
 // localSocketErrors are the errors of socket(2), bind(2) and connect(2) that are caused by this
@@ -308,7 +308,7 @@
 
 // assign gives a free connection to the attempt that has waited longest and may still begin, or
 // makes it idle if there is none. A connection with unexpected input or an end of stream is closed.
-func (p *connPool) assign(at float64, sc *serverConn) {
+func (p *connPool) assign(occurredAt float64, sc *serverConn) {
 	s := sc.server
 	sc.state = connIdle
 	if !sc.noInput() {
@@ -321,7 +321,7 @@
 			return
 		}
 	}
-	p.addIdle(sc, at)
+	p.addIdle(sc, occurredAt)
 	if s.removed {
 		p.discard(sc)
 	}
@@ -418,10 +418,10 @@
 
 // The methods below handle the events that an exchange's goroutine posts to the loop.
 
-func (p *connPool) replyReceived(at float64, sc *serverConn, a *attempt, r reply, reusable bool) {
-	sc.server.lastActiveAt = at
+func (p *connPool) replyReceived(occurredAt float64, sc *serverConn, a *attempt, r reply, reusable bool) {
+	sc.server.lastActiveAt = occurredAt
 	if sc.idleBefore > 0 {
-		p.reuse.record(at, sc.idleBefore, false)
+		p.reuse.record(occurredAt, sc.idleBefore, false)
 	}
 	if reusable && sc.state == connBusy {
 		sc.state, sc.attempt = connQuarantined, nil
@@ -429,10 +429,10 @@
 	} else {
 		p.discard(sc)
 	}
-	p.core.receiveReply(at, a, r)
+	p.core.receiveReply(occurredAt, a, r)
 }
 
-func (p *connPool) quarantineEnded(at float64, sc *serverConn, noInput bool) {
+func (p *connPool) quarantineEnded(occurredAt float64, sc *serverConn, noInput bool) {
 	switch {
 	case sc.state != connQuarantined:
 	case !noInput:
@@ -440,32 +440,32 @@
 	default:
 		sc.server.expectedConns--
 		sc.state = connIdle
-		p.assign(at, sc)
+		p.assign(occurredAt, sc)
 	}
 }
 
 // attemptNotBegun returns a connection whose attempt was refused by mayBegin, and ends the attempt
 // as not sent.
-func (p *connPool) attemptNotBegun(at float64, sc *serverConn, a *attempt) {
+func (p *connPool) attemptNotBegun(occurredAt float64, sc *serverConn, a *attempt) {
 	if sc.state == connBusy {
 		sc.attempt = nil
 		sc.conn.SetDeadline(time.Time{})
 		previousIdleSince := sc.idleSince
-		p.assign(at, sc)
+		p.assign(occurredAt, sc)
 		if sc.state == connIdle && previousIdleSince > 0 {
 			sc.idleSince = previousIdleSince
 		}
 	}
-	p.core.failAttempt(at, a, policy.NotSent)
+	p.core.failAttempt(occurredAt, a, policy.NotSent)
 }
 
-func (p *connPool) connBroken(at float64, sc *serverConn, a *attempt, r policy.Result) {
+func (p *connPool) connBroken(occurredAt float64, sc *serverConn, a *attempt, r policy.Result) {
 	p.discard(sc)
 	if a.outcomeKnown {
 		return
 	}
-	if sc.idleBefore > 0 && at-a.issuedAt < staleBreakTime {
-		p.reuse.record(at, sc.idleBefore, true)
+	if sc.idleBefore > 0 && occurredAt-a.issuedAt < staleBreakTime {
+		p.reuse.record(occurredAt, sc.idleBefore, true)
 	}
-	p.core.failAttempt(at, a, r)
+	p.core.failAttempt(occurredAt, a, r)
 }
--- a/internal/control/scheduler/lifecycle.go
+++ b/internal/control/scheduler/lifecycle.go
@@ -134,8 +134,8 @@
 // permitted but that are not yet written.
 func (s *Scheduler) receiveList(update ServerList) {
 	s.pool.serverStates.apply(update)
-	s.loop.post(s.loop.now(), eventList, func(at float64) {
-		s.core.updateServers(at, update, false)
+	s.loop.post(s.loop.now(), eventList, func(occurredAt float64) {
+		s.core.updateServers(occurredAt, update, false)
 		s.listReceived.Open()
 	})
 }
@@ -155,9 +155,9 @@
 func (s *Scheduler) Reload(config *Config) {
 	s.log.Info("configuration read again", zap.String("discovery", config.Discovery))
 	s.discoveryClient.setAddress(config.Discovery)
-	s.loop.post(s.loop.now(), eventReload, func(at float64) {
+	s.loop.post(s.loop.now(), eventReload, func(occurredAt float64) {
 		s.pool.configure(config)
-		s.core.updateSettings(at, config.Settings)
+		s.core.updateSettings(occurredAt, config.Settings)
 	})
 	s.applyConfig(config)
 }
@@ -177,8 +177,8 @@
 	s.awaitClientsClosed(startedAt + grace - answerLeadMS)
 	// Requests taken before the signal may have deadlines beyond the grace period.
 	var answered env.Gate
-	if s.loop.post(s.loop.now(), eventStop, func(at float64) {
-		s.core.stop(at)
+	if s.loop.post(s.loop.now(), eventStop, func(occurredAt float64) {
+		s.core.stop(occurredAt)
 		answered.Open()
 	}) {
 		env.WaitAny(s.environment, &answered, &s.ended) // answers made once Close has begun would not be written
--- a/internal/control/scheduler/serverconn.go
+++ b/internal/control/scheduler/serverconn.go
@@ -34,7 +34,7 @@
 	sc.conn.SetDeadline(p.environment.Deadline(writeTimeout))
 	now := p.loop.now()
 	if !p.mayBegin(a, now, startedMS) {
-		p.loop.post(now, eventNotBegun, func(at float64) { p.attemptNotBegun(at, sc, a) })
+		p.loop.post(now, eventNotBegun, func(occurredAt float64) { p.attemptNotBegun(occurredAt, sc, a) })
 		return
 	}
 	request := a.encodeRequest(a.answerBy - now)
@@ -43,25 +43,25 @@
 		if n < len(request) { // an incomplete request cannot have been executed
 			r = policy.NoConnection
 		}
-		p.loop.post(p.loop.now(), eventConnBroken, func(at float64) { p.connBroken(at, sc, a, r) })
+		p.loop.post(p.loop.now(), eventConnBroken, func(occurredAt float64) { p.connBroken(occurredAt, sc, a, r) })
 		return
 	}
 	sc.conn.SetDeadline(time.Time{})
 	r, reusable, err := sc.readReply()
 	if err != nil && !http1.IsMessageError(err) {
 		p.replyBytes.Add(-r.reservedBytes)
-		p.loop.post(p.loop.now(), eventConnBroken, func(at float64) { p.connBroken(at, sc, a, policy.ConnectionLost) })
+		p.loop.post(p.loop.now(), eventConnBroken, func(occurredAt float64) { p.connBroken(occurredAt, sc, a, policy.ConnectionLost) })
 		return
 	}
 	reusable = reusable && err == nil && sc.reader.Buffered() == 0
-	if !p.loop.post(p.loop.now(), eventReplyReceived, func(at float64) {
-		p.replyReceived(at, sc, a, r, reusable)
+	if !p.loop.post(p.loop.now(), eventReplyReceived, func(occurredAt float64) {
+		p.replyReceived(occurredAt, sc, a, r, reusable)
 		p.replyBytes.Add(-r.reservedBytes)
 	}) || !reusable {
 		return
 	}
 	noInput := sc.quarantine()
-	p.loop.post(p.loop.now(), eventQuarantineEnded, func(at float64) { p.quarantineEnded(at, sc, noInput) })
+	p.loop.post(p.loop.now(), eventQuarantineEnded, func(occurredAt float64) { p.quarantineEnded(occurredAt, sc, noInput) })
 }
 
 // quarantine reads for quarantineTime after a response and reports whether nothing followed it.
--- a/policy/view.go
+++ b/policy/view.go
@@ -87,8 +87,8 @@
 	for id, vol := range p.volumes {
 		if vol.plan.Limit > 0 {
 			level := min(vol.limitLevel+vol.limitRate*(p.now-vol.refilledAt)/1000, vol.limitCap)
-			left := max(level-vol.limitFloor, 0)
-			v.Limited = append(v.Limited, LimitView{id, vol.plan.Name, left, vol.limitRate})
+			available := max(level-vol.limitFloor, 0)
+			v.Limited = append(v.Limited, LimitView{id, vol.plan.Name, available, vol.limitRate})
 		}
 	}
 	slices.SortFunc(v.Limited, func(a, b LimitView) int { return cmp.Compare(a.Volume, b.Volume) })
