--- a/internal/simulation/standin/diskserver.go
+++ b/internal/simulation/standin/diskserver.go
@@ -49,7 +49,7 @@
 	// inventory and of the disk server of the same shard in the other region, "" for none.
 	Inventory func() string
 	Peer      func() string
-	// Credentials are the server's credentials for TLS; nil for none.
+	// Credentials are used for TLS; nil to serve without TLS.
 	Credentials *keys.Credentials
 	// OnOverloadCrash, if set, is called once, on a goroutine of its own, when the server crashes
 	// because it was overloaded while cold.
