--- a/internal/control/expect/answer.go
+++ b/internal/control/expect/answer.go
@@ -14,7 +14,8 @@
 	"merlinhitch/policy"
 )
 
-// Result is what came of an expectation.
+// Result is the outcome of an expectation. Found describes what was found instead if it
+// does not hold.
 type Result struct {
 	Expectation
 	Holds bool
@@ -28,7 +29,7 @@
 	return fmt.Sprintf("line %d: fails: %s: found %s", a.Line, a.Text, a.Found)
 }
 
-// Check answers expectations under settings. They must have been parsed against them.
+// Check evaluates expectations under the settings that they were parsed with.
 func Check(s *settings.Settings, list []Expectation) []Result {
 	c := &checker{set: s, volumes: make(map[string]*settings.Volume, len(s.Volumes)), lostVolumes: map[string]map[string]bool{}, overloads: map[overloadKey]overloadResult{}}
 	for i := range s.Volumes {
@@ -45,7 +46,7 @@
 type checker struct {
 	set         *settings.Settings
 	volumes     map[string]*settings.Volume
-	lostVolumes map[string]map[string]bool // by domain: volumes that are lost with it
+	lostVolumes map[string]map[string]bool // by failure domain: volumes that are unavailable when it is lost
 	overloads   map[overloadKey]overloadResult
 }
 
@@ -76,8 +77,8 @@
 	return c.set.Class(e.Op, c.requestBytes(e), c.volumes[e.Volume].Plan)
 }
 
-// nodeList is the list that hosts would have: n0 to the last, each with its shard, but for
-// what an expectation says of them.
+// nodeList returns the node list of the simulated hosts: nodes n0, n1 and so on, each ready
+// with the shard of its number, changed by the node states of an expectation.
 func (c *checker) nodeList(when []NodeState) policy.NodeList {
 	l := policy.NodeList{Full: true}
 	for sh := range c.set.Shards {
@@ -100,7 +101,8 @@
 	return l
 }
 
-// checkRoute asks the module where one request to each shard of the volume goes, if anywhere.
+// checkRoute runs the scheduler with one request to each shard of the volume and compares
+// the nodes that they are sent to.
 func (c *checker) checkRoute(e Expectation) (bool, string) {
 	v, k := c.volumes[e.Volume], c.class(e)
 	if k == nil {
@@ -136,32 +138,33 @@
 	return strings.Join(parts, ", ")
 }
 
-// overloadKey is a plan asked for so many times its rate.
+// overloadKey identifies a simulated overload: a plan at a multiple of its rate.
 type overloadKey struct {
 	plan   string
 	factor float64
 }
 
 type overloadResult struct {
-	servedRate float64 // units a second, all hosts together
-	// tolerance is what one more request of each host is of that.
+	servedRate float64 // units per second over all hosts
+	// tolerance is the rate of one more request of each host, which may straddle the end of
+	// the measured interval.
 	tolerance   float64
-	othersLate  int // requests of other plans without an answer in their aim
+	othersLate  int // requests of other plans without an answer within their latency target
 	othersTotal int
-	skipReason  string // why nothing can be said
+	skipReason  string // why the overload can't be simulated
 }
 
-// A rush lasts so long; what passes is counted once the limit's store is empty, and may
-// be a request of each host more, which straddles the end.
+// Times of a simulated overload in ms. Served units are counted after overloadSettle, when
+// the limit's token bucket is empty.
 const (
 	overloadEnd    = 10_000.0
 	overloadSettle = 4_000.0
-	overloadGrace  = 1_000.0 // for the last to be answered
-	serviceTime    = 2.0     // ms that the made-up nodes take
+	overloadGrace  = 1_000.0 // after the last request, for its answer
+	serviceTime    = 2.0     // of the simulated nodes
 )
 
-// checkLimit has one volume of the plan ask for many times its rate, and one of each other
-// plan for its own, through the hosts of the limited one.
+// checkLimit simulates one volume of the plan at a multiple of its rate and one volume of
+// each other plan at its rate, all through as many hosts as the first volume has.
 func (c *checker) checkLimit(e Expectation) (bool, string) {
 	key := overloadKey{e.Plan, e.RateFactor}
 	got, known := c.overloads[key]
@@ -185,7 +188,7 @@
 			return overloadResult{skipReason: "no volume of plan " + r.plan}
 		}
 	}
-	slices.SortStableFunc(asks, func(a, b *settings.Volume) int { // the rushing one first: its hosts take all
+	slices.SortStableFunc(asks, func(a, b *settings.Volume) int { // the overloaded one first: all go through its hosts
 		return -cmp.Compare(boolInt(a.Plan == r.plan), boolInt(b.Plan == r.plan))
 	})
 	hosts := len(asks[0].Hosts)
@@ -204,7 +207,7 @@
 			rate *= r.factor
 		}
 		if rate <= 0 || rate > 1e5 {
-			return overloadResult{skipReason: fmt.Sprintf("a rate of %v a second of %s", rate, v.Name)}
+			return overloadResult{skipReason: fmt.Sprintf("can't simulate a rate of %v per second of %s", rate, v.Name)}
 		}
 		for t := 0.0; t < overloadEnd; t += 1000 / rate {
 			drivers[n%hosts].addRequest(startTime+t, k.Deadline, policy.Request{ID: fmt.Sprint(n), Class: k.Name, Plan: v.Plan, Volume: v.Name, Shard: v.Layout[n%len(v.Layout)], Units: 1,
@@ -234,7 +237,8 @@
 	return 0
 }
 
-// checkSurvival asks the placement's code which volumes a loss leaves without a node.
+// checkSurvival uses plan.FailOver to find the volumes that the loss of a failure domain
+// leaves without a node.
 func (c *checker) checkSurvival(e Expectation) (bool, string) {
 	lost, known := c.lostVolumes[e.Domain]
 	if !known {
@@ -262,11 +266,11 @@
 	return len(lost) == 0, strings.Join(names, ", ") + " without a node"
 }
 
-// startTime is the made-up clock's time at which requests begin.
+// startTime is the simulated time of the first request, ms.
 const startTime = 100_000.0
 
-// driver runs one instance of the module among made-up nodes that answer each attempt
-// after rushServe.
+// driver runs one scheduler in simulated time, with nodes that answer each attempt after
+// serviceTime.
 type driver struct {
 	scheduler      policy.Scheduler
 	now            float64
@@ -304,8 +308,8 @@
 	return x
 }
 
-// warmUpTime is how long a made-up host has run before: its part of a limit fills from its
-// start on.
+// warmUpTime is the time in ms that a simulated host runs before the first request, so that
+// its token buckets are full.
 const warmUpTime = 60_000.0
 
 func newDriver(s *settings.Settings, l policy.NodeList) *driver {
@@ -324,7 +328,7 @@
 	heap.Push(&d.queue, scheduledEvent{at, d.pushed, ev})
 }
 
-// addRequest has a request come at a time.
+// addRequest schedules the arrival of a request.
 func (d *driver) addRequest(at, deadline float64, q policy.Request) {
 	q.Expires = at + deadline
 	d.requested[q.Plan]++
--- a/internal/control/expect/expect_test.go
+++ b/internal/control/expect/expect_test.go
@@ -21,7 +21,7 @@
 	return expect.Check(s, list)
 }
 
-// Each line with whether it holds, and what is found where it does not.
+// Expectations of every kind, each with what is found if it does not hold.
 func TestCheck(t *testing.T) {
 	s := settings.Example(3, 9)
 	s.Volumes[1].Copies, s.Volumes[1].CopyLayout = 2, []int{2, 5}
@@ -52,21 +52,21 @@
 	}
 }
 
-// Everything wrong with a file is named by line, a volume that there isn't as well.
+// Faults of syntax and unknown names are reported with their line.
 func TestParseFaults(t *testing.T) {
 	s := settings.Example(3, 9)
 	for text, reason := range map[string]string{
 		"volume vol-999 read goes to n0":                                         `there is no volume "vol-999"`,
 		"volume vol-000 reed goes to n0":                                         "unknown operation",
-		"volume vol-000 read goes n0":                                            `where "to" belongs`,
-		"volume vol-000 read goes to":                                            "names no node",
-		"volume vol-000 read goes to n0 n1":                                      `"n1" is too much`,
+		"volume vol-000 read goes n0":                                            `got "n0", want "to"`,
+		"volume vol-000 read goes to":                                            "node name is missing",
+		"volume vol-000 read goes to n0 n1":                                      `unexpected "n1" at the end`,
 		"volume vol-000 read goes to n0 when n99 draining":                       "there is no node",
 		"volume vol-000 read goes to n0 when m ready at shard 99":                "there is no shard 99",
-		"volume vol-000 read goes to n0 when n0 asleep":                          "not ready, draining or gone",
-		"volume vol-000 read of x bytes goes to n0":                              "is no number",
+		"volume vol-000 read goes to n0 when n0 asleep":                          "want ready, draining or gone",
+		"volume vol-000 read of x bytes goes to n0":                              "is not a number",
 		"plan ouro at 8 times its rate gets at most 4 and others lose none":      "there is no plan",
-		"plan basico at 1000 times its rate gets at most 4 and others lose none": "times is not from",
+		"plan basico at 1000 times its rate gets at most 4 and others lose none": "times is not above 0",
 		"hall hall-z lost keeps every volume":                                    "there is no hall",
 		"node n0 is well":                                                        "begins with",
 	} {
@@ -77,11 +77,11 @@
 		}
 	}
 	if _, err := expect.Parse(strings.NewReader(strings.Repeat("x", 5000)), s); err == nil {
-		t.Error("a line without end was read")
+		t.Error("a line over the limit was accepted")
 	}
 }
 
-// largeExample is 400 volumes over 47 nodes, with 500 expectations that hold of it.
+// largeExample returns settings with 400 volumes over 47 nodes and 500 expectations that hold.
 func largeExample() (*settings.Settings, string) {
 	s := settings.Example(12, 47)
 	for len(s.Volumes) < 400 {
@@ -111,8 +111,7 @@
 	return s, b.String()
 }
 
-// Settings that are broken on purpose fail just the expectations that they touch, each
-// with one line.
+// A changed layout fails exactly the expectations of its volume, with one line each.
 func TestChangedLayoutsFailTheirExpectations(t *testing.T) {
 	s, text := largeExample()
 	began := time.Now()
@@ -143,7 +142,7 @@
 			}
 		}
 	}
-	t.Logf("%d failed for 10 broken volumes, as: %v", failed, check(t, &broken, text)[0])
+	t.Logf("%d failed for 10 changed volumes, such as: %v", failed, check(t, &broken, text)[0])
 }
 
 func BenchmarkCheck500(b *testing.B) {
@@ -167,7 +166,7 @@
 		if err != nil {
 			return
 		}
-		if len(list) > 3 { // answers take their time
+		if len(list) > 3 { // each takes some time to check
 			list = list[:3]
 		}
 		for _, a := range expect.Check(s, list) {
--- a/internal/control/expect/format.go
+++ b/internal/control/expect/format.go
@@ -1,6 +1,6 @@
-// Package expect is what operators expect of routing and limits, written beside the
-// settings, and the answers to it: from the module and the placement's code themselves,
-// fed with a state made up for the purpose. It sends nothing and decides nothing.
+// Package expect parses files in which operators state what they expect of routing, classes,
+// limits and failover, and checks them against settings. It runs the scheduler and the
+// failover planner themselves, on simulated nodes and in simulated time.
 package expect
 
 import (
@@ -14,17 +14,17 @@
 	"merlinhitch/internal/protocol/scsi"
 )
 
-// Expectation is one line of a file.
+// Expectation is a line of a file. Which of the fields after Kind are set depends on it.
 type Expectation struct {
 	Line int
 	Text string
 
 	Kind       Kind
-	Volume     string  // Routes, Refused, Is
-	Op         scsi.Op // of these
-	Bytes      int     // size of the request; 0: one block
+	Volume     string  // Routes, Refused, ClassIs
+	Op         scsi.Op // as Volume
+	Bytes      int     // size of the request in bytes; 0: one block
 	Nodes      []string
-	Class      string      // Is
+	Class      string      // ClassIs
 	NodeStates []NodeState // Routes, Refused
 	Plan       string      // Limits
 	RateFactor float64
@@ -32,10 +32,10 @@
 	Domain     string // Survives: a hall, or region-0 or region-1
 }
 
-// Kind is a form of expectation.
+// Kind is the kind of an expectation.
 type Kind int
 
-// The forms, in the words of the file.
+// The kinds, with their syntax.
 const (
 	Routes   Kind = iota // volume V write goes to n1, n2 when ...
 	Refused              // volume V read is refused when ...
@@ -44,15 +44,15 @@
 	Survives             // hall H lost keeps every volume; hall H lost keeps volume V
 )
 
-// NodeState is a node that differs from the usual, which is that node n3 holds shard 3 and
-// is ready.
+// NodeState is a node in a state other than the default, in which node n3 is ready and has
+// shard 3.
 type NodeState struct {
 	Node  string
 	State string // ready, draining, gone
-	Shard int    // of a ready node that is not the usual one
+	Shard int    // given for a ready node, by the default name for others
 }
 
-// Bounds of a file.
+// Limits of a file: bytes, lines and values.
 const (
 	MaxFile         = 4 << 20
 	MaxExpectations = 20000
@@ -61,8 +61,8 @@
 	maxRateFactor   = 100
 )
 
-// Parse reads a file and checks it against settings as a whole. Faults have the path
-// "line N"; an expectation about a volume that there isn't is one.
+// Parse reads a file of expectations. All faults, also names that are not in the settings,
+// are returned as one *settings.FaultsError, with the path "line N".
 func Parse(r io.Reader, s *settings.Settings) ([]Expectation, error) {
 	p := &parser{set: s, volumes: map[string]bool{}, plans: map[string]bool{}, domains: map[string]bool{}}
 	for i := range s.Volumes {
@@ -80,7 +80,7 @@
 	for size := 0; sc.Scan(); {
 		p.line++
 		if size += len(sc.Bytes()) + 1; size > MaxFile {
-			return nil, &settings.FaultsError{Faults: []settings.Fault{{Path: p.path(), Reason: "the file is over 4 MiB"}}}
+			return nil, &settings.FaultsError{Faults: []settings.Fault{{Path: p.path(), Reason: "the file is larger than 4 MiB"}}}
 		}
 		p.parseLine(sc.Text())
 	}
@@ -89,7 +89,7 @@
 		p.fault("%v", err)
 	}
 	if len(p.out) > MaxExpectations {
-		p.fault("over %d expectations", MaxExpectations)
+		p.fault("more than %d expectations", MaxExpectations)
 	}
 	if len(p.faults) > 0 {
 		return nil, &settings.FaultsError{Faults: p.faults}
@@ -109,7 +109,7 @@
 
 func (p *parser) path() string { return fmt.Sprintf("line %d", p.line) }
 
-// fault notes the first thing wrong with a line.
+// fault records the first fault of a line.
 func (p *parser) fault(format string, args ...any) {
 	if p.lineFaulty {
 		return
@@ -133,17 +133,17 @@
 	case "hall", "region":
 		p.parseDomain(&e, first)
 	default:
-		p.fault("begins with %.40q, not with volume, plan, hall or region", first)
+		p.fault("begins with %.40q, want volume, plan, hall or region", first)
 	}
 	if !p.lineFaulty && len(p.words) > 0 {
-		p.fault("%.40q is too much", strings.Join(p.words, " "))
+		p.fault("unexpected %.40q at the end", strings.Join(p.words, " "))
 	}
 	if !p.lineFaulty {
 		p.out = append(p.out, e)
 	}
 }
 
-// next is the next word, "" at the end.
+// next consumes and returns the next word, "" at the end of the line.
 func (p *parser) next() string {
 	if len(p.words) == 0 {
 		return ""
@@ -153,19 +153,19 @@
 	return w
 }
 
-// expect takes words that must come.
+// expect consumes the given words and records a fault if others follow.
 func (p *parser) expect(words ...string) {
 	for _, want := range words {
 		if p.lineFaulty {
 			return
 		}
 		if got := p.next(); got != want {
-			p.fault("has %.40q where %q belongs", got, want)
+			p.fault("got %.40q, want %q", got, want)
 		}
 	}
 }
 
-// accept tells whether the next word is that one, and takes it.
+// accept consumes the next word if it is the given one and reports whether it is.
 func (p *parser) accept(word string) bool {
 	if len(p.words) == 0 || p.words[0] != word {
 		return false
@@ -178,12 +178,12 @@
 	w := p.next()
 	f, err := strconv.ParseFloat(w, 64)
 	if err != nil || !(f >= 0 && f <= 1e12) {
-		p.fault("%.40q is no number from 0 on", w)
+		p.fault("%.40q is not a number from 0 to 1e12", w)
 	}
 	return f
 }
 
-// knownName takes a name that must be one of some.
+// knownName consumes a name, which must be one of names.
 func (p *parser) knownName(what string, names map[string]bool) string {
 	n := p.next()
 	if !p.lineFaulty && !names[n] {
@@ -201,7 +201,7 @@
 	if p.accept("of") {
 		n := p.number()
 		if n > 1<<24 {
-			p.fault("a request of %v bytes is too large", n)
+			p.fault("a request of %v bytes is larger than 16 MiB", n)
 		}
 		e.Bytes = int(n)
 		p.expect("bytes")
@@ -222,22 +222,22 @@
 		p.expect("class")
 		e.Kind, e.Class = ClassIs, p.next()
 		if e.Class == "" {
-			p.fault("names no class")
+			p.fault("class name is missing")
 		}
 	default:
-		p.fault("has %.40q where goes or is belongs", w)
+		p.fault("got %.40q, want goes or is", w)
 	}
 }
 
 func (p *parser) node() string {
 	n := p.next()
 	if n == "" || strings.ContainsAny(n, ",") {
-		p.fault("names no node")
+		p.fault("node name is missing")
 	}
 	return n
 }
 
-// defaultShard is the shard of a node with the defaultShard name, -1 of another.
+// defaultShard returns the shard of a node with a default name, -1 for another name.
 func (p *parser) defaultShard(name string) int {
 	n, err := strconv.Atoi(strings.TrimPrefix(name, "n"))
 	if err != nil || NodeName(n) != name || n >= p.set.Shards || n < 0 {
@@ -246,7 +246,7 @@
 	return n
 }
 
-// NodeName is the usual name of the node that holds a shard.
+// NodeName returns the default name of the node with a shard.
 func NodeName(shard int) string { return "n" + strconv.Itoa(shard) }
 
 func (p *parser) nodeStates(e *Expectation) {
@@ -269,10 +269,10 @@
 				}
 			}
 		default:
-			p.fault("node %.70q is %.40q, not ready, draining or gone", f.Node, f.State)
+			p.fault("node %.70q is %.40q, want ready, draining or gone", f.Node, f.State)
 		}
 		if e.NodeStates = append(e.NodeStates, f); len(e.NodeStates) > maxNodeStates {
-			p.fault("over %d nodes in one line", maxNodeStates)
+			p.fault("more than %d node states in one line", maxNodeStates)
 		}
 	}
 }
@@ -281,7 +281,7 @@
 	e.Kind, e.Plan = Limits, p.knownName("plan", p.plans)
 	p.expect("at")
 	if e.RateFactor = p.number(); e.RateFactor > maxRateFactor || e.RateFactor == 0 {
-		p.fault("%v times is not from 0 to %d", e.RateFactor, maxRateFactor)
+		p.fault("%v times is not above 0 and at most %d", e.RateFactor, maxRateFactor)
 	}
 	p.expect("times", "its", "rate", "gets", "at", "most")
 	e.MaxRate = p.number()
