--- a/internal/control/expect/answer.go
+++ b/internal/control/expect/answer.go
@@ -31,20 +31,20 @@
 
 // Check evaluates expectations under the settings that they were parsed with.
 func Check(s *settings.Settings, list []Expectation) []Result {
-	c := &checker{set: s, volumes: make(map[string]*settings.Volume, len(s.Volumes)), lostVolumes: map[string]map[string]bool{}, overloads: map[overloadKey]overloadResult{}}
+	c := &checker{settings: s, volumes: make(map[string]*settings.Volume, len(s.Volumes)), lostVolumes: map[string]map[string]bool{}, overloads: map[overloadKey]overloadResult{}}
 	for i := range s.Volumes {
 		c.volumes[s.Volumes[i].Name] = &s.Volumes[i]
 	}
 	out := make([]Result, len(list))
-	for i, e := range list {
-		out[i] = Result{Expectation: e}
-		out[i].Holds, out[i].Found = c.check(e)
+	for i, expectation := range list {
+		out[i] = Result{Expectation: expectation}
+		out[i].Holds, out[i].Found = c.check(expectation)
 	}
 	return out
 }
 
 type checker struct {
-	set         *settings.Settings
+	settings    *settings.Settings
 	volumes     map[string]*settings.Volume
 	lostVolumes map[string]map[string]bool // by failure domain: volumes that are unavailable when it is lost
 	overloads   map[overloadKey]overloadResult
@@ -74,60 +74,60 @@
 }
 
 func (c *checker) class(e Expectation) *settings.Class {
-	return c.set.Class(e.Op, c.requestBytes(e), c.volumes[e.Volume].Plan)
+	return c.settings.Class(e.Op, c.requestBytes(e), c.volumes[e.Volume].Plan)
 }
 
 // nodeList returns the node list of the simulated hosts: nodes n0, n1 and so on, each ready
 // with the shard of its number, changed by the node states of an expectation.
-func (c *checker) nodeList(when []NodeState) policy.NodeList {
-	l := policy.NodeList{Full: true}
-	for sh := range c.set.Shards {
-		l.Nodes = append(l.Nodes, policy.Node{Addr: NodeName(sh), Health: policy.Ready, Shard: sh})
+func (c *checker) nodeList(states []NodeState) policy.NodeList {
+	list := policy.NodeList{Full: true}
+	for shard := range c.settings.Shards {
+		list.Nodes = append(list.Nodes, policy.Node{Addr: NodeName(shard), Health: policy.Ready, Shard: shard})
 	}
-	for _, f := range when {
-		n := policy.Node{Addr: f.Node, Health: policy.Ready, Shard: f.Shard}
-		switch f.State {
+	for _, state := range states {
+		node := policy.Node{Addr: state.Node, Health: policy.Ready, Shard: state.Shard}
+		switch state.State {
 		case "draining":
-			n.Health = policy.Draining
+			node.Health = policy.Draining
 		case "gone":
-			n.Health = policy.Removed
+			node.Health = policy.Removed
 		}
-		if i := slices.IndexFunc(l.Nodes, func(o policy.Node) bool { return o.Addr == f.Node }); i >= 0 {
-			l.Nodes[i] = n
+		if i := slices.IndexFunc(list.Nodes, func(o policy.Node) bool { return o.Addr == state.Node }); i >= 0 {
+			list.Nodes[i] = node
 		} else {
-			l.Nodes = append(l.Nodes, n)
+			list.Nodes = append(list.Nodes, node)
 		}
 	}
-	return l
+	return list
 }
 
 // checkRoute runs the scheduler with one request to each shard of the volume and compares
 // the nodes that they are sent to.
 func (c *checker) checkRoute(e Expectation) (bool, string) {
-	v, k := c.volumes[e.Volume], c.class(e)
-	if k == nil {
+	volume, class := c.volumes[e.Volume], c.class(e)
+	if class == nil {
 		return false, "no class takes it"
 	}
-	d := newDriver(c.set, c.nodeList(e.NodeStates))
-	shards := slices.Clone(v.Layout)
+	d := newDriver(c.settings, c.nodeList(e.NodeStates))
+	shards := slices.Clone(volume.Layout)
 	slices.Sort(shards)
-	for i, sh := range slices.Compact(shards) {
-		d.addRequest(startTime, k.Deadline, policy.Request{ID: fmt.Sprint(i), Class: k.Name, Plan: v.Plan, Volume: v.Name, Shard: sh, Units: c.set.Units(c.requestBytes(e)),
-			Key: v.Key(uint64(i)), Hosts: len(v.Hosts), Write: e.Op.Writes()})
+	for i, shard := range slices.Compact(shards) {
+		d.addRequest(startTime, class.Deadline, policy.Request{ID: fmt.Sprint(i), Class: class.Name, Plan: volume.Plan, Volume: volume.Name, Shard: shard, Units: c.settings.Units(c.requestBytes(e)),
+			Key: volume.Key(uint64(i)), Hosts: len(volume.Hosts), Write: e.Op.Writes()})
 	}
-	d.run(startTime + k.Deadline + c.set.Rules.AnswerSlack)
-	to := map[string]bool{}
+	d.run(startTime + class.Deadline + c.settings.Rules.AnswerSlack)
+	targets := map[string]bool{}
 	for n := range d.sentTo {
-		to[n] = true
+		targets[n] = true
 	}
 	if e.Kind == Refused {
-		return len(to) == 0 && d.refusals > 0, c.describeTargets(to, d)
+		return len(targets) == 0 && d.refusals > 0, c.describeTargets(targets, d)
 	}
 	want := map[string]bool{}
 	for _, n := range e.Nodes {
 		want[n] = true
 	}
-	return fmt.Sprint(slices.Sorted(maps.Keys(to))) == fmt.Sprint(slices.Sorted(maps.Keys(want))) && d.refusals == 0, c.describeTargets(to, d)
+	return fmt.Sprint(slices.Sorted(maps.Keys(targets))) == fmt.Sprint(slices.Sorted(maps.Keys(want))) && d.refusals == 0, c.describeTargets(targets, d)
 }
 
 func (c *checker) describeTargets(to map[string]bool, d *driver) string {
@@ -167,66 +167,66 @@
 // each other plan at its rate, all through as many hosts as the first volume has.
 func (c *checker) checkLimit(e Expectation) (bool, string) {
 	key := overloadKey{e.Plan, e.RateFactor}
-	got, known := c.overloads[key]
-	if !known {
-		got = c.overload(key)
-		c.overloads[key] = got
+	result, done := c.overloads[key]
+	if !done {
+		result = c.overload(key)
+		c.overloads[key] = result
 	}
-	if got.skipReason != "" {
-		return false, got.skipReason
+	if result.skipReason != "" {
+		return false, result.skipReason
 	}
-	return got.servedRate <= e.MaxRate+got.tolerance && got.othersLate == 0, fmt.Sprintf("%.1f units a second of %s, %d of %d requests of other plans late or lost", got.servedRate, e.Plan, got.othersLate, got.othersTotal)
+	return result.servedRate <= e.MaxRate+result.tolerance && result.othersLate == 0, fmt.Sprintf("%.1f units a second of %s, %d of %d requests of other plans late or lost", result.servedRate, e.Plan, result.othersLate, result.othersTotal)
 }
 
-func (c *checker) overload(r overloadKey) (out overloadResult) {
-	var asks []*settings.Volume
-	for i := range c.set.Plans {
-		j := slices.IndexFunc(c.set.Volumes, func(v settings.Volume) bool { return v.Plan == c.set.Plans[i].Name })
-		if j >= 0 {
-			asks = append(asks, &c.set.Volumes[j])
-		} else if c.set.Plans[i].Name == r.plan {
-			return overloadResult{skipReason: "no volume of plan " + r.plan}
+func (c *checker) overload(key overloadKey) (out overloadResult) {
+	var volumes []*settings.Volume
+	for i := range c.settings.Plans {
+		first := slices.IndexFunc(c.settings.Volumes, func(v settings.Volume) bool { return v.Plan == c.settings.Plans[i].Name })
+		if first >= 0 {
+			volumes = append(volumes, &c.settings.Volumes[first])
+		} else if c.settings.Plans[i].Name == key.plan {
+			return overloadResult{skipReason: "no volume of plan " + key.plan}
 		}
 	}
-	slices.SortStableFunc(asks, func(a, b *settings.Volume) int { // the overloaded one first: all go through its hosts
-		return -cmp.Compare(boolInt(a.Plan == r.plan), boolInt(b.Plan == r.plan))
+	slices.SortStableFunc(volumes, func(a, b *settings.Volume) int { // the overloaded one first: all go through its hosts
+		return -cmp.Compare(boolInt(a.Plan == key.plan), boolInt(b.Plan == key.plan))
 	})
-	hosts := len(asks[0].Hosts)
+	hosts := len(volumes[0].Hosts)
 	var drivers []*driver
 	for range hosts {
-		drivers = append(drivers, newDriver(c.set, c.nodeList(nil)))
+		drivers = append(drivers, newDriver(c.settings, c.nodeList(nil)))
 	}
-	n := 0
-	for _, v := range asks {
-		k := c.set.Class(scsi.Read, v.BlockSize, v.Plan)
-		if k == nil {
-			return overloadResult{skipReason: "no class takes reads of " + v.Name}
+	sent := 0
+	for _, volume := range volumes {
+		class := c.settings.Class(scsi.Read, volume.BlockSize, volume.Plan)
+		if class == nil {
+			return overloadResult{skipReason: "no class takes reads of " + volume.Name}
 		}
-		rate := c.set.RateOf(v)
-		if v.Plan == r.plan {
-			rate *= r.factor
+		rate := c.settings.RateOf(volume)
+		if volume.Plan == key.plan {
+			rate *= key.factor
 		}
 		if rate <= 0 || rate > 1e5 {
-			return overloadResult{skipReason: fmt.Sprintf("can't simulate a rate of %v per second of %s", rate, v.Name)}
+			return overloadResult{skipReason: fmt.Sprintf("can't simulate a rate of %v per second of %s", rate, volume.Name)}
 		}
-		for t := 0.0; t < overloadEnd; t += 1000 / rate {
-			drivers[n%hosts].addRequest(startTime+t, k.Deadline, policy.Request{ID: fmt.Sprint(n), Class: k.Name, Plan: v.Plan, Volume: v.Name, Shard: v.Layout[n%len(v.Layout)], Units: 1,
+		for offset := 0.0; offset < overloadEnd; offset += 1000 / rate {
+			drivers[sent%hosts].addRequest(startTime+offset, class.Deadline, policy.Request{ID: fmt.Sprint(sent), Class: class.Name, Plan: volume.Plan, Volume: volume.Name, Shard: volume.Layout[sent%len(volume.Layout)], Units: 1,
 				Hosts: hosts})
-			n++
+			sent++
 		}
 	}
-	passed := 0.0
+	served := 0.0
 	for _, d := range drivers {
 		d.run(startTime + overloadEnd + overloadGrace)
-		passed += d.servedUnits[r.plan]
-		for plan, n := range d.requested {
-			if plan != r.plan {
-				out.othersTotal += n
-				out.othersLate += n - d.inTime[plan]
+		served += d.servedUnits[key.plan]
+		for plan, count := range d.requested {
+			if plan != key.plan {
+				out.othersTotal += count
+				out.othersLate += count - d.inTime[plan]
 			}
 		}
 	}
-	out.servedRate, out.tolerance = passed/(overloadEnd-overloadSettle)*1000, float64(hosts)/(overloadEnd-overloadSettle)*1000
+	out.servedRate, out.tolerance = served/(overloadEnd-overloadSettle)*1000, float64(hosts)/(overloadEnd-overloadSettle)*1000
 	return out
 }
 
@@ -240,10 +240,10 @@
 // checkSurvival uses plan.FailOver to find the volumes that the loss of a failure domain
 // leaves without a node.
 func (c *checker) checkSurvival(e Expectation) (bool, string) {
-	lost, known := c.lostVolumes[e.Domain]
-	if !known {
+	lost, done := c.lostVolumes[e.Domain]
+	if !done {
 		lost = map[string]bool{}
-		s := *c.set
+		s := *c.settings
 		if strings.HasPrefix(e.Domain, "region-") {
 			s.Placement.FailureDomain = settings.DomainRegion
 		}
@@ -288,74 +288,74 @@
 }
 
 type scheduledEvent struct {
-	at    float64
+	time  float64
 	seq   int
 	event policy.Event
 }
 
 type eventQueue []scheduledEvent
 
-func (m eventQueue) Len() int { return len(m) }
-func (m eventQueue) Less(i, j int) bool {
-	return m[i].at < m[j].at || m[i].at == m[j].at && m[i].seq < m[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].time < q[j].time || q[i].time == q[j].time && q[i].seq < q[j].seq
 }
-func (m eventQueue) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
-func (m *eventQueue) Push(x any)   { *m = append(*m, x.(scheduledEvent)) }
-func (m *eventQueue) Pop() any {
-	old := *m
-	x := old[len(old)-1]
-	*m = old[:len(old)-1]
-	return x
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	old := *q
+	last := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return last
 }
 
 // warmUpTime is the time in ms that a simulated host runs before the first request, so that
 // its token buckets are full.
 const warmUpTime = 60_000.0
 
-func newDriver(s *settings.Settings, l policy.NodeList) *driver {
-	p := s.Policy(0, "")
-	d := &driver{scheduler: policy.New(p, 1), now: startTime - warmUpTime, requests: map[string]policy.Request{}, arrivals: map[string]float64{}, latencyTargets: map[string]float64{}, attempts: map[string]int{},
+func newDriver(s *settings.Settings, nodes policy.NodeList) *driver {
+	policySettings := s.Policy(0, "")
+	d := &driver{scheduler: policy.New(policySettings, 1), now: startTime - warmUpTime, requests: map[string]policy.Request{}, arrivals: map[string]float64{}, latencyTargets: map[string]float64{}, attempts: map[string]int{},
 		sentTo: map[string]int{}, requested: map[string]int{}, inTime: map[string]int{}, servedUnits: map[string]float64{}}
-	for _, k := range s.Classes {
-		d.latencyTargets[k.Name] = k.LatencyTarget
+	for _, class := range s.Classes {
+		d.latencyTargets[class.Name] = class.LatencyTarget
 	}
-	d.handle(l)
+	d.handle(nodes)
 	return d
 }
 
-func (d *driver) push(at float64, ev policy.Event) {
+func (d *driver) push(time float64, event policy.Event) {
 	d.pushed++
-	heap.Push(&d.queue, scheduledEvent{at, d.pushed, ev})
+	heap.Push(&d.queue, scheduledEvent{time, d.pushed, event})
 }
 
 // addRequest schedules the arrival of a request.
-func (d *driver) addRequest(at, deadline float64, q policy.Request) {
-	q.Expires = at + deadline
-	d.requested[q.Plan]++
-	d.requests[q.ID], d.arrivals[q.ID] = q, at
-	d.push(at, q)
+func (d *driver) addRequest(arrival, deadline float64, request policy.Request) {
+	request.Expires = arrival + deadline
+	d.requested[request.Plan]++
+	d.requests[request.ID], d.arrivals[request.ID] = request, arrival
+	d.push(arrival, request)
 }
 
-func (d *driver) run(until float64) {
-	for len(d.queue) > 0 && d.queue[0].at <= until {
-		m := heap.Pop(&d.queue).(scheduledEvent)
-		d.now = m.at
-		d.handle(m.event)
+func (d *driver) run(end float64) {
+	for len(d.queue) > 0 && d.queue[0].time <= end {
+		next := heap.Pop(&d.queue).(scheduledEvent)
+		d.now = next.time
+		d.handle(next.event)
 	}
 }
 
-func (d *driver) handle(ev policy.Event) {
-	if o, ok := ev.(policy.Outcome); ok {
-		q := d.requests[o.ID]
+func (d *driver) handle(event policy.Event) {
+	if outcome, ok := event.(policy.Outcome); ok {
+		request := d.requests[outcome.ID]
 		if d.now >= startTime+overloadSettle && d.now < startTime+overloadEnd {
-			d.servedUnits[q.Plan] += q.Units
+			d.servedUnits[request.Plan] += request.Units
 		}
-		if d.now-d.arrivals[q.ID] <= d.latencyTargets[q.Class] {
-			d.inTime[q.Plan]++
+		if d.now-d.arrivals[request.ID] <= d.latencyTargets[request.Class] {
+			d.inTime[request.Plan]++
 		}
 	}
-	for _, a := range d.scheduler.Handle(d.now, ev) {
-		switch a := a.(type) {
+	for _, action := range d.scheduler.Handle(d.now, event) {
+		switch a := action.(type) {
 		case policy.Send:
 			d.sentTo[a.Node]++
 			d.attempts[a.ID]++
--- a/internal/control/expect/expect_test.go
+++ b/internal/control/expect/expect_test.go
@@ -25,10 +25,10 @@
 func TestCheck(t *testing.T) {
 	s := settings.Example(3, 9)
 	s.Volumes[1].Copies, s.Volumes[1].CopyLayout = 2, []int{2, 5}
-	lay := s.Volumes[1].Layout
-	for _, x := range []struct{ text, found string }{
-		{fmt.Sprintf("volume vol-001 write goes to n%d, n%d", lay[0], lay[1]), ""},
-		{"volume vol-001 write goes to n8", fmt.Sprintf("n%d, n%d", lay[0], lay[1])},
+	layout := s.Volumes[1].Layout
+	for _, test := range []struct{ text, found string }{
+		{fmt.Sprintf("volume vol-001 write goes to n%d, n%d", layout[0], layout[1]), ""},
+		{"volume vol-001 write goes to n8", fmt.Sprintf("n%d, n%d", layout[0], layout[1])},
 		{fmt.Sprintf("volume vol-000 read goes to m0 when n%d draining, m0 ready at shard %d", s.Volumes[0].Layout[0], s.Volumes[0].Layout[0]), ""},
 		{fmt.Sprintf("volume vol-000 read goes to n0 when n%d draining, m0 ready at shard %d", s.Volumes[0].Layout[0], s.Volumes[0].Layout[0]), "m0"},
 		{fmt.Sprintf("volume vol-000 write is refused when n%d gone", s.Volumes[0].Layout[0]), ""},
@@ -45,9 +45,9 @@
 		{"hall hall-a lost keeps volume vol-001", ""},
 		{"hall hall-a lost keeps every volume", " more without a node"},
 	} {
-		got := check(t, s, x.text)
-		if len(got) != 1 || got[0].Holds != (x.found == "") || !strings.Contains(got[0].Found, x.found) {
-			t.Errorf("%+v, want %q", got, x.found)
+		got := check(t, s, test.text)
+		if len(got) != 1 || got[0].Holds != (test.found == "") || !strings.Contains(got[0].Found, test.found) {
+			t.Errorf("%+v, want %q", got, test.found)
 		}
 	}
 }
@@ -94,18 +94,18 @@
 	for i := range 400 {
 		v := &s.Volumes[i]
 		seen := map[int]bool{}
-		var to []string
+		var nodes []string
 		for _, sh := range v.Layout {
 			if !seen[sh] {
-				to = append(to, expect.NodeName(sh))
+				nodes = append(nodes, expect.NodeName(sh))
 			}
 			seen[sh] = true
 		}
-		fmt.Fprintf(&b, "volume %s read goes to %s\n", v.Name, strings.Join(to, ", "))
+		fmt.Fprintf(&b, "volume %s read goes to %s\n", v.Name, strings.Join(nodes, ", "))
 		if i%4 == 0 {
 			sh := v.Layout[0]
 			fmt.Fprintf(&b, "volume %s write goes to %s when n%d draining, m%d ready at shard %d\n", v.Name,
-				strings.Join(append([]string{fmt.Sprintf("m%d", sh)}, to[1:]...), ", "), sh, sh, sh)
+				strings.Join(append([]string{fmt.Sprintf("m%d", sh)}, nodes[1:]...), ", "), sh, sh, sh)
 		}
 	}
 	return s, b.String()
@@ -114,35 +114,35 @@
 // A changed layout fails exactly the expectations of its volume, with one line each.
 func TestChangedLayoutsFailTheirExpectations(t *testing.T) {
 	s, text := largeExample()
-	began := time.Now()
-	for _, a := range check(t, s, text) {
-		if !a.Holds {
-			t.Fatal(a)
+	started := time.Now()
+	for _, result := range check(t, s, text) {
+		if !result.Holds {
+			t.Fatal(result)
 		}
 	}
-	t.Logf("500 expectations over 47 nodes and 400 volumes in %v", time.Since(began).Round(time.Millisecond))
-	broken := *s
-	broken.Volumes = append([]settings.Volume(nil), s.Volumes...)
+	t.Logf("500 expectations over 47 nodes and 400 volumes in %v", time.Since(started).Round(time.Millisecond))
+	changed := *s
+	changed.Volumes = append([]settings.Volume(nil), s.Volumes...)
 	for i := range 10 {
-		broken.Volumes[i*40].Layout = []int{(s.Volumes[i*40].Layout[0] + 20) % 47}
+		changed.Volumes[i*40].Layout = []int{(s.Volumes[i*40].Layout[0] + 20) % 47}
 	}
 	failed := 0
-	for _, a := range check(t, &broken, text) {
+	for _, result := range check(t, &changed, text) {
 		touched := false
 		for i := range 10 {
-			touched = touched || a.Volume == s.Volumes[i*40].Name
+			touched = touched || result.Volume == s.Volumes[i*40].Name
 		}
-		if a.Holds == touched {
-			t.Errorf("%v", a)
+		if result.Holds == touched {
+			t.Errorf("%v", result)
 		}
-		if !a.Holds {
+		if !result.Holds {
 			failed++
-			if line := a.String(); strings.Contains(line, "\n") || !strings.Contains(line, a.Volume) || !strings.Contains(line, "found n") {
+			if line := result.String(); strings.Contains(line, "\n") || !strings.Contains(line, result.Volume) || !strings.Contains(line, "found n") {
 				t.Errorf("%q", line)
 			}
 		}
 	}
-	t.Logf("%d failed for 10 changed volumes, such as: %v", failed, check(t, &broken, text)[0])
+	t.Logf("%d failed for 10 changed volumes, such as: %v", failed, check(t, &changed, text)[0])
 }
 
 func BenchmarkCheck500(b *testing.B) {
--- a/internal/control/expect/format.go
+++ b/internal/control/expect/format.go
@@ -75,16 +75,16 @@
 		p.domains[s.Nodes[i].Hall] = true
 		p.domains[fmt.Sprintf("region-%d", s.Nodes[i].Region)] = true
 	}
-	sc := bufio.NewScanner(io.LimitReader(r, MaxFile+1))
-	sc.Buffer(make([]byte, 0, 4096), maxLine)
-	for size := 0; sc.Scan(); {
+	scanner := bufio.NewScanner(io.LimitReader(r, MaxFile+1))
+	scanner.Buffer(make([]byte, 0, 4096), maxLine)
+	for size := 0; scanner.Scan(); {
 		p.line++
-		if size += len(sc.Bytes()) + 1; size > MaxFile {
+		if size += len(scanner.Bytes()) + 1; size > MaxFile {
 			return nil, &settings.FaultsError{Faults: []settings.Fault{{Path: p.path(), Reason: "the file is larger than 4 MiB"}}}
 		}
-		p.parseLine(sc.Text())
+		p.parseLine(scanner.Text())
 	}
-	if err := sc.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		p.line++
 		p.fault("%v", err)
 	}
@@ -148,9 +148,9 @@
 	if len(p.words) == 0 {
 		return ""
 	}
-	w := p.words[0]
+	word := p.words[0]
 	p.words = p.words[1:]
-	return w
+	return word
 }
 
 // expect consumes the given words and records a fault if others follow.
@@ -175,21 +175,21 @@
 }
 
 func (p *parser) number() float64 {
-	w := p.next()
-	f, err := strconv.ParseFloat(w, 64)
-	if err != nil || !(f >= 0 && f <= 1e12) {
-		p.fault("%.40q is not a number from 0 to 1e12", w)
+	word := p.next()
+	value, err := strconv.ParseFloat(word, 64)
+	if err != nil || !(value >= 0 && value <= 1e12) {
+		p.fault("%.40q is not a number from 0 to 1e12", word)
 	}
-	return f
+	return value
 }
 
 // knownName consumes a name, which must be one of names.
-func (p *parser) knownName(what string, names map[string]bool) string {
-	n := p.next()
-	if !p.lineFaulty && !names[n] {
-		p.fault("there is no %s %.70q", what, n)
+func (p *parser) knownName(kind string, names map[string]bool) string {
+	name := p.next()
+	if !p.lineFaulty && !names[name] {
+		p.fault("there is no %s %.70q", kind, name)
 	}
-	return n
+	return name
 }
 
 func (p *parser) parseVolume(e *Expectation) {
@@ -199,33 +199,33 @@
 		p.fault("unknown operation %.40q", op)
 	}
 	if p.accept("of") {
-		n := p.number()
-		if n > 1<<24 {
-			p.fault("a request of %v bytes is larger than 16 MiB", n)
+		size := p.number()
+		if size > 1<<24 {
+			p.fault("a request of %v bytes is larger than 16 MiB", size)
 		}
-		e.Bytes = int(n)
+		e.Bytes = int(size)
 		p.expect("bytes")
 	}
-	switch w := p.next(); {
+	switch word := p.next(); {
 	case p.lineFaulty:
-	case w == "goes":
+	case word == "goes":
 		p.expect("to")
 		e.Kind = Routes
 		for e.Nodes = append(e.Nodes, p.node()); p.accept(","); {
 			e.Nodes = append(e.Nodes, p.node())
 		}
 		p.nodeStates(e)
-	case w == "is" && p.accept("refused"):
+	case word == "is" && p.accept("refused"):
 		e.Kind = Refused
 		p.nodeStates(e)
-	case w == "is":
+	case word == "is":
 		p.expect("class")
 		e.Kind, e.Class = ClassIs, p.next()
 		if e.Class == "" {
 			p.fault("class name is missing")
 		}
 	default:
-		p.fault("got %.40q, want goes or is", w)
+		p.fault("got %.40q, want goes or is", word)
 	}
 }
 
@@ -239,11 +239,11 @@
 
 // defaultShard returns the shard of a node with a default name, -1 for another name.
 func (p *parser) defaultShard(name string) int {
-	n, err := strconv.Atoi(strings.TrimPrefix(name, "n"))
-	if err != nil || NodeName(n) != name || n >= p.set.Shards || n < 0 {
+	shard, err := strconv.Atoi(strings.TrimPrefix(name, "n"))
+	if err != nil || NodeName(shard) != name || shard >= p.set.Shards || shard < 0 {
 		return -1
 	}
-	return n
+	return shard
 }
 
 // NodeName returns the default name of the node with a shard.
@@ -254,24 +254,24 @@
 		return
 	}
 	for more := true; more && !p.lineFaulty; more = p.accept(",") {
-		f := NodeState{Node: p.node(), State: p.next()}
-		f.Shard = p.defaultShard(f.Node)
-		switch f.State {
+		state := NodeState{Node: p.node(), State: p.next()}
+		state.Shard = p.defaultShard(state.Node)
+		switch state.State {
 		case "draining", "gone":
-			if f.Shard < 0 {
-				p.fault("there is no node %.70q", f.Node)
+			if state.Shard < 0 {
+				p.fault("there is no node %.70q", state.Node)
 			}
 		case "ready":
 			p.expect("at", "shard")
-			if n := p.number(); !p.lineFaulty {
-				if f.Shard = int(n); f.Shard >= p.set.Shards {
-					p.fault("there is no shard %d", f.Shard)
+			if shard := p.number(); !p.lineFaulty {
+				if state.Shard = int(shard); state.Shard >= p.set.Shards {
+					p.fault("there is no shard %d", state.Shard)
 				}
 			}
 		default:
-			p.fault("node %.70q is %.40q, want ready, draining or gone", f.Node, f.State)
+			p.fault("node %.70q is %.40q, want ready, draining or gone", state.Node, state.State)
 		}
-		if e.NodeStates = append(e.NodeStates, f); len(e.NodeStates) > maxNodeStates {
+		if e.NodeStates = append(e.NodeStates, state); len(e.NodeStates) > maxNodeStates {
 			p.fault("more than %d node states in one line", maxNodeStates)
 		}
 	}
@@ -288,14 +288,14 @@
 	p.expect("and", "others", "lose", "none")
 }
 
-func (p *parser) parseDomain(e *Expectation, what string) {
+func (p *parser) parseDomain(e *Expectation, kind string) {
 	e.Kind = Survives
 	name := p.next()
-	if what == "region" {
+	if kind == "region" {
 		name = "region-" + name
 	}
 	if e.Domain = name; !p.lineFaulty && !p.domains[name] {
-		p.fault("there is no %s %.70q", what, name)
+		p.fault("there is no %s %.70q", kind, name)
 	}
 	p.expect("lost", "keeps")
 	if p.accept("volume") {
