--- a/cmd/merlinhitch/announce.go
+++ b/cmd/merlinhitch/announce.go
@@ -67,7 +67,7 @@
 	if c.Peers < 1 || c.Peers > 1000 || c.Prefixes < 4 || c.Prefixes > 60000 {
 		return fmt.Errorf("announce peers: needs 1 to 1000 routers and 4 to 60000 prefixes")
 	}
-	return lab.ManyPeers(ctx, c.Peers, c.Prefixes, os.Stdout)
+	return lab.MeasureSpeaker(ctx, c.Peers, c.Prefixes, os.Stdout)
 }
 
 type announceDaysCmd struct {
@@ -80,7 +80,7 @@
 func (c *announceDaysCmd) Run(log *zap.Logger) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	rows, err := lab.RouteDays(ctx, lab.Options{Commands: c.Commands, Hosts: 3, Servers: 9, Rate: c.Rate,
+	rows, err := lab.CompareRouting(ctx, lab.Options{Commands: c.Commands, Hosts: 3, Servers: 9, Rate: c.Rate,
 		Log: log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))}, c.Seeds, max(c.Parallel, 1), os.Stderr)
 	if err != nil {
 		return err
@@ -89,7 +89,7 @@
 		return err
 	}
 	for _, row := range rows {
-		if row.Bad > 0 {
+		if row.Broken > 0 {
 			return errReported
 		}
 	}
@@ -108,7 +108,7 @@
 	if c.Each < 1 || c.Gateways < 1 || c.Gateways > 200 {
 		return fmt.Errorf("announce losses: needs at least 1 failure of each kind, and 1 to 200 gateways")
 	}
-	rows, err := lab.Losses(ctx, c.Each, c.Gateways, os.Stderr)
+	rows, err := lab.MeasureLosses(ctx, c.Each, c.Gateways, os.Stderr)
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 		for _, row := range rows {
 			series := chart.Series{Name: row.Kind}
 			for quantile := 0.0; quantile <= 100; quantile += 0.5 {
-				series.X, series.Y = append(series.X, float64(row.Times.ValueAtQuantile(quantile))/1000), append(series.Y, quantile)
+				series.X, series.Y = append(series.X, float64(row.Delays.ValueAtQuantile(quantile))/1000), append(series.Y, quantile)
 			}
 			lines = append(lines, series)
 		}
@@ -129,7 +129,7 @@
 		}
 	}
 	for _, row := range rows {
-		if row.Late+row.Failed+row.Wrong > 0 {
+		if row.OverSecond+row.NotSeen+row.WrongAnnouncements > 0 {
 			return errReported
 		}
 	}
--- a/cmd/merlinhitch/badday.go
+++ b/cmd/merlinhitch/badday.go
@@ -69,7 +69,7 @@
 }
 
 func (c *baddayCmd) runCounterDay(ctx context.Context, options lab.Options) error {
-	result, err := lab.CountDay(ctx, options)
+	result, err := lab.CheckCounters(ctx, options)
 	if err != nil {
 		return err
 	}
--- a/cmd/merlinhitch/bench.go
+++ b/cmd/merlinhitch/bench.go
@@ -16,12 +16,12 @@
 }
 
 func (c *benchCmd) Run() error {
-	options := lab.BenchOptions{Point: c.Point, Conns: c.Connections, Depths: c.Outstanding, Progress: os.Stderr}
+	options := lab.BenchOptions{PointTime: c.Point, Connections: c.Connections, Outstanding: c.Outstanding, Progress: os.Stderr}
 	if c.Watch {
-		return lab.BenchWatch(options, os.Stdout)
+		return lab.BenchMonitoring(options, os.Stdout)
 	}
 	if c.Keys {
-		return lab.BenchKeys(options, os.Stdout)
+		return lab.BenchTLS(options, os.Stdout)
 	}
 	return lab.Bench(options, os.Stdout)
 }
--- a/cmd/merlinhitch/experiment.go
+++ b/cmd/merlinhitch/experiment.go
@@ -42,7 +42,7 @@
 		c.Layouts = []string{""}
 	}
 	rows, seconds, err := lab.Experiment(ctx, lab.Grid{Hosts: c.Hosts, Servers: c.Servers, Rates: c.Rates, Loads: c.Loads, Layouts: c.Layouts, Troubles: c.Troubles,
-		Seeds: c.Seeds, Span: time.Duration(c.Seconds * float64(time.Second)), Figure: c.Figure, Values: c.Values, Parallel: c.Parallel}, os.Stderr)
+		Seeds: c.Seeds, Duration: time.Duration(c.Seconds * float64(time.Second)), Setting: c.Figure, Values: c.Values, Parallel: c.Parallel}, os.Stderr)
 	if err != nil {
 		return err
 	}
@@ -80,5 +80,5 @@
 	if len(comparisons) == 0 {
 		return fmt.Errorf("experiment compare: the two experiments have no run in common")
 	}
-	return lab.PrintCompared(os.Stdout, comparisons)
+	return lab.PrintComparisons(os.Stdout, comparisons)
 }
--- a/cmd/merlinhitch/plan.go
+++ b/cmd/merlinhitch/plan.go
@@ -181,7 +181,7 @@
 func (c *planDaysCmd) Run(log *zap.Logger) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	rows, err := lab.LayoutDays(ctx, lab.Options{Commands: c.Commands, Hosts: 3, Servers: 9, Rate: c.Rate,
+	rows, err := lab.CompareLayouts(ctx, lab.Options{Commands: c.Commands, Hosts: 3, Servers: 9, Rate: c.Rate,
 		Log: log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))}, c.Seeds, max(c.Parallel, 1), os.Stderr)
 	if err != nil {
 		return err
@@ -195,7 +195,7 @@
 		}
 	}
 	for _, row := range rows {
-		if row.Bad > 0 {
+		if row.Broken > 0 {
 			return errReported
 		}
 	}
@@ -205,9 +205,9 @@
 func drawLayouts(file string, rows []lab.LayoutRow) error {
 	var days []string
 	byLayout := map[string]*chart.Series{}
-	for _, row := range rows[:2*len(lab.Layouts)] {
-		if !slices.Contains(days, row.Day) {
-			days = append(days, row.Day)
+	for _, row := range rows[:2*len(lab.LayoutStrategies)] {
+		if !slices.Contains(days, row.Scenario) {
+			days = append(days, row.Scenario)
 		}
 		if byLayout[row.Layout] == nil {
 			byLayout[row.Layout] = &chart.Series{Name: row.Layout}
@@ -215,7 +215,7 @@
 		byLayout[row.Layout].Y = append(byLayout[row.Layout].Y, row.Goodput[len(row.Goodput)/2])
 	}
 	var series []chart.Series
-	for _, layout := range lab.Layouts {
+	for _, layout := range lab.LayoutStrategies {
 		series = append(series, *byLayout[layout])
 	}
 	return chart.Bars(file, "goodput under busy workloads, median of the seeds", "fraction of offered value", days, series...)
--- a/cmd/merlinhitch/reservations.go
+++ b/cmd/merlinhitch/reservations.go
@@ -18,7 +18,7 @@
 func (c *reservationsCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	failedRuns, err := lab.ReservationRuns(ctx, c.Virtual, max(c.Runs, 1), max(c.Steps, 1), max(c.Parallel, 1), os.Stdout, os.Stderr)
+	failedRuns, err := lab.CheckReservations(ctx, c.Virtual, max(c.Runs, 1), max(c.Steps, 1), max(c.Parallel, 1), os.Stdout, os.Stderr)
 	if err == nil && failedRuns > 0 {
 		err = errReported
 	}
--- a/cmd/merlinhitch/settings.go
+++ b/cmd/merlinhitch/settings.go
@@ -339,7 +339,7 @@
 	defer stop()
 	failed := 0
 	for i := range c.Seeds {
-		result, err := lab.ChangeDay(ctx, lab.Options{Seed: c.Seed + uint64(i), Commands: c.Commands, Rate: c.Rate, Hosts: c.Hosts, Servers: c.Servers,
+		result, err := lab.RunSettingsChanges(ctx, lab.Options{Seed: c.Seed + uint64(i), Commands: c.Commands, Rate: c.Rate, Hosts: c.Hosts, Servers: c.Servers,
 			FaultKinds: c.Troubles, Log: log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))}, c.Operators, c.Changes)
 		if err != nil {
 			return err
--- a/internal/simulation/lab/badday.go
+++ b/internal/simulation/lab/badday.go
@@ -188,12 +188,12 @@
 		d.checker = opt.newChecker(f)
 	}
 	defer d.clients.Close()
-	d.clients.routed(opt.Routing)
+	d.clients.setRouting(opt.Routing)
 	if set.Regions != nil {
 		d.clients.spanRegions()
 	}
 	d.clients.Login()
-	if opt.Routing == RouteOn {
+	if opt.Routing == RouteAnnounced {
 		f.awaitRoutes(ctx, 10*time.Second)
 	}
 	return d.run(ctx)
--- a/internal/simulation/lab/bench.go
+++ b/internal/simulation/lab/bench.go
@@ -37,65 +37,65 @@
 // ratios say what the gateway adds to moving the bytes.
 
 const (
-	benchBlock  = 4096
-	benchShards = 9
-	requestLen  = 48      // a SCSI command PDU
-	forwardLen  = 16 + 96 // about a Do frame
-	replyLen    = 16 + 15 + benchBlock
-	responseLen = 48 + benchBlock
+	benchBlockSize = 4096
+	benchShards    = 9
+	requestLen     = 48      // a SCSI command PDU
+	doFrameLen     = 16 + 96 // about a Do frame
+	answerFrameLen = 16 + 15 + benchBlockSize
+	responseLen    = 48 + benchBlockSize
 )
 
 // BenchOptions says how long each point takes.
 type BenchOptions struct {
-	Point    time.Duration
-	Conns    []int
-	Depths   []int
-	Progress io.Writer
+	PointTime   time.Duration
+	Connections []int
+	Outstanding []int
+	Progress    io.Writer
 }
 
-// subject is what is measured: an address to connect to and what to say first.
-type subject struct {
-	name  string
-	addr  string
-	admin string
-	greet func(c net.Conn, r *bufio.Reader) (cmdSN uint32, err error)
-	close func()
+// benchEndpoint is what is measured: an address to connect to and what to say first.
+type benchEndpoint struct {
+	name      string
+	addr      string
+	adminAddr string
+	login     func(c net.Conn, r *bufio.Reader) (cmdSN uint32, err error)
+	close     func()
 }
 
-// Point is one measurement.
-type Point struct {
-	Rate    float64 // operations a second
-	Latency *hdrhistogram.Histogram
-	CPU     float64 // microseconds of the process for an operation
-	Allocs  float64
-	Failed  int64
+// Measurement is one measurement.
+type Measurement struct {
+	Rate        float64 // operations a second
+	Latency     *hdrhistogram.Histogram
+	CPUMicros   float64 // microseconds of the process for an operation
+	AllocsPerOp float64
+	Failed      int64
 }
 
 // Bench measures all three and writes the tables.
 func Bench(opt BenchOptions, out io.Writer) error {
-	gate, closeAll, err := benchGateway(nil)
+	gate, closeAll, err := startBenchGateway(nil)
 	if err != nil {
 		return err
 	}
 	defer closeAll()
-	pipe, fan, closeRelays, err := relaySubjects()
+	pipe, fan, closeRelays, err := startRelays()
 	if err != nil {
 		return err
 	}
 	defer closeRelays()
-	return benchAll(opt, gate, pipe, fan, out)
+	return benchAgainstRelays(opt, gate, pipe, fan, out)
 }
 
-// benchSetup is what a measured gateway has beside the usual: keys of it and of its disk
+// benchGatewayOptions is what a measured gateway has beside the usual: keys of it and of its disk
 // servers, a history.
-type benchSetup struct {
-	host, disks *keys.Credentials
-	history     string // folder
-	admin       string
+type benchGatewayOptions struct {
+	hostKeys, diskKeys *keys.Credentials
+	historyDir         string // folder
+	adminAddr          string
 }
 
-// benchGateway is a gateway before servers that answer at once; nil: the usual.
-func benchGateway(k *benchSetup) (gate *subject, closeAll func(), err error) {
+// startBenchGateway is a gateway before servers that answer at once; nil: the usual.
+func startBenchGateway(k *benchGatewayOptions) (gate *benchEndpoint, closeAll func(), err error) {
 	w := env.NewReal()
 	var disks []*standin.ImmediateDiskServer
 	closeAll = func() {
@@ -107,33 +107,33 @@
 		}
 	}
 	if k == nil {
-		k = &benchSetup{}
+		k = &benchGatewayOptions{}
 	}
 	var addrs []string
 	for range benchShards {
-		q, err := standin.ServeImmediateDiskServer(w, benchBlock, k.disks)
+		q, err := standin.ServeImmediateDiskServer(w, benchBlockSize, k.diskKeys)
 		if err != nil {
 			closeAll()
 			return nil, nil, err
 		}
 		disks, addrs = append(disks, q), append(addrs, q.Addr)
 	}
-	if gate, err = gatewaySubject(w, addrs, k); err != nil {
+	if gate, err = startGatewayEndpoint(w, addrs, k); err != nil {
 		closeAll()
 		return nil, nil, err
 	}
 	return gate, closeAll, nil
 }
 
-func benchAll(opt BenchOptions, gate, pipe, fan *subject, out io.Writer) error {
+func benchAgainstRelays(opt BenchOptions, gate, pipe, fan *benchEndpoint, out io.Writer) error {
 	tw := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| conns\t| out\t| pipe op/s\t| fan op/s\t| gateway op/s\t| of pipe\t| of fan\t| fan p50/p99/p99.9 ms\t| gateway p50/p99/p99.9 ms\t| cpu us/op: pipe, fan, gateway\t| allocs/op\t|")
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
 	best := 0.0
-	for _, conns := range opt.Conns {
-		for _, depth := range opt.Depths {
-			var p [3]*Point
-			for i, s := range []*subject{pipe, fan, gate} {
+	for _, conns := range opt.Connections {
+		for _, depth := range opt.Outstanding {
+			var p [3]*Measurement
+			for i, s := range []*benchEndpoint{pipe, fan, gate} {
 				var err error
 				if p[i], err = measure(s, conns, depth, 0, opt); err != nil {
 					return err
@@ -147,30 +147,30 @@
 				best = max(best, g.Rate)
 			}
 			fmt.Fprintf(tw, "| %d\t| %d\t| %.0f\t| %.0f\t| %.0f%s\t| %.2f\t| %.2f\t| %s\t| %s\t| %.1f, %.1f, %.1f\t| %.1f\t|\n", conns, depth,
-				p[0].Rate, p[1].Rate, g.Rate, note, g.Rate/p[0].Rate, g.Rate/p[1].Rate, quantiles(p[1]), quantiles(g), p[0].CPU, p[1].CPU, g.CPU, g.Allocs)
+				p[0].Rate, p[1].Rate, g.Rate, note, g.Rate/p[0].Rate, g.Rate/p[1].Rate, formatQuantiles(p[1]), formatQuantiles(g), p[0].CPUMicros, p[1].CPUMicros, g.CPUMicros, g.AllocsPerOp)
 		}
 	}
 	if err := tw.Flush(); err != nil {
 		return err
 	}
-	if err := halfLoad(opt, gate, fan, best/2, out); err != nil {
+	if err := benchHalfLoad(opt, gate, fan, best/2, out); err != nil {
 		return err
 	}
-	if err := costs(opt, gate, best/2, out); err != nil {
+	if err := benchCommandCost(opt, gate, best/2, out); err != nil {
 		return err
 	}
-	return idle(gate, out)
+	return benchIdleSessions(gate, out)
 }
 
-func quantiles(p *Point) string {
+func formatQuantiles(p *Measurement) string {
 	q := func(x float64) float64 { return float64(p.Latency.ValueAtQuantile(x)) / 1000 }
 	return fmt.Sprintf("%.2f/%.2f/%.2f", q(50), q(99), q(99.9))
 }
 
-func p99(p *Point) float64 { return float64(p.Latency.ValueAtQuantile(99)) }
+func p99Micros(p *Measurement) float64 { return float64(p.Latency.ValueAtQuantile(99)) }
 
-// halfLoad compares the tails at half of the gateway's best rate.
-func halfLoad(opt BenchOptions, gate, relay *subject, rate float64, out io.Writer) error {
+// benchHalfLoad compares the tails at half of the gateway's best rate.
+func benchHalfLoad(opt BenchOptions, gate, relay *benchEndpoint, rate float64, out io.Writer) error {
 	a, err := measure(relay, 64, 0, rate, opt)
 	if err != nil {
 		return err
@@ -179,12 +179,12 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "\nat half load, %.0f op/s over 64 connections: fan %s ms, gateway %s ms, p99 ratio %.2f\n", rate, quantiles(a), quantiles(b), p99(b)/p99(a))
+	fmt.Fprintf(out, "\nat half load, %.0f op/s over 64 connections: fan %s ms, gateway %s ms, p99 ratio %.2f\n", rate, formatQuantiles(a), formatQuantiles(b), p99Micros(b)/p99Micros(a))
 	return nil
 }
 
-// costs compares what a command costs over connections and over rates.
-func costs(opt BenchOptions, gate *subject, rate float64, out io.Writer) error {
+// benchCommandCost compares what a command benchCommandCost over connections and over rates.
+func benchCommandCost(opt BenchOptions, gate *benchEndpoint, rate float64, out io.Writer) error {
 	few, err := measure(gate, 10, 0, rate, opt)
 	if err != nil {
 		return err
@@ -193,7 +193,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "cost of a command at %.0f op/s: %.1f us over 10 connections, %.1f us over 1000, ratio %.2f\n", rate, few.CPU, many.CPU, many.CPU/few.CPU)
+	fmt.Fprintf(out, "cost of a command at %.0f op/s: %.1f us over 10 connections, %.1f us over 1000, ratio %.2f\n", rate, few.CPUMicros, many.CPUMicros, many.CPUMicros/few.CPUMicros)
 	slow, err := measure(gate, 64, 0, 500, opt)
 	if err != nil {
 		return err
@@ -202,37 +202,37 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "cost of a command: %.1f us at 500 op/s, %.1f us at 50000 asked for (%.0f reached), ratio %.2f\n", slow.CPU, fast.CPU, fast.Rate, fast.CPU/slow.CPU)
+	fmt.Fprintf(out, "cost of a command: %.1f us at 500 op/s, %.1f us at 50000 asked for (%.0f reached), ratio %.2f\n", slow.CPUMicros, fast.CPUMicros, fast.Rate, fast.CPUMicros/slow.CPUMicros)
 	return nil
 }
 
-const idleSessions = 1000
+const idleSessionCount = 1000
 
-// idle measures the memory of sessions that do nothing, their clients' side
+// benchIdleSessions measures the memory of sessions that do nothing, their clients' side
 // included (a bare connection each).
-func idle(gate *subject, out io.Writer) error {
-	before := held()
+func benchIdleSessions(gate *benchEndpoint, out io.Writer) error {
+	before := memoryInUse()
 	var conns []net.Conn
 	defer func() {
 		for _, c := range conns {
 			c.Close()
 		}
 	}()
-	for range idleSessions {
+	for range idleSessionCount {
 		c, err := net.Dial("tcp", gate.addr)
 		if err != nil {
 			return err
 		}
 		conns = append(conns, c)
-		if _, err := gate.greet(c, bufio.NewReaderSize(c, 512)); err != nil {
+		if _, err := gate.login(c, bufio.NewReaderSize(c, 512)); err != nil {
 			return err
 		}
 	}
-	fmt.Fprintf(out, "an idle session holds %.1f KiB of heap and stacks\n", float64(held()-before)/idleSessions/1024)
+	fmt.Fprintf(out, "an idle session holds %.1f KiB of heap and stacks\n", float64(memoryInUse()-before)/idleSessionCount/1024)
 	return nil
 }
 
-func held() int64 {
+func memoryInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -240,8 +240,8 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// cpuNow is the process's CPU time.
-func cpuNow() time.Duration {
+// processCPUTime is the process's CPU time.
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -251,12 +251,12 @@
 
 // measure measures one point: closed loop with depth outstanding on each connection,
 // or open loop at a total rate where depth is 0.
-func measure(s *subject, conns, depth int, rate float64, opt BenchOptions) (*Point, error) {
+func measure(s *benchEndpoint, conns, depth int, rate float64, opt BenchOptions) (*Measurement, error) {
 	if opt.Progress != nil {
 		fmt.Fprintf(opt.Progress, "%s: %d connections, %d outstanding, rate %.0f\n", s.name, conns, depth, rate)
 	}
-	p := &Point{Latency: hdrhistogram.New(1, 60_000_000, 3)}
-	loads := make([]*load, conns)
+	p := &Measurement{Latency: hdrhistogram.New(1, 60_000_000, 3)}
+	loads := make([]*loadConn, conns)
 	var all sync.WaitGroup
 	defer func() {
 		for _, l := range loads {
@@ -271,33 +271,33 @@
 		if err != nil {
 			return nil, err
 		}
-		l := &load{conn: c, r: bufio.NewReaderSize(c, 32<<10), hist: hdrhistogram.New(1, 60_000_000, 3)}
+		l := &loadConn{conn: c, reader: bufio.NewReaderSize(c, 32<<10), hist: hdrhistogram.New(1, 60_000_000, 3)}
 		loads[i] = l
-		if l.sn, err = s.greet(c, l.r); err != nil {
+		if l.cmdSN, err = s.login(c, l.reader); err != nil {
 			return nil, err
 		}
 	}
 	var on atomic.Bool
 	for i, l := range loads {
-		l.on = &on
+		l.recording = &on
 		if rate > 0 {
-			l.gap = time.Duration(float64(conns) / rate * float64(time.Second))
-			l.first = l.gap * time.Duration(i) / time.Duration(conns)
+			l.interval = time.Duration(float64(conns) / rate * float64(time.Second))
+			l.offset = l.interval * time.Duration(i) / time.Duration(conns)
 		}
-		all.Go(func() { l.read(depth) })
+		all.Go(func() { l.receive(depth) })
 		if rate > 0 {
-			all.Go(l.pace)
+			all.Go(l.sendAtRate)
 		}
 	}
-	time.Sleep(opt.Point / 2) // the warm-up: a measurement, not a test
+	time.Sleep(opt.PointTime / 2) // the warm-up: a measurement, not a test
 	var m0, m1 runtime.MemStats
 	runtime.ReadMemStats(&m0)
-	cpu, begin := cpuNow(), time.Now()
+	cpu, begin := processCPUTime(), time.Now()
 	on.Store(true)
-	time.Sleep(opt.Point)
+	time.Sleep(opt.PointTime)
 	on.Store(false)
 	took := time.Since(begin)
-	cpu = cpuNow() - cpu
+	cpu = processCPUTime() - cpu
 	runtime.ReadMemStats(&m1)
 	ops := int64(0)
 	for _, l := range loads {
@@ -308,80 +308,80 @@
 		l.mu.Unlock()
 	}
 	p.Rate = float64(ops) / took.Seconds()
-	p.CPU = float64(cpu.Microseconds()) / float64(max(ops, 1))
-	p.Allocs = float64(m1.Mallocs-m0.Mallocs) / float64(max(ops, 1))
+	p.CPUMicros = float64(cpu.Microseconds()) / float64(max(ops, 1))
+	p.AllocsPerOp = float64(m1.Mallocs-m0.Mallocs) / float64(max(ops, 1))
 	return p, nil
 }
 
-// load is one client connection: it speaks as little as it can.
-type load struct {
-	conn       net.Conn
-	r          *bufio.Reader
-	on         *atomic.Bool
-	gap, first time.Duration
-
-	mu     sync.Mutex
-	sn     uint32
-	began  [4096]time.Time // by tag
-	tag    uint32
-	out    []byte
-	ops    int64
-	failed int64
-	hist   *hdrhistogram.Histogram
+// loadConn is one client connection: it speaks as little as it can.
+type loadConn struct {
+	conn             net.Conn
+	reader           *bufio.Reader
+	recording        *atomic.Bool
+	interval, offset time.Duration
+
+	mu      sync.Mutex
+	cmdSN   uint32
+	started [4096]time.Time // by tag
+	lastTag uint32
+	unsent  []byte
+	ops     int64
+	failed  int64
+	hist    *hdrhistogram.Histogram
 }
 
-// add appends a command, counted from the time when it was due.
-func (l *load) add(due time.Time) {
-	l.tag = (l.tag + 1) % uint32(len(l.began))
-	l.began[l.tag] = due
+// enqueue appends a command, counted from the time when it was due.
+func (l *loadConn) enqueue(due time.Time) {
+	l.lastTag = (l.lastTag + 1) % uint32(len(l.started))
+	l.started[l.lastTag] = due
 	var p [requestLen]byte
 	p[0], p[1] = byte(iscsi.OpCommand), 0xc1
-	binary.BigEndian.PutUint32(p[16:], l.tag)
-	binary.BigEndian.PutUint32(p[20:], benchBlock)
-	binary.BigEndian.PutUint32(p[24:], l.sn)
-	l.sn++
-	copy(p[32:], initiator.ReadCDB(uint64(l.sn*2654435761)%(1<<20), 1))
-	l.out = append(l.out, p[:]...)
+	binary.BigEndian.PutUint32(p[16:], l.lastTag)
+	binary.BigEndian.PutUint32(p[20:], benchBlockSize)
+	binary.BigEndian.PutUint32(p[24:], l.cmdSN)
+	l.cmdSN++
+	copy(p[32:], initiator.ReadCDB(uint64(l.cmdSN*2654435761)%(1<<20), 1))
+	l.unsent = append(l.unsent, p[:]...)
 }
 
-func (l *load) flush() error {
-	if len(l.out) == 0 {
+func (l *loadConn) flush() error {
+	if len(l.unsent) == 0 {
 		return nil
 	}
-	_, err := l.conn.Write(l.out)
-	l.out = l.out[:0]
+	_, err := l.conn.Write(l.unsent)
+	l.unsent = l.unsent[:0]
 	return err
 }
 
-// read takes responses; in a closed loop each sends the next command.
-func (l *load) read(depth int) {
+// receive takes responses; in a closed loop each sends the next command.
+func (l *loadConn) receive(depth int) {
 	l.mu.Lock()
 	for range depth {
-		l.add(time.Now())
+		l.enqueue(time.Now())
 	}
 	l.flush()
 	l.mu.Unlock()
 	var head [48]byte
 	for {
-		if _, err := io.ReadFull(l.r, head[:]); err != nil {
+		if _, err := io.ReadFull(l.reader, head[:]); err != nil {
 			return
 		}
 		n := int(head[5])<<16 | int(head[6])<<8 | int(head[7])
-		if _, err := l.r.Discard((n + 3) &^ 3); err != nil {
+		if _, err := l.reader.Discard((n + 3) &^ 3); err != nil {
 			return
 		}
 		l.mu.Lock()
 		now := time.Now()
-		if l.on.Load() {
+		if l.recording.Load() {
 			l.ops++
-			if head[3] != 0 || n < benchBlock {
+			if head[3] != 0 || n < benchBlockSize {
 				l.failed++
 			}
-			l.hist.RecordValue(max(now.Sub(l.began[binary.BigEndian.Uint32(head[16:])%uint32(len(l.began))]).Microseconds(), 1))
+			l.hist.RecordValue(max(now.Sub(l.started[binary.BigEndian.Uint32(head[16:])%uint32(len(l.started))]).Microseconds(), 1))
 		}
 		if depth > 0 {
-			l.add(now)
-			if l.r.Buffered() < 48 {
+			l.enqueue(now)
+			if l.reader.Buffered() < 48 {
 				l.flush()
 			}
 		}
@@ -389,14 +389,14 @@
 	}
 }
 
-// pace sends commands at their times, whatever has been answered.
-func (l *load) pace() {
-	next := time.Now().Add(l.first)
+// sendAtRate sends commands at their times, whatever has been answered.
+func (l *loadConn) sendAtRate() {
+	next := time.Now().Add(l.offset)
 	for {
 		time.Sleep(time.Until(next))
 		l.mu.Lock()
-		for now := time.Now(); !next.After(now); next = next.Add(l.gap) {
-			l.add(next)
+		for now := time.Now(); !next.After(now); next = next.Add(l.interval) {
+			l.enqueue(next)
 		}
 		err := l.flush()
 		l.mu.Unlock()
@@ -406,10 +406,10 @@
 	}
 }
 
-// gatewaySubject is one host before servers that answer at once.
-func gatewaySubject(w env.Environment, disks []string, k *benchSetup) (*subject, error) {
+// startGatewayEndpoint is one host before servers that answer at once.
+func startGatewayEndpoint(w env.Environment, disks []string, k *benchGatewayOptions) (*benchEndpoint, error) {
 	set := settings.Example(1, benchShards)
-	set.Volumes = []settings.Volume{{Name: "bench", Plan: "prioritario", Blocks: 1 << 20, BlockSize: benchBlock, ExtentBlocks: 32, Hosts: []int{0}}}
+	set.Volumes = []settings.Volume{{Name: "bench", Plan: "prioritario", Blocks: 1 << 20, BlockSize: benchBlockSize, ExtentBlocks: 32, Hosts: []int{0}}}
 	for i := range benchShards {
 		set.Volumes[0].Layout = append(set.Volumes[0].Layout, i)
 	}
@@ -424,7 +424,7 @@
 			b.Set(inventory.Node{Addr: addr, Health: inventory.Ready, Shard: i, Weight: 1, Incarnation: 1}, 0)
 		}
 	})
-	g, err := gateway.Start(gateway.Config{Environment: w, Log: zap.NewNop(), Name: "bench", Listen: "127.0.0.1:0", Inventory: inv.Addr, Keys: k.host, History: k.history, Admin: k.admin})
+	g, err := gateway.Start(gateway.Config{Environment: w, Log: zap.NewNop(), Name: "bench", Listen: "127.0.0.1:0", Inventory: inv.Addr, Keys: k.hostKeys, History: k.historyDir, Admin: k.adminAddr})
 	if err != nil {
 		return nil, err
 	}
@@ -432,9 +432,9 @@
 		return nil, err
 	}
 	<-g.Ready().Chan()
-	s := &subject{name: "gateway", addr: g.Addr().String()}
+	s := &benchEndpoint{name: "gateway", addr: g.Addr().String()}
 	if a := g.Admin(); a != nil {
-		s.admin = a.String()
+		s.adminAddr = a.String()
 	}
 	s.close = func() {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -443,14 +443,14 @@
 		inv.Close()
 	}
 	var isid atomic.Uint32
-	s.greet = func(c net.Conn, r *bufio.Reader) (uint32, error) {
-		return greet(c, r, set.TargetName(&set.Volumes[0]), isid.Add(1))
+	s.login = func(c net.Conn, r *bufio.Reader) (uint32, error) {
+		return benchLogin(c, r, set.TargetName(&set.Volumes[0]), isid.Add(1))
 	}
 	return s, nil
 }
 
-// greet logs in by one exchange.
-func greet(c net.Conn, r *bufio.Reader, target string, isid uint32) (uint32, error) {
+// benchLogin logs in by one exchange.
+func benchLogin(c net.Conn, r *bufio.Reader, target string, isid uint32) (uint32, error) {
 	p := iscsi.New(iscsi.OpLoginReq).SetImmediate().SetFlags(0x87)
 	p.BHS[8] = 0x80
 	binary.BigEndian.PutUint32(p.BHS[10:], isid)
@@ -470,13 +470,13 @@
 	return 1, nil
 }
 
-// relaySubjects are the two bare relays before a server of fixed replies.
-func relaySubjects() (pipe, fans *subject, closeAll func(), err error) {
-	server, err := fixed("127.0.0.1:0", func(c net.Conn) { convey(c, c, forwardLen, replyLen) })
+// startRelays are the two bare relays before a server of fixed replies.
+func startRelays() (pipe, fans *benchEndpoint, closeAll func(), err error) {
+	server, err := serveConnections("127.0.0.1:0", func(c net.Conn) { relayFrames(c, c, doFrameLen, answerFrameLen) })
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	straight, err := fixed("127.0.0.1:0", func(c net.Conn) { pipeTo(c, server.Addr().String()) })
+	straight, err := serveConnections("127.0.0.1:0", func(c net.Conn) { relayPipe(c, server.Addr().String()) })
 	if err != nil {
 		server.Close()
 		return nil, nil, nil, err
@@ -488,13 +488,13 @@
 		return nil, nil, nil, err
 	}
 	greet := func(net.Conn, *bufio.Reader) (uint32, error) { return 1, nil }
-	pipe = &subject{name: "pipe", addr: straight.Addr().String(), greet: greet}
-	fans = &subject{name: "fan", addr: f.listener.Addr().String(), greet: greet}
+	pipe = &benchEndpoint{name: "pipe", addr: straight.Addr().String(), login: greet}
+	fans = &benchEndpoint{name: "fan", addr: f.listener.Addr().String(), login: greet}
 	return pipe, fans, func() { f.close(); straight.Close(); server.Close() }, nil
 }
 
-// pipeTo passes a client's frames to a connection of its own, and back.
-func pipeTo(c net.Conn, server string) {
+// relayPipe passes a client's frames to a connection of its own, and back.
+func relayPipe(c net.Conn, server string) {
 	up, err := net.Dial("tcp", server)
 	if err != nil {
 		return
@@ -503,16 +503,16 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		convey(c, up, replyLen, responseLen)
+		relayFrames(c, up, answerFrameLen, responseLen)
 		c.Close()
 	}()
-	convey(up, c, requestLen, forwardLen)
+	relayFrames(up, c, requestLen, doFrameLen)
 	up.Close()
 	<-done
 }
 
-// fixed serves each connection by f until the listener is closed.
-func fixed(addr string, f func(net.Conn)) (net.Listener, error) {
+// serveConnections serves each connection by f until the listener is closed.
+func serveConnections(addr string, f func(net.Conn)) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -529,9 +529,9 @@
 	return l, nil
 }
 
-// convey reads frames of one size and passes on their beginning, with the tag, in
+// relayFrames reads frames of one size and passes on their beginning, with the tag, in
 // frames of another, several in one write where several have come.
-func convey(dst, src net.Conn, in, out int) {
+func relayFrames(dst, src net.Conn, in, out int) {
 	r := bufio.NewReaderSize(src, 64<<10)
 	buf := make([]byte, in)
 	var b []byte
--- a/internal/simulation/lab/benchkeys.go
+++ b/internal/simulation/lab/benchkeys.go
@@ -12,39 +12,39 @@
 	"merlinhitch/internal/control/keys"
 )
 
-// keysRounds is how often each pair is measured; the median of the ratios is shown.
-const keysRounds = 3
+// pairRounds is how often each pair is measured; the median of the ratios is shown.
+const pairRounds = 3
 
-// BenchKeys measures what keys between host and disk servers cost: two gateways, one in
+// BenchTLS measures what keys between host and disk servers cost: two gateways, one in
 // clear and one over TLS, before servers that answer at once, in turn and in one run.
-func BenchKeys(opt BenchOptions, out io.Writer) error {
-	k, dir, err := makeBenchKeys()
+func BenchTLS(opt BenchOptions, out io.Writer) error {
+	k, dir, err := makeBenchCredentials()
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	clear, closeClear, err := benchGateway(nil)
+	clear, closeClear, err := startBenchGateway(nil)
 	if err != nil {
 		return err
 	}
 	defer closeClear()
-	sealed, closeSealed, err := benchGateway(k)
+	sealed, closeSealed, err := startBenchGateway(k)
 	if err != nil {
 		return err
 	}
 	defer closeSealed()
 	clear.name, sealed.name = "in clear", "over TLS"
-	return benchPairs(opt, clear, sealed, out)
+	return compareGateways(opt, clear, sealed, out)
 }
 
-// benchPairs measures two gateways at all points and at half of the second's best load.
-func benchPairs(opt BenchOptions, plain, other *subject, out io.Writer) error {
+// compareGateways measures two gateways at all points and at half of the second's best load.
+func compareGateways(opt BenchOptions, plain, other *benchEndpoint, out io.Writer) error {
 	tw := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
 	fmt.Fprintf(tw, "| conns\t| out\t| %s op/s\t| %s op/s\t| ratio\t| p50/p99/p99.9 ms %s\t| %s\t| p99 ratio\t| cpu us/op %s, %s\t|\n", plain.name, other.name, plain.name, other.name, plain.name, other.name)
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
-	for _, conns := range opt.Conns {
-		for _, depth := range opt.Depths {
-			if err := benchPair(tw, plain, other, conns, depth, 0, opt); err != nil {
+	for _, conns := range opt.Connections {
+		for _, depth := range opt.Outstanding {
+			if err := comparePoint(tw, plain, other, conns, depth, 0, opt); err != nil {
 				return err
 			}
 		}
@@ -54,18 +54,18 @@
 		return err
 	}
 	fmt.Fprintf(tw, "| 64\t| half load, %.0f op/s\t| \t| \t| \t| \t| \t| \t| \t|\n", most.Rate/2)
-	if err := benchPair(tw, plain, other, 64, 0, most.Rate/2, opt); err != nil {
+	if err := comparePoint(tw, plain, other, 64, 0, most.Rate/2, opt); err != nil {
 		return err
 	}
 	return tw.Flush()
 }
 
-// benchPair measures two subjects in turn and prints the pair whose ratio of rates is the
+// comparePoint measures two subjects in turn and prints the pair whose ratio of rates is the
 // median.
-func benchPair(w io.Writer, a, b *subject, conns, depth int, rate float64, opt BenchOptions) error {
-	type pair struct{ a, b *Point }
+func comparePoint(w io.Writer, a, b *benchEndpoint, conns, depth int, rate float64, opt BenchOptions) error {
+	type pair struct{ a, b *Measurement }
 	var list []pair
-	for range keysRounds {
+	for range pairRounds {
 		x, err := measure(a, conns, depth, rate, opt)
 		if err != nil {
 			return err
@@ -88,11 +88,11 @@
 		note = fmt.Sprintf(" (%d not GOOD)", n)
 	}
 	_, err := fmt.Fprintf(w, "| %d\t| %d\t| %.0f\t| %.0f%s\t| %.2f\t| %s\t| %s\t| %.2f\t| %.1f, %.1f\t|\n", conns, depth, m.a.Rate, m.b.Rate, note, m.b.Rate/m.a.Rate,
-		quantiles(m.a), quantiles(m.b), p99(m.b)/p99(m.a), m.a.CPU, m.b.CPU)
+		formatQuantiles(m.a), formatQuantiles(m.b), p99Micros(m.b)/p99Micros(m.a), m.a.CPUMicros, m.b.CPUMicros)
 	return err
 }
 
-func makeBenchKeys() (*benchSetup, string, error) {
+func makeBenchCredentials() (*benchGatewayOptions, string, error) {
 	dir, err := os.MkdirTemp("", "bench-keys-")
 	if err != nil {
 		return nil, "", err
@@ -111,5 +111,5 @@
 		os.RemoveAll(dir)
 		return nil, "", err
 	}
-	return &benchSetup{host: held[0], disks: held[1]}, dir, nil
+	return &benchGatewayOptions{hostKeys: held[0], diskKeys: held[1]}, dir, nil
 }
--- a/internal/simulation/lab/changes.go
+++ b/internal/simulation/lab/changes.go
@@ -19,101 +19,101 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// ChangeResult is what came of a day on which operators change the settings all the time.
-type ChangeResult struct {
+// SettingsChangeResult is what came of a day on which operators change the settings all the time.
+type SettingsChangeResult struct {
 	*Result
 	Versions                  *rules.VersionChecker
-	Asked                     int
+	Requested                 int
 	Accepted, Merged, Refused int
 	Unknown                   int      // calls whose answer was lost
 	Records                   int      // in the hosts' records
-	Faults                    []string // of the records
+	RecordFaults              []string // of the records
 	trail                     []trail.Event
 	meta                      *trail.Meta
-	hosts                     map[string][]rules.AppliedSettings
+	applied                   map[string][]rules.AppliedSettings
 }
 
 // OK tells whether all was kept.
-func (r *ChangeResult) OK() bool {
-	return r.Result.OK() && r.Versions.ViolationCount == 0 && len(r.Faults) == 0
+func (r *SettingsChangeResult) OK() bool {
+	return r.Result.OK() && r.Versions.ViolationCount == 0 && len(r.RecordFaults) == 0
 }
 
-// change is one call of an operator.
-type change struct {
-	host        string
-	why         string
-	version     uint64 // 0: refused
-	asked, said int64
-	unknown     bool
-	merged      bool
+// settingsChange is one call of an operator.
+type settingsChange struct {
+	host                    string
+	reason                  string
+	version                 uint64 // 0: refused
+	requestedAt, answeredAt int64
+	unknown                 bool
+	merged                  bool
 }
 
-// changing is the operators of a day.
-type changing struct {
-	f    *Fleet
-	each int
-	gap  time.Duration
-	mu   sync.Mutex
-	made []change
-	done env.WaitGroup
+// changeOperators is the operators of a day.
+type changeOperators struct {
+	fleet       *Fleet
+	changesEach int
+	meanPause   time.Duration
+	mu          sync.Mutex
+	changes     []settingsChange
+	operators   env.WaitGroup
 }
 
-// ChangeDay plays a bad day while operators change what hosts are told: each has so many
+// RunSettingsChanges plays a bad day while operators change what hosts are told: each has so many
 // changes for hosts drawn anew, all at once, and merges where it may.
-func ChangeDay(ctx context.Context, opt Options, operators, changes int) (*ChangeResult, error) {
+func RunSettingsChanges(ctx context.Context, opt Options, operators, changes int) (*SettingsChangeResult, error) {
 	dir, err := os.MkdirTemp("", "records-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
 	opt.stateDir = dir
-	ch := &changing{each: changes / operators}
+	ch := &changeOperators{changesEach: changes / operators}
 	var events []trail.Event
 	var meta *trail.Meta
 	opt.onStart = func(d *dayRun, span time.Duration) {
-		ch.f, ch.gap = d.fleet, span*4/10/time.Duration(max(ch.each, 1))
+		ch.fleet, ch.meanPause = d.fleet, span*4/10/time.Duration(max(ch.changesEach, 1))
 		for op := range operators {
 			rng := rand.New(rand.NewPCG(opt.Seed, uint64(100+op)))
-			ch.done.Go(d.fleet.Environment, func() { ch.operate(ctx, op, rng) })
+			ch.operators.Go(d.fleet.Environment, func() { ch.runOperator(ctx, op, rng) })
 		}
 	}
 	opt.onStopped = func(d *dayRun, all []trail.Event) {
-		ch.done.Wait(d.fleet.Environment)
+		ch.operators.Wait(d.fleet.Environment)
 		events, meta = all, d.fleet.Meta
 	}
 	res, err := BadDay(ctx, opt)
 	if err != nil {
 		return nil, err
 	}
-	return ch.judge(dir, res, meta, events)
+	return ch.check(dir, res, meta, events)
 }
 
-// operate is one operator's day.
-func (ch *changing) operate(ctx context.Context, op int, rng *rand.Rand) {
-	for n := range ch.each {
-		env.SleepContext(ctx, ch.f.Environment, time.Duration(float64(ch.gap)*(0.5+rng.Float64())))
-		hosts := ch.f.AdminAPIs()
+// runOperator is one operator's day.
+func (ch *changeOperators) runOperator(ctx context.Context, op int, rng *rand.Rand) {
+	for n := range ch.changesEach {
+		env.SleepContext(ctx, ch.fleet.Environment, time.Duration(float64(ch.meanPause)*(0.5+rng.Float64())))
+		hosts := ch.fleet.AdminAPIs()
 		if len(hosts) == 0 {
 			continue
 		}
 		h := hosts[rng.IntN(len(hosts))]
-		ch.one(ctx, h.Name, h.API, fmt.Sprintf("op%d/%d", op, n), rng)
+		ch.changeOnce(ctx, h.Name, h.API, fmt.Sprintf("op%d/%d", op, n), rng)
 		for _, h := range hosts {
 			h.API.Close()
 		}
 	}
 }
 
-func (ch *changing) one(ctx context.Context, name string, api *settings.API, why string, rng *rand.Rand) {
+func (ch *changeOperators) changeOnce(ctx context.Context, name string, api *settings.API, why string, rng *rand.Rand) {
 	s, err := api.Get(ctx)
 	if err != nil {
 		return // the host was ended in between
 	}
-	ch.alter(s, rng)
-	env.SleepContext(ctx, ch.f.Environment, time.Duration(float64(2*ch.gap)*rng.Float64())) // meanwhile others change things
-	c := change{host: trail.HostName(name), why: why, asked: ch.now()}
+	ch.mutate(s, rng)
+	env.SleepContext(ctx, ch.fleet.Environment, time.Duration(float64(2*ch.meanPause)*rng.Float64())) // meanwhile others change things
+	c := settingsChange{host: trail.HostName(name), reason: why, requestedAt: ch.now()}
 	now, err := api.Put(ctx, s, settings.ChangeOptions{Why: why, Who: "operator", Merge: rng.IntN(2) == 0})
-	c.said = ch.now()
+	c.answeredAt = ch.now()
 	var stale *settings.StaleError
 	var faults *settings.FaultsError
 	switch {
@@ -124,17 +124,17 @@
 		c.unknown = true
 	}
 	ch.mu.Lock()
-	ch.made = append(ch.made, c)
+	ch.changes = append(ch.changes, c)
 	ch.mu.Unlock()
 }
 
-func (ch *changing) now() int64 { return int64(ch.f.Environment.Now() / time.Microsecond) }
+func (ch *changeOperators) now() int64 { return int64(ch.fleet.Environment.Now() / time.Microsecond) }
 
-// alter draws a change. None goes beyond the settings of the day's beginning, by which
+// mutate draws a change. None goes beyond the settings of the day's beginning, by which
 // the rules are checked: deadlines, limits and attempts only shrink from there and grow
 // back to it.
-func (ch *changing) alter(s *settings.Settings, rng *rand.Rand) {
-	first := ch.f.Settings
+func (ch *changeOperators) mutate(s *settings.Settings, rng *rand.Rand) {
+	first := ch.fleet.Settings
 	for range 1 + rng.IntN(3) {
 		switch rng.IntN(6) {
 		case 0:
@@ -165,15 +165,15 @@
 	}
 }
 
-// judge reads the hosts' records again and holds the trail to them.
-func (ch *changing) judge(dir string, res *Result, meta *trail.Meta, events []trail.Event) (*ChangeResult, error) {
-	out := &ChangeResult{Result: res, Asked: len(ch.made), trail: events, meta: meta, hosts: map[string][]rules.AppliedSettings{}}
-	by := map[string]map[string]change{}
-	for _, c := range ch.made {
+// check reads the hosts' records again and holds the trail to them.
+func (ch *changeOperators) check(dir string, res *Result, meta *trail.Meta, events []trail.Event) (*SettingsChangeResult, error) {
+	out := &SettingsChangeResult{Result: res, Requested: len(ch.changes), trail: events, meta: meta, applied: map[string][]rules.AppliedSettings{}}
+	by := map[string]map[string]settingsChange{}
+	for _, c := range ch.changes {
 		if by[c.host] == nil {
-			by[c.host] = map[string]change{}
+			by[c.host] = map[string]settingsChange{}
 		}
-		by[c.host][c.why] = c
+		by[c.host][c.reason] = c
 		switch {
 		case c.unknown:
 			out.Unknown++
@@ -188,24 +188,24 @@
 	}
 	for i := range meta.Settings.Hosts {
 		name := fmt.Sprintf("h%d", i)
-		if err := out.record(dir, name, by[name]); err != nil {
+		if err := out.checkRecord(dir, name, by[name]); err != nil {
 			return nil, err
 		}
 	}
-	out.Versions = rules.CheckVersions(meta, events, out.hosts)
+	out.Versions = rules.CheckVersions(meta, events, out.applied)
 	return out, nil
 }
 
-// record holds a host's record to what its operators were answered, and takes from it
+// checkRecord holds a host's checkRecord to what its operators were answered, and takes from it
 // which version was in force when.
-func (r *ChangeResult) record(dir, name string, made map[string]change) error {
+func (r *SettingsChangeResult) checkRecord(dir, name string, made map[string]settingsChange) error {
 	st, err := settings.Open(filepath.Join(dir, name), nil)
 	if err != nil {
 		return err
 	}
 	defer st.Close()
 	if _, err := st.Verify(); err != nil {
-		r.Faults = append(r.Faults, name+": "+err.Error())
+		r.RecordFaults = append(r.RecordFaults, name+": "+err.Error())
 	}
 	seen := map[string]bool{}
 	var log []*audit.Record
@@ -224,35 +224,35 @@
 				c, known := made[x.Why]
 				switch {
 				case !known:
-					r.Faults = append(r.Faults, fmt.Sprintf("%s: record %d (%s) was never asked for", name, x.Seq, x.Why))
+					r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: record %d (%s) was never asked for", name, x.Seq, x.Why))
 				case seen[x.Why]:
-					r.Faults = append(r.Faults, fmt.Sprintf("%s: change %s stands twice", name, x.Why))
+					r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: change %s stands twice", name, x.Why))
 				case c.version != x.Version && !c.unknown:
-					r.Faults = append(r.Faults, fmt.Sprintf("%s: change %s is version %d in the record and was answered %d", name, x.Why, x.Version, c.version))
+					r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: change %s is version %d in the record and was answered %d", name, x.Why, x.Version, c.version))
 				}
 				seen[x.Why] = true
-				v.RequestedAt, v.AppliedBy = c.asked, c.said
+				v.RequestedAt, v.AppliedBy = c.requestedAt, c.answeredAt
 			}
-			r.hosts[name] = append(r.hosts[name], v)
+			r.applied[name] = append(r.applied[name], v)
 		}
 	}
 	for why, c := range made {
 		if c.version != 0 && !seen[why] {
-			r.Faults = append(r.Faults, fmt.Sprintf("%s: change %s was accepted and is not in the record", name, why))
+			r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: change %s was accepted and is not in the record", name, why))
 		}
 	}
 	return err
 }
 
 // Print writes what came of the day.
-func (r *ChangeResult) Print(w io.Writer) {
+func (r *SettingsChangeResult) Print(w io.Writer) {
 	r.Checker.Print(w)
 	fmt.Fprintf(w, "%d changes asked for: %d accepted (%d of them merged), %d refused, %d without an answer; %d records at the hosts, %d faults\n",
-		r.Asked, r.Accepted, r.Merged, r.Refused, r.Unknown, r.Records, len(r.Faults))
+		r.Requested, r.Accepted, r.Merged, r.Refused, r.Unknown, r.Records, len(r.RecordFaults))
 	fmt.Fprintln(w, r.Versions.Summary())
 	fmt.Fprintf(w, "goodput %.3f; %d blocks read and judged, %d wrong, %d not read back; %d keyed effects twice; %.0f s\n",
 		r.Checker.Stats.Goodput(), r.CheckedReads, len(r.InvalidReads), r.UnreadBlocks, r.RepeatedEffects, r.Elapsed.Seconds())
-	for _, list := range [][]string{r.Faults, r.Versions.Violations, r.InvalidReads} {
+	for _, list := range [][]string{r.RecordFaults, r.Versions.Violations, r.InvalidReads} {
 		for _, t := range list[:min(len(list), 5)] {
 			fmt.Fprintln(w, "BROKEN:", t)
 		}
--- a/internal/simulation/lab/changes_test.go
+++ b/internal/simulation/lab/changes_test.go
@@ -17,7 +17,7 @@
 	if testing.Short() {
 		rate = 75
 	}
-	r, err := ChangeDay(context.Background(), Options{Seed: 5, Commands: int(4 * rate), Rate: rate, Hosts: 2, Servers: 6, FaultKinds: []string{"crash", "balancer_crash", "net_hang"}}, 4, 80)
+	r, err := RunSettingsChanges(context.Background(), Options{Seed: 5, Commands: int(4 * rate), Rate: rate, Hosts: 2, Servers: 6, FaultKinds: []string{"crash", "balancer_crash", "net_hang"}}, 4, 80)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 			return was > 3
 		},
 		"a version to come": func(e *trail.Event) bool {
-			list := r.hosts[trail.HostName(e.Host)]
+			list := r.applied[trail.HostName(e.Host)]
 			last := list[len(list)-1]
 			e.SettingsVersion = last.Settings.Version
 			return last.RequestedAt > e.Time
@@ -53,7 +53,7 @@
 			}
 			events := append([]trail.Event(nil), r.trail...)
 			events[i] = e
-			v := rules.CheckVersions(r.meta, events, r.hosts)
+			v := rules.CheckVersions(r.meta, events, r.applied)
 			if found = v.ViolationCount > 0; found || i > len(r.trail)/2 {
 				break
 			}
--- a/internal/simulation/lab/counters.go
+++ b/internal/simulation/lab/counters.go
@@ -18,48 +18,48 @@
 // nodeKey is a disk server's address as one start of a host knows it.
 type nodeKey struct{ host, node string }
 
-// counters are what hosts' /metrics say of their attempts, by result.
-type counters struct {
+// attemptCounters are what hosts' /metrics say of their attempts, by result.
+type attemptCounters struct {
 	attempts map[nodeKey]map[string]float64
 }
 
-// Counted is what came of holding counters to the trail of the sockets.
-type Counted struct {
+// CounterCheck is what came of holding counters to the trail of the sockets.
+type CounterCheck struct {
 	*Result
 	Hosts, Nodes int
-	Exact        int // of the nodes: the trail knows each figure
+	ExactNodes   int // of the nodes: the trail knows each figure
 	Attempts     float64
-	Wrong        []string
-	got          counters
-	seen         map[nodeKey]*seenAt
+	Mismatches   []string
+	reported     attemptCounters
+	observed     map[nodeKey]*nodeTraffic
 }
 
 // OK tells whether no counter was wrong and all else was kept.
-func (c *Counted) OK() bool { return c.Result.OK() && len(c.Wrong) == 0 }
+func (c *CounterCheck) OK() bool { return c.Result.OK() && len(c.Mismatches) == 0 }
 
-// seenAt is what the trail has of a node.
-type seenAt struct {
+// nodeTraffic is what the trail has of a node.
+type nodeTraffic struct {
 	sent    float64
 	answers map[string]float64
 }
 
-// CountDay plays a bad day and holds the counters of the hosts that are up at its end to
+// CheckCounters plays a bad day and holds the counters of the hosts that are up at its end to
 // what passed on their sockets.
-func CountDay(ctx context.Context, opt Options) (*Counted, error) {
-	out := &Counted{got: counters{map[nodeKey]map[string]float64{}}, seen: map[nodeKey]*seenAt{}}
+func CheckCounters(ctx context.Context, opt Options) (*CounterCheck, error) {
+	out := &CounterCheck{reported: attemptCounters{map[nodeKey]map[string]float64{}}, observed: map[nodeKey]*nodeTraffic{}}
 	var failed error
 	opt.onQuiescent = func(d *dayRun) {
 		for _, h := range d.fleet.hosts {
 			if h.clientRelay == nil {
 				continue
 			}
-			if err := out.got.fetch(ctx, h.name, h.gateway.Admin().String()); err != nil {
+			if err := out.reported.fetch(ctx, h.name, h.gateway.Admin().String()); err != nil {
 				failed = err
 			}
 			out.Hosts++
 		}
 	}
-	opt.onStopped = func(_ *dayRun, events []trail.Event) { out.read(events) }
+	opt.onStopped = func(_ *dayRun, events []trail.Event) { out.countEvents(events) }
 	res, err := BadDay(ctx, opt)
 	if err == nil {
 		err = failed
@@ -68,12 +68,12 @@
 		return nil, err
 	}
 	out.Result = res
-	out.Wrong = out.compare()
+	out.Mismatches = out.compare()
 	return out, nil
 }
 
 // fetch parses a host's /metrics with a parser that the project did not write.
-func (c *counters) fetch(ctx context.Context, host, addr string) error {
+func (c *attemptCounters) fetch(ctx context.Context, host, addr string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/metrics", nil)
 	if err != nil {
 		return err
@@ -94,16 +94,16 @@
 		return err
 	}
 	for _, m := range families["merlinhitch_attempts_total"].GetMetric() {
-		k := nodeKey{host, label(m, "node")}
+		k := nodeKey{host, labelValue(m, "node")}
 		if c.attempts[k] == nil {
 			c.attempts[k] = map[string]float64{}
 		}
-		c.attempts[k][label(m, "result")] = m.GetCounter().GetValue()
+		c.attempts[k][labelValue(m, "result")] = m.GetCounter().GetValue()
 	}
 	return nil
 }
 
-func label(m *dto.Metric, name string) string {
+func labelValue(m *dto.Metric, name string) string {
 	for _, l := range m.GetLabel() {
 		if l.GetName() == name {
 			return l.GetValue()
@@ -112,30 +112,30 @@
 	return ""
 }
 
-// answerNames are the results of answers as the counters name them.
-var answerNames = map[diskproto.Result]string{
+// answerResults are the results of answers as the counters name them.
+var answerResults = map[diskproto.Result]string{
 	diskproto.OK: "served", diskproto.Miscompare: "served", diskproto.Fenced: "served", diskproto.Failed: "server_error",
 	diskproto.Full: "turned_away", diskproto.Draining: "turned_away", diskproto.Expired: "turned_away",
 	diskproto.WrongShard: "not_sent", diskproto.Stale: "not_sent",
 }
 
-// read counts what passed, on its own.
-func (c *Counted) read(events []trail.Event) {
+// countEvents counts what passed, on its own.
+func (c *CounterCheck) countEvents(events []trail.Event) {
 	for i := range events {
 		e := &events[i]
 		if e.Link != trail.LinkDisk || e.Kind != trail.Do && e.Kind != trail.Answer {
 			continue
 		}
 		k := nodeKey{e.Host, e.Peer}
-		s := c.seen[k]
+		s := c.observed[k]
 		if s == nil {
-			s = &seenAt{answers: map[string]float64{}}
-			c.seen[k] = s
+			s = &nodeTraffic{answers: map[string]float64{}}
+			c.observed[k] = s
 		}
 		if e.Kind == trail.Do {
 			s.sent++
 		} else {
-			s.answers[answerNames[diskproto.Result(e.Status)]]++
+			s.answers[answerResults[diskproto.Result(e.Status)]]++
 		}
 	}
 }
@@ -143,18 +143,18 @@
 // compare holds each counter to the trail. An attempt that the host gave up, or whose
 // connection it lost, may have passed or not, and its answer too: by so many a figure may
 // differ. Where there are none it must be the same.
-func (c *Counted) compare() (wrong []string) {
-	for k, by := range c.got.attempts {
-		s := c.seen[k]
+func (c *CounterCheck) compare() (wrong []string) {
+	for k, by := range c.reported.attempts {
+		s := c.observed[k]
 		if s == nil {
-			s = &seenAt{answers: map[string]float64{}}
+			s = &nodeTraffic{answers: map[string]float64{}}
 		}
 		c.Nodes++
 		open := by["no_answer"] + by["connection_lost"] + by["cancelled"]
 		total := by["served"] + by["server_error"] + by["turned_away"]
 		c.Attempts += total + open
 		if open == 0 {
-			c.Exact++
+			c.ExactNodes++
 		}
 		if s.sent < total || s.sent > total+open+s.answers["not_sent"] {
 			wrong = append(wrong, fmt.Sprintf("%s to %s: %v attempts counted with an answer and %v without, %v passed", k.host, k.node, total, open, s.sent))
@@ -169,11 +169,11 @@
 }
 
 // Print writes what was compared.
-func (c *Counted) Print(w io.Writer) {
+func (c *CounterCheck) Print(w io.Writer) {
 	c.Checker.Print(w)
 	fmt.Fprintf(w, "%d hosts, %d nodes as they know them, %v attempts counted; at %d nodes every figure is known from the trail; %d figures wrong\n",
-		c.Hosts, c.Nodes, c.Attempts, c.Exact, len(c.Wrong))
-	for _, t := range c.Wrong[:min(len(c.Wrong), 5)] {
+		c.Hosts, c.Nodes, c.Attempts, c.ExactNodes, len(c.Mismatches))
+	for _, t := range c.Mismatches[:min(len(c.Mismatches), 5)] {
 		fmt.Fprintln(w, "WRONG:", t)
 	}
 }
--- a/internal/simulation/lab/counters_test.go
+++ b/internal/simulation/lab/counters_test.go
@@ -13,18 +13,18 @@
 	if testing.Short() {
 		rate = 75
 	}
-	c, err := CountDay(context.Background(), Options{Seed: 3, Commands: int(4 * rate), Rate: rate, Hosts: 2, Servers: 6, FaultKinds: []string{"crash", "fast_errors", "balancer_crash"}})
+	c, err := CheckCounters(context.Background(), Options{Seed: 3, Commands: int(4 * rate), Rate: rate, Hosts: 2, Servers: 6, FaultKinds: []string{"crash", "fast_errors", "balancer_crash"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var b strings.Builder
 	c.Print(&b)
 	t.Log("\n" + b.String())
-	if !c.OK() || c.Attempts < 2*rate || c.Exact == 0 {
+	if !c.OK() || c.Attempts < 2*rate || c.ExactNodes == 0 {
 		t.Fatal("not kept, or too little was compared")
 	}
 	doctored := 0
-	for k, by := range c.got.attempts {
+	for k, by := range c.reported.attempts {
 		if by["no_answer"]+by["connection_lost"]+by["cancelled"] > 0 {
 			continue
 		}
--- a/internal/simulation/lab/experiment_test.go
+++ b/internal/simulation/lab/experiment_test.go
@@ -13,7 +13,7 @@
 
 func small() Grid {
 	return Grid{Hosts: []int{1, 3}, Servers: []int{3}, Rates: []float64{60}, Loads: []float64{1}, Layouts: []string{""}, Troubles: []string{"none", "crash"},
-		Seeds: 3, Span: 6 * time.Second, Parallel: 4}
+		Seeds: 3, Duration: 6 * time.Second, Parallel: 4}
 }
 
 // An experiment is the same at each play, is read back as it was, and has its pictures.
@@ -59,7 +59,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	before := make([]ExperimentRow, 20)
 	for i := range before {
-		before[i] = ExperimentRow{Hosts: 3, Seed: uint64(i), Goodput: 0.7 + 0.1*rng.Float64(), Worst: 0.5, P99: 100 + 50*rng.Float64(), StepsPer: 20}
+		before[i] = ExperimentRow{Hosts: 3, Seed: uint64(i), Goodput: 0.7 + 0.1*rng.Float64(), WorstPlan: 0.5, P99: 100 + 50*rng.Float64(), StepsPerCommand: 20}
 	}
 	change := func(f func(r *ExperimentRow)) map[string]string {
 		after := append([]ExperimentRow(nil), before...)
@@ -68,7 +68,7 @@
 		}
 		out := map[string]string{}
 		for _, c := range CompareExperiments(before, after) {
-			out[c.Figure] = c.Verdict
+			out[c.Metric] = c.Verdict
 		}
 		return out
 	}
@@ -82,7 +82,7 @@
 	if v := change(func(r *ExperimentRow) { r.Goodput -= 0.03 + 0.02*noise(); r.P99 -= 20 + 5*noise() }); v["goodput"] != "loss" || v["p99 ms"] != "gain" {
 		t.Error("less goodput and latency:", v)
 	}
-	if v := change(func(r *ExperimentRow) { r.Figure, r.Value = "limits.max_attempts", 3 }); v["goodput"] != "the same" {
+	if v := change(func(r *ExperimentRow) { r.Setting, r.Value = "limits.max_attempts", 3 }); v["goodput"] != "the same" {
 		t.Error("experiments that differ by a figure:", v)
 	}
 	if list := CompareExperiments(before[:2], before[:2]); list[0].Verdict != "too few pairs" {
@@ -95,9 +95,9 @@
 	for want, change := range map[string]func(*Grid){
 		"earthquake":   func(g *Grid) { g.Troubles = []string{"earthquake"} },
 		"needs hosts":  func(g *Grid) { g.Hosts = nil },
-		"no values":    func(g *Grid) { g.Figure = "limits.max_attempts" },
-		"limits.speed": func(g *Grid) { g.Figure, g.Values = "limits.speed", []float64{1} },
-		"max_attempts": func(g *Grid) { g.Figure, g.Values = "limits.max_attempts", []float64{-1} },
+		"no values":    func(g *Grid) { g.Setting = "limits.max_attempts" },
+		"limits.speed": func(g *Grid) { g.Setting, g.Values = "limits.speed", []float64{1} },
+		"max_attempts": func(g *Grid) { g.Setting, g.Values = "limits.max_attempts", []float64{-1} },
 		"layout":       func(g *Grid) { g.Layouts = []string{"round"} },
 	} {
 		g := small()
--- a/internal/simulation/lab/fan.go
+++ b/internal/simulation/lab/fan.go
@@ -53,7 +53,7 @@
 		go u.readReplies()
 	}
 	var err error
-	f.listener, err = fixed("127.0.0.1:0", func(c net.Conn) { f.serve(c, writequeue.New(w, c, muxMaxQueueBytes, muxWriteTimeout)) })
+	f.listener, err = serveConnections("127.0.0.1:0", func(c net.Conn) { f.serve(c, writequeue.New(w, c, muxMaxQueueBytes, muxWriteTimeout)) })
 	return f, err
 }
 
@@ -78,7 +78,7 @@
 	u.mu.Unlock()
 	u.out.Enqueue(func(b []byte) []byte {
 		at := len(b)
-		b = append(append(b, p[:]...), make([]byte, forwardLen-requestLen)...)
+		b = append(append(b, p[:]...), make([]byte, doFrameLen-requestLen)...)
 		binary.BigEndian.PutUint32(b[at+16:], tag)
 		return b
 	})
@@ -87,7 +87,7 @@
 func (u *muxUpstream) readReplies() {
 	defer u.out.Abort()
 	r := bufio.NewReaderSize(u.conn, 256<<10)
-	p := make([]byte, replyLen)
+	p := make([]byte, answerFrameLen)
 	for {
 		if _, err := io.ReadFull(r, p); err != nil {
 			return
@@ -102,8 +102,8 @@
 		}
 		a.out.Enqueue(func(b []byte) []byte {
 			at := len(b)
-			b = append(append(b, p...), make([]byte, responseLen-replyLen)...)
-			b[at+3], b[at+5], b[at+6], b[at+7] = 0, byte(benchBlock>>16), byte(benchBlock>>8&0xff), byte(benchBlock&0xff)
+			b = append(append(b, p...), make([]byte, responseLen-answerFrameLen)...)
+			b[at+3], b[at+5], b[at+6], b[at+7] = 0, byte(benchBlockSize>>16), byte(benchBlockSize>>8&0xff), byte(benchBlockSize&0xff)
 			binary.BigEndian.PutUint32(b[at+16:], a.tag)
 			return b
 		})
--- a/internal/simulation/lab/lab_test.go
+++ b/internal/simulation/lab/lab_test.go
@@ -119,13 +119,13 @@
 // Losses of every kind are seen by the router, and nothing is announced while they
 // last. How soon is measured by `merlinhitch announce losses`, not judged here.
 func TestLossesReachTheRouter(t *testing.T) {
-	rows, err := lab.Losses(context.Background(), 2, 4, io.Discard)
+	rows, err := lab.MeasureLosses(context.Background(), 2, 4, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range rows {
-		if r.Failed+r.Wrong > 0 || r.Times.TotalCount() != 2 {
-			t.Errorf("%s: %d seen, %d not, %d announced while unable", r.Kind, r.Times.TotalCount(), r.Failed, r.Wrong)
+		if r.NotSeen+r.WrongAnnouncements > 0 || r.Delays.TotalCount() != 2 {
+			t.Errorf("%s: %d seen, %d not, %d announced while unable", r.Kind, r.Delays.TotalCount(), r.NotSeen, r.WrongAnnouncements)
 		}
 	}
 }
@@ -137,13 +137,13 @@
 	if testing.Short() { // as under the race detector, where four whole halls at once are more than a machine can do in time
 		atOnce = 1
 	}
-	rows, err := lab.RouteDays(context.Background(), lab.Options{Hosts: 3, Servers: 9, Commands: 900, Rate: 150}, 1, atOnce, io.Discard)
+	rows, err := lab.CompareRouting(context.Background(), lab.Options{Hosts: 3, Servers: 9, Commands: 900, Rate: 150}, 1, atOnce, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range rows {
-		if r.Bad > 0 {
-			t.Errorf("%s, %s: %s", r.Day, r.Routing, r.FirstBad)
+		if r.Broken > 0 {
+			t.Errorf("%s, %s: %s", r.Scenario, r.Routing, r.FirstFailure)
 		}
 	}
 }
@@ -151,11 +151,11 @@
 // The solver's layout comes into force step by step on a busy day: the rules hold and
 // every block that was written is read back.
 func TestLayoutAppliedOnABusyDay(t *testing.T) {
-	rows, err := lab.AppliedDay(context.Background(), lab.Options{Seed: 1, Hosts: 3, Servers: 9, Commands: 1500, Rate: 260})
+	rows, err := lab.RunLayoutRollout(context.Background(), lab.Options{Seed: 1, Hosts: 3, Servers: 9, Commands: 1500, Rate: 260})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if rows.Bad > 0 || rows.Steps == 0 {
-		t.Errorf("%d steps; %s", rows.Steps, rows.FirstBad)
+	if rows.Broken > 0 || rows.Steps == 0 {
+		t.Errorf("%d steps; %s", rows.Steps, rows.FirstFailure)
 	}
 }
--- a/internal/simulation/lab/layouts.go
+++ b/internal/simulation/lab/layouts.go
@@ -16,17 +16,17 @@
 	"merlinhitch/internal/fleet/rollout"
 )
 
-// Layouts names the ways of laying volumes out that are compared.
-var Layouts = []string{"solver", "round robin", "by name", "largest first"}
+// LayoutStrategies names the ways of laying volumes out that are compared.
+var LayoutStrategies = []string{"solver", "round robin", "by name", "largest first"}
 
-// BusyKinds are the troubles of a busy day: more is asked for, and unevenly.
-var BusyKinds = []string{"burst", "hot_key", "tenant_burst"}
+// BusyTroubles are the troubles of a busy day: more is asked for, and unevenly.
+var BusyTroubles = []string{"burst", "hot_key", "tenant_burst"}
 
-// meanUnits is what a command of the crowd counts in the mean, retries aside.
-const meanUnits = 2.2
+// meanCommandUnits is what a command of the crowd counts in the mean, retries aside.
+const meanCommandUnits = 2.2
 
-// writeCost is the work of the crowd's units against that of reads alone.
-const writeCost = 1.2
+// writeWorkFactor is the work of the crowd's units against that of reads alone.
+const writeWorkFactor = 1.2
 
 // BusySettings is a service whose nodes differ threefold in each hall and whose volumes differ
 // thirtyfold, asked for so many commands a second in the mean.
@@ -38,7 +38,7 @@
 	for hall := range Halls { // each has as much, unevenly within
 		cores := rng.Perm(3)
 		for k, i := 0, hall; i < servers; k, i = k+1, i+len(Halls) {
-			s.Nodes[i].Capacity = float64(1+cores[k%3]) * 1000 / work / writeCost
+			s.Nodes[i].Capacity = float64(1+cores[k%3]) * 1000 / work / writeWorkFactor
 		}
 	}
 	total := 0.0
@@ -50,26 +50,26 @@
 		total += v.Rate
 	}
 	for i := range s.Volumes {
-		s.Volumes[i].Rate *= rate * meanUnits / total
+		s.Volumes[i].Rate *= rate * meanCommandUnits / total
 	}
 	return s
 }
 
-// laidOut returns the settings with one of Layouts in force.
-func laidOut(s *settings.Settings, name string) (*settings.Settings, error) {
+// withLayout returns the settings with one of Layouts in force.
+func withLayout(s *settings.Settings, name string) (*settings.Settings, error) {
 	pl, err := plan.From(s, plan.Options{})
 	if err != nil {
 		return nil, err
 	}
 	pl.Problem.Current = nil
-	l, err := layoutBy(pl.Problem, name)
+	l, err := computeLayout(pl.Problem, name)
 	if err != nil {
 		return nil, err
 	}
 	return pl.Whole(l)
 }
 
-func layoutBy(p *placement.Problem, name string) (placement.Layout, error) {
+func computeLayout(p *placement.Problem, name string) (placement.Layout, error) {
 	switch name {
 	case "round robin":
 		return placement.RoundRobin(p), nil
@@ -85,22 +85,22 @@
 	return r.Layout, nil
 }
 
-// dayShape is what happens to the layout in a day.
-type dayShape int
+// layoutScenario is what happens to the layout in a day.
+type layoutScenario int
 
 const (
-	dayPlain dayShape = iota
-	dayHallLost
-	dayApplied // from round robin to the solver's, step by step
+	layoutStatic layoutScenario = iota
+	layoutHallLost
+	layoutRollout // from round robin to the solver's, step by step
 )
 
-// lossNotice is how long after a hall is lost its copies are served from: what a
+// failoverDelay is how long after a hall is lost its copies are served from: what a
 // watchful tool needs to see it.
-const lossNotice = time.Second
+const failoverDelay = time.Second
 
-// loseHall ends every disk server of a hall a third into the day, until its end, and
+// scheduleHallLoss ends every disk server of a hall a third into the day, until its end, and
 // then has the other halls serve what they have copies of.
-func loseHall(d *dayRun, span time.Duration) {
+func scheduleHallLoss(d *dayRun, span time.Duration) {
 	f := d.fleet
 	hall := Halls[d.opt.Seed%uint64(len(Halls))]
 	f.afterFunc(span/3, func() {
@@ -109,34 +109,34 @@
 				f.KillDisk(n.Shard, span*2/3)
 			}
 		}
-		f.afterFunc(lossNotice, func() {
-			next, _ := plan.FailOver(f.InForce(), hall)
-			d.fail(f.putAll(next))
+		f.afterFunc(failoverDelay, func() {
+			next, _ := plan.FailOver(f.CurrentSettings(), hall)
+			d.recordError(f.putSettingsOnAllHosts(next))
 		})
 	})
 }
 
-// applySolver takes the layout in force to the solver's, from a quarter of the day on
+// scheduleSolverLayout takes the layout in force to the solver's, from a quarter of the day on
 // and as far as the day lasts. It is worked out before the day begins.
-func applySolver(d *dayRun, span time.Duration) {
+func scheduleSolverLayout(d *dayRun, span time.Duration) {
 	f := d.fleet
-	pl, steps, err := solverSteps(f.InForce())
+	pl, steps, err := solverSteps(f.CurrentSettings())
 	if err != nil {
-		d.fail(err)
+		d.recordError(err)
 		return
 	}
-	again, err := plan.From(f.InForce(), plan.Options{}) // With moves a plan, and pl is still to be applied
+	again, err := plan.From(f.CurrentSettings(), plan.Options{}) // With moves a plan, and pl is still to be applied
 	if err != nil {
-		d.fail(err)
+		d.recordError(err)
 		return
 	}
 	for _, st := range steps { // a host may have any of them when the day ends
 		s, err := again.With(st)
 		if err != nil {
-			d.fail(err)
+			d.recordError(err)
 			return
 		}
-		f.mayLie(s)
+		f.addPossibleLayouts(s)
 	}
 	pause := span / 2 / time.Duration(max(len(steps), 1))
 	f.afterFunc(span/4, func() {
@@ -153,7 +153,7 @@
 			})
 		}
 		if ctx.Err() == nil {
-			d.fail(err)
+			d.recordError(err)
 		}
 	})
 }
@@ -165,7 +165,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	l, err := layoutBy(pl.Problem, "solver")
+	l, err := computeLayout(pl.Problem, "solver")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -177,8 +177,8 @@
 	return pl, steps, err
 }
 
-// fail keeps the first error of what is done beside the script.
-func (d *dayRun) fail(err error) {
+// recordError keeps the first error of what is done beside the script.
+func (d *dayRun) recordError(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.err == nil {
@@ -192,23 +192,23 @@
 	}
 }
 
-// InForce is the settings that hosts start with now.
-func (f *Fleet) InForce() *settings.Settings {
+// CurrentSettings is the settings that hosts start with now.
+func (f *Fleet) CurrentSettings() *settings.Settings {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.currentSettings
 }
 
-// laid notes new layouts, for hosts that start from now on and for the trail.
-func (f *Fleet) laid(s *settings.Settings) {
-	f.mayLie(s)
+// setCurrentSettings notes new layouts, for hosts that start from now on and for the trail.
+func (f *Fleet) setCurrentSettings(s *settings.Settings) {
+	f.addPossibleLayouts(s)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.currentSettings = s
 }
 
-// mayLie tells the trail's reader of layouts that hosts may have.
-func (f *Fleet) mayLie(s *settings.Settings) {
+// addPossibleLayouts tells the trail's reader of layouts that hosts may have.
+func (f *Fleet) addPossibleLayouts(s *settings.Settings) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.Meta.Layouts == nil {
@@ -223,13 +223,13 @@
 	}
 }
 
-// putAll hands settings to every host that is up.
-func (f *Fleet) putAll(s *settings.Settings) error {
+// putSettingsOnAllHosts hands settings to every host that is up.
+func (f *Fleet) putSettingsOnAllHosts(s *settings.Settings) error {
 	hosts := f.AdminAPIs()
 	defer closeAPIs(hosts)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	f.laid(s)
+	f.setCurrentSettings(s)
 	for _, h := range hosts {
 		has, err := h.API.Get(ctx)
 		if err != nil {
@@ -246,57 +246,57 @@
 
 // LayoutRow is one layout over its seeds.
 type LayoutRow struct {
-	Layout, Day           string
-	Runs, Bad             int
-	Goodput, Plan, Span   []float64 // of a day, of its worst plan, of its worst 10 s
-	Refused, Failed, Asks int
-	Steps                 int
-	FirstBad              string
+	Layout, Scenario                string
+	Runs, Broken                    int
+	Goodput, WorstPlan, WorstWindow []float64 // of a day, of its worst plan, of its worst 10 s
+	Refused, Failed, Issued         int
+	Steps                           int
+	FirstFailure                    string
 }
 
-// LayoutDays plays the busy day over seeds 1 to n with each layout, with a hall lost
+// CompareLayouts plays the busy day over seeds 1 to n with each layout, with a hall lost
 // too, and with the solver's layout applied in the midst; then a calm day at half the
 // rate with and without the change, where any refusal would be the change's own.
-func LayoutDays(ctx context.Context, opt Options, n, parallel int, progress io.Writer) ([]LayoutRow, error) {
+func CompareLayouts(ctx context.Context, opt Options, n, parallel int, progress io.Writer) ([]LayoutRow, error) {
 	type kind struct {
 		layout, name string
-		shape        dayShape
+		shape        layoutScenario
 		calm         bool
 	}
 	var list []kind
-	for _, l := range Layouts {
-		list = append(list, kind{l, "busy", dayPlain, false})
+	for _, l := range LayoutStrategies {
+		list = append(list, kind{l, "busy", layoutStatic, false})
 	}
-	for _, l := range Layouts {
-		list = append(list, kind{l, "busy, a hall lost", dayHallLost, false})
+	for _, l := range LayoutStrategies {
+		list = append(list, kind{l, "busy, a hall lost", layoutHallLost, false})
 	}
-	list = append(list, kind{"round robin", "busy, solver's applied", dayApplied, false},
-		kind{"round robin", "calm", dayPlain, true}, kind{"round robin", "calm, solver's applied", dayApplied, true})
+	list = append(list, kind{"round robin", "busy, solver's applied", layoutRollout, false},
+		kind{"round robin", "calm", layoutStatic, true}, kind{"round robin", "calm, solver's applied", layoutRollout, true})
 	rows := make([]LayoutRow, len(list))
 	return rows, runSeeds(len(rows), n, parallel, progress, func(row int, seed uint64) (string, func(), error) {
 		k := list[row]
 		o := opt
 		o.Seed, o.Progress, o.SharedStores = seed, nil, true
-		if o.FaultKinds = BusyKinds; k.calm {
+		if o.FaultKinds = BusyTroubles; k.calm {
 			o.FaultKinds, o.Rate, o.Commands = []string{"none"}, opt.Rate/2, opt.Commands/2
 		}
-		res, steps, err := layoutDay(ctx, o, opt.Rate, k.layout, k.shape)
+		res, steps, err := runLayoutScenario(ctx, o, opt.Rate, k.layout, k.shape)
 		return k.name + ", " + k.layout, func() { rows[row].add(k.layout, k.name, seed, res, steps) }, err
 	})
 }
 
-func layoutDay(ctx context.Context, opt Options, rate float64, layout string, shape dayShape) (*Result, int, error) {
-	set, err := laidOut(BusySettings(opt.Hosts, opt.Servers, rate, opt.Seed), layout)
+func runLayoutScenario(ctx context.Context, opt Options, rate float64, layout string, shape layoutScenario) (*Result, int, error) {
+	set, err := withLayout(BusySettings(opt.Hosts, opt.Servers, rate, opt.Seed), layout)
 	if err != nil {
 		return nil, 0, err
 	}
 	opt.Settings = set
 	steps := 0
 	switch shape {
-	case dayHallLost:
-		opt.onStart = loseHall
-	case dayApplied:
-		opt.onStart = applySolver
+	case layoutHallLost:
+		opt.onStart = scheduleHallLoss
+	case layoutRollout:
+		opt.onStart = scheduleSolverLayout
 	}
 	res, err := BadDay(ctx, opt)
 	if err == nil {
@@ -307,17 +307,17 @@
 
 func (r *LayoutRow) add(layout, name string, seed uint64, res *Result, steps int) {
 	t := res.Checker.Stats
-	r.Layout, r.Day = layout, name
+	r.Layout, r.Scenario = layout, name
 	r.Runs++
 	r.Steps += steps
-	r.Goodput, r.Plan, r.Span = append(r.Goodput, t.Goodput()), append(r.Plan, t.WorstPlanGoodput()), append(r.Span, t.WorstWindowGoodput(10))
+	r.Goodput, r.WorstPlan, r.WorstWindow = append(r.Goodput, t.Goodput()), append(r.WorstPlan, t.WorstPlanGoodput()), append(r.WorstWindow, t.WorstWindowGoodput(10))
 	for _, x := range t.ByClass {
-		r.Refused, r.Failed, r.Asks = r.Refused+x.Refused, r.Failed+x.Failed, r.Asks+x.Issued
+		r.Refused, r.Failed, r.Issued = r.Refused+x.Refused, r.Failed+x.Failed, r.Issued+x.Issued
 	}
 	if !res.OK() {
-		r.Bad++
-		if r.FirstBad == "" {
-			r.FirstBad = fmt.Sprintf("seed %d: %s", seed, res.failureSummary())
+		r.Broken++
+		if r.FirstFailure == "" {
+			r.FirstFailure = fmt.Sprintf("seed %d: %s", seed, res.failureSummary())
 		}
 	}
 }
@@ -331,28 +331,28 @@
 		if r.Runs == 0 {
 			continue
 		}
-		fmt.Fprintf(tw, "| %s\t| %s\t| %d\t| %d", r.Day, r.Layout, r.Runs, r.Bad)
-		for _, list := range [][]float64{r.Goodput, r.Plan, r.Span} {
+		fmt.Fprintf(tw, "| %s\t| %s\t| %d\t| %d", r.Scenario, r.Layout, r.Runs, r.Broken)
+		for _, list := range [][]float64{r.Goodput, r.WorstPlan, r.WorstWindow} {
 			slices.Sort(list)
 			fmt.Fprintf(tw, "\t| %.3f\t| %.3f", list[0], list[len(list)/2])
 		}
-		fmt.Fprintf(tw, "\t| %d\t| %d\t| %d\t| %d\t|\n", r.Refused, r.Failed, r.Asks, r.Steps)
+		fmt.Fprintf(tw, "\t| %d\t| %d\t| %d\t| %d\t|\n", r.Refused, r.Failed, r.Issued, r.Steps)
 	}
 	if err := tw.Flush(); err != nil {
 		return err
 	}
 	for _, r := range rows {
-		if r.FirstBad != "" {
-			fmt.Fprintf(w, "BROKEN, %s, %s: %s\n", r.Day, r.Layout, r.FirstBad)
+		if r.FirstFailure != "" {
+			fmt.Fprintf(w, "BROKEN, %s, %s: %s\n", r.Scenario, r.Layout, r.FirstFailure)
 		}
 	}
 	return nil
 }
 
-// AppliedDay is one busy day in the midst of which the solver's layout is applied.
-func AppliedDay(ctx context.Context, opt Options) (*LayoutRow, error) {
-	opt.SharedStores, opt.FaultKinds = true, BusyKinds
-	res, steps, err := layoutDay(ctx, opt, opt.Rate, "round robin", dayApplied)
+// RunLayoutRollout is one busy day in the midst of which the solver's layout is applied.
+func RunLayoutRollout(ctx context.Context, opt Options) (*LayoutRow, error) {
+	opt.SharedStores, opt.FaultKinds = true, BusyTroubles
+	res, steps, err := runLayoutScenario(ctx, opt, opt.Rate, "round robin", layoutRollout)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/simulation/lab/losses.go
+++ b/internal/simulation/lab/losses.go
@@ -25,17 +25,17 @@
 
 // LossRow is one kind of loss over many.
 type LossRow struct {
-	Kind   string
-	Times  *hdrhistogram.Histogram // from the loss to the router's log, us
-	Late   int                     // over a second
-	Wrong  int                     // announcements while unable to serve
-	Failed int                     // not seen within ten seconds
+	Kind               string
+	Delays             *hdrhistogram.Histogram // from the loss to the router's log, us
+	OverSecond         int                     // over a second
+	WrongAnnouncements int                     // announcements while unable to serve
+	NotSeen            int                     // not seen within ten seconds
 }
 
-// Losses injects so many losses of each kind into gateways that all announce to one
+// MeasureLosses injects so many losses of each kind into gateways that all announce to one
 // router, several gateways at once, and times on the router's sockets how long what it
 // was told went on leading there.
-func Losses(ctx context.Context, each, gateways int, progress io.Writer) ([]LossRow, error) {
+func MeasureLosses(ctx context.Context, each, gateways int, progress io.Writer) ([]LossRow, error) {
 	rig, err := newLossRig()
 	if err != nil {
 		return nil, err
@@ -43,7 +43,7 @@
 	defer rig.close()
 	rows := make([]LossRow, len(LossKinds))
 	for i, k := range LossKinds {
-		rows[i] = LossRow{Kind: k, Times: hdrhistogram.New(1, longestLoss, 3)}
+		rows[i] = LossRow{Kind: k, Delays: hdrhistogram.New(1, maxRecordedMicros, 3)}
 	}
 	var mu sync.Mutex
 	var failed error
@@ -51,7 +51,7 @@
 	var all sync.WaitGroup
 	for g := range gateways {
 		all.Go(func() {
-			s, err := rig.loser(g)
+			s, err := rig.startGateway(g)
 			for err == nil && ctx.Err() == nil {
 				mu.Lock()
 				left--
@@ -62,7 +62,7 @@
 					break
 				}
 				var r lossResult
-				if r, err = s.lose(kind); err == nil {
+				if r, err = s.injectLoss(kind); err == nil {
 					mu.Lock()
 					rows[kind].add(r)
 					if done++; done%250 == 0 {
@@ -72,7 +72,7 @@
 				}
 			}
 			if s != nil {
-				s.gate.Kill()
+				s.gateway.Kill()
 			}
 			if err != nil {
 				mu.Lock()
@@ -86,37 +86,37 @@
 }
 
 const (
-	longestLoss = 60_000_000
-	lossWait    = 10 * time.Second
+	maxRecordedMicros = 60_000_000
+	lossTimeout       = 10 * time.Second
 )
 
 type lossResult struct {
-	took  time.Duration
-	seen  bool
-	wrong int
+	delay              time.Duration
+	seen               bool
+	wrongAnnouncements int
 }
 
 func (r *LossRow) add(x lossResult) {
 	if !x.seen {
-		r.Failed++
+		r.NotSeen++
 		return
 	}
-	r.Times.RecordValue(max(x.took.Microseconds(), 1)) // within range: lossWait is
-	if x.took > time.Second {
-		r.Late++
+	r.Delays.RecordValue(max(x.delay.Microseconds(), 1)) // within range: lossWait is
+	if x.delay > time.Second {
+		r.OverSecond++
 	}
-	r.Wrong += x.wrong
+	r.WrongAnnouncements += x.wrongAnnouncements
 }
 
 // lossRig is what the gateways share.
 type lossRig struct {
-	world  env.Environment
-	inv    *standin.Inventory
-	disks  []*standin.DiskServer
-	router *standin.Router
-	mu     sync.Mutex
-	wake   *sync.Cond
-	log    []standin.RouteChange
+	world   env.Environment
+	inv     *standin.Inventory
+	disks   []*standin.DiskServer
+	router  *standin.Router
+	mu      sync.Mutex
+	wake    *sync.Cond
+	changes []standin.RouteChange
 }
 
 func newLossRig() (*lossRig, error) {
@@ -132,7 +132,7 @@
 	r.router.OnChange = func(c standin.RouteChange) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.log = append(r.log, c)
+		r.changes = append(r.changes, c)
 		r.wake.Broadcast()
 	}
 	set := settings.Example(1, 3)
@@ -158,17 +158,17 @@
 	r.inv.Close()
 }
 
-// await waits until the log, from an entry on, has what is asked for.
-func (r *lossRig) await(from int, most time.Duration, want func(standin.RouteChange) bool) (standin.RouteChange, bool) {
+// awaitChange waits until the log, from an entry on, has what is asked for.
+func (r *lossRig) awaitChange(from int, most time.Duration, want func(standin.RouteChange) bool) (standin.RouteChange, bool) {
 	end := r.world.Now() + most
 	t := r.world.AfterFunc(most, r.wake.Broadcast)
 	defer t.Stop()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := from; ; {
-		for ; i < len(r.log); i++ {
-			if want(r.log[i]) {
-				return r.log[i], true
+		for ; i < len(r.changes); i++ {
+			if want(r.changes[i]) {
+				return r.changes[i], true
 			}
 		}
 		if r.world.Now() >= end {
@@ -178,35 +178,35 @@
 	}
 }
 
-func (r *lossRig) mark() int {
+func (r *lossRig) changeCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.log)
+	return len(r.changes)
 }
 
 // The list's bound in the rig, and its steady time: short, so that many losses fit in a
 // minute; the way from a loss to the router does not depend on them.
 const (
-	rigListBound = 300 * time.Millisecond
-	rigSteady    = 50
+	lossMaxListAge = 300 * time.Millisecond
+	lossStableTime = 50
 )
 
-// loser is a gateway that loses things.
-type loser struct {
-	rig   *lossRig
-	n     int
-	world *partitionEnvironment
-	rng   *rand.Rand
-	set   *settings.Settings
-	gate  *gateway.Gateway
-	one   netip.Prefix // of the group on shard 0
-	both  netip.Prefix // of the group on shards 1 and 2
+// lossGateway is a gateway that loses things.
+type lossGateway struct {
+	rig          *lossRig
+	index        int
+	world        *partitionEnvironment
+	rng          *rand.Rand
+	set          *settings.Settings
+	gateway      *gateway.Gateway
+	singlePrefix netip.Prefix // of the group on shard 0
+	pairPrefix   netip.Prefix // of the group on shards 1 and 2
 }
 
-func (r *lossRig) loser(n int) (*loser, error) {
-	s := &loser{rig: r, n: n, world: newPartitionEnvironment(r.world), rng: rand.New(rand.NewPCG(uint64(n), 9)), set: settings.Example(1, 3)}
-	s.one = netip.PrefixFrom(netip.AddrFrom4([4]byte{10, 0, byte(n), 1}), 32)
-	s.both = netip.PrefixFrom(netip.AddrFrom4([4]byte{10, 0, byte(n), 2}), 32)
+func (r *lossRig) startGateway(n int) (*lossGateway, error) {
+	s := &lossGateway{rig: r, index: n, world: newPartitionEnvironment(r.world), rng: rand.New(rand.NewPCG(uint64(n), 9)), set: settings.Example(1, 3)}
+	s.singlePrefix = netip.PrefixFrom(netip.AddrFrom4([4]byte{10, 0, byte(n), 1}), 32)
+	s.pairPrefix = netip.PrefixFrom(netip.AddrFrom4([4]byte{10, 0, byte(n), 2}), 32)
 	for i := range s.set.Volumes {
 		s.set.Volumes[i].Layout = []int{0}
 		if i > 0 {
@@ -220,39 +220,39 @@
 		return out
 	}
 	s.set.Announce = &settings.Announce{AS: 65001, HoldTime: 9000, Routers: []settings.Router{{Name: "r0", Addr: r.router.Addr, AS: r.router.AS}},
-		StableTime: rigSteady, MaxStableTime: rigSteady, MaxLastResortTime: rigSteady, MaxListAge: env.MS(rigListBound),
-		Groups: []settings.AddressGroup{{Name: "one", Prefixes: []string{s.one.String()}, Volumes: names(0, 1)},
-			{Name: "both", Prefixes: []string{s.both.String()}, Volumes: names(1, len(s.set.Volumes))}}}
+		StableTime: lossStableTime, MaxStableTime: lossStableTime, MaxLastResortTime: lossStableTime, MaxListAge: env.MS(lossMaxListAge),
+		Groups: []settings.AddressGroup{{Name: "one", Prefixes: []string{s.singlePrefix.String()}, Volumes: names(0, 1)},
+			{Name: "both", Prefixes: []string{s.pairPrefix.String()}, Volumes: names(1, len(s.set.Volumes))}}}
 	return s, s.start()
 }
 
 // start starts the gateway and waits until the router has both addresses.
-func (s *loser) start() (err error) {
-	from := s.rig.mark()
-	s.gate, err = gateway.Start(gateway.Config{Environment: s.world, Log: zap.NewNop(), Name: fmt.Sprint("h", s.n), Zone: Halls[0], Listen: "127.0.0.1:0",
-		Inventory: s.rig.inv.Addr, RouterID: uint32(s.n + 1), NextHop4: netip.AddrFrom4([4]byte{127, 0, 0, 1})})
+func (s *lossGateway) start() (err error) {
+	from := s.rig.changeCount()
+	s.gateway, err = gateway.Start(gateway.Config{Environment: s.world, Log: zap.NewNop(), Name: fmt.Sprint("h", s.index), Zone: Halls[0], Listen: "127.0.0.1:0",
+		Inventory: s.rig.inv.Addr, RouterID: uint32(s.index + 1), NextHop4: netip.AddrFrom4([4]byte{127, 0, 0, 1})})
 	if err != nil {
 		return err
 	}
-	if _, err := s.gate.Settings().Put(s.set); err != nil {
+	if _, err := s.gateway.Settings().Put(s.set); err != nil {
 		return err
 	}
-	return s.back(from)
+	return s.awaitAnnounced(from)
 }
 
-// back waits until both addresses are announced in full.
-func (s *loser) back(from int) error {
-	for _, p := range []netip.Prefix{s.one, s.both} {
-		if _, ok := s.rig.await(from, lossWait, func(c standin.RouteChange) bool { return c.Prefix == p && c.Announced && !c.Path.Shutdown }); !ok {
-			return fmt.Errorf("lab: gateway %d was not announced again", s.n)
+// awaitAnnounced waits until both addresses are announced in full.
+func (s *lossGateway) awaitAnnounced(from int) error {
+	for _, p := range []netip.Prefix{s.singlePrefix, s.pairPrefix} {
+		if _, ok := s.rig.awaitChange(from, lossTimeout, func(c standin.RouteChange) bool { return c.Prefix == p && c.Announced && !c.Path.Shutdown }); !ok {
+			return fmt.Errorf("lab: gateway %d was not announced again", s.index)
 		}
 	}
 	return nil
 }
 
-// lose has the gateway lose something, waits until the router has heard of it, and
+// injectLoss has the gateway injectLoss something, waits until the router has heard of it, and
 // gives it back.
-func (s *loser) lose(kind int) (lossResult, error) {
+func (s *lossGateway) injectLoss(kind int) (lossResult, error) {
 	w := s.rig.world
 	env.Sleep(w, time.Duration(s.rng.Int64N(int64(200*time.Millisecond))), nil) // at any point of its rounds
 	all := make([]string, len(s.rig.disks))
@@ -260,9 +260,9 @@
 		all[i] = d.Addr
 	}
 	how := partitionKind(s.rng.IntN(2))
-	from, at := s.rig.mark(), w.Now()
+	from, at := s.rig.changeCount(), w.Now()
 	var hung env.Gate
-	gone := []netip.Prefix{s.one, s.both}
+	gone := []netip.Prefix{s.singlePrefix, s.pairPrefix}
 	down := func(c standin.RouteChange) bool { return !c.Announced }
 	var heal func() error
 	switch LossKinds[kind] {
@@ -274,38 +274,38 @@
 		gone = gone[:1]
 		heal = func() error { s.world.heal(all[0]); return nil }
 	case "core hung":
-		s.gate.Freeze(&hung)
+		s.gateway.Freeze(&hung)
 		heal = func() error { hung.Open(); return nil }
 	case "process killed":
-		s.gate.Kill()
+		s.gateway.Kill()
 		heal = func() error { return s.start() }
 	default:
 		s.world.partition(partitionReset, s.rig.inv.Addr)
-		at += rigListBound
+		at += lossMaxListAge
 		down = func(c standin.RouteChange) bool { return c.Announced && c.Path.Shutdown }
 		heal = func() error { s.world.heal(s.rig.inv.Addr); return nil }
 	}
 	res := lossResult{seen: true}
 	for _, p := range gone {
-		c, ok := s.rig.await(from, lossWait, func(c standin.RouteChange) bool { return c.Prefix == p && down(c) })
+		c, ok := s.rig.awaitChange(from, lossTimeout, func(c standin.RouteChange) bool { return c.Prefix == p && down(c) })
 		res.seen = res.seen && ok
-		res.took = max(res.took, c.At-at)
+		res.delay = max(res.delay, c.At-at)
 	}
 	env.Sleep(w, 100*time.Millisecond, nil) // nothing may come while it lasts
-	res.wrong = s.wrong(from, gone, LossKinds[kind] == LossKinds[4])
-	from = s.rig.mark()
+	res.wrongAnnouncements = s.countWrongAnnouncements(from, gone, LossKinds[kind] == LossKinds[4])
+	from = s.rig.changeCount()
 	if err := heal(); err != nil || LossKinds[kind] == "process killed" {
 		return res, err
 	}
-	return res, s.healed(from, gone)
+	return res, s.awaitRecovery(from, gone)
 }
 
-// wrong counts what was announced of the lost addresses since the loss, but for the
+// countWrongAnnouncements counts what was announced of the lost addresses since the loss, but for the
 // last resort where that is what is due.
-func (s *loser) wrong(from int, gone []netip.Prefix, resort bool) (n int) {
+func (s *lossGateway) countWrongAnnouncements(from int, gone []netip.Prefix, resort bool) (n int) {
 	s.rig.mu.Lock()
 	defer s.rig.mu.Unlock()
-	for _, c := range s.rig.log[from:] {
+	for _, c := range s.rig.changes[from:] {
 		for _, p := range gone {
 			if c.Prefix == p && c.Announced && !(resort && c.Path.Shutdown) {
 				n++
@@ -315,10 +315,10 @@
 	return n
 }
 
-func (s *loser) healed(from int, gone []netip.Prefix) error {
+func (s *lossGateway) awaitRecovery(from int, gone []netip.Prefix) error {
 	for _, p := range gone {
-		if _, ok := s.rig.await(from, lossWait, func(c standin.RouteChange) bool { return c.Prefix == p && c.Announced && !c.Path.Shutdown }); !ok {
-			return fmt.Errorf("lab: gateway %d was not announced again: %+v", s.n, s.gate.Routes())
+		if _, ok := s.rig.awaitChange(from, lossTimeout, func(c standin.RouteChange) bool { return c.Prefix == p && c.Announced && !c.Path.Shutdown }); !ok {
+			return fmt.Errorf("lab: gateway %d was not announced again: %+v", s.index, s.gateway.Routes())
 		}
 	}
 	return nil
@@ -330,11 +330,11 @@
 	fmt.Fprintln(tw, "| loss\t| injected\t| p1 ms\t| p50 ms\t| p90 ms\t| p99 ms\t| worst ms\t| over 1 s\t| not seen\t| announced while unable\t|")
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
 	for _, r := range rows {
-		fmt.Fprintf(tw, "| %s\t| %d", r.Kind, int(r.Times.TotalCount())+r.Failed)
+		fmt.Fprintf(tw, "| %s\t| %d", r.Kind, int(r.Delays.TotalCount())+r.NotSeen)
 		for _, q := range []float64{1, 50, 90, 99, 100} {
-			fmt.Fprintf(tw, "\t| %.0f", float64(r.Times.ValueAtQuantile(q))/1000)
+			fmt.Fprintf(tw, "\t| %.0f", float64(r.Delays.ValueAtQuantile(q))/1000)
 		}
-		fmt.Fprintf(tw, "\t| %d\t| %d\t| %d\t|\n", r.Late, r.Failed, r.Wrong)
+		fmt.Fprintf(tw, "\t| %d\t| %d\t| %d\t|\n", r.OverSecond, r.NotSeen, r.WrongAnnouncements)
 	}
 	return tw.Flush()
 }
--- a/internal/simulation/lab/peers.go
+++ b/internal/simulation/lab/peers.go
@@ -15,10 +15,10 @@
 	"merlinhitch/internal/simulation/standin"
 )
 
-// ManyPeers measures one speaker before so many stand-in routers: the first telling of
+// MeasureSpeaker measures one speaker before so many stand-in routers: the first telling of
 // so many prefixes, a change of all their paths, and their withdrawal. The routers run
 // in the same process; their part of the time is in the figures.
-func ManyPeers(ctx context.Context, peers, prefixes int, out io.Writer) error {
+func MeasureSpeaker(ctx context.Context, peers, prefixes int, out io.Writer) error {
 	w := env.NewReal()
 	var routers []*standin.Router
 	defer func() {
@@ -36,7 +36,7 @@
 		list = append(list, bgp.Neighbour{Addr: r.Addr, PeerConfig: bgp.PeerConfig{Name: fmt.Sprint("r", i), LocalAS: 65001, PeerAS: 65010, ID: 1,
 			Families: []bgp.Family{bgp.IPv4, bgp.IPv6}, Hop4: netip.AddrFrom4([4]byte{127, 0, 0, 1}), Hop6: netip.IPv6Loopback(), Times: bgp.DefaultTimes}})
 	}
-	base := held()
+	base := memoryInUse()
 	s, err := bgp.StartSpeaker(w, zap.NewNop(), "", list)
 	if err != nil {
 		return err
@@ -50,7 +50,7 @@
 		for _, r := range routers {
 			updates -= r.Counters().Updates
 		}
-		begin, cpu := w.Now(), cpuNow()
+		begin, cpu := w.Now(), processCPUTime()
 		s.Set(routes)
 		for _, r := range routers {
 			for !has(r.RoutesFrom(1)) {
@@ -59,7 +59,7 @@
 				}
 			}
 		}
-		took, used := w.Now()-begin, cpuNow()-cpu
+		took, used := w.Now()-begin, processCPUTime()-cpu
 		for _, r := range routers {
 			updates += r.Counters().Updates
 		}
@@ -93,7 +93,7 @@
 	if err := stage("sessions and first telling", all(full), only(full)); err != nil {
 		return err
 	}
-	grown := float64(held() - base)
+	grown := float64(memoryInUse() - base)
 	if err := stage("all become a last resort", all(resort), only(resort)); err != nil {
 		return err
 	}
--- a/internal/simulation/lab/reservations_test.go
+++ b/internal/simulation/lab/reservations_test.go
@@ -15,11 +15,11 @@
 
 func TestReservationsOverThreeHosts(t *testing.T) {
 	for seed := range uint64(3) {
-		h, err := ReservationRun(context.Background(), seed+1, 15, false)
+		h, err := RunReservations(context.Background(), seed+1, 15, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if bad := h.Judge(); bad != "" {
+		if bad := h.Check(); bad != "" {
 			t.Errorf("seed %d: %s", seed+1, bad)
 		}
 	}
@@ -28,11 +28,11 @@
 // Disk servers that keep no fence are found out.
 func TestMissingFenceIsFound(t *testing.T) {
 	for seed := range uint64(40) {
-		h, err := ReservationRun(context.Background(), seed+1, 15, true)
+		h, err := RunReservations(context.Background(), seed+1, 15, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if bad := h.Judge(); bad != "" {
+		if bad := h.Check(); bad != "" {
 			t.Logf("seed %d: %s", seed+1, bad)
 			return
 		}
@@ -44,39 +44,39 @@
 // reservation that the second pre-empts.
 func history() *ReservationHistory {
 	at := func(n int) (time.Duration, time.Duration) { return time.Duration(10 * n), time.Duration(10*n + 5) }
-	h := &ReservationHistory{Effects: map[uint64][]time.Duration{1: {43}}}
+	h := &ReservationHistory{AppliedWrites: map[uint64][]time.Duration{1: {43}}}
 	add := func(s ReservationStep) {
-		s.Call, s.End = at(len(h.Steps))
+		s.Call, s.Return = at(len(h.Steps))
 		h.Steps = append(h.Steps, s)
 	}
-	add(ReservationStep{Who: 0, Kind: stepRegister, Said: saidGood})
-	add(ReservationStep{Who: 1, Kind: stepRegister, Said: saidGood})
-	add(ReservationStep{Who: 2, Kind: stepRegister, Said: saidGood})
-	add(ReservationStep{Who: 0, Kind: stepReserve, Type: 1, Said: saidGood})
-	add(ReservationStep{Who: 0, Kind: stepWrite, Stamp: 1, Said: saidGood})
-	add(ReservationStep{Who: 2, Kind: stepWrite, Stamp: 2, Said: saidConflict})
-	add(ReservationStep{Who: 1, Kind: stepPreempt, Whom: 0, Type: 1, Said: saidGood})
-	add(ReservationStep{Who: 0, Kind: stepWrite, Stamp: 3, Said: saidConflict})
-	add(ReservationStep{Who: 1, Kind: stepWrite, Stamp: 4, Said: saidGood})
+	add(ReservationStep{Initiator: 0, Kind: stepRegister, Outcome: outcomeGood})
+	add(ReservationStep{Initiator: 1, Kind: stepRegister, Outcome: outcomeGood})
+	add(ReservationStep{Initiator: 2, Kind: stepRegister, Outcome: outcomeGood})
+	add(ReservationStep{Initiator: 0, Kind: stepReserve, ReservationType: 1, Outcome: outcomeGood})
+	add(ReservationStep{Initiator: 0, Kind: stepWrite, Stamp: 1, Outcome: outcomeGood})
+	add(ReservationStep{Initiator: 2, Kind: stepWrite, Stamp: 2, Outcome: outcomeConflict})
+	add(ReservationStep{Initiator: 1, Kind: stepPreempt, Preempted: 0, ReservationType: 1, Outcome: outcomeGood})
+	add(ReservationStep{Initiator: 0, Kind: stepWrite, Stamp: 3, Outcome: outcomeConflict})
+	add(ReservationStep{Initiator: 1, Kind: stepWrite, Stamp: 4, Outcome: outcomeGood})
 	return h
 }
 
 func TestDoctoredHistoriesAreRejected(t *testing.T) {
-	if bad := history().Judge(); bad != "" {
+	if bad := history().Check(); bad != "" {
 		t.Fatal(bad)
 	}
 	for name, spoil := range map[string]func(*ReservationHistory){
-		"a pre-empted holder writes":          func(h *ReservationHistory) { h.Steps[7].Said = saidGood },
-		"a stranger writes":                   func(h *ReservationHistory) { h.Steps[5].Said = saidGood },
-		"the holder meets a conflict":         func(h *ReservationHistory) { h.Steps[8].Said = saidConflict },
+		"a pre-empted holder writes":          func(h *ReservationHistory) { h.Steps[7].Outcome = outcomeGood },
+		"a stranger writes":                   func(h *ReservationHistory) { h.Steps[5].Outcome = outcomeGood },
+		"the holder meets a conflict":         func(h *ReservationHistory) { h.Steps[8].Outcome = outcomeConflict },
 		"two hold at once":                    func(h *ReservationHistory) { h.Steps[6].Kind = stepReserve },
-		"a pre-emption of who is not there":   func(h *ReservationHistory) { h.Steps[6].Whom = 3 },
+		"a pre-emption of who is not there":   func(h *ReservationHistory) { h.Steps[6].Preempted = 3 },
 		"a reservation without a key":         func(h *ReservationHistory) { h.Steps[0].Kind = stepUnregister },
 		"a write lands after its pre-emption": func(h *ReservationHistory) { h.preempted() },
 	} {
 		h := history()
 		spoil(h)
-		if h.Judge() == "" {
+		if h.Check() == "" {
 			t.Errorf("%s: taken for good", name)
 		}
 	}
@@ -85,10 +85,10 @@
 // preempted has the pre-empted write land at a disk server long after the answer: it had
 // been sent before, and its client never heard.
 func (h *ReservationHistory) preempted() {
-	h.Steps[3] = ReservationStep{Who: 1, Kind: stepReserve, Type: 5, Said: saidGood, Call: 30, End: 35}
-	h.Steps[4].Said, h.Steps[5].Said = saidUnknown, saidGood
-	h.Steps[7].Said = saidConflict
-	h.Effects[1] = []time.Duration{70}
+	h.Steps[3] = ReservationStep{Initiator: 1, Kind: stepReserve, ReservationType: 5, Outcome: outcomeGood, Call: 30, Return: 35}
+	h.Steps[4].Outcome, h.Steps[5].Outcome = outcomeUnknown, outcomeGood
+	h.Steps[7].Outcome = outcomeConflict
+	h.AppliedWrites[1] = []time.Duration{70}
 }
 
 // quiet is a rig without faults, with a session of each of two initiators, through two
@@ -112,14 +112,14 @@
 	return r, func(who int, kind string, typ byte, whom int, want string) {
 		t.Helper()
 		for tries := 0; ; tries++ {
-			st := ReservationStep{Who: who, Kind: kind, Type: typ, Whom: whom}
-			if done, _ := r.step(s[who], &st, rng); done {
-				if st.Said == saidNothing && tries < 500 { // a server is away: what is refused is asked again
+			st := ReservationStep{Initiator: who, Kind: kind, ReservationType: typ, Preempted: whom}
+			if done, _ := r.execute(s[who], &st, rng); done {
+				if st.Outcome == outcomeNoEffect && tries < 500 { // a server is away: what is refused is asked again
 					env.Sleep(r.world, 10*time.Millisecond, nil)
 					continue
 				}
-				if st.Said != want {
-					t.Fatalf("initiator %d, %s: %s, want %s", who, kind, st.Said, want)
+				if st.Outcome != want {
+					t.Fatalf("initiator %d, %s: %s, want %s", who, kind, st.Outcome, want)
 				}
 				return
 			}
@@ -130,15 +130,15 @@
 // The holder's host has not heard of the pre-emption, which came through another.
 func TestPreemptionThroughAnotherHost(t *testing.T) {
 	_, do := quiet(t)
-	do(0, stepRegister, 0, 0, saidGood)
-	do(1, stepRegister, 0, 0, saidGood)
-	do(0, stepReserve, 1, 0, saidGood)
-	do(0, stepWrite, 0, 0, saidGood)
-	do(1, stepWrite, 0, 0, saidConflict)
-	do(1, stepPreempt, 1, 0, saidGood)
-	do(0, stepWrite, 0, 0, saidConflict)
-	do(0, stepReserve, 1, 0, saidConflict)
-	do(1, stepWrite, 0, 0, saidGood)
+	do(0, stepRegister, 0, 0, outcomeGood)
+	do(1, stepRegister, 0, 0, outcomeGood)
+	do(0, stepReserve, 1, 0, outcomeGood)
+	do(0, stepWrite, 0, 0, outcomeGood)
+	do(1, stepWrite, 0, 0, outcomeConflict)
+	do(1, stepPreempt, 1, 0, outcomeGood)
+	do(0, stepWrite, 0, 0, outcomeConflict)
+	do(0, stepReserve, 1, 0, outcomeConflict)
+	do(1, stepWrite, 0, 0, outcomeGood)
 }
 
 // The server that keeps the state loses power: with APTPL the reservation stands, without
@@ -147,17 +147,17 @@
 	for _, persist := range []bool{true, false} {
 		r, do := quiet(t)
 		r.history.Persist = persist
-		do(0, stepRegister, 0, 0, saidGood)
-		do(0, stepReserve, 3, 0, saidGood)
-		do(1, stepRead, 0, 0, saidConflict)
+		do(0, stepRegister, 0, 0, outcomeGood)
+		do(0, stepReserve, 3, 0, outcomeGood)
+		do(1, stepRead, 0, 0, outcomeConflict)
 		r.disks[0].Kill()
-		r.cells[0].PowerLoss()
+		r.stores[0].PowerLoss()
 		if err := r.startDisk(0); err != nil {
 			t.Fatal(err)
 		}
-		want := saidGood
+		want := outcomeGood
 		if persist {
-			want = saidConflict
+			want = outcomeConflict
 		}
 		do(1, stepWrite, 0, 0, want)
 	}
@@ -166,15 +166,15 @@
 // The server that keeps the state is drained and its successor takes over.
 func TestDrainedWhileReserved(t *testing.T) {
 	r, do := quiet(t)
-	do(0, stepRegister, 0, 0, saidGood)
-	do(0, stepReserve, 1, 0, saidGood)
+	do(0, stepRegister, 0, 0, outcomeGood)
+	do(0, stepReserve, 1, 0, outcomeGood)
 	old := r.disks[0]
 	old.Drain()
 	if err := r.startDisk(0); err != nil {
 		t.Fatal(err)
 	}
-	do(1, stepWrite, 0, 0, saidConflict)
-	do(0, stepWrite, 0, 0, saidGood)
+	do(1, stepWrite, 0, 0, outcomeConflict)
+	do(0, stepWrite, 0, 0, outcomeGood)
 	old.Kill()
 }
 
@@ -182,40 +182,40 @@
 // answered: it comes too late there.
 func TestPreemptionOvertakesAWrite(t *testing.T) {
 	r, do := quiet(t)
-	do(0, stepRegister, 0, 0, saidGood)
-	do(1, stepRegister, 0, 0, saidGood)
-	do(0, stepReserve, 1, 0, saidGood)
-	do(0, stepWrite, 0, 0, saidGood)
+	do(0, stepRegister, 0, 0, outcomeGood)
+	do(1, stepRegister, 0, 0, outcomeGood)
+	do(0, stepReserve, 1, 0, outcomeGood)
+	do(0, stepWrite, 0, 0, outcomeGood)
 	var addrs []string
 	for _, d := range r.disks {
 		addrs = append(addrs, d.Addr)
 	}
-	r.worlds[0].partition(partitionDelay, addrs...)
+	r.environments[0].partition(partitionDelay, addrs...)
 	s := r.dial(context.Background(), 0)
 	if s == nil {
 		t.Fatal("no session")
 	}
 	t.Cleanup(s.Close)
-	st := ReservationStep{Who: 0, Kind: stepWrite}
+	st := ReservationStep{Initiator: 0, Kind: stepWrite}
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
 		for {
-			if done, _ := r.step(s, &st, rand.New(rand.NewPCG(1, 1))); done {
+			if done, _ := r.execute(s, &st, rand.New(rand.NewPCG(1, 1))); done {
 				return
 			}
 		}
 	}()
-	for r.worlds[0].waiting() < r.set.Volumes[0].BlockSize { // the write is in the link
+	for r.environments[0].waiting() < r.set.Volumes[0].BlockSize { // the write is in the link
 		env.Sleep(r.world, time.Millisecond, nil)
 	}
-	do(1, stepPreempt, 1, 0, saidGood)
-	r.worlds[0].heal(addrs...)
+	do(1, stepPreempt, 1, 0, outcomeGood)
+	r.environments[0].heal(addrs...)
 	<-over
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if st.Said == saidGood || len(r.history.Effects[st.Stamp]) > 0 {
-		t.Errorf("%s, %d effects", st.Said, len(r.history.Effects[st.Stamp]))
+	if st.Outcome == outcomeGood || len(r.history.AppliedWrites[st.Stamp]) > 0 {
+		t.Errorf("%s, %d effects", st.Outcome, len(r.history.AppliedWrites[st.Stamp]))
 	}
 }
 
@@ -223,7 +223,7 @@
 // certainly is not.
 func TestAbortOfARegistration(t *testing.T) {
 	r, do := quiet(t)
-	do(0, stepRegister, 0, 0, saidGood)
+	do(0, stepRegister, 0, 0, outcomeGood)
 	var addrs []string
 	for _, d := range r.disks {
 		addrs = append(addrs, d.Addr)
@@ -233,9 +233,9 @@
 	if _, err := s.Do(context.Background(), make([]byte, 6), nil, 0); err != nil { // takes a unit attention, if any
 		t.Fatal(err)
 	}
-	r.worlds[0].partition(partitionDelay, addrs...)
+	r.environments[0].partition(partitionDelay, addrs...)
 	h := s.Submit(0, []byte{0x5f, 6, 0, 0, 0, 0, 0, 0, 24, 0}, append(make([]byte, 15), 9, 0, 0, 0, 0, 0, 0, 0, 0), 0, func(iscsi.Result, error) {})
-	for r.worlds[0].waiting() == 0 {
+	for r.environments[0].waiting() == 0 {
 		env.Sleep(r.world, time.Millisecond, nil)
 	}
 	answered := make(chan byte, 1)
@@ -246,7 +246,7 @@
 		t.Error("answered while it may still be made")
 	default:
 	}
-	r.worlds[0].heal(addrs...)
+	r.environments[0].heal(addrs...)
 	if code := <-answered; code != iscsi.FunctionComplete {
 		t.Errorf("response %d", code)
 	}
@@ -255,16 +255,16 @@
 // A host stands still for longer than its lease while the reservation passes on.
 func TestPauseOutlastsTheLease(t *testing.T) {
 	r, do := quiet(t)
-	do(0, stepRegister, 0, 0, saidGood)
-	do(1, stepRegister, 0, 0, saidGood)
-	do(0, stepReserve, 1, 0, saidGood)
+	do(0, stepRegister, 0, 0, outcomeGood)
+	do(1, stepRegister, 0, 0, outcomeGood)
+	do(0, stepReserve, 1, 0, outcomeGood)
 	var until env.Gate
 	r.hosts[0].Freeze(&until)
-	do(1, stepPreempt, 1, 0, saidGood)
+	do(1, stepPreempt, 1, 0, outcomeGood)
 	env.Sleep(r.world, 1200*time.Millisecond, nil) // past the lease, which is a time of the product's own
 	until.Open()
-	do(0, stepWrite, 0, 0, saidConflict)
-	do(1, stepWrite, 0, 0, saidGood)
+	do(0, stepWrite, 0, 0, outcomeConflict)
+	do(1, stepWrite, 0, 0, outcomeGood)
 }
 
 // waiting is the number of bytes that are held on their way.
@@ -301,9 +301,9 @@
 			}
 			t.Cleanup(s.Close)
 			for {
-				st := ReservationStep{Who: i, Kind: stepRegister}
-				done, alive := r.step(s, &st, rand.New(rand.NewPCG(1, 1)))
-				if done && st.Said == saidGood {
+				st := ReservationStep{Initiator: i, Kind: stepRegister}
+				done, alive := r.execute(s, &st, rand.New(rand.NewPCG(1, 1)))
+				if done && st.Outcome == outcomeGood {
 					return
 				}
 				if !alive {
@@ -357,7 +357,7 @@
 		})
 	}
 	all.Wait()
-	do(0, stepRegister, 0, 0, saidGood)
+	do(0, stepRegister, 0, 0, outcomeGood)
 	s := r.dial(context.Background(), 12)
 	defer s.Close()
 	res, err := s.Do(context.Background(), []byte{0x5e, 0, 0, 0, 0, 0, 0, 1, 0, 0}, nil, 256)
--- a/internal/simulation/lab/virtual_test.go
+++ b/internal/simulation/lab/virtual_test.go
@@ -126,11 +126,11 @@
 	}
 	t.Run("a reservation change that others overtook was called a conflict", func(t *testing.T) {
 		for _, seed := range []uint64{371, 661, 1709} {
-			h, err := VirtualReservationRun(context.Background(), seed, 40, false)
+			h, err := RunVirtualReservations(context.Background(), seed, 40, false)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if verdict := h.Judge(); verdict != "" {
+			if verdict := h.Check(); verdict != "" {
 				t.Fatalf("seed %d: %s", seed, verdict)
 			}
 		}
