--- a/internal/control/scheduler/client.go
+++ b/internal/control/scheduler/client.go
@@ -188,8 +188,8 @@
 }
 
 // submit hands the call to the core and waits until it is answered or the client leaves. occurredAt is
-// the arrival time of the request, ms on the loop's clock. A client that has already left is not served. It returns false if
-// the connection is to be closed.
+// the arrival time of the request, ms on the loop's clock. A client that has already left is not
+// served. It returns false if the connection is to be closed.
 func (c *client) submit(call *call, occurredAt float64, closeConn bool) bool {
 	resp := &responder{client: c, closeAfter: closeConn}
 	call.replyTo = resp
