--- a/internal/control/keys/authority.go
+++ b/internal/control/keys/authority.go
@@ -1,7 +1,6 @@
-// Package keys is the service's own small authority (X.509, RFC 5280): it makes
-// certificates for hosts, disk servers and operators, with an operator's role in them, and
-// holds what a program uses of them so that it can be renewed in place. It opens no
-// connection and decides on no request but by the role in a certificate.
+// Package keys is the service's certificate authority (X.509, RFC 5280). It issues and
+// revokes certificates of hosts, disk servers and operators, which carry the role of their
+// holder, and makes TLS configurations whose certificates can be renewed in place.
 package keys
 
 import (
@@ -25,34 +24,33 @@
 	"merlinhitch/internal/storage/durable"
 )
 
-// Role is what a certificate lets its holder do at the admin API.
+// Role is the role of a certificate's holder. It is encoded as its only organizational unit.
 type Role string
 
-// The roles. Each may do what the one before may.
+// The roles. Each of the first three includes those before it.
 const (
-	RoleRead       Role = "read"       // look at everything but secrets
-	RoleOperate    Role = "operate"    // change settings, but none that is about keys and secrets
-	RoleAdminister Role = "administer" // change all
-	RoleMachine    Role = "machine"    // a host or a disk server towards the other; nothing at the API
+	RoleRead       Role = "read"       // read everything but secrets at the admin API
+	RoleOperate    Role = "operate"    // also change settings other than keys and secrets
+	RoleAdminister Role = "administer" // also change keys and secrets
+	RoleMachine    Role = "machine"    // host or disk server; has no access to the admin API
 )
 
 var roleOrder = []Role{RoleRead, RoleOperate, RoleAdminister}
 
-// Includes tells whether a role includes another.
+// Includes reports whether r includes the role need.
 func (r Role) Includes(need Role) bool {
 	i, j := slices.Index(roleOrder, r), slices.Index(roleOrder, need)
 	return i >= 0 && j >= 0 && i >= j
 }
 
-// Valid tells whether r is one of the roles.
+// Valid reports whether r is one of the roles.
 func (r Role) Valid() bool { return r == RoleMachine || slices.Contains(roleOrder, r) }
 
-// Files of an authority and of a holder of a certificate.
+// Names of the files in the folders of an authority and of certificate holders.
 const (
 	authorityCert = "authority.crt"
 	authorityKey  = "authority.key"
-	// TrustFile has the certificates of the authorities that are trusted: two while one
-	// takes the other's place.
+	// TrustFile has the certificates of the trusted authorities: several during a rotation.
 	TrustFile   = "trusted.crt"
 	RevokedFile = "revoked.crl"
 	CertFile    = "own.crt"
@@ -61,14 +59,13 @@
 
 const (
 	authorityLifetime = 10 * 365 * 24 * time.Hour
-	// ClockSkew is how much earlier than now a certificate begins: clocks differ.
+	// ClockSkew is how far in the past a new certificate's validity begins, since clocks differ.
 	ClockSkew = 5 * time.Minute
-	// crlLifetime is long: a list that runs out would shut everybody out, and a stolen
-	// certificate is short-lived by itself.
+	// crlLifetime sets NextUpdate of the revocation list, which this package does not check.
 	crlLifetime = 10 * 365 * 24 * time.Hour
 )
 
-// Authority signs.
+// Authority is a certificate authority with its key, stored in a folder.
 type Authority struct {
 	dir  string
 	cert *x509.Certificate
@@ -76,10 +73,10 @@
 	now  func() time.Time
 }
 
-// ErrExists says that there is an authority in the folder already.
-var ErrExists = errors.New("keys: there is an authority in this folder")
+// ErrExists is returned by Init if the folder already has an authority.
+var ErrExists = errors.New("keys: the folder already has an authority")
 
-// Init makes a new authority in a folder.
+// Init creates an authority in a folder.
 func Init(dir string, now func() time.Time) (*Authority, error) {
 	if _, err := os.Stat(filepath.Join(dir, authorityKey)); err == nil {
 		return nil, ErrExists
@@ -97,7 +94,7 @@
 	return a, a.writeRevocationList(nil)
 }
 
-// newKey gives the authority a key and a certificate.
+// newKey generates and stores a key and a self-signed certificate of the authority.
 func (a *Authority) newKey() error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -124,7 +121,7 @@
 	return writeFile(filepath.Join(a.dir, authorityCert), 0o644, encodeCert(a.cert))
 }
 
-// Open reads the authority in a folder.
+// Open reads the authority of a folder.
 func Open(dir string, now func() time.Time) (*Authority, error) {
 	certs, err := readCerts(filepath.Join(dir, authorityCert))
 	if err != nil {
@@ -136,7 +133,7 @@
 	}
 	p, _ := pem.Decode(b)
 	if p == nil {
-		return nil, fmt.Errorf("keys: %s has no key", authorityKey)
+		return nil, fmt.Errorf("keys: %s contains no PEM block", authorityKey)
 	}
 	k, err := x509.ParsePKCS8PrivateKey(p.Bytes)
 	if err != nil {
@@ -144,16 +141,17 @@
 	}
 	key, ok := k.(*ecdsa.PrivateKey)
 	if !ok || !key.PublicKey.Equal(certs[0].PublicKey) {
-		return nil, fmt.Errorf("keys: %s does not belong to %s", authorityKey, authorityCert)
+		return nil, fmt.Errorf("keys: key in %s does not match the certificate in %s", authorityKey, authorityCert)
 	}
 	return &Authority{dir, certs[0], key, now}, nil
 }
 
-// Issue makes a key and a certificate for a name, in a folder of its holder with what is
-// trusted beside them. Addresses are those at which a server is reached.
+// Issue makes a key and a certificate for a name and writes them to the holder's folder out,
+// together with the trusted and revoked certificates. Addresses are the IP addresses and
+// DNS names at which a server is reached.
 func (a *Authority) Issue(name string, role Role, life time.Duration, addresses []string, out string) (*x509.Certificate, error) {
 	if !role.Valid() || name == "" || len(name) > 64 || strings.ContainsAny(name, "/\\\x00") {
-		return nil, fmt.Errorf("keys: %q of role %q can't have a certificate", name, role)
+		return nil, fmt.Errorf("keys: can't issue a certificate for name %q with role %q", name, role)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -188,8 +186,8 @@
 	if err := os.MkdirAll(out, 0o700); err != nil {
 		return nil, err
 	}
-	// The certificate comes last: a holder that is read in between has the old pair or
-	// none that fits, and stays with what it has.
+	// The certificate is written last. If credentials are loaded in between, the new key does
+	// not match the old certificate, and the old credentials stay in use.
 	if err := writeFile(filepath.Join(out, KeyFile), 0o600, k); err != nil {
 		return nil, err
 	}
@@ -199,7 +197,7 @@
 	return cert, a.Distribute(out)
 }
 
-// Distribute copies what is trusted and what is revoked to a holder's folder.
+// Distribute copies the trusted certificates and the revocation list to a holder's folder.
 func (a *Authority) Distribute(out string) error {
 	for _, f := range []string{TrustFile, RevokedFile} {
 		b, err := os.ReadFile(filepath.Join(a.dir, f))
@@ -213,8 +211,9 @@
 	return nil
 }
 
-// Rotate gives the authority another key. What the old one signed stays trusted until
-// Forget; holders must be handed the new list before anything that the new one signs.
+// Rotate replaces the authority's key. Certificates signed with the old key stay trusted
+// until DropOldTrust. Every holder needs the new list of trusted certificates, by Distribute,
+// before it meets certificates signed with the new key.
 func (a *Authority) Rotate() error {
 	old, err := os.ReadFile(filepath.Join(a.dir, TrustFile))
 	if err != nil {
@@ -233,12 +232,12 @@
 	return a.writeRevocationList(revoked)
 }
 
-// DropOldTrust ends the trust in all authorities but the present one.
+// DropOldTrust trusts the present certificate of the authority only.
 func (a *Authority) DropOldTrust() error {
 	return writeFile(filepath.Join(a.dir, TrustFile), 0o644, encodeCert(a.cert))
 }
 
-// Revoke puts a certificate's number on the list of those that count no more.
+// Revoke adds the serial number of a certificate to the revocation list.
 func (a *Authority) Revoke(number *big.Int) error {
 	revoked, err := readRevoked(filepath.Join(a.dir, RevokedFile))
 	if err != nil {
@@ -252,7 +251,7 @@
 	return a.writeRevocationList(append(revoked, x509.RevocationListEntry{SerialNumber: number, RevocationTime: a.now()}))
 }
 
-// writeRevocationList signs the writeRevocationList of revoked certificates.
+// writeRevocationList signs and stores the list of revoked certificates.
 func (a *Authority) writeRevocationList(revoked []x509.RevocationListEntry) error {
 	t := &x509.RevocationList{Number: big.NewInt(a.now().UnixNano()), ThisUpdate: a.now().Add(-ClockSkew), NextUpdate: a.now().Add(crlLifetime),
 		RevokedCertificateEntries: revoked}
@@ -263,7 +262,7 @@
 	return writeFile(filepath.Join(a.dir, RevokedFile), 0o644, pem.EncodeToMemory(&pem.Block{Type: "X509 CRL", Bytes: der}))
 }
 
-// ReadCertificate reads a holder's, for its number.
+// ReadCertificate reads the certificate in a holder's folder.
 func ReadCertificate(dir string) (*x509.Certificate, error) {
 	c, err := readCerts(filepath.Join(dir, CertFile))
 	if err != nil {
@@ -291,7 +290,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
 }
 
-// writeFile replaces a file by rename: a reader finds the old one or the new one.
+// writeFile replaces a file atomically.
 func writeFile(file string, mode fs.FileMode, b []byte) error {
 	return durable.Replace(file, mode, func(f *os.File) error {
 		_, err := f.Write(b)
@@ -312,7 +311,7 @@
 		out = append(out, c)
 	}
 	if len(out) == 0 {
-		return nil, fmt.Errorf("keys: %s has no certificate", file)
+		return nil, fmt.Errorf("keys: %s contains no certificate", file)
 	}
 	return out, nil
 }
@@ -332,7 +331,7 @@
 	}
 	p, _ := pem.Decode(b)
 	if p == nil {
-		return nil, fmt.Errorf("keys: %s is no list", file)
+		return nil, fmt.Errorf("keys: %s contains no revocation list", file)
 	}
 	return x509.ParseRevocationList(p.Bytes)
 }
--- a/internal/control/keys/holder.go
+++ b/internal/control/keys/holder.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// machineName is in every machine's certificate: disk servers are found by the inventory's
-// addresses, which change, so that a name tells only that it is one.
+// machineName is a DNS name in every machine's certificate. Machines are found by addresses,
+// which change, so that the name only identifies them as machines.
 const machineName = "machine.merlinhitch.internal"
 
-// Credentials is what a program has of keys, renewed in place by Reload. Connections that are
-// up stay up; new ones use the new keys.
+// Credentials holds a program's certificate and key, the trusted authorities and the
+// revocation list. Reload renews them in place for new connections; open ones stay open.
 type Credentials struct {
 	dir     string
 	now     func() time.Time
@@ -26,23 +26,23 @@
 	cert        tls.Certificate
 	trustPool   *x509.CertPool
 	authorities []*x509.Certificate
-	revoked     map[string]bool // by number
+	revoked     map[string]bool // by decimal serial number
 }
 
-// Errors of a peer's certificate.
+// Errors of CheckPeer and of TLS handshakes with a peer.
 var (
 	ErrRevoked = errors.New("keys: the certificate is revoked")
-	ErrExpired = errors.New("keys: the certificate has run out")
-	ErrRole    = errors.New("keys: the certificate is of another role")
+	ErrExpired = errors.New("keys: the certificate has expired or is not valid yet")
+	ErrRole    = errors.New("keys: the certificate is not of a machine")
 )
 
-// LoadCredentials reads a holder's folder.
+// LoadCredentials reads the credentials of a holder's folder.
 func LoadCredentials(dir string, now func() time.Time) (*Credentials, error) {
 	h := &Credentials{dir: dir, now: now}
 	return h, h.Reload()
 }
 
-// Reload reads the folder again. If anything in it does not fit, the old keys stay.
+// Reload reads the folder again. After an error the old credentials stay in use.
 func (h *Credentials) Reload() error {
 	cert, err := tls.LoadX509KeyPair(filepath.Join(h.dir, CertFile), filepath.Join(h.dir, KeyFile))
 	if err != nil {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// signedByTrusted refuses a list of revoked certificates that no trusted authority made.
+// signedByTrusted returns an error if no trusted authority has signed a revocation list.
 func (s *credentialSet) signedByTrusted(l *x509.RevocationList) error {
 	for _, c := range s.authorities {
 		if l.CheckSignatureFrom(c) == nil {
@@ -79,10 +79,11 @@
 	return errors.New("keys: the list of revoked certificates is not signed by a trusted authority")
 }
 
-// Expires is when the holder's own certificate runs out.
+// Expires returns the time at which the holder's own certificate expires.
 func (h *Credentials) Expires() time.Time { return h.current.Load().cert.Leaf.NotAfter }
 
-// CheckPeer judges a peer's certificate as of now, also in the midst of a session.
+// CheckPeer returns an error if a peer's certificate is not valid now or is revoked. It can
+// also be called during a session.
 func (h *Credentials) CheckPeer(c *x509.Certificate) error {
 	switch now := h.now(); {
 	case now.After(c.NotAfter) || now.Before(c.NotBefore):
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// Identity and role of a certificate.
+// Identity returns the common name and the role of a certificate.
 func Identity(c *x509.Certificate) (string, Role) {
 	if len(c.Subject.OrganizationalUnit) != 1 {
 		return c.Subject.CommonName, ""
@@ -101,11 +102,11 @@
 	return c.Subject.CommonName, Role(c.Subject.OrganizationalUnit[0])
 }
 
-// verifyPeer verifies what a verifyPeer shows: the chain was verified, what is left is the list of
-// revoked ones and the role.
+// verifyPeer checks revocation and, if machine is set, the role of a peer whose certificate
+// chain has been verified.
 func (h *Credentials) verifyPeer(s tls.ConnectionState, machine bool) error {
 	if len(s.PeerCertificates) == 0 {
-		return errors.New("keys: no certificate was shown")
+		return errors.New("keys: peer sent no certificate")
 	}
 	c := s.PeerCertificates[0]
 	if _, role := Identity(c); machine && role != RoleMachine {
@@ -114,21 +115,22 @@
 	return h.CheckPeer(c)
 }
 
-// ServerConfig is for listeners: TLS 1.3 (RFC 8446) and a certificate of every client. Where
-// machine is set the client must be one.
+// ServerConfig returns the configuration of listeners: TLS 1.3 (RFC 8446) with client
+// certificates, which must be of machines if machine is set. Each connection uses the
+// credentials of the last Reload.
 func (h *Credentials) ServerConfig(machine bool) *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS13, Time: h.now, ClientAuth: tls.RequireAndVerifyClientCert}
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		s := h.current.Load()
 		return &tls.Config{MinVersion: tls.VersionTLS13, Time: h.now, Certificates: []tls.Certificate{s.cert}, ClientAuth: tls.RequireAndVerifyClientCert,
-			ClientCAs: s.trustPool, SessionTicketsDisabled: true, // a ticket would outlive a revocation
+			ClientCAs: s.trustPool, SessionTicketsDisabled: true, // a ticket would stay valid after a revocation
 			VerifyConnection: func(c tls.ConnectionState) error { return h.verifyPeer(c, machine) }}, nil
 	}
 	return base
 }
 
-// ClientConfig is for connections that are dialled: to machines by their common name, where
-// name is "", or to a server of a name or address.
+// ClientConfig returns the configuration of outgoing connections: to any machine if name is
+// "", otherwise to the server with that name or address. It uses the present credentials.
 func (h *Credentials) ClientConfig(name string) *tls.Config {
 	s := h.current.Load()
 	machine := name == ""
--- a/internal/control/keys/keys_test.go
+++ b/internal/control/keys/keys_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// fixture is an authority with a clock of its own.
+// fixture is an authority with a settable clock.
 type fixture struct {
 	t         *testing.T
 	dir       string
@@ -44,8 +44,7 @@
 	return h
 }
 
-// handshake has a client and a server of these keys greet each other over a pipe, and says
-// how the server and the client found it.
+// handshake runs a TLS handshake over a pipe and returns the errors of server and client.
 func handshake(server, client *tls.Config) (s, c error) {
 	a, b := net.Pipe()
 	end := make(chan error, 1)
@@ -76,28 +75,28 @@
 	other := newFixture(t)
 	ines := f.issue("ines", RoleAdminister, time.Hour)
 	for name, x := range map[string]struct{ server, client *Credentials }{
-		"an operator as a host":            {disk, ines},
-		"an operator as a disk server":     {ines, host},
-		"a host of another authority":      {disk, other.issue("h0", RoleMachine, time.Hour)},
-		"a disk server of another, as one": {other.issue("d0", RoleMachine, time.Hour), host},
+		"operator certificate as a host":        {disk, ines},
+		"operator certificate as a disk server": {ines, host},
+		"host of another authority":             {disk, other.issue("h0", RoleMachine, time.Hour)},
+		"disk server of another authority":      {other.issue("d0", RoleMachine, time.Hour), host},
 	} {
 		if s, c := handshake(x.server.ServerConfig(true), x.client.ClientConfig("")); s == nil && c == nil {
-			t.Errorf("%s was let in", name)
+			t.Errorf("%s: handshake succeeded", name)
 		}
 	}
 	plain := &tls.Config{InsecureSkipVerify: true}
 	if s, _ := handshake(disk.ServerConfig(true), plain); s == nil {
-		t.Error("a client without a certificate was let in")
+		t.Error("handshake succeeded without a client certificate")
 	}
 	old := host.ClientConfig("")
 	old.MinVersion, old.MaxVersion = tls.VersionTLS12, tls.VersionTLS12
 	if s, _ := handshake(disk.ServerConfig(true), old); s == nil {
-		t.Error("TLS 1.2 was spoken")
+		t.Error("handshake succeeded with TLS 1.2")
 	}
 }
 
-// A certificate that runs out or is revoked counts no more, in the midst of a session as
-// well, where Check is asked.
+// An expired or revoked certificate is refused in the handshake and, during a session, by
+// CheckPeer.
 func TestExpiryAndRevocation(t *testing.T) {
 	f := newFixture(t)
 	host, disk := f.issue("h0", RoleMachine, time.Hour), f.issue("d0", RoleMachine, 24*time.Hour)
@@ -113,9 +112,9 @@
 		t.Error(err)
 	}
 	if s, _ := handshake(disk.ServerConfig(true), host.ClientConfig("")); s == nil {
-		t.Error("an expired certificate was let in")
+		t.Error("handshake succeeded with an expired certificate")
 	}
-	f.at = f.at.Add(-2 * time.Hour) // a clock that steps back: not begun yet
+	f.at = f.at.Add(-2 * time.Hour) // before the certificate's validity
 	if err := disk.CheckPeer(cert); !errors.Is(err, ErrExpired) {
 		t.Error(err)
 	}
@@ -127,7 +126,7 @@
 		t.Fatal(err)
 	}
 	if err := disk.CheckPeer(cert); err != nil {
-		t.Error("before the reload:", err)
+		t.Error("revoked before the reload:", err)
 	}
 	if err := disk.Reload(); err != nil {
 		t.Fatal(err)
@@ -136,12 +135,12 @@
 		t.Error(err)
 	}
 	if s, _ := handshake(disk.ServerConfig(true), host.ClientConfig("")); s == nil {
-		t.Error("a revoked certificate was let in")
+		t.Error("handshake succeeded with a revoked certificate")
 	}
 }
 
-// The authority's key is replaced without a moment at which old and new holders can't
-// meet.
+// At every step of a rotation, holders with old and new certificates can connect, and
+// revoked certificates stay revoked.
 func TestRotation(t *testing.T) {
 	f := newFixture(t)
 	host, disk := f.issue("h0", RoleMachine, time.Hour), f.issue("d0", RoleMachine, time.Hour)
@@ -166,7 +165,7 @@
 		if err := h.Reload(); err != nil {
 			t.Fatal(err)
 		}
-		ok("handed the new list")
+		ok("new list distributed")
 	}
 	for _, h := range []*Credentials{host, disk} {
 		if _, err := f.authority.Issue("anew", RoleMachine, time.Hour, nil, h.dir); err != nil {
@@ -175,7 +174,7 @@
 		if err := h.Reload(); err != nil {
 			t.Fatal(err)
 		}
-		ok("one has a new certificate")
+		ok("new certificate on one side or both")
 	}
 	if err := f.authority.DropOldTrust(); err != nil {
 		t.Fatal(err)
@@ -185,10 +184,10 @@
 		if err := h.Reload(); err != nil {
 			t.Fatal(err)
 		}
-		ok("the old authority is forgotten")
+		ok("old authority no longer trusted")
 	}
 	if err := disk.CheckPeer(cert); !errors.Is(err, ErrRevoked) {
-		t.Errorf("a rotation forgot what was revoked: %v", err)
+		t.Errorf("certificate is no longer revoked after the rotation: %v", err)
 	}
 	if again, err := Open(f.dir, f.now); err != nil || !again.key.Equal(f.authority.key) {
 		t.Error(err)
@@ -198,7 +197,7 @@
 	}
 }
 
-// A reload that finds anything wrong leaves the keys that there are.
+// A failed reload leaves the old credentials in use.
 func TestReloadOfBadFiles(t *testing.T) {
 	f := newFixture(t)
 	host, disk := f.issue("h0", RoleMachine, time.Hour), f.issue("d0", RoleMachine, time.Hour)
@@ -212,12 +211,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for name, b := range map[string][]byte{"cut short": sound[:len(sound)/2], "empty": nil, "of another authority": strange} {
+		for name, b := range map[string][]byte{"truncated": sound[:len(sound)/2], "empty": nil, "of another authority": strange} {
 			if err := os.WriteFile(filepath.Join(host.dir, file), b, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			if err := host.Reload(); err == nil {
-				t.Errorf("%s %s was taken", file, name)
+				t.Errorf("%s %s was accepted", file, name)
 			}
 			if s, c := handshake(disk.ServerConfig(true), host.ClientConfig("")); s != nil || c != nil {
 				t.Errorf("%s %s: %v, %v", file, name, s, c)
@@ -238,16 +237,16 @@
 		may       bool
 	}{{RoleRead, RoleRead, true}, {RoleRead, RoleOperate, false}, {RoleOperate, RoleRead, true}, {RoleOperate, RoleAdminister, false}, {RoleAdminister, RoleOperate, true}, {RoleMachine, RoleRead, false}, {"", RoleRead, false}} {
 		if x.has.Includes(x.need) != x.may {
-			t.Errorf("%q may %q: %v", x.has, x.need, !x.may)
+			t.Errorf("role %q includes %q: got %v", x.has, x.need, !x.may)
 		}
 	}
 	f := newFixture(t)
 	for _, name := range []string{"", "a/b", string(make([]byte, 80))} {
 		if _, err := f.authority.Issue(name, RoleRead, time.Hour, nil, t.TempDir()); err == nil {
-			t.Errorf("%q has a certificate", name)
+			t.Errorf("a certificate was issued for name %q", name)
 		}
 	}
 	if _, err := f.authority.Issue("x", "root", time.Hour, nil, t.TempDir()); err == nil {
-		t.Error("an unknown role has a certificate")
+		t.Error("a certificate was issued for an unknown role")
 	}
 }
