--- a/internal/control/scheduler/client.go
+++ b/internal/control/scheduler/client.go
@@ -47,8 +47,8 @@
 }
 
 // close writes what is queued and closes the connection. After a recent answer it lingers first, so
-// that a reset does not overtake the answer. Requests that arrive meanwhile stay unread, so the client may safely
-// send them elsewhere.
+// that a reset does not overtake the answer. Requests that arrive meanwhile stay unread, so the client
+// may safely send them elsewhere.
 func (c *client) close(cause error) {
 	f := c.frontend
 	c.out.Finish()
--- a/policy/request.go
+++ b/policy/request.go
@@ -9,8 +9,8 @@
 func (p *scheduler) accept(q Request) {
 	r := &request{Request: q, arrived: p.now, arrivalSettings: p.settings}
 	p.requests[q.ID] = r
-	r.flow = max(slices.IndexFunc(p.settings.Plans, func(pl Plan) bool { return pl.Name == q.Plan }), 0)
-	r.class = &Class{Value: 1, LatencyTarget: q.Expires - p.now} // an unknown class is not idempotent
+	r.flow = max(slices.IndexFunc(p.settings.Plans, func(pl Plan) bool { return pl.Name == q.Plan }), 0) // an unknown plan counts as the first
+	r.class = &Class{Value: 1, LatencyTarget: q.Expires - p.now}                                         // an unknown class is not idempotent
 	if i := slices.IndexFunc(p.settings.Classes, func(c Class) bool { return c.Name == q.Class }); i >= 0 {
 		r.class = &p.settings.Classes[i]
 	}
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -46,8 +46,8 @@
 }
 
 // cancelOvertaken cancels attempts overtaken by one that was sent several service times later, since
-// their answers are presumed lost. During a pause of the node nothing is overtaken. A cancelled attempt may
-// still be running, so this needs Limits.Duplicates.
+// their answers are presumed lost. During a pause of the node nothing is overtaken. A cancelled attempt
+// may still be running, so this needs Limits.Duplicates.
 func (p *scheduler) cancelOvertaken(sh *shard) {
 	for _, r := range sh.outstanding {
 		lost := r.sentAt+stuckServiceTimes*p.meanServiceTime(sh) < sh.lastServedSend && r.class.Effect != NonIdempotent
