--- a/internal/control/keys/authority.go
+++ b/internal/control/keys/authority.go
@@ -38,8 +38,8 @@
 var roleOrder = []Role{RoleRead, RoleOperate, RoleAdminister}
 
 // Includes reports whether r includes the role need.
-func (r Role) Includes(need Role) bool {
-	i, j := slices.Index(roleOrder, r), slices.Index(roleOrder, need)
+func (r Role) Includes(required Role) bool {
+	i, j := slices.Index(roleOrder, r), slices.Index(roleOrder, required)
 	return i >= 0 && j >= 0 && i >= j
 }
 
@@ -100,10 +100,10 @@
 	if err != nil {
 		return err
 	}
-	t := &x509.Certificate{SerialNumber: newSerial(), Subject: pkix.Name{CommonName: "merlinhitch authority"},
+	template := &x509.Certificate{SerialNumber: newSerial(), Subject: pkix.Name{CommonName: "merlinhitch authority"},
 		NotBefore: a.now().Add(-ClockSkew), NotAfter: a.now().Add(authorityLifetime), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
-	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		return err
 	}
@@ -111,11 +111,11 @@
 		return err
 	}
 	a.key = key
-	k, err := encodeKey(key)
+	encoded, err := encodeKey(key)
 	if err != nil {
 		return err
 	}
-	if err := writeFile(filepath.Join(a.dir, authorityKey), 0o600, k); err != nil {
+	if err := writeFile(filepath.Join(a.dir, authorityKey), 0o600, encoded); err != nil {
 		return err
 	}
 	return writeFile(filepath.Join(a.dir, authorityCert), 0o644, encodeCert(a.cert))
@@ -131,15 +131,15 @@
 	if err != nil {
 		return nil, err
 	}
-	p, _ := pem.Decode(b)
-	if p == nil {
+	block, _ := pem.Decode(b)
+	if block == nil {
 		return nil, fmt.Errorf("keys: %s contains no PEM block", authorityKey)
 	}
-	k, err := x509.ParsePKCS8PrivateKey(p.Bytes)
+	parsed, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
 		return nil, err
 	}
-	key, ok := k.(*ecdsa.PrivateKey)
+	key, ok := parsed.(*ecdsa.PrivateKey)
 	if !ok || !key.PublicKey.Equal(certs[0].PublicKey) {
 		return nil, fmt.Errorf("keys: key in %s does not match the certificate in %s", authorityKey, authorityCert)
 	}
@@ -149,7 +149,7 @@
 // Issue makes a key and a certificate for a name and writes them to the holder's folder out,
 // together with the trusted and revoked certificates. Addresses are the IP addresses and
 // DNS names at which a server is reached.
-func (a *Authority) Issue(name string, role Role, life time.Duration, addresses []string, out string) (*x509.Certificate, error) {
+func (a *Authority) Issue(name string, role Role, lifetime time.Duration, addresses []string, out string) (*x509.Certificate, error) {
 	if !role.Valid() || name == "" || len(name) > 64 || strings.ContainsAny(name, "/\\\x00") {
 		return nil, fmt.Errorf("keys: can't issue a certificate for name %q with role %q", name, role)
 	}
@@ -157,21 +157,21 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &x509.Certificate{SerialNumber: newSerial(), Subject: pkix.Name{CommonName: name, OrganizationalUnit: []string{string(role)}},
-		NotBefore: a.now().Add(-ClockSkew), NotAfter: a.now().Add(life), KeyUsage: x509.KeyUsageDigitalSignature,
+	template := &x509.Certificate{SerialNumber: newSerial(), Subject: pkix.Name{CommonName: name, OrganizationalUnit: []string{string(role)}},
+		NotBefore: a.now().Add(-ClockSkew), NotAfter: a.now().Add(lifetime), KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}
 	if role == RoleMachine {
-		t.ExtKeyUsage = append(t.ExtKeyUsage, x509.ExtKeyUsageServerAuth)
-		t.DNSNames = []string{machineName}
+		template.ExtKeyUsage = append(template.ExtKeyUsage, x509.ExtKeyUsageServerAuth)
+		template.DNSNames = []string{machineName}
 	}
-	for _, x := range addresses {
-		if ip := net.ParseIP(x); ip != nil {
-			t.IPAddresses = append(t.IPAddresses, ip)
+	for _, address := range addresses {
+		if ip := net.ParseIP(address); ip != nil {
+			template.IPAddresses = append(template.IPAddresses, ip)
 		} else {
-			t.DNSNames = append(t.DNSNames, x)
+			template.DNSNames = append(template.DNSNames, address)
 		}
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, a.cert, &key.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
 		return nil, err
 	}
@@ -179,7 +179,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k, err := encodeKey(key)
+	encoded, err := encodeKey(key)
 	if err != nil {
 		return nil, err
 	}
@@ -188,7 +188,7 @@
 	}
 	// The certificate is written last. If credentials are loaded in between, the new key does
 	// not match the old certificate, and the old credentials stay in use.
-	if err := writeFile(filepath.Join(out, KeyFile), 0o600, k); err != nil {
+	if err := writeFile(filepath.Join(out, KeyFile), 0o600, encoded); err != nil {
 		return nil, err
 	}
 	if err := writeFile(filepath.Join(out, CertFile), 0o644, encodeCert(cert)); err != nil {
@@ -199,12 +199,12 @@
 
 // Distribute copies the trusted certificates and the revocation list to a holder's folder.
 func (a *Authority) Distribute(out string) error {
-	for _, f := range []string{TrustFile, RevokedFile} {
-		b, err := os.ReadFile(filepath.Join(a.dir, f))
+	for _, name := range []string{TrustFile, RevokedFile} {
+		b, err := os.ReadFile(filepath.Join(a.dir, name))
 		if err != nil {
 			return err
 		}
-		if err := writeFile(filepath.Join(out, f), 0o644, b); err != nil {
+		if err := writeFile(filepath.Join(out, name), 0o644, b); err != nil {
 			return err
 		}
 	}
@@ -215,7 +215,7 @@
 // until DropOldTrust. Every holder needs the new list of trusted certificates, by Distribute,
 // before it meets certificates signed with the new key.
 func (a *Authority) Rotate() error {
-	old, err := os.ReadFile(filepath.Join(a.dir, TrustFile))
+	oldTrust, err := os.ReadFile(filepath.Join(a.dir, TrustFile))
 	if err != nil {
 		return err
 	}
@@ -226,7 +226,7 @@
 	if err := a.newKey(); err != nil {
 		return err
 	}
-	if err := writeFile(filepath.Join(a.dir, TrustFile), 0o644, append(encodeCert(a.cert), old...)); err != nil {
+	if err := writeFile(filepath.Join(a.dir, TrustFile), 0o644, append(encodeCert(a.cert), oldTrust...)); err != nil {
 		return err
 	}
 	return a.writeRevocationList(revoked)
@@ -238,24 +238,24 @@
 }
 
 // Revoke adds the serial number of a certificate to the revocation list.
-func (a *Authority) Revoke(number *big.Int) error {
+func (a *Authority) Revoke(serial *big.Int) error {
 	revoked, err := readRevoked(filepath.Join(a.dir, RevokedFile))
 	if err != nil {
 		return err
 	}
 	for _, r := range revoked {
-		if r.SerialNumber.Cmp(number) == 0 {
+		if r.SerialNumber.Cmp(serial) == 0 {
 			return nil
 		}
 	}
-	return a.writeRevocationList(append(revoked, x509.RevocationListEntry{SerialNumber: number, RevocationTime: a.now()}))
+	return a.writeRevocationList(append(revoked, x509.RevocationListEntry{SerialNumber: serial, RevocationTime: a.now()}))
 }
 
 // writeRevocationList signs and stores the list of revoked certificates.
 func (a *Authority) writeRevocationList(revoked []x509.RevocationListEntry) error {
-	t := &x509.RevocationList{Number: big.NewInt(a.now().UnixNano()), ThisUpdate: a.now().Add(-ClockSkew), NextUpdate: a.now().Add(crlLifetime),
+	template := &x509.RevocationList{Number: big.NewInt(a.now().UnixNano()), ThisUpdate: a.now().Add(-ClockSkew), NextUpdate: a.now().Add(crlLifetime),
 		RevokedCertificateEntries: revoked}
-	der, err := x509.CreateRevocationList(rand.Reader, t, a.cert, a.key)
+	der, err := x509.CreateRevocationList(rand.Reader, template, a.cert, a.key)
 	if err != nil {
 		return err
 	}
@@ -272,18 +272,18 @@
 }
 
 func newSerial() *big.Int {
-	b := make([]byte, 16)
-	rand.Read(b) // never fails
-	b[0] &= 0x7f
-	return new(big.Int).SetBytes(b)
+	serial := make([]byte, 16)
+	rand.Read(serial) // never fails
+	serial[0] &= 0x7f
+	return new(big.Int).SetBytes(serial)
 }
 
 func encodeCert(c *x509.Certificate) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Raw})
 }
 
-func encodeKey(k *ecdsa.PrivateKey) ([]byte, error) {
-	der, err := x509.MarshalPKCS8PrivateKey(k)
+func encodeKey(key *ecdsa.PrivateKey) ([]byte, error) {
+	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return nil, err
 	}
@@ -303,8 +303,8 @@
 	if err != nil {
 		return nil, err
 	}
-	for p, rest := pem.Decode(b); p != nil; p, rest = pem.Decode(rest) {
-		c, err := x509.ParseCertificate(p.Bytes)
+	for block, rest := pem.Decode(b); block != nil; block, rest = pem.Decode(rest) {
+		c, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
 			return nil, fmt.Errorf("keys: %s: %w", file, err)
 		}
@@ -317,11 +317,11 @@
 }
 
 func readRevoked(file string) ([]x509.RevocationListEntry, error) {
-	l, err := readRevocationList(file)
+	list, err := readRevocationList(file)
 	if err != nil {
 		return nil, err
 	}
-	return l.RevokedCertificateEntries, nil
+	return list.RevokedCertificateEntries, nil
 }
 
 func readRevocationList(file string) (*x509.RevocationList, error) {
@@ -329,9 +329,9 @@
 	if err != nil {
 		return nil, err
 	}
-	p, _ := pem.Decode(b)
-	if p == nil {
+	block, _ := pem.Decode(b)
+	if block == nil {
 		return nil, fmt.Errorf("keys: %s contains no revocation list", file)
 	}
-	return x509.ParseRevocationList(p.Bytes)
+	return x509.ParseRevocationList(block.Bytes)
 }
--- a/internal/control/keys/holder.go
+++ b/internal/control/keys/holder.go
@@ -48,31 +48,31 @@
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	s := &credentialSet{cert: cert, trustPool: x509.NewCertPool(), revoked: map[string]bool{}}
-	if s.authorities, err = readCerts(filepath.Join(h.dir, TrustFile)); err != nil {
+	set := &credentialSet{cert: cert, trustPool: x509.NewCertPool(), revoked: map[string]bool{}}
+	if set.authorities, err = readCerts(filepath.Join(h.dir, TrustFile)); err != nil {
 		return err
 	}
-	for _, c := range s.authorities {
-		s.trustPool.AddCert(c)
+	for _, c := range set.authorities {
+		set.trustPool.AddCert(c)
 	}
 	list, err := readRevocationList(filepath.Join(h.dir, RevokedFile))
 	if err != nil {
 		return err
 	}
-	if err := s.signedByTrusted(list); err != nil {
+	if err := set.signedByTrusted(list); err != nil {
 		return err
 	}
 	for _, r := range list.RevokedCertificateEntries {
-		s.revoked[r.SerialNumber.String()] = true
+		set.revoked[r.SerialNumber.String()] = true
 	}
-	h.current.Store(s)
+	h.current.Store(set)
 	return nil
 }
 
 // signedByTrusted returns an error if no trusted authority has signed a revocation list.
-func (s *credentialSet) signedByTrusted(l *x509.RevocationList) error {
+func (s *credentialSet) signedByTrusted(list *x509.RevocationList) error {
 	for _, c := range s.authorities {
-		if l.CheckSignatureFrom(c) == nil {
+		if list.CheckSignatureFrom(c) == nil {
 			return nil
 		}
 	}
@@ -84,35 +84,35 @@
 
 // CheckPeer returns an error if a peer's certificate is not valid now or is revoked. It can
 // also be called during a session.
-func (h *Credentials) CheckPeer(c *x509.Certificate) error {
+func (h *Credentials) CheckPeer(cert *x509.Certificate) error {
 	switch now := h.now(); {
-	case now.After(c.NotAfter) || now.Before(c.NotBefore):
+	case now.After(cert.NotAfter) || now.Before(cert.NotBefore):
 		return ErrExpired
-	case h.current.Load().revoked[c.SerialNumber.String()]:
+	case h.current.Load().revoked[cert.SerialNumber.String()]:
 		return ErrRevoked
 	}
 	return nil
 }
 
 // Identity returns the common name and the role of a certificate.
-func Identity(c *x509.Certificate) (string, Role) {
-	if len(c.Subject.OrganizationalUnit) != 1 {
-		return c.Subject.CommonName, ""
+func Identity(cert *x509.Certificate) (string, Role) {
+	if len(cert.Subject.OrganizationalUnit) != 1 {
+		return cert.Subject.CommonName, ""
 	}
-	return c.Subject.CommonName, Role(c.Subject.OrganizationalUnit[0])
+	return cert.Subject.CommonName, Role(cert.Subject.OrganizationalUnit[0])
 }
 
 // verifyPeer checks revocation and, if machine is set, the role of a peer whose certificate
 // chain has been verified.
-func (h *Credentials) verifyPeer(s tls.ConnectionState, machine bool) error {
-	if len(s.PeerCertificates) == 0 {
+func (h *Credentials) verifyPeer(state tls.ConnectionState, machine bool) error {
+	if len(state.PeerCertificates) == 0 {
 		return errors.New("keys: peer sent no certificate")
 	}
-	c := s.PeerCertificates[0]
-	if _, role := Identity(c); machine && role != RoleMachine {
+	cert := state.PeerCertificates[0]
+	if _, role := Identity(cert); machine && role != RoleMachine {
 		return ErrRole
 	}
-	return h.CheckPeer(c)
+	return h.CheckPeer(cert)
 }
 
 // ServerConfig returns the configuration of listeners: TLS 1.3 (RFC 8446) with client
@@ -121,9 +121,9 @@
 func (h *Credentials) ServerConfig(machine bool) *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS13, Time: h.now, ClientAuth: tls.RequireAndVerifyClientCert}
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		s := h.current.Load()
-		return &tls.Config{MinVersion: tls.VersionTLS13, Time: h.now, Certificates: []tls.Certificate{s.cert}, ClientAuth: tls.RequireAndVerifyClientCert,
-			ClientCAs: s.trustPool, SessionTicketsDisabled: true, // a ticket would stay valid after a revocation
+		set := h.current.Load()
+		return &tls.Config{MinVersion: tls.VersionTLS13, Time: h.now, Certificates: []tls.Certificate{set.cert}, ClientAuth: tls.RequireAndVerifyClientCert,
+			ClientCAs: set.trustPool, SessionTicketsDisabled: true, // a ticket would stay valid after a revocation
 			VerifyConnection: func(c tls.ConnectionState) error { return h.verifyPeer(c, machine) }}, nil
 	}
 	return base
@@ -132,11 +132,11 @@
 // ClientConfig returns the configuration of outgoing connections: to any machine if name is
 // "", otherwise to the server with that name or address. It uses the present credentials.
 func (h *Credentials) ClientConfig(name string) *tls.Config {
-	s := h.current.Load()
+	set := h.current.Load()
 	machine := name == ""
 	if machine {
 		name = machineName
 	}
-	return &tls.Config{MinVersion: tls.VersionTLS13, Time: h.now, Certificates: []tls.Certificate{s.cert}, RootCAs: s.trustPool, ServerName: name,
+	return &tls.Config{MinVersion: tls.VersionTLS13, Time: h.now, Certificates: []tls.Certificate{set.cert}, RootCAs: set.trustPool, ServerName: name,
 		VerifyConnection: func(c tls.ConnectionState) error { return h.verifyPeer(c, machine) }}
 }
--- a/internal/control/keys/keys_test.go
+++ b/internal/control/keys/keys_test.go
@@ -15,13 +15,13 @@
 type fixture struct {
 	t         *testing.T
 	dir       string
-	at        time.Time
+	time      time.Time
 	authority *Authority
 }
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{t: t, dir: filepath.Join(t.TempDir(), "authority"), at: time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)}
+	f := &fixture{t: t, dir: filepath.Join(t.TempDir(), "authority"), time: time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)}
 	var err error
 	if f.authority, err = Init(f.dir, f.now); err != nil {
 		t.Fatal(err)
@@ -29,12 +29,12 @@
 	return f
 }
 
-func (f *fixture) now() time.Time { return f.at }
+func (f *fixture) now() time.Time { return f.time }
 
-func (f *fixture) issue(name string, role Role, life time.Duration) *Credentials {
+func (f *fixture) issue(name string, role Role, lifetime time.Duration) *Credentials {
 	f.t.Helper()
 	dir := filepath.Join(f.t.TempDir(), name)
-	if _, err := f.authority.Issue(name, role, life, []string{"127.0.0.1"}, dir); err != nil {
+	if _, err := f.authority.Issue(name, role, lifetime, []string{"127.0.0.1"}, dir); err != nil {
 		f.t.Fatal(err)
 	}
 	h, err := LoadCredentials(dir, f.now)
@@ -47,23 +47,23 @@
 // handshake runs a TLS handshake over a pipe and returns the errors of server and client.
 func handshake(server, client *tls.Config) (s, c error) {
 	a, b := net.Pipe()
-	end := make(chan error, 1)
+	serverErr := make(chan error, 1)
 	go func() {
-		x := tls.Server(a, server)
-		err := x.Handshake()
+		conn := tls.Server(a, server)
+		err := conn.Handshake()
 		if err == nil {
-			_, err = x.Write([]byte{1})
+			_, err = conn.Write([]byte{1})
 		}
 		a.Close()
-		end <- err
+		serverErr <- err
 	}()
-	x := tls.Client(b, client)
-	err := x.Handshake()
+	conn := tls.Client(b, client)
+	err := conn.Handshake()
 	if err == nil {
-		_, err = io.ReadFull(x, make([]byte, 1))
+		_, err = io.ReadFull(conn, make([]byte, 1))
 	}
 	b.Close()
-	return <-end, err
+	return <-serverErr, err
 }
 
 func TestMachineHandshakes(t *testing.T) {
@@ -74,13 +74,13 @@
 	}
 	other := newFixture(t)
 	ines := f.issue("ines", RoleAdminister, time.Hour)
-	for name, x := range map[string]struct{ server, client *Credentials }{
+	for name, pair := range map[string]struct{ server, client *Credentials }{
 		"operator certificate as a host":        {disk, ines},
 		"operator certificate as a disk server": {ines, host},
 		"host of another authority":             {disk, other.issue("h0", RoleMachine, time.Hour)},
 		"disk server of another authority":      {other.issue("d0", RoleMachine, time.Hour), host},
 	} {
-		if s, c := handshake(x.server.ServerConfig(true), x.client.ClientConfig("")); s == nil && c == nil {
+		if s, c := handshake(pair.server.ServerConfig(true), pair.client.ClientConfig("")); s == nil && c == nil {
 			t.Errorf("%s: handshake succeeded", name)
 		}
 	}
@@ -88,9 +88,9 @@
 	if s, _ := handshake(disk.ServerConfig(true), plain); s == nil {
 		t.Error("handshake succeeded without a client certificate")
 	}
-	old := host.ClientConfig("")
-	old.MinVersion, old.MaxVersion = tls.VersionTLS12, tls.VersionTLS12
-	if s, _ := handshake(disk.ServerConfig(true), old); s == nil {
+	tls12 := host.ClientConfig("")
+	tls12.MinVersion, tls12.MaxVersion = tls.VersionTLS12, tls.VersionTLS12
+	if s, _ := handshake(disk.ServerConfig(true), tls12); s == nil {
 		t.Error("handshake succeeded with TLS 1.2")
 	}
 }
@@ -107,18 +107,18 @@
 	if err := disk.CheckPeer(cert); err != nil {
 		t.Error(err)
 	}
-	f.at = f.at.Add(61 * time.Minute)
+	f.time = f.time.Add(61 * time.Minute)
 	if err := disk.CheckPeer(cert); !errors.Is(err, ErrExpired) {
 		t.Error(err)
 	}
 	if s, _ := handshake(disk.ServerConfig(true), host.ClientConfig("")); s == nil {
 		t.Error("handshake succeeded with an expired certificate")
 	}
-	f.at = f.at.Add(-2 * time.Hour) // before the certificate's validity
+	f.time = f.time.Add(-2 * time.Hour) // before the certificate's validity
 	if err := disk.CheckPeer(cert); !errors.Is(err, ErrExpired) {
 		t.Error(err)
 	}
-	f.at = f.at.Add(time.Hour)
+	f.time = f.time.Add(time.Hour)
 	if err := f.authority.Revoke(cert.SerialNumber); err != nil {
 		t.Fatal(err)
 	}
@@ -144,10 +144,10 @@
 func TestRotation(t *testing.T) {
 	f := newFixture(t)
 	host, disk := f.issue("h0", RoleMachine, time.Hour), f.issue("d0", RoleMachine, time.Hour)
-	ok := func(when string) {
+	mustConnect := func(step string) {
 		t.Helper()
 		if s, c := handshake(disk.ServerConfig(true), host.ClientConfig("")); s != nil || c != nil {
-			t.Errorf("%s: %v, %v", when, s, c)
+			t.Errorf("%s: %v, %v", step, s, c)
 		}
 	}
 	revoked := f.issue("ines", RoleOperate, time.Hour)
@@ -165,7 +165,7 @@
 		if err := h.Reload(); err != nil {
 			t.Fatal(err)
 		}
-		ok("new list distributed")
+		mustConnect("new list distributed")
 	}
 	for _, h := range []*Credentials{host, disk} {
 		if _, err := f.authority.Issue("anew", RoleMachine, time.Hour, nil, h.dir); err != nil {
@@ -174,7 +174,7 @@
 		if err := h.Reload(); err != nil {
 			t.Fatal(err)
 		}
-		ok("new certificate on one side or both")
+		mustConnect("new certificate on one side or both")
 	}
 	if err := f.authority.DropOldTrust(); err != nil {
 		t.Fatal(err)
@@ -184,12 +184,12 @@
 		if err := h.Reload(); err != nil {
 			t.Fatal(err)
 		}
-		ok("old authority no longer trusted")
+		mustConnect("old authority no longer trusted")
 	}
 	if err := disk.CheckPeer(cert); !errors.Is(err, ErrRevoked) {
 		t.Errorf("certificate is no longer revoked after the rotation: %v", err)
 	}
-	if again, err := Open(f.dir, f.now); err != nil || !again.key.Equal(f.authority.key) {
+	if reopened, err := Open(f.dir, f.now); err != nil || !reopened.key.Equal(f.authority.key) {
 		t.Error(err)
 	}
 	if _, err := Init(f.dir, f.now); !errors.Is(err, ErrExists) {
@@ -203,15 +203,15 @@
 	host, disk := f.issue("h0", RoleMachine, time.Hour), f.issue("d0", RoleMachine, time.Hour)
 	other := newFixture(t).issue("x", RoleMachine, time.Hour)
 	for _, file := range []string{CertFile, KeyFile, TrustFile, RevokedFile} {
-		sound, err := os.ReadFile(filepath.Join(host.dir, file))
+		valid, err := os.ReadFile(filepath.Join(host.dir, file))
 		if err != nil {
 			t.Fatal(err)
 		}
-		strange, err := os.ReadFile(filepath.Join(other.dir, file))
+		foreign, err := os.ReadFile(filepath.Join(other.dir, file))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for name, b := range map[string][]byte{"truncated": sound[:len(sound)/2], "empty": nil, "of another authority": strange} {
+		for name, b := range map[string][]byte{"truncated": valid[:len(valid)/2], "empty": nil, "of another authority": foreign} {
 			if err := os.WriteFile(filepath.Join(host.dir, file), b, 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -222,7 +222,7 @@
 				t.Errorf("%s %s: %v, %v", file, name, s, c)
 			}
 		}
-		if err := os.WriteFile(filepath.Join(host.dir, file), sound, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(host.dir, file), valid, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -232,12 +232,12 @@
 }
 
 func TestRoles(t *testing.T) {
-	for _, x := range []struct {
-		has, need Role
-		may       bool
+	for _, test := range []struct {
+		role, required Role
+		includes       bool
 	}{{RoleRead, RoleRead, true}, {RoleRead, RoleOperate, false}, {RoleOperate, RoleRead, true}, {RoleOperate, RoleAdminister, false}, {RoleAdminister, RoleOperate, true}, {RoleMachine, RoleRead, false}, {"", RoleRead, false}} {
-		if x.has.Includes(x.need) != x.may {
-			t.Errorf("role %q includes %q: got %v", x.has, x.need, !x.may)
+		if test.role.Includes(test.required) != test.includes {
+			t.Errorf("role %q includes %q: got %v", test.role, test.required, !test.includes)
 		}
 	}
 	f := newFixture(t)
