--- a/internal/simulation/lab/bench.go
+++ b/internal/simulation/lab/bench.go
@@ -72,8 +72,8 @@
 }
 
 // Bench measures all three and writes the tables.
-func Bench(opt BenchOptions, out io.Writer) error {
-	gate, closeAll, err := startBenchGateway(nil)
+func Bench(options BenchOptions, out io.Writer) error {
+	gatewayEndpoint, closeAll, err := startBenchGateway(nil)
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 		return err
 	}
 	defer closeRelays()
-	return benchAgainstRelays(opt, gate, pipe, fan, out)
+	return benchAgainstRelays(options, gatewayEndpoint, pipe, fan, out)
 }
 
 // benchGatewayOptions is what a measured gateway has beside the usual: keys of it and of its disk
@@ -95,110 +95,110 @@
 }
 
 // startBenchGateway is a gateway before servers that answer at once; nil: the usual.
-func startBenchGateway(k *benchGatewayOptions) (gate *benchEndpoint, closeAll func(), err error) {
-	w := env.NewReal()
+func startBenchGateway(options *benchGatewayOptions) (gatewayEndpoint *benchEndpoint, closeAll func(), err error) {
+	environment := env.NewReal()
 	var disks []*standin.ImmediateDiskServer
 	closeAll = func() {
-		if gate != nil {
-			gate.close()
+		if gatewayEndpoint != nil {
+			gatewayEndpoint.close()
 		}
-		for _, q := range disks {
-			q.Close()
+		for _, server := range disks {
+			server.Close()
 		}
 	}
-	if k == nil {
-		k = &benchGatewayOptions{}
+	if options == nil {
+		options = &benchGatewayOptions{}
 	}
 	var addrs []string
 	for range benchShards {
-		q, err := standin.ServeImmediateDiskServer(w, benchBlockSize, k.diskKeys)
+		server, err := standin.ServeImmediateDiskServer(environment, benchBlockSize, options.diskKeys)
 		if err != nil {
 			closeAll()
 			return nil, nil, err
 		}
-		disks, addrs = append(disks, q), append(addrs, q.Addr)
+		disks, addrs = append(disks, server), append(addrs, server.Addr)
 	}
-	if gate, err = startGatewayEndpoint(w, addrs, k); err != nil {
+	if gatewayEndpoint, err = startGatewayEndpoint(environment, addrs, options); err != nil {
 		closeAll()
 		return nil, nil, err
 	}
-	return gate, closeAll, nil
+	return gatewayEndpoint, closeAll, nil
 }
 
-func benchAgainstRelays(opt BenchOptions, gate, pipe, fan *benchEndpoint, out io.Writer) error {
+func benchAgainstRelays(options BenchOptions, gatewayEndpoint, pipe, fan *benchEndpoint, out io.Writer) error {
 	tw := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| conns\t| out\t| pipe op/s\t| fan op/s\t| gateway op/s\t| of pipe\t| of fan\t| fan p50/p99/p99.9 ms\t| gateway p50/p99/p99.9 ms\t| cpu us/op: pipe, fan, gateway\t| allocs/op\t|")
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
-	best := 0.0
-	for _, conns := range opt.Connections {
-		for _, depth := range opt.Outstanding {
-			var p [3]*Measurement
-			for i, s := range []*benchEndpoint{pipe, fan, gate} {
+	bestRate := 0.0
+	for _, conns := range options.Connections {
+		for _, outstanding := range options.Outstanding {
+			var points [3]*Measurement
+			for i, endpoint := range []*benchEndpoint{pipe, fan, gatewayEndpoint} {
 				var err error
-				if p[i], err = measure(s, conns, depth, 0, opt); err != nil {
+				if points[i], err = measure(endpoint, conns, outstanding, 0, options); err != nil {
 					return err
 				}
 			}
-			g := p[2]
+			gatewayPoint := points[2]
 			note := ""
-			if g.Failed > 0 {
-				note = fmt.Sprintf(" (%d not GOOD)", g.Failed)
+			if gatewayPoint.Failed > 0 {
+				note = fmt.Sprintf(" (%d not GOOD)", gatewayPoint.Failed)
 			} else {
-				best = max(best, g.Rate)
+				bestRate = max(bestRate, gatewayPoint.Rate)
 			}
-			fmt.Fprintf(tw, "| %d\t| %d\t| %.0f\t| %.0f\t| %.0f%s\t| %.2f\t| %.2f\t| %s\t| %s\t| %.1f, %.1f, %.1f\t| %.1f\t|\n", conns, depth,
-				p[0].Rate, p[1].Rate, g.Rate, note, g.Rate/p[0].Rate, g.Rate/p[1].Rate, formatQuantiles(p[1]), formatQuantiles(g), p[0].CPUMicros, p[1].CPUMicros, g.CPUMicros, g.AllocsPerOp)
+			fmt.Fprintf(tw, "| %d\t| %d\t| %.0f\t| %.0f\t| %.0f%s\t| %.2f\t| %.2f\t| %s\t| %s\t| %.1f, %.1f, %.1f\t| %.1f\t|\n", conns, outstanding,
+				points[0].Rate, points[1].Rate, gatewayPoint.Rate, note, gatewayPoint.Rate/points[0].Rate, gatewayPoint.Rate/points[1].Rate, formatQuantiles(points[1]), formatQuantiles(gatewayPoint), points[0].CPUMicros, points[1].CPUMicros, gatewayPoint.CPUMicros, gatewayPoint.AllocsPerOp)
 		}
 	}
 	if err := tw.Flush(); err != nil {
 		return err
 	}
-	if err := benchHalfLoad(opt, gate, fan, best/2, out); err != nil {
+	if err := benchHalfLoad(options, gatewayEndpoint, fan, bestRate/2, out); err != nil {
 		return err
 	}
-	if err := benchCommandCost(opt, gate, best/2, out); err != nil {
+	if err := benchCommandCost(options, gatewayEndpoint, bestRate/2, out); err != nil {
 		return err
 	}
-	return benchIdleSessions(gate, out)
+	return benchIdleSessions(gatewayEndpoint, out)
 }
 
-func formatQuantiles(p *Measurement) string {
-	q := func(x float64) float64 { return float64(p.Latency.ValueAtQuantile(x)) / 1000 }
-	return fmt.Sprintf("%.2f/%.2f/%.2f", q(50), q(99), q(99.9))
+func formatQuantiles(point *Measurement) string {
+	quantileMS := func(percent float64) float64 { return float64(point.Latency.ValueAtQuantile(percent)) / 1000 }
+	return fmt.Sprintf("%.2f/%.2f/%.2f", quantileMS(50), quantileMS(99), quantileMS(99.9))
 }
 
-func p99Micros(p *Measurement) float64 { return float64(p.Latency.ValueAtQuantile(99)) }
+func p99Micros(point *Measurement) float64 { return float64(point.Latency.ValueAtQuantile(99)) }
 
 // benchHalfLoad compares the tails at half of the gateway's best rate.
-func benchHalfLoad(opt BenchOptions, gate, relay *benchEndpoint, rate float64, out io.Writer) error {
-	a, err := measure(relay, 64, 0, rate, opt)
+func benchHalfLoad(options BenchOptions, gatewayEndpoint, relay *benchEndpoint, rate float64, out io.Writer) error {
+	relayPoint, err := measure(relay, 64, 0, rate, options)
 	if err != nil {
 		return err
 	}
-	b, err := measure(gate, 64, 0, rate, opt)
+	gatewayPoint, err := measure(gatewayEndpoint, 64, 0, rate, options)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "\nat half load, %.0f op/s over 64 connections: fan %s ms, gateway %s ms, p99 ratio %.2f\n", rate, formatQuantiles(a), formatQuantiles(b), p99Micros(b)/p99Micros(a))
+	fmt.Fprintf(out, "\nat half load, %.0f op/s over 64 connections: fan %s ms, gateway %s ms, p99 ratio %.2f\n", rate, formatQuantiles(relayPoint), formatQuantiles(gatewayPoint), p99Micros(gatewayPoint)/p99Micros(relayPoint))
 	return nil
 }
 
 // benchCommandCost compares what a command benchCommandCost over connections and over rates.
-func benchCommandCost(opt BenchOptions, gate *benchEndpoint, rate float64, out io.Writer) error {
-	few, err := measure(gate, 10, 0, rate, opt)
+func benchCommandCost(options BenchOptions, gatewayEndpoint *benchEndpoint, rate float64, out io.Writer) error {
+	few, err := measure(gatewayEndpoint, 10, 0, rate, options)
 	if err != nil {
 		return err
 	}
-	many, err := measure(gate, 1000, 0, rate, opt)
+	many, err := measure(gatewayEndpoint, 1000, 0, rate, options)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "cost of a command at %.0f op/s: %.1f us over 10 connections, %.1f us over 1000, ratio %.2f\n", rate, few.CPUMicros, many.CPUMicros, many.CPUMicros/few.CPUMicros)
-	slow, err := measure(gate, 64, 0, 500, opt)
+	slow, err := measure(gatewayEndpoint, 64, 0, 500, options)
 	if err != nil {
 		return err
 	}
-	fast, err := measure(gate, 64, 0, 50000, opt)
+	fast, err := measure(gatewayEndpoint, 64, 0, 50000, options)
 	if err != nil {
 		return err
 	}
@@ -210,7 +210,7 @@
 
 // benchIdleSessions measures the memory of sessions that do nothing, their clients' side
 // included (a bare connection each).
-func benchIdleSessions(gate *benchEndpoint, out io.Writer) error {
+func benchIdleSessions(gatewayEndpoint *benchEndpoint, out io.Writer) error {
 	before := memoryInUse()
 	var conns []net.Conn
 	defer func() {
@@ -219,12 +219,12 @@
 		}
 	}()
 	for range idleSessionCount {
-		c, err := net.Dial("tcp", gate.addr)
+		conn, err := net.Dial("tcp", gatewayEndpoint.addr)
 		if err != nil {
 			return err
 		}
-		conns = append(conns, c)
-		if _, err := gate.login(c, bufio.NewReaderSize(c, 512)); err != nil {
+		conns = append(conns, conn)
+		if _, err := gatewayEndpoint.login(conn, bufio.NewReaderSize(conn, 512)); err != nil {
 			return err
 		}
 	}
@@ -235,82 +235,82 @@
 func memoryInUse() int64 {
 	runtime.GC()
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return int64(m.HeapAlloc + m.StackInuse)
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc + stats.StackInuse)
 }
 
 // processCPUTime is the process's CPU time.
 func processCPUTime() time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
 // measure measures one point: closed loop with depth outstanding on each connection,
 // or open loop at a total rate where depth is 0.
-func measure(s *benchEndpoint, conns, depth int, rate float64, opt BenchOptions) (*Measurement, error) {
-	if opt.Progress != nil {
-		fmt.Fprintf(opt.Progress, "%s: %d connections, %d outstanding, rate %.0f\n", s.name, conns, depth, rate)
+func measure(endpoint *benchEndpoint, connections, outstanding int, rate float64, options BenchOptions) (*Measurement, error) {
+	if options.Progress != nil {
+		fmt.Fprintf(options.Progress, "%s: %d connections, %d outstanding, rate %.0f\n", endpoint.name, connections, outstanding, rate)
 	}
-	p := &Measurement{Latency: hdrhistogram.New(1, 60_000_000, 3)}
-	loads := make([]*loadConn, conns)
-	var all sync.WaitGroup
+	result := &Measurement{Latency: hdrhistogram.New(1, 60_000_000, 3)}
+	clients := make([]*loadConn, connections)
+	var workers sync.WaitGroup
 	defer func() {
-		for _, l := range loads {
-			if l != nil {
-				l.conn.Close()
+		for _, client := range clients {
+			if client != nil {
+				client.conn.Close()
 			}
 		}
-		all.Wait()
+		workers.Wait()
 	}()
-	for i := range loads {
-		c, err := net.Dial("tcp", s.addr)
+	for i := range clients {
+		conn, err := net.Dial("tcp", endpoint.addr)
 		if err != nil {
 			return nil, err
 		}
-		l := &loadConn{conn: c, reader: bufio.NewReaderSize(c, 32<<10), hist: hdrhistogram.New(1, 60_000_000, 3)}
-		loads[i] = l
-		if l.cmdSN, err = s.login(c, l.reader); err != nil {
+		client := &loadConn{conn: conn, reader: bufio.NewReaderSize(conn, 32<<10), hist: hdrhistogram.New(1, 60_000_000, 3)}
+		clients[i] = client
+		if client.cmdSN, err = endpoint.login(conn, client.reader); err != nil {
 			return nil, err
 		}
 	}
-	var on atomic.Bool
-	for i, l := range loads {
-		l.recording = &on
+	var recording atomic.Bool
+	for i, client := range clients {
+		client.recording = &recording
 		if rate > 0 {
-			l.interval = time.Duration(float64(conns) / rate * float64(time.Second))
-			l.offset = l.interval * time.Duration(i) / time.Duration(conns)
+			client.interval = time.Duration(float64(connections) / rate * float64(time.Second))
+			client.offset = client.interval * time.Duration(i) / time.Duration(connections)
 		}
-		all.Go(func() { l.receive(depth) })
+		workers.Go(func() { client.receive(outstanding) })
 		if rate > 0 {
-			all.Go(l.sendAtRate)
+			workers.Go(client.sendAtRate)
 		}
 	}
-	time.Sleep(opt.PointTime / 2) // the warm-up: a measurement, not a test
-	var m0, m1 runtime.MemStats
-	runtime.ReadMemStats(&m0)
-	cpu, begin := processCPUTime(), time.Now()
-	on.Store(true)
-	time.Sleep(opt.PointTime)
-	on.Store(false)
-	took := time.Since(begin)
-	cpu = processCPUTime() - cpu
-	runtime.ReadMemStats(&m1)
+	time.Sleep(options.PointTime / 2) // the warm-up: a measurement, not a test
+	var memBefore, memAfter runtime.MemStats
+	runtime.ReadMemStats(&memBefore)
+	cpuTime, start := processCPUTime(), time.Now()
+	recording.Store(true)
+	time.Sleep(options.PointTime)
+	recording.Store(false)
+	elapsed := time.Since(start)
+	cpuTime = processCPUTime() - cpuTime
+	runtime.ReadMemStats(&memAfter)
 	ops := int64(0)
-	for _, l := range loads {
-		l.mu.Lock()
-		ops += l.ops
-		p.Failed += l.failed
-		p.Latency.Merge(l.hist)
-		l.mu.Unlock()
-	}
-	p.Rate = float64(ops) / took.Seconds()
-	p.CPUMicros = float64(cpu.Microseconds()) / float64(max(ops, 1))
-	p.AllocsPerOp = float64(m1.Mallocs-m0.Mallocs) / float64(max(ops, 1))
-	return p, nil
+	for _, client := range clients {
+		client.mu.Lock()
+		ops += client.ops
+		result.Failed += client.failed
+		result.Latency.Merge(client.hist)
+		client.mu.Unlock()
+	}
+	result.Rate = float64(ops) / elapsed.Seconds()
+	result.CPUMicros = float64(cpuTime.Microseconds()) / float64(max(ops, 1))
+	result.AllocsPerOp = float64(memAfter.Mallocs-memBefore.Mallocs) / float64(max(ops, 1))
+	return result, nil
 }
 
 // loadConn is one client connection: it speaks as little as it can.
@@ -334,14 +334,14 @@
 func (l *loadConn) enqueue(due time.Time) {
 	l.lastTag = (l.lastTag + 1) % uint32(len(l.started))
 	l.started[l.lastTag] = due
-	var p [requestLen]byte
-	p[0], p[1] = byte(iscsi.OpCommand), 0xc1
-	binary.BigEndian.PutUint32(p[16:], l.lastTag)
-	binary.BigEndian.PutUint32(p[20:], benchBlockSize)
-	binary.BigEndian.PutUint32(p[24:], l.cmdSN)
+	var pdu [requestLen]byte
+	pdu[0], pdu[1] = byte(iscsi.OpCommand), 0xc1
+	binary.BigEndian.PutUint32(pdu[16:], l.lastTag)
+	binary.BigEndian.PutUint32(pdu[20:], benchBlockSize)
+	binary.BigEndian.PutUint32(pdu[24:], l.cmdSN)
 	l.cmdSN++
-	copy(p[32:], initiator.ReadCDB(uint64(l.cmdSN*2654435761)%(1<<20), 1))
-	l.unsent = append(l.unsent, p[:]...)
+	copy(pdu[32:], initiator.ReadCDB(uint64(l.cmdSN*2654435761)%(1<<20), 1))
+	l.unsent = append(l.unsent, pdu[:]...)
 }
 
 func (l *loadConn) flush() error {
@@ -354,32 +354,32 @@
 }
 
 // receive takes responses; in a closed loop each sends the next command.
-func (l *loadConn) receive(depth int) {
+func (l *loadConn) receive(outstanding int) {
 	l.mu.Lock()
-	for range depth {
+	for range outstanding {
 		l.enqueue(time.Now())
 	}
 	l.flush()
 	l.mu.Unlock()
-	var head [48]byte
+	var header [48]byte
 	for {
-		if _, err := io.ReadFull(l.reader, head[:]); err != nil {
+		if _, err := io.ReadFull(l.reader, header[:]); err != nil {
 			return
 		}
-		n := int(head[5])<<16 | int(head[6])<<8 | int(head[7])
-		if _, err := l.reader.Discard((n + 3) &^ 3); err != nil {
+		dataLength := int(header[5])<<16 | int(header[6])<<8 | int(header[7])
+		if _, err := l.reader.Discard((dataLength + 3) &^ 3); err != nil {
 			return
 		}
 		l.mu.Lock()
 		now := time.Now()
 		if l.recording.Load() {
 			l.ops++
-			if head[3] != 0 || n < benchBlockSize {
+			if header[3] != 0 || dataLength < benchBlockSize {
 				l.failed++
 			}
-			l.hist.RecordValue(max(now.Sub(l.started[binary.BigEndian.Uint32(head[16:])%uint32(len(l.started))]).Microseconds(), 1))
+			l.hist.RecordValue(max(now.Sub(l.started[binary.BigEndian.Uint32(header[16:])%uint32(len(l.started))]).Microseconds(), 1))
 		}
-		if depth > 0 {
+		if outstanding > 0 {
 			l.enqueue(now)
 			if l.reader.Buffered() < 48 {
 				l.flush()
@@ -391,12 +391,12 @@
 
 // sendAtRate sends commands at their times, whatever has been answered.
 func (l *loadConn) sendAtRate() {
-	next := time.Now().Add(l.offset)
+	due := time.Now().Add(l.offset)
 	for {
-		time.Sleep(time.Until(next))
+		time.Sleep(time.Until(due))
 		l.mu.Lock()
-		for now := time.Now(); !next.After(now); next = next.Add(l.interval) {
-			l.enqueue(next)
+		for now := time.Now(); !due.After(now); due = due.Add(l.interval) {
+			l.enqueue(due)
 		}
 		err := l.flush()
 		l.mu.Unlock()
@@ -407,60 +407,60 @@
 }
 
 // startGatewayEndpoint is one host before servers that answer at once.
-func startGatewayEndpoint(w env.Environment, disks []string, k *benchGatewayOptions) (*benchEndpoint, error) {
-	set := settings.Example(1, benchShards)
-	set.Volumes = []settings.Volume{{Name: "bench", Plan: "prioritario", Blocks: 1 << 20, BlockSize: benchBlockSize, ExtentBlocks: 32, Hosts: []int{0}}}
+func startGatewayEndpoint(environment env.Environment, addrs []string, options *benchGatewayOptions) (*benchEndpoint, error) {
+	initial := settings.Example(1, benchShards)
+	initial.Volumes = []settings.Volume{{Name: "bench", Plan: "prioritario", Blocks: 1 << 20, BlockSize: benchBlockSize, ExtentBlocks: 32, Hosts: []int{0}}}
 	for i := range benchShards {
-		set.Volumes[0].Layout = append(set.Volumes[0].Layout, i)
+		initial.Volumes[0].Layout = append(initial.Volumes[0].Layout, i)
 	}
-	set.Plans[2].Rate = 1e6
-	set.Target.CommandWindow, set.Target.MemoryBytes, set.Limits.MaxOpen = 4096, 1<<30, 200000
-	inv, err := standin.ServeInventory(w, "127.0.0.1:0", 0)
+	initial.Plans[2].Rate = 1e6
+	initial.Target.CommandWindow, initial.Target.MemoryBytes, initial.Limits.MaxOpen = 4096, 1<<30, 200000
+	inventoryServer, err := standin.ServeInventory(environment, "127.0.0.1:0", 0)
 	if err != nil {
 		return nil, err
 	}
-	inv.ChangeNow(func(b *inventory.Book) {
-		for i, addr := range disks {
-			b.Set(inventory.Node{Addr: addr, Health: inventory.Ready, Shard: i, Weight: 1, Incarnation: 1}, 0)
+	inventoryServer.ChangeNow(func(book *inventory.Book) {
+		for i, addr := range addrs {
+			book.Set(inventory.Node{Addr: addr, Health: inventory.Ready, Shard: i, Weight: 1, Incarnation: 1}, 0)
 		}
 	})
-	g, err := gateway.Start(gateway.Config{Environment: w, Log: zap.NewNop(), Name: "bench", Listen: "127.0.0.1:0", Inventory: inv.Addr, Keys: k.hostKeys, History: k.historyDir, Admin: k.adminAddr})
+	instance, err := gateway.Start(gateway.Config{Environment: environment, Log: zap.NewNop(), Name: "bench", Listen: "127.0.0.1:0", Inventory: inventoryServer.Addr, Keys: options.hostKeys, History: options.historyDir, Admin: options.adminAddr})
 	if err != nil {
 		return nil, err
 	}
-	if _, err := g.Settings().Put(set); err != nil {
+	if _, err := instance.Settings().Put(initial); err != nil {
 		return nil, err
 	}
-	<-g.Ready().Chan()
-	s := &benchEndpoint{name: "gateway", addr: g.Addr().String()}
-	if a := g.Admin(); a != nil {
-		s.adminAddr = a.String()
+	<-instance.Ready().Chan()
+	endpoint := &benchEndpoint{name: "gateway", addr: instance.Addr().String()}
+	if admin := instance.Admin(); admin != nil {
+		endpoint.adminAddr = admin.String()
 	}
-	s.close = func() {
+	endpoint.close = func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		g.Stop(ctx)
-		inv.Close()
+		instance.Stop(ctx)
+		inventoryServer.Close()
 	}
-	var isid atomic.Uint32
-	s.login = func(c net.Conn, r *bufio.Reader) (uint32, error) {
-		return benchLogin(c, r, set.TargetName(&set.Volumes[0]), isid.Add(1))
+	var lastISID atomic.Uint32
+	endpoint.login = func(conn net.Conn, reader *bufio.Reader) (uint32, error) {
+		return benchLogin(conn, reader, initial.TargetName(&initial.Volumes[0]), lastISID.Add(1))
 	}
-	return s, nil
+	return endpoint, nil
 }
 
 // benchLogin logs in by one exchange.
-func benchLogin(c net.Conn, r *bufio.Reader, target string, isid uint32) (uint32, error) {
-	p := iscsi.New(iscsi.OpLoginReq).SetImmediate().SetFlags(0x87)
-	p.BHS[8] = 0x80
-	binary.BigEndian.PutUint32(p.BHS[10:], isid)
-	p.Set(iscsi.AtCmdSN, 1)
-	p.Data = iscsi.FormatText([]iscsi.Key{{Name: "InitiatorName", Value: "iqn.2026-11.example.client:bench"},
+func benchLogin(conn net.Conn, reader *bufio.Reader, target string, isid uint32) (uint32, error) {
+	request := iscsi.New(iscsi.OpLoginReq).SetImmediate().SetFlags(0x87)
+	request.BHS[8] = 0x80
+	binary.BigEndian.PutUint32(request.BHS[10:], isid)
+	request.Set(iscsi.AtCmdSN, 1)
+	request.Data = iscsi.FormatText([]iscsi.Key{{Name: "InitiatorName", Value: "iqn.2026-11.example.client:bench"},
 		{Name: "TargetName", Value: target}, {Name: "SessionType", Value: "Normal"}, {Name: "MaxRecvDataSegmentLength", Value: "65536"}})
-	if _, err := c.Write(p.Append(nil, iscsi.Digests{})); err != nil {
+	if _, err := conn.Write(request.Append(nil, iscsi.Digests{})); err != nil {
 		return 0, err
 	}
-	reply, err := iscsi.NewReader(r, 8192).Next()
+	reply, err := iscsi.NewReader(reader, 8192).Next()
 	if err != nil {
 		return 0, err
 	}
@@ -471,87 +471,87 @@
 }
 
 // startRelays are the two bare relays before a server of fixed replies.
-func startRelays() (pipe, fans *benchEndpoint, closeAll func(), err error) {
+func startRelays() (pipe, fan *benchEndpoint, closeAll func(), err error) {
 	server, err := serveConnections("127.0.0.1:0", func(c net.Conn) { relayFrames(c, c, doFrameLen, answerFrameLen) })
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	straight, err := serveConnections("127.0.0.1:0", func(c net.Conn) { relayPipe(c, server.Addr().String()) })
+	pipeListener, err := serveConnections("127.0.0.1:0", func(c net.Conn) { relayPipe(c, server.Addr().String()) })
 	if err != nil {
 		server.Close()
 		return nil, nil, nil, err
 	}
-	f, err := newMuxRelay(env.NewReal(), server.Addr().String(), benchShards)
+	mux, err := newMuxRelay(env.NewReal(), server.Addr().String(), benchShards)
 	if err != nil {
 		server.Close()
-		straight.Close()
+		pipeListener.Close()
 		return nil, nil, nil, err
 	}
-	greet := func(net.Conn, *bufio.Reader) (uint32, error) { return 1, nil }
-	pipe = &benchEndpoint{name: "pipe", addr: straight.Addr().String(), login: greet}
-	fans = &benchEndpoint{name: "fan", addr: f.listener.Addr().String(), login: greet}
-	return pipe, fans, func() { f.close(); straight.Close(); server.Close() }, nil
+	noLogin := func(net.Conn, *bufio.Reader) (uint32, error) { return 1, nil }
+	pipe = &benchEndpoint{name: "pipe", addr: pipeListener.Addr().String(), login: noLogin}
+	fan = &benchEndpoint{name: "fan", addr: mux.listener.Addr().String(), login: noLogin}
+	return pipe, fan, func() { mux.close(); pipeListener.Close(); server.Close() }, nil
 }
 
 // relayPipe passes a client's frames to a connection of its own, and back.
-func relayPipe(c net.Conn, server string) {
-	up, err := net.Dial("tcp", server)
+func relayPipe(client net.Conn, server string) {
+	upstream, err := net.Dial("tcp", server)
 	if err != nil {
 		return
 	}
-	defer up.Close()
+	defer upstream.Close()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		relayFrames(c, up, answerFrameLen, responseLen)
-		c.Close()
+		relayFrames(client, upstream, answerFrameLen, responseLen)
+		client.Close()
 	}()
-	relayFrames(up, c, requestLen, doFrameLen)
-	up.Close()
+	relayFrames(upstream, client, requestLen, doFrameLen)
+	upstream.Close()
 	<-done
 }
 
 // serveConnections serves each connection by f until the listener is closed.
-func serveConnections(addr string, f func(net.Conn)) (net.Listener, error) {
-	l, err := net.Listen("tcp", addr)
+func serveConnections(addr string, serve func(net.Conn)) (net.Listener, error) {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() { defer c.Close(); f(c) }()
+			go func() { defer conn.Close(); serve(conn) }()
 		}
 	}()
-	return l, nil
+	return listener, nil
 }
 
 // relayFrames reads frames of one size and passes on their beginning, with the tag, in
 // frames of another, several in one write where several have come.
-func relayFrames(dst, src net.Conn, in, out int) {
-	r := bufio.NewReaderSize(src, 64<<10)
-	buf := make([]byte, in)
-	var b []byte
+func relayFrames(dst, src net.Conn, inSize, outSize int) {
+	reader := bufio.NewReaderSize(src, 64<<10)
+	frame := make([]byte, inSize)
+	var pending []byte
 	for {
-		if _, err := io.ReadFull(r, buf); err != nil {
+		if _, err := io.ReadFull(reader, frame); err != nil {
 			return
 		}
-		at := len(b)
-		b = append(b, make([]byte, out)...)
-		copy(b[at:], buf[:min(in, out)])
-		n := uint32(out - 48)
-		if out == responseLen {
-			b[at+5], b[at+6], b[at+7] = byte(n>>16), byte(n>>8), byte(n)
+		start := len(pending)
+		pending = append(pending, make([]byte, outSize)...)
+		copy(pending[start:], frame[:min(inSize, outSize)])
+		dataLength := uint32(outSize - 48)
+		if outSize == responseLen {
+			pending[start+5], pending[start+6], pending[start+7] = byte(dataLength>>16), byte(dataLength>>8), byte(dataLength)
 		}
-		if r.Buffered() >= in && len(b) < 128<<10 {
+		if reader.Buffered() >= inSize && len(pending) < 128<<10 {
 			continue
 		}
-		if _, err := dst.Write(b); err != nil {
+		if _, err := dst.Write(pending); err != nil {
 			return
 		}
-		b = b[:0]
+		pending = pending[:0]
 	}
 }
--- a/internal/simulation/lab/benchwatch.go
+++ b/internal/simulation/lab/benchwatch.go
@@ -17,7 +17,7 @@
 // BenchMonitoring measures what an operator's view costs: a gateway that keeps a history and
 // whose /metrics two readers fetch every second, and one without, in turn and in one run.
 // Both count.
-func BenchMonitoring(opt BenchOptions, out io.Writer) error {
+func BenchMonitoring(options BenchOptions, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "bench-history-")
 	if err != nil {
 		return err
@@ -34,12 +34,12 @@
 	}
 	defer closeWatched()
 	plain.name, watched.name = "unwatched", "watched"
-	var over env.Gate
+	var stop env.Gate
 	var readers sync.WaitGroup
-	w := env.NewReal()
+	environment := env.NewReal()
 	for range 2 {
 		readers.Go(func() {
-			for env.Sleep(w, scrapeInterval, &over) {
+			for env.Sleep(environment, scrapeInterval, &stop) {
 				if resp, err := http.Get("http://" + watched.adminAddr + "/metrics"); err == nil {
 					io.Copy(io.Discard, resp.Body)
 					resp.Body.Close()
@@ -47,8 +47,8 @@
 			}
 		})
 	}
-	err = compareGateways(opt, plain, watched, out)
-	over.Open()
+	err = compareGateways(options, plain, watched, out)
+	stop.Open()
 	readers.Wait()
 	return err
 }
--- a/internal/simulation/lab/experiment.go
+++ b/internal/simulation/lab/experiment.go
@@ -95,7 +95,7 @@
 	duration time.Duration
 }
 
-func (g Grid) runs() (out []gridRun, err error) {
+func (g Grid) runs() (planned []gridRun, err error) {
 	if g.Seeds < 1 || g.Duration < time.Second || len(g.Hosts)*len(g.Servers)*len(g.Rates)*len(g.Loads)*len(g.Layouts)*len(g.Troubles) == 0 {
 		return nil, errors.New("lab: an experiment needs hosts, servers, rates, loads, layouts, troubles, seeds and a second")
 	}
@@ -105,23 +105,23 @@
 	} else if len(values) == 0 {
 		return nil, errors.New("lab: no values for " + g.Setting)
 	}
-	for _, h := range g.Hosts {
-		for _, s := range g.Servers {
-			for _, r := range g.Rates {
+	for _, hosts := range g.Hosts {
+		for _, servers := range g.Servers {
+			for _, rate := range g.Rates {
 				for _, load := range g.Loads {
-					for _, lay := range g.Layouts {
-						for _, tr := range g.Troubles {
-							for _, v := range values {
+					for _, layout := range g.Layouts {
+						for _, trouble := range g.Troubles {
+							for _, value := range values {
 								for seed := range g.Seeds {
-									c := gridRun{Scenario{Seed: uint64(seed + 1), Hosts: h, Servers: s, Rate: r * load, Commands: int(r * load * g.Duration.Seconds()), Layout: lay},
-										load, tr, g.Setting, v, g.Duration}
-									if c.Faults, err = g.drawTroubles(tr, c.Seed); err != nil {
+									run := gridRun{Scenario{Seed: uint64(seed + 1), Hosts: hosts, Servers: servers, Rate: rate * load, Commands: int(rate * load * g.Duration.Seconds()), Layout: layout},
+										load, trouble, g.Setting, value, g.Duration}
+									if run.Faults, err = g.drawTroubles(trouble, run.Seed); err != nil {
 										return nil, err
 									}
 									if g.Setting != "" {
-										c.Figures = map[string]float64{g.Setting: v}
+										run.Figures = map[string]float64{g.Setting: value}
 									}
-									out = append(out, c)
+									planned = append(planned, run)
 								}
 							}
 						}
@@ -130,7 +130,7 @@
 			}
 		}
 	}
-	return out, nil
+	return planned, nil
 }
 
 // drawTroubles draws a cell's troubles: the same for the same seed, whatever the rest, so that
@@ -152,85 +152,85 @@
 
 // Experiment makes every run of a grid.
 func Experiment(ctx context.Context, g Grid, progress io.Writer) (rows []ExperimentRow, seconds []SecondRow, err error) {
-	cells, err := g.runs()
+	runs, err := g.runs()
 	if err != nil {
 		return nil, nil, err
 	}
-	rows = make([]ExperimentRow, len(cells))
-	each := make([][]SecondRow, len(cells))
+	rows = make([]ExperimentRow, len(runs))
+	secondsByRun := make([][]SecondRow, len(runs))
 	var mu sync.Mutex
-	var all env.WaitGroup
+	var workers env.WaitGroup
 	next, done := 0, 0
-	w := env.NewReal()
+	environment := env.NewReal()
 	for range max(g.Parallel, 1) {
-		all.Go(w, func() {
+		workers.Go(environment, func() {
 			for {
 				mu.Lock()
 				i := next
 				next++
-				over := i >= len(cells) || err != nil || ctx.Err() != nil
+				finished := i >= len(runs) || err != nil || ctx.Err() != nil
 				mu.Unlock()
-				if over {
+				if finished {
 					return
 				}
-				row, secs, failed := cells[i].run(ctx, w)
+				row, perSecond, runErr := runs[i].run(ctx, environment)
 				mu.Lock()
-				rows[i], each[i] = row, secs
-				if failed != nil && err == nil {
-					err = failed
+				rows[i], secondsByRun[i] = row, perSecond
+				if runErr != nil && err == nil {
+					err = runErr
 				}
 				done++
-				fmt.Fprintf(progress, "%d of %d: %d hosts, %d servers, load %.2g, %s, seed %d: goodput %.3f\n", done, len(cells), row.Hosts, row.Servers, row.Load, row.Trouble, row.Seed, row.Goodput)
+				fmt.Fprintf(progress, "%d of %d: %d hosts, %d servers, load %.2g, %s, seed %d: goodput %.3f\n", done, len(runs), row.Hosts, row.Servers, row.Load, row.Trouble, row.Seed, row.Goodput)
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait(w)
+	workers.Wait(environment)
 	if err == nil {
 		err = ctx.Err()
 	}
-	return rows, slices.Concat(each...), err
+	return rows, slices.Concat(secondsByRun...), err
 }
 
-func (c gridRun) run(ctx context.Context, w env.Environment) (row ExperimentRow, secs []SecondRow, err error) {
-	begin := w.Now()
-	whole := hdrhistogram.New(1, maxRecordedMicros, 3)
-	bySecond := map[int64]*hdrhistogram.Histogram{}
-	c.onAnswer = func(at, took int64, served bool) {
+func (c gridRun) run(ctx context.Context, environment env.Environment) (row ExperimentRow, perSecond []SecondRow, err error) {
+	begin := environment.Now()
+	allLatencies := hdrhistogram.New(1, maxRecordedMicros, 3)
+	latenciesBySecond := map[int64]*hdrhistogram.Histogram{}
+	c.onAnswer = func(issuedAt, latency int64, served bool) {
 		if !served {
 			return
 		}
-		h := bySecond[at/1e6]
-		if h == nil {
-			h = hdrhistogram.New(1, maxRecordedMicros, 2)
-			bySecond[at/1e6] = h
+		histogram := latenciesBySecond[issuedAt/1e6]
+		if histogram == nil {
+			histogram = hdrhistogram.New(1, maxRecordedMicros, 2)
+			latenciesBySecond[issuedAt/1e6] = histogram
 		}
-		for _, h := range []*hdrhistogram.Histogram{h, whole} {
-			h.RecordValue(min(max(took, 1), maxRecordedMicros)) // in range by the line itself
+		for _, h := range []*hdrhistogram.Histogram{histogram, allLatencies} {
+			h.RecordValue(min(max(latency, 1), maxRecordedMicros)) // in range by the line itself
 		}
 	}
-	out, err := c.Run(ctx, "")
+	outcome, err := c.Run(ctx, "")
 	if err != nil {
 		return row, nil, err
 	}
-	t := out.Checker.Stats
-	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+	stats := outcome.Checker.Stats
+	quantileMS := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	row = ExperimentRow{Hosts: int32(c.Hosts), Servers: int32(c.Servers), Rate: c.Rate, Load: c.load, Layout: c.Layout, Trouble: c.trouble, Setting: c.setting,
-		Value: c.value, Seed: c.Seed, Commands: int64(t.Commands), Goodput: t.Goodput(), WorstPlan: t.WorstPlanGoodput(), Worst10s: t.WorstWindowGoodput(10), RecoverySeconds: c.recoverySeconds(t),
-		P50: ms(whole, 50), P99: ms(whole, 99), P999: ms(whole, 99.9), StepsPerCommand: float64(out.Steps) / float64(max(t.Commands, 1)),
-		MicrosPerCommand: float64((w.Now()-begin)/time.Microsecond) / float64(max(t.Commands, 1)), Digest: out.Scenario.Digest}
-	if out.Failure != nil {
-		row.Failure = out.Failure.Error()
-	}
-	for _, at := range slices.Sorted(maps.Keys(t.PerSecond)) {
-		s := SecondRow{Hosts: row.Hosts, Servers: row.Servers, Load: c.load, Layout: c.Layout, Trouble: c.trouble, Value: c.value, Seed: c.Seed,
-			Second: int32(at), Offered: t.PerSecond[at].Offered, Served: t.PerSecond[at].Served}
-		if h := bySecond[at]; h != nil {
-			s.P50, s.P99 = ms(h, 50), ms(h, 99)
+		Value: c.value, Seed: c.Seed, Commands: int64(stats.Commands), Goodput: stats.Goodput(), WorstPlan: stats.WorstPlanGoodput(), Worst10s: stats.WorstWindowGoodput(10), RecoverySeconds: c.recoverySeconds(stats),
+		P50: quantileMS(allLatencies, 50), P99: quantileMS(allLatencies, 99), P999: quantileMS(allLatencies, 99.9), StepsPerCommand: float64(outcome.Steps) / float64(max(stats.Commands, 1)),
+		MicrosPerCommand: float64((environment.Now()-begin)/time.Microsecond) / float64(max(stats.Commands, 1)), Digest: outcome.Scenario.Digest}
+	if outcome.Failure != nil {
+		row.Failure = outcome.Failure.Error()
+	}
+	for _, second := range slices.Sorted(maps.Keys(stats.PerSecond)) {
+		sample := SecondRow{Hosts: row.Hosts, Servers: row.Servers, Load: c.load, Layout: c.Layout, Trouble: c.trouble, Value: c.value, Seed: c.Seed,
+			Second: int32(second), Offered: stats.PerSecond[second].Offered, Served: stats.PerSecond[second].Served}
+		if h := latenciesBySecond[second]; h != nil {
+			sample.P50, sample.P99 = quantileMS(h, 50), quantileMS(h, 99)
 		}
-		secs = append(secs, s)
+		perSecond = append(perSecond, sample)
 	}
-	return row, secs, nil
+	return row, perSecond, nil
 }
 
 // recoveryWindow is over how long goodput is looked at for a recovery.
@@ -238,18 +238,18 @@
 
 // recoverySeconds is when goodput was again that of the time before the first trouble, within a
 // twentieth.
-func (c gridRun) recoverySeconds(t *rules.Stats) float64 {
+func (c gridRun) recoverySeconds(stats *rules.Stats) float64 {
 	if len(c.Faults) == 0 {
 		return 0
 	}
-	first, last := c.duration, time.Duration(0)
-	for _, s := range c.Faults {
-		first, last = min(first, s.At), max(last, s.At+s.Duration)
+	faultsStart, faultsEnd := c.duration, time.Duration(0)
+	for _, fault := range c.Faults {
+		faultsStart, faultsEnd = min(faultsStart, fault.At), max(faultsEnd, fault.At+fault.Duration)
 	}
-	before := t.GoodputBetween(0, int64(first/time.Second))
-	for at := int64(last / time.Second); at+recoveryWindow <= int64(c.duration/time.Second); at++ {
-		if t.GoodputBetween(at, at+recoveryWindow) >= 0.95*before {
-			return math.Max(float64(at)-last.Seconds(), 0)
+	baseline := stats.GoodputBetween(0, int64(faultsStart/time.Second))
+	for second := int64(faultsEnd / time.Second); second+recoveryWindow <= int64(c.duration/time.Second); second++ {
+		if stats.GoodputBetween(second, second+recoveryWindow) >= 0.95*baseline {
+			return math.Max(float64(second)-faultsEnd.Seconds(), 0)
 		}
 	}
 	return -1
@@ -273,13 +273,13 @@
 	if err := parquet.WriteFile(filepath.Join(dir, SecondsFile), seconds); err != nil {
 		return err
 	}
-	f, err := os.Create(filepath.Join(dir, TableFile))
+	file, err := os.Create(filepath.Join(dir, TableFile))
 	if err != nil {
 		return err
 	}
-	err = PrintExperiment(f, rows)
-	if cerr := f.Close(); err == nil {
-		err = cerr
+	err = PrintExperiment(file, rows)
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return err
@@ -322,35 +322,35 @@
 }
 
 // groupByCell collects rows by key, in the order of their first.
-func groupByCell(rows []ExperimentRow) (keys []cellKey, by map[cellKey][]*ExperimentRow) {
-	by = map[cellKey][]*ExperimentRow{}
+func groupByCell(rows []ExperimentRow) (keys []cellKey, rowsByKey map[cellKey][]*ExperimentRow) {
+	rowsByKey = map[cellKey][]*ExperimentRow{}
 	for i := range rows {
 		k := rows[i].key()
-		if by[k] == nil {
+		if rowsByKey[k] == nil {
 			keys = append(keys, k)
 		}
-		by[k] = append(by[k], &rows[i])
+		rowsByKey[k] = append(rowsByKey[k], &rows[i])
 	}
-	return keys, by
+	return keys, rowsByKey
 }
 
 // confidenceInterval is the mean with half the width of its 95% confidence confidenceInterval (Student's t);
 // the width is 0 of a single figure.
-func confidenceInterval(x []float64) (mean, half float64) {
-	if len(x) < 2 {
-		return stat.Mean(x, nil), 0
+func confidenceInterval(values []float64) (mean, halfWidth float64) {
+	if len(values) < 2 {
+		return stat.Mean(values, nil), 0
 	}
-	mean, dev := stat.MeanStdDev(x, nil)
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(x) - 1)}.Quantile(0.975)
-	return mean, t * dev / math.Sqrt(float64(len(x)))
+	mean, stdDev := stat.MeanStdDev(values, nil)
+	quantile := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(values) - 1)}.Quantile(0.975)
+	return mean, quantile * stdDev / math.Sqrt(float64(len(values)))
 }
 
-func column(rows []*ExperimentRow, f func(*ExperimentRow) float64) []float64 {
-	out := make([]float64, len(rows))
+func column(rows []*ExperimentRow, value func(*ExperimentRow) float64) []float64 {
+	values := make([]float64, len(rows))
 	for i, r := range rows {
-		out[i] = f(r)
+		values[i] = value(r)
 	}
-	return out
+	return values
 }
 
 // PrintExperiment writes one line for each cell, as Markdown.
@@ -358,25 +358,25 @@
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| cell\t| runs\t| failed\t| goodput\t| worst plan\t| worst 10 s\t| back after s\t| p50 ms\t| p99 ms\t| p99.9 ms\t| steps a command\t| us a command\t|")
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
-	keys, by := groupByCell(rows)
-	for _, k := range keys {
-		rs := by[k]
+	keys, rowsByKey := groupByCell(rows)
+	for _, key := range keys {
+		cellRows := rowsByKey[key]
 		failed := 0
-		for _, r := range rs {
+		for _, r := range cellRows {
 			if r.Failure != "" {
 				failed++
 			}
 		}
-		mean := func(f func(*ExperimentRow) float64) float64 { return stat.Mean(column(rs, f), nil) }
-		good, half := confidenceInterval(column(rs, func(r *ExperimentRow) float64 { return r.Goodput }))
-		back := "none"
-		if worst := slices.Min(column(rs, func(r *ExperimentRow) float64 { return r.RecoverySeconds })); worst >= 0 {
-			back = fmt.Sprintf("%.1f", slices.Max(column(rs, func(r *ExperimentRow) float64 { return r.RecoverySeconds })))
-		} else if k.trouble != "none" {
-			back = "not always"
+		mean := func(value func(*ExperimentRow) float64) float64 { return stat.Mean(column(cellRows, value), nil) }
+		goodput, halfWidth := confidenceInterval(column(cellRows, func(r *ExperimentRow) float64 { return r.Goodput }))
+		recovery := "none"
+		if shortest := slices.Min(column(cellRows, func(r *ExperimentRow) float64 { return r.RecoverySeconds })); shortest >= 0 {
+			recovery = fmt.Sprintf("%.1f", slices.Max(column(cellRows, func(r *ExperimentRow) float64 { return r.RecoverySeconds })))
+		} else if key.trouble != "none" {
+			recovery = "not always"
 		}
-		fmt.Fprintf(tw, "| %s\t| %d\t| %d\t| %.3f ± %.3f\t| %.3f\t| %.3f\t| %s\t| %.1f\t| %.0f\t| %.0f\t| %.1f\t| %.0f\t|\n", k, len(rs), failed, good, half,
-			mean(func(r *ExperimentRow) float64 { return r.WorstPlan }), mean(func(r *ExperimentRow) float64 { return r.Worst10s }), back,
+		fmt.Fprintf(tw, "| %s\t| %d\t| %d\t| %.3f ± %.3f\t| %.3f\t| %.3f\t| %s\t| %.1f\t| %.0f\t| %.0f\t| %.1f\t| %.0f\t|\n", key, len(cellRows), failed, goodput, halfWidth,
+			mean(func(r *ExperimentRow) float64 { return r.WorstPlan }), mean(func(r *ExperimentRow) float64 { return r.Worst10s }), recovery,
 			mean(func(r *ExperimentRow) float64 { return r.P50 }), mean(func(r *ExperimentRow) float64 { return r.P99 }),
 			mean(func(r *ExperimentRow) float64 { return r.P999 }), mean(func(r *ExperimentRow) float64 { return r.StepsPerCommand }),
 			mean(func(r *ExperimentRow) float64 { return r.MicrosPerCommand }))
@@ -408,61 +408,61 @@
 
 // CompareExperiments compares what two experiments have in common. What lies within
 // the interval of its noise is neither gain nor loss.
-func CompareExperiments(before, after []ExperimentRow) (out []Comparison) {
-	keys, was := groupByCell(withoutConstantSetting(before))
-	_, is := groupByCell(withoutConstantSetting(after))
-	for _, k := range keys {
-		for _, f := range comparedMetrics {
-			var base, diff []float64
-			for _, a := range was[k] {
-				for _, b := range is[k] {
-					if a.Seed == b.Seed {
-						base, diff = append(base, f.value(a)), append(diff, f.value(b)-f.value(a))
+func CompareExperiments(before, after []ExperimentRow) (comparisons []Comparison) {
+	keys, beforeRows := groupByCell(withoutConstantSetting(before))
+	_, afterRows := groupByCell(withoutConstantSetting(after))
+	for _, key := range keys {
+		for _, metric := range comparedMetrics {
+			var baseline, differences []float64
+			for _, old := range beforeRows[key] {
+				for _, changed := range afterRows[key] {
+					if old.Seed == changed.Seed {
+						baseline, differences = append(baseline, metric.value(old)), append(differences, metric.value(changed)-metric.value(old))
 					}
 				}
 			}
-			if len(diff) == 0 {
+			if len(differences) == 0 {
 				continue
 			}
-			c := Comparison{Cell: k.String(), Metric: f.name, Pairs: len(diff), Before: stat.Mean(base, nil), Verdict: "within noise"}
-			c.Diff, c.HalfWidth = confidenceInterval(diff)
+			comparison := Comparison{Cell: key.String(), Metric: metric.name, Pairs: len(differences), Before: stat.Mean(baseline, nil), Verdict: "within noise"}
+			comparison.Diff, comparison.HalfWidth = confidenceInterval(differences)
 			switch {
-			case len(diff) < 3:
-				c.Verdict = "too few pairs"
-			case slices.Max(diff) == 0 && slices.Min(diff) == 0:
-				c.Verdict = "the same"
-			case math.Abs(c.Diff) > c.HalfWidth && (c.Diff > 0) == f.higherIsBetter:
-				c.Verdict = "gain"
-			case math.Abs(c.Diff) > c.HalfWidth:
-				c.Verdict = "loss"
+			case len(differences) < 3:
+				comparison.Verdict = "too few pairs"
+			case slices.Max(differences) == 0 && slices.Min(differences) == 0:
+				comparison.Verdict = "the same"
+			case math.Abs(comparison.Diff) > comparison.HalfWidth && (comparison.Diff > 0) == metric.higherIsBetter:
+				comparison.Verdict = "gain"
+			case math.Abs(comparison.Diff) > comparison.HalfWidth:
+				comparison.Verdict = "loss"
 			}
-			out = append(out, c)
+			comparisons = append(comparisons, comparison)
 		}
 	}
-	return out
+	return comparisons
 }
 
 // withoutConstantSetting leaves out the figure of an experiment that has one value of it throughout:
 // it may be what two experiments differ by.
 func withoutConstantSetting(rows []ExperimentRow) []ExperimentRow {
-	out := slices.Clone(rows)
-	for i := range out {
-		if out[i].Setting != rows[0].Setting || out[i].Value != rows[0].Value {
+	cleared := slices.Clone(rows)
+	for i := range cleared {
+		if cleared[i].Setting != rows[0].Setting || cleared[i].Value != rows[0].Value {
 			return rows
 		}
 	}
-	for i := range out {
-		out[i].Setting, out[i].Value = "", 0
+	for i := range cleared {
+		cleared[i].Setting, cleared[i].Value = "", 0
 	}
-	return out
+	return cleared
 }
 
 // PrintComparisons writes a comparison as Markdown.
-func PrintComparisons(w io.Writer, list []Comparison) error {
+func PrintComparisons(w io.Writer, comparisons []Comparison) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| cell\t| figure\t| pairs\t| before\t| difference, 95%\t| verdict\t|")
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
-	for _, c := range list {
+	for _, c := range comparisons {
 		fmt.Fprintf(tw, "| %s\t| %s\t| %d\t| %.3f\t| %+.3f ± %.3f\t| %s\t|\n", c.Cell, c.Metric, c.Pairs, c.Before, c.Diff, c.HalfWidth, c.Verdict)
 	}
 	return tw.Flush()
@@ -470,56 +470,56 @@
 
 // plotExperiment draws what the grid has lists of.
 func plotExperiment(dir string, rows []ExperimentRow, seconds []SecondRow) error {
-	keys, by := groupByCell(rows)
-	line := func(file, title, x, y string, name func(cellKey) string, at func(cellKey) float64, of func(*ExperimentRow) float64) error {
-		lines := map[string]*chart.Series{}
-		var order []string
+	keys, rowsByKey := groupByCell(rows)
+	plotLines := func(file, title, xLabel, yLabel string, seriesName func(cellKey) string, xValue func(cellKey) float64, yValue func(*ExperimentRow) float64) error {
+		seriesByName := map[string]*chart.Series{}
+		var names []string
 		for _, k := range keys {
-			n := name(k)
-			if lines[n] == nil {
-				lines[n] = &chart.Series{Name: n}
-				order = append(order, n)
+			name := seriesName(k)
+			if seriesByName[name] == nil {
+				seriesByName[name] = &chart.Series{Name: name}
+				names = append(names, name)
 			}
-			lines[n].X, lines[n].Y = append(lines[n].X, at(k)), append(lines[n].Y, stat.Mean(column(by[k], of), nil))
+			seriesByName[name].X, seriesByName[name].Y = append(seriesByName[name].X, xValue(k)), append(seriesByName[name].Y, stat.Mean(column(rowsByKey[k], yValue), nil))
 		}
-		var list []chart.Series
-		for _, n := range order {
-			if s := lines[n]; len(s.X) > 1 {
-				list = append(list, *s)
+		var plotted []chart.Series
+		for _, n := range names {
+			if s := seriesByName[n]; len(s.X) > 1 {
+				plotted = append(plotted, *s)
 			}
 		}
-		if len(list) == 0 {
+		if len(plotted) == 0 {
 			return nil
 		}
-		return chart.Lines(filepath.Join(dir, file), title, x, y, list...)
+		return chart.Lines(filepath.Join(dir, file), title, xLabel, yLabel, plotted...)
 	}
-	distinct := func(f func(cellKey) any) bool {
+	varies := func(property func(cellKey) any) bool {
 		for _, k := range keys {
-			if f(k) != f(keys[0]) {
+			if property(k) != property(keys[0]) {
 				return true
 			}
 		}
 		return false
 	}
-	if distinct(func(k cellKey) any { return k.load }) {
-		err := line("goodput-load.png", "goodput by load", "times the ordinary load", "part of the worth asked for",
+	if varies(func(k cellKey) any { return k.load }) {
+		err := plotLines("goodput-load.png", "goodput by load", "times the ordinary load", "part of the worth asked for",
 			func(k cellKey) string { return fmt.Sprintf("%d hosts, %s", k.hosts, k.trouble) }, func(k cellKey) float64 { return k.load },
 			func(r *ExperimentRow) float64 { return r.Goodput })
 		if err != nil {
 			return err
 		}
 	}
-	if distinct(func(k cellKey) any { return k.hosts }) {
-		for _, c := range []struct {
+	if varies(func(k cellKey) any { return k.hosts }) {
+		for _, figure := range []struct {
 			file, title, y string
-			of             func(*ExperimentRow) float64
+			yValue         func(*ExperimentRow) float64
 		}{
 			{"goodput-hosts.png", "goodput by hosts", "part of the worth asked for", func(r *ExperimentRow) float64 { return r.Goodput }},
 			{"cost-hosts.png", "cost by hosts", "steps of the world a command", func(r *ExperimentRow) float64 { return r.StepsPerCommand }},
 			{"p99-hosts.png", "latency by hosts", "p99, ms", func(r *ExperimentRow) float64 { return r.P99 }},
 		} {
-			err := line(c.file, c.title, "hosts", c.y, func(k cellKey) string { return fmt.Sprintf("%s, load %.2g", k.trouble, k.load) },
-				func(k cellKey) float64 { return float64(k.hosts) }, c.of)
+			err := plotLines(figure.file, figure.title, "hosts", figure.y, func(k cellKey) string { return fmt.Sprintf("%s, load %.2g", k.trouble, k.load) },
+				func(k cellKey) float64 { return float64(k.hosts) }, figure.yValue)
 			if err != nil {
 				return err
 			}
@@ -534,46 +534,46 @@
 	if len(seconds) == 0 {
 		return nil
 	}
-	most := int32(0)
+	maxHosts := int32(0)
 	for _, s := range seconds {
-		most = max(most, s.Hosts)
+		maxHosts = max(maxHosts, s.Hosts)
 	}
-	type at struct {
+	type pointKey struct {
 		trouble string
 		second  int32
 	}
-	sum := map[at]*[4]float64{}
+	sums := map[pointKey]*[4]float64{}
 	var troubles []string
-	for _, s := range seconds {
-		if s.Hosts != most || s.Load != seconds[0].Load || s.Value != seconds[0].Value || s.Layout != seconds[0].Layout {
+	for _, row := range seconds {
+		if row.Hosts != maxHosts || row.Load != seconds[0].Load || row.Value != seconds[0].Value || row.Layout != seconds[0].Layout {
 			continue
 		}
-		if !slices.Contains(troubles, s.Trouble) {
-			troubles = append(troubles, s.Trouble)
+		if !slices.Contains(troubles, row.Trouble) {
+			troubles = append(troubles, row.Trouble)
 		}
-		k := at{s.Trouble, s.Second}
-		if sum[k] == nil {
-			sum[k] = &[4]float64{}
+		key := pointKey{row.Trouble, row.Second}
+		if sums[key] == nil {
+			sums[key] = &[4]float64{}
 		}
-		x := sum[k]
-		x[0], x[1], x[2], x[3] = x[0]+s.Offered, x[1]+s.Served, x[2]+s.P99, x[3]+1
-	}
-	var good, late []chart.Series
-	for _, tr := range troubles {
-		g, l := chart.Series{Name: tr}, chart.Series{Name: tr}
-		for sec := int32(0); sec < 3600; sec++ {
-			x := sum[at{tr, sec}]
-			if x == nil || x[0] == 0 {
+		sum := sums[key]
+		sum[0], sum[1], sum[2], sum[3] = sum[0]+row.Offered, sum[1]+row.Served, sum[2]+row.P99, sum[3]+1
+	}
+	var goodputSeries, latencySeries []chart.Series
+	for _, trouble := range troubles {
+		goodput, latency := chart.Series{Name: trouble}, chart.Series{Name: trouble}
+		for second := int32(0); second < 3600; second++ {
+			sum := sums[pointKey{trouble, second}]
+			if sum == nil || sum[0] == 0 {
 				continue
 			}
-			g.X, g.Y = append(g.X, float64(sec)), append(g.Y, x[1]/x[0])
-			l.X, l.Y = append(l.X, float64(sec)), append(l.Y, x[2]/x[3])
+			goodput.X, goodput.Y = append(goodput.X, float64(second)), append(goodput.Y, sum[1]/sum[0])
+			latency.X, latency.Y = append(latency.X, float64(second)), append(latency.Y, sum[2]/sum[3])
 		}
-		good, late = append(good, g), append(late, l)
+		goodputSeries, latencySeries = append(goodputSeries, goodput), append(latencySeries, latency)
 	}
-	title := fmt.Sprintf("%d hosts", most)
-	if err := chart.Lines(filepath.Join(dir, "goodput-time.png"), "goodput over the day, "+title, "s", "part of the worth asked for", good...); err != nil {
+	title := fmt.Sprintf("%d hosts", maxHosts)
+	if err := chart.Lines(filepath.Join(dir, "goodput-time.png"), "goodput over the day, "+title, "s", "part of the worth asked for", goodputSeries...); err != nil {
 		return err
 	}
-	return chart.Lines(filepath.Join(dir, "p99-time.png"), "p99 of what was served, by the second of its asking, "+title, "s", "ms", late...)
+	return chart.Lines(filepath.Join(dir, "p99-time.png"), "p99 of what was served, by the second of its asking, "+title, "s", "ms", latencySeries...)
 }
--- a/internal/simulation/lab/reservations.go
+++ b/internal/simulation/lab/reservations.go
@@ -85,8 +85,8 @@
 // RunReservations plays one run on loopback; unfenced with disk servers that keep no
 // fence.
 func RunReservations(ctx context.Context, seed uint64, steps int, unfenced bool) (*ReservationHistory, error) {
-	w := env.NewReal()
-	return runReservations(ctx, w, loopbackTestbed{Environment: w}, seed, steps, unfenced)
+	environment := env.NewReal()
+	return runReservations(ctx, environment, loopbackTestbed{Environment: environment}, seed, steps, unfenced)
 }
 
 // maxReservationTime bounds a run's virtual time.
@@ -94,126 +94,126 @@
 
 // RunVirtualReservations is ReservationRun in a virtual world: the same at each play.
 func RunVirtualReservations(ctx context.Context, seed uint64, steps int, unfenced bool) (h *ReservationHistory, err error) {
-	w := world.New(seed)
-	var failed error
-	err = w.Run("lab", maxReservationTime, func(p *world.Process) {
-		h, failed = runReservations(ctx, p, virtualTestbed{w}, seed, steps, unfenced)
+	virtualWorld := world.New(seed)
+	var runErr error
+	err = virtualWorld.Run("lab", maxReservationTime, func(process *world.Process) {
+		h, runErr = runReservations(ctx, process, virtualTestbed{virtualWorld}, seed, steps, unfenced)
 	})
-	return h, cmp.Or(err, failed)
+	return h, cmp.Or(err, runErr)
 }
 
-func runReservations(ctx context.Context, w env.Environment, at testbed, seed uint64, steps int, unfenced bool) (*ReservationHistory, error) {
-	r, err := newReservationRig(w, at, seed, unfenced)
+func runReservations(ctx context.Context, environment env.Environment, bed testbed, seed uint64, steps int, unfenced bool) (*ReservationHistory, error) {
+	rig, err := newReservationRig(environment, bed, seed, unfenced)
 	if err != nil {
 		return nil, err
 	}
-	defer r.close()
-	var all env.WaitGroup
+	defer rig.close()
+	var initiators env.WaitGroup
 	for i := range reservationInitiators {
-		all.Go(w, func() { r.runInitiator(ctx, i, steps) })
+		initiators.Go(environment, func() { rig.runInitiator(ctx, i, steps) })
 	}
 	var stop env.Gate
-	var faults env.WaitGroup
-	faults.Go(r.world, func() { r.injectFaults(&stop) })
-	all.Wait(w)
+	var faultInjector env.WaitGroup
+	faultInjector.Go(rig.environment, func() { rig.injectFaults(&stop) })
+	initiators.Wait(environment)
 	stop.Open()
-	faults.Wait(r.world)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return &r.history, r.err
+	faultInjector.Wait(rig.environment)
+	rig.mu.Lock()
+	defer rig.mu.Unlock()
+	return &rig.history, rig.err
 }
 
 type reservationRig struct {
-	world        env.Environment
-	site         testbed
-	rng          *rand.Rand // of the faults
-	seed         uint64
-	set          *settings.Settings
-	inv          *standin.Inventory
-	stores       []*standin.ShardStore
-	disks        []*standin.DiskServer
-	mu           sync.Mutex
-	hosts        [reservationHosts]*gateway.Gateway
-	environments [reservationHosts]*partitionEnvironment
-	history      ReservationHistory
-	err          error
-	lastStamp    uint64
-}
-
-func newReservationRig(w env.Environment, at testbed, seed uint64, unfenced bool) (*reservationRig, error) {
-	r := &reservationRig{world: w, site: at, rng: rand.New(rand.NewPCG(seed, 21)), seed: seed, set: settings.Example(reservationHosts, reservationShards)}
-	r.history = ReservationHistory{Persist: r.rng.Float64() < persistProbability, AppliedWrites: map[uint64][]time.Duration{}}
-	v := r.set.Volumes[5] // of a plan without a limit
-	v.Layout, v.Hosts, v.Blocks = []int{0, 1, 2}, []int{0, 1, 2}, 4096
-	r.set.Volumes = []settings.Volume{v}
-	for i := range r.set.Classes {
-		r.set.Classes[i].Deadline = min(r.set.Classes[i].Deadline, 1500)
-		r.set.Classes[i].LatencyTarget = min(r.set.Classes[i].LatencyTarget, 500)
-	}
-	r.set.Rules.ColdCapacity = 1
+	environment      env.Environment
+	testbed          testbed
+	rng              *rand.Rand // of the faults
+	seed             uint64
+	settings         *settings.Settings
+	inventory        *standin.Inventory
+	stores           []*standin.ShardStore
+	disks            []*standin.DiskServer
+	mu               sync.Mutex
+	hosts            [reservationHosts]*gateway.Gateway
+	hostEnvironments [reservationHosts]*partitionEnvironment
+	history          ReservationHistory
+	err              error
+	lastStamp        uint64
+}
+
+func newReservationRig(environment env.Environment, bed testbed, seed uint64, unfenced bool) (*reservationRig, error) {
+	rig := &reservationRig{environment: environment, testbed: bed, rng: rand.New(rand.NewPCG(seed, 21)), seed: seed, settings: settings.Example(reservationHosts, reservationShards)}
+	rig.history = ReservationHistory{Persist: rig.rng.Float64() < persistProbability, AppliedWrites: map[uint64][]time.Duration{}}
+	volume := rig.settings.Volumes[5] // of a plan without a limit
+	volume.Layout, volume.Hosts, volume.Blocks = []int{0, 1, 2}, []int{0, 1, 2}, 4096
+	rig.settings.Volumes = []settings.Volume{volume}
+	for i := range rig.settings.Classes {
+		rig.settings.Classes[i].Deadline = min(rig.settings.Classes[i].Deadline, 1500)
+		rig.settings.Classes[i].LatencyTarget = min(rig.settings.Classes[i].LatencyTarget, 500)
+	}
+	rig.settings.Rules.ColdCapacity = 1
 	var err error
-	if r.inv, err = standin.ServeInventory(r.world, "127.0.0.1:0", 0); err != nil {
+	if rig.inventory, err = standin.ServeInventory(rig.environment, "127.0.0.1:0", 0); err != nil {
 		return nil, err
 	}
 	for i := range reservationShards {
-		cell := standin.NewShardStore(func(string) int { return v.BlockSize })
-		cell.OnExecute, cell.IgnoreFences = r.recordWrite, unfenced
-		r.stores, r.disks = append(r.stores, cell), append(r.disks, nil)
-		if err := r.startDisk(i); err != nil {
+		store := standin.NewShardStore(func(string) int { return volume.BlockSize })
+		store.OnExecute, store.IgnoreFences = rig.recordWrite, unfenced
+		rig.stores, rig.disks = append(rig.stores, store), append(rig.disks, nil)
+		if err := rig.startDisk(i); err != nil {
 			return nil, err
 		}
 	}
 	for i := range reservationHosts {
-		r.environments[i] = newPartitionEnvironment(r.site.startProcess(fmt.Sprint("h", i)))
-		if err := r.startHost(i); err != nil {
+		rig.hostEnvironments[i] = newPartitionEnvironment(rig.testbed.startProcess(fmt.Sprint("h", i)))
+		if err := rig.startHost(i); err != nil {
 			return nil, err
 		}
 	}
-	return r, nil
+	return rig, nil
 }
 
 // recordWrite notes a write as it changes blocks.
-func (r *reservationRig) recordWrite(d *diskproto.Do) {
-	if scsi.Op(d.Op) != scsi.Write || len(d.Data) < 8 {
+func (r *reservationRig) recordWrite(do *diskproto.Do) {
+	if scsi.Op(do.Op) != scsi.Write || len(do.Data) < 8 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := binary.BigEndian.Uint64(d.Data)
-	r.history.AppliedWrites[s] = append(r.history.AppliedWrites[s], r.world.Now())
+	stamp := binary.BigEndian.Uint64(do.Data)
+	r.history.AppliedWrites[stamp] = append(r.history.AppliedWrites[stamp], r.environment.Now())
 }
 
 func (r *reservationRig) startDisk(i int) error {
-	m := standin.NewMachine(standin.MachineConfig{Cores: 2, QueueLimit: 64, UnitWork: 1, WriteFactor: 1, ColdCapacity: 1, OverloadWindow: 1000, OverloadFactor: 2},
+	machine := standin.NewMachine(standin.MachineConfig{Cores: 2, QueueLimit: 64, UnitWork: 1, WriteFactor: 1, ColdCapacity: 1, OverloadWindow: 1000, OverloadFactor: 2},
 		r.seed*10+uint64(i), r.stores[i], standin.NewDedupCache(6000), nil, uint32(i), 0, false)
-	d := &standin.DiskServer{Name: fmt.Sprint("d", i), Zone: Halls[i], Rack: fmt.Sprint("d", i), Shard: i}
-	if err := standin.ServeDisk(r.site.startProcess(d.Name), m, d); err != nil {
+	server := &standin.DiskServer{Name: fmt.Sprint("d", i), Zone: Halls[i], Rack: fmt.Sprint("d", i), Shard: i}
+	if err := standin.ServeDisk(r.testbed.startProcess(server.Name), machine, server); err != nil {
 		return err
 	}
 	r.mu.Lock()
 	old := r.disks[i]
-	r.disks[i] = d
+	r.disks[i] = server
 	r.mu.Unlock()
-	r.inv.ChangeNow(func(b *inventory.Book) {
+	r.inventory.ChangeNow(func(book *inventory.Book) {
 		if old != nil {
-			b.Health(old.Addr, inventory.Gone)
+			book.Health(old.Addr, inventory.Gone)
 		}
-		b.Set(inventory.Node{Addr: d.Addr, Health: inventory.Ready, Shard: i, Zone: d.Zone, Weight: 1, Incarnation: d.Started}, 0)
+		book.Set(inventory.Node{Addr: server.Addr, Health: inventory.Ready, Shard: i, Zone: server.Zone, Weight: 1, Incarnation: server.Started}, 0)
 	})
 	return nil
 }
 
 func (r *reservationRig) startHost(i int) error {
-	g, err := gateway.Start(gateway.Config{Environment: r.environments[i], Log: zap.NewNop(), Name: fmt.Sprint("h", i), HostIndex: i, Zone: Halls[i], Listen: "127.0.0.1:0", Inventory: r.inv.Addr})
+	host, err := gateway.Start(gateway.Config{Environment: r.hostEnvironments[i], Log: zap.NewNop(), Name: fmt.Sprint("h", i), HostIndex: i, Zone: Halls[i], Listen: "127.0.0.1:0", Inventory: r.inventory.Addr})
 	if err != nil {
 		return err
 	}
-	if _, err := g.Settings().Put(r.set); err != nil {
+	if _, err := host.Settings().Put(r.settings); err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hosts[i] = g
+	r.hosts[i] = host
 	return nil
 }
 
@@ -228,7 +228,7 @@
 			d.Kill()
 		}
 	}
-	r.inv.Close()
+	r.inventory.Close()
 }
 
 func (r *reservationRig) fail(err error) {
@@ -241,36 +241,36 @@
 
 // injectFaults strikes now and then until stop is open.
 func (r *reservationRig) injectFaults(stop *env.Gate) {
-	for env.Sleep(r.world, time.Duration(50+r.rng.IntN(200))*time.Millisecond, stop) {
-		h, d := r.rng.IntN(reservationHosts), r.rng.IntN(reservationShards)
+	for env.Sleep(r.environment, time.Duration(50+r.rng.IntN(200))*time.Millisecond, stop) {
+		hostIndex, diskIndex := r.rng.IntN(reservationHosts), r.rng.IntN(reservationShards)
 		r.mu.Lock()
-		g, addr := r.hosts[h], r.disks[d].Addr
+		host, addr := r.hosts[hostIndex], r.disks[diskIndex].Addr
 		r.mu.Unlock()
-		lasts := time.Duration(50+r.rng.IntN(300)) * time.Millisecond
+		duration := time.Duration(50+r.rng.IntN(300)) * time.Millisecond
 		switch r.rng.IntN(5) {
 		case 0, 1: // a link
-			r.environments[h].partition(partitionKind(r.rng.IntN(2)), addr)
-			env.Sleep(r.world, lasts, stop)
-			r.environments[h].heal(addr)
+			r.hostEnvironments[hostIndex].partition(partitionKind(r.rng.IntN(2)), addr)
+			env.Sleep(r.environment, duration, stop)
+			r.hostEnvironments[hostIndex].heal(addr)
 		case 2: // a pause of a host
-			var until env.Gate
-			g.Freeze(&until)
-			env.Sleep(r.world, lasts, stop)
-			until.Open()
+			var resume env.Gate
+			host.Freeze(&resume)
+			env.Sleep(r.environment, duration, stop)
+			resume.Open()
 		case 3: // a host
-			g.Kill()
-			if err := r.startHost(h); err != nil {
+			host.Kill()
+			if err := r.startHost(hostIndex); err != nil {
 				r.fail(err)
 				return
 			}
 		case 4: // a disk server, by loss of power
-			call := r.world.Now()
-			r.disks[d].Kill()
-			r.stores[d].PowerLoss()
-			if d == 0 {
-				r.record(ReservationStep{Kind: stepPowerLoss, Outcome: outcomeGood, Call: call, Return: r.world.Now()})
+			call := r.environment.Now()
+			r.disks[diskIndex].Kill()
+			r.stores[diskIndex].PowerLoss()
+			if diskIndex == 0 {
+				r.record(ReservationStep{Kind: stepPowerLoss, Outcome: outcomeGood, Call: call, Return: r.environment.Now()})
 			}
-			if err := r.startDisk(d); err != nil {
+			if err := r.startDisk(diskIndex); err != nil {
 				r.fail(err)
 				return
 			}
@@ -278,135 +278,135 @@
 	}
 }
 
-func (r *reservationRig) record(s ReservationStep) {
+func (r *reservationRig) record(step ReservationStep) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.history.Steps = append(r.history.Steps, s)
+	r.history.Steps = append(r.history.Steps, step)
 }
 
 // runInitiator is one initiator: it asks for this and that through one host.
-func (r *reservationRig) runInitiator(ctx context.Context, who, steps int) {
-	rng := rand.New(rand.NewPCG(r.seed, uint64(100+who)))
-	var s *initiator.Client
+func (r *reservationRig) runInitiator(ctx context.Context, index, steps int) {
+	rng := rand.New(rand.NewPCG(r.seed, uint64(100+index)))
+	var session *initiator.Client
 	defer func() {
-		if s != nil {
-			s.Close()
+		if session != nil {
+			session.Close()
 		}
 	}()
 	kinds := []string{stepRegister, stepRegister, stepUnregister, stepReserve, stepReserve, stepRelease, stepClear, stepPreempt, stepPreempt,
 		stepWrite, stepWrite, stepWrite, stepWrite, stepRead}
 	types := []byte{1, 3, 5, 6, 7, 8}
-	for n := 0; n < steps && ctx.Err() == nil; {
-		for tries := 0; s == nil && tries < 200; tries++ {
-			s = r.dial(ctx, who)
-			if s == nil && !env.SleepContext(ctx, r.world, 10*time.Millisecond) {
+	for completed := 0; completed < steps && ctx.Err() == nil; {
+		for tries := 0; session == nil && tries < 200; tries++ {
+			session = r.dial(ctx, index)
+			if session == nil && !env.SleepContext(ctx, r.environment, 10*time.Millisecond) {
 				return
 			}
 		}
-		if s == nil {
+		if session == nil {
 			r.fail(errors.New("lab: no host takes a session"))
 			return
 		}
 		// Time for a fault to strike in between, and for others to be in the midst of theirs.
-		env.SleepContext(ctx, r.world, time.Duration(rng.IntN(40))*time.Millisecond)
-		step := ReservationStep{Initiator: who, Kind: kinds[rng.IntN(len(kinds))], ReservationType: types[rng.IntN(len(types))], Preempted: rng.IntN(reservationInitiators)}
-		if done, alive := r.execute(s, &step, rng); done {
-			n++
+		env.SleepContext(ctx, r.environment, time.Duration(rng.IntN(40))*time.Millisecond)
+		step := ReservationStep{Initiator: index, Kind: kinds[rng.IntN(len(kinds))], ReservationType: types[rng.IntN(len(types))], Preempted: rng.IntN(reservationInitiators)}
+		if done, alive := r.execute(session, &step, rng); done {
+			completed++
 			r.record(step)
 			if !alive {
-				s.Close()
-				s = nil
+				session.Close()
+				session = nil
 			}
 		}
 	}
 }
 
-func (r *reservationRig) dial(ctx context.Context, who int) *initiator.Client {
+func (r *reservationRig) dial(ctx context.Context, index int) *initiator.Client {
 	r.mu.Lock()
-	g := r.hosts[who%reservationHosts]
+	host := r.hosts[index%reservationHosts]
 	r.mu.Unlock()
-	s, err := initiator.Dial(ctx, initiator.Config{Environment: r.world, Addr: g.Addr().String(), Name: fmt.Sprint("iqn.2026-11.example.client:", who),
-		Target: r.set.TargetName(&r.set.Volumes[0]), ISID: iscsi.ISID{0x80, 0, 0, 0, 0, byte(who)}, Params: initiator.DefaultParams(), LoginTime: time.Second})
+	session, err := initiator.Dial(ctx, initiator.Config{Environment: r.environment, Addr: host.Addr().String(), Name: fmt.Sprint("iqn.2026-11.example.client:", index),
+		Target: r.settings.TargetName(&r.settings.Volumes[0]), ISID: iscsi.ISID{0x80, 0, 0, 0, 0, byte(index)}, Params: initiator.DefaultParams(), LoginTime: time.Second})
 	if err != nil {
 		return nil
 	}
-	return s
+	return session
 }
 
 // initiatorKey is an initiator's; it never changes, so that who is pre-empted is known.
-func initiatorKey(who int) uint64 { return uint64(who + 1) }
+func initiatorKey(initiator int) uint64 { return uint64(initiator + 1) }
 
 // execute asks for one thing; done is false where it was only told a unit attention.
-func (r *reservationRig) execute(s *initiator.Client, st *ReservationStep, rng *rand.Rand) (done, alive bool) {
-	block := make([]byte, r.set.Volumes[0].BlockSize)
+func (r *reservationRig) execute(session *initiator.Client, step *ReservationStep, rng *rand.Rand) (done, alive bool) {
+	block := make([]byte, r.settings.Volumes[0].BlockSize)
 	lba := uint64(rng.IntN(96))
-	cdb, out, in := initiator.ReadCDB(lba, 1), []byte(nil), len(block)
-	switch st.Kind {
+	cdb, dataOut, dataInLength := initiator.ReadCDB(lba, 1), []byte(nil), len(block)
+	switch step.Kind {
 	case stepRead:
 	case stepWrite:
 		r.mu.Lock()
 		r.lastStamp++
-		st.Stamp = r.lastStamp
+		step.Stamp = r.lastStamp
 		r.mu.Unlock()
-		binary.BigEndian.PutUint64(block, st.Stamp)
-		cdb, out, in = initiator.WriteCDB(lba, 1), block, 0
+		binary.BigEndian.PutUint64(block, step.Stamp)
+		cdb, dataOut, dataInLength = initiator.WriteCDB(lba, 1), block, 0
 	default:
-		cdb, out, in = r.reserveOutCDB(st), nil, 0
-		out = r.reserveOutParameters(st)
+		cdb, dataOut, dataInLength = r.reserveOutCDB(step), nil, 0
+		dataOut = r.reserveOutParameters(step)
 	}
-	st.Call = r.world.Now()
-	res, err := r.submit(s, cdb, out, in)
-	st.Return = r.world.Now()
+	step.Call = r.environment.Now()
+	res, err := r.submit(session, cdb, dataOut, dataInLength)
+	step.Return = r.environment.Now()
 	sense, _ := scsi.ParseSense(res.Sense)
 	switch {
 	case err != nil:
-		st.Outcome = outcomeUnknown
+		step.Outcome = outcomeUnknown
 		return true, false
 	case res.Status == scsi.Good:
-		st.Outcome = outcomeGood
+		step.Outcome = outcomeGood
 	case res.Status == scsi.Conflict:
-		st.Outcome = outcomeConflict
+		step.Outcome = outcomeConflict
 	case res.Status == scsi.Busy:
-		st.Outcome = outcomeNoEffect
+		step.Outcome = outcomeNoEffect
 	case sense.Key == 6:
 		return false, true
 	case sense.Key == 5: // a pre-emption with the key 0, a release of another type
-		st.Outcome = outcomeNoEffect
+		step.Outcome = outcomeNoEffect
 	default:
-		st.Outcome = outcomeUnknown
+		step.Outcome = outcomeUnknown
 	}
 	return true, true
 }
 
 // submit gives a command so long that only a lost one does not end.
-func (r *reservationRig) submit(s *initiator.Client, cdb, out []byte, in int) (iscsi.Result, error) {
-	end := &completion{}
-	s.Submit(0, cdb, out, in, end.set)
-	if env.Sleep(r.world, 8*time.Second, &end.done) {
-		end.set(iscsi.Result{}, context.DeadlineExceeded)
+func (r *reservationRig) submit(session *initiator.Client, cdb, dataOut []byte, dataInLength int) (iscsi.Result, error) {
+	pending := &completion{}
+	session.Submit(0, cdb, dataOut, dataInLength, pending.set)
+	if env.Sleep(r.environment, 8*time.Second, &pending.done) {
+		pending.set(iscsi.Result{}, context.DeadlineExceeded)
 	}
-	return end.result, end.err
+	return pending.result, pending.err
 }
 
 var serviceActions = map[string]byte{stepRegister: 6, stepUnregister: 6, stepReserve: 1, stepRelease: 2, stepClear: 3, stepPreempt: 4}
 
-func (r *reservationRig) reserveOutCDB(st *ReservationStep) []byte {
-	return []byte{0x5f, serviceActions[st.Kind], st.ReservationType, 0, 0, 0, 0, 0, 24, 0}
+func (r *reservationRig) reserveOutCDB(step *ReservationStep) []byte {
+	return []byte{0x5f, serviceActions[step.Kind], step.ReservationType, 0, 0, 0, 0, 0, 24, 0}
 }
 
-func (r *reservationRig) reserveOutParameters(st *ReservationStep) []byte {
-	b := make([]byte, 24)
-	binary.BigEndian.PutUint64(b, initiatorKey(st.Initiator))
-	switch st.Kind {
+func (r *reservationRig) reserveOutParameters(step *ReservationStep) []byte {
+	parameters := make([]byte, 24)
+	binary.BigEndian.PutUint64(parameters, initiatorKey(step.Initiator))
+	switch step.Kind {
 	case stepRegister:
-		binary.BigEndian.PutUint64(b[8:], initiatorKey(st.Initiator))
+		binary.BigEndian.PutUint64(parameters[8:], initiatorKey(step.Initiator))
 	case stepPreempt:
-		binary.BigEndian.PutUint64(b[8:], initiatorKey(st.Preempted))
+		binary.BigEndian.PutUint64(parameters[8:], initiatorKey(step.Preempted))
 	}
 	if r.history.Persist {
-		b[20] = 1
+		parameters[20] = 1
 	}
-	return b
+	return parameters
 }
 
 // The model: registrations, type and holder, as SPC-4 has them, for initiators of one
@@ -419,61 +419,61 @@
 	persist    bool // as the last registration said
 }
 
-func (s reservationState) isHolder(who int) bool {
-	return s.resType != 0 && (s.resType >= 7 && s.registered[who] || s.resType < 7 && s.holder == who)
+func (s reservationState) isHolder(initiator int) bool {
+	return s.resType != 0 && (s.resType >= 7 && s.registered[initiator] || s.resType < 7 && s.holder == initiator)
 }
 
-func (s reservationState) mayAccess(who int, write bool) bool {
+func (s reservationState) mayAccess(initiator int, write bool) bool {
 	switch {
-	case s.resType == 0 || s.isHolder(who) || s.resType >= 5 && s.registered[who]:
+	case s.resType == 0 || s.isHolder(initiator) || s.resType >= 5 && s.registered[initiator]:
 		return true
 	}
 	return !write && (s.resType == 1 || s.resType == 5 || s.resType == 7)
 }
 
-func (s reservationState) unregister(who int) reservationState {
-	s.registered[who] = false
-	if s.resType >= 7 && s.registered == [reservationInitiators]bool{} || s.resType != 0 && s.resType < 7 && s.holder == who {
+func (s reservationState) unregister(initiator int) reservationState {
+	s.registered[initiator] = false
+	if s.resType >= 7 && s.registered == [reservationInitiators]bool{} || s.resType != 0 && s.resType < 7 && s.holder == initiator {
 		s.resType, s.holder = 0, 0
 	}
 	return s
 }
 
 // apply is what the step does to the state if it is GOOD, and whether it may be.
-func (s reservationState) apply(st *ReservationStep, persist bool) (reservationState, bool) {
-	switch st.Kind {
+func (s reservationState) apply(step *ReservationStep, persist bool) (reservationState, bool) {
+	switch step.Kind {
 	case stepPowerLoss:
 		if !s.persist {
 			return reservationState{}, true
 		}
 		return s, true
 	case stepWrite, stepRead:
-		return s, s.mayAccess(st.Initiator, st.Kind == stepWrite)
+		return s, s.mayAccess(step.Initiator, step.Kind == stepWrite)
 	case stepRegister:
-		s.registered[st.Initiator], s.persist = true, persist
+		s.registered[step.Initiator], s.persist = true, persist
 		return s, true
 	case stepUnregister:
-		if s.registered[st.Initiator] {
+		if s.registered[step.Initiator] {
 			s.persist = persist
-			s = s.unregister(st.Initiator)
+			s = s.unregister(step.Initiator)
 		}
 		return s, true
 	}
-	if !s.registered[st.Initiator] {
+	if !s.registered[step.Initiator] {
 		return s, false
 	}
-	switch st.Kind {
+	switch step.Kind {
 	case stepReserve:
 		if s.resType != 0 {
-			return s, s.isHolder(st.Initiator) && s.resType == st.ReservationType
+			return s, s.isHolder(step.Initiator) && s.resType == step.ReservationType
 		}
-		if s.resType = st.ReservationType; st.ReservationType < 7 {
-			s.holder = st.Initiator
+		if s.resType = step.ReservationType; step.ReservationType < 7 {
+			s.holder = step.Initiator
 		}
 		return s, true
 	case stepRelease:
-		if s.isHolder(st.Initiator) {
-			if s.resType != st.ReservationType {
+		if s.isHolder(step.Initiator) {
+			if s.resType != step.ReservationType {
 				return s, false // refused, and not as a conflict
 			}
 			s.resType, s.holder = 0, 0
@@ -482,19 +482,19 @@
 	case stepClear:
 		return reservationState{persist: s.persist}, true
 	}
-	return s.preempt(st)
+	return s.preempt(step)
 }
 
-func (s reservationState) preempt(st *ReservationStep) (reservationState, bool) {
-	takes := s.resType != 0 && s.resType < 7 && s.holder == st.Preempted
-	if !s.registered[st.Preempted] {
+func (s reservationState) preempt(step *ReservationStep) (reservationState, bool) {
+	takesOver := s.resType != 0 && s.resType < 7 && s.holder == step.Preempted
+	if !s.registered[step.Preempted] {
 		return s, false
 	}
-	if st.Preempted != st.Initiator {
-		s.registered[st.Preempted] = false
+	if step.Preempted != step.Initiator {
+		s.registered[step.Preempted] = false
 	}
-	if takes {
-		if s.resType, s.holder = st.ReservationType, st.Initiator; st.ReservationType >= 7 {
+	if takesOver {
+		if s.resType, s.holder = step.ReservationType, step.Initiator; step.ReservationType >= 7 {
 			s.holder = 0
 		}
 	}
@@ -503,32 +503,32 @@
 
 // reservationModel is nondeterministic where the outcome of a step is not known.
 func reservationModel(persist bool) porcupine.Model {
-	m := porcupine.NondeterministicModel{
+	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{reservationState{}} },
 		Step: func(state, in, _ any) []any {
-			s, st := state.(reservationState), in.(ReservationStep)
-			next, good := s.apply(&st, persist)
-			switch st.Outcome {
+			current, step := state.(reservationState), in.(ReservationStep)
+			next, allowed := current.apply(&step, persist)
+			switch step.Outcome {
 			case outcomeGood:
-				if good {
+				if allowed {
 					return []any{next}
 				}
 				return nil
 			case outcomeConflict:
-				if good {
+				if allowed {
 					return nil
 				}
-				return []any{s}
+				return []any{current}
 			case outcomeUnknown:
-				if good && next != s {
-					return []any{s, next}
+				if allowed && next != current {
+					return []any{current, next}
 				}
 			}
-			return []any{s}
+			return []any{current}
 		},
 		Equal: func(a, b any) bool { return a.(reservationState) == b.(reservationState) },
 	}
-	return m.ToModel()
+	return model.ToModel()
 }
 
 // searchTimeout bounds the search for an order of one history.
@@ -537,18 +537,18 @@
 // Check tells what is wrong with a history, "" if nothing.
 func (h *ReservationHistory) Check() string {
 	var ops []porcupine.Operation
-	for i, s := range h.Steps {
-		end := s.Return
-		if s.Outcome == outcomeUnknown {
-			if s.Kind == stepWrite || s.Kind == stepRead {
+	for i, step := range h.Steps {
+		returned := step.Return
+		if step.Outcome == outcomeUnknown {
+			if step.Kind == stepWrite || step.Kind == stepRead {
 				continue // it changes no reservation
 			}
-			end = math.MaxInt64 // it may yet be carried out
+			returned = math.MaxInt64 // it may yet be carried out
 		}
-		if s.Outcome == outcomeNoEffect {
+		if step.Outcome == outcomeNoEffect {
 			continue
 		}
-		ops = append(ops, porcupine.Operation{ClientId: i, Input: s, Call: int64(s.Call), Return: int64(end)})
+		ops = append(ops, porcupine.Operation{ClientId: i, Input: step, Call: int64(step.Call), Return: int64(returned)})
 	}
 	switch porcupine.CheckOperationsTimeout(reservationModel(h.Persist), ops, searchTimeout) {
 	case porcupine.Illegal:
@@ -563,23 +563,23 @@
 // of its initiator was answered, and until anything else may have given it leave again,
 // it may not have been.
 func (h *ReservationHistory) checkAppliedWrites() string {
-	writer := map[uint64]int{}
-	for _, s := range h.Steps {
-		if s.Kind == stepWrite {
-			writer[s.Stamp] = s.Initiator
+	initiatorByStamp := map[uint64]int{}
+	for _, step := range h.Steps {
+		if step.Kind == stepWrite {
+			initiatorByStamp[step.Stamp] = step.Initiator
 		}
 	}
-	for _, p := range h.Steps {
-		if p.Kind != stepPreempt || p.Outcome != outcomeGood || p.Preempted == p.Initiator {
+	for _, preemption := range h.Steps {
+		if preemption.Kind != stepPreempt || preemption.Outcome != outcomeGood || preemption.Preempted == preemption.Initiator {
 			continue
 		}
 		for stamp, times := range h.AppliedWrites {
-			if who, known := writer[stamp]; !known || who != p.Preempted {
+			if initiator, known := initiatorByStamp[stamp]; !known || initiator != preemption.Preempted {
 				continue
 			}
-			for _, at := range times {
-				if at > p.Return && h.heldReservation(&p, at) && !h.mayBeRegistered(&p, at) {
-					return fmt.Sprintf("a write of initiator %d took effect %v after the answer to its pre-emption", p.Preempted, at-p.Return)
+			for _, appliedAt := range times {
+				if appliedAt > preemption.Return && h.heldReservation(&preemption, appliedAt) && !h.mayBeRegistered(&preemption, appliedAt) {
+					return fmt.Sprintf("a write of initiator %d took effect %v after the answer to its pre-emption", preemption.Preempted, appliedAt-preemption.Return)
 				}
 			}
 		}
@@ -590,64 +590,64 @@
 // heldReservation tells whether the pre-emptor certainly held a reservation against all others
 // than registrants from its answer to that time: it heldReservation before with a GOOD answer
 // and nothing since may have ended it.
-func (h *ReservationHistory) heldReservation(p *ReservationStep, at time.Duration) bool {
-	var last *ReservationStep
+func (h *ReservationHistory) heldReservation(preemption *ReservationStep, until time.Duration) bool {
+	var reservation *ReservationStep
 	for i := range h.Steps {
-		s := &h.Steps[i]
-		if s.Initiator == p.Initiator && s.Kind == stepReserve && s.Outcome == outcomeGood && s.Return < p.Call && (last == nil || s.Return > last.Return) {
-			last = s
+		step := &h.Steps[i]
+		if step.Initiator == preemption.Initiator && step.Kind == stepReserve && step.Outcome == outcomeGood && step.Return < preemption.Call && (reservation == nil || step.Return > reservation.Return) {
+			reservation = step
 		}
 	}
-	if last == nil {
+	if reservation == nil {
 		return false
 	}
-	return !slices.ContainsFunc(h.Steps, func(s ReservationStep) bool {
-		ends := s.Kind == stepRelease || s.Kind == stepClear || s.Kind == stepUnregister || s.Kind == stepPowerLoss || s.Kind == stepPreempt && s != *p || s.Kind == stepReserve && s != *last
-		return ends && s.Outcome != outcomeConflict && s.Outcome != outcomeNoEffect && s.Call < at && (s.Return > last.Call || s.Outcome == outcomeUnknown)
+	return !slices.ContainsFunc(h.Steps, func(step ReservationStep) bool {
+		mayEnd := step.Kind == stepRelease || step.Kind == stepClear || step.Kind == stepUnregister || step.Kind == stepPowerLoss || step.Kind == stepPreempt && step != *preemption || step.Kind == stepReserve && step != *reservation
+		return mayEnd && step.Outcome != outcomeConflict && step.Outcome != outcomeNoEffect && step.Call < until && (step.Return > reservation.Call || step.Outcome == outcomeUnknown)
 	})
 }
 
 // mayBeRegistered tells whether the pre-empted may have been registered again by then.
-func (h *ReservationHistory) mayBeRegistered(p *ReservationStep, at time.Duration) bool {
-	return slices.ContainsFunc(h.Steps, func(s ReservationStep) bool {
-		return s.Initiator == p.Preempted && s.Kind == stepRegister && s.Outcome != outcomeConflict && s.Call < at && (s.Return > p.Call || s.Outcome == outcomeUnknown)
+func (h *ReservationHistory) mayBeRegistered(preemption *ReservationStep, until time.Duration) bool {
+	return slices.ContainsFunc(h.Steps, func(step ReservationStep) bool {
+		return step.Initiator == preemption.Preempted && step.Kind == stepRegister && step.Outcome != outcomeConflict && step.Call < until && (step.Return > preemption.Call || step.Outcome == outcomeUnknown)
 	})
 }
 
 // CheckReservations plays and judges so many runs, several at once.
-func CheckReservations(ctx context.Context, virtual bool, runs, steps, parallel int, out io.Writer, progress io.Writer) (bad int, err error) {
-	said := map[string]int{}
-	effects, total := 0, 0
+func CheckReservations(ctx context.Context, virtual bool, runs, steps, parallel int, out io.Writer, progress io.Writer) (broken int, err error) {
+	counts := map[string]int{}
+	appliedWrites, total := 0, 0
 	err = runSeeds(1, runs, parallel, progress, func(_ int, seed uint64) (string, func(), error) {
-		play := RunReservations
+		run := RunReservations
 		if virtual {
-			play = RunVirtualReservations
+			run = RunVirtualReservations
 		}
-		h, err := play(ctx, seed, steps, false)
+		history, err := run(ctx, seed, steps, false)
 		if err != nil {
 			return "reservations", nil, err
 		}
-		verdict := h.Check()
+		violation := history.Check()
 		return "reservations", func() {
-			for _, s := range h.Steps {
-				said[s.Kind+" "+s.Outcome]++
+			for _, step := range history.Steps {
+				counts[step.Kind+" "+step.Outcome]++
 				total++
 			}
-			effects += len(h.AppliedWrites)
-			if verdict != "" {
-				bad++
-				fmt.Fprintf(out, "seed %d: %s\n", seed, verdict)
+			appliedWrites += len(history.AppliedWrites)
+			if violation != "" {
+				broken++
+				fmt.Fprintf(out, "seed %d: %s\n", seed, violation)
 			}
 		}, nil
 	})
-	var kinds []string
-	for k := range said {
-		kinds = append(kinds, k)
+	var keys []string
+	for key := range counts {
+		keys = append(keys, key)
 	}
-	slices.Sort(kinds)
-	fmt.Fprintf(out, "%d runs, %d steps, %d writes took effect, %d runs broken\n", runs, total, effects, bad)
-	for _, k := range kinds {
-		fmt.Fprintf(out, "  %-24s %d\n", k, said[k])
+	slices.Sort(keys)
+	fmt.Fprintf(out, "%d runs, %d steps, %d writes took effect, %d runs broken\n", runs, total, appliedWrites, broken)
+	for _, key := range keys {
+		fmt.Fprintf(out, "  %-24s %d\n", key, counts[key])
 	}
-	return bad, err
+	return broken, err
 }
--- a/internal/simulation/lab/reservations_test.go
+++ b/internal/simulation/lab/reservations_test.go
@@ -115,7 +115,7 @@
 			st := ReservationStep{Initiator: who, Kind: kind, ReservationType: typ, Preempted: whom}
 			if done, _ := r.execute(s[who], &st, rng); done {
 				if st.Outcome == outcomeNoEffect && tries < 500 { // a server is away: what is refused is asked again
-					env.Sleep(r.world, 10*time.Millisecond, nil)
+					env.Sleep(r.environment, 10*time.Millisecond, nil)
 					continue
 				}
 				if st.Outcome != want {
@@ -190,7 +190,7 @@
 	for _, d := range r.disks {
 		addrs = append(addrs, d.Addr)
 	}
-	r.environments[0].partition(partitionDelay, addrs...)
+	r.hostEnvironments[0].partition(partitionDelay, addrs...)
 	s := r.dial(context.Background(), 0)
 	if s == nil {
 		t.Fatal("no session")
@@ -206,11 +206,11 @@
 			}
 		}
 	}()
-	for r.environments[0].waiting() < r.set.Volumes[0].BlockSize { // the write is in the link
-		env.Sleep(r.world, time.Millisecond, nil)
+	for r.hostEnvironments[0].waiting() < r.settings.Volumes[0].BlockSize { // the write is in the link
+		env.Sleep(r.environment, time.Millisecond, nil)
 	}
 	do(1, stepPreempt, 1, 0, outcomeGood)
-	r.environments[0].heal(addrs...)
+	r.hostEnvironments[0].heal(addrs...)
 	<-over
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -233,20 +233,20 @@
 	if _, err := s.Do(context.Background(), make([]byte, 6), nil, 0); err != nil { // takes a unit attention, if any
 		t.Fatal(err)
 	}
-	r.environments[0].partition(partitionDelay, addrs...)
+	r.hostEnvironments[0].partition(partitionDelay, addrs...)
 	h := s.Submit(0, []byte{0x5f, 6, 0, 0, 0, 0, 0, 0, 24, 0}, append(make([]byte, 15), 9, 0, 0, 0, 0, 0, 0, 0, 0), 0, func(iscsi.Result, error) {})
-	for r.environments[0].waiting() == 0 {
-		env.Sleep(r.world, time.Millisecond, nil)
+	for r.hostEnvironments[0].waiting() == 0 {
+		env.Sleep(r.environment, time.Millisecond, nil)
 	}
 	answered := make(chan byte, 1)
 	s.Abort(h, func(code byte) { answered <- code })
-	env.Sleep(r.world, 100*time.Millisecond, nil)
+	env.Sleep(r.environment, 100*time.Millisecond, nil)
 	select {
 	case <-answered:
 		t.Error("answered while it may still be made")
 	default:
 	}
-	r.environments[0].heal(addrs...)
+	r.hostEnvironments[0].heal(addrs...)
 	if code := <-answered; code != iscsi.FunctionComplete {
 		t.Errorf("response %d", code)
 	}
@@ -261,7 +261,7 @@
 	var until env.Gate
 	r.hosts[0].Freeze(&until)
 	do(1, stepPreempt, 1, 0, outcomeGood)
-	env.Sleep(r.world, 1200*time.Millisecond, nil) // past the lease, which is a time of the product's own
+	env.Sleep(r.environment, 1200*time.Millisecond, nil) // past the lease, which is a time of the product's own
 	until.Open()
 	do(0, stepWrite, 0, 0, outcomeConflict)
 	do(1, stepWrite, 0, 0, outcomeGood)
