--- a/internal/control/expect/check.go
+++ b/internal/control/expect/check.go
@@ -222,7 +222,7 @@
 		for plan, count := range d.requested {
 			if plan != key.plan {
 				out.othersTotal += count
-				out.othersLate += count - d.inTime[plan]
+				out.othersLate += count - d.onTime[plan]
 			}
 		}
 	}
@@ -283,7 +283,7 @@
 	sentTo         map[string]int
 	refusals       int
 	requested      map[string]int     // by plan
-	inTime         map[string]int     // by plan
+	onTime         map[string]int     // by plan
 	servedUnits    map[string]float64 // units by plan
 }
 
@@ -315,7 +315,7 @@
 func newDriver(s *settings.Settings, nodes policy.NodeList) *driver {
 	policySettings := s.Policy(0, "")
 	d := &driver{scheduler: policy.New(policySettings, 1), now: startTime - warmUpTime, requests: map[string]policy.Request{}, arrivals: map[string]float64{}, latencyTargets: map[string]float64{}, attempts: map[string]int{},
-		sentTo: map[string]int{}, requested: map[string]int{}, inTime: map[string]int{}, servedUnits: map[string]float64{}}
+		sentTo: map[string]int{}, requested: map[string]int{}, onTime: map[string]int{}, servedUnits: map[string]float64{}}
 	for _, class := range s.Classes {
 		d.latencyTargets[class.Name] = class.LatencyTarget
 	}
@@ -351,7 +351,7 @@
 			d.servedUnits[request.Plan] += request.Units
 		}
 		if d.now-d.arrivals[request.ID] <= d.latencyTargets[request.Class] {
-			d.inTime[request.Plan]++
+			d.onTime[request.Plan]++
 		}
 	}
 	for _, action := range d.scheduler.Handle(d.now, event) {
--- a/internal/control/expect/expect_test.go
+++ b/internal/control/expect/expect_test.go
@@ -95,17 +95,17 @@
 		v := &s.Volumes[i]
 		seen := map[int]bool{}
 		var nodes []string
-		for _, sh := range v.Layout {
-			if !seen[sh] {
-				nodes = append(nodes, expect.NodeName(sh))
+		for _, shard := range v.Layout {
+			if !seen[shard] {
+				nodes = append(nodes, expect.NodeName(shard))
 			}
-			seen[sh] = true
+			seen[shard] = true
 		}
 		fmt.Fprintf(&b, "volume %s read goes to %s\n", v.Name, strings.Join(nodes, ", "))
 		if i%4 == 0 {
-			sh := v.Layout[0]
+			shard := v.Layout[0]
 			fmt.Fprintf(&b, "volume %s write goes to %s when n%d draining, m%d ready at shard %d\n", v.Name,
-				strings.Join(append([]string{fmt.Sprintf("m%d", sh)}, nodes[1:]...), ", "), sh, sh, sh)
+				strings.Join(append([]string{fmt.Sprintf("m%d", shard)}, nodes[1:]...), ", "), shard, shard, shard)
 		}
 	}
 	return s, b.String()
--- a/internal/control/settings/api.go
+++ b/internal/control/settings/api.go
@@ -139,8 +139,8 @@
 	c, err := h.store.Verify()
 	writeResult(w, err, func() any {
 		v := NewVerification(c)
-		if late := h.store.PersistError(); late != nil {
-			v.SnapshotBehind = late.Error()
+		if persistErr := h.store.PersistError(); persistErr != nil {
+			v.SnapshotBehind = persistErr.Error()
 		}
 		return v
 	})
@@ -152,9 +152,9 @@
 	var stale *StaleError
 	var unknown *UnknownVersionError
 	var broken *audit.BrokenError
-	var closed *ForbiddenError
+	var forbidden *ForbiddenError
 	switch {
-	case errors.As(err, &closed):
+	case errors.As(err, &forbidden):
 		WriteJSON(w, http.StatusForbidden, errorResponse{Error: err.Error()})
 	case errors.As(err, &faults):
 		WriteJSON(w, http.StatusUnprocessableEntity, errorResponse{Error: "faulty settings", Faults: faults.Faults})
@@ -248,8 +248,8 @@
 }
 
 // Read decodes another resource of the API, such as /rates, into a value.
-func (a *API) Read(ctx context.Context, path string, into any) error {
-	return a.call(ctx, http.MethodGet, path, nil, into)
+func (a *API) Read(ctx context.Context, path string, dst any) error {
+	return a.call(ctx, http.MethodGet, path, nil, dst)
 }
 
 // Call posts to a path of the API that takes no body.
@@ -263,7 +263,7 @@
 
 // call makes one request. A refused change is returned as a *FaultsError or *StaleError, a
 // damaged audit log as an *audit.BrokenError.
-func (a *API) call(ctx context.Context, method, path string, body []byte, into any) error {
+func (a *API) call(ctx context.Context, method, path string, body []byte, dst any) error {
 	req, err := http.NewRequestWithContext(ctx, method, a.base+path, bytes.NewReader(body))
 	if err != nil {
 		return err
@@ -278,7 +278,7 @@
 		return err
 	}
 	if resp.StatusCode == http.StatusOK {
-		return json.Unmarshal(b, into)
+		return json.Unmarshal(b, dst)
 	}
 	var r errorResponse
 	switch json.Unmarshal(b, &r); {
--- a/internal/control/settings/diskfailure_test.go
+++ b/internal/control/settings/diskfailure_test.go
@@ -33,7 +33,7 @@
 // A change whose append fails is not accepted. Once the disk works again it is in force if its
 // record was written; either way the store goes on and no accepted change is lost.
 func TestFailedAppend(t *testing.T) {
-	for name, stands := range map[string]bool{"the record is written": true, "it is not": false} {
+	for name, written := range map[string]bool{"the record is written": true, "it is not": false} {
 		file := filepath.Join(t.TempDir(), "settings")
 		st := openStore(t, file, nil)
 		if _, err := st.Put(Example(3, 9)); err != nil {
@@ -41,7 +41,7 @@
 		}
 		var versions []uint64
 		st.Watch(func(s *Settings) { versions = append(versions, s.Version) })
-		st.records = &failingLog{st.records, stands}
+		st.records = &failingLog{st.records, written}
 		uncertain := *st.Get()
 		uncertain.Plans = append([]Plan(nil), uncertain.Plans...)
 		uncertain.Plans[0].Limit = 71
@@ -52,10 +52,10 @@
 		next.Plans = append([]Plan(nil), next.Plans...)
 		next.Plans[0].Limit = 72
 		var stale *StaleError
-		if _, err := st.Put(&next); stands != errors.As(err, &stale) {
+		if _, err := st.Put(&next); written != errors.As(err, &stale) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if stands { // the change came into force, and the next one is made from it
+		if written { // the change came into force, and the next one is made from it
 			if st.Get().Version != 2 || st.Get().Plans[0].Limit != 71 {
 				t.Errorf("%s: version %d, limit %v", name, st.Get().Version, st.Get().Plans[0].Limit)
 			}
@@ -94,8 +94,8 @@
 
 func runOnFullDisk(t *testing.T, file string) {
 	signal.Ignore(syscall.SIGXFSZ)
-	limitFileSize := func(bytes uint64) {
-		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: bytes, Max: 1 << 30}); err != nil {
+	limitFileSize := func(maxBytes uint64) {
+		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: maxBytes, Max: 1 << 30}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -115,14 +115,14 @@
 		return err
 	}
 	limitFileSize(120 << 10)
-	acknowledged, refused := st.Get().Version, 0
+	accepted, refused := st.Get().Version, 0
 	for i := 0; i < 200 && refused < 5; i++ {
 		if change(float64(50+i)) != nil {
 			refused++
 		} else if refused == 0 {
-			acknowledged++
+			accepted++
 		}
-		if refused > 0 && st.Get().Version < acknowledged {
+		if refused > 0 && st.Get().Version < accepted {
 			t.Fatal("an accepted change is lost")
 		}
 	}
--- a/internal/control/settings/roll.go
+++ b/internal/control/settings/roll.go
@@ -69,13 +69,13 @@
 }
 
 // tighten lowers p to a second limit if that is lower; limit 0 means unlimited.
-func (p *RollPlan) tighten(limit, burst, slack float64) {
+func (p *RollPlan) tighten(limit, burst, overdraft float64) {
 	switch {
 	case limit == 0:
 	case p.Limit == 0:
-		p.Limit, p.Burst, p.Overdraft = limit, burst, slack
+		p.Limit, p.Burst, p.Overdraft = limit, burst, overdraft
 	default:
-		p.Limit, p.Burst, p.Overdraft = min(p.Limit, limit), min(p.Burst, burst), min(p.Overdraft, slack)
+		p.Limit, p.Burst, p.Overdraft = min(p.Limit, limit), min(p.Burst, burst), min(p.Overdraft, overdraft)
 	}
 }
 
@@ -126,10 +126,10 @@
 	}
 	effective := *s
 	effective.Plans, effective.Volumes = slices.Clone(s.Plans), slices.Clone(s.Volumes)
-	for _, p := range s.Roll.Plans {
-		if i := slices.IndexFunc(effective.Plans, func(x Plan) bool { return x.Name == p.Name }); i >= 0 {
-			tightened := RollPlan{p.Name, effective.Plans[i].Limit, effective.Plans[i].Burst, effective.Plans[i].Overdraft}
-			tightened.tighten(p.Limit, p.Burst, p.Overdraft)
+	for _, plan := range s.Roll.Plans {
+		if i := slices.IndexFunc(effective.Plans, func(x Plan) bool { return x.Name == plan.Name }); i >= 0 {
+			tightened := RollPlan{plan.Name, effective.Plans[i].Limit, effective.Plans[i].Burst, effective.Plans[i].Overdraft}
+			tightened.tighten(plan.Limit, plan.Burst, plan.Overdraft)
 			effective.Plans[i].Limit, effective.Plans[i].Burst, effective.Plans[i].Overdraft = tightened.Limit, tightened.Burst, tightened.Overdraft
 		}
 	}
@@ -138,8 +138,8 @@
 		rolling[s.Roll.Volumes[i].Name] = &s.Roll.Volumes[i]
 	}
 	for i := range effective.Volumes {
-		if v := rolling[effective.Volumes[i].Name]; v != nil && v.Plan != "" {
-			effective.Volumes[i].Plan = v.Plan
+		if volume := rolling[effective.Volumes[i].Name]; volume != nil && volume.Plan != "" {
+			effective.Volumes[i].Plan = volume.Plan
 		}
 	}
 	return &effective
--- a/internal/control/settings/settings.go
+++ b/internal/control/settings/settings.go
@@ -597,12 +597,12 @@
 	c.failIf(a.AS == 0 || a.AS == 23456, "announce.as", "%d can't be the service's own AS number", a.AS)
 	c.failIf(a.HoldTime != 0 && !(a.HoldTime >= 3000 && a.HoldTime <= 65535000), "announce.hold_ms", "is %g, must be 0 or from 3000 to 65535000 (RFC 4271 section 4.2)", a.HoldTime)
 	for _, t := range []struct {
-		name       string
-		v, low, hi float64
+		name             string
+		value, low, high float64
 	}{{"probe", a.ProbeInterval, 20, 60000}, {"answer", a.ProbeTimeout, 20, 60000}, {"steady", a.StableTime, 10, dayMS}, {"steady_most", a.MaxStableTime, 10, dayMS},
 		{"resort_most", a.MaxLastResortTime, 10, dayMS}, {"half_life", a.LossHalfLife, 10, dayMS}, {"list_bound", a.MaxListAge, 100, dayMS}, {"beat_bound", a.HeartbeatTimeout, 50, 60000}, {"move", a.DrainTime, 0, 600000}} {
-		if t.v != 0 {
-			c.inRange("announce."+t.name+"_ms", t.v, t.low, t.hi)
+		if t.value != 0 {
+			c.inRange("announce."+t.name+"_ms", t.value, t.low, t.high)
 		}
 	}
 	c.failIf(len(a.Routers) > maxRouters, "announce.routers", "has %d entries, at most %d", len(a.Routers), maxRouters)
@@ -650,12 +650,12 @@
 }
 
 // RateOf returns the expected rate of a volume in units per second: its own or its plan's.
-func (s *Settings) RateOf(v *Volume) float64 {
-	if v.Rate > 0 {
-		return v.Rate
+func (s *Settings) RateOf(volume *Volume) float64 {
+	if volume.Rate > 0 {
+		return volume.Rate
 	}
 	for i := range s.Plans {
-		if s.Plans[i].Name == v.Plan {
+		if s.Plans[i].Name == volume.Plan {
 			return s.Plans[i].Rate
 		}
 	}
--- a/internal/control/settings/store.go
+++ b/internal/control/settings/store.go
@@ -331,8 +331,8 @@
 		return nil, err
 	}
 	if err := st.records.Append(r); err != nil {
-		var doubt *audit.DoubtError
-		if errors.As(err, &doubt) {
+		var uncertain *audit.DoubtError
+		if errors.As(err, &uncertain) {
 			st.appendErr = err
 		}
 		return nil, err
