--- a/internal/simulation/lab/badday.go
+++ b/internal/simulation/lab/badday.go
@@ -93,14 +93,14 @@
 
 // failureSummary says in a few words what was not kept.
 func (r *Result) failureSummary() string {
-	s := fmt.Sprintf("%d commands, %d answers, %d not read back, %d twice", r.Checker.Stats.Commands, r.Checker.Stats.Finished, r.UnreadBlocks, r.RepeatedEffects)
-	for _, b := range r.Checker.Violations {
-		s += "; " + b.String()
+	summary := fmt.Sprintf("%d commands, %d answers, %d not read back, %d twice", r.Checker.Stats.Commands, r.Checker.Stats.Finished, r.UnreadBlocks, r.RepeatedEffects)
+	for _, violation := range r.Checker.Violations {
+		summary += "; " + violation.String()
 	}
-	for _, t := range r.InvalidReads {
-		s += "; " + t
+	for _, invalid := range r.InvalidReads {
+		summary += "; " + invalid
 	}
-	return s[:min(len(s), 600)]
+	return summary[:min(len(summary), 600)]
 }
 
 // ScheduledFault is one trouble of a day.
@@ -112,7 +112,7 @@
 }
 
 // faultFuncs of trouble, each with what it does for so long.
-var faultFuncs = map[string]func(d *dayRun, rng *rand.Rand, len time.Duration){
+var faultFuncs = map[string]func(d *dayRun, rng *rand.Rand, duration time.Duration){
 	"crash":          crash,
 	"slow":           slow,
 	"pauses":         pauses,
@@ -140,7 +140,7 @@
 	return sortedKeys(faultFuncs)
 }
 
-func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys[T any](byKey map[string]T) []string { return slices.Sorted(maps.Keys(byKey)) }
 
 // dayRun is a running dayRun.
 type dayRun struct {
@@ -157,46 +157,46 @@
 }
 
 // BadDay plays a day and checks it.
-func BadDay(ctx context.Context, opt Options) (*Result, error) {
-	for _, k := range opt.FaultKinds {
-		if faultFuncs[k] == nil && k != "none" {
-			return nil, fmt.Errorf("unknown trouble %q; there are %s", k, strings.Join(FaultKinds(), ", "))
+func BadDay(ctx context.Context, options Options) (*Result, error) {
+	for _, kind := range options.FaultKinds {
+		if faultFuncs[kind] == nil && kind != "none" {
+			return nil, fmt.Errorf("unknown trouble %q; there are %s", kind, strings.Join(FaultKinds(), ", "))
 		}
 	}
-	if opt.Log == nil {
-		opt.Log = zap.NewNop()
+	if options.Log == nil {
+		options.Log = zap.NewNop()
 	}
-	set := opt.Settings
-	if set == nil {
-		set = settings.Example(opt.Hosts, opt.Servers)
+	config := options.Settings
+	if config == nil {
+		config = settings.Example(options.Hosts, options.Servers)
 	}
-	w := env.NewReal()
-	return runDay(ctx, w, loopbackTestbed{Environment: w}, set, opt)
+	environment := env.NewReal()
+	return runDay(ctx, environment, loopbackTestbed{Environment: environment}, config, options)
 }
 
 // runDay plays and checks a day at a site, of which w is the part that clients and
 // troubles have.
-func runDay(ctx context.Context, w env.Environment, at testbed, set *settings.Settings, opt Options) (*Result, error) {
-	f, err := NewFleet(w, at, set, DefaultMachine(set), opt)
+func runDay(ctx context.Context, environment env.Environment, testbed testbed, config *settings.Settings, options Options) (*Result, error) {
+	fleet, err := NewFleet(environment, testbed, config, DefaultMachine(config), options)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	d := &dayRun{opt: opt, fleet: f, clients: NewClients(f, opt.Seed), activeFaults: map[string]int{}}
-	d.clients.maxEffectDelay = opt.maxEffectDelay
-	if opt.newChecker != nil {
-		d.checker = opt.newChecker(f)
+	defer fleet.Close()
+	run := &dayRun{opt: options, fleet: fleet, clients: NewClients(fleet, options.Seed), activeFaults: map[string]int{}}
+	run.clients.maxEffectDelay = options.maxEffectDelay
+	if options.newChecker != nil {
+		run.checker = options.newChecker(fleet)
 	}
-	defer d.clients.Close()
-	d.clients.setRouting(opt.Routing)
-	if set.Regions != nil {
-		d.clients.spanRegions()
+	defer run.clients.Close()
+	run.clients.setRouting(options.Routing)
+	if config.Regions != nil {
+		run.clients.spanRegions()
 	}
-	d.clients.Login()
-	if opt.Routing == RouteAnnounced {
-		f.awaitRoutes(ctx, 10*time.Second)
+	run.clients.Login()
+	if options.Routing == RouteAnnounced {
+		fleet.awaitRoutes(ctx, 10*time.Second)
 	}
-	return d.run(ctx)
+	return run.run(ctx)
 }
 
 func (d *dayRun) run(ctx context.Context) (*Result, error) {
@@ -207,32 +207,32 @@
 	if script == nil {
 		script = drawFaults(d.opt.FaultKinds, rng, span)
 	}
-	for _, t := range script {
-		d.fleet.afterFunc(t.At, func() {
-			d.countActive(t.Kind, 1)
-			faultFunc(t.Kind)(d, rand.New(rand.NewPCG(t.Seed, 4)), t.Duration)
-			d.fleet.afterFunc(t.Duration, func() { d.countActive(t.Kind, -1) })
+	for _, fault := range script {
+		d.fleet.afterFunc(fault.At, func() {
+			d.countActive(fault.Kind, 1)
+			faultFunc(fault.Kind)(d, rand.New(rand.NewPCG(fault.Seed, 4)), fault.Duration)
+			d.fleet.afterFunc(fault.Duration, func() { d.countActive(fault.Kind, -1) })
 		})
 	}
 	if d.opt.onStart != nil {
 		d.opt.onStart(d, span)
 	}
-	var over env.Gate
+	var finished env.Gate
 	if d.fleet.Settings.Regions != nil {
 		d.initialInventories = d.fleet.PutBy()
 		if d.opt.Progress != nil {
 			fmt.Fprintf(d.opt.Progress, "inventories of regions 0 and 1: %s %s\n", at(&d.fleet.inventories[0].addr), at(&d.fleet.inventories[1].addr))
 		}
 		d.operator = &operator{f: d.fleet, Said: map[string]int{}, returns: true}
-		d.fleet.Environment.Go(func() { d.operator.run(&over) })
+		d.fleet.Environment.Go(func() { d.operator.run(&finished) })
 	}
-	progress := d.reportProgress(begin)
+	stopProgress := d.reportProgress(begin)
 	d.clients.Run(ctx, d.opt.Commands, d.opt.Rate)
 	d.clients.Wait()
-	res := &Result{}
-	defer over.Open()
-	res.UnreadBlocks = d.clients.ReadBack(ctx, 60*time.Second)
-	progress()
+	result := &Result{}
+	defer finished.Open()
+	result.UnreadBlocks = d.clients.ReadBack(ctx, 60*time.Second)
+	stopProgress()
 	d.clients.Close()
 	if d.opt.onQuiescent != nil {
 		d.opt.onQuiescent(d)
@@ -244,63 +244,63 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if res.LayoutSteps = d.layoutSteps; d.err != nil {
+	if result.LayoutSteps = d.layoutSteps; d.err != nil {
 		return nil, d.err
 	}
-	return d.evaluate(res, events, d.fleet.Environment.Now()-begin)
+	return d.evaluate(result, events, d.fleet.Environment.Now()-begin)
 }
 
-func (d *dayRun) evaluate(res *Result, events []trail.Event, took time.Duration) (*Result, error) {
-	res.Elapsed, res.TrailEvents = took, len(events)
-	if res.Checker = d.checker; d.checker == nil {
-		res.Checker = rules.Check(d.fleet.Meta, events)
+func (d *dayRun) evaluate(result *Result, events []trail.Event, elapsed time.Duration) (*Result, error) {
+	result.Elapsed, result.TrailEvents = elapsed, len(events)
+	if result.Checker = d.checker; d.checker == nil {
+		result.Checker = rules.Check(d.fleet.Meta, events)
 	} else {
 		d.checker.Finish()
 	}
-	res.history = d.clients.history
-	res.InvalidReads = d.clients.history.CheckReads()
-	res.CheckedReads = d.clients.history.CheckedReads
-	res.Unrouted, res.Unanswered = int(d.clients.Unrouted.Load()), int(d.clients.Unanswered.Load())
-	res.GoodputWithUnrouted = res.Checker.Stats.GoodputWithUnseen(d.clients.UnroutedValue)
-	res.LostWrites = len(d.clients.history.LostWrites)
-	if o := d.operator; o != nil {
-		res.OperatorCommands, res.RegionLosses = o.Said, d.fleet.regionLosses
+	result.history = d.clients.history
+	result.InvalidReads = d.clients.history.CheckReads()
+	result.CheckedReads = d.clients.history.CheckedReads
+	result.Unrouted, result.Unanswered = int(d.clients.Unrouted.Load()), int(d.clients.Unanswered.Load())
+	result.GoodputWithUnrouted = result.Checker.Stats.GoodputWithUnseen(d.clients.UnroutedValue)
+	result.LostWrites = len(d.clients.history.LostWrites)
+	if operator := d.operator; operator != nil {
+		result.OperatorCommands, result.RegionLosses = operator.Said, d.fleet.regionLosses
 	}
-	res.RepeatedEffects, res.OverloadCrashed = d.fleet.RepeatedEffects(), d.fleet.OverloadCrashed()
+	result.RepeatedEffects, result.OverloadCrashed = d.fleet.RepeatedEffects(), d.fleet.OverloadCrashed()
 	if d.opt.OutDir == "" {
-		return res, nil
+		return result, nil
 	}
 	if err := os.MkdirAll(d.opt.OutDir, 0o777); err != nil {
 		return nil, err
 	}
-	res.TrailFile = filepath.Join(d.opt.OutDir, fmt.Sprintf("badday-%d.parquet", d.opt.Seed))
-	return res, trail.Write(res.TrailFile, d.fleet.Meta, events)
+	result.TrailFile = filepath.Join(d.opt.OutDir, fmt.Sprintf("badday-%d.parquet", d.opt.Seed))
+	return result, trail.Write(result.TrailFile, d.fleet.Meta, events)
 }
 
 // drawFaults draws a day's troubles: each kind once, overlapping as they come.
-func drawFaults(which []string, rng *rand.Rand, span time.Duration) (out []ScheduledFault) {
-	if len(which) == 0 {
-		which = FaultKinds()
+func drawFaults(kinds []string, rng *rand.Rand, span time.Duration) (faults []ScheduledFault) {
+	if len(kinds) == 0 {
+		kinds = FaultKinds()
 	}
-	for _, k := range which {
-		if k == "none" {
+	for _, kind := range kinds {
+		if kind == "none" {
 			continue
 		}
-		part := func(low, high float64) time.Duration {
+		drawTime := func(low, high float64) time.Duration {
 			return time.Duration((low + (high-low)*rng.Float64()) * float64(span))
 		}
-		out = append(out, ScheduledFault{Kind: k, At: part(0.05, 0.7), Duration: part(0.08, 0.2)})
+		faults = append(faults, ScheduledFault{Kind: kind, At: drawTime(0.05, 0.7), Duration: drawTime(0.08, 0.2)})
 	}
-	for i := range out {
-		out[i].Seed = rng.Uint64()
+	for i := range faults {
+		faults[i].Seed = rng.Uint64()
 	}
-	return out
+	return faults
 }
 
-func (d *dayRun) countActive(kind string, by int) {
+func (d *dayRun) countActive(kind string, delta int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.activeFaults[kind] += by; d.activeFaults[kind] == 0 {
+	if d.activeFaults[kind] += delta; d.activeFaults[kind] == 0 {
 		delete(d.activeFaults, kind)
 	}
 }
@@ -313,33 +313,33 @@
 		return func() {}
 	}
 	var mu sync.Mutex
-	over := false
-	var again func()
-	again = func() {
+	ended := false
+	var report func()
+	report = func() {
 		mu.Lock()
 		defer mu.Unlock()
-		if over {
+		if ended {
 			return
 		}
 		d.mu.Lock()
-		var on []string
-		for k := range d.activeFaults {
-			on = append(on, k)
+		var active []string
+		for kind := range d.activeFaults {
+			active = append(active, kind)
 		}
 		d.mu.Unlock()
-		slices.Sort(on)
-		if len(on) == 0 {
-			on = []string{"none"}
+		slices.Sort(active)
+		if len(active) == 0 {
+			active = []string{"none"}
 		}
 		fmt.Fprintf(d.opt.Progress, "%5.0f s  %d asked, %d ended; troubles: %s\n", (d.fleet.Environment.Now() - begin).Seconds(),
-			d.clients.Submitted.Load(), d.clients.Completed.Load(), strings.Join(on, " "))
-		d.fleet.Environment.AfterFunc(progressInterval, again)
+			d.clients.Submitted.Load(), d.clients.Completed.Load(), strings.Join(active, " "))
+		d.fleet.Environment.AfterFunc(progressInterval, report)
 	}
-	d.fleet.Environment.AfterFunc(progressInterval, again)
+	d.fleet.Environment.AfterFunc(progressInterval, report)
 	return func() {
 		mu.Lock()
 		defer mu.Unlock()
-		over = true
+		ended = true
 	}
 }
 
@@ -353,10 +353,10 @@
 	if len(r.OverloadCrashed) > 0 {
 		fmt.Fprintf(w, "pushed over: %s\n", strings.Join(r.OverloadCrashed, ", "))
 	}
-	for _, t := range r.InvalidReads[:min(len(r.InvalidReads), 5)] {
-		fmt.Fprintln(w, "WRONG:", t)
+	for _, invalid := range r.InvalidReads[:min(len(r.InvalidReads), 5)] {
+		fmt.Fprintln(w, "WRONG:", invalid)
 	}
-	for _, b := range r.Checker.Violations[:min(len(r.Checker.Violations), 5)] {
-		fmt.Fprintln(w, "BROKEN:", b)
+	for _, violation := range r.Checker.Violations[:min(len(r.Checker.Violations), 5)] {
+		fmt.Fprintln(w, "BROKEN:", violation)
 	}
 }
--- a/internal/simulation/lab/clients.go
+++ b/internal/simulation/lab/clients.go
@@ -73,12 +73,12 @@
 func NewClients(f *Fleet, seed uint64) *Clients {
 	c := &Clients{fleet: f, history: NewBlockHistory(), rng: rand.New(rand.NewPCG(seed, 7))}
 	for i := range f.Settings.Volumes {
-		v := &f.Settings.Volumes[i]
-		var ls []*clientPath
-		for k, h := range v.Hosts {
-			ls = append(ls, &clientPath{clients: c, volume: v, host: h, isid: byte(k)})
+		volume := &f.Settings.Volumes[i]
+		var paths []*clientPath
+		for priority, host := range volume.Hosts {
+			paths = append(paths, &clientPath{clients: c, volume: volume, host: host, isid: byte(priority)})
 		}
-		c.paths = append(c.paths, ls)
+		c.paths = append(c.paths, paths)
 	}
 	return c
 }
@@ -94,51 +94,51 @@
 
 // session returns the lane's session, logging in if there is none; nil if none
 // can be had now.
-func (l *clientPath) session() *initiator.Client {
-	l.mu.Lock()
-	w := l.clients.fleet.Environment
-	if l.client != nil || l.dialing || w.Now() < l.retryAt {
-		defer l.mu.Unlock()
-		return l.client
-	}
-	l.dialing = true
-	l.mu.Unlock()
-	var c *initiator.Client
+func (path *clientPath) session() *initiator.Client {
+	path.mu.Lock()
+	environment := path.clients.fleet.Environment
+	if path.client != nil || path.dialing || environment.Now() < path.retryAt {
+		defer path.mu.Unlock()
+		return path.client
+	}
+	path.dialing = true
+	path.mu.Unlock()
+	var client *initiator.Client
 	err := context.Canceled
-	if addr := l.clients.fleet.HostAddr(l.host); addr != "" {
-		c, err = initiator.Dial(context.Background(), initiator.Config{Environment: w, Addr: addr,
-			Name: "iqn.2026-11.example.client:" + l.volume.Name, Target: l.clients.fleet.Settings.TargetName(l.volume),
-			ISID: iscsi.ISID{0x80, 0, 0, 0, 0, l.isid}, Params: initiator.DefaultParams(), LoginTime: 2 * time.Second})
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.dialing = false
+	if addr := path.clients.fleet.HostAddr(path.host); addr != "" {
+		client, err = initiator.Dial(context.Background(), initiator.Config{Environment: environment, Addr: addr,
+			Name: "iqn.2026-11.example.client:" + path.volume.Name, Target: path.clients.fleet.Settings.TargetName(path.volume),
+			ISID: iscsi.ISID{0x80, 0, 0, 0, 0, path.isid}, Params: initiator.DefaultParams(), LoginTime: 2 * time.Second})
+	}
+	path.mu.Lock()
+	defer path.mu.Unlock()
+	path.dialing = false
 	if err != nil {
-		l.retryAt = w.Now() + redialInterval
+		path.retryAt = environment.Now() + redialInterval
 		return nil
 	}
-	l.client = c
-	return c
+	path.client = client
+	return client
 }
 
 // dropSession forgets a session that is over.
-func (l *clientPath) dropSession(c *initiator.Client) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.client == c {
-		l.client, l.retryAt = nil, l.clients.fleet.Environment.Now()+redialInterval
+func (path *clientPath) dropSession(client *initiator.Client) {
+	path.mu.Lock()
+	defer path.mu.Unlock()
+	if path.client == client {
+		path.client, path.retryAt = nil, path.clients.fleet.Environment.Now()+redialInterval
 	}
 }
 
 // Login opens every session, so that a day doesn't begin with a storm.
 func (c *Clients) Login() {
-	var all env.WaitGroup
-	for _, ls := range c.paths {
-		for _, l := range ls {
-			all.Go(c.fleet.Environment, func() { l.session() })
+	var logins env.WaitGroup
+	for _, paths := range c.paths {
+		for _, path := range paths {
+			logins.Go(c.fleet.Environment, func() { path.session() })
 		}
 	}
-	all.Wait(c.fleet.Environment)
+	logins.Wait(c.fleet.Environment)
 }
 
 // clientCommand is one thing a client wants: what, where and how often it has tried.
@@ -155,8 +155,8 @@
 }
 
 // class is the class that the settings give the command.
-func (a *clientCommand) class(s *settings.Settings) *settings.Class {
-	return s.Class(a.op, int(a.blocks)*a.volume.BlockSize, a.volume.Plan)
+func (command *clientCommand) class(config *settings.Settings) *settings.Class {
+	return config.Class(command.op, int(command.blocks)*command.volume.BlockSize, command.volume.Plan)
 }
 
 // hot spots of a volume: most commands go to its first blocks, so that cards are
@@ -165,94 +165,94 @@
 
 // drawCommand makes the next command of the day. Held: mu.
 func (c *Clients) drawCommand() clientCommand {
-	h := &c.behaviour
-	v := 0
-	if len(h.HotVolumes) > 0 && c.rng.Float64() < h.HotShare {
-		v = h.HotVolumes[c.rng.IntN(len(h.HotVolumes))]
+	behaviour := &c.behaviour
+	index := 0
+	if len(behaviour.HotVolumes) > 0 && c.rng.Float64() < behaviour.HotShare {
+		index = behaviour.HotVolumes[c.rng.IntN(len(behaviour.HotVolumes))]
 	} else {
-		v = c.drawVolume()
-	}
-	ls := c.paths[v]
-	lead := 0
-	if h.PreferLastHost {
-		lead = len(ls) - 1
-	}
-	if len(ls) > 1 && c.rng.Float64() > 0.7 {
-		lead = c.rng.IntN(len(ls))
-	}
-	vol := &c.fleet.Settings.Volumes[v]
-	a := clientCommand{volume: vol, path: ls[lead], op: scsi.Read, blocks: uint32(1 + c.rng.IntN(4))}
-	switch x := c.rng.Float64(); {
-	case x < 0.50:
-	case x < 0.78:
-		a.op = scsi.Write
-	case x < 0.93:
-		a.blocks = uint32(18 + c.rng.IntN(30)) // a bulk read, often over two shards
-	case x < 0.96:
-		a.op, a.blocks = scsi.Write, uint32(8+c.rng.IntN(32)) // over extents
-	case x < 0.98:
-		a.op, a.blocks = scsi.WriteSame, uint32(1+c.rng.IntN(8))
+		index = c.drawVolume()
+	}
+	paths := c.paths[index]
+	host := 0
+	if behaviour.PreferLastHost {
+		host = len(paths) - 1
+	}
+	if len(paths) > 1 && c.rng.Float64() > 0.7 {
+		host = c.rng.IntN(len(paths))
+	}
+	volume := &c.fleet.Settings.Volumes[index]
+	command := clientCommand{volume: volume, path: paths[host], op: scsi.Read, blocks: uint32(1 + c.rng.IntN(4))}
+	switch kind := c.rng.Float64(); {
+	case kind < 0.50:
+	case kind < 0.78:
+		command.op = scsi.Write
+	case kind < 0.93:
+		command.blocks = uint32(18 + c.rng.IntN(30)) // a bulk read, often over two shards
+	case kind < 0.96:
+		command.op, command.blocks = scsi.Write, uint32(8+c.rng.IntN(32)) // over extents
+	case kind < 0.98:
+		command.op, command.blocks = scsi.WriteSame, uint32(1+c.rng.IntN(8))
 	default:
-		a.op, a.blocks = scsi.CompareAndWrite, 1
+		command.op, command.blocks = scsi.CompareAndWrite, 1
 	}
 	if c.choosePath != nil {
-		a.path = c.choosePath(v)
+		command.path = c.choosePath(index)
 	}
-	span := uint64(hotBlocks)
+	blocks := uint64(hotBlocks)
 	if c.rng.Float64() < 0.2 {
-		span = vol.Blocks
+		blocks = volume.Blocks
 	}
-	a.lba = c.rng.Uint64N(span - uint64(a.blocks))
-	if vol.Plan == h.AbusePlan {
-		a.abandon = 1
+	command.lba = c.rng.Uint64N(blocks - uint64(command.blocks))
+	if volume.Plan == behaviour.AbusePlan {
+		command.abandon = 1
 	}
-	if c.rng.Float64() < h.AbandonShare {
-		a.abandon, a.abandonMode = 1, c.rng.IntN(4)/3
+	if c.rng.Float64() < behaviour.AbandonShare {
+		command.abandon, command.abandonMode = 1, c.rng.IntN(4)/3
 	}
-	return a
+	return command
 }
 
 // drawVolume draws a volume by its rate. Held: mu.
 func (c *Clients) drawVolume() int {
-	s := c.fleet.Settings
-	weight := func(v *settings.Volume) float64 {
-		if c.behaviour.BurstFactor > 0 && c.behaviour.BurstPlan == v.Plan {
-			return s.RateOf(v) * c.behaviour.BurstFactor
+	config := c.fleet.Settings
+	weight := func(volume *settings.Volume) float64 {
+		if c.behaviour.BurstFactor > 0 && c.behaviour.BurstPlan == volume.Plan {
+			return config.RateOf(volume) * c.behaviour.BurstFactor
 		}
-		return s.RateOf(v)
+		return config.RateOf(volume)
 	}
 	total := 0.0
-	for i := range s.Volumes {
-		total += weight(&s.Volumes[i])
+	for i := range config.Volumes {
+		total += weight(&config.Volumes[i])
 	}
-	at := c.rng.Float64() * total
-	for i := range s.Volumes {
-		if at -= weight(&s.Volumes[i]); at < 0 {
+	remaining := c.rng.Float64() * total
+	for i := range config.Volumes {
+		if remaining -= weight(&config.Volumes[i]); remaining < 0 {
 			return i
 		}
 	}
-	return len(s.Volumes) - 1
+	return len(config.Volumes) - 1
 }
 
 // Run sends so many commands at that mean rate a second, open loop: a slow
 // service is asked no less.
 func (c *Clients) Run(ctx context.Context, commands int, rate float64) {
 	next := c.fleet.Environment.Now()
-	for n := 0; n < commands; n++ {
+	for sent := 0; sent < commands; sent++ {
 		c.mu.Lock()
-		a := c.drawCommand()
-		x := c.behaviour.RateFactor
-		if x == 0 {
-			x = 1
+		command := c.drawCommand()
+		factor := c.behaviour.RateFactor
+		if factor == 0 {
+			factor = 1
 		}
-		next += time.Duration(c.rng.ExpFloat64() / (rate * x) * float64(time.Second))
+		next += time.Duration(c.rng.ExpFloat64() / (rate * factor) * float64(time.Second))
 		c.mu.Unlock()
 		if wait := next - c.fleet.Environment.Now(); wait > 0 {
 			if !env.SleepContext(ctx, c.fleet.Environment, wait) {
 				return
 			}
 		}
-		c.inFlight.Go(c.fleet.Environment, func() { c.execute(a) })
+		c.inFlight.Go(c.fleet.Environment, func() { c.execute(command) })
 	}
 }
 
@@ -262,68 +262,68 @@
 // Close ends every session.
 func (c *Clients) Close() {
 	c.stopping.Store(true)
-	for _, ls := range c.paths {
-		for _, l := range ls {
-			l.mu.Lock()
-			k := l.client
-			l.mu.Unlock()
-			if k != nil {
-				k.Close()
+	for _, paths := range c.paths {
+		for _, path := range paths {
+			path.mu.Lock()
+			client := path.client
+			path.mu.Unlock()
+			if client != nil {
+				client.Close()
 			}
 		}
 	}
 }
 
 // execute carries one command through to its end.
-func (c *Clients) execute(a clientCommand) {
-	var s *initiator.Client
-	if a.path != nil {
-		s = a.path.session()
+func (c *Clients) execute(command clientCommand) {
+	var client *initiator.Client
+	if command.path != nil {
+		client = command.path.session()
 	}
-	if s == nil { // no session is to be had now
+	if client == nil { // no session is to be had now
 		c.Unrouted.Add(1)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if k := a.class(c.fleet.Settings); k != nil {
-			c.UnroutedValue += k.Value
+		if class := command.class(c.fleet.Settings); class != nil {
+			c.UnroutedValue += class.Value
 		}
 		return
 	}
-	if a.op == scsi.CompareAndWrite {
-		c.compareAndWrite(s, a)
+	if command.op == scsi.CompareAndWrite {
+		c.compareAndWrite(client, command)
 		return
 	}
-	c.submit(s, a, nil)
+	c.submit(client, command, nil)
 }
 
 // submit sends a read or a write and sees to its end; then, if any, is told of the
 // data of a read.
-func (c *Clients) submit(s *initiator.Client, a clientCommand, then func([]byte)) {
-	w, size := c.fleet.Environment, a.path.volume.BlockSize
-	n := int(a.blocks) * size
-	begin := w.Now()
-	id := uint64(0)
-	var cdb, out []byte
-	in := 0
-	switch a.op {
+func (c *Clients) submit(client *initiator.Client, command clientCommand, onRead func([]byte)) {
+	environment, blockSize := c.fleet.Environment, command.path.volume.BlockSize
+	dataLength := int(command.blocks) * blockSize
+	begin := environment.Now()
+	writeID := uint64(0)
+	var cdb, dataOut []byte
+	dataIn := 0
+	switch command.op {
 	case scsi.Read:
-		cdb, in = initiator.ReadCDB(a.lba, a.blocks), n
+		cdb, dataIn = initiator.ReadCDB(command.lba, command.blocks), dataLength
 	case scsi.Write:
-		id = c.history.BeginWrite(a.path.volume.Name, a.lba, int(a.blocks), begin)
-		cdb, out = initiator.WriteCDB(a.lba, a.blocks), Stamp(id, n)
+		writeID = c.history.BeginWrite(command.path.volume.Name, command.lba, int(command.blocks), begin)
+		cdb, dataOut = initiator.WriteCDB(command.lba, command.blocks), Stamp(writeID, dataLength)
 	case scsi.WriteSame:
-		id = c.history.BeginWrite(a.path.volume.Name, a.lba, int(a.blocks), begin)
-		cdb, out = initiator.WriteSameCDB(a.lba, a.blocks), Stamp(id, size)
+		writeID = c.history.BeginWrite(command.path.volume.Name, command.lba, int(command.blocks), begin)
+		cdb, dataOut = initiator.WriteSameCDB(command.lba, command.blocks), Stamp(writeID, blockSize)
 	case scsi.CompareAndWrite:
-		id = c.history.BeginWrite(a.path.volume.Name, a.lba, int(a.blocks), begin)
-		cdb, out = initiator.CompareAndWriteCDB(a.lba, byte(a.blocks)), append(slices.Clone(a.expected), Stamp(id, n)...)
+		writeID = c.history.BeginWrite(command.path.volume.Name, command.lba, int(command.blocks), begin)
+		cdb, dataOut = initiator.CompareAndWriteCDB(command.lba, byte(command.blocks)), append(slices.Clone(command.expected), Stamp(writeID, dataLength)...)
 	}
 	c.Submitted.Add(1)
-	end := &completion{}
-	h := s.Submit(0, cdb, out, in, func(r iscsi.Result, err error) { end.set(r, err) })
-	left := c.awaitCompletion(s, h, end, a)
+	done := &completion{}
+	handle := client.Submit(0, cdb, dataOut, dataIn, func(result iscsi.Result, err error) { done.set(result, err) })
+	abandoned := c.awaitCompletion(client, handle, done, command)
 	c.Completed.Add(1)
-	c.finish(a, s, end, id, begin, left, then)
+	c.finish(command, client, done, writeID, begin, abandoned, onRead)
 }
 
 // completion is how a command ended at its client.
@@ -334,8 +334,8 @@
 	err    error
 }
 
-func (e *completion) set(r iscsi.Result, err error) {
-	e.once.Do(func() { e.result, e.err = r, err; e.done.Open() })
+func (c *completion) set(result iscsi.Result, err error) {
+	c.once.Do(func() { c.result, c.err = result, err; c.done.Open() })
 }
 
 // abandonment says how a client left a command before its end.
@@ -349,38 +349,38 @@
 )
 
 // awaitCompletion waits for the end of a command, or leaves it early.
-func (c *Clients) awaitCompletion(s *initiator.Client, h *initiator.Handle, end *completion, a clientCommand) abandonment {
-	if a.abandon == 0 {
-		end.done.Wait(c.fleet.Environment)
+func (c *Clients) awaitCompletion(client *initiator.Client, handle *initiator.Handle, done *completion, command clientCommand) abandonment {
+	if command.abandon == 0 {
+		done.done.Wait(c.fleet.Environment)
 		return notAbandoned
 	}
 	c.mu.Lock()
-	at := 0.3 + 0.5*c.rng.Float64()
-	if a.path.volume.Plan == c.behaviour.AbusePlan {
-		at = c.behaviour.AbuseAbortFraction
+	fraction := 0.3 + 0.5*c.rng.Float64()
+	if command.path.volume.Plan == c.behaviour.AbusePlan {
+		fraction = c.behaviour.AbuseAbortFraction
 	}
 	c.mu.Unlock()
-	if !env.Sleep(c.fleet.Environment, env.Duration(a.class(c.fleet.Settings).LatencyTarget*at), &end.done) {
+	if !env.Sleep(c.fleet.Environment, env.Duration(command.class(c.fleet.Settings).LatencyTarget*fraction), &done.done) {
 		return notAbandoned
 	}
-	if a.abandonMode == 1 {
-		a.path.dropSession(s)
-		s.Close()
-		end.done.Wait(c.fleet.Environment)
-		if end.err == nil {
+	if command.abandonMode == 1 {
+		command.path.dropSession(client)
+		client.Close()
+		done.done.Wait(c.fleet.Environment)
+		if done.err == nil {
 			return notAbandoned
 		}
 		return abandonedClosed
 	}
 	var answered env.Gate
-	if !s.Abort(h, func(byte) { answered.Open() }) {
+	if !client.Abort(handle, func(byte) { answered.Open() }) {
 		return abandonedUnsent
 	}
-	env.WaitAny(c.fleet.Environment, &answered, &end.done, s.Done())
+	env.WaitAny(c.fleet.Environment, &answered, &done.done, client.Done())
 	switch {
 	case answered.Opened():
 		return abandonedAborted
-	case end.done.Opened(): // it crossed the abort
+	case done.done.Opened(): // it crossed the abort
 		return notAbandoned
 	}
 	return abandonedClosed
@@ -388,136 +388,136 @@
 
 // finish enters what became of the command, and tries again where its client
 // would.
-func (c *Clients) finish(a clientCommand, s *initiator.Client, end *completion, id uint64, begin time.Duration, left abandonment, then func([]byte)) {
+func (c *Clients) finish(command clientCommand, client *initiator.Client, done *completion, writeID uint64, begin time.Duration, abandoned abandonment, onRead func([]byte)) {
 	now := c.fleet.Environment.Now()
-	a.path.judge(now, end.err == nil && end.result.Status == scsi.Good)
-	f, again := WriteIndeterminate, false
-	by := now
-	sense, _ := scsi.ParseSense(end.result.Sense)
+	command.path.judge(now, done.err == nil && done.result.Status == scsi.Good)
+	outcome, retry := WriteIndeterminate, false
+	effectBy := now
+	sense, _ := scsi.ParseSense(done.result.Sense)
 	switch {
-	case left == abandonedUnsent:
-		f = WriteNotApplied
-	case left == abandonedAborted:
-	case left == abandonedClosed || end.err != nil:
-		if left == notAbandoned {
+	case abandoned == abandonedUnsent:
+		outcome = WriteNotApplied
+	case abandoned == abandonedAborted:
+	case abandoned == abandonedClosed || done.err != nil:
+		if abandoned == notAbandoned {
 			c.Unanswered.Add(1)
 		}
 		// Whatever was under way may land until the command's time is up.
-		a.path.dropSession(s)
-		by = begin + env.Duration(a.class(c.fleet.Settings).Deadline) + 100*time.Millisecond + c.maxEffectDelay
-		again = a.op == scsi.Read
-	case end.result.Status == scsi.Good:
-		f = WriteAcked
-		if a.op == scsi.Read {
-			c.history.RecordRead(a.path.volume.Name, a.lba, end.result.Data, a.path.volume.BlockSize, begin, now)
-			if then != nil {
-				then(end.result.Data)
+		command.path.dropSession(client)
+		effectBy = begin + env.Duration(command.class(c.fleet.Settings).Deadline) + 100*time.Millisecond + c.maxEffectDelay
+		retry = command.op == scsi.Read
+	case done.result.Status == scsi.Good:
+		outcome = WriteAcked
+		if command.op == scsi.Read {
+			c.history.RecordRead(command.path.volume.Name, command.lba, done.result.Data, command.path.volume.BlockSize, begin, now)
+			if onRead != nil {
+				onRead(done.result.Data)
 			}
 		}
-	case end.result.Status == scsi.Busy:
-		f, again = WriteNotApplied, a.op != scsi.CompareAndWrite
+	case done.result.Status == scsi.Busy:
+		outcome, retry = WriteNotApplied, command.op != scsi.CompareAndWrite
 	case sense == scsi.Miscompare:
-		f = WriteNotApplied
+		outcome = WriteNotApplied
 	default:
-		again = a.op == scsi.Read
+		retry = command.op == scsi.Read
 	}
-	if id != 0 {
-		c.history.EndWrite(id, f, by)
+	if writeID != 0 {
+		c.history.EndWrite(writeID, outcome, effectBy)
 	}
-	if then == nil {
-		c.retry(a, again, left, end.result.Qualifier)
+	if onRead == nil {
+		c.retry(command, retry, abandoned, done.result.Qualifier)
 	}
 }
 
 // retry repeats a command as its client would: once, after the advice; those of
 // an abusive plan many times, at once.
-func (c *Clients) retry(a clientCommand, may bool, left abandonment, advice uint16) {
+func (c *Clients) retry(command clientCommand, retryable bool, abandoned abandonment, retryAfter uint16) {
 	c.mu.Lock()
-	abuse := a.path.volume.Plan == c.behaviour.AbusePlan
-	more := c.behaviour.AbuseMaxRetries
+	abusive := command.path.volume.Plan == c.behaviour.AbusePlan
+	maxRetries := c.behaviour.AbuseMaxRetries
 	c.mu.Unlock()
-	wait := 50*time.Millisecond + time.Duration(advice)*100*time.Millisecond
+	delay := 50*time.Millisecond + time.Duration(retryAfter)*100*time.Millisecond
 	switch {
 	case c.stopping.Load():
 		return
-	case abuse && a.retries < more && (may || left != notAbandoned && a.op == scsi.Read):
-		wait = 0
-	case !may || a.retries >= 1 || abuse:
+	case abusive && command.retries < maxRetries && (retryable || abandoned != notAbandoned && command.op == scsi.Read):
+		delay = 0
+	case !retryable || command.retries >= 1 || abusive:
 		return
 	}
-	a.retries++
-	if !abuse {
-		a.abandon = 0
+	command.retries++
+	if !abusive {
+		command.abandon = 0
 	}
 	c.inFlight.Add(1)
-	c.fleet.Environment.AfterFunc(wait, func() {
+	c.fleet.Environment.AfterFunc(delay, func() {
 		defer c.inFlight.Done()
-		c.execute(a)
+		c.execute(command)
 	})
 }
 
 // compareAndWrite reads a block and replaces it if it is still the same.
-func (c *Clients) compareAndWrite(s *initiator.Client, a clientCommand) {
-	read := a
+func (c *Clients) compareAndWrite(client *initiator.Client, command clientCommand) {
+	read := command
 	read.op, read.abandon = scsi.Read, 0
-	c.submit(s, read, func(b []byte) { a.expected = b })
-	if a.expected != nil {
-		a.abandon = 0
-		c.submit(s, a, nil)
+	c.submit(client, read, func(data []byte) { command.expected = data })
+	if command.expected != nil {
+		command.abandon = 0
+		c.submit(client, command, nil)
 	}
 }
 
 // ReadBack reads every block that was written, until each was read, through
 // whichever of its volume's hosts is up, for at most so long. It returns how many
 // could not be.
-func (c *Clients) ReadBack(ctx context.Context, most time.Duration) (missed int) {
-	until := c.fleet.Environment.Now() + most
+func (c *Clients) ReadBack(ctx context.Context, timeout time.Duration) (unread int) {
+	deadline := c.fleet.Environment.Now() + timeout
 	type piece struct {
 		volume int
 		blockRange
 	}
-	var left []piece
+	var pending []piece
 	written := c.history.WrittenBlocks()
 	for i := range c.paths {
 		for _, r := range mergeBlocks(written[c.fleet.Settings.Volumes[i].Name], 16) {
-			left = append(left, piece{i, r})
+			pending = append(pending, piece{i, r})
 		}
 	}
 	var mu sync.Mutex
 	next := func() (p piece, ok bool) {
 		mu.Lock()
 		defer mu.Unlock()
-		if len(left) == 0 {
+		if len(pending) == 0 {
 			return p, false
 		}
-		p, left = left[0], left[1:]
+		p, pending = pending[0], pending[1:]
 		return p, true
 	}
-	var all env.WaitGroup
+	var readers env.WaitGroup
 	for range 16 { // gently: this is no load test
-		all.Go(c.fleet.Environment, func() {
+		readers.Go(c.fleet.Environment, func() {
 			for p, ok := next(); ok; p, ok = next() {
-				if !c.readRange(ctx, until, p.volume, p.blockRange) {
+				if !c.readRange(ctx, deadline, p.volume, p.blockRange) {
 					mu.Lock()
-					missed += int(p.blocks)
+					unread += int(p.blocks)
 					mu.Unlock()
 				}
 			}
 		})
 	}
-	all.Wait(c.fleet.Environment)
-	return missed
+	readers.Wait(c.fleet.Environment)
+	return unread
 }
 
-func (c *Clients) readRange(ctx context.Context, until time.Duration, volume int, r blockRange) bool {
-	for try := 0; ctx.Err() == nil && c.fleet.Environment.Now() < until; try++ {
-		l := c.paths[volume][try%len(c.paths[volume])]
-		if s := l.session(); s != nil {
-			got := false
+func (c *Clients) readRange(ctx context.Context, deadline time.Duration, volume int, blocks blockRange) bool {
+	for attempt := 0; ctx.Err() == nil && c.fleet.Environment.Now() < deadline; attempt++ {
+		path := c.paths[volume][attempt%len(c.paths[volume])]
+		if client := path.session(); client != nil {
+			done := false
 			c.inFlight.Add(1)
-			c.submit(s, clientCommand{volume: l.volume, path: l, op: scsi.Read, lba: r.lba, blocks: r.blocks}, func([]byte) { got = true })
+			c.submit(client, clientCommand{volume: path.volume, path: path, op: scsi.Read, lba: blocks.lba, blocks: blocks.blocks}, func([]byte) { done = true })
 			c.inFlight.Done()
-			if got {
+			if done {
 				return true
 			}
 		}
--- a/internal/simulation/lab/explore.go
+++ b/internal/simulation/lab/explore.go
@@ -117,17 +117,17 @@
 
 // SmallBlocks gives settings with blocks of 512 bytes and every size an eighth: the
 // same service with less to copy.
-func SmallBlocks(s *settings.Settings) *settings.Settings {
-	const by = 8
-	s.UnitBytes /= by
-	for i := range s.Volumes {
-		s.Volumes[i].BlockSize /= by
+func SmallBlocks(config *settings.Settings) *settings.Settings {
+	const divisor = 8
+	config.UnitBytes /= divisor
+	for i := range config.Volumes {
+		config.Volumes[i].BlockSize /= divisor
 	}
-	for i := range s.Classes {
-		s.Classes[i].Match.MaxBytes /= by
-		s.Classes[i].Match.MinBytes /= by
+	for i := range config.Classes {
+		config.Classes[i].Match.MaxBytes /= divisor
+		config.Classes[i].Match.MinBytes /= divisor
 	}
-	return s
+	return config
 }
 
 // excludedFault is what the service does not withstand in every case, so that it is no part of
@@ -139,20 +139,20 @@
 // on other seeds, so that rare mixes do; without it, all of them.
 func DrawScenario(seed uint64, hosts, servers int, span time.Duration, rate float64, swarm bool) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 17))
-	all := slices.DeleteFunc(WorldFaultKinds(), func(k string) bool { return k == excludedFault })
-	var which []string
-	part := 0.1 + 0.4*rng.Float64()
-	for _, k := range all {
-		if !swarm || rng.Float64() < part {
-			which = append(which, k)
+	kinds := slices.DeleteFunc(WorldFaultKinds(), func(kind string) bool { return kind == excludedFault })
+	var selected []string
+	share := 0.1 + 0.4*rng.Float64()
+	for _, kind := range kinds {
+		if !swarm || rng.Float64() < share {
+			selected = append(selected, kind)
 		}
 	}
-	if len(which) == 0 {
-		which = []string{all[rng.IntN(len(all))]}
+	if len(selected) == 0 {
+		selected = []string{kinds[rng.IntN(len(kinds))]}
 	}
 	// Troubles end at two thirds of the day, so that it shows whether the rest is calm.
 	return Scenario{Seed: seed, Hosts: hosts, Servers: servers, Commands: int(span.Seconds() * rate), Rate: rate,
-		Faults: drawFaults(which, rng, span*2/3)}
+		Faults: drawFaults(selected, rng, span*2/3)}
 }
 
 // companionFaults are the troubles that are drawn close to those of regions.
@@ -163,94 +163,94 @@
 func DrawRegionScenario(seed uint64, hosts, servers int, span time.Duration, rate float64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 19))
 	kinds := RegionKinds()
-	which := []string{"tenant_burst"} // a limit that nobody asks for can't be passed
-	for _, i := range rng.Perm(len(kinds))[:1+rng.IntN(3)] {
-		which = append(which, kinds[i])
+	selected := []string{"tenant_burst"} // a limit that nobody asks for can't be passed
+	for _, index := range rng.Perm(len(kinds))[:1+rng.IntN(3)] {
+		selected = append(selected, kinds[index])
 	}
-	for _, k := range WorldFaultKinds() {
-		if k != excludedFault && k != "tenant_burst" && rng.Float64() < 0.1 {
-			which = append(which, k)
+	for _, kind := range WorldFaultKinds() {
+		if kind != excludedFault && kind != "tenant_burst" && rng.Float64() < 0.1 {
+			selected = append(selected, kind)
 		}
 	}
-	script := drawFaults(which, rng, span*2/3)
-	for i := range script { // long enough for leases to run out
-		if regionKinds[script[i].Kind] != nil {
-			script[i].Duration *= 2
+	faults := drawFaults(selected, rng, span*2/3)
+	for i := range faults { // long enough for leases to run out
+		if regionKinds[faults[i].Kind] != nil {
+			faults[i].Duration *= 2
 		}
 	}
 	// What stands still as leases run out shows what relies on its being quick.
-	for _, t := range script {
-		if regionKinds[t.Kind] != nil && rng.IntN(2) == 0 {
-			script = append(script, ScheduledFault{Kind: companionFaults[rng.IntN(len(companionFaults))], At: t.At + time.Duration(rng.Float64()*9*float64(time.Second)),
+	for _, fault := range faults {
+		if regionKinds[fault.Kind] != nil && rng.IntN(2) == 0 {
+			faults = append(faults, ScheduledFault{Kind: companionFaults[rng.IntN(len(companionFaults))], At: fault.At + time.Duration(rng.Float64()*9*float64(time.Second)),
 				Duration: time.Duration((2 + 6*rng.Float64()) * float64(time.Second)), Seed: rng.Uint64()})
 		}
 	}
-	return Scenario{Seed: seed, Hosts: hosts, Servers: servers, Commands: int(span.Seconds() * rate), Rate: rate, Regions: true, Faults: script}
+	return Scenario{Seed: seed, Hosts: hosts, Servers: servers, Commands: int(span.Seconds() * rate), Rate: rate, Regions: true, Faults: faults}
 }
 
 // Run plays a scene to its end or to its first failure. keep, if any, is a file for
 // its trail.
-func (s Scenario) Run(ctx context.Context, keep string) (*Outcome, error) {
+func (s Scenario) Run(ctx context.Context, trailFile string) (*Outcome, error) {
 	if s.Planted != "" && !faultinject.Enabled {
 		return nil, errors.New("lab: the scene has a planted fault, and this build can have none")
 	}
-	for _, t := range s.Faults {
-		if faultFuncs[t.Kind] == nil && worldFaultFuncs[t.Kind] == nil && (regionKinds[t.Kind] == nil || !s.Regions) {
-			return nil, fmt.Errorf("lab: unknown trouble %q", t.Kind)
+	for _, fault := range s.Faults {
+		if faultFuncs[fault.Kind] == nil && worldFaultFuncs[fault.Kind] == nil && (regionKinds[fault.Kind] == nil || !s.Regions) {
+			return nil, fmt.Errorf("lab: unknown trouble %q", fault.Kind)
 		}
 	}
 	if s.Hosts < 1 || s.Servers < 3 || s.Commands < 1 || !(s.Rate > 0) {
 		return nil, errors.New("lab: a scene needs a host, three servers, a command and a rate above 0")
 	}
-	set, err := s.settings()
+	config, err := s.settings()
 	if err != nil {
 		return nil, err
 	}
-	w := world.New(s.Seed)
-	out := &Outcome{Scenario: s}
+	simulated := world.New(s.Seed)
+	outcome := &Outcome{Scenario: s}
 	var fleet *Fleet
-	opt := Options{Seed: s.Seed, Commands: s.Commands, Rate: s.Rate, Hosts: s.Hosts, Servers: s.Servers, Faults: s.Faults, Log: zap.NewNop(),
+	options := Options{Seed: s.Seed, Commands: s.Commands, Rate: s.Rate, Hosts: s.Hosts, Servers: s.Servers, Faults: s.Faults, Log: zap.NewNop(),
 		maxEffectDelay: maxStall, fixedShares: s.fixedShares}
 	if s.Regions {
-		opt.maxEffectDelay = 2 * maxStall
+		options.maxEffectDelay = 2 * maxStall
 	}
-	if opt.Faults == nil {
-		opt.Faults = []ScheduledFault{} // none, where nil would have one drawn
+	if options.Faults == nil {
+		options.Faults = []ScheduledFault{} // none, where nil would have one drawn
 	}
-	opt.newChecker = func(f *Fleet) *rules.Checker {
-		fleet, out.Checker = f, rules.New(f.Meta)
-		out.Checker.Stats.OnAnswer = s.onAnswer
-		f.Recorder.SetObserver(func(e *trail.Event) {
+	options.newChecker = func(fleetStarted *Fleet) *rules.Checker {
+		fleet, outcome.Checker = fleetStarted, rules.New(fleetStarted.Meta)
+		outcome.Checker.Stats.OnAnswer = s.onAnswer
+		fleetStarted.Recorder.SetObserver(func(event *trail.Event) {
 			if s.onEvent != nil {
-				s.onEvent(e)
+				s.onEvent(event)
 			}
-			out.feed(w, e)
-		}, keep != "")
-		return out.Checker
-	}
-	var res *Result
-	var failed error
-	err = w.Run("lab", maxScenarioTime, func(p *world.Process) {
-		res, failed = runDay(ctx, p, virtualTestbed{w}, set, opt)
+			outcome.feed(simulated, event)
+		}, trailFile != "")
+		return outcome.Checker
+	}
+	var result *Result
+	var runErr error
+	err = simulated.Run("lab", maxScenarioTime, func(process *world.Process) {
+		result, runErr = runDay(ctx, process, virtualTestbed{simulated}, config, options)
 	})
 	if err == nil {
-		err = failed
+		err = runErr
 	}
-	if err = out.setRunFailure(err, w.Now()); err != nil {
+	if err = outcome.setRunFailure(err, simulated.Now()); err != nil {
 		return nil, err
 	}
-	if res != nil {
-		out.evaluate(res, w.Now())
+	if result != nil {
+		outcome.evaluate(result, simulated.Now())
 	}
-	out.VirtualTime, out.Steps = w.Now(), w.Steps
-	for _, n := range out.Checker.Checks {
-		out.RuleChecks += n
+	outcome.VirtualTime, outcome.Steps = simulated.Now(), simulated.Steps
+	for _, n := range outcome.Checker.Checks {
+		outcome.RuleChecks += n
 	}
-	out.Scenario.Failure, out.Scenario.Digest, out.Scenario.Steps = out.Failure, w.Digest(), w.Steps
-	if keep != "" {
-		return out, trail.Write(keep, fleet.Meta, fleet.Recorder.Stop())
+	outcome.Scenario.Failure, outcome.Scenario.Digest, outcome.Scenario.Steps = outcome.Failure, simulated.Digest(), simulated.Steps
+	if trailFile != "" {
+		return outcome, trail.Write(trailFile, fleet.Meta, fleet.Recorder.Stop())
 	}
-	return out, nil
+	return outcome, nil
 }
 
 // ScenarioLayouts are the ways in which a scene's volumes can lie on its servers.
@@ -259,23 +259,23 @@
 // settings are the scene's: the example's with small blocks, its figures and its layout.
 func (s Scenario) settings() (*settings.Settings, error) {
 	if s.Regions {
-		set := RegionSettings(s.Hosts, s.Servers)
+		config := RegionSettings(s.Hosts, s.Servers)
 		if s.changeSettings != nil {
-			s.changeSettings(set)
+			s.changeSettings(config)
 		}
-		return withFigures(set, s.Figures)
+		return withFigures(config, s.Figures)
 	}
 	set := SmallBlocks(settings.Example(s.Hosts, s.Servers))
 	for i := range set.Volumes {
-		v := &set.Volumes[i]
+		volume := &set.Volumes[i]
 		switch s.Layout {
 		case "":
 		case "narrow":
-			v.Layout = v.Layout[:1]
+			volume.Layout = volume.Layout[:1]
 		case "wide":
-			v.Layout, v.MaxNodes = nil, s.Servers
+			volume.Layout, volume.MaxNodes = nil, s.Servers
 			for k := range min(6, s.Servers) {
-				v.Layout = append(v.Layout, (i+k)%s.Servers)
+				volume.Layout = append(volume.Layout, (i+k)%s.Servers)
 			}
 		default:
 			return nil, fmt.Errorf("lab: unknown layout %q", s.Layout)
@@ -285,52 +285,52 @@
 }
 
 // withFigures sets figures by their path in the settings' JSON, as limits.max_attempts.
-func withFigures(set *settings.Settings, figures map[string]float64) (*settings.Settings, error) {
+func withFigures(config *settings.Settings, figures map[string]float64) (*settings.Settings, error) {
 	if len(figures) == 0 {
-		return set, nil
+		return config, nil
 	}
-	b, err := json.Marshal(set)
+	encoded, err := json.Marshal(config)
 	if err != nil {
 		return nil, err
 	}
 	var tree map[string]any
-	if err := json.Unmarshal(b, &tree); err != nil {
+	if err := json.Unmarshal(encoded, &tree); err != nil {
 		return nil, err
 	}
 	for _, path := range slices.Sorted(maps.Keys(figures)) {
-		at, parts := tree, strings.Split(path, ".")
-		for _, p := range parts[:len(parts)-1] {
-			next, ok := at[p].(map[string]any)
+		node, parts := tree, strings.Split(path, ".")
+		for _, key := range parts[:len(parts)-1] {
+			next, ok := node[key].(map[string]any)
 			if !ok {
 				return nil, fmt.Errorf("lab: the settings have no %s", path)
 			}
-			at = next
+			node = next
 		}
 		last := parts[len(parts)-1]
-		if _, ok := at[last].(float64); !ok {
+		if _, ok := node[last].(float64); !ok {
 			return nil, fmt.Errorf("lab: the settings have no figure %s", path)
 		}
-		at[last] = figures[path]
+		node[last] = figures[path]
 	}
-	if b, err = json.Marshal(tree); err != nil {
+	if encoded, err = json.Marshal(tree); err != nil {
 		return nil, err
 	}
-	out := &settings.Settings{}
-	if err := json.Unmarshal(b, out); err != nil {
+	changed := &settings.Settings{}
+	if err := json.Unmarshal(encoded, changed); err != nil {
 		return nil, err
 	}
-	return out, out.Check()
+	return changed, changed.Check()
 }
 
 // feed checks the rules on one event, and ends the run at the first that is broken.
-func (o *Outcome) feed(w *world.World, e *trail.Event) {
-	o.Checker.Feed(e)
+func (o *Outcome) feed(simulated *world.World, event *trail.Event) {
+	o.Checker.Feed(event)
 	if o.Failure != nil || o.Checker.OK() {
 		return
 	}
-	b := o.Checker.Violations[0]
-	o.Failure = &Failure{Kind: fmt.Sprintf("rule %d", b.Rule), Text: b.String(), At: w.Now(), Conn: b.Conn, Tag: b.Tag, HostID: b.HostID, Seq: b.Seq}
-	w.Halt(o.Failure)
+	violation := o.Checker.Violations[0]
+	o.Failure = &Failure{Kind: fmt.Sprintf("rule %d", violation.Rule), Text: violation.String(), At: simulated.Now(), Conn: violation.Conn, Tag: violation.Tag, HostID: violation.HostID, Seq: violation.Seq}
+	simulated.Halt(o.Failure)
 }
 
 // setRunFailure takes how the run ended; what is no failure of the scene is an error.
@@ -350,47 +350,47 @@
 }
 
 // evaluate looks at a day that came to its end.
-func (o *Outcome) evaluate(res *Result, now time.Duration) {
+func (o *Outcome) evaluate(result *Result, now time.Duration) {
 	fail := func(kind, format string, args ...any) {
 		if o.Failure == nil {
 			o.Failure = &Failure{Kind: kind, Text: fmt.Sprintf(format, args...), At: now}
 		}
 	}
-	o.Goodput, o.CheckedReads = res.Checker.Stats.Goodput(), res.CheckedReads
-	o.LostWrites, o.OperatorCommands, o.Outages = res.LostWrites, res.OperatorCommands, outages(res)
-	var wrong []string
-	if o.CheckedBlocks, o.UndecidedBlocks, wrong = res.history.CheckLinearizable(); len(res.InvalidReads) > 0 {
-		fail(failureInvalidRead, "%s", res.InvalidReads[0])
-	} else if len(wrong) > 0 {
-		fail(failureNotLinearizable, "%s", wrong[0])
+	o.Goodput, o.CheckedReads = result.Checker.Stats.Goodput(), result.CheckedReads
+	o.LostWrites, o.OperatorCommands, o.Outages = result.LostWrites, result.OperatorCommands, outages(result)
+	var anomalies []string
+	if o.CheckedBlocks, o.UndecidedBlocks, anomalies = result.history.CheckLinearizable(); len(result.InvalidReads) > 0 {
+		fail(failureInvalidRead, "%s", result.InvalidReads[0])
+	} else if len(anomalies) > 0 {
+		fail(failureNotLinearizable, "%s", anomalies[0])
 	}
-	if !res.Checker.OK() {
-		b := res.Checker.Violations[0]
-		fail(fmt.Sprintf("rule %d", b.Rule), "%s", b)
+	if !result.Checker.OK() {
+		violation := result.Checker.Violations[0]
+		fail(fmt.Sprintf("rule %d", violation.Rule), "%s", violation)
 	}
-	if res.RepeatedEffects > 0 {
-		fail(failureRepeatedEffect, "%d keyed effects took place once more", res.RepeatedEffects)
+	if result.RepeatedEffects > 0 {
+		fail(failureRepeatedEffect, "%d keyed effects took place once more", result.RepeatedEffects)
 	}
-	if t := res.Checker.Stats; t.Commands != t.Finished {
-		fail(failureUnanswered, "%d of %d commands have no end", t.Commands-t.Finished, t.Commands)
+	if stats := result.Checker.Stats; stats.Commands != stats.Finished {
+		fail(failureUnanswered, "%d of %d commands have no end", stats.Commands-stats.Finished, stats.Commands)
 	}
-	if res.UnreadBlocks > 0 {
-		fail(failureUnreadBlocks, "%d blocks could not be read back", res.UnreadBlocks)
+	if result.UnreadBlocks > 0 {
+		fail(failureUnreadBlocks, "%d blocks could not be read back", result.UnreadBlocks)
 	}
 	span := time.Duration(float64(o.Scenario.Commands) / o.Scenario.Rate * float64(time.Second))
-	calm := recoveryTime
+	quietFrom := recoveryTime
 	if o.Scenario.Regions {
-		calm += regionRecoveryTime
+		quietFrom += regionRecoveryTime
 	}
-	for _, t := range o.Scenario.Faults {
-		end := t.At + t.Duration + recoveryTime
+	for _, fault := range o.Scenario.Faults {
+		end := fault.At + fault.Duration + recoveryTime
 		if o.Scenario.Regions {
 			end += regionRecoveryTime
 		}
-		calm = max(calm, end)
+		quietFrom = max(quietFrom, end)
 	}
-	if o.RecoveryGoodput = 1; calm+minRecoverySpan <= span {
-		if o.RecoveryGoodput = res.Checker.Stats.GoodputBetween(int64(calm/time.Second), int64(span/time.Second)); o.RecoveryGoodput < minRecoveryGoodput {
+	if o.RecoveryGoodput = 1; quietFrom+minRecoverySpan <= span {
+		if o.RecoveryGoodput = result.Checker.Stats.GoodputBetween(int64(quietFrom/time.Second), int64(span/time.Second)); o.RecoveryGoodput < minRecoveryGoodput {
 			fail(failureRecovery, "goodput is %.3f of the worth asked for later than %v after the last trouble", o.RecoveryGoodput, recoveryTime)
 		}
 	}
@@ -398,19 +398,19 @@
 
 // Shrink looks for a smaller scene with the same kind of failure: fewer troubles, a
 // shorter day, fewer hosts. It plays at most so many.
-func (s Scenario) Shrink(ctx context.Context, most int, progress io.Writer) (Scenario, error) {
+func (s Scenario) Shrink(ctx context.Context, maxRuns int, progress io.Writer) (Scenario, error) {
 	if s.Failure == nil {
 		return s, errors.New("lab: the scene has no failure to keep")
 	}
-	plays := 0
-	try := func(t Scenario) (ok bool, err error) {
-		if plays >= most || ctx.Err() != nil {
+	runs := 0
+	attempt := func(candidate Scenario) (kept bool, err error) {
+		if runs >= maxRuns || ctx.Err() != nil {
 			return false, ctx.Err()
 		}
-		plays++
+		runs++
 		kind := s.Failure.Kind
-		t.Failure = nil
-		out, err := t.Run(ctx, "")
+		candidate.Failure = nil
+		out, err := candidate.Run(ctx, "")
 		if err != nil || out.Failure == nil || out.Failure.Kind != kind {
 			return false, err
 		}
@@ -418,41 +418,41 @@
 		fmt.Fprintf(progress, "%d troubles, %d commands, %d hosts: still %s\n", len(s.Faults), s.Commands, s.Hosts, kind)
 		return true, nil
 	}
-	smaller := func() (any bool, err error) {
+	reduce := func() (reduced bool, err error) {
 		for n := max(len(s.Faults)/2, 1); n >= 1; n /= 2 {
 			for i := 0; i+n <= len(s.Faults); {
-				t := s
-				t.Faults = slices.Delete(slices.Clone(s.Faults), i, i+n)
-				ok, err := try(t)
+				candidate := s
+				candidate.Faults = slices.Delete(slices.Clone(s.Faults), i, i+n)
+				kept, err := attempt(candidate)
 				if err != nil {
-					return any, err
+					return reduced, err
 				}
-				if any = any || ok; !ok {
+				if reduced = reduced || kept; !kept {
 					i += n
 				}
 			}
 		}
-		if until := int((s.Failure.At + time.Second).Seconds() * s.Rate); until < s.Commands {
-			t := s
-			t.Commands = until
-			ok, err := try(t)
-			if any = any || ok; err != nil {
-				return any, err
+		if commands := int((s.Failure.At + time.Second).Seconds() * s.Rate); commands < s.Commands {
+			candidate := s
+			candidate.Commands = commands
+			kept, err := attempt(candidate)
+			if reduced = reduced || kept; err != nil {
+				return reduced, err
 			}
 		}
 		if s.Hosts > 1 {
-			t := s
-			t.Hosts--
-			ok, err := try(t)
-			if any = any || ok; err != nil {
-				return any, err
+			candidate := s
+			candidate.Hosts--
+			kept, err := attempt(candidate)
+			if reduced = reduced || kept; err != nil {
+				return reduced, err
 			}
 		}
-		return any, nil
+		return reduced, nil
 	}
-	for any := true; any; {
+	for reduced := true; reduced; {
 		var err error
-		if any, err = smaller(); err != nil {
+		if reduced, err = reduce(); err != nil {
 			return s, err
 		}
 	}
@@ -461,20 +461,20 @@
 
 // Save writes the scene to a file.
 func (s Scenario) Save(file string) error {
-	b, err := json.MarshalIndent(s, "", "\t")
+	encoded, err := json.MarshalIndent(s, "", "\t")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(file, append(b, '\n'), 0o666)
+	return os.WriteFile(file, append(encoded, '\n'), 0o666)
 }
 
 // LoadScenario reads a scene's file.
 func LoadScenario(file string) (s Scenario, err error) {
-	b, err := os.ReadFile(file)
+	encoded, err := os.ReadFile(file)
 	if err != nil {
 		return s, err
 	}
-	if err := json.Unmarshal(b, &s); err != nil {
+	if err := json.Unmarshal(encoded, &s); err != nil {
 		return s, fmt.Errorf("%s: no scene: %w", file, err)
 	}
 	return s, nil
@@ -509,81 +509,81 @@
 }
 
 // Explore plays scene after scene, some at once.
-func Explore(ctx context.Context, x ExploreOptions, progress io.Writer) (*ExploreSummary, error) {
-	sum := &ExploreSummary{FaultCounts: map[string]int{}, OperatorCommands: map[string]int{}}
+func Explore(ctx context.Context, options ExploreOptions, progress io.Writer) (*ExploreSummary, error) {
+	summary := &ExploreSummary{FaultCounts: map[string]int{}, OperatorCommands: map[string]int{}}
 	var mu sync.Mutex
-	var failed error
+	var runErr error
 	next := uint64(0)
-	w := env.NewReal()
-	var all env.WaitGroup
-	for range max(x.Parallel, 1) {
-		all.Go(w, func() {
+	environment := env.NewReal()
+	var workers env.WaitGroup
+	for range max(options.Parallel, 1) {
+		workers.Go(environment, func() {
 			for {
 				mu.Lock()
-				seed := x.FirstSeed + next
+				seed := options.FirstSeed + next
 				next++
-				over := seed >= x.FirstSeed+x.Seeds || failed != nil || ctx.Err() != nil || x.StopAtFirst && len(sum.Failures) > 0
+				done := seed >= options.FirstSeed+options.Seeds || runErr != nil || ctx.Err() != nil || options.StopAtFirst && len(summary.Failures) > 0
 				mu.Unlock()
-				if over {
+				if done {
 					return
 				}
-				s := DrawScenario(seed, x.Hosts, x.Servers, x.Span, x.Rate, x.Swarm)
+				scenario := DrawScenario(seed, options.Hosts, options.Servers, options.Span, options.Rate, options.Swarm)
 				switch {
-				case x.DrawScenario != nil:
-					s = x.DrawScenario(seed)
-				case x.Regions:
-					s = DrawRegionScenario(seed, x.Hosts, x.Servers, x.Span, x.Rate)
+				case options.DrawScenario != nil:
+					scenario = options.DrawScenario(seed)
+				case options.Regions:
+					scenario = DrawRegionScenario(seed, options.Hosts, options.Servers, options.Span, options.Rate)
 				}
-				s.Planted = x.Planted
-				out, err := s.Run(ctx, "")
+				scenario.Planted = options.Planted
+				outcome, err := scenario.Run(ctx, "")
 				if ctx.Err() != nil {
 					return // what was played is cut short
 				}
 				mu.Lock()
 				if err == nil {
-					err = sum.add(out, x)
+					err = summary.add(outcome, options)
 				}
 				if err != nil {
-					failed = fmt.Errorf("seed %d: %w", seed, err)
+					runErr = fmt.Errorf("seed %d: %w", seed, err)
 				}
-				if sum.Runs%25 == 0 && err == nil {
-					fmt.Fprintf(progress, "%d of %d played, %d failed, %d million steps, %.0f s virtual\n", sum.Runs, x.Seeds, len(sum.Failures), sum.Steps/1e6, sum.VirtualTime.Seconds())
+				if summary.Runs%25 == 0 && err == nil {
+					fmt.Fprintf(progress, "%d of %d played, %d failed, %d million steps, %.0f s virtual\n", summary.Runs, options.Seeds, len(summary.Failures), summary.Steps/1e6, summary.VirtualTime.Seconds())
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait(w)
-	if failed == nil {
-		failed = ctx.Err()
+	workers.Wait(environment)
+	if runErr == nil {
+		runErr = ctx.Err()
 	}
-	slices.SortFunc(sum.Failures, func(a, b Scenario) int { return int(int64(a.Seed) - int64(b.Seed)) })
-	return sum, failed
+	slices.SortFunc(summary.Failures, func(a, b Scenario) int { return int(int64(a.Seed) - int64(b.Seed)) })
+	return summary, runErr
 }
 
-func (e *ExploreSummary) add(o *Outcome, x ExploreOptions) error {
+func (e *ExploreSummary) add(outcome *Outcome, options ExploreOptions) error {
 	e.Runs++
-	e.Steps += o.Steps
-	e.RuleChecks += o.RuleChecks
-	e.CheckedBlocks, e.UndecidedBlocks, e.CheckedReads = e.CheckedBlocks+o.CheckedBlocks, e.UndecidedBlocks+o.UndecidedBlocks, e.CheckedReads+o.CheckedReads
-	e.VirtualTime += o.VirtualTime
-	e.MeanGoodput += (o.Checker.Stats.Goodput() - e.MeanGoodput) / float64(e.Runs)
-	for _, t := range o.Scenario.Faults {
-		e.FaultCounts[t.Kind]++
-	}
-	e.Outages, e.LostWrites = append(e.Outages, o.Outages...), e.LostWrites+o.LostWrites
-	for op, n := range o.OperatorCommands {
+	e.Steps += outcome.Steps
+	e.RuleChecks += outcome.RuleChecks
+	e.CheckedBlocks, e.UndecidedBlocks, e.CheckedReads = e.CheckedBlocks+outcome.CheckedBlocks, e.UndecidedBlocks+outcome.UndecidedBlocks, e.CheckedReads+outcome.CheckedReads
+	e.VirtualTime += outcome.VirtualTime
+	e.MeanGoodput += (outcome.Checker.Stats.Goodput() - e.MeanGoodput) / float64(e.Runs)
+	for _, fault := range outcome.Scenario.Faults {
+		e.FaultCounts[fault.Kind]++
+	}
+	e.Outages, e.LostWrites = append(e.Outages, outcome.Outages...), e.LostWrites+outcome.LostWrites
+	for op, n := range outcome.OperatorCommands {
 		e.OperatorCommands[op] += n
 	}
-	if o.Failure == nil {
+	if outcome.Failure == nil {
 		return nil
 	}
-	e.Failures = append(e.Failures, o.Scenario)
-	if x.OutDir == "" {
+	e.Failures = append(e.Failures, outcome.Scenario)
+	if options.OutDir == "" {
 		return nil
 	}
-	if err := os.MkdirAll(x.OutDir, 0o777); err != nil {
+	if err := os.MkdirAll(options.OutDir, 0o777); err != nil {
 		return err
 	}
-	return o.Scenario.Save(filepath.Join(x.OutDir, fmt.Sprintf("scene-%d.json", o.Scenario.Seed)))
+	return outcome.Scenario.Save(filepath.Join(options.OutDir, fmt.Sprintf("scene-%d.json", outcome.Scenario.Seed)))
 }
--- /dev/null
+++ b/internal/simulation/lab/faults.go
@@ -0,0 +1,174 @@
+package lab
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"merlinhitch/internal/simulation/standin"
+)
+
+// Each trouble begins at once, lasts so long and undoes itself. Sizes are within
+// what the deployments have seen.
+
+func uniform(random *rand.Rand, low, high float64) float64 { return low + (high-low)*random.Float64() }
+
+// diskCount is how many disk servers there are, in all regions.
+func (d *dayRun) diskCount() int { return len(d.fleet.disks) }
+
+// sample draws a part of n things, one at least.
+func sample(rng *rand.Rand, n int, share float64) []int {
+	count := max(int(float64(n)*share+0.5), 1)
+	return rng.Perm(n)[:min(count, n)]
+}
+
+// injectMachineFaults gives some disk servers a trouble for a while.
+func (d *dayRun) injectMachineFaults(rng *rand.Rand, share float64, duration time.Duration, newFaults func() standin.MachineFaults) {
+	for _, index := range sample(rng, d.diskCount(), share) {
+		if server := d.fleet.DiskServer(index); server != nil {
+			server.SetFaults(newFaults())
+			d.fleet.afterFunc(duration, func() { server.SetFaults(standin.MachineFaults{}) })
+		}
+	}
+}
+
+// injectNetworkFaults gives some disk servers' connections a trouble for a while.
+func (d *dayRun) injectNetworkFaults(rng *rand.Rand, share float64, duration time.Duration, faults standin.NetworkFaults) {
+	for _, index := range sample(rng, d.diskCount(), share) {
+		if server := d.fleet.DiskServer(index); server != nil {
+			server.SetNetworkFaults(faults)
+			d.fleet.afterFunc(duration, func() { server.SetNetworkFaults(standin.NetworkFaults{}) })
+		}
+	}
+}
+
+// changeBehaviour changes the clients for a while.
+func (d *dayRun) changeBehaviour(duration time.Duration, apply, revert func(*ClientBehaviour)) {
+	d.clients.ChangeBehaviour(apply)
+	d.fleet.afterFunc(duration, func() { d.clients.ChangeBehaviour(revert) })
+}
+
+func crash(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	for _, index := range sample(rng, d.diskCount(), 0.15) {
+		d.fleet.KillDisk(index, max(duration/2, time.Second))
+	}
+}
+
+func slow(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	d.injectMachineFaults(rng, 0.2, duration, func() standin.MachineFaults { return standin.MachineFaults{SlowFactor: uniform(rng, 4.5, 9.4)} })
+}
+
+func pauses(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	d.injectMachineFaults(rng, 0.45, duration, func() standin.MachineFaults {
+		return standin.MachineFaults{PauseLength: uniform(rng, 75, 210), PauseInterval: uniform(rng, 800, 3000)}
+	})
+}
+
+func noisyNeighbour(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	d.injectMachineFaults(rng, 0.44, duration, func() standin.MachineFaults { return standin.MachineFaults{StolenShare: uniform(rng, 0.3, 0.58)} })
+}
+
+func fastErrors(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	d.injectMachineFaults(rng, 0.2, duration, func() standin.MachineFaults { return standin.MachineFaults{FailShare: uniform(rng, 0.44, 0.97)} })
+}
+
+// massRestart strikes one hall: all its servers within 0.4 s.
+func massRestart(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	hall := rng.IntN(min(d.diskCount(), 3))
+	for index := hall; index < d.diskCount(); index += 3 {
+		downtime := time.Duration(uniform(rng, 1, 4) * float64(time.Second))
+		d.fleet.afterFunc(time.Duration(uniform(rng, 0, 0.4)*float64(time.Second)), func() { d.fleet.KillDisk(index, downtime) })
+	}
+}
+
+func deploy(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	order := sample(rng, d.diskCount(), 0.5)
+	for position, index := range order {
+		d.fleet.afterFunc(duration*time.Duration(position)/time.Duration(d.diskCount()), func() { d.fleet.ReplaceDisk(index, 900*time.Millisecond) })
+	}
+}
+
+func reportLate(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	delay := uniform(rng, 500, 4800)
+	d.fleet.eachInventory(func(inventory *standin.Inventory) { inventory.SetDelay(inventoryDelay + delay/4) })
+	d.fleet.afterFunc(duration, func() { d.fleet.eachInventory(func(v *standin.Inventory) { v.SetDelay(inventoryDelay) }) })
+	d.injectMachineFaults(rng, 1, duration, func() standin.MachineFaults { return standin.MachineFaults{UsageDelay: delay} })
+}
+
+func hotKey(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	volumes := rng.Perm(d.opt.Servers)[:min(3, d.opt.Servers)]
+	share := uniform(rng, 0.1, 0.4)
+	d.changeBehaviour(duration, func(h *ClientBehaviour) { h.HotVolumes, h.HotShare = volumes, share }, func(h *ClientBehaviour) { h.HotVolumes, h.HotShare = nil, 0 })
+}
+
+func burst(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	factor := uniform(rng, 1.7, 2.4)
+	d.changeBehaviour(duration, func(h *ClientBehaviour) { h.RateFactor = factor }, func(h *ClientBehaviour) { h.RateFactor = 0 })
+}
+
+func tenantBurst(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	plan := d.fleet.Settings.Plans[rng.IntN(3)].Name
+	factor := uniform(rng, 2.8, 5.9)
+	d.changeBehaviour(duration, func(h *ClientBehaviour) { h.BurstPlan, h.BurstFactor = plan, factor }, func(h *ClientBehaviour) { h.BurstPlan, h.BurstFactor = "", 0 })
+}
+
+// reconnect drops a share of the sessions, and the lead passes to other hosts.
+func reconnect(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	for _, paths := range d.clients.paths {
+		if rng.Float64() > 0.4 {
+			continue
+		}
+		for _, path := range paths {
+			path.mu.Lock()
+			session := path.client
+			path.mu.Unlock()
+			if session != nil {
+				d.fleet.afterFunc(time.Duration(rng.Float64()*float64(duration)), func() { path.dropSession(session); session.Close() })
+			}
+		}
+	}
+	d.changeBehaviour(duration, func(h *ClientBehaviour) { h.PreferLastHost = true }, func(h *ClientBehaviour) { h.PreferLastHost = false })
+}
+
+func retryAbuse(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	plan := d.fleet.Settings.Plans[rng.IntN(3)].Name
+	abortFraction, maxRetries := uniform(rng, 0.2, 0.58), 5+rng.IntN(10)
+	d.changeBehaviour(duration, func(h *ClientBehaviour) {
+		h.AbusePlan, h.AbuseAbortFraction, h.AbuseMaxRetries = plan, abortFraction, maxRetries
+	},
+		func(h *ClientBehaviour) { h.AbusePlan, h.AbuseAbortFraction, h.AbuseMaxRetries = "", 0, 0 })
+}
+
+func giveUp(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	share := uniform(rng, 0.1, 0.4)
+	d.changeBehaviour(duration, func(h *ClientBehaviour) { h.AbandonShare = share }, func(h *ClientBehaviour) { h.AbandonShare = 0 })
+}
+
+func balancerCrash(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	for _, index := range sample(rng, d.opt.Hosts, 0.4) {
+		d.fleet.KillHost(index, time.Duration(uniform(rng, 1.2, 3)*float64(time.Second)))
+	}
+}
+
+func netHang(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	d.injectNetworkFaults(rng, 0.1, duration, standin.NetworkFaults{Hang: true})
+}
+
+func netTorn(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	d.injectNetworkFaults(rng, 0.2, duration, standin.NetworkFaults{TruncateShare: uniform(rng, 0.02, 0.1)})
+}
+
+func netBytewise(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	d.injectNetworkFaults(rng, 0.1, duration, standin.NetworkFaults{ByteAtATime: true})
+}
+
+// netLate holds answers back until after most time-outs.
+func netLate(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	d.injectNetworkFaults(rng, 0.2, duration, standin.NetworkFaults{Delay: uniform(rng, 900, 5000), DelayShare: uniform(rng, 0.05, 0.3)})
+}
+
+// listCut breaks the hosts' connections to the inventory.
+func listCut(d *dayRun, _ *rand.Rand, duration time.Duration) {
+	dropAll := func() { d.fleet.eachInventory((*standin.Inventory).DropConnections) }
+	dropAll()
+	d.fleet.afterFunc(duration/2, dropAll)
+}
--- a/internal/simulation/lab/fleet.go
+++ b/internal/simulation/lab/fleet.go
@@ -110,61 +110,61 @@
 
 // DefaultMachine is the usual disk server of the lab: two cores, work for a unit such
 // that the ordinary load takes a third of the fleet.
-func DefaultMachine(s *settings.Settings) standin.MachineConfig {
-	r := s.Rules
+func DefaultMachine(config *settings.Settings) standin.MachineConfig {
+	slowStart := config.Rules
 	return standin.MachineConfig{Cores: 2, QueueLimit: 120, UnitWork: 14, WriteFactor: 1.5, Spread: 0.25, CacheEntries: 2, CacheHitFactor: 0.5,
-		DeferredWriteShare: 0.3, FlushInterval: 2500, ColdCapacity: r.ColdCapacity, WarmUpTime: r.WarmUpTime, OverloadFactor: r.OverloadFactor,
-		OverloadWindow: r.OverloadWindow, ColdUnits: r.ColdUnits}
+		DeferredWriteShare: 0.3, FlushInterval: 2500, ColdCapacity: slowStart.ColdCapacity, WarmUpTime: slowStart.WarmUpTime, OverloadFactor: slowStart.OverloadFactor,
+		OverloadWindow: slowStart.OverloadWindow, ColdUnits: slowStart.ColdUnits}
 }
 
 // inventoryDelay is how late the inventory tells a change, ms.
 const inventoryDelay = 300
 
 // NewFleet starts a service of the settings' hosts and shards.
-func NewFleet(w env.Environment, at testbed, s *settings.Settings, cfg standin.MachineConfig, opt Options) (*Fleet, error) {
-	seed := opt.Seed
-	f := &Fleet{Environment: w, testbed: at, Settings: s, currentSettings: s, log: opt.Log, machine: cfg, seed: seed,
-		fixedShares: opt.fixedShares, stateDir: opt.stateDir, Recorder: trail.NewRecorder(func() int64 { return int64(w.Now() / time.Microsecond) }),
-		Meta: &trail.Meta{Settings: s, Servers: map[string]trail.Server{}, Seed: seed}}
-	sizes, rates := map[string]int{}, map[string]float64{}
-	for i := range s.Volumes {
-		v := &s.Volumes[i]
-		sizes[v.Name], rates[v.Name] = v.BlockSize, s.RateOf(v)
-	}
-	if s.Announce != nil {
+func NewFleet(environment env.Environment, testbed testbed, config *settings.Settings, machine standin.MachineConfig, options Options) (*Fleet, error) {
+	seed := options.Seed
+	f := &Fleet{Environment: environment, testbed: testbed, Settings: config, currentSettings: config, log: options.Log, machine: machine, seed: seed,
+		fixedShares: options.fixedShares, stateDir: options.stateDir, Recorder: trail.NewRecorder(func() int64 { return int64(environment.Now() / time.Microsecond) }),
+		Meta: &trail.Meta{Settings: config, Servers: map[string]trail.Server{}, Seed: seed}}
+	blockSizes, volumeRates := map[string]int{}, map[string]float64{}
+	for i := range config.Volumes {
+		v := &config.Volumes[i]
+		blockSizes[v.Name], volumeRates[v.Name] = v.BlockSize, config.RateOf(v)
+	}
+	if config.Announce != nil {
 		var err error
-		if f.Router, err = standin.ServeRouter(at.startProcess("router"), "127.0.0.1:0", 65010); err != nil {
+		if f.Router, err = standin.ServeRouter(testbed.startProcess("router"), "127.0.0.1:0", 65010); err != nil {
 			return nil, err
 		}
-		next := *s
-		ann := *s.Announce
-		ann.Routers = []settings.Router{{Name: "r0", Addr: f.Router.Addr, AS: f.Router.AS}}
-		next.Announce = &ann
-		f.currentSettings = &next
+		withRouter := *config
+		announce := *config.Announce
+		announce.Routers = []settings.Router{{Name: "r0", Addr: f.Router.Addr, AS: f.Router.AS}}
+		withRouter.Announce = &announce
+		f.currentSettings = &withRouter
 	}
-	f.usageMeter = &standin.UsageMeter{Period: 2000, Rate: func(v string) float64 { return rates[v] }}
+	f.usageMeter = &standin.UsageMeter{Period: 2000, Rate: func(v string) float64 { return volumeRates[v] }}
 	if err := f.startInventories(); err != nil {
 		return nil, err
 	}
-	newCell := func() *standin.ShardStore { return standin.NewShardStore(func(v string) int { return sizes[v] }) }
-	shelf := newCell()
-	for k := range s.Shards * len(f.inventories) {
-		i := k % s.Shards
-		d := &diskProcess{shard: i, region: k / s.Shards, zone: Halls[i%len(Halls)], name: fmt.Sprintf("d%d", i), store: newCell(), dedupCache: standin.NewDedupCache(longestDedupWindow(s)), cores: cfg.Cores}
-		if s.Regions != nil {
-			d.name, d.zone = fmt.Sprintf("d%d.%d", i, d.region), fmt.Sprintf("%s.%d", d.zone, d.region)
-			d.store.EnableReplication(region.ID(d.region))
-			d.store.OnExecute = f.effect
+	newStore := func() *standin.ShardStore { return standin.NewShardStore(func(v string) int { return blockSizes[v] }) }
+	sharedStore := newStore()
+	for index := range config.Shards * len(f.inventories) {
+		shard := index % config.Shards
+		disk := &diskProcess{shard: shard, region: index / config.Shards, zone: Halls[shard%len(Halls)], name: fmt.Sprintf("d%d", shard), store: newStore(), dedupCache: standin.NewDedupCache(longestDedupWindow(config)), cores: machine.Cores}
+		if config.Regions != nil {
+			disk.name, disk.zone = fmt.Sprintf("d%d.%d", shard, disk.region), fmt.Sprintf("%s.%d", disk.zone, disk.region)
+			disk.store.EnableReplication(region.ID(disk.region))
+			disk.store.OnExecute = f.effect
 		}
-		if opt.SharedStores {
-			d.store = shelf
+		if options.SharedStores {
+			disk.store = sharedStore
 		}
-		if n := slices.IndexFunc(s.Nodes, func(n settings.Node) bool { return n.Shard == i }); n >= 0 && s.Regions == nil {
-			d.zone = s.Nodes[n].Hall
-			d.cores = max(int(s.Nodes[n].Capacity*cfg.UnitWork/1000+0.5), 1)
+		if node := slices.IndexFunc(config.Nodes, func(n settings.Node) bool { return n.Shard == shard }); node >= 0 && config.Regions == nil {
+			disk.zone = config.Nodes[node].Hall
+			disk.cores = max(int(config.Nodes[node].Capacity*machine.UnitWork/1000+0.5), 1)
 		}
-		f.dedupCaches = append(f.dedupCaches, d.dedupCache)
-		f.disks = append(f.disks, d)
+		f.dedupCaches = append(f.dedupCaches, disk.dedupCache)
+		f.disks = append(f.disks, disk)
 	}
 	for _, d := range f.disks { // which know each other
 		if err := f.startDisk(d, false, true); err != nil {
@@ -172,11 +172,11 @@
 			return nil, err
 		}
 	}
-	for i := range s.Hosts {
+	for i := range config.Hosts {
 		f.hosts = append(f.hosts, &hostProcess{index: i})
 	}
-	if s.Regions != nil {
-		f.normalRegionLink = at.regionLink()
+	if config.Regions != nil {
+		f.normalRegionLink = testbed.regionLink()
 		f.Across(0, f.normalRegionLink)
 		f.Across(1, f.normalRegionLink)
 	}
@@ -189,206 +189,206 @@
 	return f, nil
 }
 
-func longestDedupWindow(s *settings.Settings) float64 {
-	w := 0.0
-	for _, k := range s.Classes {
-		w = max(w, k.DedupWindow)
+func longestDedupWindow(config *settings.Settings) float64 {
+	longest := 0.0
+	for _, class := range config.Classes {
+		longest = max(longest, class.DedupWindow)
 	}
-	return w
+	return longest
 }
 
 func (f *Fleet) nowMS() float64 { return env.MS(f.Environment.Now()) }
 
 // startDisk starts a process for the shard, at the address that it has, or a new
 // one where fresh. Held: mu, but for the fleet's own start.
-func (f *Fleet) startDisk(d *diskProcess, cold, fresh bool) error {
+func (f *Fleet) startDisk(disk *diskProcess, cold, newAddress bool) error {
 	now := f.nowMS()
-	d.starts++
-	cfg := f.machine
-	cfg.Cores = d.cores
-	m := standin.NewMachine(cfg, f.seed*1000+uint64(d.shard*10+d.starts+d.region*1000), d.store, d.dedupCache, f.usageMeter, uint32(d.shard), now, cold)
-	s := &standin.DiskServer{Name: fmt.Sprintf("%s#%d", d.name, d.starts), Zone: d.zone, Rack: d.name, Shard: d.shard}
-	d.process = f.testbed.startProcess(s.Name)
-	f.regional(d, s)
-	if err := standin.ServeDisk(d.process, m, s); err != nil {
+	disk.starts++
+	config := f.machine
+	config.Cores = disk.cores
+	machine := standin.NewMachine(config, f.seed*1000+uint64(disk.shard*10+disk.starts+disk.region*1000), disk.store, disk.dedupCache, f.usageMeter, uint32(disk.shard), now, cold)
+	server := &standin.DiskServer{Name: fmt.Sprintf("%s#%d", disk.name, disk.starts), Zone: disk.zone, Rack: disk.name, Shard: disk.shard}
+	disk.process = f.testbed.startProcess(server.Name)
+	f.regional(disk, server)
+	if err := standin.ServeDisk(disk.process, machine, server); err != nil {
 		return err
 	}
-	s.OnOverloadCrash = func() {
+	server.OnOverloadCrash = func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.overloadCrashed = append(f.overloadCrashed, s.Name)
+		f.overloadCrashed = append(f.overloadCrashed, server.Name)
 	}
-	d.server = s
-	d.serverAddr.Store(&s.Addr)
-	if fresh || d.relay == nil {
-		r, err := f.testbed.newRelay(s.Addr, true, func(addr string) *standin.FrameRecorder { return standin.RecordDiskProtocol(f.Recorder, addr) })
+	disk.server = server
+	disk.serverAddr.Store(&server.Addr)
+	if newAddress || disk.relay == nil {
+		relay, err := f.testbed.newRelay(server.Addr, true, func(addr string) *standin.FrameRecorder { return standin.RecordDiskProtocol(f.Recorder, addr) })
 		if err != nil {
 			return err
 		}
-		if d.relay != nil {
-			f.retiredRelays = append(f.retiredRelays, d.relay)
-			d.formerAddrs = append(d.formerAddrs, d.relay.Address())
+		if disk.relay != nil {
+			f.retiredRelays = append(f.retiredRelays, disk.relay)
+			disk.formerAddrs = append(disk.formerAddrs, disk.relay.Address())
 		}
-		d.relay = r
-		f.Meta.Servers[r.Address()] = trail.Server{Name: s.Name, Shard: d.shard, Zone: d.zone, Rack: d.name, Region: d.region,
-			Rate: float64(cfg.Cores) / cfg.UnitWork * 1000}
+		disk.relay = relay
+		f.Meta.Servers[relay.Address()] = trail.Server{Name: server.Name, Shard: disk.shard, Zone: disk.zone, Rack: disk.name, Region: disk.region,
+			Rate: float64(config.Cores) / config.UnitWork * 1000}
 	} else {
-		d.relay.Point(s.Addr)
+		disk.relay.Point(server.Addr)
 	}
-	started := 0.0
+	coldSince := 0.0
 	if cold {
-		started = now
+		coldSince = now
 	}
-	d.coldSince = started
-	f.changeInventory(d.region, cold, d.inventoryEntry())
+	disk.coldSince = coldSince
+	f.changeInventory(disk.region, cold, disk.inventoryEntry())
 	return nil
 }
 
 // inventoryEntry enters the server in the list as it is now, and what it was no more. Held: mu.
 func (d *diskProcess) inventoryEntry() func(b *inventory.Book) {
-	n := inventory.Node{Addr: d.relay.Address(), Health: inventory.Ready, Shard: d.shard, Zone: d.zone, Weight: 1, Incarnation: d.server.Started}
-	since, former := d.coldSince, slices.Clone(d.formerAddrs)
-	return func(b *inventory.Book) {
-		for _, addr := range former {
-			b.Health(addr, inventory.Gone)
+	node := inventory.Node{Addr: d.relay.Address(), Health: inventory.Ready, Shard: d.shard, Zone: d.zone, Weight: 1, Incarnation: d.server.Started}
+	coldSince, formerAddrs := d.coldSince, slices.Clone(d.formerAddrs)
+	return func(book *inventory.Book) {
+		for _, addr := range formerAddrs {
+			book.Health(addr, inventory.Gone)
 		}
-		b.Set(n, since)
+		book.Set(node, coldSince)
 	}
 }
 
 // changeInventory changes a region's changeInventory, late or at once, if its inventory is up.
-func (f *Fleet) changeInventory(region int, late bool, change func(*inventory.Book)) {
-	switch v := f.inventories[region].server; {
-	case v == nil:
-	case late:
-		v.Change(change)
+func (f *Fleet) changeInventory(region int, delayed bool, change func(*inventory.Book)) {
+	switch server := f.inventories[region].server; {
+	case server == nil:
+	case delayed:
+		server.Change(change)
 	default:
-		v.ChangeNow(change)
+		server.ChangeNow(change)
 	}
 }
 
 // eachInventory does something with each inventory that is up.
 func (f *Fleet) eachInventory(do func(*standin.Inventory)) {
-	for _, p := range f.inventories {
-		if p.server != nil {
-			do(p.server)
+	for _, process := range f.inventories {
+		if process.server != nil {
+			do(process.server)
 		}
 	}
 }
 
-func (f *Fleet) startHost(h *hostProcess) error {
-	h.starts++
-	h.name = fmt.Sprintf("h%d#%d", h.index, h.starts)
+func (f *Fleet) startHost(host *hostProcess) error {
+	host.starts++
+	host.name = fmt.Sprintf("h%d#%d", host.index, host.starts)
 	var err error
-	name := h.name
-	h.process = f.testbed.startProcess(name)
+	name := host.name
+	host.process = f.testbed.startProcess(name)
 	if f.Settings.Regions != nil { // clocks of hosts differ a little
-		f.testbed.setClockRate(h.process, 1+0.002*float64(h.index%3-1))
+		f.testbed.setClockRate(host.process, 1+0.002*float64(host.index%3-1))
 	}
-	if h.inventoryRelay, err = f.testbed.newRelay(*f.inventories[f.regionOf(h.index)].addr.Load(), true, func(string) *standin.FrameRecorder { return standin.RecordInventory(f.Recorder, name) }); err != nil {
+	if host.inventoryRelay, err = f.testbed.newRelay(*f.inventories[f.regionOf(host.index)].addr.Load(), true, func(string) *standin.FrameRecorder { return standin.RecordInventory(f.Recorder, name) }); err != nil {
 		return err
 	}
-	h.gateway, err = gateway.Start(gateway.Config{Environment: h.process, Log: f.log, Name: h.name, HostIndex: h.index,
-		Zone: Halls[h.index%len(Halls)], Listen: "127.0.0.1:0", Inventory: h.inventoryRelay.Address(), Admin: f.testbed.adminListen(), Snapshot: f.snapshotFile(h.index),
-		RouterID: routerID(h.index), NextHop4: netip.AddrFrom4([4]byte{127, 0, 0, 1})})
+	host.gateway, err = gateway.Start(gateway.Config{Environment: host.process, Log: f.log, Name: host.name, HostIndex: host.index,
+		Zone: Halls[host.index%len(Halls)], Listen: "127.0.0.1:0", Inventory: host.inventoryRelay.Address(), Admin: f.testbed.adminListen(), Snapshot: f.snapshotFile(host.index),
+		RouterID: routerID(host.index), NextHop4: netip.AddrFrom4([4]byte{127, 0, 0, 1})})
 	if err != nil {
 		return err
 	}
-	if err = f.putSettings(h.gateway); err != nil {
+	if err = f.putSettings(host.gateway); err != nil {
 		return err
 	}
-	h.gateway.Ready().Wait(f.Environment)
-	h.clientRelay, err = f.testbed.newRelay(h.gateway.Addr().String(), false, func(string) *standin.FrameRecorder { return standin.RecordISCSI(f.Recorder, name, f.Settings) })
+	host.gateway.Ready().Wait(f.Environment)
+	host.clientRelay, err = f.testbed.newRelay(host.gateway.Addr().String(), false, func(string) *standin.FrameRecorder { return standin.RecordISCSI(f.Recorder, name, f.Settings) })
 	return err
 }
 
 // snapshotFile is a host's file, "" where nothing is kept.
-func (f *Fleet) snapshotFile(self int) string {
+func (f *Fleet) snapshotFile(host int) string {
 	if f.stateDir == "" {
 		return ""
 	}
-	return filepath.Join(f.stateDir, fmt.Sprintf("h%d", self))
+	return filepath.Join(f.stateDir, fmt.Sprintf("h%d", host))
 }
 
 // putSettings gives a new host its settings, as an operator would: by a call of the admin
 // API where there is one.
-func (f *Fleet) putSettings(g *gateway.Gateway) error {
-	if g.Settings().Get() != nil { // it has them from its snapshot
+func (f *Fleet) putSettings(gw *gateway.Gateway) error {
+	if gw.Settings().Get() != nil { // it has them from its snapshot
 		return nil
 	}
-	first := *f.currentSettings
-	first.Version = 0
-	if g.Admin() == nil {
-		_, err := g.Settings().Put(&first)
+	initial := *f.currentSettings
+	initial.Version = 0
+	if gw.Admin() == nil {
+		_, err := gw.Settings().Put(&initial)
 		return err
 	}
-	api := settings.NewAPI(g.Admin().String())
+	api := settings.NewAPI(gw.Admin().String())
 	defer api.Close()
-	_, err := api.Put(context.Background(), &first, settings.ChangeOptions{})
+	_, err := api.Put(context.Background(), &initial, settings.ChangeOptions{})
 	return err
 }
 
 // AdminAPIs are the admin APIs of the hosts that are up. The caller closes them.
-func (f *Fleet) AdminAPIs() (out []*rollout.Host) {
+func (f *Fleet) AdminAPIs() (apis []*rollout.Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, h := range f.hosts {
-		if h.clientRelay != nil {
-			out = append(out, &rollout.Host{Name: h.name, API: settings.NewAPI(h.gateway.Admin().String())})
+	for _, host := range f.hosts {
+		if host.clientRelay != nil {
+			apis = append(apis, &rollout.Host{Name: host.name, API: settings.NewAPI(host.gateway.Admin().String())})
 		}
 	}
-	return out
+	return apis
 }
 
 // HostAddr is where clients reach a host now; "" while it is down.
-func (f *Fleet) HostAddr(i int) string {
+func (f *Fleet) HostAddr(host int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if h := f.hosts[i]; h.clientRelay != nil {
-		return h.clientRelay.Address()
+	if process := f.hosts[host]; process.clientRelay != nil {
+		return process.clientRelay.Address()
 	}
 	return ""
 }
 
 // afterFunc runs g on a goroutine of its own, d from now, unless the fleet is over.
-func (f *Fleet) afterFunc(d time.Duration, g func()) {
+func (f *Fleet) afterFunc(delay time.Duration, call func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
 		return
 	}
 	f.pendingCalls.Add(1)
-	f.Environment.AfterFunc(d, func() {
+	f.Environment.AfterFunc(delay, func() {
 		defer f.pendingCalls.Done()
 		f.mu.Lock()
-		over := f.closed
+		closed := f.closed
 		f.mu.Unlock()
-		if !over {
-			g()
+		if !closed {
+			call()
 		}
 	})
 }
 
 // KillHost ends a host at once and starts it again after down.
-func (f *Fleet) KillHost(i int, down time.Duration) {
+func (f *Fleet) KillHost(index int, downtime time.Duration) {
 	f.mu.Lock()
-	h := f.hosts[i]
-	if h.clientRelay == nil {
+	host := f.hosts[index]
+	if host.clientRelay == nil {
 		f.mu.Unlock()
 		return
 	}
-	gate, clients, list, at := h.gateway, h.clientRelay, h.inventoryRelay, h.process
-	h.clientRelay = nil
-	f.retiredRelays = append(f.retiredRelays, clients, list)
+	gw, clientRelay, inventoryRelay, process := host.gateway, host.clientRelay, host.inventoryRelay, host.process
+	host.clientRelay = nil
+	f.retiredRelays = append(f.retiredRelays, clientRelay, inventoryRelay)
 	f.mu.Unlock()
-	f.Recorder.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Killed, Host: h.name})
-	if !f.testbed.killProcess(at, false) {
-		gate.Kill()
+	f.Recorder.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Killed, Host: host.name})
+	if !f.testbed.killProcess(process, false) {
+		gw.Kill()
 	}
-	f.afterFunc(down, func() {
+	f.afterFunc(downtime, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if err := f.startHost(h); err != nil {
+		if err := f.startHost(host); err != nil {
 			f.log.Error("host does not start", zap.Error(err))
 		}
 	})
@@ -396,30 +396,30 @@
 
 // KillDisk ends a disk server at once; it comes back cold after down. The
 // inventory hears of both, late.
-func (f *Fleet) KillDisk(i int, down time.Duration) { f.stopDisk(i, down, false) }
+func (f *Fleet) KillDisk(index int, downtime time.Duration) { f.stopDisk(index, downtime, false) }
 
 // PowerOffDisk is KillDisk with the machine gone too, where the site knows the difference:
 // no connection is closed.
-func (f *Fleet) PowerOffDisk(i int, down time.Duration) { f.stopDisk(i, down, true) }
+func (f *Fleet) PowerOffDisk(index int, downtime time.Duration) { f.stopDisk(index, downtime, true) }
 
-func (f *Fleet) stopDisk(i int, down time.Duration, power bool) {
+func (f *Fleet) stopDisk(index int, downtime time.Duration, powerLoss bool) {
 	f.mu.Lock()
-	d := f.disks[i]
-	s, addr, at := d.server, d.relay.Address(), d.process
-	d.server = nil
+	disk := f.disks[index]
+	server, addr, process := disk.server, disk.relay.Address(), disk.process
+	disk.server = nil
 	f.mu.Unlock()
-	if s == nil {
+	if server == nil {
 		return
 	}
-	if !f.testbed.killProcess(at, power) {
-		s.Kill()
+	if !f.testbed.killProcess(process, powerLoss) {
+		server.Kill()
 	}
-	d.store.PowerLoss()
-	f.changeInventory(d.region, true, func(b *inventory.Book) { b.Health(addr, inventory.Gone) })
-	f.afterFunc(down, func() {
+	disk.store.PowerLoss()
+	f.changeInventory(disk.region, true, func(book *inventory.Book) { book.Health(addr, inventory.Gone) })
+	f.afterFunc(downtime, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if err := f.startDisk(d, true, false); err != nil {
+		if err := f.startDisk(disk, true, false); err != nil {
 			f.log.Error("disk server does not start", zap.Error(err))
 		}
 	})
@@ -427,28 +427,28 @@
 
 // ReplaceDisk drains a disk server and puts a successor in its place, cold, at another
 // address, with the same blocks.
-func (f *Fleet) ReplaceDisk(i int, drain time.Duration) {
+func (f *Fleet) ReplaceDisk(index int, drainTime time.Duration) {
 	f.mu.Lock()
-	d := f.disks[i]
-	s := d.server
-	if s == nil {
+	disk := f.disks[index]
+	server := disk.server
+	if server == nil {
 		f.mu.Unlock()
 		return
 	}
-	addr := d.relay.Address()
+	addr := disk.relay.Address()
 	f.mu.Unlock()
-	f.changeInventory(d.region, true, func(b *inventory.Book) { b.Health(addr, inventory.Draining) })
-	f.afterFunc(drain, func() {
-		s.Drain()
-		f.afterFunc(drain, func() {
+	f.changeInventory(disk.region, true, func(book *inventory.Book) { book.Health(addr, inventory.Draining) })
+	f.afterFunc(drainTime, func() {
+		server.Drain()
+		f.afterFunc(drainTime, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			if d.server != s {
+			if disk.server != server {
 				return // it died meanwhile
 			}
-			f.changeInventory(d.region, true, func(b *inventory.Book) { b.Health(addr, inventory.Gone) })
-			f.Environment.Go(s.Kill)
-			if err := f.startDisk(d, true, true); err != nil {
+			f.changeInventory(disk.region, true, func(b *inventory.Book) { b.Health(addr, inventory.Gone) })
+			f.Environment.Go(server.Kill)
+			if err := f.startDisk(disk, true, true); err != nil {
 				f.log.Error("successor does not start", zap.Error(err))
 			}
 		})
@@ -456,21 +456,21 @@
 }
 
 // DiskServer returns the server that holds a shard now, nil while it is down.
-func (f *Fleet) DiskServer(i int) *standin.DiskServer {
+func (f *Fleet) DiskServer(index int) *standin.DiskServer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.disks[i].server
+	return f.disks[index].server
 }
 
 // RepeatedEffects is the number of effects that the racks saw more than once.
 func (f *Fleet) RepeatedEffects() int {
 	f.effectsMu.Lock()
-	n := f.repeatedEffects
+	total := f.repeatedEffects
 	f.effectsMu.Unlock()
-	for _, r := range f.dedupCaches {
-		n += r.RepeatedEffects()
+	for _, cache := range f.dedupCaches {
+		total += cache.RepeatedEffects()
 	}
-	return n
+	return total
 }
 
 // OverloadCrashed names the disk servers that were pushed over.
@@ -482,16 +482,16 @@
 
 // StopHosts ends every host gracefully.
 func (f *Fleet) StopHosts(ctx context.Context) {
-	var all env.WaitGroup
+	var stops env.WaitGroup
 	f.mu.Lock()
 	hosts := f.hosts
 	f.mu.Unlock()
-	for _, h := range hosts {
-		if h.gateway != nil && h.clientRelay != nil {
-			all.Go(f.Environment, func() { h.gateway.Stop(ctx) })
+	for _, host := range hosts {
+		if host.gateway != nil && host.clientRelay != nil {
+			stops.Go(f.Environment, func() { host.gateway.Stop(ctx) })
 		}
 	}
-	all.Wait(f.Environment)
+	stops.Wait(f.Environment)
 }
 
 // Close ends everything at once.
@@ -503,21 +503,21 @@
 	f.closed = true
 	f.mu.Unlock()
 	f.pendingCalls.Wait(f.Environment)
-	for _, h := range f.hosts {
-		if h.gateway != nil {
-			h.gateway.Kill()
+	for _, host := range f.hosts {
+		if host.gateway != nil {
+			host.gateway.Kill()
 		}
-		f.retiredRelays = append(f.retiredRelays, h.clientRelay, h.inventoryRelay)
+		f.retiredRelays = append(f.retiredRelays, host.clientRelay, host.inventoryRelay)
 	}
-	for _, d := range f.disks {
-		if d.server != nil {
-			d.server.Kill()
+	for _, disk := range f.disks {
+		if disk.server != nil {
+			disk.server.Kill()
 		}
-		f.retiredRelays = append(f.retiredRelays, d.relay)
+		f.retiredRelays = append(f.retiredRelays, disk.relay)
 	}
-	for _, r := range f.retiredRelays {
-		if r != nil {
-			r.Close()
+	for _, relay := range f.retiredRelays {
+		if relay != nil {
+			relay.Close()
 		}
 	}
 	f.eachInventory((*standin.Inventory).Close)
--- a/internal/simulation/lab/limits.go
+++ b/internal/simulation/lab/limits.go
@@ -46,86 +46,86 @@
 
 // LimitDay has clients ask for eight times the mean limit of one volume through two hosts
 // on loopback, for so long, while the limit is changed at both every 100 ms.
-func LimitDay(ctx context.Context, opt Options, span time.Duration) (*LimitResult, error) {
+func LimitDay(ctx context.Context, options Options, span time.Duration) (*LimitResult, error) {
 	set := settings.Example(2, 6)
-	v := set.Volumes[0]
-	v.Hosts, v.Layout = []int{0, 1}, []int{0, 1, 2, 3, 4, 5}
-	v.Copies, v.MaxNodes = 1, 0
-	set.Volumes, set.Placement.SurviveLoss = []settings.Volume{v}, false
+	volume := set.Volumes[0]
+	volume.Hosts, volume.Layout = []int{0, 1}, []int{0, 1, 2, 3, 4, 5}
+	volume.Copies, volume.MaxNodes = 1, 0
+	set.Volumes, set.Placement.SurviveLoss = []settings.Volume{volume}, false
 	set.Plans[0].Limit, set.Plans[0].Burst, set.Plans[0].Overdraft = limitHigh, 12, 4
-	opt.Settings, opt.Hosts, opt.Servers, opt.FaultKinds = set, 2, 6, []string{"none"}
-	opt.Rate = limitLoadFactor * (limitLow + limitHigh) / 2 / set.MeanUnits
-	opt.Commands = int(opt.Rate * span.Seconds())
+	options.Settings, options.Hosts, options.Servers, options.FaultKinds = set, 2, 6, []string{"none"}
+	options.Rate = limitLoadFactor * (limitLow + limitHigh) / 2 / set.MeanUnits
+	options.Commands = int(options.Rate * span.Seconds())
 	var mu sync.Mutex
 	var steps []limitStep
 	var events []trail.Event
-	var over env.Gate
-	var done env.WaitGroup
+	var finished env.Gate
+	var changer env.WaitGroup
 	var begin int64
-	opt.onStart = func(d *dayRun, span time.Duration) {
-		now := func() int64 { return int64(d.fleet.Environment.Now() / time.Microsecond) }
+	options.onStart = func(run *dayRun, span time.Duration) {
+		now := func() int64 { return int64(run.fleet.Environment.Now() / time.Microsecond) }
 		begin = now()
-		done.Go(d.fleet.Environment, func() {
-			rng := rand.New(rand.NewPCG(opt.Seed, 8))
-			for env.Sleep(d.fleet.Environment, limitInterval, &over) {
+		changer.Go(run.fleet.Environment, func() {
+			rng := rand.New(rand.NewPCG(options.Seed, 8))
+			for env.Sleep(run.fleet.Environment, limitInterval, &finished) {
 				limit := limitLow + float64(rng.IntN(limitHigh-limitLow+1))
-				for i, h := range d.fleet.hosts {
-					s := *h.gateway.Settings().Get()
-					s.Plans = append([]settings.Plan(nil), s.Plans...)
-					s.Plans[0].Limit = limit
-					if _, err := h.gateway.Settings().Put(&s); err != nil {
+				for index, host := range run.fleet.hosts {
+					changed := *host.gateway.Settings().Get()
+					changed.Plans = append([]settings.Plan(nil), changed.Plans...)
+					changed.Plans[0].Limit = limit
+					if _, err := host.gateway.Settings().Put(&changed); err != nil {
 						return // the host has been stopped
 					}
 					mu.Lock()
-					steps = append(steps, limitStep{i, now(), limit, s.Plans[0].Burst})
+					steps = append(steps, limitStep{index, now(), limit, changed.Plans[0].Burst})
 					mu.Unlock()
 				}
 			}
 		})
 	}
-	opt.onStopped = func(_ *dayRun, all []trail.Event) {
-		over.Open()
-		events = all
+	options.onStopped = func(_ *dayRun, trailEvents []trail.Event) {
+		finished.Open()
+		events = trailEvents
 	}
-	res, err := BadDay(ctx, opt)
-	over.Open()
+	res, err := BadDay(ctx, options)
+	finished.Open()
 	if err != nil {
 		return nil, err
 	}
-	out := &LimitResult{Result: res, Changes: len(steps)}
-	out.measure(set, steps, events, begin, begin+int64(span/time.Microsecond))
-	return out, nil
+	result := &LimitResult{Result: res, Changes: len(steps)}
+	result.measure(set, steps, events, begin, begin+int64(span/time.Microsecond))
+	return result, nil
 }
 
 // measure adds up what passed between two times, and the integral of the limit there.
-func (r *LimitResult) measure(set *settings.Settings, steps []limitStep, events []trail.Event, from, to int64) {
+func (r *LimitResult) measure(set *settings.Settings, changes []limitStep, events []trail.Event, from, to int64) {
 	last := from
 	for i := range events {
-		e := &events[i]
+		event := &events[i]
 		switch {
-		case e.Time < from || e.Time > to:
-		case e.Kind == trail.Do && e.Attempt == 0 && e.Session != 0:
-			r.SentUnits += e.Units
-			last = e.Time
-		case e.Kind == trail.Command:
-			r.RequestedUnits += set.Units(int(e.Blocks) * set.Volumes[0].BlockSize)
+		case event.Time < from || event.Time > to:
+		case event.Kind == trail.Do && event.Attempt == 0 && event.Session != 0:
+			r.SentUnits += event.Units
+			last = event.Time
+		case event.Kind == trail.Command:
+			r.RequestedUnits += set.Units(int(event.Blocks) * set.Volumes[0].BlockSize)
 		}
 	}
 	hosts := float64(set.Hosts)
-	for h := range set.Hosts {
-		at, limit := from, set.Plans[0].Limit
-		for _, s := range steps {
-			if s.host != h || s.time > last {
+	for host := range set.Hosts {
+		since, limit := from, set.Plans[0].Limit
+		for _, change := range changes {
+			if change.host != host || change.time > last {
 				continue
 			}
-			r.LimitIntegral += limit / hosts * float64(max(s.time-at, 0)) / 1e6
-			at, limit = s.time, s.limit
+			r.LimitIntegral += limit / hosts * float64(max(change.time-since, 0)) / 1e6
+			since, limit = change.time, change.limit
 		}
-		r.LimitIntegral += limit / hosts * float64(last-at) / 1e6
+		r.LimitIntegral += limit / hosts * float64(last-since) / 1e6
 	}
-	p := set.Plans[0]
-	r.UpperBound = r.LimitIntegral + p.Burst + p.Overdraft
-	r.LowerBound = r.LimitIntegral - p.Burst - hosts*set.MaxUnits
+	plan := set.Plans[0]
+	r.UpperBound = r.LimitIntegral + plan.Burst + plan.Overdraft
+	r.LowerBound = r.LimitIntegral - plan.Burst - hosts*set.MaxUnits
 }
 
 // Print writes the figures.
--- /dev/null
+++ b/internal/simulation/lab/muxrelay.go
@@ -0,0 +1,119 @@
+package lab
+
+import (
+	"bufio"
+	"encoding/binary"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"merlinhitch/internal/runtime/env"
+	"merlinhitch/internal/runtime/writequeue"
+)
+
+// muxRelay is a bare relay with the gateway's own connections: many clients in front,
+// one connection to each of a few servers behind. It pairs replies by tag and
+// knows nothing else of what it passes on.
+type muxRelay struct {
+	upstreams []*muxUpstream
+	listener  net.Listener
+}
+
+// muxUpstream is a connection to one server.
+type muxUpstream struct {
+	conn    net.Conn
+	out     *writequeue.Queue
+	mu      sync.Mutex
+	lastTag uint32
+	pending map[uint32]pendingReply
+}
+
+// pendingReply is whose reply is awaited.
+type pendingReply struct {
+	out *writequeue.Queue
+	tag uint32
+}
+
+const (
+	muxMaxQueueBytes = 64 << 20
+	muxWriteTimeout  = 10 * time.Second
+)
+
+// newMuxRelay relays to so many connections of the server.
+func newMuxRelay(environment env.Environment, addr string, connections int) (*muxRelay, error) {
+	relay := &muxRelay{}
+	for range connections {
+		connection, err := net.Dial("tcp", addr)
+		if err != nil {
+			return nil, err
+		}
+		upstream := &muxUpstream{conn: connection, out: writequeue.New(environment, connection, muxMaxQueueBytes, muxWriteTimeout), pending: map[uint32]pendingReply{}}
+		relay.upstreams = append(relay.upstreams, upstream)
+		go upstream.readReplies()
+	}
+	var err error
+	relay.listener, err = serveConnections("127.0.0.1:0", func(c net.Conn) { relay.serve(c, writequeue.New(environment, c, muxMaxQueueBytes, muxWriteTimeout)) })
+	return relay, err
+}
+
+func (relay *muxRelay) serve(connection net.Conn, out *writequeue.Queue) {
+	defer out.Wait()
+	defer out.Abort()
+	reader := bufio.NewReaderSize(connection, 64<<10)
+	var request [requestLen]byte
+	for count := uint32(0); ; count++ {
+		if _, err := io.ReadFull(reader, request[:]); err != nil {
+			return
+		}
+		relay.upstreams[count%uint32(len(relay.upstreams))].send(&request, out)
+	}
+}
+
+func (upstream *muxUpstream) send(request *[requestLen]byte, client *writequeue.Queue) {
+	upstream.mu.Lock()
+	upstream.lastTag++
+	tag := upstream.lastTag
+	upstream.pending[tag] = pendingReply{client, binary.BigEndian.Uint32(request[16:])}
+	upstream.mu.Unlock()
+	upstream.out.Enqueue(func(buffer []byte) []byte {
+		start := len(buffer)
+		buffer = append(append(buffer, request[:]...), make([]byte, doFrameLen-requestLen)...)
+		binary.BigEndian.PutUint32(buffer[start+16:], tag)
+		return buffer
+	})
+}
+
+func (upstream *muxUpstream) readReplies() {
+	defer upstream.out.Abort()
+	reader := bufio.NewReaderSize(upstream.conn, 256<<10)
+	reply := make([]byte, answerFrameLen)
+	for {
+		if _, err := io.ReadFull(reader, reply); err != nil {
+			return
+		}
+		tag := binary.BigEndian.Uint32(reply[16:])
+		upstream.mu.Lock()
+		waiting := upstream.pending[tag]
+		delete(upstream.pending, tag)
+		upstream.mu.Unlock()
+		if waiting.out == nil {
+			return
+		}
+		waiting.out.Enqueue(func(buffer []byte) []byte {
+			start := len(buffer)
+			buffer = append(append(buffer, reply...), make([]byte, responseLen-answerFrameLen)...)
+			buffer[start+3], buffer[start+5], buffer[start+6], buffer[start+7] = 0, byte(benchBlockSize>>16), byte(benchBlockSize>>8&0xff), byte(benchBlockSize&0xff)
+			binary.BigEndian.PutUint32(buffer[start+16:], waiting.tag)
+			return buffer
+		})
+	}
+}
+
+func (relay *muxRelay) close() {
+	relay.listener.Close()
+	for _, upstream := range relay.upstreams {
+		upstream.conn.Close()
+		upstream.out.Wait()
+	}
+}
--- a/internal/simulation/lab/regions.go
+++ b/internal/simulation/lab/regions.go
@@ -332,21 +332,21 @@
 )
 
 // judge notes how a command fared on the lane.
-func (l *clientPath) judge(now time.Duration, served bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.consecutiveFailures++; served {
-		l.consecutiveFailures = 0
-	} else if l.consecutiveFailures >= shunAfter {
-		l.consecutiveFailures, l.avoidUntil = 0, now+shunFor
+func (path *clientPath) judge(now time.Duration, served bool) {
+	path.mu.Lock()
+	defer path.mu.Unlock()
+	if path.consecutiveFailures++; served {
+		path.consecutiveFailures = 0
+	} else if path.consecutiveFailures >= shunAfter {
+		path.consecutiveFailures, path.avoidUntil = 0, now+shunFor
 	}
 }
 
 // tried tells whether the lane is one to try now.
-func (l *clientPath) tried(now time.Duration) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return now >= l.avoidUntil
+func (path *clientPath) tried(now time.Duration) bool {
+	path.mu.Lock()
+	defer path.mu.Unlock()
+	return now >= path.avoidUntil
 }
 
 // Tell asks a region's inventory for something, as an operator would.
--- a/internal/simulation/lab/reservations_test.go
+++ b/internal/simulation/lab/reservations_test.go
@@ -268,10 +268,10 @@
 }
 
 // waiting is the number of bytes that are held on their way.
-func (w *partitionEnvironment) waiting() (n int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for c := range w.conns {
+func (environment *partitionEnvironment) waiting() (n int) {
+	environment.mu.Lock()
+	defer environment.mu.Unlock()
+	for c := range environment.conns {
 		c.mu.Lock()
 		n += len(c.delayed)
 		c.mu.Unlock()
--- a/internal/simulation/lab/sweep.go
+++ b/internal/simulation/lab/sweep.go
@@ -25,102 +25,102 @@
 
 // Sweep plays each kind of trouble alone, then all together and none, over the
 // seeds 1 to n, so many days at once.
-func Sweep(ctx context.Context, opt Options, n, parallel int, progress io.Writer) ([]SweepRow, error) {
+func Sweep(ctx context.Context, options Options, seeds, parallel int, progress io.Writer) ([]SweepRow, error) {
 	names := append(FaultKinds(), "all together", "none")
 	rows := make([]SweepRow, len(names))
-	return rows, runSeeds(len(rows), n, parallel, progress, func(row int, seed uint64) (string, func(), error) {
-		o := opt
-		o.Seed, o.Progress, o.FaultKinds = seed, nil, []string{names[row]}
+	return rows, runSeeds(len(rows), seeds, parallel, progress, func(row int, seed uint64) (string, func(), error) {
+		runOptions := options
+		runOptions.Seed, runOptions.Progress, runOptions.FaultKinds = seed, nil, []string{names[row]}
 		if names[row] == "all together" {
-			o.FaultKinds = nil
+			runOptions.FaultKinds = nil
 		}
-		res, err := BadDay(ctx, o)
-		return names[row], func() { rows[row].add(names[row], seed, res) }, err
+		result, err := BadDay(ctx, runOptions)
+		return names[row], func() { rows[row].add(names[row], seed, result) }, err
 	})
 }
 
 // runSeeds plays each row with the seeds 1 to n, so many at once. play returns a name
 // for the progress and what enters its result, which is called one at a time.
-func runSeeds(rows, n, parallel int, progress io.Writer, play func(row int, seed uint64) (name string, enter func(), err error)) error {
+func runSeeds(rows, seeds, parallel int, progress io.Writer, play func(row int, seed uint64) (name string, enter func(), err error)) error {
 	type job struct {
 		row  int
 		seed uint64
 	}
 	jobs := make(chan job)
 	var mu sync.Mutex
-	var failed error
+	var runErr error
 	done := 0
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range parallel {
-		all.Go(func() {
-			for j := range jobs {
-				name, enter, err := play(j.row, j.seed)
+		workers.Go(func() {
+			for job := range jobs {
+				name, enter, err := play(job.row, job.seed)
 				mu.Lock()
 				if done++; err != nil {
-					failed = fmt.Errorf("%s, seed %d: %w", name, j.seed, err)
+					runErr = fmt.Errorf("%s, seed %d: %w", name, job.seed, err)
 				} else {
 					enter()
 				}
-				fmt.Fprintf(progress, "%d of %d: %s, seed %d\n", done, rows*n, name, j.seed)
+				fmt.Fprintf(progress, "%d of %d: %s, seed %d\n", done, rows*seeds, name, job.seed)
 				mu.Unlock()
 			}
 		})
 	}
-	for r := range rows {
-		for s := range n {
-			jobs <- job{r, uint64(s + 1)}
+	for row := range rows {
+		for seed := range seeds {
+			jobs <- job{row, uint64(seed + 1)}
 		}
 	}
 	close(jobs)
-	all.Wait()
-	return failed
+	workers.Wait()
+	return runErr
 }
 
-func (r *SweepRow) add(kind string, seed uint64, res *Result) {
+func (r *SweepRow) add(kind string, seed uint64, result *Result) {
 	r.Kind = kind
 	r.Runs++
-	r.Commands += res.Checker.Stats.Commands
-	r.InvalidBlocks += len(res.InvalidReads) + res.UnreadBlocks
-	for i, n := range res.Checker.Checks {
-		r.RuleChecks[i] += n
+	r.Commands += result.Checker.Stats.Commands
+	r.InvalidBlocks += len(result.InvalidReads) + result.UnreadBlocks
+	for rule, count := range result.Checker.Checks {
+		r.RuleChecks[rule] += count
 	}
-	r.Goodputs = append(r.Goodputs, res.Checker.Stats.Goodput())
-	if res.OK() {
+	r.Goodputs = append(r.Goodputs, result.Checker.Stats.Goodput())
+	if result.OK() {
 		return
 	}
 	r.FailedRuns++
 	if r.FirstFailure == "" {
-		r.FirstFailure = fmt.Sprintf("seed %d: %s", seed, res.failureSummary())
+		r.FirstFailure = fmt.Sprintf("seed %d: %s", seed, result.failureSummary())
 	}
 }
 
 // PrintSweep writes the rows as a table that is also Markdown.
 func PrintSweep(w io.Writer, rows []SweepRow) error {
-	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
-	fmt.Fprint(tw, "| trouble\t| days\t| broken\t| commands\t| goodput least\t| median\t| most")
-	for r := rules.Answers; r <= rules.Budget; r++ {
-		fmt.Fprintf(tw, "\t| rule %d", r)
+	table := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
+	fmt.Fprint(table, "| trouble\t| days\t| broken\t| commands\t| goodput least\t| median\t| most")
+	for rule := rules.Answers; rule <= rules.Budget; rule++ {
+		fmt.Fprintf(table, "\t| rule %d", rule)
 	}
-	fmt.Fprintln(tw, "\t|")
-	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
-	for _, r := range rows {
-		if r.Runs == 0 {
+	fmt.Fprintln(table, "\t|")
+	fmt.Fprintln(table, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
+	for _, row := range rows {
+		if row.Runs == 0 {
 			continue
 		}
-		slices.Sort(r.Goodputs)
-		fmt.Fprintf(tw, "| %s\t| %d\t| %d\t| %d\t| %.3f\t| %.3f\t| %.3f", r.Kind, r.Runs, r.FailedRuns, r.Commands,
-			r.Goodputs[0], r.Goodputs[len(r.Goodputs)/2], r.Goodputs[len(r.Goodputs)-1])
-		for k := rules.Answers; k <= rules.Budget; k++ {
-			fmt.Fprintf(tw, "\t| %d", r.RuleChecks[k])
+		slices.Sort(row.Goodputs)
+		fmt.Fprintf(table, "| %s\t| %d\t| %d\t| %d\t| %.3f\t| %.3f\t| %.3f", row.Kind, row.Runs, row.FailedRuns, row.Commands,
+			row.Goodputs[0], row.Goodputs[len(row.Goodputs)/2], row.Goodputs[len(row.Goodputs)-1])
+		for rule := rules.Answers; rule <= rules.Budget; rule++ {
+			fmt.Fprintf(table, "\t| %d", row.RuleChecks[rule])
 		}
-		fmt.Fprintln(tw, "\t|")
+		fmt.Fprintln(table, "\t|")
 	}
-	if err := tw.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
-	for _, r := range rows {
-		if r.FirstFailure != "" {
-			fmt.Fprintf(w, "BROKEN with %s: %s\n", r.Kind, r.FirstFailure)
+	for _, row := range rows {
+		if row.FirstFailure != "" {
+			fmt.Fprintf(w, "BROKEN with %s: %s\n", row.Kind, row.FirstFailure)
 		}
 	}
 	return nil
--- a/internal/simulation/lab/site.go
+++ b/internal/simulation/lab/testbed.go
@@ -15,16 +15,16 @@
 	startProcess(name string) env.Environment
 	// killProcess ends a program where it stands; false if the site can't, and the program
 	// is to be told to end.
-	killProcess(w env.Environment, power bool) bool
+	killProcess(process env.Environment, powerLoss bool) bool
 	// newRelay makes an address that leads to target and on which what passes is recorded,
 	// beside the side that dials or the one that listens.
-	newRelay(target string, byDialler bool, tap func(addr string) *standin.FrameRecorder) (relay, error)
+	newRelay(target string, clientSide bool, newRecorder func(addr string) *standin.FrameRecorder) (relay, error)
 	// setLink gives the way from one program to another a state, by their lasting names.
-	setLink(from, to string, n world.LinkState)
+	setLink(from, to string, state world.LinkState)
 	// regionLink is the state of the ways regionLink two regions on a calm day.
 	regionLink() world.LinkState
 	// setClockRate has a new program's clock run at so many times the world's, if the site can.
-	setClockRate(w env.Environment, x float64)
+	setClockRate(process env.Environment, rate float64)
 	// mustStopProcesses tells whether programs stay until they are told to end.
 	mustStopProcesses() bool
 	// adminListen is where a host serves its adminListen API, "" where that has no HTTP.
@@ -46,52 +46,54 @@
 	links *standin.Links // nil: sockets as they are
 }
 
-func (l loopbackTestbed) startProcess(name string) env.Environment {
-	if l.links == nil {
-		return l.Environment
+func (testbed loopbackTestbed) startProcess(name string) env.Environment {
+	if testbed.links == nil {
+		return testbed.Environment
 	}
-	return l.links.Process(world.StableName(name))
+	return testbed.links.Process(world.StableName(name))
 }
-func (l loopbackTestbed) setLink(from, to string, n world.LinkState) {
-	l.links.SetState(from, to, standin.LinkState{Delay: n.Delay, Loss: n.Loss, Cut: n.Partitioned})
+func (testbed loopbackTestbed) setLink(from, to string, state world.LinkState) {
+	testbed.links.SetState(from, to, standin.LinkState{Delay: state.Delay, Loss: state.Loss, Cut: state.Partitioned})
 }
 func (loopbackTestbed) regionLink() world.LinkState            { return world.LinkState{} }
 func (loopbackTestbed) setClockRate(env.Environment, float64)  {}
 func (loopbackTestbed) killProcess(env.Environment, bool) bool { return false }
 func (loopbackTestbed) mustStopProcesses() bool                { return true }
 func (loopbackTestbed) adminListen() string                    { return "127.0.0.1:0" }
-func (l loopbackTestbed) newRelay(target string, byDialler bool, tap func(addr string) *standin.FrameRecorder) (relay, error) {
-	if byDialler && l.links != nil {
-		return l.links.NewVirtualAddress(target, tap), nil
+func (testbed loopbackTestbed) newRelay(target string, clientSide bool, newRecorder func(addr string) *standin.FrameRecorder) (relay, error) {
+	if clientSide && testbed.links != nil {
+		return testbed.links.NewVirtualAddress(target, newRecorder), nil
 	}
-	r, err := standin.ServeRelay(l.Environment, target, tap)
+	relay, err := standin.ServeRelay(testbed.Environment, target, newRecorder)
 	if err != nil {
 		return nil, err // not a wire that holds no relay
 	}
-	return r, nil
+	return relay, nil
 }
 
 // virtualTestbed is the site in a virtualTestbed world.
 type virtualTestbed struct{ world *world.World }
 
-func (v virtualTestbed) setLink(from, to string, n world.LinkState) {
-	v.world.Link(from, to).SetState(n)
+func (testbed virtualTestbed) setLink(from, to string, state world.LinkState) {
+	testbed.world.Link(from, to).SetState(state)
 }
-func (v virtualTestbed) regionLink() world.LinkState {
+func (testbed virtualTestbed) regionLink() world.LinkState {
 	return world.LinkState{Delay: 3 * time.Millisecond, Jitter: time.Millisecond}
 }
-func (v virtualTestbed) setClockRate(w env.Environment, x float64) {
-	w.(*world.Process).SetClockRate(x)
+func (testbed virtualTestbed) setClockRate(process env.Environment, rate float64) {
+	process.(*world.Process).SetClockRate(rate)
 }
 
-func (v virtualTestbed) startProcess(name string) env.Environment { return v.world.StartProcess(name) }
+func (testbed virtualTestbed) startProcess(name string) env.Environment {
+	return testbed.world.StartProcess(name)
+}
 
-func (v virtualTestbed) killProcess(w env.Environment, power bool) bool {
-	how := world.Crash
-	if power {
-		how = world.HostLoss
+func (testbed virtualTestbed) killProcess(process env.Environment, powerLoss bool) bool {
+	kind := world.Crash
+	if powerLoss {
+		kind = world.HostLoss
 	}
-	w.(*world.Process).Kill(how)
+	process.(*world.Process).Kill(kind)
 	return true
 }
 
@@ -99,10 +101,10 @@
 
 func (virtualTestbed) adminListen() string { return "" }
 
-func (v virtualTestbed) newRelay(target string, byDialler bool, tap func(addr string) *standin.FrameRecorder) (relay, error) {
-	a := &virtualRelay{world: v.world}
-	a.addr = v.world.Alias(target, byDialler, func() world.Observer { return tap(a.addr) })
-	return a, nil
+func (testbed virtualTestbed) newRelay(target string, clientSide bool, newRecorder func(addr string) *standin.FrameRecorder) (relay, error) {
+	relay := &virtualRelay{world: testbed.world}
+	relay.addr = testbed.world.Alias(target, clientSide, func() world.Observer { return newRecorder(relay.addr) })
+	return relay, nil
 }
 
 type virtualRelay struct {
--- /dev/null
+++ b/internal/simulation/lab/worldfaults.go
@@ -0,0 +1,164 @@
+package lab
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"merlinhitch/internal/simulation/world"
+	"merlinhitch/internal/verify/trail"
+)
+
+// worldFaultFuncs are the troubles that only a virtual world has: those of links, of
+// processes that stand still or end in the midst of a step, and of clocks.
+var worldFaultFuncs = map[string]func(d *dayRun, simulated *world.World, rng *rand.Rand, duration time.Duration){
+	"link_cut":     linkCut,
+	"link_one_way": linkOneWay,
+	"link_loss":    linkLoss,
+	"link_slow":    linkSlow,
+	"link_split":   linkSplit,
+	"list_hang":    listHang,
+	"host_stall":   hostStall,
+	"host_torn":    hostTorn,
+	"disk_stall":   diskStall,
+	"power_cut":    powerCut,
+	"clock_jump":   clockJump,
+}
+
+// WorldFaultKinds lists every kind of trouble of a virtual day.
+func WorldFaultKinds() []string {
+	kinds := FaultKinds()
+	for kind := range worldFaultFuncs {
+		kinds = append(kinds, kind)
+	}
+	slices.Sort(kinds)
+	return kinds
+}
+
+// faultFunc is what a kind of trouble does.
+func faultFunc(kind string) func(d *dayRun, rng *rand.Rand, duration time.Duration) {
+	if f := faultFuncs[kind]; f != nil {
+		return f
+	}
+	if f := regionKinds[kind]; f != nil {
+		return f
+	}
+	f := worldFaultFuncs[kind]
+	return func(d *dayRun, rng *rand.Rand, len time.Duration) {
+		f(d, d.fleet.testbed.(virtualTestbed).world, rng, len)
+	}
+}
+
+// changeLink gives the ways between a host and a disk server another state for a while.
+func changeLink(d *dayRun, simulated *world.World, host, disk string, toDisk, toHost bool, duration time.Duration, change func(*world.LinkState)) {
+	set := func(from, to string) {
+		link := simulated.Link(from, to)
+		state := link.LinkState
+		change(&state)
+		link.SetState(state)
+		d.fleet.afterFunc(duration, func() { link.SetState(simulated.DefaultLink) })
+	}
+	if toDisk {
+		set(host, disk)
+	}
+	if toHost {
+		set(disk, host)
+	}
+}
+
+// samplePairs draws hosts and disk servers.
+func samplePairs(d *dayRun, rng *rand.Rand, share float64, apply func(host, disk string)) {
+	for host := range d.opt.Hosts {
+		for _, index := range sample(rng, d.diskCount(), share) {
+			apply(world.StableName(d.fleet.hosts[host].name), d.fleet.disks[index].name)
+		}
+	}
+}
+
+func linkCut(d *dayRun, simulated *world.World, rng *rand.Rand, duration time.Duration) {
+	samplePairs(d, rng, 0.15, func(host, disk string) {
+		changeLink(d, simulated, host, disk, true, true, duration/2, func(state *world.LinkState) { state.Partitioned = true })
+	})
+}
+
+func linkOneWay(d *dayRun, simulated *world.World, rng *rand.Rand, duration time.Duration) {
+	toDisk := rng.IntN(2) == 0
+	samplePairs(d, rng, 0.15, func(host, disk string) {
+		changeLink(d, simulated, host, disk, toDisk, !toDisk, duration/2, func(state *world.LinkState) { state.Partitioned = true })
+	})
+}
+
+func linkLoss(d *dayRun, simulated *world.World, rng *rand.Rand, duration time.Duration) {
+	loss := uniform(rng, 0.02, 0.3)
+	samplePairs(d, rng, 0.3, func(host, disk string) {
+		changeLink(d, simulated, host, disk, true, true, duration, func(state *world.LinkState) { state.Loss = loss })
+	})
+}
+
+func linkSlow(d *dayRun, simulated *world.World, rng *rand.Rand, duration time.Duration) {
+	delay := time.Duration(uniform(rng, 2, 60) * float64(time.Millisecond))
+	samplePairs(d, rng, 0.4, func(host, disk string) {
+		changeLink(d, simulated, host, disk, true, true, duration, func(state *world.LinkState) { state.Delay, state.Jitter = delay, delay })
+	})
+}
+
+func linkSplit(d *dayRun, simulated *world.World, rng *rand.Rand, duration time.Duration) {
+	samplePairs(d, rng, 0.3, func(host, disk string) {
+		changeLink(d, simulated, host, disk, true, true, duration, func(state *world.LinkState) { state.SplitReads = true })
+	})
+}
+
+// listHang has nothing pass between some hosts and the inventory, and nothing say so.
+func listHang(d *dayRun, simulated *world.World, rng *rand.Rand, duration time.Duration) {
+	for _, host := range sample(rng, d.opt.Hosts, 0.5) {
+		inventoryName := world.StableName(d.fleet.inventories[d.fleet.regionOf(host)].name())
+		changeLink(d, simulated, world.StableName(d.fleet.hosts[host].name), inventoryName, true, true, duration, func(state *world.LinkState) { state.Partitioned = true })
+	}
+}
+
+// hostStall has a host stand still and then wake with all that came due meanwhile.
+func hostStall(d *dayRun, _ *world.World, rng *rand.Rand, duration time.Duration) {
+	host := d.fleet.hosts[rng.IntN(d.opt.Hosts)]
+	stall := min(time.Duration(uniform(rng, 0.05, 8)*float64(time.Second)), duration)
+	process := host.process.(*world.Process)
+	if process.Dead() {
+		return
+	}
+	process.Stall(stall)
+	d.fleet.Recorder.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Stalled, Host: host.name,
+		Deadline: int64((d.fleet.Environment.Now() + stall) / time.Microsecond)})
+}
+
+// hostTorn ends a host as the bytes of one of its next writes leave it.
+func hostTorn(d *dayRun, _ *world.World, rng *rand.Rand, duration time.Duration) {
+	index := rng.IntN(d.opt.Hosts)
+	host := d.fleet.hosts[index]
+	process, name := host.process.(*world.Process), host.name
+	process.CrashAfterWrites(1+rng.IntN(200), func() { d.fleet.Recorder.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Killed, Host: name}) })
+	d.fleet.afterFunc(duration/2, func() {
+		if process.Dead() {
+			d.fleet.KillHost(index, 500*time.Millisecond)
+			return
+		}
+		process.CrashAfterWrites(0, nil) // it wrote too little
+	})
+}
+
+func diskStall(d *dayRun, _ *world.World, rng *rand.Rand, duration time.Duration) {
+	for _, index := range sample(rng, d.diskCount(), 0.2) {
+		d.fleet.disks[index].process.(*world.Process).Stall(min(time.Duration(uniform(rng, 0.05, 4)*float64(time.Second)), duration))
+	}
+}
+
+// powerCut ends disk servers together with their machines: no connection is closed.
+func powerCut(d *dayRun, _ *world.World, rng *rand.Rand, duration time.Duration) {
+	for _, index := range sample(rng, d.diskCount(), 0.15) {
+		d.fleet.PowerOffDisk(index, max(duration/2, time.Second))
+	}
+}
+
+// clockJump sets a host's clock forward.
+func clockJump(d *dayRun, _ *world.World, rng *rand.Rand, _ time.Duration) {
+	process := d.fleet.hosts[rng.IntN(d.opt.Hosts)].process.(*world.Process)
+	process.AdvanceClock(time.Duration(uniform(rng, 0.02, 3) * float64(time.Second)))
+}
