--- a/internal/simulation/lab/badday.go
+++ b/internal/simulation/lab/badday.go
@@ -144,7 +144,7 @@
 
 // dayRun is a running dayRun.
 type dayRun struct {
-	opt                Options
+	options            Options
 	fleet              *Fleet
 	clients            *Clients
 	mu                 sync.Mutex
@@ -182,7 +182,7 @@
 		return nil, err
 	}
 	defer fleet.Close()
-	run := &dayRun{opt: options, fleet: fleet, clients: NewClients(fleet, options.Seed), activeFaults: map[string]int{}}
+	run := &dayRun{options: options, fleet: fleet, clients: NewClients(fleet, options.Seed), activeFaults: map[string]int{}}
 	run.clients.maxEffectDelay = options.maxEffectDelay
 	if options.newChecker != nil {
 		run.checker = options.newChecker(fleet)
@@ -200,47 +200,47 @@
 }
 
 func (d *dayRun) run(ctx context.Context) (*Result, error) {
-	rng := rand.New(rand.NewPCG(d.opt.Seed, 3))
+	rng := rand.New(rand.NewPCG(d.options.Seed, 3))
 	begin := d.fleet.Environment.Now()
-	span := time.Duration(float64(d.opt.Commands) / d.opt.Rate * float64(time.Second))
-	script := d.opt.Faults
-	if script == nil {
-		script = drawFaults(d.opt.FaultKinds, rng, span)
+	span := time.Duration(float64(d.options.Commands) / d.options.Rate * float64(time.Second))
+	faults := d.options.Faults
+	if faults == nil {
+		faults = drawFaults(d.options.FaultKinds, rng, span)
 	}
-	for _, fault := range script {
+	for _, fault := range faults {
 		d.fleet.afterFunc(fault.At, func() {
 			d.countActive(fault.Kind, 1)
 			faultFunc(fault.Kind)(d, rand.New(rand.NewPCG(fault.Seed, 4)), fault.Duration)
 			d.fleet.afterFunc(fault.Duration, func() { d.countActive(fault.Kind, -1) })
 		})
 	}
-	if d.opt.onStart != nil {
-		d.opt.onStart(d, span)
+	if d.options.onStart != nil {
+		d.options.onStart(d, span)
 	}
 	var finished env.Gate
 	if d.fleet.Settings.Regions != nil {
 		d.initialInventories = d.fleet.PutBy()
-		if d.opt.Progress != nil {
-			fmt.Fprintf(d.opt.Progress, "inventories of regions 0 and 1: %s %s\n", at(&d.fleet.inventories[0].addr), at(&d.fleet.inventories[1].addr))
+		if d.options.Progress != nil {
+			fmt.Fprintf(d.options.Progress, "inventories of regions 0 and 1: %s %s\n", at(&d.fleet.inventories[0].addr), at(&d.fleet.inventories[1].addr))
 		}
 		d.operator = &operator{f: d.fleet, Said: map[string]int{}, returns: true}
 		d.fleet.Environment.Go(func() { d.operator.run(&finished) })
 	}
 	stopProgress := d.reportProgress(begin)
-	d.clients.Run(ctx, d.opt.Commands, d.opt.Rate)
+	d.clients.Run(ctx, d.options.Commands, d.options.Rate)
 	d.clients.Wait()
 	result := &Result{}
 	defer finished.Open()
 	result.UnreadBlocks = d.clients.ReadBack(ctx, 60*time.Second)
 	stopProgress()
 	d.clients.Close()
-	if d.opt.onQuiescent != nil {
-		d.opt.onQuiescent(d)
+	if d.options.onQuiescent != nil {
+		d.options.onQuiescent(d)
 	}
 	d.fleet.StopHosts(ctx)
 	events := d.fleet.Recorder.Stop()
-	if d.opt.onStopped != nil {
-		d.opt.onStopped(d, events)
+	if d.options.onStopped != nil {
+		d.options.onStopped(d, events)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -267,13 +267,13 @@
 		result.OperatorCommands, result.RegionLosses = operator.Said, d.fleet.regionLosses
 	}
 	result.RepeatedEffects, result.OverloadCrashed = d.fleet.RepeatedEffects(), d.fleet.OverloadCrashed()
-	if d.opt.OutDir == "" {
+	if d.options.OutDir == "" {
 		return result, nil
 	}
-	if err := os.MkdirAll(d.opt.OutDir, 0o777); err != nil {
+	if err := os.MkdirAll(d.options.OutDir, 0o777); err != nil {
 		return nil, err
 	}
-	result.TrailFile = filepath.Join(d.opt.OutDir, fmt.Sprintf("badday-%d.parquet", d.opt.Seed))
+	result.TrailFile = filepath.Join(d.options.OutDir, fmt.Sprintf("badday-%d.parquet", d.options.Seed))
 	return result, trail.Write(result.TrailFile, d.fleet.Meta, events)
 }
 
@@ -309,7 +309,7 @@
 
 // reportProgress prints a line now and then until the function it returns is called.
 func (d *dayRun) reportProgress(begin time.Duration) (end func()) {
-	if d.opt.Progress == nil {
+	if d.options.Progress == nil {
 		return func() {}
 	}
 	var mu sync.Mutex
@@ -331,7 +331,7 @@
 		if len(active) == 0 {
 			active = []string{"none"}
 		}
-		fmt.Fprintf(d.opt.Progress, "%5.0f s  %d asked, %d ended; troubles: %s\n", (d.fleet.Environment.Now() - begin).Seconds(),
+		fmt.Fprintf(d.options.Progress, "%5.0f s  %d asked, %d ended; troubles: %s\n", (d.fleet.Environment.Now() - begin).Seconds(),
 			d.clients.Submitted.Load(), d.clients.Completed.Load(), strings.Join(active, " "))
 		d.fleet.Environment.AfterFunc(progressInterval, report)
 	}
--- a/internal/simulation/lab/clients.go
+++ b/internal/simulation/lab/clients.go
@@ -319,11 +319,11 @@
 		cdb, dataOut = initiator.CompareAndWriteCDB(command.lba, byte(command.blocks)), append(slices.Clone(command.expected), Stamp(writeID, dataLength)...)
 	}
 	c.Submitted.Add(1)
-	done := &completion{}
-	handle := client.Submit(0, cdb, dataOut, dataIn, func(result iscsi.Result, err error) { done.set(result, err) })
-	abandoned := c.awaitCompletion(client, handle, done, command)
+	completed := &completion{}
+	handle := client.Submit(0, cdb, dataOut, dataIn, func(result iscsi.Result, err error) { completed.set(result, err) })
+	abandoned := c.awaitCompletion(client, handle, completed, command)
 	c.Completed.Add(1)
-	c.finish(command, client, done, writeID, begin, abandoned, onRead)
+	c.finish(command, client, completed, writeID, begin, abandoned, onRead)
 }
 
 // completion is how a command ended at its client.
@@ -349,9 +349,9 @@
 )
 
 // awaitCompletion waits for the end of a command, or leaves it early.
-func (c *Clients) awaitCompletion(client *initiator.Client, handle *initiator.Handle, done *completion, command clientCommand) abandonment {
+func (c *Clients) awaitCompletion(client *initiator.Client, handle *initiator.Handle, completed *completion, command clientCommand) abandonment {
 	if command.abandon == 0 {
-		done.done.Wait(c.fleet.Environment)
+		completed.done.Wait(c.fleet.Environment)
 		return notAbandoned
 	}
 	c.mu.Lock()
@@ -360,14 +360,14 @@
 		fraction = c.behaviour.AbuseAbortFraction
 	}
 	c.mu.Unlock()
-	if !env.Sleep(c.fleet.Environment, env.Duration(command.class(c.fleet.Settings).LatencyTarget*fraction), &done.done) {
+	if !env.Sleep(c.fleet.Environment, env.Duration(command.class(c.fleet.Settings).LatencyTarget*fraction), &completed.done) {
 		return notAbandoned
 	}
 	if command.abandonMode == 1 {
 		command.path.dropSession(client)
 		client.Close()
-		done.done.Wait(c.fleet.Environment)
-		if done.err == nil {
+		completed.done.Wait(c.fleet.Environment)
+		if completed.err == nil {
 			return notAbandoned
 		}
 		return abandonedClosed
@@ -376,11 +376,11 @@
 	if !client.Abort(handle, func(byte) { answered.Open() }) {
 		return abandonedUnsent
 	}
-	env.WaitAny(c.fleet.Environment, &answered, &done.done, client.Done())
+	env.WaitAny(c.fleet.Environment, &answered, &completed.done, client.Done())
 	switch {
 	case answered.Opened():
 		return abandonedAborted
-	case done.done.Opened(): // it crossed the abort
+	case completed.done.Opened(): // it crossed the abort
 		return notAbandoned
 	}
 	return abandonedClosed
@@ -388,17 +388,17 @@
 
 // finish enters what became of the command, and tries again where its client
 // would.
-func (c *Clients) finish(command clientCommand, client *initiator.Client, done *completion, writeID uint64, begin time.Duration, abandoned abandonment, onRead func([]byte)) {
+func (c *Clients) finish(command clientCommand, client *initiator.Client, completed *completion, writeID uint64, begin time.Duration, abandoned abandonment, onRead func([]byte)) {
 	now := c.fleet.Environment.Now()
-	command.path.judge(now, done.err == nil && done.result.Status == scsi.Good)
+	command.path.judge(now, completed.err == nil && completed.result.Status == scsi.Good)
 	outcome, retry := WriteIndeterminate, false
 	effectBy := now
-	sense, _ := scsi.ParseSense(done.result.Sense)
+	sense, _ := scsi.ParseSense(completed.result.Sense)
 	switch {
 	case abandoned == abandonedUnsent:
 		outcome = WriteNotApplied
 	case abandoned == abandonedAborted:
-	case abandoned == abandonedClosed || done.err != nil:
+	case abandoned == abandonedClosed || completed.err != nil:
 		if abandoned == notAbandoned {
 			c.Unanswered.Add(1)
 		}
@@ -406,15 +406,15 @@
 		command.path.dropSession(client)
 		effectBy = begin + env.Duration(command.class(c.fleet.Settings).Deadline) + 100*time.Millisecond + c.maxEffectDelay
 		retry = command.op == scsi.Read
-	case done.result.Status == scsi.Good:
+	case completed.result.Status == scsi.Good:
 		outcome = WriteAcked
 		if command.op == scsi.Read {
-			c.history.RecordRead(command.path.volume.Name, command.lba, done.result.Data, command.path.volume.BlockSize, begin, now)
+			c.history.RecordRead(command.path.volume.Name, command.lba, completed.result.Data, command.path.volume.BlockSize, begin, now)
 			if onRead != nil {
-				onRead(done.result.Data)
+				onRead(completed.result.Data)
 			}
 		}
-	case done.result.Status == scsi.Busy:
+	case completed.result.Status == scsi.Busy:
 		outcome, retry = WriteNotApplied, command.op != scsi.CompareAndWrite
 	case sense == scsi.Miscompare:
 		outcome = WriteNotApplied
@@ -425,7 +425,7 @@
 		c.history.EndWrite(writeID, outcome, effectBy)
 	}
 	if onRead == nil {
-		c.retry(command, retry, abandoned, done.result.Qualifier)
+		c.retry(command, retry, abandoned, completed.result.Qualifier)
 	}
 }
 
--- a/internal/simulation/lab/explore.go
+++ b/internal/simulation/lab/explore.go
@@ -265,9 +265,9 @@
 		}
 		return withFigures(config, s.Figures)
 	}
-	set := SmallBlocks(settings.Example(s.Hosts, s.Servers))
-	for i := range set.Volumes {
-		volume := &set.Volumes[i]
+	config := SmallBlocks(settings.Example(s.Hosts, s.Servers))
+	for i := range config.Volumes {
+		volume := &config.Volumes[i]
 		switch s.Layout {
 		case "":
 		case "narrow":
@@ -281,7 +281,7 @@
 			return nil, fmt.Errorf("lab: unknown layout %q", s.Layout)
 		}
 	}
-	return withFigures(set, s.Figures)
+	return withFigures(config, s.Figures)
 }
 
 // withFigures sets figures by their path in the settings' JSON, as limits.max_attempts.
--- a/internal/simulation/lab/faults.go
+++ b/internal/simulation/lab/faults.go
@@ -90,12 +90,14 @@
 func reportLate(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	delay := uniform(rng, 500, 4800)
 	d.fleet.eachInventory(func(inventory *standin.Inventory) { inventory.SetDelay(inventoryDelay + delay/4) })
-	d.fleet.afterFunc(duration, func() { d.fleet.eachInventory(func(v *standin.Inventory) { v.SetDelay(inventoryDelay) }) })
+	d.fleet.afterFunc(duration, func() {
+		d.fleet.eachInventory(func(inventory *standin.Inventory) { inventory.SetDelay(inventoryDelay) })
+	})
 	d.injectMachineFaults(rng, 1, duration, func() standin.MachineFaults { return standin.MachineFaults{UsageDelay: delay} })
 }
 
 func hotKey(d *dayRun, rng *rand.Rand, duration time.Duration) {
-	volumes := rng.Perm(d.opt.Servers)[:min(3, d.opt.Servers)]
+	volumes := rng.Perm(d.options.Servers)[:min(3, d.options.Servers)]
 	share := uniform(rng, 0.1, 0.4)
 	d.changeBehaviour(duration, func(h *ClientBehaviour) { h.HotVolumes, h.HotShare = volumes, share }, func(h *ClientBehaviour) { h.HotVolumes, h.HotShare = nil, 0 })
 }
@@ -144,7 +146,7 @@
 }
 
 func balancerCrash(d *dayRun, rng *rand.Rand, duration time.Duration) {
-	for _, index := range sample(rng, d.opt.Hosts, 0.4) {
+	for _, index := range sample(rng, d.options.Hosts, 0.4) {
 		d.fleet.KillHost(index, time.Duration(uniform(rng, 1.2, 3)*float64(time.Second)))
 	}
 }
--- a/internal/simulation/lab/fleet.go
+++ b/internal/simulation/lab/fleet.go
@@ -111,10 +111,10 @@
 // DefaultMachine is the usual disk server of the lab: two cores, work for a unit such
 // that the ordinary load takes a third of the fleet.
 func DefaultMachine(config *settings.Settings) standin.MachineConfig {
-	slowStart := config.Rules
+	rules := config.Rules
 	return standin.MachineConfig{Cores: 2, QueueLimit: 120, UnitWork: 14, WriteFactor: 1.5, Spread: 0.25, CacheEntries: 2, CacheHitFactor: 0.5,
-		DeferredWriteShare: 0.3, FlushInterval: 2500, ColdCapacity: slowStart.ColdCapacity, WarmUpTime: slowStart.WarmUpTime, OverloadFactor: slowStart.OverloadFactor,
-		OverloadWindow: slowStart.OverloadWindow, ColdUnits: slowStart.ColdUnits}
+		DeferredWriteShare: 0.3, FlushInterval: 2500, ColdCapacity: rules.ColdCapacity, WarmUpTime: rules.WarmUpTime, OverloadFactor: rules.OverloadFactor,
+		OverloadWindow: rules.OverloadWindow, ColdUnits: rules.ColdUnits}
 }
 
 // inventoryDelay is how late the inventory tells a change, ms.
--- a/internal/simulation/lab/layouts.go
+++ b/internal/simulation/lab/layouts.go
@@ -102,7 +102,7 @@
 // then has the other halls serve what they have copies of.
 func scheduleHallLoss(d *dayRun, span time.Duration) {
 	f := d.fleet
-	hall := Halls[d.opt.Seed%uint64(len(Halls))]
+	hall := Halls[d.options.Seed%uint64(len(Halls))]
 	f.afterFunc(span/3, func() {
 		for _, n := range f.Settings.Nodes {
 			if n.Hall == hall {
--- a/internal/simulation/lab/limits.go
+++ b/internal/simulation/lab/limits.go
@@ -47,14 +47,14 @@
 // LimitDay has clients ask for eight times the mean limit of one volume through two hosts
 // on loopback, for so long, while the limit is changed at both every 100 ms.
 func LimitDay(ctx context.Context, options Options, span time.Duration) (*LimitResult, error) {
-	set := settings.Example(2, 6)
-	volume := set.Volumes[0]
+	config := settings.Example(2, 6)
+	volume := config.Volumes[0]
 	volume.Hosts, volume.Layout = []int{0, 1}, []int{0, 1, 2, 3, 4, 5}
 	volume.Copies, volume.MaxNodes = 1, 0
-	set.Volumes, set.Placement.SurviveLoss = []settings.Volume{volume}, false
-	set.Plans[0].Limit, set.Plans[0].Burst, set.Plans[0].Overdraft = limitHigh, 12, 4
-	options.Settings, options.Hosts, options.Servers, options.FaultKinds = set, 2, 6, []string{"none"}
-	options.Rate = limitLoadFactor * (limitLow + limitHigh) / 2 / set.MeanUnits
+	config.Volumes, config.Placement.SurviveLoss = []settings.Volume{volume}, false
+	config.Plans[0].Limit, config.Plans[0].Burst, config.Plans[0].Overdraft = limitHigh, 12, 4
+	options.Settings, options.Hosts, options.Servers, options.FaultKinds = config, 2, 6, []string{"none"}
+	options.Rate = limitLoadFactor * (limitLow + limitHigh) / 2 / config.MeanUnits
 	options.Commands = int(options.Rate * span.Seconds())
 	var mu sync.Mutex
 	var steps []limitStep
@@ -87,18 +87,18 @@
 		finished.Open()
 		events = trailEvents
 	}
-	res, err := BadDay(ctx, options)
+	dayResult, err := BadDay(ctx, options)
 	finished.Open()
 	if err != nil {
 		return nil, err
 	}
-	result := &LimitResult{Result: res, Changes: len(steps)}
-	result.measure(set, steps, events, begin, begin+int64(span/time.Microsecond))
+	result := &LimitResult{Result: dayResult, Changes: len(steps)}
+	result.measure(config, steps, events, begin, begin+int64(span/time.Microsecond))
 	return result, nil
 }
 
 // measure adds up what passed between two times, and the integral of the limit there.
-func (r *LimitResult) measure(set *settings.Settings, changes []limitStep, events []trail.Event, from, to int64) {
+func (r *LimitResult) measure(config *settings.Settings, changes []limitStep, events []trail.Event, from, to int64) {
 	last := from
 	for i := range events {
 		event := &events[i]
@@ -108,12 +108,12 @@
 			r.SentUnits += event.Units
 			last = event.Time
 		case event.Kind == trail.Command:
-			r.RequestedUnits += set.Units(int(event.Blocks) * set.Volumes[0].BlockSize)
+			r.RequestedUnits += config.Units(int(event.Blocks) * config.Volumes[0].BlockSize)
 		}
 	}
-	hosts := float64(set.Hosts)
-	for host := range set.Hosts {
-		since, limit := from, set.Plans[0].Limit
+	hosts := float64(config.Hosts)
+	for host := range config.Hosts {
+		since, limit := from, config.Plans[0].Limit
 		for _, change := range changes {
 			if change.host != host || change.time > last {
 				continue
@@ -123,9 +123,9 @@
 		}
 		r.LimitIntegral += limit / hosts * float64(last-since) / 1e6
 	}
-	plan := set.Plans[0]
+	plan := config.Plans[0]
 	r.UpperBound = r.LimitIntegral + plan.Burst + plan.Overdraft
-	r.LowerBound = r.LimitIntegral - plan.Burst - hosts*set.MaxUnits
+	r.LowerBound = r.LimitIntegral - plan.Burst - hosts*config.MaxUnits
 }
 
 // Print writes the figures.
--- a/internal/simulation/lab/partition.go
+++ b/internal/simulation/lab/partition.go
@@ -62,7 +62,7 @@
 	partitionable := &partitionConn{Conn: connection, env: environment}
 	environment.mu.Lock()
 	defer environment.mu.Unlock()
-	if _, cut := environment.partitioned[address]; cut { // it came in between
+	if _, nowPartitioned := environment.partitioned[address]; nowPartitioned { // it came in between
 		connection.Close()
 		return nil, errPartitioned
 	}
--- a/internal/simulation/lab/regionday.go
+++ b/internal/simulation/lab/regionday.go
@@ -117,7 +117,7 @@
 
 // leaseStall has a host stand still for up to 30 s.
 func leaseStall(d *dayRun, rng *rand.Rand, len time.Duration) {
-	d.fleet.StallHost(rng.IntN(d.opt.Hosts), min(time.Duration(uniform(rng, 1, 30)*float64(time.Second)), len))
+	d.fleet.StallHost(rng.IntN(d.options.Hosts), min(time.Duration(uniform(rng, 1, 30)*float64(time.Second)), len))
 }
 
 // opening is a region lost as the morning begins: 1.7 to 2.4 times the usual, for all of
--- a/internal/simulation/lab/routing.go
+++ b/internal/simulation/lab/routing.go
@@ -107,7 +107,7 @@
 // scheduleHallOutage ends a hall's servers and hosts for two fifths of the day.
 func scheduleHallOutage(d *dayRun, span time.Duration) {
 	f := d.fleet
-	hall := Halls[d.opt.Seed%uint64(len(Halls))]
+	hall := Halls[d.options.Seed%uint64(len(Halls))]
 	f.afterFunc(span*3/10, func() {
 		for i, k := range f.disks {
 			if k.zone == hall {
@@ -124,8 +124,8 @@
 
 // scheduleHostKills ends each host once, one after the other, for a sixth of the day.
 func scheduleHostKills(d *dayRun, span time.Duration) {
-	rng := rand.New(rand.NewPCG(d.opt.Seed, 13))
-	for k, i := range rng.Perm(d.opt.Hosts) {
+	rng := rand.New(rand.NewPCG(d.options.Seed, 13))
+	for k, i := range rng.Perm(d.options.Hosts) {
 		d.fleet.afterFunc(span*time.Duration(1+2*k)/8, func() { d.fleet.KillHost(i, span/6) })
 	}
 }
--- a/internal/simulation/lab/worldfaults.go
+++ b/internal/simulation/lab/worldfaults.go
@@ -44,8 +44,8 @@
 		return f
 	}
 	f := worldFaultFuncs[kind]
-	return func(d *dayRun, rng *rand.Rand, len time.Duration) {
-		f(d, d.fleet.testbed.(virtualTestbed).world, rng, len)
+	return func(d *dayRun, rng *rand.Rand, duration time.Duration) {
+		f(d, d.fleet.testbed.(virtualTestbed).world, rng, duration)
 	}
 }
 
@@ -68,7 +68,7 @@
 
 // samplePairs draws hosts and disk servers.
 func samplePairs(d *dayRun, rng *rand.Rand, share float64, apply func(host, disk string)) {
-	for host := range d.opt.Hosts {
+	for host := range d.options.Hosts {
 		for _, index := range sample(rng, d.diskCount(), share) {
 			apply(world.StableName(d.fleet.hosts[host].name), d.fleet.disks[index].name)
 		}
@@ -110,7 +110,7 @@
 
 // listHang has nothing pass between some hosts and the inventory, and nothing say so.
 func listHang(d *dayRun, simulated *world.World, rng *rand.Rand, duration time.Duration) {
-	for _, host := range sample(rng, d.opt.Hosts, 0.5) {
+	for _, host := range sample(rng, d.options.Hosts, 0.5) {
 		inventoryName := world.StableName(d.fleet.inventories[d.fleet.regionOf(host)].name())
 		changeLink(d, simulated, world.StableName(d.fleet.hosts[host].name), inventoryName, true, true, duration, func(state *world.LinkState) { state.Partitioned = true })
 	}
@@ -118,7 +118,7 @@
 
 // hostStall has a host stand still and then wake with all that came due meanwhile.
 func hostStall(d *dayRun, _ *world.World, rng *rand.Rand, duration time.Duration) {
-	host := d.fleet.hosts[rng.IntN(d.opt.Hosts)]
+	host := d.fleet.hosts[rng.IntN(d.options.Hosts)]
 	stall := min(time.Duration(uniform(rng, 0.05, 8)*float64(time.Second)), duration)
 	process := host.process.(*world.Process)
 	if process.Dead() {
@@ -131,7 +131,7 @@
 
 // hostTorn ends a host as the bytes of one of its next writes leave it.
 func hostTorn(d *dayRun, _ *world.World, rng *rand.Rand, duration time.Duration) {
-	index := rng.IntN(d.opt.Hosts)
+	index := rng.IntN(d.options.Hosts)
 	host := d.fleet.hosts[index]
 	process, name := host.process.(*world.Process), host.name
 	process.CrashAfterWrites(1+rng.IntN(200), func() { d.fleet.Recorder.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Killed, Host: name}) })
@@ -159,6 +159,6 @@
 
 // clockJump sets a host's clock forward.
 func clockJump(d *dayRun, _ *world.World, rng *rand.Rand, _ time.Duration) {
-	process := d.fleet.hosts[rng.IntN(d.opt.Hosts)].process.(*world.Process)
+	process := d.fleet.hosts[rng.IntN(d.options.Hosts)].process.(*world.Process)
 	process.AdvanceClock(time.Duration(uniform(rng, 0.02, 3) * float64(time.Second)))
 }
