--- a/internal/simulation/lab/bench.go
+++ b/internal/simulation/lab/bench.go
@@ -28,32 +28,32 @@
 	"merlinhitch/internal/simulation/standin"
 )
 
-// The bench puts three things between the same clients and the same kind of
-// server, in one process and one run: the gateway, and two bare relays that pass on
-// frames of the gateway's sizes and know nothing of them. The pipe has a connection
-// behind for each in front, so that what comes together goes on together, in one
-// call of the system; the fan has the gateway's connections, one to each server.
-// Everything is counted for the whole process, clients and servers included; so the
-// ratios say what the gateway adds to moving the bytes.
+// The bench compares the gateway with two relays that forward frames of the gateway's sizes
+// without interpreting them, in one process and one run. The pipe opens an upstream connection
+// for each client connection, so that frames that arrive together are forwarded in one system
+// call. The fan multiplexes all clients over one connection to each server, as the gateway does.
+// CPU time and allocations are those of the whole process, clients and servers included; the
+// ratios show what the gateway adds to the cost of forwarding the bytes.
 
 const (
 	benchBlockSize = 4096
 	benchShards    = 9
-	requestLen     = 48      // a SCSI command PDU
-	doFrameLen     = 16 + 96 // about a Do frame
+	requestLen     = 48      // bytes of a SCSI command PDU
+	doFrameLen     = 16 + 96 // bytes, about those of a Do frame
 	answerFrameLen = 16 + 15 + benchBlockSize
 	responseLen    = 48 + benchBlockSize
 )
 
-// BenchOptions says how long each point takes.
+// BenchOptions sets the points of a bench: each number of Connections with each number of
+// Outstanding commands per connection.
 type BenchOptions struct {
-	PointTime   time.Duration
+	PointTime   time.Duration // measured after a warm-up of half as long
 	Connections []int
 	Outstanding []int
 	Progress    io.Writer
 }
 
-// benchEndpoint is what is measured: an address to connect to and what to say first.
+// benchEndpoint is a gateway or relay that is measured: its addresses and its login.
 type benchEndpoint struct {
 	name      string
 	addr      string
@@ -62,16 +62,16 @@
 	close     func()
 }
 
-// Measurement is one measurement.
+// Measurement holds the results of one measured point.
 type Measurement struct {
-	Rate        float64 // operations a second
-	Latency     *hdrhistogram.Histogram
-	CPUMicros   float64 // microseconds of the process for an operation
+	Rate        float64                 // operations per second
+	Latency     *hdrhistogram.Histogram // microseconds
+	CPUMicros   float64                 // CPU time of the process per operation, microseconds
 	AllocsPerOp float64
-	Failed      int64
+	Failed      int64 // responses with another status than GOOD or with too little data
 }
 
-// Bench measures all three and writes the tables.
+// Bench measures the gateway and both relays and writes the tables.
 func Bench(options BenchOptions, out io.Writer) error {
 	gatewayEndpoint, closeAll, err := startBenchGateway(nil)
 	if err != nil {
@@ -86,15 +86,15 @@
 	return benchAgainstRelays(options, gatewayEndpoint, pipe, fan, out)
 }
 
-// benchGatewayOptions is what a measured gateway has beside the usual: keys of it and of its disk
-// servers, a history.
+// benchGatewayOptions has the optional features of a measured gateway.
 type benchGatewayOptions struct {
 	hostKeys, diskKeys *keys.Credentials
-	historyDir         string // folder
+	historyDir         string // folder of the history of measurements; "": none
 	adminAddr          string
 }
 
-// startBenchGateway is a gateway before servers that answer at once; nil: the usual.
+// startBenchGateway starts a gateway and disk servers that answer immediately. nil options stand
+// for a gateway without TLS, history and admin listener.
 func startBenchGateway(options *benchGatewayOptions) (gatewayEndpoint *benchEndpoint, closeAll func(), err error) {
 	environment := env.NewReal()
 	var disks []*standin.ImmediateDiskServer
@@ -125,6 +125,8 @@
 	return gatewayEndpoint, closeAll, nil
 }
 
+// benchAgainstRelays writes the table of all points, then the results at half load, the costs and
+// the memory of idle sessions.
 func benchAgainstRelays(options BenchOptions, gatewayEndpoint, pipe, fan *benchEndpoint, out io.Writer) error {
 	tw := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| conns\t| out\t| pipe op/s\t| fan op/s\t| gateway op/s\t| of pipe\t| of fan\t| fan p50/p99/p99.9 ms\t| gateway p50/p99/p99.9 ms\t| cpu us/op: pipe, fan, gateway\t| allocs/op\t|")
@@ -162,6 +164,7 @@
 	return benchIdleSessions(gatewayEndpoint, out)
 }
 
+// formatQuantiles returns p50/p99/p99.9 in ms.
 func formatQuantiles(point *Measurement) string {
 	quantileMS := func(percent float64) float64 { return float64(point.Latency.ValueAtQuantile(percent)) / 1000 }
 	return fmt.Sprintf("%.2f/%.2f/%.2f", quantileMS(50), quantileMS(99), quantileMS(99.9))
@@ -169,7 +172,7 @@
 
 func p99Micros(point *Measurement) float64 { return float64(point.Latency.ValueAtQuantile(99)) }
 
-// benchHalfLoad compares the tails at half of the gateway's best rate.
+// benchHalfLoad compares the latency of a relay and the gateway at the given rate.
 func benchHalfLoad(options BenchOptions, gatewayEndpoint, relay *benchEndpoint, rate float64, out io.Writer) error {
 	relayPoint, err := measure(relay, 64, 0, rate, options)
 	if err != nil {
@@ -183,7 +186,8 @@
 	return nil
 }
 
-// benchCommandCost compares what a command benchCommandCost over connections and over rates.
+// benchCommandCost compares the CPU time of a command between few and many connections and
+// between low and high rates.
 func benchCommandCost(options BenchOptions, gatewayEndpoint *benchEndpoint, rate float64, out io.Writer) error {
 	few, err := measure(gatewayEndpoint, 10, 0, rate, options)
 	if err != nil {
@@ -208,8 +212,8 @@
 
 const idleSessionCount = 1000
 
-// benchIdleSessions measures the memory of sessions that do nothing, their clients' side
-// included (a bare connection each).
+// benchIdleSessions measures the memory of idle sessions, the connections of their clients
+// included.
 func benchIdleSessions(gatewayEndpoint *benchEndpoint, out io.Writer) error {
 	before := memoryInUse()
 	var conns []net.Conn
@@ -232,6 +236,7 @@
 	return nil
 }
 
+// memoryInUse returns the bytes of heap and stacks in use after a garbage collection.
 func memoryInUse() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -240,7 +245,7 @@
 	return int64(stats.HeapAlloc + stats.StackInuse)
 }
 
-// processCPUTime is the process's CPU time.
+// processCPUTime returns the user and system CPU time of the process.
 func processCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -249,8 +254,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// measure measures one point: closed loop with depth outstanding on each connection,
-// or open loop at a total rate where depth is 0.
+// measure measures one point: a closed loop with that many commands outstanding on each
+// connection or, if outstanding is 0, an open loop at a total rate in commands per second.
 func measure(endpoint *benchEndpoint, connections, outstanding int, rate float64, options BenchOptions) (*Measurement, error) {
 	if options.Progress != nil {
 		fmt.Fprintf(options.Progress, "%s: %d connections, %d outstanding, rate %.0f\n", endpoint.name, connections, outstanding, rate)
@@ -289,7 +294,7 @@
 			workers.Go(client.sendAtRate)
 		}
 	}
-	time.Sleep(options.PointTime / 2) // the warm-up: a measurement, not a test
+	time.Sleep(options.PointTime / 2) // warm-up
 	var memBefore, memAfter runtime.MemStats
 	runtime.ReadMemStats(&memBefore)
 	cpuTime, start := processCPUTime(), time.Now()
@@ -313,7 +318,7 @@
 	return result, nil
 }
 
-// loadConn is one client connection: it speaks as little as it can.
+// loadConn is a client connection that handles as little of iSCSI as possible, to add little load.
 type loadConn struct {
 	conn             net.Conn
 	reader           *bufio.Reader
@@ -322,7 +327,7 @@
 
 	mu      sync.Mutex
 	cmdSN   uint32
-	started [4096]time.Time // by tag
+	started [4096]time.Time // by task tag; the time when the command was due
 	lastTag uint32
 	unsent  []byte
 	ops     int64
@@ -330,7 +335,7 @@
 	hist    *hdrhistogram.Histogram
 }
 
-// enqueue appends a command, counted from the time when it was due.
+// enqueue appends a read command to the unsent bytes. Its latency counts from the due time.
 func (l *loadConn) enqueue(due time.Time) {
 	l.lastTag = (l.lastTag + 1) % uint32(len(l.started))
 	l.started[l.lastTag] = due
@@ -353,7 +358,7 @@
 	return err
 }
 
-// receive takes responses; in a closed loop each sends the next command.
+// receive reads responses; in a closed loop each triggers the next command.
 func (l *loadConn) receive(outstanding int) {
 	l.mu.Lock()
 	for range outstanding {
@@ -389,7 +394,7 @@
 	}
 }
 
-// sendAtRate sends commands at their times, whatever has been answered.
+// sendAtRate sends commands at their due times, regardless of responses (open loop).
 func (l *loadConn) sendAtRate() {
 	due := time.Now().Add(l.offset)
 	for {
@@ -406,7 +411,7 @@
 	}
 }
 
-// startGatewayEndpoint is one host before servers that answer at once.
+// startGatewayEndpoint starts a gateway for the disk servers at the given addresses.
 func startGatewayEndpoint(environment env.Environment, addrs []string, options *benchGatewayOptions) (*benchEndpoint, error) {
 	initial := settings.Example(1, benchShards)
 	initial.Volumes = []settings.Volume{{Name: "bench", Plan: "prioritario", Blocks: 1 << 20, BlockSize: benchBlockSize, ExtentBlocks: 32, Hosts: []int{0}}}
@@ -449,7 +454,7 @@
 	return endpoint, nil
 }
 
-// benchLogin logs in by one exchange.
+// benchLogin logs in with one request and returns the next CmdSN.
 func benchLogin(conn net.Conn, reader *bufio.Reader, target string, isid uint32) (uint32, error) {
 	request := iscsi.New(iscsi.OpLoginReq).SetImmediate().SetFlags(0x87)
 	request.BHS[8] = 0x80
@@ -465,12 +470,12 @@
 		return 0, err
 	}
 	if reply.BHS[36] != byte(scsi.Good) || reply.Flags()&3 != 3 {
-		return 0, fmt.Errorf("bench: login refused with %02x%02x", reply.BHS[36], reply.BHS[37])
+		return 0, fmt.Errorf("bench: login failed with status %02x%02x", reply.BHS[36], reply.BHS[37])
 	}
 	return 1, nil
 }
 
-// startRelays are the two bare relays before a server of fixed replies.
+// startRelays starts the pipe and the fan in front of a server that answers each frame.
 func startRelays() (pipe, fan *benchEndpoint, closeAll func(), err error) {
 	server, err := serveConnections("127.0.0.1:0", func(c net.Conn) { relayFrames(c, c, doFrameLen, answerFrameLen) })
 	if err != nil {
@@ -493,7 +498,8 @@
 	return pipe, fan, func() { mux.close(); pipeListener.Close(); server.Close() }, nil
 }
 
-// relayPipe passes a client's frames to a connection of its own, and back.
+// relayPipe forwards the frames of one client over an upstream connection of its own, and the
+// replies back.
 func relayPipe(client net.Conn, server string) {
 	upstream, err := net.Dial("tcp", server)
 	if err != nil {
@@ -511,7 +517,8 @@
 	<-done
 }
 
-// serveConnections serves each connection by f until the listener is closed.
+// serveConnections calls serve in a goroutine for each accepted connection until the listener is
+// closed.
 func serveConnections(addr string, serve func(net.Conn)) (net.Listener, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -529,8 +536,8 @@
 	return listener, nil
 }
 
-// relayFrames reads frames of one size and passes on their beginning, with the tag, in
-// frames of another, several in one write where several have come.
+// relayFrames reads frames of inSize bytes and writes frames of outSize bytes that begin with the
+// same bytes, which hold the task tag. Frames that are already buffered go out in one write.
 func relayFrames(dst, src net.Conn, inSize, outSize int) {
 	reader := bufio.NewReaderSize(src, 64<<10)
 	frame := make([]byte, inSize)
--- a/internal/simulation/lab/benchkeys.go
+++ b/internal/simulation/lab/benchkeys.go
@@ -12,11 +12,12 @@
 	"merlinhitch/internal/control/keys"
 )
 
-// pairRounds is how often each pair is measured; the median of the ratios is shown.
+// pairRounds is the number of measurements of each pair, of which the median is printed.
 const pairRounds = 3
 
-// BenchTLS measures what keys between host and disk servers cost: two gateways, one in
-// clear and one over TLS, before servers that answer at once, in turn and in one run.
+// BenchTLS measures the cost of TLS between host and disk servers: it measures two gateways
+// alternately in one process, one without and one with TLS, with disk servers that answer
+// immediately.
 func BenchTLS(options BenchOptions, out io.Writer) error {
 	keyOptions, dir, err := makeBenchCredentials()
 	if err != nil {
@@ -37,7 +38,8 @@
 	return compareGateways(options, plain, encrypted, out)
 }
 
-// compareGateways measures two gateways at all points and at half of the second's best load.
+// compareGateways measures two gateways at all points, and at half of the rate that the second
+// reaches with 64 connections and 8 commands outstanding on each.
 func compareGateways(options BenchOptions, plain, other *benchEndpoint, out io.Writer) error {
 	tw := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
 	fmt.Fprintf(tw, "| conns\t| out\t| %s op/s\t| %s op/s\t| ratio\t| p50/p99/p99.9 ms %s\t| %s\t| p99 ratio\t| cpu us/op %s, %s\t|\n", plain.name, other.name, plain.name, other.name, plain.name, other.name)
@@ -60,8 +62,8 @@
 	return tw.Flush()
 }
 
-// comparePoint measures two subjects in turn and prints the pair whose ratio of rates is the
-// median.
+// comparePoint measures two endpoints alternately and prints the pair with the median ratio of
+// rates.
 func comparePoint(w io.Writer, first, second *benchEndpoint, connections, outstanding int, rate float64, options BenchOptions) error {
 	type pair struct{ first, second *Measurement }
 	var pairs []pair
@@ -92,6 +94,8 @@
 	return err
 }
 
+// makeBenchCredentials issues keys to a host and its disk servers in a temporary folder, which the
+// caller removes.
 func makeBenchCredentials() (*benchGatewayOptions, string, error) {
 	dir, err := os.MkdirTemp("", "bench-keys-")
 	if err != nil {
--- a/internal/simulation/lab/benchwatch.go
+++ b/internal/simulation/lab/benchwatch.go
@@ -10,13 +10,11 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// scrapeInterval is how often a watched gateway's /metrics is read: fifteen times as often as
-// is usual.
+// scrapeInterval is the interval between reads of a monitored gateway's /metrics by each reader.
 const scrapeInterval = time.Second
 
-// BenchMonitoring measures what an operator's view costs: a gateway that keeps a history and
-// whose /metrics two readers fetch every second, and one without, in turn and in one run.
-// Both count.
+// BenchMonitoring measures the cost of monitoring: it measures two gateways alternately in one
+// process, one without and one with a history and two readers that fetch its /metrics every second.
 func BenchMonitoring(options BenchOptions, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "bench-history-")
 	if err != nil {
--- a/internal/simulation/lab/experiment.go
+++ b/internal/simulation/lab/experiment.go
@@ -26,27 +26,27 @@
 	"merlinhitch/internal/verify/rules"
 )
 
-// Grid is what an experiment goes through: every combination of its lists, each on
-// every seed.
+// Grid describes an experiment: every combination of its lists is run with each of the
+// seeds 1 to Seeds.
 type Grid struct {
 	Hosts    []int
 	Servers  []int
-	Rates    []float64 // commands a second
-	Loads    []float64 // times the rate
+	Rates    []float64 // commands per second
+	Loads    []float64 // factors applied to each rate
 	Layouts  []string
-	Troubles []string // a kind, "none", "all" (those of the bench) or "world" (every kind)
+	Troubles []string // a fault kind, "none", "all" (every kind of FaultKinds) or "world" (WorldFaultKinds without clock jumps)
 	Seeds    int
 	Duration time.Duration
-	Setting  string // of the settings, by path; "": none
+	Setting  string // path of the setting that takes each of Values; "" varies none
 	Values   []float64
 	Parallel int
 }
 
-// ExperimentRow is one run.
+// ExperimentRow holds the results of one run.
 type ExperimentRow struct {
 	Hosts     int32   `parquet:"hosts"`
 	Servers   int32   `parquet:"servers"`
-	Rate      float64 `parquet:"rate"` // commands a second, load included
+	Rate      float64 `parquet:"rate"` // commands per second, with the load factor applied
 	Load      float64 `parquet:"load"`
 	Layout    string  `parquet:"layout,dict"`
 	Trouble   string  `parquet:"trouble,dict"`
@@ -57,19 +57,19 @@
 	Goodput   float64 `parquet:"goodput"`
 	WorstPlan float64 `parquet:"worst_plan"`
 	Worst10s  float64 `parquet:"worst_10s"`
-	// RecoverySeconds is how long after the last trouble's end goodput was that of the time before
-	// the first again, s; below 0: not within the day.
+	// RecoverySeconds is the time from the end of the last fault until goodput is back at 95% of its
+	// value before the first fault, in seconds; negative if that does not happen within the run.
 	RecoverySeconds  float64 `parquet:"back_s"`
 	P50              float64 `parquet:"p50_ms"`
 	P99              float64 `parquet:"p99_ms"`
 	P999             float64 `parquet:"p999_ms"`
 	StepsPerCommand  float64 `parquet:"steps_per_command"`
-	MicrosPerCommand float64 `parquet:"us_per_command"` // of the machine that played it
+	MicrosPerCommand float64 `parquet:"us_per_command"` // wall-clock time of the run on the machine that simulates it
 	Failure          string  `parquet:"failure,dict"`
 	Digest           uint64  `parquet:"digest"`
 }
 
-// SecondRow is one second of one run.
+// SecondRow holds the results of one second of one run.
 type SecondRow struct {
 	Hosts   int32   `parquet:"hosts"`
 	Servers int32   `parquet:"servers"`
@@ -81,11 +81,11 @@
 	Second  int32   `parquet:"second"`
 	Offered float64 `parquet:"due"`
 	Served  float64 `parquet:"worth"`
-	P50     float64 `parquet:"p50_ms"` // of what was asked in it and served
+	P50     float64 `parquet:"p50_ms"` // latency of the served commands that were issued in this second
 	P99     float64 `parquet:"p99_ms"`
 }
 
-// gridRun is a run that is to be made.
+// gridRun is one run of a grid.
 type gridRun struct {
 	Scenario
 	load     float64
@@ -97,13 +97,13 @@
 
 func (g Grid) runs() (planned []gridRun, err error) {
 	if g.Seeds < 1 || g.Duration < time.Second || len(g.Hosts)*len(g.Servers)*len(g.Rates)*len(g.Loads)*len(g.Layouts)*len(g.Troubles) == 0 {
-		return nil, errors.New("lab: an experiment needs hosts, servers, rates, loads, layouts, troubles, seeds and a second")
+		return nil, errors.New("lab: an experiment needs hosts, servers, rates, loads, layouts, troubles, seeds and a duration of at least 1 s")
 	}
 	values := g.Values
 	if g.Setting == "" {
 		values = []float64{0}
 	} else if len(values) == 0 {
-		return nil, errors.New("lab: no values for " + g.Setting)
+		return nil, errors.New("lab: no values for setting " + g.Setting)
 	}
 	for _, hosts := range g.Hosts {
 		for _, servers := range g.Servers {
@@ -133,8 +133,8 @@
 	return planned, nil
 }
 
-// drawTroubles draws a cell's troubles: the same for the same seed, whatever the rest, so that
-// runs can be compared in pairs.
+// drawTroubles draws the faults of a run. They depend on the seed, the trouble and the duration
+// only, so that runs of the same seed can be compared in pairs.
 func (g Grid) drawTroubles(trouble string, seed uint64) ([]ScheduledFault, error) {
 	rng := rand.New(rand.NewPCG(seed, 23))
 	switch {
@@ -144,13 +144,14 @@
 		return drawFaults(FaultKinds(), rng, g.Duration*2/3), nil
 	case trouble == "world":
 		return drawFaults(slices.DeleteFunc(WorldFaultKinds(), func(k string) bool { return k == excludedFault }), rng, g.Duration*2/3), nil
-	case slices.Contains(WorldFaultKinds(), trouble): // in the midst, a sixth of the day long
+	case slices.Contains(WorldFaultKinds(), trouble): // from a third of the run on, for a sixth of it
 		return []ScheduledFault{{Kind: trouble, At: g.Duration / 3, Duration: g.Duration / 6, Seed: rng.Uint64()}}, nil
 	}
-	return nil, fmt.Errorf("lab: unknown trouble %q; there are none, all, world, %s", trouble, strings.Join(WorldFaultKinds(), ", "))
+	return nil, fmt.Errorf("lab: unknown trouble %q, want one of none, all, world, %s", trouble, strings.Join(WorldFaultKinds(), ", "))
 }
 
-// Experiment makes every run of a grid.
+// Experiment executes every run of a grid, g.Parallel at a time, and returns the rows in the
+// order of the grid. The first error ends it.
 func Experiment(ctx context.Context, g Grid, progress io.Writer) (rows []ExperimentRow, seconds []SecondRow, err error) {
 	runs, err := g.runs()
 	if err != nil {
@@ -206,7 +207,7 @@
 			latenciesBySecond[issuedAt/1e6] = histogram
 		}
 		for _, h := range []*hdrhistogram.Histogram{histogram, allLatencies} {
-			h.RecordValue(min(max(latency, 1), maxRecordedMicros)) // in range by the line itself
+			h.RecordValue(min(max(latency, 1), maxRecordedMicros)) // cannot fail: the value is clamped to the range
 		}
 	}
 	outcome, err := c.Run(ctx, "")
@@ -233,11 +234,11 @@
 	return row, perSecond, nil
 }
 
-// recoveryWindow is over how long goodput is looked at for a recovery.
+// recoveryWindow is the number of seconds over which goodput is averaged to detect recovery.
 const recoveryWindow = 2
 
-// recoverySeconds is when goodput was again that of the time before the first trouble, within a
-// twentieth.
+// recoverySeconds returns the time from the end of the last fault until goodput is back at 95% of
+// its value before the first fault, or -1 if it does not recover within the run.
 func (c gridRun) recoverySeconds(stats *rules.Stats) float64 {
 	if len(c.Faults) == 0 {
 		return 0
@@ -255,14 +256,14 @@
 	return -1
 }
 
-// Files of an experiment's folder.
+// Names of the files in an experiment's folder.
 const (
 	RunsFile    = "runs.parquet"
 	SecondsFile = "seconds.parquet"
 	TableFile   = "table.md"
 )
 
-// SaveExperiment writes the rows, the table and the charts into a folder.
+// SaveExperiment writes the rows, the table and the charts to a folder, which it creates if needed.
 func SaveExperiment(dir string, rows []ExperimentRow, seconds []SecondRow) error {
 	if err := os.MkdirAll(dir, 0o777); err != nil {
 		return err
@@ -287,16 +288,16 @@
 	return plotExperiment(dir, rows, seconds)
 }
 
-// LoadExperiment reads the rows of an experiment's folder.
+// LoadExperiment reads the runs that SaveExperiment wrote to a folder.
 func LoadExperiment(dir string) ([]ExperimentRow, error) {
 	rows, err := parquet.ReadFile[ExperimentRow](filepath.Join(dir, RunsFile))
 	if err != nil {
-		return nil, fmt.Errorf("%s: no experiment: %w", dir, err)
+		return nil, fmt.Errorf("%s: cannot read the experiment: %w", dir, err)
 	}
 	return rows, nil
 }
 
-// cellKey is what runs that differ only in their seed share.
+// cellKey identifies a cell of the grid: the runs that differ only in their seed.
 type cellKey struct {
 	hosts, servers int32
 	load           float64
@@ -321,7 +322,7 @@
 	return s
 }
 
-// groupByCell collects rows by key, in the order of their first.
+// groupByCell groups rows by cell; keys are in the order in which the cells first appear.
 func groupByCell(rows []ExperimentRow) (keys []cellKey, rowsByKey map[cellKey][]*ExperimentRow) {
 	rowsByKey = map[cellKey][]*ExperimentRow{}
 	for i := range rows {
@@ -334,8 +335,8 @@
 	return keys, rowsByKey
 }
 
-// confidenceInterval is the mean with half the width of its 95% confidence confidenceInterval (Student's t);
-// the width is 0 of a single figure.
+// confidenceInterval returns the mean and half the width of its 95% confidence interval
+// (Student's t); the half width is 0 for fewer than two values.
 func confidenceInterval(values []float64) (mean, halfWidth float64) {
 	if len(values) < 2 {
 		return stat.Mean(values, nil), 0
@@ -353,7 +354,7 @@
 	return values
 }
 
-// PrintExperiment writes one line for each cell, as Markdown.
+// PrintExperiment writes a Markdown table with one row for each cell.
 func PrintExperiment(w io.Writer, rows []ExperimentRow) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| cell\t| runs\t| failed\t| goodput\t| worst plan\t| worst 10 s\t| back after s\t| p50 ms\t| p99 ms\t| p99.9 ms\t| steps a command\t| us a command\t|")
@@ -384,17 +385,18 @@
 	return tw.Flush()
 }
 
-// Comparison is one figure of one cell in two experiments, run for run of the same seed.
+// Comparison compares one metric of one cell between two experiments, over pairs of runs with
+// the same seed.
 type Comparison struct {
 	Cell         string
 	Metric       string
 	Pairs        int
-	Before, Diff float64 // means
-	HalfWidth    float64 // of the difference's 95% interval
+	Before, Diff float64 // mean before, and mean of the pairwise differences
+	HalfWidth    float64 // of the 95% confidence interval of Diff
 	Verdict      string
 }
 
-// comparedMetrics are the figures that two experiments are comparedMetrics by; better: more of it is.
+// comparedMetrics are the metrics by which two experiments are compared.
 var comparedMetrics = []struct {
 	name           string
 	value          func(*ExperimentRow) float64
@@ -406,8 +408,8 @@
 	{"steps a command", func(r *ExperimentRow) float64 { return r.StepsPerCommand }, false},
 }
 
-// CompareExperiments compares what two experiments have in common. What lies within
-// the interval of its noise is neither gain nor loss.
+// CompareExperiments compares the cells and seeds that two experiments have in common. A mean
+// difference within its confidence interval is neither a gain nor a loss.
 func CompareExperiments(before, after []ExperimentRow) (comparisons []Comparison) {
 	keys, beforeRows := groupByCell(withoutConstantSetting(before))
 	_, afterRows := groupByCell(withoutConstantSetting(after))
@@ -442,8 +444,8 @@
 	return comparisons
 }
 
-// withoutConstantSetting leaves out the figure of an experiment that has one value of it throughout:
-// it may be what two experiments differ by.
+// withoutConstantSetting clears the setting and its value if all rows have the same, so that
+// experiments that differ in that setting have equal cell keys.
 func withoutConstantSetting(rows []ExperimentRow) []ExperimentRow {
 	cleared := slices.Clone(rows)
 	for i := range cleared {
@@ -457,7 +459,7 @@
 	return cleared
 }
 
-// PrintComparisons writes a comparison as Markdown.
+// PrintComparisons writes the comparisons as a Markdown table.
 func PrintComparisons(w io.Writer, comparisons []Comparison) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| cell\t| figure\t| pairs\t| before\t| difference, 95%\t| verdict\t|")
@@ -468,7 +470,7 @@
 	return tw.Flush()
 }
 
-// plotExperiment draws what the grid has lists of.
+// plotExperiment plots metrics by load and by hosts where the grid varies them, and metrics by second.
 func plotExperiment(dir string, rows []ExperimentRow, seconds []SecondRow) error {
 	keys, rowsByKey := groupByCell(rows)
 	plotLines := func(file, title, xLabel, yLabel string, seriesName func(cellKey) string, xValue func(cellKey) float64, yValue func(*ExperimentRow) float64) error {
@@ -502,7 +504,7 @@
 		return false
 	}
 	if varies(func(k cellKey) any { return k.load }) {
-		err := plotLines("goodput-load.png", "goodput by load", "times the ordinary load", "part of the worth asked for",
+		err := plotLines("goodput-load.png", "goodput by load", "load factor", "goodput, fraction of the offered value",
 			func(k cellKey) string { return fmt.Sprintf("%d hosts, %s", k.hosts, k.trouble) }, func(k cellKey) float64 { return k.load },
 			func(r *ExperimentRow) float64 { return r.Goodput })
 		if err != nil {
@@ -514,8 +516,8 @@
 			file, title, y string
 			yValue         func(*ExperimentRow) float64
 		}{
-			{"goodput-hosts.png", "goodput by hosts", "part of the worth asked for", func(r *ExperimentRow) float64 { return r.Goodput }},
-			{"cost-hosts.png", "cost by hosts", "steps of the world a command", func(r *ExperimentRow) float64 { return r.StepsPerCommand }},
+			{"goodput-hosts.png", "goodput by hosts", "goodput, fraction of the offered value", func(r *ExperimentRow) float64 { return r.Goodput }},
+			{"cost-hosts.png", "cost by hosts", "simulation steps per command", func(r *ExperimentRow) float64 { return r.StepsPerCommand }},
 			{"p99-hosts.png", "latency by hosts", "p99, ms", func(r *ExperimentRow) float64 { return r.P99 }},
 		} {
 			err := plotLines(figure.file, figure.title, "hosts", figure.y, func(k cellKey) string { return fmt.Sprintf("%s, load %.2g", k.trouble, k.load) },
@@ -528,8 +530,9 @@
 	return plotSeconds(dir, seconds)
 }
 
-// plotSeconds draws goodput and latency over the day, a line for each kind of trouble:
-// the mean over seeds of the largest number of hosts at the first load.
+// plotSeconds plots goodput and p99 latency over the first hour of the run, one line for each
+// trouble: the mean over the seeds of the runs with the most hosts and with the load, value and
+// layout of the first row.
 func plotSeconds(dir string, seconds []SecondRow) error {
 	if len(seconds) == 0 {
 		return nil
@@ -572,8 +575,8 @@
 		goodputSeries, latencySeries = append(goodputSeries, goodput), append(latencySeries, latency)
 	}
 	title := fmt.Sprintf("%d hosts", maxHosts)
-	if err := chart.Lines(filepath.Join(dir, "goodput-time.png"), "goodput over the day, "+title, "s", "part of the worth asked for", goodputSeries...); err != nil {
+	if err := chart.Lines(filepath.Join(dir, "goodput-time.png"), "goodput over time, "+title, "s", "goodput, fraction of the offered value", goodputSeries...); err != nil {
 		return err
 	}
-	return chart.Lines(filepath.Join(dir, "p99-time.png"), "p99 of what was served, by the second of its asking, "+title, "s", "ms", latencySeries...)
+	return chart.Lines(filepath.Join(dir, "p99-time.png"), "p99 latency of served commands by second of issue, "+title, "s", "ms", latencySeries...)
 }
--- a/internal/simulation/lab/reservations.go
+++ b/internal/simulation/lab/reservations.go
@@ -28,20 +28,21 @@
 	"merlinhitch/internal/simulation/world"
 )
 
-// Reservations of one volume, asked for by several initiators through three hosts, with
-// hosts that die and stand still, links that are cut and disk servers that lose power.
-// What came of it is judged by a model written from SPC-4 alone, over the history that
-// initiators saw and the writes as they took effect at the disk servers.
+// Test runs of SCSI persistent reservations: several initiators register, reserve, pre-empt,
+// read and write on one volume through three hosts while hosts are killed and paused, links
+// are cut and disk servers lose power. The history that the initiators saw and the writes that
+// the disk servers applied are checked against a model of SPC-4.
 
 const (
 	reservationHosts      = 3
 	reservationInitiators = 4
 	reservationShards     = 3
-	// persistProbability is the part of the runs in which registrations outlive a loss of power.
+	// persistProbability is the probability that the registrations of a run persist through power
+	// loss (APTPL).
 	persistProbability = 0.5
 )
 
-// Kinds of steps.
+// Values of ReservationStep.Kind.
 const (
 	stepRegister   = "register"
 	stepUnregister = "unregister"
@@ -51,48 +52,48 @@
 	stepPreempt    = "preempt"
 	stepWrite      = "write"
 	stepRead       = "read"
-	stepPowerLoss  = "power lost" // of the server that keeps the state
+	stepPowerLoss  = "power lost" // of the disk server that stores the reservation state, which is that of shard 0
 )
 
-// Outcomes of a step.
+// Values of ReservationStep.Outcome.
 const (
 	outcomeGood     = "good"
 	outcomeConflict = "conflict"
-	outcomeNoEffect = "nothing" // refused without effect
+	outcomeNoEffect = "nothing" // rejected without effect
 	outcomeUnknown  = "unknown"
 )
 
-// ReservationStep is one step of a history. Times are since the world began.
+// ReservationStep is one command of an initiator or one power loss. Times are of the environment's clock.
 type ReservationStep struct {
 	Initiator       int
 	Kind            string
-	ReservationType byte // of a reserve, release or pre-emption
-	Preempted       int  // whose key is pre-empted
+	ReservationType byte // SPC-4 type code, 1 to 8, of a reserve, release or pre-emption
+	Preempted       int  // index of the initiator whose key is pre-empted
 	Outcome         string
 	Call            time.Duration
 	Return          time.Duration
-	Stamp           uint64 // of a write's block
+	Stamp           uint64 // number in the block of a write, unique within the run
 }
 
-// ReservationHistory is a run's.
+// ReservationHistory records the steps of a run and the writes that the disk servers applied.
 type ReservationHistory struct {
-	Persist bool
+	Persist bool // registrations set APTPL
 	Steps   []ReservationStep
-	// AppliedWrites are the writes as disk servers carried them out, by their stamps.
+	// AppliedWrites has the times at which disk servers applied each write, by stamp.
 	AppliedWrites map[uint64][]time.Duration
 }
 
-// RunReservations plays one run on loopback; unfenced with disk servers that keep no
-// fence.
+// RunReservations makes one run on loopback sockets, in which each initiator completes the given
+// number of steps. If unfenced is set, the disk servers ignore fences, which a check must find.
 func RunReservations(ctx context.Context, seed uint64, steps int, unfenced bool) (*ReservationHistory, error) {
 	environment := env.NewReal()
 	return runReservations(ctx, environment, loopbackTestbed{Environment: environment}, seed, steps, unfenced)
 }
 
-// maxReservationTime bounds a run's virtual time.
+// maxReservationTime limits the virtual time of a run.
 const maxReservationTime = 10 * time.Minute
 
-// RunVirtualReservations is ReservationRun in a virtual world: the same at each play.
+// RunVirtualReservations is RunReservations in a virtual world, where a run is determined by its seed.
 func RunVirtualReservations(ctx context.Context, seed uint64, steps int, unfenced bool) (h *ReservationHistory, err error) {
 	virtualWorld := world.New(seed)
 	var runErr error
@@ -126,7 +127,7 @@
 type reservationRig struct {
 	environment      env.Environment
 	testbed          testbed
-	rng              *rand.Rand // of the faults
+	rng              *rand.Rand // draws the faults
 	seed             uint64
 	settings         *settings.Settings
 	inventory        *standin.Inventory
@@ -143,7 +144,7 @@
 func newReservationRig(environment env.Environment, bed testbed, seed uint64, unfenced bool) (*reservationRig, error) {
 	rig := &reservationRig{environment: environment, testbed: bed, rng: rand.New(rand.NewPCG(seed, 21)), seed: seed, settings: settings.Example(reservationHosts, reservationShards)}
 	rig.history = ReservationHistory{Persist: rig.rng.Float64() < persistProbability, AppliedWrites: map[uint64][]time.Duration{}}
-	volume := rig.settings.Volumes[5] // of a plan without a limit
+	volume := rig.settings.Volumes[5] // its plan has no limit
 	volume.Layout, volume.Hosts, volume.Blocks = []int{0, 1, 2}, []int{0, 1, 2}, 4096
 	rig.settings.Volumes = []settings.Volume{volume}
 	for i := range rig.settings.Classes {
@@ -172,7 +173,7 @@
 	return rig, nil
 }
 
-// recordWrite notes a write as it changes blocks.
+// recordWrite records the time at which a disk server applies a write.
 func (r *reservationRig) recordWrite(do *diskproto.Do) {
 	if scsi.Op(do.Op) != scsi.Write || len(do.Data) < 8 {
 		return
@@ -239,7 +240,7 @@
 	}
 }
 
-// injectFaults strikes now and then until stop is open.
+// injectFaults injects a random fault after each pause of 50 to 249 ms, until stop is open.
 func (r *reservationRig) injectFaults(stop *env.Gate) {
 	for env.Sleep(r.environment, time.Duration(50+r.rng.IntN(200))*time.Millisecond, stop) {
 		hostIndex, diskIndex := r.rng.IntN(reservationHosts), r.rng.IntN(reservationShards)
@@ -248,22 +249,22 @@
 		r.mu.Unlock()
 		duration := time.Duration(50+r.rng.IntN(300)) * time.Millisecond
 		switch r.rng.IntN(5) {
-		case 0, 1: // a link
+		case 0, 1: // cut the link between a host and a disk server
 			r.hostEnvironments[hostIndex].partition(partitionKind(r.rng.IntN(2)), addr)
 			env.Sleep(r.environment, duration, stop)
 			r.hostEnvironments[hostIndex].heal(addr)
-		case 2: // a pause of a host
+		case 2: // pause a host
 			var resume env.Gate
 			host.Freeze(&resume)
 			env.Sleep(r.environment, duration, stop)
 			resume.Open()
-		case 3: // a host
+		case 3: // kill and restart a host
 			host.Kill()
 			if err := r.startHost(hostIndex); err != nil {
 				r.fail(err)
 				return
 			}
-		case 4: // a disk server, by loss of power
+		case 4: // power loss and restart of a disk server
 			call := r.environment.Now()
 			r.disks[diskIndex].Kill()
 			r.stores[diskIndex].PowerLoss()
@@ -284,7 +285,8 @@
 	r.history.Steps = append(r.history.Steps, step)
 }
 
-// runInitiator is one initiator: it asks for this and that through one host.
+// runInitiator sends random commands through one host until the given number of steps is
+// recorded, and logs in again after a session fails.
 func (r *reservationRig) runInitiator(ctx context.Context, index, steps int) {
 	rng := rand.New(rand.NewPCG(r.seed, uint64(100+index)))
 	var session *initiator.Client
@@ -304,10 +306,10 @@
 			}
 		}
 		if session == nil {
-			r.fail(errors.New("lab: no host takes a session"))
+			r.fail(errors.New("lab: initiator could not log in to its host"))
 			return
 		}
-		// Time for a fault to strike in between, and for others to be in the midst of theirs.
+		// A random pause, so that steps overlap with faults and with steps of other initiators.
 		env.SleepContext(ctx, r.environment, time.Duration(rng.IntN(40))*time.Millisecond)
 		step := ReservationStep{Initiator: index, Kind: kinds[rng.IntN(len(kinds))], ReservationType: types[rng.IntN(len(types))], Preempted: rng.IntN(reservationInitiators)}
 		if done, alive := r.execute(session, &step, rng); done {
@@ -333,10 +335,12 @@
 	return session
 }
 
-// initiatorKey is an initiator's; it never changes, so that who is pre-empted is known.
+// initiatorKey returns the reservation key of an initiator. It never changes, so that the key of a
+// pre-emption identifies the initiator.
 func initiatorKey(initiator int) uint64 { return uint64(initiator + 1) }
 
-// execute asks for one thing; done is false where it was only told a unit attention.
+// execute sends the command of a step and records its outcome. done is false if the command ended
+// with a unit attention and must be sent again; alive is false if the session failed.
 func (r *reservationRig) execute(session *initiator.Client, step *ReservationStep, rng *rand.Rand) (done, alive bool) {
 	block := make([]byte, r.settings.Volumes[0].BlockSize)
 	lba := uint64(rng.IntN(96))
@@ -368,9 +372,9 @@
 		step.Outcome = outcomeConflict
 	case res.Status == scsi.Busy:
 		step.Outcome = outcomeNoEffect
-	case sense.Key == 6:
+	case sense.Key == 6: // UNIT ATTENTION
 		return false, true
-	case sense.Key == 5: // a pre-emption with the key 0, a release of another type
+	case sense.Key == 5: // ILLEGAL REQUEST, as for a release with another type
 		step.Outcome = outcomeNoEffect
 	default:
 		step.Outcome = outcomeUnknown
@@ -378,7 +382,7 @@
 	return true, true
 }
 
-// submit gives a command so long that only a lost one does not end.
+// submit sends a command and waits 8 s for its response, which only a lost command exceeds.
 func (r *reservationRig) submit(session *initiator.Client, cdb, dataOut []byte, dataInLength int) (iscsi.Result, error) {
 	pending := &completion{}
 	session.Submit(0, cdb, dataOut, dataInLength, pending.set)
@@ -388,6 +392,7 @@
 	return pending.result, pending.err
 }
 
+// serviceActions has the PERSISTENT RESERVE OUT service action of each kind of step.
 var serviceActions = map[string]byte{stepRegister: 6, stepUnregister: 6, stepReserve: 1, stepRelease: 2, stepClear: 3, stepPreempt: 4}
 
 func (r *reservationRig) reserveOutCDB(step *ReservationStep) []byte {
@@ -409,20 +414,21 @@
 	return parameters
 }
 
-// The model: registrations, type and holder, as SPC-4 has them, for initiators of one
-// key each.
-
+// reservationState is the state of the model: the registrations, type and holder of SPC-4 for
+// initiators with one key each. In types 7 and 8 (all registrants) every registrant is a holder.
 type reservationState struct {
 	registered [reservationInitiators]bool
-	resType    byte
+	resType    byte // SPC-4 type code; 0: no reservation
 	holder     int
-	persist    bool // as the last registration said
+	persist    bool // APTPL of the last registration or unregistration
 }
 
 func (s reservationState) isHolder(initiator int) bool {
 	return s.resType != 0 && (s.resType >= 7 && s.registered[initiator] || s.resType < 7 && s.holder == initiator)
 }
 
+// mayAccess reports whether the reservation allows an initiator to write or read. Types 5 to 8 admit
+// all registrants; types 1, 5 and 7 exclude others from writes only.
 func (s reservationState) mayAccess(initiator int, write bool) bool {
 	switch {
 	case s.resType == 0 || s.isHolder(initiator) || s.resType >= 5 && s.registered[initiator]:
@@ -431,6 +437,7 @@
 	return !write && (s.resType == 1 || s.resType == 5 || s.resType == 7)
 }
 
+// unregister removes a registration, and the reservation with its holder or last registrant.
 func (s reservationState) unregister(initiator int) reservationState {
 	s.registered[initiator] = false
 	if s.resType >= 7 && s.registered == [reservationInitiators]bool{} || s.resType != 0 && s.resType < 7 && s.holder == initiator {
@@ -439,7 +446,7 @@
 	return s
 }
 
-// apply is what the step does to the state if it is GOOD, and whether it may be.
+// apply returns the state after a step with status GOOD, and whether that status is allowed.
 func (s reservationState) apply(step *ReservationStep, persist bool) (reservationState, bool) {
 	switch step.Kind {
 	case stepPowerLoss:
@@ -474,7 +481,7 @@
 	case stepRelease:
 		if s.isHolder(step.Initiator) {
 			if s.resType != step.ReservationType {
-				return s, false // refused, and not as a conflict
+				return s, false // ILLEGAL REQUEST rather than a conflict
 			}
 			s.resType, s.holder = 0, 0
 		}
@@ -501,7 +508,8 @@
 	return s, true
 }
 
-// reservationModel is nondeterministic where the outcome of a step is not known.
+// reservationModel returns the model for the linearizability check. It is nondeterministic where
+// the outcome of a step is unknown.
 func reservationModel(persist bool) porcupine.Model {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{reservationState{}} },
@@ -531,19 +539,19 @@
 	return model.ToModel()
 }
 
-// searchTimeout bounds the search for an order of one history.
+// searchTimeout limits the search for a linearization of one history.
 const searchTimeout = 60 * time.Second
 
-// Check tells what is wrong with a history, "" if nothing.
+// Check returns a description of what violates the model in a history, or "".
 func (h *ReservationHistory) Check() string {
 	var ops []porcupine.Operation
 	for i, step := range h.Steps {
 		returned := step.Return
 		if step.Outcome == outcomeUnknown {
 			if step.Kind == stepWrite || step.Kind == stepRead {
-				continue // it changes no reservation
+				continue // does not change the reservation state
 			}
-			returned = math.MaxInt64 // it may yet be carried out
+			returned = math.MaxInt64 // may take effect at any later time
 		}
 		if step.Outcome == outcomeNoEffect {
 			continue
@@ -552,16 +560,16 @@
 	}
 	switch porcupine.CheckOperationsTimeout(reservationModel(h.Persist), ops, searchTimeout) {
 	case porcupine.Illegal:
-		return "no order of the steps explains their outcomes"
+		return "history is not linearizable: no order of the steps explains their outcomes"
 	case porcupine.Unknown:
-		return "undecided: no order was found in time"
+		return "undecided: the search for an order of the steps timed out"
 	}
 	return h.checkAppliedWrites()
 }
 
-// checkAppliedWrites looks at each write as a disk server carried it out: after a pre-emption
-// of its initiator was answered, and until anything else may have given it leave again,
-// it may not have been.
+// checkAppliedWrites checks that no disk server applied a write after its initiator was
+// pre-empted with a GOOD response, unless the reservation may have ended or the initiator may have
+// registered again by then.
 func (h *ReservationHistory) checkAppliedWrites() string {
 	initiatorByStamp := map[uint64]int{}
 	for _, step := range h.Steps {
@@ -579,7 +587,7 @@
 			}
 			for _, appliedAt := range times {
 				if appliedAt > preemption.Return && h.heldReservation(&preemption, appliedAt) && !h.mayBeRegistered(&preemption, appliedAt) {
-					return fmt.Sprintf("a write of initiator %d took effect %v after the answer to its pre-emption", preemption.Preempted, appliedAt-preemption.Return)
+					return fmt.Sprintf("a write of initiator %d took effect %v after the response to its pre-emption", preemption.Preempted, appliedAt-preemption.Return)
 				}
 			}
 		}
@@ -587,9 +595,9 @@
 	return ""
 }
 
-// heldReservation tells whether the pre-emptor certainly held a reservation against all others
-// than registrants from its answer to that time: it heldReservation before with a GOOD answer
-// and nothing since may have ended it.
+// heldReservation reports whether the initiator of a pre-emption certainly holds a reservation
+// from the response to it until the given time: it reserved before with a GOOD response and no
+// step since may have ended the reservation. Every type keeps the unregistered from writing.
 func (h *ReservationHistory) heldReservation(preemption *ReservationStep, until time.Duration) bool {
 	var reservation *ReservationStep
 	for i := range h.Steps {
@@ -607,14 +615,15 @@
 	})
 }
 
-// mayBeRegistered tells whether the pre-empted may have been registered again by then.
+// mayBeRegistered reports whether the pre-empted initiator may be registered again by the given time.
 func (h *ReservationHistory) mayBeRegistered(preemption *ReservationStep, until time.Duration) bool {
 	return slices.ContainsFunc(h.Steps, func(step ReservationStep) bool {
 		return step.Initiator == preemption.Preempted && step.Kind == stepRegister && step.Outcome != outcomeConflict && step.Call < until && (step.Return > preemption.Call || step.Outcome == outcomeUnknown)
 	})
 }
 
-// CheckReservations plays and judges so many runs, several at once.
+// CheckReservations makes and checks runs with the seeds 1 to runs, parallel of them at a time, prints
+// the violations and the counts of steps by outcome, and returns the number of runs with violations.
 func CheckReservations(ctx context.Context, virtual bool, runs, steps, parallel int, out io.Writer, progress io.Writer) (broken int, err error) {
 	counts := map[string]int{}
 	appliedWrites, total := 0, 0
