--- a/policy/api.go
+++ b/policy/api.go
@@ -103,11 +103,11 @@
 	AnswerSlack    float64 // time after a request's expiry by which it must have its final answer
 	DrainGrace     float64 // time within which sending to a draining node must stop; not read by this policy
 	AskWithin      float64 // not read by this policy
-	OverloadFactor float64 // multiple of a node's capacity at which it becomes overloaded; not read by this policy
+	OverloadFactor float64 // multiple of a node's capacity at which it is overloaded; not read by this policy
 	OverloadWindow float64 // time over which the load on a cold node is summed
 	ColdCapacity   float64 // capacity of a node that has just started, as a fraction of its full one
 	WarmUpTime     float64 // time from a node's start to its full capacity
-	ColdUnits      float64 // units that all hosts together may send to a just started node in an OverloadWindow
+	ColdUnits      float64 // units that all hosts may send to a node just started, per OverloadWindow
 	KeyHoldoff     float64 // delay of a key's next request after an attempt whose outcome is unknown
 	HasBudget      bool    // the number of retries is bounded, by the next three
 	BudgetBase     float64 // retries allowed per BudgetWindow in any case
--- a/policy/depth.go
+++ b/policy/depth.go
@@ -18,7 +18,8 @@
 	mean, wasLimited := p.meanServiceTime(sh), sh.depthLimited
 	output := mean / target
 	sh.depthLimited = false
-	sh.meetsTargetAtMaxDepth = sh.servedTime.n >= minSamples && sh.servedTime.mean(p.medianTime, priorWeight)*maxDepth <= targetFraction*target
+	sh.meetsTargetAtMaxDepth = sh.servedTime.n >= minSamples &&
+		sh.servedTime.mean(p.medianTime, priorWeight)*maxDepth <= targetFraction*target
 	sh.servedTime.decay(sampleDecay)
 	if sh.serviceTime.n < minSamples {
 		sh.serviceTime.decay(sparseSampleDecay)
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -72,11 +72,13 @@
 	// answers nearly as fast as an unloaded one: a late answer has little value and would delay
 	// requests of other hosts that are still in time. A node that meets the target even at
 	// maxDepth also counts as idle. A node that was loaded from the start is mistaken for idle.
-	idle := sh.meetsTargetAtMaxDepth || len(sh.outstanding) == 0 && p.meanServiceTime(sh) <= idleFactor*p.unloadedServiceTime
+	idle := sh.meetsTargetAtMaxDepth ||
+		len(sh.outstanding) == 0 && p.meanServiceTime(sh) <= idleFactor*p.unloadedServiceTime
 	if !idle || p.admittedFraction(sh) < 1 {
 		return nil
 	}
-	if p.now < sh.deferredLimitedUntil-timeEpsilon && sh.deferredSeen == sh.deferredState() { // limits still hold all those that would be examined
+	// Limits still hold back all requests that would be examined.
+	if p.now < sh.deferredLimitedUntil-timeEpsilon && sh.deferredSeen == sh.deferredState() {
 		p.setTimer(sh.deferredLimitedUntil+answerMargin, nil, sh)
 		return nil
 	}
@@ -95,7 +97,8 @@
 			limited, opensAt = limited+1, min(opensAt, p.limitOpensAt)
 		}
 	}
-	if sh.deferredSeen, sh.deferredLimitedUntil = sh.deferredState(), 0; limited > 0 && limited == min(examined, longQueue) {
+	if sh.deferredSeen, sh.deferredLimitedUntil = sh.deferredState(), 0; limited > 0 &&
+		limited == min(examined, longQueue) {
 		sh.deferredLimitedUntil = opensAt
 	}
 	return pick
@@ -128,7 +131,8 @@
 	if !slowStart {
 		return true
 	}
-	if allowedFrom := p.startedAt + p.coldWindow(); n.coldSince < p.startedAt && p.now < allowedFrom { // sends from before a restart of this host are not counted
+	// Sends from before a restart of this host are not counted.
+	if allowedFrom := p.startedAt + p.coldWindow(); n.coldSince < p.startedAt && p.now < allowedFrom {
 		p.setTimer(allowedFrom, nil, sh)
 		return false
 	}
@@ -181,5 +185,6 @@
 	if r.class.Effect == NonIdempotent || r.class.Streamed {
 		return 0
 	}
-	return min(p.now+max(stuckTargets*r.class.LatencyTarget, stuckServiceTimes*p.meanServiceTime(sh)), r.Expires)
+	return min(p.now+max(stuckTargets*r.class.LatencyTarget,
+		stuckServiceTimes*p.meanServiceTime(sh)), r.Expires)
 }
--- a/policy/estimate.go
+++ b/policy/estimate.go
@@ -113,7 +113,8 @@
 
 // weightedSystem returns, for each output, the gains of the shares and the deviation from the
 // reference. The rows of the inverse latencies are multiplied by inverseLatencyWeight.
-func (g *shareRegulator) weightedSystem(reference []float64, inverseLatencyWeight float64) (gains [][]float64, deviation []float64) {
+func (g *shareRegulator) weightedSystem(reference []float64,
+	inverseLatencyWeight float64) (gains [][]float64, deviation []float64) {
 	n := len(g.share)
 	for i := range 2 * n {
 		weight := 1.0
--- a/policy/health.go
+++ b/policy/health.go
@@ -12,7 +12,8 @@
 func (p *scheduler) expectedServiceTime(sh *shard) float64 {
 	expected := p.meanServiceTime(sh)
 	for _, r := range sh.outstanding {
-		if r.sentAt >= sh.lastServedSend { // if overtaken by a later one, the attempt itself is stuck, not the node
+		// If overtaken by a later one, the attempt itself is stuck, not the node.
+		if r.sentAt >= sh.lastServedSend {
 			expected = max(expected, (p.now-r.sentAt)/2)
 		}
 	}
@@ -56,7 +57,8 @@
 		n.rejectedShort.add(p.now, rejectSpan)
 		// No backoff if it serves many and rejects few: at thousands of requests a second, a
 		// backoff for each rejection would leave the node idle.
-		if n.servedShort.value(p.now, rejectSpan) < minServedPerReject*n.rejectedShort.value(p.now, rejectSpan) {
+		if n.servedShort.value(p.now, rejectSpan) <
+			minServedPerReject*n.rejectedShort.value(p.now, rejectSpan) {
 			p.backOff(n, p.backoffScale())
 		}
 	case NoConnection, ConnectionLost:
@@ -86,7 +88,8 @@
 	// One slow node must not dominate the samples of all nodes.
 	elapsed = min(elapsed, stuckTargets*p.minLatencyTarget())
 	sh.serviceTime.add(elapsed)
-	p.serviceSamples = append(p.serviceSamples[max(len(p.serviceSamples)-maxNewerSamples, 0):], serviceSample{p.now, elapsed})
+	p.serviceSamples = append(p.serviceSamples[max(len(p.serviceSamples)-maxNewerSamples, 0):],
+		serviceSample{p.now, elapsed})
 }
 
 // node is what this host knows of a disk server.
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -85,7 +85,8 @@
 
 // eligible reports whether a node may be sent to: it is ready and its shard exists.
 func (p *scheduler) eligible(entry Node) bool {
-	return entry.Health == Ready && entry.Shard >= 0 && (p.settings.Shards <= 0 || entry.Shard < p.settings.Shards)
+	return entry.Health == Ready && entry.Shard >= 0 &&
+		(p.settings.Shards <= 0 || entry.Shard < p.settings.Shards)
 }
 
 // reapplyNodes re-evaluates all known nodes after the settings changed the number of shards. It
--- a/policy/request.go
+++ b/policy/request.go
@@ -9,15 +9,17 @@
 func (p *scheduler) accept(q Request) {
 	r := &request{Request: q, arrived: p.now, arrivalSettings: p.settings}
 	p.requests[q.ID] = r
-	r.flow = max(slices.IndexFunc(p.settings.Plans, func(pl Plan) bool { return pl.Name == q.Plan }), 0) // an unknown plan counts as the first
-	r.class = &Class{Value: 1, LatencyTarget: q.Expires - p.now}                                         // an unknown class is not idempotent
+	// An unknown plan counts as the first; an unknown class is not idempotent.
+	r.flow = max(slices.IndexFunc(p.settings.Plans, func(pl Plan) bool { return pl.Name == q.Plan }), 0)
+	r.class = &Class{Value: 1, LatencyTarget: q.Expires - p.now}
 	if i := slices.IndexFunc(p.settings.Classes, func(c Class) bool { return c.Name == q.Class }); i >= 0 {
 		r.class = &p.settings.Classes[i]
 	}
 	r.firstTriedAt = p.firstTryTime(q) // the latency of a client's retry counts from its first try
 	r.targetTime = min(r.firstTriedAt+r.class.LatencyTarget, q.Expires)
 	r.tokenBuckets = p.volumeBuckets(q, &p.settings.Plans[r.flow])
-	if hostDivisor := divisor(q.Hosts, q.Fraction); r.tokenBuckets.divisor != hostDivisor || r.tokenBuckets.plan != &p.settings.Plans[r.flow] {
+	if hostDivisor := divisor(q.Hosts, q.Fraction); r.tokenBuckets.divisor != hostDivisor ||
+		r.tokenBuckets.plan != &p.settings.Plans[r.flow] {
 		p.resizeBuckets(r.tokenBuckets, &p.settings.Plans[r.flow], hostDivisor)
 	}
 	if p.settings.Rules.HasBudget {
@@ -26,7 +28,8 @@
 	}
 	p.maxUnitsSeen = max(p.maxUnitsSeen, q.Units)
 	r.shard = p.selectShard(q.Shard)
-	uncappedDeadline := max(p.now+maxWaitFraction*(q.Expires-p.now), r.targetTime+lateGraceTargets*r.class.LatencyTarget)
+	uncappedDeadline := max(p.now+maxWaitFraction*(q.Expires-p.now),
+		r.targetTime+lateGraceTargets*r.class.LatencyTarget)
 	r.waitDeadline = min(uncappedDeadline, q.Expires-p.settings.Tick-answerMargin)
 	p.setTimer(r.waitDeadline, r, nil)
 	p.valueRequest(r)
@@ -89,7 +92,8 @@
 // requeueOrEnd queues r for a further attempt, or ends it if no further attempt is allowed.
 func (p *scheduler) requeueOrEnd(r *request) {
 	tooLate := p.now >= r.Expires-p.settings.Tick-answerMargin || !r.reachedNode && p.now >= r.waitDeadline
-	attemptsUsed := r.arrivalSettings.Limits.MaxAttempts > 0 && r.attempts >= r.arrivalSettings.Limits.MaxAttempts
+	attemptsUsed := r.arrivalSettings.Limits.MaxAttempts > 0 &&
+		r.attempts >= r.arrivalSettings.Limits.MaxAttempts
 	if tooLate || attemptsUsed || r.mayHaveRun && r.class.Effect == NonIdempotent {
 		p.end(r)
 		return
@@ -211,7 +215,8 @@
 // recordUnserved remembers r as unserved, to recognize its client's retry.
 func (p *scheduler) recordUnserved(r *request) {
 	if r.Key != "" && r.class.Deadline > 0 {
-		p.unserved[retryKey{r.Class, r.Volume, r.Key}] = unservedRequest{r.firstTriedAt, r.firstTriedAt + r.class.Deadline}
+		p.unserved[retryKey{r.Class, r.Volume, r.Key}] = unservedRequest{r.firstTriedAt,
+			r.firstTriedAt + r.class.Deadline}
 	}
 }
 
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -34,7 +34,8 @@
 func (p *scheduler) retryBudget() (used, allowed float64) {
 	rules := &p.settings.Rules
 	windowStart := p.now - rules.BudgetWindow
-	recentRetries, _ := p.recentRetries.since(windowStart - p.settings.Tick - rules.MaxSendDelay) // an attempt may start that much after its Send
+	// An attempt may start up to MaxSendDelay after its Send.
+	recentRetries, _ := p.recentRetries.since(windowStart - p.settings.Tick - rules.MaxSendDelay)
 	recentArrivals, _ := p.recentArrivals.since(windowStart + p.settings.Tick)
 	return float64(recentRetries), rules.BudgetBase + rules.BudgetRatio*float64(recentArrivals)
 }
@@ -50,8 +51,10 @@
 // may still be running, so this needs Limits.Duplicates.
 func (p *scheduler) cancelOvertaken(sh *shard) {
 	for _, r := range sh.outstanding {
-		lost := r.sentAt+stuckServiceTimes*p.meanServiceTime(sh) < sh.lastServedSend && r.class.Effect != NonIdempotent
-		if lost && p.settings.Limits.Cancel && p.settings.Limits.Duplicates && !r.givenUp && !r.done && !r.class.Streamed {
+		lost := r.sentAt+stuckServiceTimes*p.meanServiceTime(sh) < sh.lastServedSend &&
+			r.class.Effect != NonIdempotent
+		if lost && p.settings.Limits.Cancel && p.settings.Limits.Duplicates &&
+			!r.givenUp && !r.done && !r.class.Streamed {
 			r.givenUp = true
 			p.emit(CancelAttempt{r.ID, r.attempts - 1})
 		}
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -17,7 +17,8 @@
 	p.reinsertIdle()
 	best, lowest := p.index.idle.peek()
 	for _, sh := range p.index.touched {
-		if cost, ok := p.placementCost(sh); ok && (best == nil || cost < lowest || cost == lowest && sh.id < best.id) {
+		if cost, ok := p.placementCost(sh); ok && (best == nil || cost < lowest ||
+			cost == lowest && sh.id < best.id) {
 			best, lowest = sh, cost
 		}
 	}
@@ -36,7 +37,8 @@
 	}
 	// The capacity of a cold or busy node is kept for requests that only it can serve.
 	queued := float64(sh.waiting + len(sh.outstanding))
-	cost := (p.expectedWait(sh, queued) + p.expectedServiceTime(sh)) / max(min(p.admittedFraction(sh), 1), minFraction)
+	cost := (p.expectedWait(sh, queued) + p.expectedServiceTime(sh)) /
+		max(min(p.admittedFraction(sh), 1), minFraction)
 	// A node that fails fast has a short queue, which would otherwise attract new objects.
 	successFraction := 1 - sh.node.errorFraction(p.now)
 	return cost / (successFraction * successFraction), true
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -23,7 +23,8 @@
 // subscribe asks for a subscription if the node list needs one and none is
 // active, at most once per resubscribeInterval.
 func (p *scheduler) subscribe() {
-	if p.settings.MustSubscribe && !p.subscribed && (p.lastSubscribe == 0 || p.now-p.lastSubscribe >= resubscribeInterval) {
+	if p.settings.MustSubscribe && !p.subscribed &&
+		(p.lastSubscribe == 0 || p.now-p.lastSubscribe >= resubscribeInterval) {
 		p.emit(Subscribe{true})
 		p.lastSubscribe = p.now
 	}
@@ -39,41 +40,44 @@
 	slices.SortFunc(p.rankedDemand, func(a, b demand) int { return cmp.Compare(b.rank, a.rank) })
 	p.medianTime = medianServiceTime(p.serviceSamples, p.minLatencyTarget()*targetFraction/2)
 	if len(p.serviceSamples) >= minSamples {
-		p.unloadedServiceTime = min(p.unloadedServiceTime+unloadedGain*(p.medianTime-p.unloadedServiceTime), p.medianTime)
+		p.unloadedServiceTime = min(p.unloadedServiceTime+unloadedGain*(p.medianTime-p.unloadedServiceTime),
+			p.medianTime)
 	}
 	for _, sh := range p.shards {
 		p.updateDepth(sh)
 		p.dispatchWaiting(sh)
 	}
 	p.rebuildIndex()
-	p.serviceSamples = slices.DeleteFunc(p.serviceSamples, func(a serviceSample) bool { return p.now-a.recordedAt > sampleSpan })
+	p.serviceSamples = slices.DeleteFunc(p.serviceSamples,
+		func(a serviceSample) bool { return p.now-a.recordedAt > sampleSpan })
 	p.shares.step()
 	p.removeIdle(volumeIdleTime)
 }
 
 type scheduler struct {
-	settings            *Settings // replaced, never modified: requests keep a reference
-	rng                 *rand.Rand
-	startedAt           float64
-	now                 float64
-	started             bool
-	actions             []Action
-	nodes               map[string]*node
-	shards              []*shard // sorted by id
-	changed             []*shard // shards that the node list being applied affects
-	index               shardIndex
-	visits              int // nodes and shards examined so far; tests bound the cost of an event by it
-	requests            map[string]*request
-	volumes             map[string]*volumeBuckets
-	keyQueues           map[string]*keyQueue
-	timers              timerHeap
-	staleTimers         int                          // timers of requests that are over
-	wakeAt              float64                      // time of the earliest "wake" timer that is set
-	recentRetries       window                       // attempts beyond the first of a request, for the retry budget
-	recentArrivals      window                       // arrivals of requests, for the retry budget
-	unserved            map[retryKey]unservedRequest // unserved requests that their clients may still retry
-	maxUnitsSeen        float64                      // largest request so far
-	limitOpensAt        float64                      // set by maySend: when the volume's limit admits the request; 0: the limit does not delay it
+	settings       *Settings // replaced, never modified: requests keep a reference
+	rng            *rand.Rand
+	startedAt      float64
+	now            float64
+	started        bool
+	actions        []Action
+	nodes          map[string]*node
+	shards         []*shard // sorted by id
+	changed        []*shard // shards that the node list being applied affects
+	index          shardIndex
+	visits         int // nodes and shards examined so far; tests bound the cost of an event by it
+	requests       map[string]*request
+	volumes        map[string]*volumeBuckets
+	keyQueues      map[string]*keyQueue
+	timers         timerHeap
+	staleTimers    int                          // timers of requests that are over
+	wakeAt         float64                      // time of the earliest "wake" timer that is set
+	recentRetries  window                       // attempts after the first, for the retry budget
+	recentArrivals window                       // arrivals of requests, for the retry budget
+	unserved       map[retryKey]unservedRequest // unserved requests that their clients may still retry
+	maxUnitsSeen   float64                      // largest request so far
+	// set by maySend: when the volume's limit admits the request; 0: the limit does not delay it
+	limitOpensAt        float64
 	subscribed          bool
 	lastSubscribe       float64
 	shares              shareRegulator
@@ -125,7 +129,8 @@
 	p := &scheduler{
 		settings: settings.withDefaults(), rng: rand.New(rand.NewPCG(seed, 0)), wakeAt: math.Inf(1),
 		nodes: map[string]*node{}, requests: map[string]*request{},
-		volumes: map[string]*volumeBuckets{}, keyQueues: map[string]*keyQueue{}, unserved: map[retryKey]unservedRequest{},
+		volumes: map[string]*volumeBuckets{}, keyQueues: map[string]*keyQueue{},
+		unserved: map[retryKey]unservedRequest{},
 	}
 	p.shares.init(p.settings.Plans)
 	return p
--- a/policy/shares.go
+++ b/policy/shares.go
@@ -175,7 +175,8 @@
 		theta[0], theta[1+n] = initialOwnGain, initialShareGain
 		g.models = append(g.models, newRLS(theta, forgettingFactor, maxCovTrace))
 	}
-	units, latencySum, answers, valueSum, targetSum := g.units, g.latencySum, g.answers, g.valueSum, g.targetSum
+	units, latencySum, answers, valueSum, targetSum :=
+		g.units, g.latencySum, g.answers, g.valueSum, g.targetSum
 	waitSum, waitCount := g.waitSum, g.waitCount
 	g.clear()
 	copy(g.units, units)
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -48,7 +48,9 @@
 func (p *scheduler) shed(sh *shard) {
 	serviceTime, minRank := p.expectedServiceTime(sh), p.minAdmittedRank(p.admittedFraction(sh))
 	maxExtra := max(p.unloadedServiceTime*(p.maxUnitsSeen/p.settings.MeanUnits-1), 0)
-	allInTime := minRank == 0 && p.now+p.expectedWait(sh, sh.queuedUnits/p.settings.MeanUnits)+serviceTime+maxExtra+answerMargin <= sh.earliestTarget
+	allInTime := minRank == 0 &&
+		p.now+p.expectedWait(sh, sh.queuedUnits/p.settings.MeanUnits)+serviceTime+maxExtra+answerMargin <=
+			sh.earliestTarget
 	noneExpire := p.now+serviceTime+maxExtra+answerMargin <= sh.earliestExpiry
 	if allInTime && noneExpire || sh.waiting > longQueue && p.now-sh.lastWalk < minWalkInterval {
 		return
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -39,11 +39,14 @@
 	}
 	growth := 1.0
 	if rules.ColdCapacity > 0 && rules.WarmUpTime > 0 {
-		growth += (1 - rules.ColdCapacity) / rules.ColdCapacity * max(age-rules.OverloadWindow, 0) / rules.WarmUpTime
+		growth += (1 - rules.ColdCapacity) / rules.ColdCapacity *
+			max(age-rules.OverloadWindow, 0) / rules.WarmUpTime
 	}
 	safeUnits, hosts := rules.ColdUnits*growth, float64(p.settings.Hosts)
-	demand := p.demandRate() * hosts / float64(max(p.settings.Shards, len(p.shards))) * rules.OverloadWindow / samplePeriod
-	return safeUnits / hosts, min(maxColdMean(safeUnits/p.settings.MeanUnits)*p.settings.MeanUnits/demand, 1), true
+	demand := p.demandRate() * hosts / float64(max(p.settings.Shards, len(p.shards))) *
+		rules.OverloadWindow / samplePeriod
+	return safeUnits / hosts,
+		min(maxColdMean(safeUnits/p.settings.MeanUnits)*p.settings.MeanUnits/demand, 1), true
 }
 
 // shardSlowStart is slowStart for the node that serves sh; without one, nothing is warming up.
@@ -107,8 +110,9 @@
 	}
 	recentRate := p.recentUnits.value(p.now, burstMemory) * samplePeriod / burstMemory
 	recentRequests := recentRate / p.settings.MeanUnits
-	stdDev := math.Sqrt(recentRequests * samplePeriod / (2 * burstMemory)) // of an exponentially decaying count
-	return max(p.arrivalRate+p.settings.MeanUnits*samplePeriod/knownSpan, recentRate-p.settings.MeanUnits*stdDev)
+	stdDev := math.Sqrt(recentRequests * samplePeriod / (2 * burstMemory)) // of a decaying count
+	return max(p.arrivalRate+p.settings.MeanUnits*samplePeriod/knownSpan,
+		recentRate-p.settings.MeanUnits*stdDev)
 }
 
 // coldWindow is the age in ms up to which an attempt counts towards the budget of a cold node: it
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -15,11 +15,13 @@
 		buckets.fairLevel, buckets.reserveLevel = buckets.fairCap, buckets.reserveCap
 		// This host may have spent its part just before a restart, or other hosts before they
 		// gave it up: count only what has filled since.
-		buckets.limitLevel = min(buckets.limitFloor+buckets.limitRate*(p.now-max(p.startedAt, req.FractionSince))/1000, buckets.limitCap)
+		buckets.limitLevel = min(buckets.limitFloor+
+			buckets.limitRate*(p.now-max(p.startedAt, req.FractionSince))/1000, buckets.limitCap)
 	}
 	seconds := (p.now - buckets.refilledAt) / 1000
 	buckets.reserveLevel = min(buckets.reserveLevel+buckets.reserveRate*seconds, buckets.reserveCap)
-	buckets.limitLevel = max(buckets.limitLevel, min(buckets.limitLevel+buckets.limitRate*seconds, buckets.limitCap-buckets.pending))
+	buckets.limitLevel = max(buckets.limitLevel,
+		min(buckets.limitLevel+buckets.limitRate*seconds, buckets.limitCap-buckets.pending))
 	buckets.fairLevel = min(buckets.fairLevel+buckets.fairRate*seconds, buckets.fairCap)
 	buckets.refilledAt, buckets.lastUsed = p.now, p.now
 	return buckets
@@ -29,9 +31,11 @@
 func (p *scheduler) setBuckets(buckets *volumeBuckets, parts float64) {
 	plan := buckets.plan
 	buckets.divisor = parts
-	buckets.reserveRate, buckets.limitRate, buckets.fairRate = plan.Reserve/parts, plan.Limit/parts, fairRateFactor*plan.Rate/parts
+	buckets.reserveRate, buckets.limitRate, buckets.fairRate =
+		plan.Reserve/parts, plan.Limit/parts, fairRateFactor*plan.Rate/parts
 	buckets.reserveCap, buckets.limitCap = plan.Reserve/parts+p.settings.MaxUnits, plan.Burst/parts
-	buckets.limitFloor = min(plan.Limit*(arrivalSkew+p.settings.Rules.MaxSendDelay)/1000-plan.Overdraft, 0) / parts
+	buckets.limitFloor = min(plan.Limit*(arrivalSkew+p.settings.Rules.MaxSendDelay)/1000-plan.Overdraft,
+		0) / parts
 	buckets.fairCap = max(buckets.fairRate*fairBurstSeconds, 2*p.settings.MaxUnits)
 }
 
@@ -46,7 +50,8 @@
 	}
 	buckets.plan = plan
 	p.setBuckets(buckets, parts)
-	buckets.limitLevel = buckets.limitFloor + min(remaining, buckets.limitCap-buckets.limitFloor) - buckets.pending
+	buckets.limitLevel = buckets.limitFloor +
+		min(remaining, buckets.limitCap-buckets.limitFloor) - buckets.pending
 }
 
 // valueRequest sets the value of each of r's units: in full inside the volume's reserve, by
@@ -65,7 +70,8 @@
 	r.rank = r.value * (1 + rankJitter*p.rng.Float64())
 	p.unitsSinceUpdate += r.Units
 	p.recentUnits.addN(r.Units, p.now, burstMemory)
-	p.recentDemand = append(p.recentDemand[max(len(p.recentDemand)-maxNewerDemand, 0):], demand{r.rank, r.Units})
+	p.recentDemand = append(p.recentDemand[max(len(p.recentDemand)-maxNewerDemand, 0):],
+		demand{r.rank, r.Units})
 }
 
 // withinLimit reports whether the limit of r's volume admits r at this host; if not, it sets a
