--- a/internal/control/gateway/keys_test.go
+++ b/internal/control/gateway/keys_test.go
@@ -223,7 +223,7 @@
 		t.Fatal(err)
 	}
 	authority.clockOffset.Store(int64(2 * time.Minute))
-	if _, err := expiringAPI.Get(ctx); err == nil || !strings.Contains(err.Error(), "run out") {
+	if _, err := expiringAPI.Get(ctx); err == nil || !strings.Contains(err.Error(), "certificate has expired") {
 		t.Errorf("call after the certificate expired: got error %v, want one that says so", err)
 	}
 }
