--- a/internal/simulation/lab/badday.go
+++ b/internal/simulation/lab/badday.go
@@ -22,78 +22,77 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// Options of a bad day.
+// Options configure a run with faults. Not every function uses all of them.
 type Options struct {
 	Seed       uint64
 	Commands   int
-	FaultKinds []string         // kinds; nil: all, "none": a calm day
-	Faults     []ScheduledFault // in place of one that is drawn; nil: none
+	FaultKinds []string         // kinds to draw from; empty: all; "none": no faults
+	Faults     []ScheduledFault // replaces drawn faults, also if empty; nil: faults are drawn
 	Hosts      int
 	Servers    int
-	Rate       float64 // commands a second
-	OutDir     string  // folder for the trail and the table, or none
+	Rate       float64 // mean rate in commands per second
+	OutDir     string  // directory for the trail; "": none
 	Log        *zap.Logger
 	Progress   io.Writer
-	// Settings of the service; nil: the example's.
+	// Settings of the service; nil: the example settings.
 	Settings *settings.Settings
-	// SharedStores has the disk servers share their shelves, as layouts that change need.
+	// SharedStores gives all disk servers the same block store, which changes of layouts require.
 	SharedStores bool
-	// Routing has clients find hosts by the announcements in a router's table (RouteOn),
-	// or by a fixed choice among all hosts (RouteFixed); "": by the order of each
-	// volume's hosts.
+	// Routing selects how clients choose a host: by the routes that a router received (RouteOn), by a
+	// fixed choice among all hosts (RouteFixed), or, if "", by the order of the volume's hosts.
 	Routing string
-	// onStart is started with the day, for what is more than a kind of trouble.
+	// onStart, if set, is called as the run begins, for faults that are no kind of fault.
 	onStart func(d *dayRun, span time.Duration)
-	// onQuiescent, if set, is called once nothing is under way, before the hosts stop.
+	// onQuiescent, if set, is called after the last command has ended, before the hosts stop.
 	onQuiescent func(d *dayRun)
-	// onStopped, if set, is given the trail once the hosts have stopped.
+	// onStopped, if set, receives the trail after the hosts have stopped.
 	onStopped func(d *dayRun, events []trail.Event)
-	// newChecker, if set, is given the fleet before the day begins and returns the checker that
-	// hears of each event as it happens.
+	// newChecker, if set, is called with the fleet before the run begins. The checker that it returns
+	// must already have received all events at the end of the run.
 	newChecker func(*Fleet) *rules.Checker
-	// maxEffectDelay is how much later than its time a command may still take effect once its
-	// client has lost it, for what stands still on the way.
+	// maxEffectDelay is how long after its deadline a command whose connection was lost may still take
+	// effect, because of stalls on its way.
 	maxEffectDelay time.Duration
-	// stateDir is a folder for the hosts' snapshots and records; "": a host that starts anew
-	// is given the settings anew.
+	// stateDir is the directory for the hosts' snapshots and records. If it is "", a restarted host gets
+	// the settings again.
 	stateDir string
-	// fixedShares has parts of limits never move between regions.
+	// fixedShares disables the rebalancing of limits between regions.
 	fixedShares bool
 }
 
-// Result of a day.
+// Result is the result of a run.
 type Result struct {
 	Checker         *rules.Checker
-	InvalidReads    []string // blocks read that could not be
-	CheckedReads    int      // judged
+	InvalidReads    []string // descriptions of reads that returned invalid data
+	CheckedReads    int      // block reads that were checked
 	UnreadBlocks    int      // blocks that could not be read back
-	RepeatedEffects int      // effects that took place once more, counted at the racks
-	OverloadCrashed []string
+	RepeatedEffects int      // effects executed again, as counted at the disk servers
+	OverloadCrashed []string // disk servers that crashed from overload
 	TrailFile       string
 	Elapsed         time.Duration
 	TrailEvents     int
-	LayoutSteps     int // of a layout that were applied
-	// Of a service over two regions: writes that were acknowledged before their copy and
-	// lost with a region, what the operator said, and when a region was lost.
+	LayoutSteps     int // steps of a layout change that were applied
+	// With regions: the number of acknowledged writes lost with a region before they were copied,
+	// the operator's commands, and the losses of regions.
 	LostWrites       int
 	OperatorCommands map[string]int
 	RegionLosses     []Loss
-	// Unrouted and Unanswered are the clients': see Crowd. Wanted is the goodput with
-	// the worth of strays counted as asked for.
+	// Unrouted and Unanswered are those of Clients. GoodputWithUnrouted counts the value of unrouted
+	// commands as offered.
 	Unrouted, Unanswered int
 	GoodputWithUnrouted  float64
 
 	history *BlockHistory
 }
 
-// OK tells whether the day kept everything.
+// OK reports whether all checks of the run passed.
 func (r *Result) OK() bool {
 	return r.Checker.OK() && len(r.InvalidReads) == 0 && r.UnreadBlocks == 0 && r.RepeatedEffects == 0 && r.Checker.Stats.Commands == r.Checker.Stats.Finished
 }
 
-// failureSummary says in a few words what was not kept.
+// failureSummary describes the failed checks in at most 600 bytes.
 func (r *Result) failureSummary() string {
-	summary := fmt.Sprintf("%d commands, %d answers, %d not read back, %d twice", r.Checker.Stats.Commands, r.Checker.Stats.Finished, r.UnreadBlocks, r.RepeatedEffects)
+	summary := fmt.Sprintf("%d commands, %d completed, %d blocks not read back, %d repeated effects", r.Checker.Stats.Commands, r.Checker.Stats.Finished, r.UnreadBlocks, r.RepeatedEffects)
 	for _, violation := range r.Checker.Violations {
 		summary += "; " + violation.String()
 	}
@@ -103,15 +102,16 @@
 	return summary[:min(len(summary), 600)]
 }
 
-// ScheduledFault is one trouble of a day.
+// ScheduledFault is one fault of a run: an injected failure or a change of the load.
 type ScheduledFault struct {
 	Kind     string        `json:"kind"`
-	At       time.Duration `json:"at_ns"`  // after the day's begin
-	Duration time.Duration `json:"len_ns"` // how long it lasts
-	Seed     uint64        `json:"seed"`   // draws its sizes and whom it strikes
+	At       time.Duration `json:"at_ns"`  // since the start of the run
+	Duration time.Duration `json:"len_ns"` // may be scaled by the kind of fault
+	Seed     uint64        `json:"seed"`   // seed of its magnitudes and targets
 }
 
-// faultFuncs of trouble, each with what it does for so long.
+// faultFuncs are the kinds of fault that every testbed supports. Each function injects its fault for
+// the given duration.
 var faultFuncs = map[string]func(d *dayRun, rng *rand.Rand, duration time.Duration){
 	"crash":          crash,
 	"slow":           slow,
@@ -135,32 +135,32 @@
 	"list_cut":       listCut,
 }
 
-// FaultKinds lists the kinds of trouble.
+// FaultKinds returns the kinds of fault that every testbed supports, sorted.
 func FaultKinds() []string {
 	return sortedKeys(faultFuncs)
 }
 
 func sortedKeys[T any](byKey map[string]T) []string { return slices.Sorted(maps.Keys(byKey)) }
 
-// dayRun is a running dayRun.
+// dayRun is the state of a run.
 type dayRun struct {
 	options            Options
 	fleet              *Fleet
 	clients            *Clients
 	mu                 sync.Mutex
-	activeFaults       map[string]int // kinds under way
-	layoutSteps        int            // of a layout that are in force
+	activeFaults       map[string]int // active faults by kind
+	layoutSteps        int            // applied steps of a layout change
 	operator           *operator
 	err                error
-	initialInventories [2]*standin.InventoryState // the inventories' state as the day begins
-	checker            *rules.Checker             // that hears of the day as it goes; nil: it is checked at the end
+	initialInventories [2]*standin.InventoryState // state of the inventories at the start
+	checker            *rules.Checker             // checks events as they happen; nil: the trail is checked at the end
 }
 
-// BadDay plays a day and checks it.
+// BadDay runs a service on loopback with faults and checks the run.
 func BadDay(ctx context.Context, options Options) (*Result, error) {
 	for _, kind := range options.FaultKinds {
 		if faultFuncs[kind] == nil && kind != "none" {
-			return nil, fmt.Errorf("unknown trouble %q; there are %s", kind, strings.Join(FaultKinds(), ", "))
+			return nil, fmt.Errorf("unknown kind of fault %q; kinds are %s", kind, strings.Join(FaultKinds(), ", "))
 		}
 	}
 	if options.Log == nil {
@@ -174,8 +174,8 @@
 	return runDay(ctx, environment, loopbackTestbed{Environment: environment}, config, options)
 }
 
-// runDay plays and checks a day at a site, of which w is the part that clients and
-// troubles have.
+// runDay runs a service on a testbed and checks the run. environment is that of clients and of fault
+// injection.
 func runDay(ctx context.Context, environment env.Environment, testbed testbed, config *settings.Settings, options Options) (*Result, error) {
 	fleet, err := NewFleet(environment, testbed, config, DefaultMachine(config), options)
 	if err != nil {
@@ -277,7 +277,8 @@
 	return result, trail.Write(result.TrailFile, d.fleet.Meta, events)
 }
 
-// drawFaults draws a day's troubles: each kind once, overlapping as they come.
+// drawFaults draws one fault of each kind, or of each of FaultKinds if kinds is empty. Faults may
+// overlap.
 func drawFaults(kinds []string, rng *rand.Rand, span time.Duration) (faults []ScheduledFault) {
 	if len(kinds) == 0 {
 		kinds = FaultKinds()
@@ -307,7 +308,7 @@
 
 const progressInterval = 5 * time.Second
 
-// reportProgress prints a line now and then until the function it returns is called.
+// reportProgress prints a line every progressInterval until the function that it returns is called.
 func (d *dayRun) reportProgress(begin time.Duration) (end func()) {
 	if d.options.Progress == nil {
 		return func() {}
@@ -331,7 +332,7 @@
 		if len(active) == 0 {
 			active = []string{"none"}
 		}
-		fmt.Fprintf(d.options.Progress, "%5.0f s  %d asked, %d ended; troubles: %s\n", (d.fleet.Environment.Now() - begin).Seconds(),
+		fmt.Fprintf(d.options.Progress, "%5.0f s  %d commands issued, %d ended; faults: %s\n", (d.fleet.Environment.Now() - begin).Seconds(),
 			d.clients.Submitted.Load(), d.clients.Completed.Load(), strings.Join(active, " "))
 		d.fleet.Environment.AfterFunc(progressInterval, report)
 	}
@@ -343,15 +344,15 @@
 	}
 }
 
-// Print writes what came of the day.
+// Print writes the result as text.
 func (r *Result) Print(w io.Writer) {
 	r.Checker.Stats.Print(w)
-	fmt.Fprintf(w, "goodput %.3f of the worth asked for\n\n", r.Checker.Stats.Goodput())
+	fmt.Fprintf(w, "goodput %.3f of the offered value\n\n", r.Checker.Stats.Goodput())
 	r.Checker.Print(w)
-	fmt.Fprintf(w, "%d blocks read and judged, %d wrong, %d not read back; %d keyed effects twice; %d frames and events on the trail; %.0f s\n",
+	fmt.Fprintf(w, "%d block reads checked, %d invalid, %d blocks not read back; %d keyed effects repeated; %d frames and events in the trail; %.0f s\n",
 		r.CheckedReads, len(r.InvalidReads), r.UnreadBlocks, r.RepeatedEffects, r.TrailEvents, r.Elapsed.Seconds())
 	if len(r.OverloadCrashed) > 0 {
-		fmt.Fprintf(w, "pushed over: %s\n", strings.Join(r.OverloadCrashed, ", "))
+		fmt.Fprintf(w, "crashed from overload: %s\n", strings.Join(r.OverloadCrashed, ", "))
 	}
 	for _, invalid := range r.InvalidReads[:min(len(r.InvalidReads), 5)] {
 		fmt.Fprintln(w, "WRONG:", invalid)
--- a/internal/simulation/lab/clients.go
+++ b/internal/simulation/lab/clients.go
@@ -15,8 +15,8 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// clientPath is one client's session to one volume through one host; it logs in again
-// whenever the connection is lost.
+// clientPath is one client's session with one volume through one host. It logs in again after
+// the connection was lost.
 type clientPath struct {
 	clients *Clients
 	volume  *settings.Volume
@@ -27,41 +27,43 @@
 	client              *initiator.Client
 	dialing             bool
 	retryAt             time.Duration
-	consecutiveFailures int           // commands in a row that it did not serve
-	avoidUntil          time.Duration // until when another is tried first
+	consecutiveFailures int           // commands in a row that did not end with GOOD
+	avoidUntil          time.Duration // other paths are preferred until then
 }
 
-// ClientBehaviour are how clients behave now. The zero value is the ordinary one.
+// ClientBehaviour is the current load and error handling of the clients. The zero value is the
+// default.
 type ClientBehaviour struct {
-	RateFactor         float64 // times the usual traffic; 0: once
-	BurstPlan          string  // whose volumes ask for PlanX times as much
-	BurstFactor        float64
-	HotVolumes         []int // volumes that take HotShare of all traffic
+	RateFactor         float64 // multiple of the default rate; 0 means 1
+	BurstPlan          string  // plan whose volumes have BurstFactor times their weight; the total rate stays
+	BurstFactor        float64 // 0: no burst
+	HotVolumes         []int   // volumes that get HotShare of all commands
 	HotShare           float64
-	AbusePlan          string  // whose clients give up early and repeat at once
-	AbuseAbortFraction float64 // part of the aim after which they do
+	AbusePlan          string  // plan whose clients abort early and retry immediately
+	AbuseAbortFraction float64 // fraction of the latency target after which they abort
 	AbuseMaxRetries    int
-	AbandonShare       float64 // part of the commands that their clients leave early
-	PreferLastHost     bool    // the lead among hosts passes on
+	AbandonShare       float64 // share of all commands that clients abandon early
+	PreferLastHost     bool    // clients prefer the last host of a volume over the first
 }
 
-// Clients is the clients of a fleet.
+// Clients are the clients of a fleet: an open-loop load generator with one session per volume and
+// host.
 type Clients struct {
 	fleet   *Fleet
 	history *BlockHistory
-	paths   [][]*clientPath // by volume, then in the order of its hosts
+	paths   [][]*clientPath // by volume, in the order of its hosts
 
 	mu        sync.Mutex
 	rng       *rand.Rand
 	behaviour ClientBehaviour
 
-	// choosePath, if set, picks the lane of a volume; nil: there is no way to it.
+	// choosePath, if set, selects the path to a volume; nil if no host is reachable.
 	choosePath func(volume int) *clientPath
 
 	Submitted atomic.Int64
 	Completed atomic.Int64
-	// Unrouted are commands that found no host, Unanswered those whose connection went
-	// before their answer; StrayWorth is what the former would have been worth.
+	// Unrouted counts commands for which there was no session, UnroutedValue sums the values of
+	// their classes. Unanswered counts commands whose connection was lost before the response.
 	Unrouted, Unanswered atomic.Int64
 	UnroutedValue        float64
 	inFlight             env.WaitGroup
@@ -69,7 +71,7 @@
 	maxEffectDelay       time.Duration
 }
 
-// NewClients makes the clients; each logs in with its first command.
+// NewClients returns the clients of f; each path logs in with its first command.
 func NewClients(f *Fleet, seed uint64) *Clients {
 	c := &Clients{fleet: f, history: NewBlockHistory(), rng: rand.New(rand.NewPCG(seed, 7))}
 	for i := range f.Settings.Volumes {
@@ -83,7 +85,7 @@
 	return c
 }
 
-// ChangeBehaviour changes the clients' habits.
+// ChangeBehaviour calls change with the clients' behaviour under the lock.
 func (c *Clients) ChangeBehaviour(change func(*ClientBehaviour)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,8 +94,8 @@
 
 const redialInterval = 150 * time.Millisecond
 
-// session returns the lane's session, logging in if there is none; nil if none
-// can be had now.
+// session returns the path's session and logs in if there is none. It returns nil if no session is
+// available now.
 func (path *clientPath) session() *initiator.Client {
 	path.mu.Lock()
 	environment := path.clients.fleet.Environment
@@ -121,7 +123,7 @@
 	return client
 }
 
-// dropSession forgets a session that is over.
+// dropSession removes a session that has ended.
 func (path *clientPath) dropSession(client *initiator.Client) {
 	path.mu.Lock()
 	defer path.mu.Unlock()
@@ -130,7 +132,7 @@
 	}
 }
 
-// Login opens every session, so that a day doesn't begin with a storm.
+// Login opens all sessions, so that a run does not begin with a burst of logins.
 func (c *Clients) Login() {
 	var logins env.WaitGroup
 	for _, paths := range c.paths {
@@ -141,29 +143,29 @@
 	logins.Wait(c.fleet.Environment)
 }
 
-// clientCommand is one thing a client wants: what, where and how often it has tried.
+// clientCommand is a command of a client, with its path and number of retries.
 type clientCommand struct {
 	volume      *settings.Volume
-	path        *clientPath // nil: there is no way to the volume
+	path        *clientPath // nil: no host is reachable
 	op          scsi.Op
 	lba         uint64
 	blocks      uint32
 	retries     int
-	expected    []byte        // what a swap expects to find
-	abandon     time.Duration // when the client leaves early; 0: it doesn't
-	abandonMode int           // 0: by ABORT TASK, 1: by closing
+	expected    []byte        // data that COMPARE AND WRITE compares with
+	abandon     time.Duration // not 0: the client abandons the command early
+	abandonMode int           // 0: by ABORT TASK, 1: by closing the connection
 }
 
-// class is the class that the settings give the command.
+// class returns the request class of the command, or nil if none matches.
 func (command *clientCommand) class(config *settings.Settings) *settings.Class {
 	return config.Class(command.op, int(command.blocks)*command.volume.BlockSize, command.volume.Plan)
 }
 
-// hot spots of a volume: most commands go to its first blocks, so that cards are
-// met again.
+// hotBlocks is the number of blocks at the start of each volume that most commands address, so that
+// disk servers' caches are hit.
 const hotBlocks = 256
 
-// drawCommand makes the next command of the day. Held: mu.
+// drawCommand draws the next command. Requires c.mu.
 func (c *Clients) drawCommand() clientCommand {
 	behaviour := &c.behaviour
 	index := 0
@@ -187,9 +189,9 @@
 	case kind < 0.78:
 		command.op = scsi.Write
 	case kind < 0.93:
-		command.blocks = uint32(18 + c.rng.IntN(30)) // a bulk read, often over two shards
+		command.blocks = uint32(18 + c.rng.IntN(30)) // a bulk read, often across two shards
 	case kind < 0.96:
-		command.op, command.blocks = scsi.Write, uint32(8+c.rng.IntN(32)) // over extents
+		command.op, command.blocks = scsi.Write, uint32(8+c.rng.IntN(32)) // across extents
 	case kind < 0.98:
 		command.op, command.blocks = scsi.WriteSame, uint32(1+c.rng.IntN(8))
 	default:
@@ -212,7 +214,7 @@
 	return command
 }
 
-// drawVolume draws a volume by its rate. Held: mu.
+// drawVolume draws a volume, weighted by rate. Requires c.mu.
 func (c *Clients) drawVolume() int {
 	config := c.fleet.Settings
 	weight := func(volume *settings.Volume) float64 {
@@ -234,8 +236,8 @@
 	return len(config.Volumes) - 1
 }
 
-// Run sends so many commands at that mean rate a second, open loop: a slow
-// service is asked no less.
+// Run issues commands at the given mean rate per second in an open loop: a slow service does not
+// reduce the load.
 func (c *Clients) Run(ctx context.Context, commands int, rate float64) {
 	next := c.fleet.Environment.Now()
 	for sent := 0; sent < commands; sent++ {
@@ -256,10 +258,10 @@
 	}
 }
 
-// Wait returns once every command has ended and every retry was made.
+// Wait waits for the end of all commands and their retries.
 func (c *Clients) Wait() { c.inFlight.Wait(c.fleet.Environment) }
 
-// Close ends every session.
+// Close closes all sessions and suppresses further retries.
 func (c *Clients) Close() {
 	c.stopping.Store(true)
 	for _, paths := range c.paths {
@@ -274,13 +276,13 @@
 	}
 }
 
-// execute carries one command through to its end.
+// execute runs one command to its end.
 func (c *Clients) execute(command clientCommand) {
 	var client *initiator.Client
 	if command.path != nil {
 		client = command.path.session()
 	}
-	if client == nil { // no session is to be had now
+	if client == nil { // no session available
 		c.Unrouted.Add(1)
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -296,8 +298,8 @@
 	c.submit(client, command, nil)
 }
 
-// submit sends a read or a write and sees to its end; then, if any, is told of the
-// data of a read.
+// submit sends one command, waits for its end and records it. onRead, if set, receives the data of
+// a successful read.
 func (c *Clients) submit(client *initiator.Client, command clientCommand, onRead func([]byte)) {
 	environment, blockSize := c.fleet.Environment, command.path.volume.BlockSize
 	dataLength := int(command.blocks) * blockSize
@@ -326,7 +328,7 @@
 	c.finish(command, client, completed, writeID, begin, abandoned, onRead)
 }
 
-// completion is how a command ended at its client.
+// completion is the result of a command at its client.
 type completion struct {
 	once   sync.Once
 	done   env.Gate
@@ -338,17 +340,17 @@
 	c.once.Do(func() { c.result, c.err = result, err; c.done.Open() })
 }
 
-// abandonment says how a client left a command before its end.
+// abandonment tells how a client abandoned a command before its end.
 type abandonment int
 
 const (
 	notAbandoned     abandonment = iota
-	abandonedUnsent              // left before the command went out
-	abandonedAborted             // the abort was answered: nothing follows
-	abandonedClosed              // the connection was dropped
+	abandonedUnsent              // abandoned before the command was sent
+	abandonedAborted             // ABORT TASK was answered: no response follows
+	abandonedClosed              // the connection was closed
 )
 
-// awaitCompletion waits for the end of a command, or leaves it early.
+// awaitCompletion waits for the end of a command, or abandons it early if the command says so.
 func (c *Clients) awaitCompletion(client *initiator.Client, handle *initiator.Handle, completed *completion, command clientCommand) abandonment {
 	if command.abandon == 0 {
 		completed.done.Wait(c.fleet.Environment)
@@ -380,14 +382,13 @@
 	switch {
 	case answered.Opened():
 		return abandonedAborted
-	case completed.done.Opened(): // it crossed the abort
+	case completed.done.Opened(): // the response crossed the abort
 		return notAbandoned
 	}
 	return abandonedClosed
 }
 
-// finish enters what became of the command, and tries again where its client
-// would.
+// finish records the outcome of the command and retries it if its client would.
 func (c *Clients) finish(command clientCommand, client *initiator.Client, completed *completion, writeID uint64, begin time.Duration, abandoned abandonment, onRead func([]byte)) {
 	now := c.fleet.Environment.Now()
 	command.path.judge(now, completed.err == nil && completed.result.Status == scsi.Good)
@@ -402,7 +403,7 @@
 		if abandoned == notAbandoned {
 			c.Unanswered.Add(1)
 		}
-		// Whatever was under way may land until the command's time is up.
+		// The command may still take effect until its deadline.
 		command.path.dropSession(client)
 		effectBy = begin + env.Duration(command.class(c.fleet.Settings).Deadline) + 100*time.Millisecond + c.maxEffectDelay
 		retry = command.op == scsi.Read
@@ -429,8 +430,8 @@
 	}
 }
 
-// retry repeats a command as its client would: once, after the advice; those of
-// an abusive plan many times, at once.
+// retry repeats a retryable command once, after the delay that the response advises. Clients of
+// the abusive plan retry up to AbuseMaxRetries times, immediately.
 func (c *Clients) retry(command clientCommand, retryable bool, abandoned abandonment, retryAfter uint16) {
 	c.mu.Lock()
 	abusive := command.path.volume.Plan == c.behaviour.AbusePlan
@@ -456,7 +457,7 @@
 	})
 }
 
-// compareAndWrite reads a block and replaces it if it is still the same.
+// compareAndWrite reads the blocks and overwrites them if they are still unchanged.
 func (c *Clients) compareAndWrite(client *initiator.Client, command clientCommand) {
 	read := command
 	read.op, read.abandon = scsi.Read, 0
@@ -467,9 +468,8 @@
 	}
 }
 
-// ReadBack reads every block that was written, until each was read, through
-// whichever of its volume's hosts is up, for at most so long. It returns how many
-// could not be.
+// ReadBack reads every block that was written, through any running host of its volume, and retries
+// until the timeout. It returns the number of blocks that could not be read.
 func (c *Clients) ReadBack(ctx context.Context, timeout time.Duration) (unread int) {
 	deadline := c.fleet.Environment.Now() + timeout
 	type piece struct {
@@ -494,7 +494,7 @@
 		return p, true
 	}
 	var readers env.WaitGroup
-	for range 16 { // gently: this is no load test
+	for range 16 { // few in parallel: this is no load test
 		readers.Go(c.fleet.Environment, func() {
 			for p, ok := next(); ok; p, ok = next() {
 				if !c.readRange(ctx, deadline, p.volume, p.blockRange) {
--- a/internal/simulation/lab/explore.go
+++ b/internal/simulation/lab/explore.go
@@ -25,37 +25,38 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// Scenario is a day in a virtual world, whole: the same scene is always the same run.
+// Scenario is the complete input of a simulated run: the same scenario always gives the same run.
+// After a run it also holds the run's result.
 type Scenario struct {
 	Seed     uint64           `json:"seed"`
 	Hosts    int              `json:"hosts"`
 	Servers  int              `json:"servers"`
 	Commands int              `json:"commands"`
-	Rate     float64          `json:"rate"` // commands a second
+	Rate     float64          `json:"rate"` // mean rate in commands per second
 	Faults   []ScheduledFault `json:"script"`
 	Planted  string           `json:"planted,omitempty"`
-	// Figures are figures of the settings, by path, in place of the example's; Layout is
-	// one of SceneLayouts.
+	// Figures replaces numbers of the settings, by their JSON path. Layout is one of
+	// ScenarioLayouts.
 	Figures map[string]float64 `json:"figures,omitempty"`
 	Layout  string             `json:"layout,omitempty"`
-	// Regions has the service run over two.
+	// Regions simulates a service across two regions.
 	Regions bool `json:"regions,omitempty"`
 
-	changeSettings func(*settings.Settings)          // what else is not the example's
-	fixedShares    bool                              // parts of limits never move
-	onEvent        func(*trail.Event)                // is told what passes
-	onAnswer       func(at, took int64, served bool) // see rules.Table
-	Failure        *Failure                          `json:"failure,omitempty"` // that it ends with
+	changeSettings func(*settings.Settings)          // further changes to the settings of a service with regions
+	fixedShares    bool                              // regions' shares of limits are not rebalanced
+	onEvent        func(*trail.Event)                // called for each trail event
+	onAnswer       func(at, took int64, served bool) // see rules.Stats.OnAnswer
+	Failure        *Failure                          `json:"failure,omitempty"` // result of the run, as are Digest and Steps
 	Digest         uint64                            `json:"digest,omitempty"`
 	Steps          uint64                            `json:"steps,omitempty"`
 }
 
-// Failure is what a scene came to. Kind is the same for equal failures.
+// Failure is the first failure of a run. Equal failures have the same Kind.
 type Failure struct {
 	Kind string        `json:"kind"`
 	Text string        `json:"text"`
 	At   time.Duration `json:"at_ns"`
-	// The command and request concerned, if any.
+	// Identifiers of the command and the request that failed, if any.
 	Conn   uint32 `json:"conn,omitempty"`
 	Tag    uint32 `json:"tag,omitempty"`
 	HostID uint64 `json:"host_id,omitempty"`
@@ -64,11 +65,11 @@
 
 func (f *Failure) Error() string { return f.Kind + ": " + f.Text }
 
-// Kinds of failure beside "rule N".
+// Kinds of failure in addition to "rule N", the violation of a rule.
 const (
-	failureInvalidRead     = "blocks"       // what was read could not be
-	failureNotLinearizable = "linear"       // a block's history has no order
-	failureRepeatedEffect  = "effect twice" // counted at the disk servers
+	failureInvalidRead     = "blocks"       // a read returned data that no allowed write wrote
+	failureNotLinearizable = "linear"       // a block's history is not linearizable
+	failureRepeatedEffect  = "effect twice" // an effect was executed twice at disk servers
 	failureUnreadBlocks    = "not read back"
 	failureStuck           = "stuck"
 	failureCrash           = "crash"
@@ -76,20 +77,20 @@
 	failureUnanswered      = "unanswered"
 )
 
-// Outcome is what a scene showed.
+// Outcome is the result of a scenario's run.
 type Outcome struct {
 	Scenario        Scenario
 	Failure         *Failure
 	Checker         *rules.Checker
-	VirtualTime     time.Duration // virtual
+	VirtualTime     time.Duration
 	Steps           uint64
-	RuleChecks      int     // of the rules
-	CheckedBlocks   int     // whose history was judged
-	UndecidedBlocks int     // that could not be judged in time
-	CheckedReads    int     // blocks read and judged
-	RecoveryGoodput float64 // goodput after the last trouble
-	// Of a service over two regions: the time for which each shard of a lost region that
-	// was taken over was not served, and acknowledged writes lost that were not copied yet.
+	RuleChecks      int
+	CheckedBlocks   int     // blocks whose history was checked for linearizability, including undecided ones
+	UndecidedBlocks int     // blocks whose check timed out
+	CheckedReads    int     // block reads that were checked
+	RecoveryGoodput float64 // goodput after the last fault; 1 if the run ended too early
+	// With regions: for how long the shards of a lost region were not served until the other region
+	// took over, and the number of acknowledged writes lost before they were copied.
 	Outages          []time.Duration
 	LostWrites       int
 	OperatorCommands map[string]int
@@ -97,26 +98,24 @@
 }
 
 const (
-	// maxScenarioTime bounds a day's virtual time: what was taken is long over by then.
+	// maxScenarioTime limits the virtual time of a run.
 	maxScenarioTime = 6 * time.Minute
-	// recoveryTime is within which goodput comes back after the last trouble: a cold start
-	// and what the inventory needs to tell of it.
+	// recoveryTime is how long goodput may take to recover after the last fault: for a cold start
+	// and the delay of the inventory.
 	recoveryTime = 15 * time.Second
-	// regionRecoveryTime is how much longer that takes after a region was lost: leases run out,
-	// copies are made whole, and shards go home.
+	// regionRecoveryTime is the additional time with regions: leases expire, copies are completed and
+	// shards return to their preferred region.
 	regionRecoveryTime = 15 * time.Second
-	// minRecoveryGoodput is the least goodput after that. Calm days have 0.95 and more; a plan's
-	// own limit takes the rest.
+	// minRecoveryGoodput is the minimum goodput after recovery.
 	minRecoveryGoodput = 0.75
-	// minRecoverySpan is the least time over which it is judged.
+	// minRecoverySpan is the minimum period over which it is measured.
 	minRecoverySpan = 5 * time.Second
-	// maxStall bounds how long anything stands still in a scene, so how late a lost
-	// command may land.
+	// maxStall limits stalls within a scenario, and so how late a lost command may take effect.
 	maxStall = 20 * time.Second
 )
 
-// SmallBlocks gives settings with blocks of 512 bytes and every size an eighth: the
-// same service with less to copy.
+// SmallBlocks divides block sizes and all other sizes of the settings by eight, so that less data is
+// copied.
 func SmallBlocks(config *settings.Settings) *settings.Settings {
 	const divisor = 8
 	config.UnitBytes /= divisor
@@ -130,13 +129,12 @@
 	return config
 }
 
-// excludedFault is what the service does not withstand in every case, so that it is no part of
-// drawn scenes: deadlines at disk servers are told by the host's clock, and one that
-// jumps takes them along (docs/world.md).
+// excludedFault is not drawn because the service does not tolerate it in every case: deadlines that
+// disk servers receive are taken from the host's clock and jump with it (docs/world.md).
 const excludedFault = "clock_jump"
 
-// DrawScenario makes a scene from a seed. With swarm only some kinds of trouble come up, others
-// on other seeds, so that rare mixes do; without it, all of them.
+// DrawScenario draws a scenario. With swarm, each seed uses a random subset of the kinds of fault
+// (swarm testing), so that rare combinations occur; otherwise it uses all.
 func DrawScenario(seed uint64, hosts, servers int, span time.Duration, rate float64, swarm bool) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 17))
 	kinds := slices.DeleteFunc(WorldFaultKinds(), func(kind string) bool { return kind == excludedFault })
@@ -150,20 +148,20 @@
 	if len(selected) == 0 {
 		selected = []string{kinds[rng.IntN(len(kinds))]}
 	}
-	// Troubles end at two thirds of the day, so that it shows whether the rest is calm.
+	// Faults are drawn within the first two thirds of the run, so that recovery can be measured.
 	return Scenario{Seed: seed, Hosts: hosts, Servers: servers, Commands: int(span.Seconds() * rate), Rate: rate,
 		Faults: drawFaults(selected, rng, span*2/3)}
 }
 
-// companionFaults are the troubles that are drawn close to those of regions.
+// companionFaults are drawn close in time to region faults.
 var companionFaults = []string{"disk_stall", "slow", "link_cut", "host_stall"}
 
-// DrawRegionScenario makes a scene of a service over two regions from a seed: one to three
-// troubles of regions, and some of the others.
+// DrawRegionScenario draws a scenario of a service across two regions, with one to three kinds of
+// region fault and some of the others.
 func DrawRegionScenario(seed uint64, hosts, servers int, span time.Duration, rate float64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 19))
 	kinds := RegionKinds()
-	selected := []string{"tenant_burst"} // a limit that nobody asks for can't be passed
+	selected := []string{"tenant_burst"} // otherwise the load never reaches a limit
 	for _, index := range rng.Perm(len(kinds))[:1+rng.IntN(3)] {
 		selected = append(selected, kinds[index])
 	}
@@ -173,12 +171,12 @@
 		}
 	}
 	faults := drawFaults(selected, rng, span*2/3)
-	for i := range faults { // long enough for leases to run out
+	for i := range faults { // long enough for leases to expire
 		if regionKinds[faults[i].Kind] != nil {
 			faults[i].Duration *= 2
 		}
 	}
-	// What stands still as leases run out shows what relies on its being quick.
+	// Stalls while leases expire reveal code that assumes timely execution.
 	for _, fault := range faults {
 		if regionKinds[fault.Kind] != nil && rng.IntN(2) == 0 {
 			faults = append(faults, ScheduledFault{Kind: companionFaults[rng.IntN(len(companionFaults))], At: fault.At + time.Duration(rng.Float64()*9*float64(time.Second)),
@@ -188,19 +186,19 @@
 	return Scenario{Seed: seed, Hosts: hosts, Servers: servers, Commands: int(span.Seconds() * rate), Rate: rate, Regions: true, Faults: faults}
 }
 
-// Run plays a scene to its end or to its first failure. keep, if any, is a file for
-// its trail.
+// Run runs the scenario to its end or first failure. It writes the trail to trailFile unless that
+// is "".
 func (s Scenario) Run(ctx context.Context, trailFile string) (*Outcome, error) {
 	if s.Planted != "" && !faultinject.Enabled {
-		return nil, errors.New("lab: the scene has a planted fault, and this build can have none")
+		return nil, errors.New("lab: scenario needs a planted fault; build with the tag planted")
 	}
 	for _, fault := range s.Faults {
 		if faultFuncs[fault.Kind] == nil && worldFaultFuncs[fault.Kind] == nil && (regionKinds[fault.Kind] == nil || !s.Regions) {
-			return nil, fmt.Errorf("lab: unknown trouble %q", fault.Kind)
+			return nil, fmt.Errorf("lab: unknown kind of fault %q", fault.Kind)
 		}
 	}
 	if s.Hosts < 1 || s.Servers < 3 || s.Commands < 1 || !(s.Rate > 0) {
-		return nil, errors.New("lab: a scene needs a host, three servers, a command and a rate above 0")
+		return nil, errors.New("lab: scenario must have at least one host, three disk servers and one command, and a rate above 0")
 	}
 	config, err := s.settings()
 	if err != nil {
@@ -215,7 +213,7 @@
 		options.maxEffectDelay = 2 * maxStall
 	}
 	if options.Faults == nil {
-		options.Faults = []ScheduledFault{} // none, where nil would have one drawn
+		options.Faults = []ScheduledFault{} // no faults; nil would have them drawn
 	}
 	options.newChecker = func(fleetStarted *Fleet) *rules.Checker {
 		fleet, outcome.Checker = fleetStarted, rules.New(fleetStarted.Meta)
@@ -253,10 +251,12 @@
 	return outcome, nil
 }
 
-// ScenarioLayouts are the ways in which a scene's volumes can lie on its servers.
+// ScenarioLayouts are the values of Scenario.Layout: the example's layouts, one shard per volume, or
+// up to six.
 var ScenarioLayouts = []string{"", "narrow", "wide"}
 
-// settings are the scene's: the example's with small blocks, its figures and its layout.
+// settings returns the example settings with small blocks and the scenario's layout and figures, or
+// those of a service across two regions.
 func (s Scenario) settings() (*settings.Settings, error) {
 	if s.Regions {
 		config := RegionSettings(s.Hosts, s.Servers)
@@ -284,7 +284,8 @@
 	return withFigures(config, s.Figures)
 }
 
-// withFigures sets figures by their path in the settings' JSON, as limits.max_attempts.
+// withFigures replaces numbers of the settings by their JSON path, such as limits.max_attempts, and
+// checks the result.
 func withFigures(config *settings.Settings, figures map[string]float64) (*settings.Settings, error) {
 	if len(figures) == 0 {
 		return config, nil
@@ -302,13 +303,13 @@
 		for _, key := range parts[:len(parts)-1] {
 			next, ok := node[key].(map[string]any)
 			if !ok {
-				return nil, fmt.Errorf("lab: the settings have no %s", path)
+				return nil, fmt.Errorf("lab: settings have no object on the path %s", path)
 			}
 			node = next
 		}
 		last := parts[len(parts)-1]
 		if _, ok := node[last].(float64); !ok {
-			return nil, fmt.Errorf("lab: the settings have no figure %s", path)
+			return nil, fmt.Errorf("lab: settings have no number %s", path)
 		}
 		node[last] = figures[path]
 	}
@@ -322,7 +323,7 @@
 	return changed, changed.Check()
 }
 
-// feed checks the rules on one event, and ends the run at the first that is broken.
+// feed checks the rules on one event and halts the run at the first violation.
 func (o *Outcome) feed(simulated *world.World, event *trail.Event) {
 	o.Checker.Feed(event)
 	if o.Failure != nil || o.Checker.OK() {
@@ -333,7 +334,7 @@
 	simulated.Halt(o.Failure)
 }
 
-// setRunFailure takes how the run ended; what is no failure of the scene is an error.
+// setRunFailure records a stuck or crashed run as a failure and returns any other error.
 func (o *Outcome) setRunFailure(err error, now time.Duration) error {
 	var stuck *world.StuckError
 	var crash *world.CrashError
@@ -349,7 +350,7 @@
 	return nil
 }
 
-// evaluate looks at a day that came to its end.
+// evaluate records the results of a completed run and its first failure.
 func (o *Outcome) evaluate(result *Result, now time.Duration) {
 	fail := func(kind, format string, args ...any) {
 		if o.Failure == nil {
@@ -369,10 +370,10 @@
 		fail(fmt.Sprintf("rule %d", violation.Rule), "%s", violation)
 	}
 	if result.RepeatedEffects > 0 {
-		fail(failureRepeatedEffect, "%d keyed effects took place once more", result.RepeatedEffects)
+		fail(failureRepeatedEffect, "%d keyed effects were executed again", result.RepeatedEffects)
 	}
 	if stats := result.Checker.Stats; stats.Commands != stats.Finished {
-		fail(failureUnanswered, "%d of %d commands have no end", stats.Commands-stats.Finished, stats.Commands)
+		fail(failureUnanswered, "%d of %d commands were not completed", stats.Commands-stats.Finished, stats.Commands)
 	}
 	if result.UnreadBlocks > 0 {
 		fail(failureUnreadBlocks, "%d blocks could not be read back", result.UnreadBlocks)
@@ -391,16 +392,16 @@
 	}
 	if o.RecoveryGoodput = 1; quietFrom+minRecoverySpan <= span {
 		if o.RecoveryGoodput = result.Checker.Stats.GoodputBetween(int64(quietFrom/time.Second), int64(span/time.Second)); o.RecoveryGoodput < minRecoveryGoodput {
-			fail(failureRecovery, "goodput is %.3f of the worth asked for later than %v after the last trouble", o.RecoveryGoodput, recoveryTime)
+			fail(failureRecovery, "goodput is %.3f from %v after the last fault on", o.RecoveryGoodput, recoveryTime)
 		}
 	}
 }
 
-// Shrink looks for a smaller scene with the same kind of failure: fewer troubles, a
-// shorter day, fewer hosts. It plays at most so many.
+// Shrink searches for a smaller scenario with the same kind of failure: fewer faults, a shorter run,
+// fewer hosts. It runs at most maxRuns scenarios.
 func (s Scenario) Shrink(ctx context.Context, maxRuns int, progress io.Writer) (Scenario, error) {
 	if s.Failure == nil {
-		return s, errors.New("lab: the scene has no failure to keep")
+		return s, errors.New("lab: cannot shrink a scenario without a failure")
 	}
 	runs := 0
 	attempt := func(candidate Scenario) (kept bool, err error) {
@@ -415,7 +416,7 @@
 			return false, err
 		}
 		s = out.Scenario
-		fmt.Fprintf(progress, "%d troubles, %d commands, %d hosts: still %s\n", len(s.Faults), s.Commands, s.Hosts, kind)
+		fmt.Fprintf(progress, "%d faults, %d commands, %d hosts: still fails with %s\n", len(s.Faults), s.Commands, s.Hosts, kind)
 		return true, nil
 	}
 	reduce := func() (reduced bool, err error) {
@@ -459,7 +460,7 @@
 	return s, nil
 }
 
-// Save writes the scene to a file.
+// Save writes the scenario to a file as JSON.
 func (s Scenario) Save(file string) error {
 	encoded, err := json.MarshalIndent(s, "", "\t")
 	if err != nil {
@@ -468,47 +469,48 @@
 	return os.WriteFile(file, append(encoded, '\n'), 0o666)
 }
 
-// LoadScenario reads a scene's file.
+// LoadScenario reads a scenario that Save wrote.
 func LoadScenario(file string) (s Scenario, err error) {
 	encoded, err := os.ReadFile(file)
 	if err != nil {
 		return s, err
 	}
 	if err := json.Unmarshal(encoded, &s); err != nil {
-		return s, fmt.Errorf("%s: no scene: %w", file, err)
+		return s, fmt.Errorf("%s: invalid scenario: %w", file, err)
 	}
 	return s, nil
 }
 
-// ExploreOptions says which scenes to play.
+// ExploreOptions selects the scenarios of Explore.
 type ExploreOptions struct {
 	FirstSeed, Seeds uint64
 	Hosts, Servers   int
-	Span             time.Duration
-	Rate             float64
-	Swarm            bool
+	Span             time.Duration // of the client traffic, in virtual time
+	Rate             float64       // mean rate in commands per second
+	Swarm            bool          // see DrawScenario
 	Planted          string
-	Regions          bool                       // scenes of a service over two
-	DrawScenario     func(seed uint64) Scenario // in place of those that are drawn
+	Regions          bool                       // scenarios of a service across two regions
+	DrawScenario     func(seed uint64) Scenario // replaces DrawScenario and DrawRegionScenario
 	Parallel         int
 	StopAtFirst      bool
-	OutDir           string // folder for the scenes that fail, or none
+	OutDir           string // directory for the scenarios that fail; "": none
 }
 
-// ExploreSummary is what an exploration came to.
+// ExploreSummary sums up the outcomes of the scenarios that Explore ran. See Outcome for the fields.
 type ExploreSummary struct {
 	Runs, RuleChecks, CheckedBlocks, UndecidedBlocks, CheckedReads int
 	Steps                                                          uint64
 	VirtualTime                                                    time.Duration
-	MeanGoodput                                                    float64 // mean
+	MeanGoodput                                                    float64
 	FaultCounts                                                    map[string]int
 	Outages                                                        []time.Duration
 	LostWrites                                                     int
 	OperatorCommands                                               map[string]int
-	Failures                                                       []Scenario // by seed
+	Failures                                                       []Scenario // sorted by seed
 }
 
-// Explore plays scene after scene, some at once.
+// Explore runs scenarios with consecutive seeds, some of them in parallel. It writes a line to
+// progress after every 25.
 func Explore(ctx context.Context, options ExploreOptions, progress io.Writer) (*ExploreSummary, error) {
 	summary := &ExploreSummary{FaultCounts: map[string]int{}, OperatorCommands: map[string]int{}}
 	var mu sync.Mutex
@@ -537,7 +539,7 @@
 				scenario.Planted = options.Planted
 				outcome, err := scenario.Run(ctx, "")
 				if ctx.Err() != nil {
-					return // what was played is cut short
+					return // the run may have been cancelled
 				}
 				mu.Lock()
 				if err == nil {
@@ -547,7 +549,7 @@
 					runErr = fmt.Errorf("seed %d: %w", seed, err)
 				}
 				if summary.Runs%25 == 0 && err == nil {
-					fmt.Fprintf(progress, "%d of %d played, %d failed, %d million steps, %.0f s virtual\n", summary.Runs, options.Seeds, len(summary.Failures), summary.Steps/1e6, summary.VirtualTime.Seconds())
+					fmt.Fprintf(progress, "%d of %d scenarios run, %d failed, %d million steps, %.0f virtual seconds\n", summary.Runs, options.Seeds, len(summary.Failures), summary.Steps/1e6, summary.VirtualTime.Seconds())
 				}
 				mu.Unlock()
 			}
--- a/internal/simulation/lab/fleet.go
+++ b/internal/simulation/lab/fleet.go
@@ -1,7 +1,7 @@
-// Package lab runs whole services on loopback: hosts, disk servers, the inventory
-// and clients in one process, a scripted day of troubles over them, and what came
-// of it. It judges by the trail of what passed on the sockets and by the blocks
-// that clients read back; it never reaches into a gateway.
+// Package lab runs whole services (hosts, disk servers, the inventory, clients) in one process,
+// on loopback sockets or in a virtual world, and injects faults into them. A run is checked
+// against the trail of the recorded traffic and against the blocks that clients read back; the
+// state of gateways is not inspected.
 package lab
 
 import (
@@ -27,7 +27,7 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// Fleet is a service.
+// Fleet is a running service: its hosts, disk servers and inventories.
 type Fleet struct {
 	Environment env.Environment
 	Settings    *settings.Settings
@@ -39,34 +39,35 @@
 	seed        uint64
 
 	mu               sync.Mutex
-	inventories      []*inventoryProcess // by region; one where there is one
-	disks            []*diskProcess      // by region, then by shard
+	inventories      []*inventoryProcess // by region; a single one without regions
+	disks            []*diskProcess      // sorted by region, then by shard
 	hosts            []*hostProcess
-	retiredRelays    []relay // of hosts that are gone
+	retiredRelays    []relay // replaced relays of hosts and disk servers, closed with the fleet
 	testbed          testbed
 	dedupCaches      []*standin.DedupCache
 	overloadCrashed  []string
 	pendingCalls     env.WaitGroup
 	closed           bool
-	currentSettings  *settings.Settings // what hosts start with
-	effects          map[effectKey]bool // keyed and unsafe requests that took effect, in either region
+	currentSettings  *settings.Settings // applied to hosts that start
+	effects          map[effectKey]bool // executed requests other than safe ones, in either region
 	repeatedEffects  int
-	regionDown       [2]bool         // regions that are lost as a whole
-	stateDir         string          // folder for the hosts' snapshots, or none
-	fixedShares      bool            // parts of limits never move
-	normalRegionLink world.LinkState // of the ways between regions
+	regionDown       [2]bool         // regions lost as a whole
+	stateDir         string          // directory for the hosts' snapshots; "": none are kept
+	fixedShares      bool            // regions' shares of limits are not rebalanced
+	normalRegionLink world.LinkState // of links between regions, without faults
 	regionLosses     []Loss
-	// effectsMu guards what effects are counted in: disk servers call with locks held.
+	// effectsMu guards effects and repeatedEffects. It is separate from mu because disk servers
+	// call Fleet.effect with their own locks held.
 	effectsMu sync.Mutex
-	// Router is what hosts announce to, nil where the settings announce nothing.
+	// Router is the BGP peer of the hosts; nil if the settings have no Announce section.
 	Router *standin.Router
 }
 
 // routerID is a host's BGP identifier.
 func routerID(host int) uint32 { return uint32(host + 1) }
 
-// diskProcess is the place of one shard: the diskProcess server that holds it now, behind an
-// address that stays while its process is started anew, and changes by a deploy.
+// diskProcess is the disk server of one shard. Its relay's address stays the same across restarts
+// and changes when ReplaceDisk starts a successor.
 type diskProcess struct {
 	shard       int
 	name        string
@@ -75,41 +76,41 @@
 	dedupCache  *standin.DedupCache
 	server      *standin.DiskServer // nil while down
 	relay       relay
-	process     env.Environment // of the server's process
+	process     env.Environment // environment of the current server process
 	starts      int
 	cores       int
 	region      int
-	coldSince   float64                // start of a server that began cold
-	formerAddrs []string               // addresses that it had
-	serverAddr  atomic.Pointer[string] // the server's own address
+	coldSince   float64                // start time in ms of a server that started cold; 0 if it started warm
+	formerAddrs []string               // earlier addresses of the relay
+	serverAddr  atomic.Pointer[string] // the server's address behind the relay
 }
 
-// inventoryProcess is a region's inventory.
+// inventoryProcess is the inventory server of one region, or of the whole service.
 type inventoryProcess struct {
 	region  int
 	server  *standin.Inventory // nil while down
 	process env.Environment
-	saved   *standin.InventoryState // nil where there is one region
+	saved   *standin.InventoryState // state kept across restarts; nil without regions
 	starts  int
 	addr    atomic.Pointer[string]
 }
 
-// hostProcess is one start of a host.
+// hostProcess is one host; its fields describe the current start.
 type hostProcess struct {
 	index          int
 	name           string
 	starts         int
 	gateway        *gateway.Gateway
 	process        env.Environment
-	clientRelay    relay // nil while it is down
+	clientRelay    relay // nil while the host is down
 	inventoryRelay relay
 }
 
-// Halls are the zones over which servers are spread.
+// Halls are the zones of hosts and disk servers.
 var Halls = []string{"hall-a", "hall-b", "hall-c"}
 
-// DefaultMachine is the usual disk server of the lab: two cores, work for a unit such
-// that the ordinary load takes a third of the fleet.
+// DefaultMachine returns the machine model of the lab's disk servers. Their behaviour after a cold
+// start and under overload follows the rules of the settings.
 func DefaultMachine(config *settings.Settings) standin.MachineConfig {
 	rules := config.Rules
 	return standin.MachineConfig{Cores: 2, QueueLimit: 120, UnitWork: 14, WriteFactor: 1.5, Spread: 0.25, CacheEntries: 2, CacheHitFactor: 0.5,
@@ -117,10 +118,10 @@
 		OverloadWindow: rules.OverloadWindow, ColdUnits: rules.ColdUnits}
 }
 
-// inventoryDelay is how late the inventory tells a change, ms.
+// inventoryDelay is the default delay in ms before the inventory publishes a change.
 const inventoryDelay = 300
 
-// NewFleet starts a service of the settings' hosts and shards.
+// NewFleet starts the hosts, disk servers and inventories that config describes.
 func NewFleet(environment env.Environment, testbed testbed, config *settings.Settings, machine standin.MachineConfig, options Options) (*Fleet, error) {
 	seed := options.Seed
 	f := &Fleet{Environment: environment, testbed: testbed, Settings: config, currentSettings: config, log: options.Log, machine: machine, seed: seed,
@@ -166,7 +167,7 @@
 		f.dedupCaches = append(f.dedupCaches, disk.dedupCache)
 		f.disks = append(f.disks, disk)
 	}
-	for _, d := range f.disks { // which know each other
+	for _, d := range f.disks { // all entries exist by now: a disk server looks up its peer in f.disks
 		if err := f.startDisk(d, false, true); err != nil {
 			f.Close()
 			return nil, err
@@ -199,8 +200,8 @@
 
 func (f *Fleet) nowMS() float64 { return env.MS(f.Environment.Now()) }
 
-// startDisk starts a process for the shard, at the address that it has, or a new
-// one where fresh. Held: mu, but for the fleet's own start.
+// startDisk starts a server process for disk. It keeps the relay's address unless newAddress is
+// set or there is no relay yet. Requires f.mu, except in NewFleet.
 func (f *Fleet) startDisk(disk *diskProcess, cold, newAddress bool) error {
 	now := f.nowMS()
 	disk.starts++
@@ -244,7 +245,8 @@
 	return nil
 }
 
-// inventoryEntry enters the server in the list as it is now, and what it was no more. Held: mu.
+// inventoryEntry returns a change that enters the server under its current address and marks its
+// former addresses as gone. Requires f.mu.
 func (d *diskProcess) inventoryEntry() func(b *inventory.Book) {
 	node := inventory.Node{Addr: d.relay.Address(), Health: inventory.Ready, Shard: d.shard, Zone: d.zone, Weight: 1, Incarnation: d.server.Started}
 	coldSince, formerAddrs := d.coldSince, slices.Clone(d.formerAddrs)
@@ -256,7 +258,8 @@
 	}
 }
 
-// changeInventory changes a region's changeInventory, late or at once, if its inventory is up.
+// changeInventory changes a region's inventory, after its delay or immediately. It does nothing
+// while that inventory is down.
 func (f *Fleet) changeInventory(region int, delayed bool, change func(*inventory.Book)) {
 	switch server := f.inventories[region].server; {
 	case server == nil:
@@ -267,7 +270,7 @@
 	}
 }
 
-// eachInventory does something with each inventory that is up.
+// eachInventory calls do for each inventory that is running.
 func (f *Fleet) eachInventory(do func(*standin.Inventory)) {
 	for _, process := range f.inventories {
 		if process.server != nil {
@@ -282,7 +285,7 @@
 	var err error
 	name := host.name
 	host.process = f.testbed.startProcess(name)
-	if f.Settings.Regions != nil { // clocks of hosts differ a little
+	if f.Settings.Regions != nil { // clock rates of hosts differ by up to 0.4 %
 		f.testbed.setClockRate(host.process, 1+0.002*float64(host.index%3-1))
 	}
 	if host.inventoryRelay, err = f.testbed.newRelay(*f.inventories[f.regionOf(host.index)].addr.Load(), true, func(string) *standin.FrameRecorder { return standin.RecordInventory(f.Recorder, name) }); err != nil {
@@ -302,7 +305,7 @@
 	return err
 }
 
-// snapshotFile is a host's file, "" where nothing is kept.
+// snapshotFile returns the path of a host's snapshot, or "" if none is kept.
 func (f *Fleet) snapshotFile(host int) string {
 	if f.stateDir == "" {
 		return ""
@@ -310,10 +313,10 @@
 	return filepath.Join(f.stateDir, fmt.Sprintf("h%d", host))
 }
 
-// putSettings gives a new host its settings, as an operator would: by a call of the admin
-// API where there is one.
+// putSettings applies the current settings to a host that has none from a snapshot, through its
+// admin API if it has one.
 func (f *Fleet) putSettings(gw *gateway.Gateway) error {
-	if gw.Settings().Get() != nil { // it has them from its snapshot
+	if gw.Settings().Get() != nil { // restored from its snapshot
 		return nil
 	}
 	initial := *f.currentSettings
@@ -328,7 +331,7 @@
 	return err
 }
 
-// AdminAPIs are the admin APIs of the hosts that are up. The caller closes them.
+// AdminAPIs returns the admin APIs of the running hosts. The caller closes them.
 func (f *Fleet) AdminAPIs() (apis []*rollout.Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -340,7 +343,7 @@
 	return apis
 }
 
-// HostAddr is where clients reach a host now; "" while it is down.
+// HostAddr returns the current address of a host for clients, or "" while it is down.
 func (f *Fleet) HostAddr(host int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -350,7 +353,7 @@
 	return ""
 }
 
-// afterFunc runs g on a goroutine of its own, d from now, unless the fleet is over.
+// afterFunc runs call on its own goroutine after delay, unless the fleet is closed by then.
 func (f *Fleet) afterFunc(delay time.Duration, call func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -369,7 +372,7 @@
 	})
 }
 
-// KillHost ends a host at once and starts it again after down.
+// KillHost kills a running host and restarts it after downtime.
 func (f *Fleet) KillHost(index int, downtime time.Duration) {
 	f.mu.Lock()
 	host := f.hosts[index]
@@ -394,12 +397,12 @@
 	})
 }
 
-// KillDisk ends a disk server at once; it comes back cold after down. The
-// inventory hears of both, late.
+// KillDisk kills a disk server and restarts it cold after downtime. The inventory publishes both
+// changes after its delay.
 func (f *Fleet) KillDisk(index int, downtime time.Duration) { f.stopDisk(index, downtime, false) }
 
-// PowerOffDisk is KillDisk with the machine gone too, where the site knows the difference:
-// no connection is closed.
+// PowerOffDisk is KillDisk with a power loss of the machine: on a testbed that distinguishes the
+// two, peers do not see their connections closed.
 func (f *Fleet) PowerOffDisk(index int, downtime time.Duration) { f.stopDisk(index, downtime, true) }
 
 func (f *Fleet) stopDisk(index int, downtime time.Duration, powerLoss bool) {
@@ -425,8 +428,8 @@
 	})
 }
 
-// ReplaceDisk drains a disk server and puts a successor in its place, cold, at another
-// address, with the same blocks.
+// ReplaceDisk marks a disk server as draining, drains it after drainTime, and after another
+// drainTime kills it and starts a cold successor at a new address with the same blocks.
 func (f *Fleet) ReplaceDisk(index int, drainTime time.Duration) {
 	f.mu.Lock()
 	disk := f.disks[index]
@@ -444,7 +447,7 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if disk.server != server {
-				return // it died meanwhile
+				return // the server was killed in the meantime
 			}
 			f.changeInventory(disk.region, true, func(b *inventory.Book) { b.Health(addr, inventory.Gone) })
 			f.Environment.Go(server.Kill)
@@ -455,14 +458,15 @@
 	})
 }
 
-// DiskServer returns the server that holds a shard now, nil while it is down.
+// DiskServer returns the current server at an index of f.disks, or nil while it is down.
 func (f *Fleet) DiskServer(index int) *standin.DiskServer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.disks[index].server
 }
 
-// RepeatedEffects is the number of effects that the racks saw more than once.
+// RepeatedEffects returns how many effects were executed again, as counted by the disk servers'
+// deduplication caches and, with regions, across the regions.
 func (f *Fleet) RepeatedEffects() int {
 	f.effectsMu.Lock()
 	total := f.repeatedEffects
@@ -473,14 +477,14 @@
 	return total
 }
 
-// OverloadCrashed names the disk servers that were pushed over.
+// OverloadCrashed returns the names of the disk servers that crashed from overload.
 func (f *Fleet) OverloadCrashed() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string(nil), f.overloadCrashed...)
 }
 
-// StopHosts ends every host gracefully.
+// StopHosts stops all running hosts gracefully and waits for them.
 func (f *Fleet) StopHosts(ctx context.Context) {
 	var stops env.WaitGroup
 	f.mu.Lock()
@@ -494,7 +498,8 @@
 	stops.Wait(f.Environment)
 }
 
-// Close ends everything at once.
+// Close kills all processes and closes all relays. It does nothing on a testbed that stops its
+// processes itself.
 func (f *Fleet) Close() {
 	if !f.testbed.mustStopProcesses() {
 		return
