--- a/internal/simulation/lab/changes.go
+++ b/internal/simulation/lab/changes.go
@@ -60,71 +60,71 @@
 
 // RunSettingsChanges plays a bad day while operators change what hosts are told: each has so many
 // changes for hosts drawn anew, all at once, and merges where it may.
-func RunSettingsChanges(ctx context.Context, opt Options, operators, changes int) (*SettingsChangeResult, error) {
+func RunSettingsChanges(ctx context.Context, options Options, operators, changes int) (*SettingsChangeResult, error) {
 	dir, err := os.MkdirTemp("", "records-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	opt.stateDir = dir
-	ch := &changeOperators{changesEach: changes / operators}
+	options.stateDir = dir
+	load := &changeOperators{changesEach: changes / operators}
 	var events []trail.Event
 	var meta *trail.Meta
-	opt.onStart = func(d *dayRun, span time.Duration) {
-		ch.fleet, ch.meanPause = d.fleet, span*4/10/time.Duration(max(ch.changesEach, 1))
-		for op := range operators {
-			rng := rand.New(rand.NewPCG(opt.Seed, uint64(100+op)))
-			ch.operators.Go(d.fleet.Environment, func() { ch.runOperator(ctx, op, rng) })
+	options.onStart = func(run *dayRun, duration time.Duration) {
+		load.fleet, load.meanPause = run.fleet, duration*4/10/time.Duration(max(load.changesEach, 1))
+		for operator := range operators {
+			rng := rand.New(rand.NewPCG(options.Seed, uint64(100+operator)))
+			load.operators.Go(run.fleet.Environment, func() { load.runOperator(ctx, operator, rng) })
 		}
 	}
-	opt.onStopped = func(d *dayRun, all []trail.Event) {
-		ch.operators.Wait(d.fleet.Environment)
-		events, meta = all, d.fleet.Meta
+	options.onStopped = func(run *dayRun, recorded []trail.Event) {
+		load.operators.Wait(run.fleet.Environment)
+		events, meta = recorded, run.fleet.Meta
 	}
-	res, err := BadDay(ctx, opt)
+	result, err := BadDay(ctx, options)
 	if err != nil {
 		return nil, err
 	}
-	return ch.check(dir, res, meta, events)
+	return load.check(dir, result, meta, events)
 }
 
 // runOperator is one operator's day.
-func (ch *changeOperators) runOperator(ctx context.Context, op int, rng *rand.Rand) {
-	for n := range ch.changesEach {
+func (ch *changeOperators) runOperator(ctx context.Context, operator int, rng *rand.Rand) {
+	for number := range ch.changesEach {
 		env.SleepContext(ctx, ch.fleet.Environment, time.Duration(float64(ch.meanPause)*(0.5+rng.Float64())))
 		hosts := ch.fleet.AdminAPIs()
 		if len(hosts) == 0 {
 			continue
 		}
-		h := hosts[rng.IntN(len(hosts))]
-		ch.changeOnce(ctx, h.Name, h.API, fmt.Sprintf("op%d/%d", op, n), rng)
-		for _, h := range hosts {
-			h.API.Close()
+		host := hosts[rng.IntN(len(hosts))]
+		ch.changeOnce(ctx, host.Name, host.API, fmt.Sprintf("op%d/%d", operator, number), rng)
+		for _, host := range hosts {
+			host.API.Close()
 		}
 	}
 }
 
-func (ch *changeOperators) changeOnce(ctx context.Context, name string, api *settings.API, why string, rng *rand.Rand) {
-	s, err := api.Get(ctx)
+func (ch *changeOperators) changeOnce(ctx context.Context, host string, api *settings.API, reason string, rng *rand.Rand) {
+	proposed, err := api.Get(ctx)
 	if err != nil {
 		return // the host was ended in between
 	}
-	ch.mutate(s, rng)
+	ch.mutate(proposed, rng)
 	env.SleepContext(ctx, ch.fleet.Environment, time.Duration(float64(2*ch.meanPause)*rng.Float64())) // meanwhile others change things
-	c := settingsChange{host: trail.HostName(name), reason: why, requestedAt: ch.now()}
-	now, err := api.Put(ctx, s, settings.ChangeOptions{Why: why, Who: "operator", Merge: rng.IntN(2) == 0})
-	c.answeredAt = ch.now()
+	change := settingsChange{host: trail.HostName(host), reason: reason, requestedAt: ch.now()}
+	applied, err := api.Put(ctx, proposed, settings.ChangeOptions{Why: reason, Who: "operator", Merge: rng.IntN(2) == 0})
+	change.answeredAt = ch.now()
 	var stale *settings.StaleError
 	var faults *settings.FaultsError
 	switch {
 	case err == nil:
-		c.version, c.merged = now.Version, now.Version != s.Version+1
+		change.version, change.merged = applied.Version, applied.Version != proposed.Version+1
 	case errors.As(err, &stale), errors.As(err, &faults):
 	default:
-		c.unknown = true
+		change.unknown = true
 	}
 	ch.mu.Lock()
-	ch.changes = append(ch.changes, c)
+	ch.changes = append(ch.changes, change)
 	ch.mu.Unlock()
 }
 
@@ -133,112 +133,112 @@
 // mutate draws a change. None goes beyond the settings of the day's beginning, by which
 // the rules are checked: deadlines, limits and attempts only shrink from there and grow
 // back to it.
-func (ch *changeOperators) mutate(s *settings.Settings, rng *rand.Rand) {
-	first := ch.fleet.Settings
+func (ch *changeOperators) mutate(proposed *settings.Settings, rng *rand.Rand) {
+	initial := ch.fleet.Settings
 	for range 1 + rng.IntN(3) {
 		switch rng.IntN(6) {
 		case 0:
-			i := rng.IntN(len(s.Classes))
-			k := first.Classes[i]
-			part := 0.5 + rng.Float64()/2
-			s.Classes[i].Deadline, s.Classes[i].LatencyTarget = k.Deadline*part, k.LatencyTarget*part
+			i := rng.IntN(len(proposed.Classes))
+			class := initial.Classes[i]
+			factor := 0.5 + rng.Float64()/2
+			proposed.Classes[i].Deadline, proposed.Classes[i].LatencyTarget = class.Deadline*factor, class.LatencyTarget*factor
 		case 1:
-			for i := range s.Plans {
-				if l := first.Plans[i].Limit; l > 0 {
-					s.Plans[i].Limit = l * (0.4 + 0.6*rng.Float64())
+			for i := range proposed.Plans {
+				if limit := initial.Plans[i].Limit; limit > 0 {
+					proposed.Plans[i].Limit = limit * (0.4 + 0.6*rng.Float64())
 				}
 			}
 		case 2:
-			s.Limits.MaxAttempts = 1 + rng.IntN(first.Limits.MaxAttempts)
+			proposed.Limits.MaxAttempts = 1 + rng.IntN(initial.Limits.MaxAttempts)
 		case 3:
-			i := rng.IntN(len(s.Plans))
-			s.Plans[i].Price = first.Plans[i].Price * (0.5 + rng.Float64())
+			i := rng.IntN(len(proposed.Plans))
+			proposed.Plans[i].Price = initial.Plans[i].Price * (0.5 + rng.Float64())
 		case 4: // between plans that have no limit and the same classes
-			open := []string{"normal", "prioritario"}
-			i := rng.IntN(len(s.Volumes))
-			if slices.Contains(open, s.Volumes[i].Plan) {
-				s.Volumes[i].Plan = open[rng.IntN(2)]
+			unlimited := []string{"normal", "prioritario"}
+			i := rng.IntN(len(proposed.Volumes))
+			if slices.Contains(unlimited, proposed.Volumes[i].Plan) {
+				proposed.Volumes[i].Plan = unlimited[rng.IntN(2)]
 			}
 		case 5:
-			s.Rules.KeyHoldoff = first.Rules.KeyHoldoff * (1 + rng.Float64())
+			proposed.Rules.KeyHoldoff = initial.Rules.KeyHoldoff * (1 + rng.Float64())
 		}
 	}
 }
 
 // check reads the hosts' records again and holds the trail to them.
-func (ch *changeOperators) check(dir string, res *Result, meta *trail.Meta, events []trail.Event) (*SettingsChangeResult, error) {
-	out := &SettingsChangeResult{Result: res, Requested: len(ch.changes), trail: events, meta: meta, applied: map[string][]rules.AppliedSettings{}}
-	by := map[string]map[string]settingsChange{}
-	for _, c := range ch.changes {
-		if by[c.host] == nil {
-			by[c.host] = map[string]settingsChange{}
+func (ch *changeOperators) check(dir string, result *Result, meta *trail.Meta, events []trail.Event) (*SettingsChangeResult, error) {
+	checked := &SettingsChangeResult{Result: result, Requested: len(ch.changes), trail: events, meta: meta, applied: map[string][]rules.AppliedSettings{}}
+	changesByHost := map[string]map[string]settingsChange{}
+	for _, change := range ch.changes {
+		if changesByHost[change.host] == nil {
+			changesByHost[change.host] = map[string]settingsChange{}
 		}
-		by[c.host][c.reason] = c
+		changesByHost[change.host][change.reason] = change
 		switch {
-		case c.unknown:
-			out.Unknown++
-		case c.version == 0:
-			out.Refused++
-		case c.merged:
-			out.Merged++
-			out.Accepted++
+		case change.unknown:
+			checked.Unknown++
+		case change.version == 0:
+			checked.Refused++
+		case change.merged:
+			checked.Merged++
+			checked.Accepted++
 		default:
-			out.Accepted++
+			checked.Accepted++
 		}
 	}
 	for i := range meta.Settings.Hosts {
 		name := fmt.Sprintf("h%d", i)
-		if err := out.checkRecord(dir, name, by[name]); err != nil {
+		if err := checked.checkRecord(dir, name, changesByHost[name]); err != nil {
 			return nil, err
 		}
 	}
-	out.Versions = rules.CheckVersions(meta, events, out.applied)
-	return out, nil
+	checked.Versions = rules.CheckVersions(meta, events, checked.applied)
+	return checked, nil
 }
 
 // checkRecord holds a host's checkRecord to what its operators were answered, and takes from it
 // which version was in force when.
-func (r *SettingsChangeResult) checkRecord(dir, name string, made map[string]settingsChange) error {
-	st, err := settings.Open(filepath.Join(dir, name), nil)
+func (r *SettingsChangeResult) checkRecord(dir, name string, changes map[string]settingsChange) error {
+	store, err := settings.Open(filepath.Join(dir, name), nil)
 	if err != nil {
 		return err
 	}
-	defer st.Close()
-	if _, err := st.Verify(); err != nil {
+	defer store.Close()
+	if _, err := store.Verify(); err != nil {
 		r.RecordFaults = append(r.RecordFaults, name+": "+err.Error())
 	}
 	seen := map[string]bool{}
-	var log []*audit.Record
-	for from := uint64(1); ; from = log[len(log)-1].Seq + 1 {
-		if log, err = st.Log(from, 500); err != nil || len(log) == 0 {
+	var records []*audit.Record
+	for from := uint64(1); ; from = records[len(records)-1].Seq + 1 {
+		if records, err = store.Log(from, 500); err != nil || len(records) == 0 {
 			break
 		}
-		for _, x := range log {
+		for _, record := range records {
 			r.Records++
-			s, err := st.AtVersion(x.Version)
+			applied, err := store.AtVersion(record.Version)
 			if err != nil {
 				return err
 			}
-			v := rules.AppliedSettings{Settings: s}
-			if x.Seq > 1 {
-				c, known := made[x.Why]
+			version := rules.AppliedSettings{Settings: applied}
+			if record.Seq > 1 {
+				change, known := changes[record.Why]
 				switch {
 				case !known:
-					r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: record %d (%s) was never asked for", name, x.Seq, x.Why))
-				case seen[x.Why]:
-					r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: change %s stands twice", name, x.Why))
-				case c.version != x.Version && !c.unknown:
-					r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: change %s is version %d in the record and was answered %d", name, x.Why, x.Version, c.version))
+					r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: record %d (%s) was never asked for", name, record.Seq, record.Why))
+				case seen[record.Why]:
+					r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: change %s stands twice", name, record.Why))
+				case change.version != record.Version && !change.unknown:
+					r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: change %s is version %d in the record and was answered %d", name, record.Why, record.Version, change.version))
 				}
-				seen[x.Why] = true
-				v.RequestedAt, v.AppliedBy = c.requestedAt, c.answeredAt
+				seen[record.Why] = true
+				version.RequestedAt, version.AppliedBy = change.requestedAt, change.answeredAt
 			}
-			r.applied[name] = append(r.applied[name], v)
+			r.applied[name] = append(r.applied[name], version)
 		}
 	}
-	for why, c := range made {
-		if c.version != 0 && !seen[why] {
-			r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: change %s was accepted and is not in the record", name, why))
+	for reason, change := range changes {
+		if change.version != 0 && !seen[reason] {
+			r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: change %s was accepted and is not in the record", name, reason))
 		}
 	}
 	return err
@@ -252,12 +252,12 @@
 	fmt.Fprintln(w, r.Versions.Summary())
 	fmt.Fprintf(w, "goodput %.3f; %d blocks read and judged, %d wrong, %d not read back; %d keyed effects twice; %.0f s\n",
 		r.Checker.Stats.Goodput(), r.CheckedReads, len(r.InvalidReads), r.UnreadBlocks, r.RepeatedEffects, r.Elapsed.Seconds())
-	for _, list := range [][]string{r.RecordFaults, r.Versions.Violations, r.InvalidReads} {
-		for _, t := range list[:min(len(list), 5)] {
-			fmt.Fprintln(w, "BROKEN:", t)
+	for _, problems := range [][]string{r.RecordFaults, r.Versions.Violations, r.InvalidReads} {
+		for _, problem := range problems[:min(len(problems), 5)] {
+			fmt.Fprintln(w, "BROKEN:", problem)
 		}
 	}
-	for _, b := range r.Checker.Violations[:min(len(r.Checker.Violations), 5)] {
-		fmt.Fprintln(w, "BROKEN:", b)
+	for _, violation := range r.Checker.Violations[:min(len(r.Checker.Violations), 5)] {
+		fmt.Fprintln(w, "BROKEN:", violation)
 	}
 }
--- a/internal/simulation/lab/counters.go
+++ b/internal/simulation/lab/counters.go
@@ -45,68 +45,68 @@
 
 // CheckCounters plays a bad day and holds the counters of the hosts that are up at its end to
 // what passed on their sockets.
-func CheckCounters(ctx context.Context, opt Options) (*CounterCheck, error) {
-	out := &CounterCheck{reported: attemptCounters{map[nodeKey]map[string]float64{}}, observed: map[nodeKey]*nodeTraffic{}}
-	var failed error
-	opt.onQuiescent = func(d *dayRun) {
-		for _, h := range d.fleet.hosts {
-			if h.clientRelay == nil {
+func CheckCounters(ctx context.Context, options Options) (*CounterCheck, error) {
+	check := &CounterCheck{reported: attemptCounters{map[nodeKey]map[string]float64{}}, observed: map[nodeKey]*nodeTraffic{}}
+	var fetchErr error
+	options.onQuiescent = func(run *dayRun) {
+		for _, host := range run.fleet.hosts {
+			if host.clientRelay == nil {
 				continue
 			}
-			if err := out.reported.fetch(ctx, h.name, h.gateway.Admin().String()); err != nil {
-				failed = err
+			if err := check.reported.fetch(ctx, host.name, host.gateway.Admin().String()); err != nil {
+				fetchErr = err
 			}
-			out.Hosts++
+			check.Hosts++
 		}
 	}
-	opt.onStopped = func(_ *dayRun, events []trail.Event) { out.countEvents(events) }
-	res, err := BadDay(ctx, opt)
+	options.onStopped = func(_ *dayRun, events []trail.Event) { check.countEvents(events) }
+	result, err := BadDay(ctx, options)
 	if err == nil {
-		err = failed
+		err = fetchErr
 	}
 	if err != nil {
 		return nil, err
 	}
-	out.Result = res
-	out.Mismatches = out.compare()
-	return out, nil
+	check.Result = result
+	check.Mismatches = check.compare()
+	return check, nil
 }
 
 // fetch parses a host's /metrics with a parser that the project did not write.
 func (c *attemptCounters) fetch(ctx context.Context, host, addr string) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/metrics", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/metrics", nil)
 	if err != nil {
 		return err
 	}
-	resp, err := http.DefaultClient.Do(req)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
+	defer response.Body.Close()
 	defer http.DefaultClient.CloseIdleConnections()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, 16<<20))
+	body, err := io.ReadAll(io.LimitReader(response.Body, 16<<20))
 	if err != nil {
 		return err
 	}
-	p := expfmt.NewTextParser(model.UTF8Validation)
-	families, err := p.TextToMetricFamilies(bytes.NewReader(b))
+	parser := expfmt.NewTextParser(model.UTF8Validation)
+	families, err := parser.TextToMetricFamilies(bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	for _, m := range families["merlinhitch_attempts_total"].GetMetric() {
-		k := nodeKey{host, labelValue(m, "node")}
-		if c.attempts[k] == nil {
-			c.attempts[k] = map[string]float64{}
+	for _, metric := range families["merlinhitch_attempts_total"].GetMetric() {
+		key := nodeKey{host, labelValue(metric, "node")}
+		if c.attempts[key] == nil {
+			c.attempts[key] = map[string]float64{}
 		}
-		c.attempts[k][labelValue(m, "result")] = m.GetCounter().GetValue()
+		c.attempts[key][labelValue(metric, "result")] = metric.GetCounter().GetValue()
 	}
 	return nil
 }
 
-func labelValue(m *dto.Metric, name string) string {
-	for _, l := range m.GetLabel() {
-		if l.GetName() == name {
-			return l.GetValue()
+func labelValue(metric *dto.Metric, name string) string {
+	for _, pair := range metric.GetLabel() {
+		if pair.GetName() == name {
+			return pair.GetValue()
 		}
 	}
 	return ""
@@ -122,20 +122,20 @@
 // countEvents counts what passed, on its own.
 func (c *CounterCheck) countEvents(events []trail.Event) {
 	for i := range events {
-		e := &events[i]
-		if e.Link != trail.LinkDisk || e.Kind != trail.Do && e.Kind != trail.Answer {
+		event := &events[i]
+		if event.Link != trail.LinkDisk || event.Kind != trail.Do && event.Kind != trail.Answer {
 			continue
 		}
-		k := nodeKey{e.Host, e.Peer}
-		s := c.observed[k]
-		if s == nil {
-			s = &nodeTraffic{answers: map[string]float64{}}
-			c.observed[k] = s
+		key := nodeKey{event.Host, event.Peer}
+		traffic := c.observed[key]
+		if traffic == nil {
+			traffic = &nodeTraffic{answers: map[string]float64{}}
+			c.observed[key] = traffic
 		}
-		if e.Kind == trail.Do {
-			s.sent++
+		if event.Kind == trail.Do {
+			traffic.sent++
 		} else {
-			s.answers[answerResults[diskproto.Result(e.Status)]]++
+			traffic.answers[answerResults[diskproto.Result(event.Status)]]++
 		}
 	}
 }
@@ -143,29 +143,29 @@
 // compare holds each counter to the trail. An attempt that the host gave up, or whose
 // connection it lost, may have passed or not, and its answer too: by so many a figure may
 // differ. Where there are none it must be the same.
-func (c *CounterCheck) compare() (wrong []string) {
-	for k, by := range c.reported.attempts {
-		s := c.observed[k]
-		if s == nil {
-			s = &nodeTraffic{answers: map[string]float64{}}
+func (c *CounterCheck) compare() (mismatches []string) {
+	for key, counts := range c.reported.attempts {
+		traffic := c.observed[key]
+		if traffic == nil {
+			traffic = &nodeTraffic{answers: map[string]float64{}}
 		}
 		c.Nodes++
-		open := by["no_answer"] + by["connection_lost"] + by["cancelled"]
-		total := by["served"] + by["server_error"] + by["turned_away"]
-		c.Attempts += total + open
-		if open == 0 {
+		unanswered := counts["no_answer"] + counts["connection_lost"] + counts["cancelled"]
+		answered := counts["served"] + counts["server_error"] + counts["turned_away"]
+		c.Attempts += answered + unanswered
+		if unanswered == 0 {
 			c.ExactNodes++
 		}
-		if s.sent < total || s.sent > total+open+s.answers["not_sent"] {
-			wrong = append(wrong, fmt.Sprintf("%s to %s: %v attempts counted with an answer and %v without, %v passed", k.host, k.node, total, open, s.sent))
+		if traffic.sent < answered || traffic.sent > answered+unanswered+traffic.answers["not_sent"] {
+			mismatches = append(mismatches, fmt.Sprintf("%s to %s: %v attempts counted with an answer and %v without, %v passed", key.host, key.node, answered, unanswered, traffic.sent))
 		}
-		for _, r := range []string{"served", "server_error", "turned_away"} {
-			if n := s.answers[r]; by[r] > n || by[r] < n-open {
-				wrong = append(wrong, fmt.Sprintf("%s to %s: %v counted as %s, %v such answers passed, %v may have come too late", k.host, k.node, by[r], r, n, open))
+		for _, result := range []string{"served", "server_error", "turned_away"} {
+			if seen := traffic.answers[result]; counts[result] > seen || counts[result] < seen-unanswered {
+				mismatches = append(mismatches, fmt.Sprintf("%s to %s: %v counted as %s, %v such answers passed, %v may have come too late", key.host, key.node, counts[result], result, seen, unanswered))
 			}
 		}
 	}
-	return wrong
+	return mismatches
 }
 
 // Print writes what was compared.
@@ -173,7 +173,7 @@
 	c.Checker.Print(w)
 	fmt.Fprintf(w, "%d hosts, %d nodes as they know them, %v attempts counted; at %d nodes every figure is known from the trail; %d figures wrong\n",
 		c.Hosts, c.Nodes, c.Attempts, c.ExactNodes, len(c.Mismatches))
-	for _, t := range c.Mismatches[:min(len(c.Mismatches), 5)] {
-		fmt.Fprintln(w, "WRONG:", t)
+	for _, mismatch := range c.Mismatches[:min(len(c.Mismatches), 5)] {
+		fmt.Fprintln(w, "WRONG:", mismatch)
 	}
 }
--- a/internal/simulation/lab/layouts.go
+++ b/internal/simulation/lab/layouts.go
@@ -31,58 +31,58 @@
 // BusySettings is a service whose nodes differ threefold in each hall and whose volumes differ
 // thirtyfold, asked for so many commands a second in the mean.
 func BusySettings(hosts, servers int, rate float64, seed uint64) *settings.Settings {
-	s := settings.Example(hosts, servers)
+	busy := settings.Example(hosts, servers)
 	rng := rand.New(rand.NewPCG(seed, 11))
-	s.Placement.Parts = 8
-	work := DefaultMachine(s).UnitWork
+	busy.Placement.Parts = 8
+	unitWork := DefaultMachine(busy).UnitWork
 	for hall := range Halls { // each has as much, unevenly within
-		cores := rng.Perm(3)
+		coreOrder := rng.Perm(3)
 		for k, i := 0, hall; i < servers; k, i = k+1, i+len(Halls) {
-			s.Nodes[i].Capacity = float64(1+cores[k%3]) * 1000 / work / writeWorkFactor
+			busy.Nodes[i].Capacity = float64(1+coreOrder[k%3]) * 1000 / unitWork / writeWorkFactor
 		}
 	}
 	total := 0.0
-	for i := range s.Volumes {
-		v := &s.Volumes[i]
-		x := rng.Float64()
-		v.Rate, v.Layout, v.MaxNodes = s.RateOf(v)*(0.2+5.8*x*x*x), []int{i % servers}, 2+i%3
-		v.WriteFraction = 0 // copies here are only read, once their hall is lost
-		total += v.Rate
+	for i := range busy.Volumes {
+		volume := &busy.Volumes[i]
+		skew := rng.Float64()
+		volume.Rate, volume.Layout, volume.MaxNodes = busy.RateOf(volume)*(0.2+5.8*skew*skew*skew), []int{i % servers}, 2+i%3
+		volume.WriteFraction = 0 // copies here are only read, once their hall is lost
+		total += volume.Rate
 	}
-	for i := range s.Volumes {
-		s.Volumes[i].Rate *= rate * meanCommandUnits / total
+	for i := range busy.Volumes {
+		busy.Volumes[i].Rate *= rate * meanCommandUnits / total
 	}
-	return s
+	return busy
 }
 
 // withLayout returns the settings with one of Layouts in force.
-func withLayout(s *settings.Settings, name string) (*settings.Settings, error) {
-	pl, err := plan.From(s, plan.Options{})
+func withLayout(current *settings.Settings, name string) (*settings.Settings, error) {
+	layoutPlan, err := plan.From(current, plan.Options{})
 	if err != nil {
 		return nil, err
 	}
-	pl.Problem.Current = nil
-	l, err := computeLayout(pl.Problem, name)
+	layoutPlan.Problem.Current = nil
+	layout, err := computeLayout(layoutPlan.Problem, name)
 	if err != nil {
 		return nil, err
 	}
-	return pl.Whole(l)
+	return layoutPlan.Whole(layout)
 }
 
-func computeLayout(p *placement.Problem, name string) (placement.Layout, error) {
+func computeLayout(problem *placement.Problem, name string) (placement.Layout, error) {
 	switch name {
 	case "round robin":
-		return placement.RoundRobin(p), nil
+		return placement.RoundRobin(problem), nil
 	case "by name":
-		return placement.ByName(p), nil
+		return placement.ByName(problem), nil
 	case "largest first":
-		return placement.LargestFirst(p), nil
+		return placement.LargestFirst(problem), nil
 	}
-	r, err := placement.Solve(p, placement.Options{Steps: 100_000})
+	solution, err := placement.Solve(problem, placement.Options{Steps: 100_000})
 	if err != nil {
 		return nil, err
 	}
-	return r.Layout, nil
+	return solution.Layout, nil
 }
 
 // layoutScenario is what happens to the layout in a day.
@@ -100,81 +100,81 @@
 
 // scheduleHallLoss ends every disk server of a hall a third into the day, until its end, and
 // then has the other halls serve what they have copies of.
-func scheduleHallLoss(d *dayRun, span time.Duration) {
-	f := d.fleet
-	hall := Halls[d.options.Seed%uint64(len(Halls))]
-	f.afterFunc(span/3, func() {
-		for _, n := range f.Settings.Nodes {
-			if n.Hall == hall {
-				f.KillDisk(n.Shard, span*2/3)
+func scheduleHallLoss(run *dayRun, duration time.Duration) {
+	fleet := run.fleet
+	hall := Halls[run.options.Seed%uint64(len(Halls))]
+	fleet.afterFunc(duration/3, func() {
+		for _, node := range fleet.Settings.Nodes {
+			if node.Hall == hall {
+				fleet.KillDisk(node.Shard, duration*2/3)
 			}
 		}
-		f.afterFunc(failoverDelay, func() {
-			next, _ := plan.FailOver(f.CurrentSettings(), hall)
-			d.recordError(f.putSettingsOnAllHosts(next))
+		fleet.afterFunc(failoverDelay, func() {
+			next, _ := plan.FailOver(fleet.CurrentSettings(), hall)
+			run.recordError(fleet.putSettingsOnAllHosts(next))
 		})
 	})
 }
 
 // scheduleSolverLayout takes the layout in force to the solver's, from a quarter of the day on
 // and as far as the day lasts. It is worked out before the day begins.
-func scheduleSolverLayout(d *dayRun, span time.Duration) {
-	f := d.fleet
-	pl, steps, err := solverSteps(f.CurrentSettings())
+func scheduleSolverLayout(run *dayRun, duration time.Duration) {
+	fleet := run.fleet
+	layoutPlan, steps, err := solverSteps(fleet.CurrentSettings())
 	if err != nil {
-		d.recordError(err)
+		run.recordError(err)
 		return
 	}
-	again, err := plan.From(f.CurrentSettings(), plan.Options{}) // With moves a plan, and pl is still to be applied
+	preview, err := plan.From(fleet.CurrentSettings(), plan.Options{}) // With moves a plan, and pl is still to be applied
 	if err != nil {
-		d.recordError(err)
+		run.recordError(err)
 		return
 	}
-	for _, st := range steps { // a host may have any of them when the day ends
-		s, err := again.With(st)
+	for _, step := range steps { // a host may have any of them when the day ends
+		possible, err := preview.With(step)
 		if err != nil {
-			d.recordError(err)
+			run.recordError(err)
 			return
 		}
-		f.addPossibleLayouts(s)
+		fleet.addPossibleLayouts(possible)
 	}
-	pause := span / 2 / time.Duration(max(len(steps), 1))
-	f.afterFunc(span/4, func() {
-		hosts := f.AdminAPIs()
+	pause := duration / 2 / time.Duration(max(len(steps), 1))
+	fleet.afterFunc(duration/4, func() {
+		hosts := fleet.AdminAPIs()
 		defer closeAPIs(hosts)
-		ctx, cancel := context.WithTimeout(context.Background(), span*2/3)
+		ctx, cancel := context.WithTimeout(context.Background(), duration*2/3)
 		defer cancel()
 		_, err := rollout.Read(ctx, hosts)
 		if err == nil {
-			err = rollout.Apply(ctx, f.Environment, hosts, pl, steps, pause, func(n int) {
-				d.mu.Lock()
-				d.layoutSteps = n
-				d.mu.Unlock()
+			err = rollout.Apply(ctx, fleet.Environment, hosts, layoutPlan, steps, pause, func(applied int) {
+				run.mu.Lock()
+				run.layoutSteps = applied
+				run.mu.Unlock()
 			})
 		}
 		if ctx.Err() == nil {
-			d.recordError(err)
+			run.recordError(err)
 		}
 	})
 }
 
 // solverSteps are the way from the layout in force to the solver's, as far as there is
 // one.
-func solverSteps(s *settings.Settings) (*plan.Plan, []placement.Step, error) {
-	pl, err := plan.From(s, plan.Options{})
+func solverSteps(current *settings.Settings) (*plan.Plan, []placement.Step, error) {
+	layoutPlan, err := plan.From(current, plan.Options{})
 	if err != nil {
 		return nil, nil, err
 	}
-	l, err := computeLayout(pl.Problem, "solver")
+	layout, err := computeLayout(layoutPlan.Problem, "solver")
 	if err != nil {
 		return nil, nil, err
 	}
-	steps, err := pl.Steps(l)
+	steps, err := layoutPlan.Steps(layout)
 	var blocked *placement.BlockedError
 	if errors.As(err, &blocked) {
 		err = nil
 	}
-	return pl, steps, err
+	return layoutPlan, steps, err
 }
 
 // recordError keeps the first error of what is done beside the script.
@@ -200,43 +200,43 @@
 }
 
 // setCurrentSettings notes new layouts, for hosts that start from now on and for the trail.
-func (f *Fleet) setCurrentSettings(s *settings.Settings) {
-	f.addPossibleLayouts(s)
+func (f *Fleet) setCurrentSettings(current *settings.Settings) {
+	f.addPossibleLayouts(current)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.currentSettings = s
+	f.currentSettings = current
 }
 
 // addPossibleLayouts tells the trail's reader of layouts that hosts may have.
-func (f *Fleet) addPossibleLayouts(s *settings.Settings) {
+func (f *Fleet) addPossibleLayouts(possible *settings.Settings) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.Meta.Layouts == nil {
 		f.Meta.Layouts = map[string][][]int{}
 	}
-	for i := range s.Volumes {
-		v := &s.Volumes[i]
-		known := slices.ContainsFunc(f.Meta.Layouts[v.Name], func(l []int) bool { return slices.Equal(l, v.Layout) })
-		if !known && !slices.Equal(v.Layout, f.Settings.Volumes[i].Layout) {
-			f.Meta.Layouts[v.Name] = append(f.Meta.Layouts[v.Name], v.Layout)
+	for i := range possible.Volumes {
+		volume := &possible.Volumes[i]
+		known := slices.ContainsFunc(f.Meta.Layouts[volume.Name], func(layout []int) bool { return slices.Equal(layout, volume.Layout) })
+		if !known && !slices.Equal(volume.Layout, f.Settings.Volumes[i].Layout) {
+			f.Meta.Layouts[volume.Name] = append(f.Meta.Layouts[volume.Name], volume.Layout)
 		}
 	}
 }
 
 // putSettingsOnAllHosts hands settings to every host that is up.
-func (f *Fleet) putSettingsOnAllHosts(s *settings.Settings) error {
+func (f *Fleet) putSettingsOnAllHosts(target *settings.Settings) error {
 	hosts := f.AdminAPIs()
 	defer closeAPIs(hosts)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	f.setCurrentSettings(s)
+	f.setCurrentSettings(target)
 	for _, h := range hosts {
-		has, err := h.API.Get(ctx)
+		running, err := h.API.Get(ctx)
 		if err != nil {
 			return err
 		}
-		next := *s
-		next.Version = has.Version
+		next := *target
+		next.Version = running.Version
 		if _, err := h.API.Put(ctx, &next, settings.ChangeOptions{}); err != nil {
 			return err
 		}
@@ -257,67 +257,67 @@
 // CompareLayouts plays the busy day over seeds 1 to n with each layout, with a hall lost
 // too, and with the solver's layout applied in the midst; then a calm day at half the
 // rate with and without the change, where any refusal would be the change's own.
-func CompareLayouts(ctx context.Context, opt Options, n, parallel int, progress io.Writer) ([]LayoutRow, error) {
-	type kind struct {
-		layout, name string
-		shape        layoutScenario
-		calm         bool
+func CompareLayouts(ctx context.Context, options Options, seeds, parallel int, progress io.Writer) ([]LayoutRow, error) {
+	type variant struct {
+		layout, scenario string
+		action           layoutScenario
+		calm             bool
 	}
-	var list []kind
-	for _, l := range LayoutStrategies {
-		list = append(list, kind{l, "busy", layoutStatic, false})
+	var variants []variant
+	for _, layout := range LayoutStrategies {
+		variants = append(variants, variant{layout, "busy", layoutStatic, false})
 	}
-	for _, l := range LayoutStrategies {
-		list = append(list, kind{l, "busy, a hall lost", layoutHallLost, false})
+	for _, layout := range LayoutStrategies {
+		variants = append(variants, variant{layout, "busy, a hall lost", layoutHallLost, false})
 	}
-	list = append(list, kind{"round robin", "busy, solver's applied", layoutRollout, false},
-		kind{"round robin", "calm", layoutStatic, true}, kind{"round robin", "calm, solver's applied", layoutRollout, true})
-	rows := make([]LayoutRow, len(list))
-	return rows, runSeeds(len(rows), n, parallel, progress, func(row int, seed uint64) (string, func(), error) {
-		k := list[row]
-		o := opt
-		o.Seed, o.Progress, o.SharedStores = seed, nil, true
-		if o.FaultKinds = BusyTroubles; k.calm {
-			o.FaultKinds, o.Rate, o.Commands = []string{"none"}, opt.Rate/2, opt.Commands/2
+	variants = append(variants, variant{"round robin", "busy, solver's applied", layoutRollout, false},
+		variant{"round robin", "calm", layoutStatic, true}, variant{"round robin", "calm, solver's applied", layoutRollout, true})
+	rows := make([]LayoutRow, len(variants))
+	return rows, runSeeds(len(rows), seeds, parallel, progress, func(row int, seed uint64) (string, func(), error) {
+		current := variants[row]
+		runOptions := options
+		runOptions.Seed, runOptions.Progress, runOptions.SharedStores = seed, nil, true
+		if runOptions.FaultKinds = BusyTroubles; current.calm {
+			runOptions.FaultKinds, runOptions.Rate, runOptions.Commands = []string{"none"}, options.Rate/2, options.Commands/2
 		}
-		res, steps, err := runLayoutScenario(ctx, o, opt.Rate, k.layout, k.shape)
-		return k.name + ", " + k.layout, func() { rows[row].add(k.layout, k.name, seed, res, steps) }, err
+		result, steps, err := runLayoutScenario(ctx, runOptions, options.Rate, current.layout, current.action)
+		return current.scenario + ", " + current.layout, func() { rows[row].add(current.layout, current.scenario, seed, result, steps) }, err
 	})
 }
 
-func runLayoutScenario(ctx context.Context, opt Options, rate float64, layout string, shape layoutScenario) (*Result, int, error) {
-	set, err := withLayout(BusySettings(opt.Hosts, opt.Servers, rate, opt.Seed), layout)
+func runLayoutScenario(ctx context.Context, options Options, rate float64, layout string, action layoutScenario) (*Result, int, error) {
+	laidOut, err := withLayout(BusySettings(options.Hosts, options.Servers, rate, options.Seed), layout)
 	if err != nil {
 		return nil, 0, err
 	}
-	opt.Settings = set
+	options.Settings = laidOut
 	steps := 0
-	switch shape {
+	switch action {
 	case layoutHallLost:
-		opt.onStart = scheduleHallLoss
+		options.onStart = scheduleHallLoss
 	case layoutRollout:
-		opt.onStart = scheduleSolverLayout
+		options.onStart = scheduleSolverLayout
 	}
-	res, err := BadDay(ctx, opt)
+	result, err := BadDay(ctx, options)
 	if err == nil {
-		steps = res.LayoutSteps
+		steps = result.LayoutSteps
 	}
-	return res, steps, err
+	return result, steps, err
 }
 
-func (r *LayoutRow) add(layout, name string, seed uint64, res *Result, steps int) {
-	t := res.Checker.Stats
-	r.Layout, r.Scenario = layout, name
+func (r *LayoutRow) add(layout, scenario string, seed uint64, result *Result, steps int) {
+	stats := result.Checker.Stats
+	r.Layout, r.Scenario = layout, scenario
 	r.Runs++
 	r.Steps += steps
-	r.Goodput, r.WorstPlan, r.WorstWindow = append(r.Goodput, t.Goodput()), append(r.WorstPlan, t.WorstPlanGoodput()), append(r.WorstWindow, t.WorstWindowGoodput(10))
-	for _, x := range t.ByClass {
-		r.Refused, r.Failed, r.Issued = r.Refused+x.Refused, r.Failed+x.Failed, r.Issued+x.Issued
+	r.Goodput, r.WorstPlan, r.WorstWindow = append(r.Goodput, stats.Goodput()), append(r.WorstPlan, stats.WorstPlanGoodput()), append(r.WorstWindow, stats.WorstWindowGoodput(10))
+	for _, class := range stats.ByClass {
+		r.Refused, r.Failed, r.Issued = r.Refused+class.Refused, r.Failed+class.Failed, r.Issued+class.Issued
 	}
-	if !res.OK() {
+	if !result.OK() {
 		r.Broken++
 		if r.FirstFailure == "" {
-			r.FirstFailure = fmt.Sprintf("seed %d: %s", seed, res.failureSummary())
+			r.FirstFailure = fmt.Sprintf("seed %d: %s", seed, result.failureSummary())
 		}
 	}
 }
@@ -327,36 +327,36 @@
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| day\t| layout\t| days\t| broken\t| goodput least\t| median\t| worst plan least\t| median\t| worst 10 s least\t| median\t| refused\t| failed\t| of\t| steps\t|")
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
-	for _, r := range rows {
-		if r.Runs == 0 {
+	for _, row := range rows {
+		if row.Runs == 0 {
 			continue
 		}
-		fmt.Fprintf(tw, "| %s\t| %s\t| %d\t| %d", r.Scenario, r.Layout, r.Runs, r.Broken)
-		for _, list := range [][]float64{r.Goodput, r.WorstPlan, r.WorstWindow} {
-			slices.Sort(list)
-			fmt.Fprintf(tw, "\t| %.3f\t| %.3f", list[0], list[len(list)/2])
+		fmt.Fprintf(tw, "| %s\t| %s\t| %d\t| %d", row.Scenario, row.Layout, row.Runs, row.Broken)
+		for _, values := range [][]float64{row.Goodput, row.WorstPlan, row.WorstWindow} {
+			slices.Sort(values)
+			fmt.Fprintf(tw, "\t| %.3f\t| %.3f", values[0], values[len(values)/2])
 		}
-		fmt.Fprintf(tw, "\t| %d\t| %d\t| %d\t| %d\t|\n", r.Refused, r.Failed, r.Issued, r.Steps)
+		fmt.Fprintf(tw, "\t| %d\t| %d\t| %d\t| %d\t|\n", row.Refused, row.Failed, row.Issued, row.Steps)
 	}
 	if err := tw.Flush(); err != nil {
 		return err
 	}
-	for _, r := range rows {
-		if r.FirstFailure != "" {
-			fmt.Fprintf(w, "BROKEN, %s, %s: %s\n", r.Scenario, r.Layout, r.FirstFailure)
+	for _, row := range rows {
+		if row.FirstFailure != "" {
+			fmt.Fprintf(w, "BROKEN, %s, %s: %s\n", row.Scenario, row.Layout, row.FirstFailure)
 		}
 	}
 	return nil
 }
 
 // RunLayoutRollout is one busy day in the midst of which the solver's layout is applied.
-func RunLayoutRollout(ctx context.Context, opt Options) (*LayoutRow, error) {
-	opt.SharedStores, opt.FaultKinds = true, BusyTroubles
-	res, steps, err := runLayoutScenario(ctx, opt, opt.Rate, "round robin", layoutRollout)
+func RunLayoutRollout(ctx context.Context, options Options) (*LayoutRow, error) {
+	options.SharedStores, options.FaultKinds = true, BusyTroubles
+	result, steps, err := runLayoutScenario(ctx, options, options.Rate, "round robin", layoutRollout)
 	if err != nil {
 		return nil, err
 	}
-	r := &LayoutRow{}
-	r.add("round robin", "busy, solver's applied", opt.Seed, res, steps)
-	return r, nil
+	row := &LayoutRow{}
+	row.add("round robin", "busy, solver's applied", options.Seed, result, steps)
+	return row, nil
 }
--- a/internal/simulation/lab/peers.go
+++ b/internal/simulation/lab/peers.go
@@ -19,91 +19,91 @@
 // so many prefixes, a change of all their paths, and their withdrawal. The routers run
 // in the same process; their part of the time is in the figures.
 func MeasureSpeaker(ctx context.Context, peers, prefixes int, out io.Writer) error {
-	w := env.NewReal()
+	environment := env.NewReal()
 	var routers []*standin.Router
 	defer func() {
 		for _, r := range routers {
 			r.Close()
 		}
 	}()
-	var list []bgp.Neighbour
+	var neighbours []bgp.Neighbour
 	for i := range peers {
-		r, err := standin.ServeRouter(w, "127.0.0.1:0", 65010)
+		router, err := standin.ServeRouter(environment, "127.0.0.1:0", 65010)
 		if err != nil {
 			return err
 		}
-		routers = append(routers, r)
-		list = append(list, bgp.Neighbour{Addr: r.Addr, PeerConfig: bgp.PeerConfig{Name: fmt.Sprint("r", i), LocalAS: 65001, PeerAS: 65010, ID: 1,
+		routers = append(routers, router)
+		neighbours = append(neighbours, bgp.Neighbour{Addr: router.Addr, PeerConfig: bgp.PeerConfig{Name: fmt.Sprint("r", i), LocalAS: 65001, PeerAS: 65010, ID: 1,
 			Families: []bgp.Family{bgp.IPv4, bgp.IPv6}, Hop4: netip.AddrFrom4([4]byte{127, 0, 0, 1}), Hop6: netip.IPv6Loopback(), Times: bgp.DefaultTimes}})
 	}
-	base := memoryInUse()
-	s, err := bgp.StartSpeaker(w, zap.NewNop(), "", list)
+	memBefore := memoryInUse()
+	speaker, err := bgp.StartSpeaker(environment, zap.NewNop(), "", neighbours)
 	if err != nil {
 		return err
 	}
-	defer s.Kill()
+	defer speaker.Kill()
 	tw := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| what\t| seconds\t| CPU seconds\t| updates a peer\t| prefixes an update\t|")
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t|")
-	stage := func(name string, routes []bgp.Route, has func(held map[netip.Prefix]bgp.Path) bool) error {
+	measureStage := func(name string, routes []bgp.Route, converged func(routes map[netip.Prefix]bgp.Path) bool) error {
 		updates := 0
 		for _, r := range routers {
 			updates -= r.Counters().Updates
 		}
-		begin, cpu := w.Now(), processCPUTime()
-		s.Set(routes)
+		start, cpuStart := environment.Now(), processCPUTime()
+		speaker.Set(routes)
 		for _, r := range routers {
-			for !has(r.RoutesFrom(1)) {
-				if !env.SleepContext(ctx, w, time.Millisecond) {
+			for !converged(r.RoutesFrom(1)) {
+				if !env.SleepContext(ctx, environment, time.Millisecond) {
 					return ctx.Err()
 				}
 			}
 		}
-		took, used := w.Now()-begin, processCPUTime()-cpu
+		elapsed, cpuUsed := environment.Now()-start, processCPUTime()-cpuStart
 		for _, r := range routers {
 			updates += r.Counters().Updates
 		}
-		each := float64(updates) / float64(peers)
-		fmt.Fprintf(tw, "| %s\t| %.3f\t| %.3f\t| %.1f\t| %.0f\t|\n", name, took.Seconds(), used.Seconds(), each, float64(prefixes)/max(each, 1))
+		updatesPerPeer := float64(updates) / float64(peers)
+		fmt.Fprintf(tw, "| %s\t| %.3f\t| %.3f\t| %.1f\t| %.0f\t|\n", name, elapsed.Seconds(), cpuUsed.Seconds(), updatesPerPeer, float64(prefixes)/max(updatesPerPeer, 1))
 		return nil
 	}
-	all := func(p bgp.Path) (out []bgp.Route) {
+	routesWith := func(path bgp.Path) (list []bgp.Route) {
 		for i := range prefixes {
 			addr := netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)})
 			if i%4 == 0 {
-				a := netip.MustParseAddr("2001:db8::").As16()
-				a[13], a[14], a[15] = byte(i>>16), byte(i>>8), byte(i)
-				addr = netip.AddrFrom16(a)
+				addr6 := netip.MustParseAddr("2001:db8::").As16()
+				addr6[13], addr6[14], addr6[15] = byte(i>>16), byte(i>>8), byte(i)
+				addr = netip.AddrFrom16(addr6)
 			}
-			out = append(out, bgp.Route{Prefix: netip.PrefixFrom(addr, addr.BitLen()), Path: p})
+			list = append(list, bgp.Route{Prefix: netip.PrefixFrom(addr, addr.BitLen()), Path: path})
 		}
-		return out
+		return list
 	}
-	full, resort := bgp.Path{MED: 100}, bgp.Path{MED: 1000, Prepend: 3, Shutdown: true}
-	only := func(p bgp.Path) func(map[netip.Prefix]bgp.Path) bool {
-		return func(held map[netip.Prefix]bgp.Path) bool {
-			for _, got := range held {
-				if got != p {
+	full, lastResort := bgp.Path{MED: 100}, bgp.Path{MED: 1000, Prepend: 3, Shutdown: true}
+	hasOnly := func(want bgp.Path) func(map[netip.Prefix]bgp.Path) bool {
+		return func(routes map[netip.Prefix]bgp.Path) bool {
+			for _, got := range routes {
+				if got != want {
 					return false
 				}
 			}
-			return len(held) == prefixes
+			return len(routes) == prefixes
 		}
 	}
-	if err := stage("sessions and first telling", all(full), only(full)); err != nil {
+	if err := measureStage("sessions and first telling", routesWith(full), hasOnly(full)); err != nil {
 		return err
 	}
-	grown := float64(memoryInUse() - base)
-	if err := stage("all become a last resort", all(resort), only(resort)); err != nil {
+	memGrowth := float64(memoryInUse() - memBefore)
+	if err := measureStage("all become a last resort", routesWith(lastResort), hasOnly(lastResort)); err != nil {
 		return err
 	}
-	if err := stage("all withdrawn", nil, func(held map[netip.Prefix]bgp.Path) bool { return len(held) == 0 }); err != nil {
+	if err := measureStage("all withdrawn", nil, func(routes map[netip.Prefix]bgp.Path) bool { return len(routes) == 0 }); err != nil {
 		return err
 	}
 	if err := tw.Flush(); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(out, "%d peers, %d prefixes: %.1f MiB of heap and stacks more than before the speaker, %.1f KiB a peer, the routers' tables included\n",
-		peers, prefixes, grown/(1<<20), grown/1024/float64(peers))
+		peers, prefixes, memGrowth/(1<<20), memGrowth/1024/float64(peers))
 	return err
 }
