--- a/cmd/merlinhitch/plan.go
+++ b/cmd/merlinhitch/plan.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	begin := time.Now()
-	options := placement.Options{Stop: func() bool { return time.Since(begin) > c.Limit || ctx.Err() != nil }, Near: c.Near}
+	options := placement.Options{Stop: func() bool { return time.Since(begin) > c.Limit || ctx.Err() != nil }, MaxRegression: c.Near}
 	result, err := placement.Solve(layoutPlan.Problem, options)
 	if err != nil {
 		return c.explainNoLayout(layoutPlan.Problem, err)
@@ -87,7 +87,7 @@
 		if err != nil && !errors.Is(err, settings.ErrNoKey) { // the plan does not use the encrypted secrets
 			return nil, err
 		}
-		return plan.From(source, plan.Options{Lost: c.Lost})
+		return plan.From(source, plan.Options{LostHalls: c.Lost})
 	}
 	ctx, cancel := context.WithTimeout(ctx, apiTimeout)
 	defer cancel()
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	options := plan.Options{Lost: c.Lost}
+	options := plan.Options{LostHalls: c.Lost}
 	if c.Measured {
 		if options.Measured, err = rollout.Rates(ctx, hosts); err != nil {
 			return nil, err
@@ -111,11 +111,11 @@
 		return err
 	}
 	begin := time.Now()
-	conflict, conflictErr := placement.FindConflict(problem, placement.Options{Stop: func() bool { return time.Since(begin) > c.Limit }, Steps: 200_000})
+	conflict, conflictErr := placement.FindConflict(problem, placement.Options{Stop: func() bool { return time.Since(begin) > c.Limit }, MaxSteps: 200_000})
 	if conflictErr != nil || conflict == nil {
 		demand, capacity := 0.0, 0.0
 		for _, volume := range problem.Volumes {
-			demand += volume.Rate * (1 + float64(volume.Copies-1)*volume.Writes)
+			demand += volume.Rate * (1 + float64(volume.Copies-1)*volume.WriteFraction)
 		}
 		for _, node := range problem.Nodes {
 			capacity += node.Capacity
@@ -124,7 +124,7 @@
 		return errReported
 	}
 	fmt.Println("no layout satisfies all of these constraints; dropping any one of them would allow one:")
-	for _, constraint := range conflict.Words(problem) {
+	for _, constraint := range conflict.Describe(problem) {
 		fmt.Println(" ", constraint)
 	}
 	return errReported
@@ -160,9 +160,9 @@
 		name   string
 		layout placement.Layout
 	}{{"before", layoutPlan.Current}, {"after", proposed}} {
-		for _, lossCase := range layoutPlan.Cases() {
+		for _, lossCase := range layoutPlan.LossCases() {
 			heat.Cols = append(heat.Cols, side.name+"\n"+lossCase.Name)
-			for i, utilization := 0, layoutPlan.Uses(side.layout, lossCase.Lost); i < len(order); i++ {
+			for i, utilization := 0, layoutPlan.Utilization(side.layout, lossCase.LostHall); i < len(order); i++ {
 				heat.Cells[i] = append(heat.Cells[i], utilization[order[i]])
 			}
 		}
@@ -235,7 +235,7 @@
 		if nodeCount < 3 {
 			return fmt.Errorf("plan bench: %d nodes are too few for three halls", nodeCount)
 		}
-		problem := placement.Fleet(nodeCount, c.Seed)
+		problem := placement.SyntheticProblem(nodeCount, c.Seed)
 		fmt.Fprintf(os.Stderr, "%d nodes, %d volumes\n", nodeCount, len(problem.Volumes))
 		if err := c.benchSolver(table, problem); err != nil {
 			return err
@@ -243,7 +243,7 @@
 		for _, baseline := range []struct {
 			name string
 			make func(*placement.Problem) placement.Layout
-		}{{"round robin", placement.RoundRobin}, {"by name", placement.ByName}, {"largest first", placement.LargestFirst}} {
+		}{{"round robin", placement.RoundRobin}, {"by name", placement.ByNameHash}, {"largest first", placement.LargestFirst}} {
 			begin, allocatedBefore := time.Now(), totalAllocatedBytes()
 			layout := baseline.make(problem)
 			printBenchRow(table, problem, baseline.name, layout, time.Since(begin), totalAllocatedBytes()-allocatedBefore, "\t|")
--- a/internal/control/gateway/core.go
+++ b/internal/control/gateway/core.go
@@ -344,7 +344,7 @@
 		return
 	}
 	hostLimit := limit / float64(max(j.req.Hosts, 1))
-	demand := h.demand.Of(h.now, j.req.Volume)
+	demand := h.demand.VolumeRate(h.now, j.req.Volume)
 	if demand <= hostLimit {
 		return
 	}
--- a/internal/control/gateway/gateway.go
+++ b/internal/control/gateway/gateway.go
@@ -295,7 +295,7 @@
 	h := g.host
 	g.mu.Unlock()
 	if h != nil {
-		h.runAndWait(func(c *core) { out = c.demand.Read(c.now) })
+		h.runAndWait(func(c *core) { out = c.demand.Rates(c.now) })
 	}
 	return out
 }
--- a/internal/fleet/placement/others.go
+++ b/internal/fleet/placement/baselines.go
@@ -13,18 +13,18 @@
 // RoundRobin gives volumes their nodes in turn.
 func RoundRobin(p *Problem) Layout {
 	next := 0
-	return plain(p, func(int) int { next++; return next - 1 })
+	return equalPieces(p, func(int) int { next++; return next - 1 })
 }
 
-// ByName gives a volume the nodes after the hash of its name.
-func ByName(p *Problem) Layout {
-	return plain(p, func(v int) int { return int(xxhash.Sum64String(p.Volumes[v].Name) % uint64(len(p.Nodes))) })
+// ByNameHash gives a volume the nodes after the hash of its name.
+func ByNameHash(p *Problem) Layout {
+	return equalPieces(p, func(v int) int { return int(xxhash.Sum64String(p.Volumes[v].Name) % uint64(len(p.Nodes))) })
 }
 
 // LargestFirst gives volumes whole, the largest first, to the nodes with the most
 // room by then, and their copies likewise.
 func LargestFirst(p *Problem) Layout {
-	hall, _ := p.halls()
+	hall, _ := p.indexHalls()
 	room := make([]float64, len(p.Nodes))
 	for n := range room {
 		room[n] = p.Nodes[n].Capacity
@@ -37,7 +37,7 @@
 	widest := func(v int, not func(n int) bool) int {
 		best := -1
 		for n := range p.Nodes {
-			if !not(n) && !slices.Contains(p.Volumes[v].Bans, n) && (best < 0 || room[n] > room[best]) {
+			if !not(n) && !slices.Contains(p.Volumes[v].ExcludedNodes, n) && (best < 0 || room[n] > room[best]) {
 				best = n
 			}
 		}
@@ -56,16 +56,16 @@
 			if pc.Copy = widest(v, func(c int) bool { return hall[c] == hall[n] }); pc.Copy < 0 {
 				continue
 			}
-			room[pc.Copy] -= vol.Rate * vol.Writes
+			room[pc.Copy] -= vol.Rate * vol.WriteFraction
 		}
 		l[v] = []Piece{pc}
 	}
 	return l
 }
 
-// plain lays each volume in equal pieces on its most nodes from a first one on.
-func plain(p *Problem, first func(v int) int) Layout {
-	hall, _ := p.halls()
+// equalPieces lays each volume in equal pieces on its most nodes from a first one on.
+func equalPieces(p *Problem, first func(v int) int) Layout {
+	hall, _ := p.indexHalls()
 	l := make(Layout, len(p.Volumes))
 	for v := range p.Volumes {
 		vol := &p.Volumes[v]
@@ -78,11 +78,11 @@
 				pc.Parts++
 			}
 			for c := 1; c < len(p.Nodes) && vol.Copies == 2 && pc.Copy < 0; c++ {
-				if k := (n + c) % len(p.Nodes); hall[k] != hall[n] && !slices.Contains(vol.Bans, k) {
+				if k := (n + c) % len(p.Nodes); hall[k] != hall[n] && !slices.Contains(vol.ExcludedNodes, k) {
 					pc.Copy = k
 				}
 			}
-			if !slices.Contains(vol.Bans, n) {
+			if !slices.Contains(vol.ExcludedNodes, n) {
 				l[v] = append(l[v], pc)
 			}
 		}
--- a/internal/fleet/placement/bench_test.go
+++ b/internal/fleet/placement/bench_test.go
@@ -12,7 +12,7 @@
 	for _, nodes := range []int{10, 47, 200, 1000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
 			for b.Loop() {
-				p := Fleet(nodes, 1)
+				p := SyntheticProblem(nodes, 1)
 				begin := time.Now()
 				r, err := Solve(p, Options{Stop: func() bool { return time.Since(begin) > 30*time.Second }})
 				if err != nil {
--- a/internal/fleet/placement/check.go
+++ b/internal/fleet/placement/check.go
@@ -8,122 +8,122 @@
 // Check judges a layout from the definitions alone: what it breaks, and what it is
 // worth. It shares no bookkeeping with the search.
 func Check(p *Problem, l Layout) (Objective, []string) {
-	c := &checker{p: p, l: l}
+	c := &checker{problem: p, layout: l}
 	if len(l) != len(p.Volumes) {
 		return Objective{}, []string{fmt.Sprintf("%d volumes of %d", len(l), len(p.Volumes))}
 	}
 	for v := range l {
-		c.volume(v)
+		c.checkVolume(v)
 	}
-	c.loads()
-	return c.o, c.broken
+	c.checkLoads()
+	return c.objective, c.violations
 }
 
 type checker struct {
-	p      *Problem
-	l      Layout
-	o      Objective
-	broken []string
+	problem    *Problem
+	layout     Layout
+	objective  Objective
+	violations []string
 }
 
-func (c *checker) say(format string, args ...any) {
-	c.broken = append(c.broken, fmt.Sprintf(format, args...))
+func (c *checker) addViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-func (c *checker) volume(v int) {
-	p, vol := c.p, &c.p.Volumes[v]
+func (c *checker) checkVolume(v int) {
+	p, vol := c.problem, &c.problem.Volumes[v]
 	placed, nodes, halls := 0, map[int]int{}, map[string]bool{}
 	copies := map[int]int{}
 	banned := map[int]bool{}
-	for _, n := range vol.Bans {
+	for _, n := range vol.ExcludedNodes {
 		banned[n] = true
 	}
-	for _, pc := range c.l[v] {
+	for _, pc := range c.layout[v] {
 		if pc.Parts < 1 || pc.Node < 0 || pc.Node >= len(p.Nodes) || pc.Copy >= len(p.Nodes) {
-			c.say("%s: piece %+v means nothing", vol.Name, pc)
+			c.addViolation("%s: piece %+v means nothing", vol.Name, pc)
 			return
 		}
 		if nodes[pc.Node] > 0 {
-			c.say("%s has two pieces on %s", vol.Name, p.Nodes[pc.Node].Name)
+			c.addViolation("%s has two pieces on %s", vol.Name, p.Nodes[pc.Node].Name)
 		}
 		placed += pc.Parts
 		nodes[pc.Node] += pc.Parts
 		halls[p.Nodes[pc.Node].Hall] = true
 		if banned[pc.Node] || pc.Copy >= 0 && banned[pc.Copy] {
-			c.say("%s lies on a banned node", vol.Name)
+			c.addViolation("%s lies on a banned node", vol.Name)
 		}
 		if (vol.Copies == 2) != (pc.Copy >= 0) {
-			c.say("%s: a piece with the wrong number of copies", vol.Name)
+			c.addViolation("%s: a piece with the wrong number of copies", vol.Name)
 		}
 		if pc.Copy >= 0 {
 			copies[pc.Copy] += pc.Parts
 			if p.Nodes[pc.Copy].Hall == p.Nodes[pc.Node].Hall {
-				c.say("%s: a copy in the hall of its data", vol.Name)
+				c.addViolation("%s: a copy in the hall of its data", vol.Name)
 			}
 		}
 	}
 	if placed > p.Parts {
-		c.say("%s: %d parts of %d", vol.Name, placed, p.Parts)
+		c.addViolation("%s: %d parts of %d", vol.Name, placed, p.Parts)
 	}
-	if !vol.Unreserved && float64(placed) < p.Tiers[vol.Tier].Reserve*float64(p.Parts)-tolerance {
-		c.say("%s: %d parts placed, below its reserve", vol.Name, placed)
+	if !vol.IgnoreReserve && float64(placed) < p.Tiers[vol.Tier].Reserve*float64(p.Parts)-tolerance {
+		c.addViolation("%s: %d parts placed, below its reserve", vol.Name, placed)
 	}
 	if len(nodes) > vol.MaxNodes {
-		c.say("%s lies on %d nodes, at most %d", vol.Name, len(nodes), vol.MaxNodes)
+		c.addViolation("%s lies on %d nodes, at most %d", vol.Name, len(nodes), vol.MaxNodes)
 	}
-	if placed == p.Parts && len(halls) < vol.Spread {
-		c.say("%s lies in %d halls, at least %d", vol.Name, len(halls), vol.Spread)
+	if placed == p.Parts && len(halls) < vol.MinHalls {
+		c.addViolation("%s lies in %d halls, at least %d", vol.Name, len(halls), vol.MinHalls)
 	}
 	if placed > 0 {
-		for _, n := range vol.Pins {
+		for _, n := range vol.PinnedNodes {
 			if nodes[n] == 0 {
-				c.say("%s is pinned to %s and has nothing there", vol.Name, p.Nodes[n].Name)
+				c.addViolation("%s is pinned to %s and has nothing there", vol.Name, p.Nodes[n].Name)
 			}
 		}
 	}
-	c.o.Unmet += p.Tiers[vol.Tier].Worth * vol.Rate * float64(p.Parts-placed) / float64(p.Parts)
+	c.objective.Unmet += p.Tiers[vol.Tier].Value * vol.Rate * float64(p.Parts-placed) / float64(p.Parts)
 	for n := range p.Nodes {
-		data, copied := p.held(v, n)
+		data, copied := p.currentParts(v, n)
 		if p.Nodes[n].Draining && (nodes[n] > data || copies[n] > copied) {
-			c.say("%s puts something new on %s, which drains", vol.Name, p.Nodes[n].Name)
+			c.addViolation("%s puts something new on %s, which drains", vol.Name, p.Nodes[n].Name)
 		}
 		if p.Current != nil {
-			c.o.Moves += vol.Rate / float64(p.Parts) * float64(max(nodes[n]-data, 0)+max(copies[n]-copied, 0))
+			c.objective.Moves += vol.Rate / float64(p.Parts) * float64(max(nodes[n]-data, 0)+max(copies[n]-copied, 0))
 		}
 	}
 }
 
-// loads reckons every node, with all halls and with each one lost.
-func (c *checker) loads() {
+// checkLoads reckons every node, with all halls and with each one lost.
+func (c *checker) checkLoads() {
 	lost := []string{""}
-	_, names := c.p.halls()
+	_, names := c.problem.indexHalls()
 	for _, h := range names {
-		if c.p.Survive && !slices.Contains(c.p.Excused, h) {
+		if c.problem.SurviveHallLoss && !slices.Contains(c.problem.ExemptHalls, h) {
 			lost = append(lost, h)
 		}
 	}
 	for _, hall := range lost {
-		load := Loads(c.p, c.l, hall)
+		load := Loads(c.problem, c.layout, hall)
 		worst := 0.0
 		for n, x := range load {
-			node := &c.p.Nodes[n]
+			node := &c.problem.Nodes[n]
 			if hall != "" && node.Hall == hall {
 				continue
 			}
 			if x > node.Capacity*(1+tolerance)+tolerance {
-				c.say("%s carries %.3f of %.3f with hall %q lost", node.Name, x, node.Capacity, hall)
+				c.addViolation("%s carries %.3f of %.3f with hall %q lost", node.Name, x, node.Capacity, hall)
 			}
 			if x > 0 && node.Capacity > 0 {
 				worst = max(worst, x/node.Capacity)
 			}
 			if hall == "" {
-				c.o.Cost += x * node.Cost
+				c.objective.Cost += x * node.Cost
 			}
 		}
 		if hall == "" {
-			c.o.Use = worst
+			c.objective.Use = worst
 		} else {
-			c.o.LossUse = max(c.o.LossUse, worst)
+			c.objective.LossUse = max(c.objective.LossUse, worst)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 			if pc.Copy >= 0 && gone {
 				load[pc.Copy] += part
 			} else if pc.Copy >= 0 {
-				load[pc.Copy] += part * vol.Writes
+				load[pc.Copy] += part * vol.WriteFraction
 			}
 		}
 	}
@@ -152,6 +152,6 @@
 
 // Halls names the halls, in the order of their first nodes.
 func (p *Problem) Halls() []string {
-	_, names := p.halls()
+	_, names := p.indexHalls()
 	return names
 }
--- a/internal/fleet/placement/conflict.go
+++ b/internal/fleet/placement/conflict.go
@@ -8,27 +8,27 @@
 	"slices"
 )
 
-// Kind is a kind of constraint.
-type Kind int
+// ConstraintKind is a kind of constraint.
+type ConstraintKind int
 
 // The kinds, in the order in which a conflict tries to do without them: what is
 // left at the end is what operators can change most easily.
 const (
-	KindDrain    Kind = iota // a node that drains takes nothing new
-	KindSpread               // a volume lies in so many halls
-	KindCopy                 // a volume has a copy in another hall
-	KindMaxNodes             // a volume lies on so many nodes at most
-	KindBan                  // a volume lies not on a node
-	KindPin                  // a volume lies on a node
-	KindSurvive              // the loss of a hall is survived
-	KindReserve              // a volume's reserve has a place
-	KindCapacity             // a node carries no more than it can
+	KindDrain    ConstraintKind = iota // a node that drains takes nothing new
+	KindMinHalls                       // a volume lies in so many halls
+	KindCopy                           // a volume has a copy in another hall
+	KindMaxNodes                       // a volume lies on so many nodes at most
+	KindExclude                        // a volume lies not on a node
+	KindPin                            // a volume lies on a node
+	KindHallLoss                       // the loss of a hall is survived
+	KindReserve                        // a volume's reserve has a place
+	KindCapacity                       // a node carries no more than it can
 )
 
 // Constraint is one member of a conflict. Volume, Node and Hall are set as its
 // kind needs them, else -1 and "".
 type Constraint struct {
-	Kind         Kind
+	Kind         ConstraintKind
 	Volume, Node int
 	Hall         string
 }
@@ -36,15 +36,15 @@
 // Conflict is a smallest set of constraints that contradict each other: with any
 // one of them dropped, the others can be kept together.
 type Conflict struct {
-	Members []Constraint
-	Out     *WayOut // the cheapest that was found, nil if no single change will do
+	Constraints []Constraint
+	Remedy      *Remedy // the cheapest that was found, nil if no single change will do
 }
 
-// WayOut is a change of one node that makes a layout possible.
-type WayOut struct {
-	Node  int
-	Add   float64 // units a second of capacity
-	Price float64 // Add at the node's cost of a unit, or at 1 where that is 0
+// Remedy is a change of one node that makes a layout possible.
+type Remedy struct {
+	Node          int
+	AddedCapacity float64 // units a second of capacity
+	Price         float64 // Add at the node's cost of a unit, or at 1 where that is 0
 }
 
 // ErrUndecided says that the instance is too large to prove a conflict.
@@ -56,7 +56,7 @@
 	if err := p.Validate(); err != nil {
 		return nil, err
 	}
-	f := &finder{p: p, opt: opt}
+	f := &conflictFinder{problem: p, options: opt}
 	kept := constraints(p)
 	if ok, err := f.feasible(kept); ok || err != nil {
 		return nil, err
@@ -73,9 +73,9 @@
 			kept = without
 		}
 	}
-	c := &Conflict{Members: kept}
+	c := &Conflict{Constraints: kept}
 	var err error
-	c.Out, err = f.wayOut(kept)
+	c.Remedy, err = f.findRemedy(kept)
 	return c, err
 }
 
@@ -91,23 +91,23 @@
 	for v := range p.Volumes {
 		vol := &p.Volumes[v]
 		out = append(out, Constraint{KindReserve, v, -1, ""}, Constraint{KindMaxNodes, v, -1, ""})
-		if vol.Spread > 1 {
-			out = append(out, Constraint{KindSpread, v, -1, ""})
+		if vol.MinHalls > 1 {
+			out = append(out, Constraint{KindMinHalls, v, -1, ""})
 		}
 		if vol.Copies == 2 {
 			out = append(out, Constraint{KindCopy, v, -1, ""})
 		}
-		for _, n := range vol.Pins {
+		for _, n := range vol.PinnedNodes {
 			out = append(out, Constraint{KindPin, v, n, ""})
 		}
-		for _, n := range vol.Bans {
-			out = append(out, Constraint{KindBan, v, n, ""})
+		for _, n := range vol.ExcludedNodes {
+			out = append(out, Constraint{KindExclude, v, n, ""})
 		}
 	}
-	_, names := p.halls()
+	_, names := p.indexHalls()
 	for _, h := range names {
-		if p.survived(h) {
-			out = append(out, Constraint{KindSurvive, -1, -1, h})
+		if p.mustSurvive(h) {
+			out = append(out, Constraint{KindHallLoss, -1, -1, h})
 		}
 	}
 	size := func(c Constraint) float64 {
@@ -125,11 +125,11 @@
 	return out
 }
 
-// Keep returns the problem with only those of its constraints.
-func Keep(p *Problem, kept []Constraint) *Problem {
+// Relax returns the problem with only those of its constraints.
+func Relax(p *Problem, kept []Constraint) *Problem {
 	q := *p
 	q.Nodes, q.Volumes = slices.Clone(p.Nodes), slices.Clone(p.Volumes)
-	q.Excused = nil
+	q.ExemptHalls = nil
 	has := func(c Constraint) bool { return slices.Contains(kept, c) }
 	room := 1.0
 	for i := range q.Volumes {
@@ -144,47 +144,49 @@
 	}
 	for v := range q.Volumes {
 		vol := &q.Volumes[v]
-		vol.Unreserved = vol.Unreserved || !has(Constraint{KindReserve, v, -1, ""})
+		vol.IgnoreReserve = vol.IgnoreReserve || !has(Constraint{KindReserve, v, -1, ""})
 		if !has(Constraint{KindMaxNodes, v, -1, ""}) {
 			vol.MaxNodes = len(q.Nodes)
 		}
-		if !has(Constraint{KindSpread, v, -1, ""}) {
-			vol.Spread = 0
+		if !has(Constraint{KindMinHalls, v, -1, ""}) {
+			vol.MinHalls = 0
 		}
 		if !has(Constraint{KindCopy, v, -1, ""}) {
 			vol.Copies = 1
 		}
-		only := func(list []int, k Kind) []int {
+		only := func(list []int, k ConstraintKind) []int {
 			return slices.DeleteFunc(slices.Clone(list), func(n int) bool { return !has(Constraint{k, v, n, ""}) })
 		}
-		vol.Pins, vol.Bans = only(vol.Pins, KindPin), only(vol.Bans, KindBan)
+		vol.PinnedNodes, vol.ExcludedNodes = only(vol.PinnedNodes, KindPin), only(vol.ExcludedNodes, KindExclude)
 	}
-	_, names := p.halls()
+	_, names := p.indexHalls()
 	for _, h := range names {
-		if !has(Constraint{KindSurvive, -1, -1, h}) {
-			q.Excused = append(q.Excused, h)
+		if !has(Constraint{KindHallLoss, -1, -1, h}) {
+			q.ExemptHalls = append(q.ExemptHalls, h)
 		}
 	}
 	return &q
 }
 
-type finder struct {
-	p   *Problem
-	opt Options
+type conflictFinder struct {
+	problem *Problem
+	options Options
 }
 
 // feasible tells whether there is any layout that keeps those constraints.
-func (f *finder) feasible(kept []Constraint) (bool, error) { return f.possible(Keep(f.p, kept)) }
+func (f *conflictFinder) feasible(kept []Constraint) (bool, error) {
+	return f.hasLayout(Relax(f.problem, kept))
+}
 
-func (f *finder) possible(q *Problem) (bool, error) {
-	if l, _ := build(q, f.opt.Stop); l != nil {
+func (f *conflictFinder) hasLayout(q *Problem) (bool, error) {
+	if l, _ := heuristicLayout(q, f.options.Stop); l != nil {
 		return true, nil
 	}
-	x := newExact(q, f.opt)
+	x := newExactSearch(q, f.options)
 	if x == nil {
 		return false, ErrUndecided
 	}
-	x.any = true
+	x.acceptAny = true
 	x.search(0)
 	if x.best == nil && x.stopped {
 		return false, ErrUndecided
@@ -192,47 +194,47 @@
 	return x.best != nil, nil
 }
 
-// finest is how close, as a part of it, the capacity to add is worked out.
-const finest = 1e-4
+// capacityPrecision is how close, as a part of it, the capacity to add is worked out.
+const capacityPrecision = 1e-4
 
-// wayOut looks for the node of the conflict whose growth is the cheapest way to a
+// findRemedy looks for the node of the conflict whose growth is the cheapest way to a
 // layout of the whole problem.
-func (f *finder) wayOut(members []Constraint) (best *WayOut, err error) {
+func (f *conflictFinder) findRemedy(members []Constraint) (best *Remedy, err error) {
 	for _, m := range members {
 		if m.Kind != KindCapacity {
 			continue
 		}
-		add, ok, err := f.growth(m.Node)
+		add, ok, err := f.minAddedCapacity(m.Node)
 		if err != nil {
 			return nil, err
 		}
-		price := f.p.Nodes[m.Node].Cost
+		price := f.problem.Nodes[m.Node].Cost
 		if price == 0 {
 			price = 1
 		}
 		if ok && (best == nil || add*price < best.Price) {
-			best = &WayOut{m.Node, add, add * price}
+			best = &Remedy{m.Node, add, add * price}
 		}
 	}
 	return best, nil
 }
 
-// growth is the least capacity that node n must be given more, within finest.
-func (f *finder) growth(n int) (add float64, ok bool, err error) {
+// minAddedCapacity is the least capacity that node n must be given more, within finest.
+func (f *conflictFinder) minAddedCapacity(n int) (add float64, ok bool, err error) {
 	with := func(add float64) (bool, error) {
-		q := *f.p
-		q.Nodes = slices.Clone(f.p.Nodes)
+		q := *f.problem
+		q.Nodes = slices.Clone(f.problem.Nodes)
 		q.Nodes[n].Capacity += add
-		return f.possible(&q)
+		return f.hasLayout(&q)
 	}
 	low, high := 0.0, 1.0
-	for i := range f.p.Volumes {
-		high += 2 * f.p.Volumes[i].Rate
+	for i := range f.problem.Volumes {
+		high += 2 * f.problem.Volumes[i].Rate
 	}
 	if ok, err = with(high); !ok || err != nil {
 		return 0, false, err
 	}
-	for high-low > finest*max(high, 1) {
+	for high-low > capacityPrecision*max(high, 1) {
 		mid := (low + high) / 2
 		if ok, err = with(mid); err != nil {
 			return 0, false, err
@@ -243,42 +245,42 @@
 			low = mid
 		}
 	}
-	return math.Ceil(high/finest) * finest, true, nil
+	return math.Ceil(high/capacityPrecision) * capacityPrecision, true, nil
 }
 
-// Words says a constraint plainly, with its figures.
-func (c Constraint) Words(p *Problem) string {
+// Describe says a constraint plainly, with its figures.
+func (c Constraint) Describe(p *Problem) string {
 	switch c.Kind {
 	case KindDrain:
 		return fmt.Sprintf("node %s drains and takes nothing new", p.Nodes[c.Node].Name)
-	case KindSpread:
-		return fmt.Sprintf("volume %s must lie in %d halls", p.Volumes[c.Volume].Name, p.Volumes[c.Volume].Spread)
+	case KindMinHalls:
+		return fmt.Sprintf("volume %s must lie in %d halls", p.Volumes[c.Volume].Name, p.Volumes[c.Volume].MinHalls)
 	case KindCopy:
 		return fmt.Sprintf("volume %s needs a copy of each piece in another hall", p.Volumes[c.Volume].Name)
 	case KindMaxNodes:
 		return fmt.Sprintf("volume %s may lie on %d nodes at most", p.Volumes[c.Volume].Name, p.Volumes[c.Volume].MaxNodes)
-	case KindBan:
+	case KindExclude:
 		return fmt.Sprintf("volume %s is banned from node %s", p.Volumes[c.Volume].Name, p.Nodes[c.Node].Name)
 	case KindPin:
 		return fmt.Sprintf("volume %s is pinned to node %s", p.Volumes[c.Volume].Name, p.Nodes[c.Node].Name)
-	case KindSurvive:
+	case KindHallLoss:
 		return fmt.Sprintf("the load that moves when %s is lost must fit", c.Hall)
 	case KindReserve:
 		v := &p.Volumes[c.Volume]
-		return fmt.Sprintf("volume %s needs %.3g of its %.3g units a second placed", v.Name, p.unit(c.Volume)*float64(p.least(c.Volume)), v.Rate)
+		return fmt.Sprintf("volume %s needs %.3g of its %.3g units a second placed", v.Name, p.partRate(c.Volume)*float64(p.minParts(c.Volume)), v.Rate)
 	}
 	n := &p.Nodes[c.Node]
 	return fmt.Sprintf("node %s in %s carries %.3g units a second", n.Name, n.Hall, n.Capacity)
 }
 
-// Words says the whole conflict.
-func (c *Conflict) Words(p *Problem) []string {
+// Describe says the whole conflict.
+func (c *Conflict) Describe(p *Problem) []string {
 	var out []string
-	for _, m := range c.Members {
-		out = append(out, m.Words(p))
+	for _, m := range c.Constraints {
+		out = append(out, m.Describe(p))
 	}
-	if c.Out != nil {
-		out = append(out, fmt.Sprintf("way out: %.4g units a second more at node %s", c.Out.Add, p.Nodes[c.Out.Node].Name))
+	if c.Remedy != nil {
+		out = append(out, fmt.Sprintf("way out: %.4g units a second more at node %s", c.Remedy.AddedCapacity, p.Nodes[c.Remedy.Node].Name))
 	}
 	return out
 }
--- a/internal/fleet/placement/conflict_test.go
+++ b/internal/fleet/placement/conflict_test.go
@@ -10,15 +10,15 @@
 
 // On infeasible instances the set is contradictory, and no longer so when any one
 // member is dropped; both are judged by looking at every layout.
-func TestConflictsAreSmallest(t *testing.T) {
+func TestConflictsAreMinimal(t *testing.T) {
 	want := 100
-	if *whole {
+	if *fullFamily {
 		want = 1000
 	}
 	found, members, ways := 0, 0, 0
 	for seed := uint64(0); found < want; seed++ {
-		p := random(rand.New(rand.NewPCG(seed, 21)))
-		if bruteSize(p) > 600 {
+		p := randomProblem(rand.New(rand.NewPCG(seed, 21)))
+		if estimateLayouts(p) > 600 {
 			continue
 		}
 		c, err := FindConflict(p, Options{})
@@ -26,29 +26,29 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if c == nil {
-			if l, _, _ := brute(p); l == nil {
+			if l, _, _ := bruteForce(p); l == nil {
 				t.Fatalf("seed %d: no conflict is found, and there is no layout", seed)
 			}
 			continue
 		}
 		found++
-		members += len(c.Members)
-		if l, _, _ := brute(Keep(p, c.Members)); l != nil {
-			t.Fatalf("seed %d: %v is no contradiction: %v", seed, c.Words(p), l)
+		members += len(c.Constraints)
+		if l, _, _ := bruteForce(Relax(p, c.Constraints)); l != nil {
+			t.Fatalf("seed %d: %v is no contradiction: %v", seed, c.Describe(p), l)
 		}
-		for i := range c.Members {
-			less := slices.Delete(slices.Clone(c.Members), i, i+1)
-			if l, _, _ := brute(Keep(p, less)); l == nil {
-				t.Fatalf("seed %d: %v still contradicts without %q", seed, c.Words(p), c.Members[i].Words(p))
+		for i := range c.Constraints {
+			less := slices.Delete(slices.Clone(c.Constraints), i, i+1)
+			if l, _, _ := bruteForce(Relax(p, less)); l == nil {
+				t.Fatalf("seed %d: %v still contradicts without %q", seed, c.Describe(p), c.Constraints[i].Describe(p))
 			}
 		}
-		if c.Out != nil {
+		if c.Remedy != nil {
 			ways++
 			q := *p
 			q.Nodes = slices.Clone(p.Nodes)
-			q.Nodes[c.Out.Node].Capacity += c.Out.Add
-			if l, _, _ := brute(&q); l == nil {
-				t.Fatalf("seed %d: %v is no way out", seed, c.Out)
+			q.Nodes[c.Remedy.Node].Capacity += c.Remedy.AddedCapacity
+			if l, _, _ := bruteForce(&q); l == nil {
+				t.Fatalf("seed %d: %v is no way out", seed, c.Remedy)
 			}
 		}
 	}
@@ -56,17 +56,17 @@
 }
 
 // The hard cases that operators name, in words with their figures.
-func TestConflictInWords(t *testing.T) {
-	p := &Problem{Parts: 1, Tiers: []Tier{{Worth: 1, Reserve: 1}},
+func TestConflictDescription(t *testing.T) {
+	p := &Problem{Parts: 1, Tiers: []Tier{{Value: 1, Reserve: 1}},
 		Nodes:   []Node{{Name: "a1", Hall: "hall-a", Capacity: 10}, {Name: "b1", Hall: "hall-b", Capacity: 4}, {Name: "b2", Hall: "hall-b", Capacity: 0}},
-		Volumes: []Volume{{Name: "cards", Rate: 9, MaxNodes: 1, Copies: 2}}, Survive: true}
+		Volumes: []Volume{{Name: "cards", Rate: 9, MaxNodes: 1, Copies: 2}}, SurviveHallLoss: true}
 	check := func(name string, want ...string) {
 		t.Helper()
 		c, err := FindConflict(p, Options{})
 		if err != nil || c == nil {
 			t.Fatalf("%s: %v, %v", name, c, err)
 		}
-		text := strings.Join(c.Words(p), "\n")
+		text := strings.Join(c.Describe(p), "\n")
 		for _, w := range want {
 			if !strings.Contains(text, w) {
 				t.Errorf("%s: %q is not in\n%s", name, w, text)
@@ -86,8 +86,8 @@
 
 // The same problem gives the same layout, among equals too, and weights that differ
 // a thousandfold decide who goes without.
-func TestStableAndByWorth(t *testing.T) {
-	p := &Problem{Parts: 2, Tiers: []Tier{{Worth: 1}, {Worth: 1000}}, Nodes: []Node{{Name: "a", Hall: "x", Capacity: 5}, {Name: "b", Hall: "y", Capacity: 5}}}
+func TestDeterministicAndByTierValue(t *testing.T) {
+	p := &Problem{Parts: 2, Tiers: []Tier{{Value: 1}, {Value: 1000}}, Nodes: []Node{{Name: "a", Hall: "x", Capacity: 5}, {Name: "b", Hall: "y", Capacity: 5}}}
 	for i := range 4 {
 		p.Volumes = append(p.Volumes, Volume{Name: fmt.Sprint(i), Tier: i % 2, Rate: 5, MaxNodes: 2, Copies: 1})
 	}
@@ -106,10 +106,10 @@
 }
 
 // The layouts to compare with are layouts: whole, with copies in other halls.
-func TestOtherLayouts(t *testing.T) {
-	p := Fleet(30, 3)
-	p.Volumes[5].Bans = []int{4}
-	for name, l := range map[string]Layout{"round robin": RoundRobin(p), "by name": ByName(p), "largest first": LargestFirst(p)} {
+func TestBaselineLayouts(t *testing.T) {
+	p := SyntheticProblem(30, 3)
+	p.Volumes[5].ExcludedNodes = []int{4}
+	for name, l := range map[string]Layout{"round robin": RoundRobin(p), "by name": ByNameHash(p), "largest first": LargestFirst(p)} {
 		_, broken := Check(p, l)
 		for _, b := range broken {
 			if !strings.Contains(b, "carries") && !strings.Contains(b, "reserve") {
--- a/internal/fleet/placement/model.go
+++ b/internal/fleet/placement/model.go
@@ -27,23 +27,23 @@
 // Tier is what a volume has bought.
 type Tier struct {
 	Name    string
-	Worth   float64 // of a unit a second of demand that is met
+	Value   float64 // of a unit a second of demand that is met
 	Reserve float64 // part of each volume's demand that must be met, 0 to 1
 }
 
 // Volume is something to place.
 type Volume struct {
-	Name     string
-	Tier     int     // index
-	Rate     float64 // units a second
-	Writes   float64 // part of the rate that its copies carry too
-	MaxNodes int     // nodes that its data may lie on, copies apart
-	Spread   int     // halls that it must lie in, where it is placed whole; 0: any
-	Copies   int     // 1, or 2: each piece has a copy in another hall
-	Pins     []int   // nodes that must hold some of it
-	Bans     []int   // nodes that may hold none of it, nor of its copies
-	// Unreserved has its tier's reserve not bind this volume.
-	Unreserved bool
+	Name          string
+	Tier          int     // index
+	Rate          float64 // units a second
+	WriteFraction float64 // part of the rate that its copies carry too
+	MaxNodes      int     // nodes that its data may lie on, copies apart
+	MinHalls      int     // halls that it must lie in, where it is placed whole; 0: any
+	Copies        int     // 1, or 2: each piece has a copy in another hall
+	PinnedNodes   []int   // nodes that must hold some of it
+	ExcludedNodes []int   // nodes that may hold none of it, nor of its copies
+	// IgnoreReserve has its tier's reserve not bind this volume.
+	IgnoreReserve bool
 }
 
 // Problem is an instance. Shares are multiples of 1/Parts.
@@ -52,10 +52,10 @@
 	Tiers   []Tier
 	Volumes []Volume
 	Parts   int
-	// Survive asks that the load which moves when any one hall is lost still fits.
-	Survive bool
-	// Excused are halls whose loss need not be survived all the same.
-	Excused []string
+	// SurviveHallLoss asks that the load which moves when any one hall is lost still fits.
+	SurviveHallLoss bool
+	// ExemptHalls are halls whose loss need not be survived all the same.
+	ExemptHalls []string
 	// Current is the layout in force, nil if there is none.
 	Current Layout
 }
@@ -116,7 +116,7 @@
 		}
 	}
 	for i, t := range p.Tiers {
-		if !finite(t.Worth) || !(t.Reserve >= 0 && t.Reserve <= 1) {
+		if !finite(t.Value) || !(t.Reserve >= 0 && t.Reserve <= 1) {
 			return bad(fmt.Sprintf("tiers[%d]", i), "worth is negative or reserve not from 0 to 1")
 		}
 	}
@@ -127,14 +127,14 @@
 			return bad(at+".tier", "there is no tier %d", v.Tier)
 		case !finite(v.Rate):
 			return bad(at+".rate", "is negative or not finite")
-		case !(v.Writes >= 0 && v.Writes <= 1):
+		case !(v.WriteFraction >= 0 && v.WriteFraction <= 1):
 			return bad(at+".writes", "is not from 0 to 1")
 		case v.MaxNodes < 1:
 			return bad(at+".max_nodes", "is below 1")
 		case v.Copies != 1 && v.Copies != 2:
 			return bad(at+".copies", "is neither 1 nor 2")
 		}
-		for _, n := range slices.Concat(v.Pins, v.Bans) {
+		for _, n := range slices.Concat(v.PinnedNodes, v.ExcludedNodes) {
 			if n < 0 || n >= len(p.Nodes) {
 				return bad(at, "there is no node %d", n)
 			}
@@ -146,28 +146,28 @@
 	return nil
 }
 
-// least is the number of parts of v that must be placed.
-func (p *Problem) least(v int) int {
-	if p.Volumes[v].Unreserved {
+// minParts is the number of parts of v that must be placed.
+func (p *Problem) minParts(v int) int {
+	if p.Volumes[v].IgnoreReserve {
 		return 0
 	}
 	return int(math.Ceil(p.Tiers[p.Volumes[v].Tier].Reserve*float64(p.Parts) - tolerance))
 }
 
-// unit is the load of one part of v.
-func (p *Problem) unit(v int) float64 { return p.Volumes[v].Rate / float64(p.Parts) }
+// partRate is the load of one part of v.
+func (p *Problem) partRate(v int) float64 { return p.Volumes[v].Rate / float64(p.Parts) }
 
-// held is the number of parts of v that lie on n now, as data and as copies.
-func (p *Problem) held(v, n int) (data, copies int) {
+// currentParts is the number of parts of v that lie on n now, as data and as copies.
+func (p *Problem) currentParts(v, n int) (data, copies int) {
 	if p.Current == nil {
 		return 0, 0
 	}
-	return onNode(p.Current[v], n)
+	return partsOnNode(p.Current[v], n)
 }
 
-// onNode is the number of parts of a volume's pieces that lie on n, as data and as
+// partsOnNode is the number of parts of a volume's pieces that lie on n, as data and as
 // copies.
-func onNode(pieces []Piece, n int) (data, copies int) {
+func partsOnNode(pieces []Piece, n int) (data, copies int) {
 	for _, pc := range pieces {
 		if pc.Node == n {
 			data += pc.Parts
@@ -179,20 +179,20 @@
 	return data, copies
 }
 
-// survived tells whether the loss of that hall must be survived.
-func (p *Problem) survived(hall string) bool {
-	return p.Survive && !slices.Contains(p.Excused, hall)
+// mustSurvive tells whether the loss of that hall must be mustSurvive.
+func (p *Problem) mustSurvive(hall string) bool {
+	return p.SurviveHallLoss && !slices.Contains(p.ExemptHalls, hall)
 }
 
-// halls numbers the halls by their first node.
-func (p *Problem) halls() (of []int, names []string) {
+// indexHalls numbers the indexHalls by their first node.
+func (p *Problem) indexHalls() (hallOf []int, names []string) {
 	for _, n := range p.Nodes {
 		i := slices.Index(names, n.Hall)
 		if i < 0 {
 			i = len(names)
 			names = append(names, n.Hall)
 		}
-		of = append(of, i)
+		hallOf = append(hallOf, i)
 	}
-	return of, names
+	return hallOf, names
 }
--- a/internal/fleet/placement/placement_test.go
+++ b/internal/fleet/placement/placement_test.go
@@ -9,22 +9,22 @@
 	"testing"
 )
 
-var whole = flag.Bool("whole", false, "search the whole enumerated family, not every twentieth instance")
+var fullFamily = flag.Bool("whole", false, "search the whole enumerated family, not every twentieth instance")
 
-// brute looks at every layout there is, and judges each by Check alone.
-func brute(p *Problem) (best Layout, at Objective, looked int) {
+// bruteForce looks at every layout there is, and judges each by Check alone.
+func bruteForce(p *Problem) (best Layout, bestObjective Objective, examined int) {
 	ways := make([][][]Piece, len(p.Volumes))
 	for v := range p.Volumes {
-		ways[v] = bruteWays(p, v)
+		ways[v] = enumeratePieces(p, v)
 	}
 	l := make(Layout, len(p.Volumes))
 	var try func(v int)
 	try = func(v int) {
 		if v == len(p.Volumes) {
-			looked++
+			examined++
 			o, broken := Check(p, l)
-			if len(broken) == 0 && (best == nil || o.Compare(at) < 0) {
-				best, at = slices.Clone(l), o
+			if len(broken) == 0 && (best == nil || o.Compare(bestObjective) < 0) {
+				best, bestObjective = slices.Clone(l), o
 			}
 			return
 		}
@@ -34,11 +34,11 @@
 		}
 	}
 	try(0)
-	return best, at, looked
+	return best, bestObjective, examined
 }
 
-// bruteWays gives every number of parts to every node and every copy to each.
-func bruteWays(p *Problem, v int) (out [][]Piece) {
+// enumeratePieces gives every number of parts to every node and every copy to each.
+func enumeratePieces(p *Problem, v int) (out [][]Piece) {
 	var pick func(n, left int, w []Piece)
 	pick = func(n, left int, w []Piece) {
 		if n == len(p.Nodes) {
@@ -60,7 +60,7 @@
 	return out
 }
 
-func bruteSize(p *Problem) int {
+func estimateLayouts(p *Problem) int {
 	size := 1
 	for v := range p.Volumes {
 		one := len(p.Nodes)
@@ -78,10 +78,10 @@
 	return size
 }
 
-// agree compares the solver with the brute search on one instance.
-func agree(t *testing.T, name string, p *Problem) (feasible bool) {
+// compareWithBruteForce compares the solver with the brute search on one instance.
+func compareWithBruteForce(t *testing.T, name string, p *Problem) (feasible bool) {
 	t.Helper()
-	want, at, _ := brute(p)
+	want, at, _ := bruteForce(p)
 	got, err := Solve(p, Options{})
 	switch {
 	case want == nil && !errors.Is(err, ErrNoLayout):
@@ -101,9 +101,9 @@
 	return true
 }
 
-// family calls f with each instance of the enumerated family: one to eight nodes
+// forEachInstance calls f with each instance of the enumerated forEachInstance: one to eight nodes
 // in one to three halls, three tiers, one to three volumes.
-func family(f func(name string, p *Problem)) {
+func forEachInstance(visit func(name string, p *Problem)) {
 	capacities := [][]float64{{4, 4, 4}, {2, 5, 8}, {0, 6, 3}, {1, 1, 9}}
 	rates := [][]float64{{3, 3, 3}, {6, 2, 1}, {8, 0, 4}, {1, 5, 12}}
 	reserves := [][]float64{{0, 0, 0}, {1, 0.5, 0}, {1, 1, 1}}
@@ -116,9 +116,9 @@
 							for ri, rs := range rates {
 								for si, rv := range reserves {
 									for kind := range 4 {
-										p := instance(nodes, halls, volumes, parts, copies, cs, rs, rv, kind)
-										if bruteSize(p) <= 3000 {
-											f(fmt.Sprintf("nodes %d halls %d volumes %d parts %d copies %d cap %d rate %d reserve %d kind %d",
+										p := newInstance(nodes, halls, volumes, parts, copies, cs, rs, rv, kind)
+										if estimateLayouts(p) <= 3000 {
+											visit(fmt.Sprintf("nodes %d halls %d volumes %d parts %d copies %d cap %d rate %d reserve %d kind %d",
 												nodes, halls, volumes, parts, copies, ci, ri, si, kind), p)
 										}
 									}
@@ -132,28 +132,28 @@
 	}
 }
 
-// instance varies by kind: plain; survive; drains with a layout in force, pins and
+// newInstance varies by kind: plain; survive; drains with a layout in force, pins and
 // bans; survive and spread with costs.
-func instance(nodes, halls, volumes, parts, copies int, cs, rs, rv []float64, kind int) *Problem {
-	p := &Problem{Parts: parts, Survive: kind == 1 || kind == 3}
+func newInstance(nodes, halls, volumes, parts, copies int, cs, rs, rv []float64, kind int) *Problem {
+	p := &Problem{Parts: parts, SurviveHallLoss: kind == 1 || kind == 3}
 	for i := range nodes {
 		n := Node{Name: fmt.Sprintf("n%d", i), Hall: string(rune('a' + i%halls)), Capacity: cs[i%3], Cost: float64(1 + i%2)}
 		n.Draining = kind == 2 && i == nodes-1
 		p.Nodes = append(p.Nodes, n)
 	}
 	for i, w := range []float64{1, 3, 6} {
-		p.Tiers = append(p.Tiers, Tier{Name: fmt.Sprintf("t%d", i), Worth: w, Reserve: rv[i]})
+		p.Tiers = append(p.Tiers, Tier{Name: fmt.Sprintf("t%d", i), Value: w, Reserve: rv[i]})
 	}
 	for i := range volumes {
-		v := Volume{Name: fmt.Sprintf("v%d", i), Tier: (i + kind) % 3, Rate: rs[i], Writes: 0.25, MaxNodes: 1 + (i+nodes)%2, Copies: copies}
+		v := Volume{Name: fmt.Sprintf("v%d", i), Tier: (i + kind) % 3, Rate: rs[i], WriteFraction: 0.25, MaxNodes: 1 + (i+nodes)%2, Copies: copies}
 		if kind == 2 {
-			v.Bans = []int{i % nodes}
+			v.ExcludedNodes = []int{i % nodes}
 			if nodes > 2 && i == 0 {
-				v.Pins = []int{1}
+				v.PinnedNodes = []int{1}
 			}
 		}
 		if kind == 3 && parts == 2 && v.MaxNodes == 2 {
-			v.Spread = 2
+			v.MinHalls = 2
 		}
 		p.Volumes = append(p.Volumes, v)
 	}
@@ -172,12 +172,12 @@
 
 func TestAgreesWithBruteForce(t *testing.T) {
 	all, some, feasible := 0, 0, 0
-	family(func(name string, p *Problem) {
-		if all++; !*whole && all%20 != 0 {
+	forEachInstance(func(name string, p *Problem) {
+		if all++; !*fullFamily && all%20 != 0 {
 			return
 		}
 		some++
-		if agree(t, name, p) {
+		if compareWithBruteForce(t, name, p) {
 			feasible++
 		}
 	})
@@ -187,24 +187,24 @@
 	}
 }
 
-func random(rng *rand.Rand) *Problem {
+func randomProblem(rng *rand.Rand) *Problem {
 	for {
-		p := &Problem{Parts: 1 + rng.IntN(2), Survive: rng.IntN(2) == 0}
+		p := &Problem{Parts: 1 + rng.IntN(2), SurviveHallLoss: rng.IntN(2) == 0}
 		for i := range 1 + rng.IntN(8) {
 			p.Nodes = append(p.Nodes, Node{Name: fmt.Sprintf("n%d", i), Hall: string(rune('a' + rng.IntN(3))), Capacity: float64(rng.IntN(10)),
 				Cost: float64(rng.IntN(3)), Draining: rng.IntN(8) == 0})
 		}
 		for i := range 3 {
-			p.Tiers = append(p.Tiers, Tier{Name: fmt.Sprintf("t%d", i), Worth: []float64{1, 3, 1000}[i], Reserve: float64(rng.IntN(5)) / 4})
+			p.Tiers = append(p.Tiers, Tier{Name: fmt.Sprintf("t%d", i), Value: []float64{1, 3, 1000}[i], Reserve: float64(rng.IntN(5)) / 4})
 		}
 		for i := range 1 + rng.IntN(3) {
-			v := Volume{Name: fmt.Sprintf("v%d", i), Tier: rng.IntN(3), Rate: float64(rng.IntN(9)), Writes: float64(rng.IntN(3)) / 2,
-				MaxNodes: 1 + rng.IntN(3), Copies: 1 + rng.IntN(2), Spread: rng.IntN(3)}
+			v := Volume{Name: fmt.Sprintf("v%d", i), Tier: rng.IntN(3), Rate: float64(rng.IntN(9)), WriteFraction: float64(rng.IntN(3)) / 2,
+				MaxNodes: 1 + rng.IntN(3), Copies: 1 + rng.IntN(2), MinHalls: rng.IntN(3)}
 			if rng.IntN(4) == 0 {
-				v.Pins = []int{rng.IntN(len(p.Nodes))}
+				v.PinnedNodes = []int{rng.IntN(len(p.Nodes))}
 			}
 			if rng.IntN(3) == 0 {
-				v.Bans = []int{rng.IntN(len(p.Nodes))}
+				v.ExcludedNodes = []int{rng.IntN(len(p.Nodes))}
 			}
 			p.Volumes = append(p.Volumes, v)
 		}
@@ -214,7 +214,7 @@
 				p.Current[v] = []Piece{{rng.IntN(len(p.Nodes)), -1, 1}}
 			}
 		}
-		if bruteSize(p) <= 5000 {
+		if estimateLayouts(p) <= 5000 {
 			return p
 		}
 	}
@@ -222,11 +222,11 @@
 
 func TestAgreesOnRandomInstances(t *testing.T) {
 	feasible, n := 0, 400
-	if *whole {
+	if *fullFamily {
 		n = 10000
 	}
 	for seed := range n {
-		if agree(t, fmt.Sprintf("seed %d", seed), random(rand.New(rand.NewPCG(uint64(seed), 9)))) {
+		if compareWithBruteForce(t, fmt.Sprintf("seed %d", seed), randomProblem(rand.New(rand.NewPCG(uint64(seed), 9)))) {
 			feasible++
 		}
 	}
@@ -235,7 +235,7 @@
 
 func TestValidate(t *testing.T) {
 	good := func() *Problem {
-		return instance(3, 3, 2, 2, 1, []float64{4, 4, 4}, []float64{1, 1, 1}, []float64{0, 0, 0}, 0)
+		return newInstance(3, 3, 2, 2, 1, []float64{4, 4, 4}, []float64{1, 1, 1}, []float64{0, 0, 0}, 0)
 	}
 	for path, spoil := range map[string]func(*Problem){
 		"parts":             func(p *Problem) { p.Parts = 0 },
@@ -244,7 +244,7 @@
 		"tiers[0]":          func(p *Problem) { p.Tiers[0].Reserve = 2 },
 		"volumes[1].tier":   func(p *Problem) { p.Volumes[1].Tier = 7 },
 		"volumes[0].copies": func(p *Problem) { p.Volumes[0].Copies = 3 },
-		"volumes[0]":        func(p *Problem) { p.Volumes[0].Pins = []int{9} },
+		"volumes[0]":        func(p *Problem) { p.Volumes[0].PinnedNodes = []int{9} },
 		"current":           func(p *Problem) { p.Current = Layout{} },
 	} {
 		p := good()
@@ -258,8 +258,8 @@
 
 // A layout in force that is near the best stays; what is moved from it is little,
 // and with equal goals nothing moves at all.
-func TestLittleIsMovedForLittle(t *testing.T) {
-	p := Fleet(20, 3)
+func TestMaxRegressionLimitsMoves(t *testing.T) {
+	p := SyntheticProblem(20, 3)
 	first, err := Solve(p, Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -272,7 +272,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	near, err := Solve(p, Options{Near: 0.02})
+	near, err := Solve(p, Options{MaxRegression: 0.02})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/placement/solve.go
+++ b/internal/fleet/placement/solve.go
@@ -19,16 +19,16 @@
 	// Stop is asked now and then; once it is true the best so far is the answer.
 	// nil never stops.
 	Stop func() bool
-	// Steps bounds the exact search; 0 means the default.
-	Steps int
-	// Near lets a layout that keeps to the one in force be chosen over one that moves
+	// MaxSteps bounds the exact search; 0 means the default.
+	MaxSteps int
+	// MaxRegression lets a layout that keeps to the one in force be chosen over one that moves
 	// more, as long as no goal above the moves is worse by more than that part of it.
 	// 0 keeps strictly to the order of the goals.
-	Near float64
+	MaxRegression float64
 }
 
-// defaultSteps is some seconds of exact search.
-const defaultSteps = 20_000_000
+// defaultMaxSteps is some seconds of exact search.
+const defaultMaxSteps = 20_000_000
 
 // Result is a layout with what is known of the best possible.
 type Result struct {
@@ -66,17 +66,17 @@
 	if err := p.Validate(); err != nil {
 		return nil, err
 	}
-	res := &Result{Bound: bound(p)}
-	res.Layout, res.Objective = build(p, opt.Stop)
-	near := fromCurrent(p, opt.Stop)
+	res := &Result{Bound: lowerBound(p)}
+	res.Layout, res.Objective = heuristicLayout(p, opt.Stop)
+	near := improveCurrent(p, opt.Stop)
 	if near != nil && (res.Layout == nil || near.Objective.Compare(res.Objective) <= 0) {
 		res.Layout, res.Objective = near.Layout, near.Objective
 	}
-	x := newExact(p, opt)
+	x := newExactSearch(p, opt)
 	if x != nil {
-		x.best, x.bestAt = res.Layout, res.Objective
+		x.best, x.bestObjective = res.Layout, res.Objective
 		x.search(0)
-		res.Layout, res.Objective, res.Steps = x.best, x.bestAt, x.steps
+		res.Layout, res.Objective, res.Steps = x.best, x.bestObjective, x.steps
 		res.Optimal = !x.stopped
 		if res.Optimal && x.best == nil {
 			return nil, ErrNoLayout
@@ -85,40 +85,40 @@
 	if res.Layout == nil {
 		return nil, ErrStopped
 	}
-	if near != nil && near.Objective.Moves < res.Objective.Moves && near.Objective.within(res.Objective, opt.Near) {
+	if near != nil && near.Objective.Moves < res.Objective.Moves && near.Objective.isWithin(res.Objective, opt.MaxRegression) {
 		res.Layout, res.Objective, res.Optimal = near.Layout, near.Objective, false
 	}
 	return res, nil
 }
 
-// within tells whether o is at most that part worse than p in each goal above the
+// isWithin tells whether o is at most that part worse than p in each goal above the
 // moves.
-func (o Objective) within(p Objective, part float64) bool {
+func (o Objective) isWithin(p Objective, part float64) bool {
 	ok := func(a, b float64) bool { return a <= b*(1+part)+tolerance }
 	return part > 0 && ok(o.Unmet, p.Unmet) && ok(o.Use, p.Use) && ok(o.LossUse, p.LossUse) && ok(o.Cost, p.Cost)
 }
 
-// fromCurrent betters the layout in force by small changes; nil if there is none, or
+// improveCurrent betters the layout in force by small changes; nil if there is none, or
 // it breaks something that changes alone don't mend.
-func fromCurrent(p *Problem, stop func() bool) *Result {
+func improveCurrent(p *Problem, stop func() bool) *Result {
 	if p.Current == nil {
 		return nil
 	}
 	if _, broken := Check(p, p.Current); len(broken) > 0 {
 		return nil
 	}
-	g := &builder{p: p, s: newState(p), l: make(Layout, len(p.Volumes))}
+	g := &builder{problem: p, state: newState(p), layout: make(Layout, len(p.Volumes))}
 	for v, pieces := range p.Current {
-		g.l[v] = slices.Clone(pieces)
+		g.layout[v] = slices.Clone(pieces)
 		for _, pc := range pieces {
-			g.s.put(v, pc, 1)
+			g.state.addPiece(v, pc, 1)
 		}
 	}
-	g.improve(stop, g.relieve)
-	g.improve(stop, g.relieveLoss)
+	g.improve(stop, g.relieveBusiest)
+	g.improve(stop, g.relieveBusiestAfterLoss)
 	l, o := p.Current, Objective{}
-	if after, broken := Check(p, g.l); len(broken) == 0 {
-		l, o = g.l, after
+	if after, broken := Check(p, g.layout); len(broken) == 0 {
+		l, o = g.layout, after
 	} else {
 		o, _ = Check(p, l)
 	}
@@ -128,8 +128,8 @@
 	return &Result{Layout: l, Objective: o}
 }
 
-// bound is what no layout can be below, goal by goal in their order.
-func bound(p *Problem) Objective {
+// lowerBound is what no layout can be below, goal by goal in their order.
+func lowerBound(p *Problem) Objective {
 	var o Objective
 	demand, capacity, widest := 0.0, 0.0, 0.0
 	for _, n := range p.Nodes {
@@ -139,21 +139,21 @@
 	for v := range p.Volumes {
 		demand += p.Volumes[v].Rate
 	}
-	o.Unmet = cheapestUnmet(p, demand-capacity)
+	o.Unmet = minUnmetValue(p, demand-capacity)
 	carried, moved := 0.0, 0.0 // by all nodes; by those that are left of a lost hall
 	for v := range p.Volumes {
 		vol := &p.Volumes[v]
 		carried += vol.Rate
 		if vol.Copies == 2 {
-			carried += vol.Rate * vol.Writes
+			carried += vol.Rate * vol.WriteFraction
 			moved += vol.Rate
 		}
 	}
 	if capacity > 0 && demand <= capacity {
 		o.Use = carried / capacity
-		o.LossUse = p.lossBound(moved, capacity)
+		o.LossUse = p.lossUtilizationBound(moved, capacity)
 		for v := range p.Volumes {
-			o.Use = max(o.Use, p.widestShare(v, widest))
+			o.Use = max(o.Use, p.volumeUtilizationBound(v, widest))
 		}
 	}
 	if o.Unmet > 0 || demand > capacity {
@@ -162,10 +162,10 @@
 	return o
 }
 
-// lossBound is the use of the nodes outside the hall whose loss leaves least, if
+// lossUtilizationBound is the use of the nodes outside the hall whose loss leaves least, if
 // they carry what has copies.
-func (p *Problem) lossBound(moved, capacity float64) (use float64) {
-	_, names := p.halls()
+func (p *Problem) lossUtilizationBound(moved, capacity float64) (use float64) {
+	_, names := p.indexHalls()
 	for _, h := range names {
 		left := capacity
 		for _, n := range p.Nodes {
@@ -173,25 +173,25 @@
 				left -= n.Capacity
 			}
 		}
-		if p.survived(h) && left > tolerance {
+		if p.mustSurvive(h) && left > tolerance {
 			use = max(use, moved/left)
 		}
 	}
 	return use
 }
 
-// widestShare is the use that v alone puts on some node, were it on the widest.
-func (p *Problem) widestShare(v int, widest float64) float64 {
-	if p.least(v) < p.Parts || widest <= 0 {
+// volumeUtilizationBound is the use that v alone puts on some node, were it on the widest.
+func (p *Problem) volumeUtilizationBound(v int, widest float64) float64 {
+	if p.minParts(v) < p.Parts || widest <= 0 {
 		return 0
 	}
 	nodes := min(p.Volumes[v].MaxNodes, p.Parts, len(p.Nodes))
 	parts := math.Ceil(float64(p.Parts) / float64(nodes))
-	return p.unit(v) * parts / widest
+	return p.partRate(v) * parts / widest
 }
 
-// cheapestUnmet is the worth of that much demand, the least worthy first.
-func cheapestUnmet(p *Problem, over float64) float64 {
+// minUnmetValue is the worth of that much demand, the least worthy first.
+func minUnmetValue(p *Problem, over float64) float64 {
 	if over <= 0 {
 		return 0
 	}
@@ -199,7 +199,7 @@
 	for i := range order {
 		order[i] = i
 	}
-	worth := func(v int) float64 { return p.Tiers[p.Volumes[v].Tier].Worth }
+	worth := func(v int) float64 { return p.Tiers[p.Volumes[v].Tier].Value }
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(worth(a), worth(b)) })
 	total := 0.0
 	for _, v := range order {
@@ -210,144 +210,144 @@
 	return total
 }
 
-// exact is a depth-first search with bounds, volume by volume.
-type exact struct {
-	p       *Problem
-	opt     Options
-	s       *state
-	order   []int
-	ways    [][]option
-	rest    []Objective // what the volumes from here on add at the least
-	chosen  []int
-	unmet   float64
-	moves   float64
-	best    Layout
-	bestAt  Objective
-	steps   int
-	most    int
-	stopped bool
-	any     bool // the first layout will do
-}
-
-// newExact lists the ways of every volume; nil if they are too many to search.
-func newExact(p *Problem, opt Options) *exact {
-	x := &exact{p: p, opt: opt, s: newState(p), most: opt.Steps}
-	if x.most == 0 {
-		x.most = defaultSteps
-	}
-	x.ways = make([][]option, len(p.Volumes))
+// exactSearch is a depth-first search with bounds, volume by volume.
+type exactSearch struct {
+	problem       *Problem
+	options       Options
+	state         *state
+	order         []int
+	candidates    [][]candidate
+	restBounds    []Objective // what the volumes from here on add at the least
+	chosen        []int
+	unmet         float64
+	movedRate     float64
+	best          Layout
+	bestObjective Objective
+	steps         int
+	maxSteps      int
+	stopped       bool
+	acceptAny     bool // the first layout will do
+}
+
+// newExactSearch lists the ways of every volume; nil if they are too many to search.
+func newExactSearch(p *Problem, opt Options) *exactSearch {
+	x := &exactSearch{problem: p, options: opt, state: newState(p), maxSteps: opt.MaxSteps}
+	if x.maxSteps == 0 {
+		x.maxSteps = defaultMaxSteps
+	}
+	x.candidates = make([][]candidate, len(p.Volumes))
 	total := 0
 	for v := range p.Volumes {
-		ways, ok := p.options(v, x.s.hall)
-		if total += len(ways); !ok || total > 4*maxOptions {
+		ways, ok := p.candidates(v, x.state.hallOf)
+		if total += len(ways); !ok || total > 4*maxCandidates {
 			return nil
 		}
-		x.ways[v] = ways
+		x.candidates[v] = ways
 		x.order = append(x.order, v)
-		slices.SortStableFunc(x.ways[v], func(a, b option) int {
-			return cmp.Or(compareFloat(a.unmet, b.unmet), compareFloat(a.moves, b.moves), len(b.pieces)-len(a.pieces))
+		slices.SortStableFunc(x.candidates[v], func(a, b candidate) int {
+			return cmp.Or(compareFloat(a.unmet, b.unmet), compareFloat(a.movedRate, b.movedRate), len(b.pieces)-len(a.pieces))
 		})
 	}
 	slices.SortStableFunc(x.order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(p.Volumes[b].Rate, p.Volumes[a].Rate), len(x.ways[a])-len(x.ways[b]))
+		return cmp.Or(cmp.Compare(p.Volumes[b].Rate, p.Volumes[a].Rate), len(x.candidates[a])-len(x.candidates[b]))
 	})
 	x.chosen = make([]int, len(p.Volumes))
-	x.rests()
+	x.computeRestBounds()
 	return x
 }
 
-// rests sums, from the last volume back, the least that each adds.
-func (x *exact) rests() {
-	x.rest = make([]Objective, len(x.order)+1)
+// computeRestBounds sums, from the last volume back, the least that each adds.
+func (x *exactSearch) computeRestBounds() {
+	x.restBounds = make([]Objective, len(x.order)+1)
 	for i := len(x.order) - 1; i >= 0; i-- {
 		v := x.order[i]
 		low := Objective{Unmet: math.Inf(1), Cost: math.Inf(1), Moves: math.Inf(1)}
-		for _, w := range x.ways[v] {
-			low.Unmet, low.Moves = min(low.Unmet, w.unmet), min(low.Moves, w.moves)
+		for _, w := range x.candidates[v] {
+			low.Unmet, low.Moves = min(low.Unmet, w.unmet), min(low.Moves, w.movedRate)
 			low.Cost = min(low.Cost, x.costOf(v, w))
 		}
-		x.rest[i] = Objective{Unmet: x.rest[i+1].Unmet + low.Unmet, Cost: x.rest[i+1].Cost + low.Cost, Moves: x.rest[i+1].Moves + low.Moves}
+		x.restBounds[i] = Objective{Unmet: x.restBounds[i+1].Unmet + low.Unmet, Cost: x.restBounds[i+1].Cost + low.Cost, Moves: x.restBounds[i+1].Moves + low.Moves}
 	}
 }
 
-func (x *exact) costOf(v int, w option) float64 {
+func (x *exactSearch) costOf(v int, w candidate) float64 {
 	cost := 0.0
 	for _, pc := range w.pieces {
-		load := x.p.unit(v) * float64(pc.Parts)
-		cost += load * x.p.Nodes[pc.Node].Cost
+		load := x.problem.partRate(v) * float64(pc.Parts)
+		cost += load * x.problem.Nodes[pc.Node].Cost
 		if pc.Copy >= 0 {
-			cost += load * x.p.Volumes[v].Writes * x.p.Nodes[pc.Copy].Cost
+			cost += load * x.problem.Volumes[v].WriteFraction * x.problem.Nodes[pc.Copy].Cost
 		}
 	}
 	return cost
 }
 
-// least is what a completion of the present choice is at the least.
-func (x *exact) least(i int) Objective {
-	now, loss := x.s.uses()
-	r := x.rest[i]
-	return Objective{Unmet: x.unmet + r.Unmet, Use: now, LossUse: loss, Cost: x.s.cost + r.Cost, Moves: x.moves + r.Moves}
+// lowerBound is what a completion of the present choice is at the lowerBound.
+func (x *exactSearch) lowerBound(i int) Objective {
+	now, loss := x.state.maxUtilization()
+	r := x.restBounds[i]
+	return Objective{Unmet: x.unmet + r.Unmet, Use: now, LossUse: loss, Cost: x.state.cost + r.Cost, Moves: x.movedRate + r.Moves}
 }
 
-func (x *exact) search(i int) {
-	if x.steps++; x.steps > x.most || x.steps%1024 == 0 && x.opt.Stop != nil && x.opt.Stop() {
+func (x *exactSearch) search(i int) {
+	if x.steps++; x.steps > x.maxSteps || x.steps%1024 == 0 && x.options.Stop != nil && x.options.Stop() {
 		x.stopped = true
 	}
-	if x.stopped || x.any && x.best != nil {
+	if x.stopped || x.acceptAny && x.best != nil {
 		return
 	}
-	low := x.least(i)
-	if x.best != nil && low.Compare(x.bestAt) >= 0 {
+	low := x.lowerBound(i)
+	if x.best != nil && low.Compare(x.bestObjective) >= 0 {
 		return
 	}
 	if i == len(x.order) {
-		x.take(low)
+		x.recordBest(low)
 		return
 	}
 	v := x.order[i]
-	for k := range x.ways[v] {
-		w := &x.ways[v][k]
-		x.choose(v, w, 1)
-		if x.fit(w) {
+	for k := range x.candidates[v] {
+		w := &x.candidates[v][k]
+		x.apply(v, w, 1)
+		if x.fits(w) {
 			x.chosen[v] = k
 			x.search(i + 1)
 		}
-		x.choose(v, w, -1)
+		x.apply(v, w, -1)
 	}
 }
 
-func (x *exact) choose(v int, w *option, sign float64) {
+func (x *exactSearch) apply(v int, w *candidate, sign float64) {
 	for _, pc := range w.pieces {
-		x.s.put(v, pc, sign)
+		x.state.addPiece(v, pc, sign)
 	}
 	x.unmet += sign * w.unmet
-	x.moves += sign * w.moves
+	x.movedRate += sign * w.movedRate
 }
 
-func (x *exact) fit(w *option) bool {
+func (x *exactSearch) fits(w *candidate) bool {
 	for _, pc := range w.pieces {
-		if !x.s.fits(pc) {
+		if !x.state.fits(pc) {
 			return false
 		}
 	}
 	return true
 }
 
-// take keeps a layout that is better than the best.
-func (x *exact) take(o Objective) {
-	x.bestAt = o
-	x.best = make(Layout, len(x.p.Volumes))
+// recordBest keeps a layout that is better than the best.
+func (x *exactSearch) recordBest(o Objective) {
+	x.bestObjective = o
+	x.best = make(Layout, len(x.problem.Volumes))
 	for v, k := range x.chosen {
-		x.best[v] = slices.Clone(x.ways[v][k].pieces)
+		x.best[v] = slices.Clone(x.candidates[v][k].pieces)
 	}
 }
 
-// build returns a layout that keeps everything, nil if the heuristic finds none.
+// heuristicLayout returns a layout that keeps everything, nil if the heuristic finds none.
 // Where halls have little to spare, minding every hall's loss at each part paints
 // the search into a corner; it then fills the nodes first and mends the losses after.
-func build(p *Problem, stop func() bool) (Layout, Objective) {
+func heuristicLayout(p *Problem, stop func() bool) (Layout, Objective) {
 	for _, loose := range [2]bool{false, true} {
-		if loose && !p.Survive {
+		if loose && !p.SurviveHallLoss {
 			break
 		}
 		if l, ok := greedy(p, loose, stop); ok {
@@ -362,52 +362,52 @@
 // greedy places the largest first, part by part, each where the highest use stays
 // lowest, then moves parts off the fullest node while that helps.
 func greedy(p *Problem, loose bool, stop func() bool) (Layout, bool) {
-	g := &builder{p: p, s: newState(p), l: make(Layout, len(p.Volumes))}
-	g.s.loose = loose
+	g := &builder{problem: p, state: newState(p), layout: make(Layout, len(p.Volumes))}
+	g.state.ignoreHallLoss = loose
 	order := make([]int, len(p.Volumes))
 	for v := range order {
 		order[v] = v
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
 		va, vb := &p.Volumes[a], &p.Volumes[b]
-		return cmp.Or(cmp.Compare(p.Tiers[vb.Tier].Worth, p.Tiers[va.Tier].Worth), cmp.Compare(vb.Rate, va.Rate))
+		return cmp.Or(cmp.Compare(p.Tiers[vb.Tier].Value, p.Tiers[va.Tier].Value), cmp.Compare(vb.Rate, va.Rate))
 	})
 	for _, v := range order {
-		if !g.place(v) {
+		if !g.placeVolume(v) {
 			return nil, false
 		}
 	}
-	g.improve(stop, g.relieve)
-	g.improve(stop, g.relieveLoss)
-	for _, pieces := range g.l {
+	g.improve(stop, g.relieveBusiest)
+	g.improve(stop, g.relieveBusiestAfterLoss)
+	for _, pieces := range g.layout {
 		slices.SortFunc(pieces, func(a, b Piece) int { return a.Node - b.Node })
 	}
-	return g.l, true
+	return g.layout, true
 }
 
 type builder struct {
-	p *Problem
-	s *state
-	l Layout
+	problem *Problem
+	state   *state
+	layout  Layout
 }
 
-// place puts v's parts one by one; false if its reserve has no place.
-func (g *builder) place(v int) bool {
-	vol := &g.p.Volumes[v]
+// placeVolume puts v's parts one by one; false if its reserve has no placeVolume.
+func (g *builder) placeVolume(v int) bool {
+	vol := &g.problem.Volumes[v]
 	pinned := 0
-	for done := 0; done < g.p.Parts; done++ {
+	for done := 0; done < g.problem.Parts; done++ {
 		only := -1
-		if pinned < len(vol.Pins) {
-			only = vol.Pins[pinned]
+		if pinned < len(vol.PinnedNodes) {
+			only = vol.PinnedNodes[pinned]
 			pinned++
 		}
-		if !g.part(v, only) {
-			if done < max(g.p.least(v), len(vol.Pins)) {
-				for i := range g.l[v] {
-					g.s.put(v, g.l[v][i], -1)
+		if !g.placePart(v, only) {
+			if done < max(g.problem.minParts(v), len(vol.PinnedNodes)) {
+				for i := range g.layout[v] {
+					g.state.addPiece(v, g.layout[v][i], -1)
 				}
-				g.l[v] = nil
-				return g.p.least(v) == 0
+				g.layout[v] = nil
+				return g.problem.minParts(v) == 0
 			}
 			break
 		}
@@ -415,146 +415,146 @@
 	return true
 }
 
-// part puts one part of v where it does least, or on that node alone.
-func (g *builder) part(v, only int) bool {
-	vol := &g.p.Volumes[v]
+// placePart puts one placePart of v where it does least, or on that node alone.
+func (g *builder) placePart(v, only int) bool {
+	vol := &g.problem.Volumes[v]
 	best, bestAt := Piece{-1, -1, 1}, math.Inf(1)
-	full := len(g.l[v]) >= vol.MaxNodes
-	apart := g.mustSpread(v)
-	copies := make([]int, g.s.halls) // by the hall of the data, looked for once
+	full := len(g.layout[v]) >= vol.MaxNodes
+	apart := g.needsNewHall(v)
+	copies := make([]int, g.state.hallCount) // by the hall of the data, looked for once
 	for h := range copies {
-		copies[h] = unsought
+		copies[h] = notSearched
 	}
-	for n := range g.p.Nodes {
-		has := g.at(v, n)
-		if only >= 0 && n != only || full && has < 0 || slices.Contains(vol.Bans, n) || !g.mayGrow(v, n, has) || apart && g.inHall(v, g.s.hall[n]) {
+	for n := range g.problem.Nodes {
+		has := g.pieceIndex(v, n)
+		if only >= 0 && n != only || full && has < 0 || slices.Contains(vol.ExcludedNodes, n) || !g.mayGrow(v, n, has) || apart && g.hasDataInHall(v, g.state.hallOf[n]) {
 			continue
 		}
 		pc := Piece{n, -1, 1}
 		if has >= 0 {
-			pc.Copy = g.l[v][has].Copy
+			pc.Copy = g.layout[v][has].Copy
 		} else if vol.Copies == 2 {
-			h := g.s.hall[n]
-			if copies[h] == unsought {
-				copies[h] = g.copyFor(v, n)
+			h := g.state.hallOf[n]
+			if copies[h] == notSearched {
+				copies[h] = g.selectCopyNode(v, n)
 			}
 			if pc.Copy = copies[h]; pc.Copy < 0 {
 				continue
 			}
 		}
-		if at, ok := g.try(v, pc); ok && at < bestAt-tolerance {
+		if at, ok := g.tryPiece(v, pc); ok && at < bestAt-tolerance {
 			best, bestAt = pc, at
 		}
 	}
 	if best.Node < 0 {
 		return false
 	}
-	g.s.put(v, best, 1)
-	if has := g.at(v, best.Node); has >= 0 {
-		g.l[v][has].Parts++
+	g.state.addPiece(v, best, 1)
+	if has := g.pieceIndex(v, best.Node); has >= 0 {
+		g.layout[v][has].Parts++
 	} else {
-		g.l[v] = append(g.l[v], best)
+		g.layout[v] = append(g.layout[v], best)
 	}
 	return true
 }
 
-// mustSpread tells whether the next part must go to a hall that has none of v.
-func (g *builder) mustSpread(v int) bool {
-	vol := &g.p.Volumes[v]
-	left, in := g.p.Parts, hallCount(g.l[v], g.s.hall)
-	for _, pc := range g.l[v] {
+// needsNewHall tells whether the next part must go to a hall that has none of v.
+func (g *builder) needsNewHall(v int) bool {
+	vol := &g.problem.Volumes[v]
+	left, in := g.problem.Parts, countHalls(g.layout[v], g.state.hallOf)
+	for _, pc := range g.layout[v] {
 		left -= pc.Parts
 	}
-	return vol.Spread > in && vol.Spread-in >= min(left, vol.MaxNodes-len(g.l[v]))
+	return vol.MinHalls > in && vol.MinHalls-in >= min(left, vol.MaxNodes-len(g.layout[v]))
 }
 
-func (g *builder) inHall(v, hall int) bool {
-	return slices.ContainsFunc(g.l[v], func(pc Piece) bool { return g.s.hall[pc.Node] == hall })
+func (g *builder) hasDataInHall(v, hall int) bool {
+	return slices.ContainsFunc(g.layout[v], func(pc Piece) bool { return g.state.hallOf[pc.Node] == hall })
 }
 
-const unsought = -2
+const notSearched = -2
 
-// at is the index of v's piece on n, -1 if there is none.
-func (g *builder) at(v, n int) int {
-	return slices.IndexFunc(g.l[v], func(pc Piece) bool { return pc.Node == n })
+// pieceIndex is the index of v's piece on n, -1 if there is none.
+func (g *builder) pieceIndex(v, n int) int {
+	return slices.IndexFunc(g.layout[v], func(pc Piece) bool { return pc.Node == n })
 }
 
 // mayGrow holds nodes that drain to what they have.
 func (g *builder) mayGrow(v, n, has int) bool {
-	if !g.p.Nodes[n].Draining {
+	if !g.problem.Nodes[n].Draining {
 		return true
 	}
-	data, _ := g.p.held(v, n)
-	return has < 0 && data > 0 || has >= 0 && g.l[v][has].Parts < data
+	data, _ := g.problem.currentParts(v, n)
+	return has < 0 && data > 0 || has >= 0 && g.layout[v][has].Parts < data
 }
 
-// copyFor is the least used node of another hall; what drains takes no new copy.
-func (g *builder) copyFor(v, n int) int {
+// selectCopyNode is the least used node of another hall; what drains takes no new copy.
+func (g *builder) selectCopyNode(v, n int) int {
 	best, bestAt := -1, math.Inf(1)
-	for c := range g.p.Nodes {
-		if g.s.hall[c] == g.s.hall[n] || g.p.Nodes[c].Draining || g.p.Nodes[c].Capacity <= 0 || slices.Contains(g.p.Volumes[v].Bans, c) {
+	for c := range g.problem.Nodes {
+		if g.state.hallOf[c] == g.state.hallOf[n] || g.problem.Nodes[c].Draining || g.problem.Nodes[c].Capacity <= 0 || slices.Contains(g.problem.Volumes[v].ExcludedNodes, c) {
 			continue
 		}
-		at := g.s.load[c]
-		for _, l := range g.s.loss {
+		at := g.state.load[c]
+		for _, l := range g.state.lossLoads {
 			at = max(at, l[c])
 		}
-		if at /= g.p.Nodes[c].Capacity; at < bestAt {
+		if at /= g.problem.Nodes[c].Capacity; at < bestAt {
 			best, bestAt = c, at
 		}
 	}
 	return best
 }
 
-// try is the use to which a piece brings its nodes, and whether it fits.
-func (g *builder) try(v int, pc Piece) (float64, bool) {
-	g.s.put(v, pc, 1)
-	defer g.s.put(v, pc, -1)
-	return g.usesOf(pc), g.s.fits(pc)
+// tryPiece is the use to which a piece brings its nodes, and whether it fits.
+func (g *builder) tryPiece(v int, pc Piece) (float64, bool) {
+	g.state.addPiece(v, pc, 1)
+	defer g.state.addPiece(v, pc, -1)
+	return g.pieceUtilization(pc), g.state.fits(pc)
 }
 
-func (g *builder) usesOf(pc Piece) float64 {
-	at := use(g.s.load[pc.Node], g.p.Nodes[pc.Node].Capacity)
+func (g *builder) pieceUtilization(pc Piece) float64 {
+	at := utilization(g.state.load[pc.Node], g.problem.Nodes[pc.Node].Capacity)
 	if pc.Copy >= 0 {
-		at = max(at, use(g.s.load[pc.Copy], g.p.Nodes[pc.Copy].Capacity))
+		at = max(at, utilization(g.state.load[pc.Copy], g.problem.Nodes[pc.Copy].Capacity))
 	}
 	return at
 }
 
 // improve makes one change after another while one helps.
 func (g *builder) improve(stop func() bool, relieve func() bool) {
-	for round := 0; round < 50*len(g.p.Nodes) && (stop == nil || round%16 != 0 || !stop()); round++ {
+	for round := 0; round < 50*len(g.problem.Nodes) && (stop == nil || round%16 != 0 || !stop()); round++ {
 		if !relieve() {
 			return
 		}
 	}
 }
 
-// relieveLoss takes a copy off the node that would be the fullest after the loss of
+// relieveBusiestAfterLoss takes a copy off the node that would be the fullest after the loss of
 // a hall, without making any node fuller than the fullest is now.
-func (g *builder) relieveLoss() bool {
+func (g *builder) relieveBusiestAfterLoss() bool {
 	from, hall, high := -1, -1, 0.0
-	top, worst := g.s.uses()
+	top, worst := g.state.maxUtilization()
 	if worst > 1 {
 		top = 1 // what does not survive yet may cost use
 	}
-	for i, loss := range g.s.loss {
+	for i, loss := range g.state.lossLoads {
 		for n, x := range loss {
-			if u := use(x, g.p.Nodes[n].Capacity); g.s.hall[n] != g.s.lost[i] && u > high {
-				from, hall, high = n, g.s.lost[i], u
+			if u := utilization(x, g.problem.Nodes[n].Capacity); g.state.hallOf[n] != g.state.lostHalls[i] && u > high {
+				from, hall, high = n, g.state.lostHalls[i], u
 			}
 		}
 	}
-	for v := range g.l {
-		for i, pc := range g.l[v] {
-			if pc.Copy == from && g.s.hall[pc.Node] == hall && g.recopy(v, i, top, high) {
+	for v := range g.layout {
+		for i, pc := range g.layout[v] {
+			if pc.Copy == from && g.state.hallOf[pc.Node] == hall && g.moveCopy(v, i, top, high) {
 				return true
 			}
 		}
 	}
-	for v := range g.l {
-		for i, pc := range g.l[v] {
-			if pc.Copy == from && g.s.hall[pc.Node] == hall && g.swapCopies(v, i, top, high) {
+	for v := range g.layout {
+		for i, pc := range g.layout[v] {
+			if pc.Copy == from && g.state.hallOf[pc.Node] == hall && g.swapCopies(v, i, top, high) {
 				return true
 			}
 		}
@@ -566,68 +566,68 @@
 // hall: what their nodes carry day by day hardly changes, what they would carry after
 // the loss does. False if no swap leaves both below high.
 func (g *builder) swapCopies(v, i int, top, high float64) bool {
-	a := g.l[v][i]
-	from, lost := a.Copy, g.s.hall[a.Node]
-	g.s.put(v, a, -1)
-	defer func() { g.s.put(v, g.l[v][i], 1) }()
-	for w := range g.l {
-		if w == v || slices.Contains(g.p.Volumes[w].Bans, from) {
+	a := g.layout[v][i]
+	from, lost := a.Copy, g.state.hallOf[a.Node]
+	g.state.addPiece(v, a, -1)
+	defer func() { g.state.addPiece(v, g.layout[v][i], 1) }()
+	for w := range g.layout {
+		if w == v || slices.Contains(g.problem.Volumes[w].ExcludedNodes, from) {
 			continue
 		}
-		for j, b := range g.l[w] {
-			if b.Copy < 0 || b.Copy == from || g.s.hall[b.Node] == lost || g.s.hall[b.Node] == g.s.hall[from] || g.s.hall[b.Copy] == lost ||
-				g.p.Nodes[b.Copy].Draining || g.p.Nodes[from].Draining || slices.Contains(g.p.Volumes[v].Bans, b.Copy) {
+		for j, b := range g.layout[w] {
+			if b.Copy < 0 || b.Copy == from || g.state.hallOf[b.Node] == lost || g.state.hallOf[b.Node] == g.state.hallOf[from] || g.state.hallOf[b.Copy] == lost ||
+				g.problem.Nodes[b.Copy].Draining || g.problem.Nodes[from].Draining || slices.Contains(g.problem.Volumes[v].ExcludedNodes, b.Copy) {
 				continue
 			}
 			x, y := Piece{a.Node, b.Copy, a.Parts}, Piece{b.Node, from, b.Parts}
-			g.s.put(w, b, -1)
-			g.s.put(v, x, 1)
-			g.s.put(w, y, 1)
-			good := g.usesOf(x) <= top+tolerance && g.usesOf(y) <= top+tolerance && g.s.fits(x) && g.s.fits(y) &&
-				max(g.s.lossUse(from), g.s.lossUse(b.Copy)) < high-tolerance
-			g.s.put(v, x, -1)
+			g.state.addPiece(w, b, -1)
+			g.state.addPiece(v, x, 1)
+			g.state.addPiece(w, y, 1)
+			good := g.pieceUtilization(x) <= top+tolerance && g.pieceUtilization(y) <= top+tolerance && g.state.fits(x) && g.state.fits(y) &&
+				max(g.state.utilizationAfterLoss(from), g.state.utilizationAfterLoss(b.Copy)) < high-tolerance
+			g.state.addPiece(v, x, -1)
 			if good {
-				g.l[v][i], g.l[w][j] = x, y
+				g.layout[v][i], g.layout[w][j] = x, y
 				return true
 			}
-			g.s.put(w, y, -1)
-			g.s.put(w, b, 1)
+			g.state.addPiece(w, y, -1)
+			g.state.addPiece(w, b, 1)
 		}
 	}
 	return false
 }
 
-// recopy gives a piece's copy another node: the one that the loss of a hall would
+// moveCopy gives a piece's copy another node: the one that the loss of a hall would
 // fill least, if that stays below high. False if there is none.
-func (g *builder) recopy(v, i int, top, high float64) bool {
-	pc := g.l[v][i]
+func (g *builder) moveCopy(v, i int, top, high float64) bool {
+	pc := g.layout[v][i]
 	old, best, bestAt := pc.Copy, -1, high-tolerance
-	g.s.put(v, pc, -1)
-	for c := range g.p.Nodes {
-		if c == old || g.s.hall[c] == g.s.hall[pc.Node] || g.p.Nodes[c].Draining || g.p.Nodes[c].Capacity <= 0 || slices.Contains(g.p.Volumes[v].Bans, c) {
+	g.state.addPiece(v, pc, -1)
+	for c := range g.problem.Nodes {
+		if c == old || g.state.hallOf[c] == g.state.hallOf[pc.Node] || g.problem.Nodes[c].Draining || g.problem.Nodes[c].Capacity <= 0 || slices.Contains(g.problem.Volumes[v].ExcludedNodes, c) {
 			continue
 		}
 		pc.Copy = c
-		g.s.put(v, pc, 1)
-		if at := g.s.lossUse(c); at < bestAt && g.usesOf(pc) <= top+tolerance && g.s.fits(pc) {
+		g.state.addPiece(v, pc, 1)
+		if at := g.state.utilizationAfterLoss(c); at < bestAt && g.pieceUtilization(pc) <= top+tolerance && g.state.fits(pc) {
 			best, bestAt = c, at
 		}
-		g.s.put(v, pc, -1)
+		g.state.addPiece(v, pc, -1)
 	}
 	if pc.Copy = best; best < 0 {
 		pc.Copy = old
 	}
-	g.s.put(v, pc, 1)
-	g.l[v][i] = pc
+	g.state.addPiece(v, pc, 1)
+	g.layout[v][i] = pc
 	return best >= 0
 }
 
-// relieve moves one part from the fullest node to where it does least; false if
+// relieveBusiest moves one part from the fullest node to where it does least; false if
 // none helps.
-func (g *builder) relieve() bool {
+func (g *builder) relieveBusiest() bool {
 	from, high := -1, 0.0
-	for n := range g.s.load {
-		if u := use(g.s.load[n], g.p.Nodes[n].Capacity); u > high {
+	for n := range g.state.load {
+		if u := utilization(g.state.load[n], g.problem.Nodes[n].Capacity); u > high {
 			from, high = n, u
 		}
 	}
@@ -636,18 +636,18 @@
 	}
 	// A part at a time first: it does the least to the nodes that take it. Then whole
 	// pieces, which may change their copy too.
-	for v := range g.l {
-		i := g.at(v, from)
-		if i < 0 || g.l[v][i].Parts == 1 && g.pinned(v, from) {
+	for v := range g.layout {
+		i := g.pieceIndex(v, from)
+		if i < 0 || g.layout[v][i].Parts == 1 && g.isPinned(v, from) {
 			continue
 		}
-		if g.shift(v, i, 1, high) {
+		if g.moveParts(v, i, 1, high) {
 			return true
 		}
 	}
-	for v := range g.l {
-		for i, pc := range g.l[v] {
-			if (pc.Node == from || pc.Copy == from) && !g.pinned(v, pc.Node) && g.shift(v, i, pc.Parts, high) {
+	for v := range g.layout {
+		for i, pc := range g.layout[v] {
+			if (pc.Node == from || pc.Copy == from) && !g.isPinned(v, pc.Node) && g.moveParts(v, i, pc.Parts, high) {
 				return true
 			}
 		}
@@ -655,48 +655,50 @@
 	return false
 }
 
-func (g *builder) pinned(v, n int) bool { return slices.Contains(g.p.Volumes[v].Pins, n) }
+func (g *builder) isPinned(v, n int) bool {
+	return slices.Contains(g.problem.Volumes[v].PinnedNodes, n)
+}
 
-// shift moves k parts of v's piece i elsewhere if all that they touch then stays
+// moveParts moves k parts of v's piece i elsewhere if all that they touch then stays
 // below the use they leave behind.
-func (g *builder) shift(v, i, k int, high float64) bool {
-	old := slices.Clone(g.l[v])
+func (g *builder) moveParts(v, i, k int, high float64) bool {
+	old := slices.Clone(g.layout[v])
 	pc := old[i]
-	g.s.put(v, Piece{pc.Node, pc.Copy, k}, -1)
-	if g.l[v][i].Parts -= k; g.l[v][i].Parts == 0 {
-		g.l[v] = slices.Delete(g.l[v], i, i+1)
+	g.state.addPiece(v, Piece{pc.Node, pc.Copy, k}, -1)
+	if g.layout[v][i].Parts -= k; g.layout[v][i].Parts == 0 {
+		g.layout[v] = slices.Delete(g.layout[v], i, i+1)
 	}
 	ok := true
 	for range k {
-		ok = ok && g.part(v, -1)
+		ok = ok && g.placePart(v, -1)
 	}
-	if ok && g.spreadKept(v, old) && g.lighter(old, g.l[v], high) {
+	if ok && g.keepsMinHalls(v, old) && g.relieved(old, g.layout[v], high) {
 		return true
 	}
-	for _, x := range g.l[v] {
-		g.s.put(v, x, -1)
+	for _, x := range g.layout[v] {
+		g.state.addPiece(v, x, -1)
 	}
-	g.l[v] = old
+	g.layout[v] = old
 	for _, x := range old {
-		g.s.put(v, x, 1)
+		g.state.addPiece(v, x, 1)
 	}
 	return false
 }
 
-// lighter tells whether something has moved, and all that took it is below that use.
-func (g *builder) lighter(before, now []Piece, high float64) bool {
+// relieved tells whether something has moved, and all that took it is below that use.
+func (g *builder) relieved(before, now []Piece, high float64) bool {
 	moved := false
 	for _, pc := range now {
 		if slices.ContainsFunc(before, func(o Piece) bool { return o.Node == pc.Node && o.Copy == pc.Copy && o.Parts >= pc.Parts }) {
 			continue
 		}
-		if moved = true; g.usesOf(pc) >= high-tolerance {
+		if moved = true; g.pieceUtilization(pc) >= high-tolerance {
 			return false
 		}
 	}
 	return moved
 }
 
-func (g *builder) spreadKept(v int, old []Piece) bool {
-	return hallCount(g.l[v], g.s.hall) >= min(hallCount(old, g.s.hall), g.p.Volumes[v].Spread)
+func (g *builder) keepsMinHalls(v int, old []Piece) bool {
+	return countHalls(g.layout[v], g.state.hallOf) >= min(countHalls(old, g.state.hallOf), g.problem.Volumes[v].MinHalls)
 }
--- a/internal/fleet/placement/steps_test.go
+++ b/internal/fleet/placement/steps_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// follow makes the steps one by one and judges each layout from the definitions.
-func follow(t *testing.T, p *Problem, from, to Layout, steps []Step, most float64) Layout {
+// applySteps makes the steps one by one and judges each layout from the definitions.
+func applySteps(t *testing.T, p *Problem, from, to Layout, steps []Step, most float64) Layout {
 	t.Helper()
 	q := *p
 	q.Current = from
@@ -57,9 +57,9 @@
 func TestStepsBetweenLayouts(t *testing.T) {
 	whole, blocked, steps := 0, 0, 0
 	for seed := range uint64(12) {
-		p := Fleet(6, seed)
+		p := SyntheticProblem(6, seed)
 		p.Parts = 4
-		a, err := Solve(p, Options{Steps: 1})
+		a, err := Solve(p, Options{MaxSteps: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -67,7 +67,7 @@
 		for i := range p.Volumes { // the rates have changed since
 			p.Volumes[i].Rate *= 0.8 + 0.3*rng.Float64()
 		}
-		b, err := Solve(p, Options{Steps: 1})
+		b, err := Solve(p, Options{MaxSteps: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -76,7 +76,7 @@
 		}
 		most := 30.0
 		way, err := Steps(p, a.Layout, b.Layout, most)
-		at := follow(t, p, a.Layout, b.Layout, way, most)
+		at := applySteps(t, p, a.Layout, b.Layout, way, most)
 		var be *BlockedError
 		switch {
 		case errors.As(err, &be):
@@ -100,14 +100,14 @@
 
 // Two volumes that change places on full nodes need room elsewhere first.
 func TestDetour(t *testing.T) {
-	p := &Problem{Parts: 1, Tiers: []Tier{{Worth: 1}}, Nodes: []Node{{Name: "a", Hall: "x", Capacity: 10}, {Name: "b", Hall: "x", Capacity: 10}, {Name: "c", Hall: "x", Capacity: 10}},
+	p := &Problem{Parts: 1, Tiers: []Tier{{Value: 1}}, Nodes: []Node{{Name: "a", Hall: "x", Capacity: 10}, {Name: "b", Hall: "x", Capacity: 10}, {Name: "c", Hall: "x", Capacity: 10}},
 		Volumes: []Volume{{Name: "v", Rate: 10, MaxNodes: 1, Copies: 1}, {Name: "w", Rate: 10, MaxNodes: 1, Copies: 1}}}
 	from, to := Layout{{{0, -1, 1}}, {{1, -1, 1}}}, Layout{{{1, -1, 1}}, {{0, -1, 1}}}
 	way, err := Steps(p, from, to, 10)
 	if err != nil || len(way) != 3 {
 		t.Fatalf("%v, %v", way, err)
 	}
-	follow(t, p, from, to, way, 10)
+	applySteps(t, p, from, to, way, 10)
 	p.Nodes[2].Capacity = 5
 	var be *BlockedError
 	if _, err := Steps(p, from, to, 10); !errors.As(err, &be) || len(be.Volumes) != 2 {
--- a/internal/fleet/placement/fleet.go
+++ b/internal/fleet/placement/synthetic.go
@@ -5,21 +5,21 @@
 	"math/rand/v2"
 )
 
-// Fleet draws an instance for measurements: that many nodes in three halls, eight
+// SyntheticProblem draws an instance for measurements: that many nodes in three halls, eight
 // volumes a node with copies, half of what the nodes can do asked for, rates spread
 // tenfold, the loss of any hall to be survived.
-func Fleet(nodes int, seed uint64) *Problem {
+func SyntheticProblem(nodeCount int, seed uint64) *Problem {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	p := &Problem{Parts: 8, Survive: true, Tiers: []Tier{{Name: "basico", Worth: 1}, {Name: "normal", Worth: 3}, {Name: "prioritario", Worth: 6, Reserve: 1}}}
+	p := &Problem{Parts: 8, SurviveHallLoss: true, Tiers: []Tier{{Name: "basico", Value: 1}, {Name: "normal", Value: 3}, {Name: "prioritario", Value: 6, Reserve: 1}}}
 	capacity := 0.0
-	for i := range nodes {
+	for i := range nodeCount {
 		n := Node{Name: fmt.Sprintf("n%d", i), Hall: fmt.Sprintf("hall-%c", 'a'+i%3), Capacity: 100 + 50*rng.Float64(), Cost: 1 + rng.Float64()}
 		capacity += n.Capacity
 		p.Nodes = append(p.Nodes, n)
 	}
 	total := 0.0
-	for i := range 8 * nodes {
-		v := Volume{Name: fmt.Sprintf("v%d", i), Tier: rng.IntN(3), Rate: 1 + 9*rng.Float64()*rng.Float64(), Writes: 0.3, MaxNodes: 1 + rng.IntN(4), Copies: 2}
+	for i := range 8 * nodeCount {
+		v := Volume{Name: fmt.Sprintf("v%d", i), Tier: rng.IntN(3), Rate: 1 + 9*rng.Float64()*rng.Float64(), WriteFraction: 0.3, MaxNodes: 1 + rng.IntN(4), Copies: 2}
 		total += v.Rate
 		p.Volumes = append(p.Volumes, v)
 	}
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/plan/plan.go
@@ -20,11 +20,11 @@
 
 // Plan is an instance made from settings, with what leads back to them.
 type Plan struct {
-	Settings *settings.Settings
-	Problem  *placement.Problem
-	Current  placement.Layout // what the settings have in force
-	slots    []slots          // by volume, one for each part
-	node     map[int]int      // index in Problem.Nodes, by shard
+	Settings    *settings.Settings
+	Problem     *placement.Problem
+	Current     placement.Layout // what the settings have in force
+	slots       []slots          // by volume, one for each part
+	nodeOfShard map[int]int      // index in Problem.Nodes, by shard
 }
 
 // slots are a volume's parts: the shard of each and the one of its copy (-1: none).
@@ -35,12 +35,12 @@
 	// Measured, if not nil, takes the place of the typed rates: a volume that is
 	// not in it asked for nothing.
 	Measured []rates.Rate
-	// Lost halls carry nothing and take nothing; no further loss is planned for.
-	Lost []string
+	// LostHalls halls carry nothing and take nothing; no further loss is planned for.
+	LostHalls []string
 }
 
-// mostParts bounds the parts of a volume, as package placement does.
-const mostParts = 1024
+// maxParts bounds the parts of a volume, as package placement does.
+const maxParts = 1024
 
 // From makes the instance of the settings.
 func From(s *settings.Settings, opt Options) (*Plan, error) {
@@ -54,21 +54,21 @@
 	parts := set.Parts
 	for i := range s.Volumes {
 		parts = lcm(parts, len(s.Volumes[i].Layout))
-		if parts > mostParts {
-			return nil, &Error{fmt.Sprintf("volumes[%d].layout", i), fmt.Sprintf("with %d entries there is no common number of parts up to %d", len(s.Volumes[i].Layout), mostParts)}
+		if parts > maxParts {
+			return nil, &Error{fmt.Sprintf("volumes[%d].layout", i), fmt.Sprintf("with %d entries there is no common number of parts up to %d", len(s.Volumes[i].Layout), maxParts)}
 		}
 	}
-	pl := &Plan{Settings: s, Problem: &placement.Problem{Parts: parts, Survive: set.SurviveLoss && len(opt.Lost) == 0}, node: map[int]int{}}
+	pl := &Plan{Settings: s, Problem: &placement.Problem{Parts: parts, SurviveHallLoss: set.SurviveLoss && len(opt.LostHalls) == 0}, nodeOfShard: map[int]int{}}
 	for i, n := range s.Nodes {
-		pl.node[n.Shard] = i
+		pl.nodeOfShard[n.Shard] = i
 		node := placement.Node{Name: fmt.Sprintf("shard %d", n.Shard), Hall: s.DomainOf(&n), Capacity: n.Capacity, Cost: n.Cost, Draining: n.Draining}
-		if slices.Contains(opt.Lost, node.Hall) {
+		if slices.Contains(opt.LostHalls, node.Hall) {
 			node.Capacity = 0
 		}
 		pl.Problem.Nodes = append(pl.Problem.Nodes, node)
 	}
-	pl.tiers()
-	pl.volumes(opt, set.Margin)
+	pl.addTiers()
+	pl.addVolumes(opt, set.Margin)
 	pl.Problem.Current = pl.Current
 	return pl, pl.Problem.Validate()
 }
@@ -81,15 +81,15 @@
 	return a / x * b
 }
 
-// tiers are the plans. Every volume must be reachable whole, so each tier's
+// addTiers are the plans. Every volume must be reachable whole, so each tier's
 // reserve is all of it.
-func (pl *Plan) tiers() {
+func (pl *Plan) addTiers() {
 	for _, p := range pl.Settings.Plans {
-		pl.Problem.Tiers = append(pl.Problem.Tiers, placement.Tier{Name: p.Name, Worth: p.Weight, Reserve: 1})
+		pl.Problem.Tiers = append(pl.Problem.Tiers, placement.Tier{Name: p.Name, Value: p.Weight, Reserve: 1})
 	}
 }
 
-func (pl *Plan) volumes(opt Options, margin float64) {
+func (pl *Plan) addVolumes(opt Options, margin float64) {
 	s := pl.Settings
 	measured := map[string]rates.Rate{}
 	for _, r := range opt.Measured {
@@ -97,49 +97,49 @@
 	}
 	for i := range s.Volumes {
 		v := &s.Volumes[i]
-		cut := pl.cut(v, pl.Problem.Parts)
-		now := pieces(cut)
-		out := placement.Volume{Name: v.Name, Rate: s.RateOf(v), Writes: v.WriteFraction, MaxNodes: v.MaxNodes, Spread: spread(s, v), Copies: max(v.Copies, 1),
+		cut := pl.layoutSlots(v, pl.Problem.Parts)
+		now := groupPieces(cut)
+		out := placement.Volume{Name: v.Name, Rate: s.RateOf(v), WriteFraction: v.WriteFraction, MaxNodes: v.MaxNodes, MinHalls: minDomains(s, v), Copies: max(v.Copies, 1),
 			Tier: slices.IndexFunc(s.Plans, func(p settings.Plan) bool { return p.Name == v.Plan })}
 		if out.MaxNodes == 0 {
 			out.MaxNodes = max(len(now), 1)
 		}
 		if opt.Measured != nil {
 			r := measured[v.Name]
-			out.Rate, out.Writes = r.Mean+margin*r.Spread, min(max(r.Writes, 0), 1)
+			out.Rate, out.WriteFraction = r.Mean+margin*r.StdDev, min(max(r.WriteFraction, 0), 1)
 		}
 		for _, sh := range v.PinnedShards {
-			out.Pins = append(out.Pins, pl.node[sh])
+			out.PinnedNodes = append(out.PinnedNodes, pl.nodeOfShard[sh])
 		}
 		for _, sh := range v.ExcludedShards {
-			out.Bans = append(out.Bans, pl.node[sh])
+			out.ExcludedNodes = append(out.ExcludedNodes, pl.nodeOfShard[sh])
 		}
 		for n, node := range s.Nodes {
-			if slices.Contains(opt.Lost, node.Hall) && !slices.Contains(out.Bans, n) {
-				out.Bans = append(out.Bans, n)
+			if slices.Contains(opt.LostHalls, node.Hall) && !slices.Contains(out.ExcludedNodes, n) {
+				out.ExcludedNodes = append(out.ExcludedNodes, n)
 			}
 		}
-		out.Pins = slices.DeleteFunc(out.Pins, func(n int) bool { return slices.Contains(out.Bans, n) })
+		out.PinnedNodes = slices.DeleteFunc(out.PinnedNodes, func(n int) bool { return slices.Contains(out.ExcludedNodes, n) })
 		pl.Problem.Volumes = append(pl.Problem.Volumes, out)
 		pl.slots = append(pl.slots, cut)
 		pl.Current = append(pl.Current, now)
 	}
 }
 
-// cut deals a volume's layout out over that many parts.
-func (pl *Plan) cut(v *settings.Volume, parts int) slots {
+// layoutSlots deals a volume's layout out over that many parts.
+func (pl *Plan) layoutSlots(v *settings.Volume, parts int) slots {
 	c := slots{make([]int, parts), make([]int, parts)}
 	for i := range parts {
-		c.data[i], c.copy[i] = pl.node[v.Layout[i%len(v.Layout)]], -1
+		c.data[i], c.copy[i] = pl.nodeOfShard[v.Layout[i%len(v.Layout)]], -1
 		if len(v.CopyLayout) > 0 {
-			c.copy[i] = pl.node[v.CopyLayout[i%len(v.CopyLayout)]]
+			c.copy[i] = pl.nodeOfShard[v.CopyLayout[i%len(v.CopyLayout)]]
 		}
 	}
 	return c
 }
 
-// pieces gathers parts by node and copy, in the order of the nodes.
-func pieces(c slots) (out []placement.Piece) {
+// groupPieces gathers parts by node and copy, in the order of the nodes.
+func groupPieces(c slots) (out []placement.Piece) {
 	for i := range c.data {
 		k := slices.IndexFunc(out, func(p placement.Piece) bool { return p.Node == c.data[i] && p.Copy == c.copy[i] })
 		if k < 0 {
@@ -167,8 +167,8 @@
 	return placement.Steps(pl.Problem, pl.Current, to, most)
 }
 
-// With returns the settings after a step. The plan then stands where the step led.
-func (pl *Plan) With(st placement.Step) (*settings.Settings, error) {
+// ApplyStep returns the settings after a step. The plan then stands where the step led.
+func (pl *Plan) ApplyStep(st placement.Step) (*settings.Settings, error) {
 	c, left := pl.slots[st.Volume], st.To.Parts
 	for i := range c.data {
 		if left > 0 && c.data[i] == st.From.Node && c.copy[i] == st.From.Copy {
@@ -179,17 +179,17 @@
 	if left > 0 {
 		return nil, &Error{"volumes." + pl.Problem.Volumes[st.Volume].Name, "the step does not begin where the layout stands"}
 	}
-	pl.Current[st.Volume] = pieces(c)
+	pl.Current[st.Volume] = groupPieces(c)
 	next := *pl.Settings
 	next.Volumes = slices.Clone(next.Volumes)
-	pl.lay(&next.Volumes[st.Volume], c)
+	pl.setLayout(&next.Volumes[st.Volume], c)
 	pl.Settings = &next
 	return &next, nil
 }
 
-// Whole returns the settings with a layout put in at once; for services that hold
+// WithLayout returns the settings with a layout put in at once; for services that hold
 // no data yet, and for comparisons.
-func (pl *Plan) Whole(to placement.Layout) (*settings.Settings, error) {
+func (pl *Plan) WithLayout(to placement.Layout) (*settings.Settings, error) {
 	next := *pl.Settings
 	next.Volumes = slices.Clone(next.Volumes)
 	for v := range to {
@@ -202,14 +202,14 @@
 		if len(c.data) != pl.Problem.Parts {
 			return nil, &Error{"volumes." + pl.Problem.Volumes[v].Name, fmt.Sprintf("%d parts of %d have a place", len(c.data), pl.Problem.Parts)}
 		}
-		pl.lay(&next.Volumes[v], deal(c))
+		pl.setLayout(&next.Volumes[v], interleave(c))
 	}
 	return &next, next.Check()
 }
 
-// deal spreads the parts of each piece evenly over the slots, so that neighbouring
+// interleave spreads the parts of each piece evenly over the slots, so that neighbouring
 // extents, which are often busy together, lie apart.
-func deal(c slots) slots {
+func interleave(c slots) slots {
 	n := len(c.data)
 	out := slots{make([]int, n), make([]int, n)}
 	stride := 1
@@ -225,8 +225,8 @@
 	return out
 }
 
-// lay writes parts into a volume.
-func (pl *Plan) lay(v *settings.Volume, c slots) {
+// setLayout writes parts into a volume.
+func (pl *Plan) setLayout(v *settings.Volume, c slots) {
 	v.Layout, v.CopyLayout = make([]int, len(c.data)), nil
 	for i, n := range c.data {
 		v.Layout[i] = pl.Settings.Nodes[n].Shard
@@ -268,8 +268,8 @@
 	return &next, stranded
 }
 
-// spread is how many domains a volume must lie in: there are two regions at most.
-func spread(s *settings.Settings, v *settings.Volume) int {
+// minDomains is how many domains a volume must lie in: there are two regions at most.
+func minDomains(s *settings.Settings, v *settings.Volume) int {
 	if s.Placement.FailureDomain == settings.DomainRegion {
 		return min(v.MinDomains, 2)
 	}
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -23,7 +23,7 @@
 
 func solve(t *testing.T, pl *plan.Plan) *placement.Result {
 	t.Helper()
-	r, err := placement.Solve(pl.Problem, placement.Options{Steps: 20000})
+	r, err := placement.Solve(pl.Problem, placement.Options{MaxSteps: 20000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 		}
 		now := s
 		for _, st := range steps {
-			if now, err = pl.With(st); err != nil {
+			if now, err = pl.ApplyStep(st); err != nil {
 				t.Fatal(err)
 			}
 			if err := now.Check(); err != nil {
@@ -61,7 +61,7 @@
 		if left, err := again.Steps(r.Layout); err != nil || len(left) != 0 {
 			t.Fatalf("seed %d: %d steps left, %v", seed, len(left), err)
 		}
-		whole, err := pl.Whole(r.Layout)
+		whole, err := pl.WithLayout(r.Layout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -77,7 +77,7 @@
 	before := slices.Clone(pl.Current[0])
 	bad := placement.Step{Volume: 0, From: placement.Piece{Node: 2, Copy: 2, Parts: 1}, To: placement.Piece{Node: 1, Copy: 0, Parts: 1}}
 	var e *plan.Error
-	if _, err := pl.With(bad); !errors.As(err, &e) {
+	if _, err := pl.ApplyStep(bad); !errors.As(err, &e) {
 		t.Fatal(err)
 	}
 	if !slices.Equal(before, pl.Current[0]) {
@@ -87,7 +87,7 @@
 
 func TestMeasuredRatesTakeThePlaceOfTypedOnes(t *testing.T) {
 	s := settings.Example(1, 3)
-	pl := from(t, s, plan.Options{Measured: []rates.Rate{{Volume: "vol-001", Mean: 10, Spread: 3, Writes: 0.5}}})
+	pl := from(t, s, plan.Options{Measured: []rates.Rate{{Volume: "vol-001", Mean: 10, StdDev: 3, WriteFraction: 0.5}}})
 	for i, v := range pl.Problem.Volumes {
 		want := 0.0
 		if v.Name == "vol-001" {
@@ -108,7 +108,7 @@
 
 func TestALostHallTakesNothing(t *testing.T) {
 	s := settings.Example(3, 9)
-	pl := from(t, s, plan.Options{Lost: []string{"hall-b"}})
+	pl := from(t, s, plan.Options{LostHalls: []string{"hall-b"}})
 	r := solve(t, pl)
 	for v, pieces := range r.Layout {
 		for _, pc := range pieces {
@@ -122,7 +122,7 @@
 func TestFailOverServesFromCopies(t *testing.T) {
 	s := settings.Example(3, 9)
 	pl := from(t, s, plan.Options{})
-	whole, err := pl.Whole(solve(t, pl).Layout)
+	whole, err := pl.WithLayout(solve(t, pl).Layout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -203,9 +203,9 @@
 	for i := range pl.Problem.Tiers {
 		pl.Problem.Tiers[i].Reserve = 1
 	}
-	if _, err := placement.Solve(pl.Problem, placement.Options{Steps: 200000}); err == nil {
+	if _, err := placement.Solve(pl.Problem, placement.Options{MaxSteps: 200000}); err == nil {
 		t.Fatal("half of the nodes can't carry it all, and yet there is a layout")
 	}
-	pl.Problem.Survive = false
+	pl.Problem.SurviveHallLoss = false
 	solve(t, pl) // it is the region's loss that does not fit
 }
--- a/internal/fleet/plan/uses.go
+++ b/internal/fleet/plan/report.go
@@ -8,24 +8,24 @@
 	"merlinhitch/internal/fleet/placement"
 )
 
-// Case is a state of the halls for which uses are worked out.
-type Case struct {
-	Name string
-	Lost string // hall, or none
+// LossCase is a state of the halls for which uses are worked out.
+type LossCase struct {
+	Name     string
+	LostHall string // hall, or none
 }
 
-// Cases are all halls up, then each lost.
-func (pl *Plan) Cases() []Case {
-	out := []Case{{"all up", ""}}
+// LossCases are all halls up, then each lost.
+func (pl *Plan) LossCases() []LossCase {
+	out := []LossCase{{"all up", ""}}
 	for _, h := range pl.Problem.Halls() {
-		out = append(out, Case{h + " lost", h})
+		out = append(out, LossCase{h + " lost", h})
 	}
 	return out
 }
 
-// Uses is each node's load over its capacity under a layout; -1 for nodes in a
+// Utilization is each node's load over its capacity under a layout; -1 for nodes in a
 // lost hall, and for load on a node without capacity.
-func (pl *Plan) Uses(l placement.Layout, lost string) []float64 {
+func (pl *Plan) Utilization(l placement.Layout, lost string) []float64 {
 	out := placement.Loads(pl.Problem, l, lost)
 	for n, x := range out {
 		node := &pl.Problem.Nodes[n]
@@ -41,30 +41,30 @@
 
 // Report is a plan as a machine reads it.
 type Report struct {
-	Objective placement.Objective `json:"objective"`
-	Bound     placement.Objective `json:"bound"`
-	Optimal   bool                `json:"optimal"`
-	Gap       float64             `json:"gap"`
-	LossGap   float64             `json:"loss_gap"`
-	Before    placement.Objective `json:"before"`
-	Broken    []string            `json:"broken_before,omitempty"` // what the layout in force breaks
-	Nodes     []NodeReport        `json:"nodes"`
-	Volumes   []VolumeReport      `json:"volumes"`
-	Steps     []StepReport        `json:"steps"`
-	Blocked   []string            `json:"blocked,omitempty"` // volumes that no order of steps brings to their place
+	Objective  placement.Objective `json:"objective"`
+	Bound      placement.Objective `json:"bound"`
+	Optimal    bool                `json:"optimal"`
+	Gap        float64             `json:"gap"`
+	LossGap    float64             `json:"loss_gap"`
+	Before     placement.Objective `json:"before"`
+	Violations []string            `json:"broken_before,omitempty"` // what the layout in force breaks
+	Nodes      []NodeReport        `json:"nodes"`
+	Volumes    []VolumeReport      `json:"volumes"`
+	Steps      []StepReport        `json:"steps"`
+	Blocked    []string            `json:"blocked,omitempty"` // volumes that no order of steps brings to their place
 }
 
 // NodeReport is one node before and after.
 type NodeReport struct {
-	Shard    int     `json:"shard"`
-	Hall     string  `json:"hall"`
-	Capacity float64 `json:"capacity"`
-	Before   float64 `json:"load_before"`
-	After    float64 `json:"load_after"`
-	Spare    float64 `json:"spare_after"`
-	Worst    float64 `json:"load_after_worst_loss"`
-	// Shares is the part of After that each tier has.
-	Shares map[string]float64 `json:"tier_shares"`
+	Shard              int     `json:"shard"`
+	Hall               string  `json:"hall"`
+	Capacity           float64 `json:"capacity"`
+	LoadBefore         float64 `json:"load_before"`
+	LoadAfter          float64 `json:"load_after"`
+	SpareAfter         float64 `json:"spare_after"`
+	LoadAfterWorstLoss float64 `json:"load_after_worst_loss"`
+	// TierShares is the part of After that each tier has.
+	TierShares map[string]float64 `json:"tier_shares"`
 }
 
 // VolumeReport is where a volume goes.
@@ -95,17 +95,17 @@
 func (pl *Plan) Report(r *placement.Result, steps []placement.Step, blocked []string) *Report {
 	p := pl.Problem
 	out := &Report{Objective: r.Objective, Bound: r.Bound, Optimal: r.Optimal, Gap: r.Gap(), LossGap: r.LossGap(), Blocked: blocked}
-	out.Before, out.Broken = placement.Check(p, pl.Current)
+	out.Before, out.Violations = placement.Check(p, pl.Current)
 	before, after := placement.Loads(p, pl.Current, ""), placement.Loads(p, r.Layout, "")
 	for n := range p.Nodes {
-		nr := NodeReport{Shard: pl.shard(n), Hall: p.Nodes[n].Hall, Capacity: p.Nodes[n].Capacity, Before: before[n], After: after[n],
-			Spare: p.Nodes[n].Capacity - after[n], Worst: after[n], Shares: map[string]float64{}}
+		nr := NodeReport{Shard: pl.shard(n), Hall: p.Nodes[n].Hall, Capacity: p.Nodes[n].Capacity, LoadBefore: before[n], LoadAfter: after[n],
+			SpareAfter: p.Nodes[n].Capacity - after[n], LoadAfterWorstLoss: after[n], TierShares: map[string]float64{}}
 		out.Nodes = append(out.Nodes, nr)
 	}
-	for _, c := range pl.Cases()[1:] {
-		for n, x := range placement.Loads(p, r.Layout, c.Lost) {
-			if p.Nodes[n].Hall != c.Lost {
-				out.Nodes[n].Worst = max(out.Nodes[n].Worst, x)
+	for _, c := range pl.LossCases()[1:] {
+		for n, x := range placement.Loads(p, r.Layout, c.LostHall) {
+			if p.Nodes[n].Hall != c.LostHall {
+				out.Nodes[n].LoadAfterWorstLoss = max(out.Nodes[n].LoadAfterWorstLoss, x)
 			}
 		}
 	}
@@ -116,9 +116,9 @@
 			share := float64(pc.Parts) / float64(p.Parts)
 			vr.Pieces = append(vr.Pieces, PieceReport{pl.shard(pc.Node), pl.shard(pc.Copy), share})
 			tier := p.Tiers[vol.Tier].Name
-			out.share(pc.Node, tier, vol.Rate*share)
+			out.addTierShare(pc.Node, tier, vol.Rate*share)
 			if pc.Copy >= 0 {
-				out.share(pc.Copy, tier, vol.Rate*share*vol.Writes)
+				out.addTierShare(pc.Copy, tier, vol.Rate*share*vol.WriteFraction)
 			}
 		}
 		out.Volumes = append(out.Volumes, vr)
@@ -129,9 +129,9 @@
 	return out
 }
 
-func (r *Report) share(n int, tier string, load float64) {
-	if r.Nodes[n].After > 0 {
-		r.Nodes[n].Shares[tier] += load / r.Nodes[n].After
+func (r *Report) addTierShare(n int, tier string, load float64) {
+	if r.Nodes[n].LoadAfter > 0 {
+		r.Nodes[n].TierShares[tier] += load / r.Nodes[n].LoadAfter
 	}
 }
 
@@ -147,7 +147,7 @@
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "shard\thall\tcapacity\tload before\tafter\tspare\tafter worst loss\t")
 	for _, n := range r.Nodes {
-		fmt.Fprintf(tw, "%d\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", n.Shard, n.Hall, n.Capacity, n.Before, n.After, n.Spare, n.Worst)
+		fmt.Fprintf(tw, "%d\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", n.Shard, n.Hall, n.Capacity, n.LoadBefore, n.LoadAfter, n.SpareAfter, n.LoadAfterWorstLoss)
 	}
 	if err := tw.Flush(); err != nil {
 		return err
@@ -158,9 +158,9 @@
 	} else {
 		fmt.Fprintf(w, "at most %.2f%% above the best possible use, %.1f%% above that after a loss\n", 100*r.Gap, 100*r.LossGap)
 	}
-	for i, b := range r.Broken {
+	for i, b := range r.Violations {
 		if i == 5 {
-			fmt.Fprintf(w, "the layout in force breaks %d more\n", len(r.Broken)-i)
+			fmt.Fprintf(w, "the layout in force breaks %d more\n", len(r.Violations)-i)
 			break
 		}
 		fmt.Fprintln(w, "the layout in force breaks:", b)
--- a/internal/fleet/rates/rates.go
+++ b/internal/fleet/rates/rates.go
@@ -12,114 +12,114 @@
 
 // Rate is what one volume asked for.
 type Rate struct {
-	Volume string  `json:"volume"`
-	Mean   float64 `json:"mean"`   // units a second
-	Spread float64 `json:"spread"` // standard deviation of a second's units
-	Writes float64 `json:"writes"` // part of Mean
+	Volume        string  `json:"volume"`
+	Mean          float64 `json:"mean"`   // units a second
+	StdDev        float64 `json:"spread"` // standard deviation of a second's units
+	WriteFraction float64 `json:"writes"` // part of Mean
 }
 
 // Meter counts by volume and whole second. The zero value is not ready: use New.
 type Meter struct {
-	keep    float64 // what a second leaves of those before it
-	start   int64
-	volumes map[string]*sums
+	decay       float64 // what a second leaves of those before it
+	startSecond int64
+	volumes     map[string]*volumeSums
 }
 
-// sums are of the seconds before at, each weighed by keep to the power of its age;
+// volumeSums are of the seconds before at, each weighed by keep to the power of its age;
 // now is what second at has seen.
-type sums struct {
-	at               int64
-	now, wrote       float64
-	mean, square, wr float64
+type volumeSums struct {
+	second                        int64
+	units, writtenUnits           float64
+	mean, meanSquare, meanWritten float64
 }
 
 // New starts a meter at a time in milliseconds; what is so many seconds old weighs
 // 1/e of what is new.
-func New(now, seconds float64) *Meter {
-	return &Meter{keep: math.Exp(-1 / max(seconds, 1)), start: second(now), volumes: map[string]*sums{}}
+func New(now, timeConstant float64) *Meter {
+	return &Meter{decay: math.Exp(-1 / max(timeConstant, 1)), startSecond: wholeSecond(now), volumes: map[string]*volumeSums{}}
 }
 
-func second(ms float64) int64 { return int64(math.Floor(ms / 1000)) }
+func wholeSecond(ms float64) int64 { return int64(math.Floor(ms / 1000)) }
 
 // Add counts a request.
 func (m *Meter) Add(now float64, volume string, units float64, write bool) {
 	s := m.volumes[volume]
 	if s == nil {
-		s = &sums{at: second(now)}
+		s = &volumeSums{second: wholeSecond(now)}
 		m.volumes[volume] = s
 	}
-	s.to(second(now), m.keep)
-	s.now += units
+	s.advance(wholeSecond(now), m.decay)
+	s.units += units
 	if write {
-		s.wrote += units
+		s.writtenUnits += units
 	}
 }
 
-// to closes the seconds before at; those without a request only let the others age.
-func (s *sums) to(at int64, keep float64) {
-	if at <= s.at {
+// advance closes the seconds before at; those without a request only let the others age.
+func (s *volumeSums) advance(at int64, keep float64) {
+	if at <= s.second {
 		return
 	}
-	a, idle := 1-keep, math.Pow(keep, float64(at-s.at-1))
-	s.mean = (s.mean*keep + a*s.now) * idle
-	s.square = (s.square*keep + a*s.now*s.now) * idle
-	s.wr = (s.wr*keep + a*s.wrote) * idle
-	s.now, s.wrote, s.at = 0, 0, at
+	a, idle := 1-keep, math.Pow(keep, float64(at-s.second-1))
+	s.mean = (s.mean*keep + a*s.units) * idle
+	s.meanSquare = (s.meanSquare*keep + a*s.units*s.units) * idle
+	s.meanWritten = (s.meanWritten*keep + a*s.writtenUnits) * idle
+	s.units, s.writtenUnits, s.second = 0, 0, at
 }
 
-// Of is a volume's mean so far, units a second, the second under way included at the
+// VolumeRate is a volume's mean so far, units a second, the second under way included at the
 // weight that it has by then.
-func (m *Meter) Of(now float64, volume string) float64 {
+func (m *Meter) VolumeRate(now float64, volume string) float64 {
 	s := m.volumes[volume]
 	if s == nil {
 		return 0
 	}
-	at := second(now)
-	s.to(at, m.keep)
-	weight := 1 - math.Pow(m.keep, float64(at-m.start)+1)
-	return (s.mean*m.keep + (1-m.keep)*s.now) / weight
+	at := wholeSecond(now)
+	s.advance(at, m.decay)
+	weight := 1 - math.Pow(m.decay, float64(at-m.startSecond)+1)
+	return (s.mean*m.decay + (1-m.decay)*s.units) / weight
 }
 
-// forgotten is a rate too small to tell from none.
-const forgotten = 1e-9
+// minRate is a rate too small to tell from none.
+const minRate = 1e-9
 
-// Read lists the volumes that asked for anything, by name. The second under way
+// Rates lists the volumes that asked for anything, by name. The second under way
 // does not count yet.
-func (m *Meter) Read(now float64) []Rate {
-	at := second(now)
-	weight := 1 - math.Pow(m.keep, float64(at-m.start))
+func (m *Meter) Rates(now float64) []Rate {
+	at := wholeSecond(now)
+	weight := 1 - math.Pow(m.decay, float64(at-m.startSecond))
 	if weight <= 0 {
 		return nil
 	}
 	var out []Rate
 	for name, s := range m.volumes {
-		s.to(at, m.keep)
-		if s.mean < forgotten {
-			if s.now == 0 {
+		s.advance(at, m.decay)
+		if s.mean < minRate {
+			if s.units == 0 {
 				delete(m.volumes, name)
 			}
 			continue
 		}
 		mean := s.mean / weight
-		out = append(out, Rate{name, mean, math.Sqrt(max(s.square/weight-mean*mean, 0)), s.wr / s.mean})
+		out = append(out, Rate{name, mean, math.Sqrt(max(s.meanSquare/weight-mean*mean, 0)), s.meanWritten / s.mean})
 	}
 	slices.SortFunc(out, func(a, b Rate) int { return cmp.Compare(a.Volume, b.Volume) })
 	return out
 }
 
-// Join adds up what several hosts measured of the same volumes. Their spreads are
+// Merge adds up what several hosts measured of the same volumes. Their spreads are
 // taken as independent.
-func Join(hosts ...[]Rate) []Rate {
+func Merge(hosts ...[]Rate) []Rate {
 	by := map[string]Rate{}
 	for _, h := range hosts {
 		for _, r := range h {
 			t := by[r.Volume]
 			t.Volume = r.Volume
 			if sum := t.Mean + r.Mean; sum > 0 {
-				t.Writes = (t.Writes*t.Mean + r.Writes*r.Mean) / sum
+				t.WriteFraction = (t.WriteFraction*t.Mean + r.WriteFraction*r.Mean) / sum
 				t.Mean = sum
 			}
-			t.Spread = math.Hypot(t.Spread, r.Spread)
+			t.StdDev = math.Hypot(t.StdDev, r.StdDev)
 			by[r.Volume] = t
 		}
 	}
--- a/internal/fleet/rates/rates_test.go
+++ b/internal/fleet/rates/rates_test.go
@@ -16,8 +16,8 @@
 			m.Add(float64(s*1000+i*100), "a", 0.5, i%4 == 0)
 		}
 	}
-	got := m.Read(10_000)
-	if len(got) != 1 || !near(got[0].Mean, 4) || got[0].Spread > 1e-6 || !near(got[0].Writes, 0.25) {
+	got := m.Rates(10_000)
+	if len(got) != 1 || !near(got[0].Mean, 4) || got[0].StdDev > 1e-6 || !near(got[0].WriteFraction, 0.25) {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -30,10 +30,10 @@
 		all.Add(float64(s*1000), "a", float64(s), false)
 	}
 	for s := 6; s < 40; s++ {
-		one.Read(float64(s * 1000))
+		one.Rates(float64(s * 1000))
 	}
-	a, b := one.Read(40_000), all.Read(40_000)
-	if len(a) != 1 || len(b) != 1 || !near(a[0].Mean, b[0].Mean) || !near(a[0].Spread, b[0].Spread) {
+	a, b := one.Rates(40_000), all.Rates(40_000)
+	if len(a) != 1 || len(b) != 1 || !near(a[0].Mean, b[0].Mean) || !near(a[0].StdDev, b[0].StdDev) {
 		t.Fatalf("%+v and %+v", a, b)
 	}
 }
@@ -41,20 +41,20 @@
 func TestSilentVolumesFadeAndAreForgotten(t *testing.T) {
 	m := rates.New(0, 2)
 	m.Add(0, "a", 100, false)
-	if got := m.Read(0); got != nil {
+	if got := m.Rates(0); got != nil {
 		t.Fatalf("before any second is over: %+v", got)
 	}
-	early, late := m.Read(1000)[0].Mean, m.Read(10_000)[0].Mean
+	early, late := m.Rates(1000)[0].Mean, m.Rates(10_000)[0].Mean
 	if early < 99 || late > 2 {
 		t.Fatalf("%g, then %g", early, late)
 	}
-	if got := m.Read(200_000); len(got) != 0 {
+	if got := m.Rates(200_000); len(got) != 0 {
 		t.Fatalf("not forgotten: %+v", got)
 	}
 }
 
 func TestJoinAddsMeansAndSpreads(t *testing.T) {
-	got := rates.Join([]rates.Rate{{"b", 1, 3, 1}, {"c", 5, 0, 0}}, []rates.Rate{{"a", 2, 0, 0}, {"b", 3, 4, 0}})
+	got := rates.Merge([]rates.Rate{{"b", 1, 3, 1}, {"c", 5, 0, 0}}, []rates.Rate{{"a", 2, 0, 0}, {"b", 3, 4, 0}})
 	want := []rates.Rate{{"a", 2, 0, 0}, {"b", 4, 5, 0.25}, {"c", 5, 0, 0}}
 	for i := range want {
 		if len(got) != 3 || got[i] != want[i] {
@@ -65,16 +65,16 @@
 
 func TestRateOfOneVolume(t *testing.T) {
 	m := rates.New(0, 60)
-	if got := m.Of(0, "a"); got != 0 {
+	if got := m.VolumeRate(0, "a"); got != 0 {
 		t.Errorf("%g of a volume never seen", got)
 	}
 	for s := range 5 {
 		m.Add(float64(s*1000), "a", 7, false)
 	}
-	if got := m.Of(4999, "a"); !near(got, 7) {
+	if got := m.VolumeRate(4999, "a"); !near(got, 7) {
 		t.Errorf("%g, want 7", got)
 	}
-	if m.Add(4999, "a", 700, false); m.Of(4999, "a") < 100 {
+	if m.Add(4999, "a", 700, false); m.VolumeRate(4999, "a") < 100 {
 		t.Error("a surge in the second under way is not seen")
 	}
 }
--- a/internal/fleet/rollout/rollout.go
+++ b/internal/fleet/rollout/rollout.go
@@ -85,7 +85,7 @@
 			return nil, fmt.Errorf("rollout: %s: %w", h.Name, err)
 		}
 	}
-	joined := rates.Join(all...)
+	joined := rates.Merge(all...)
 	if joined == nil {
 		joined = []rates.Rate{} // measured, and nothing was asked for
 	}
@@ -96,7 +96,7 @@
 // pause after each. Done is told the number of steps that are in force.
 func Apply(ctx context.Context, w env.Environment, hosts []*Host, pl *plan.Plan, steps []placement.Step, pause time.Duration, done func(int)) error {
 	for i, st := range steps {
-		next, err := pl.With(st)
+		next, err := pl.ApplyStep(st)
 		if err != nil {
 			return err
 		}
--- a/internal/fleet/rollout/rollout_test.go
+++ b/internal/fleet/rollout/rollout_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := placement.Solve(pl.Problem, placement.Options{Steps: 20000})
+	r, err := placement.Solve(pl.Problem, placement.Options{MaxSteps: 20000})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/lab/layouts.go
+++ b/internal/simulation/lab/layouts.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return layoutPlan.Whole(layout)
+	return layoutPlan.WithLayout(layout)
 }
 
 func computeLayout(problem *placement.Problem, name string) (placement.Layout, error) {
@@ -74,11 +74,11 @@
 	case "round robin":
 		return placement.RoundRobin(problem), nil
 	case "by name":
-		return placement.ByName(problem), nil
+		return placement.ByNameHash(problem), nil
 	case "largest first":
 		return placement.LargestFirst(problem), nil
 	}
-	solution, err := placement.Solve(problem, placement.Options{Steps: 100_000})
+	solution, err := placement.Solve(problem, placement.Options{MaxSteps: 100_000})
 	if err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 		return
 	}
 	for _, step := range steps { // a host may have any of them when the day ends
-		possible, err := preview.With(step)
+		possible, err := preview.ApplyStep(step)
 		if err != nil {
 			run.recordError(err)
 			return
