--- a/cmd/merlinhitch/regions.go
+++ b/cmd/merlinhitch/regions.go
@@ -163,7 +163,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-	script, span := lab.EveryRegionTrouble(seconds(c.Each), seconds(c.Calm), c.Seed)
+	script, span := lab.EveryRegionFault(seconds(c.Each), seconds(c.Calm), c.Seed)
 	result, err := lab.RegionDay(ctx, lab.Options{Seed: c.Seed, Commands: int(span.Seconds() * c.Rate), Hosts: c.Hosts, Servers: c.Servers, Rate: c.Rate, Faults: script,
 		OutDir: c.Out, Log: log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)), Progress: os.Stderr})
 	if err != nil {
@@ -185,7 +185,7 @@
 func (c *regionsCostCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	cost, err := lab.RegionCosts(ctx, c.Seeds, runtime.GOMAXPROCS(0), os.Stderr)
+	cost, err := lab.MeasureRegionLosses(ctx, c.Seeds, runtime.GOMAXPROCS(0), os.Stderr)
 	if err != nil {
 		return err
 	}
--- a/internal/simulation/lab/badday.go
+++ b/internal/simulation/lab/badday.go
@@ -76,7 +76,7 @@
 	// the operator's commands, and the losses of regions.
 	LostWrites       int
 	OperatorCommands map[string]int
-	RegionLosses     []Loss
+	RegionLosses     []RegionLoss
 	// Unrouted and Unanswered are those of Clients. GoodputWithUnrouted counts the value of unrouted
 	// commands as offered.
 	Unrouted, Unanswered int
@@ -190,7 +190,7 @@
 	defer run.clients.Close()
 	run.clients.setRouting(options.Routing)
 	if config.Regions != nil {
-		run.clients.spanRegions()
+		run.clients.preferLocalPaths()
 	}
 	run.clients.Login()
 	if options.Routing == RouteAnnounced {
@@ -219,11 +219,11 @@
 	}
 	var finished env.Gate
 	if d.fleet.Settings.Regions != nil {
-		d.initialInventories = d.fleet.PutBy()
+		d.initialInventories = d.fleet.InventoryStates()
 		if d.options.Progress != nil {
-			fmt.Fprintf(d.options.Progress, "inventories of regions 0 and 1: %s %s\n", at(&d.fleet.inventories[0].addr), at(&d.fleet.inventories[1].addr))
+			fmt.Fprintf(d.options.Progress, "inventories of regions 0 and 1: %s %s\n", loadAddr(&d.fleet.inventories[0].addr), loadAddr(&d.fleet.inventories[1].addr))
 		}
-		d.operator = &operator{f: d.fleet, Said: map[string]int{}, returns: true}
+		d.operator = &operator{managedFleet: d.fleet, CommandCounts: map[string]int{}, returnsShards: true}
 		d.fleet.Environment.Go(func() { d.operator.run(&finished) })
 	}
 	stopProgress := d.reportProgress(begin)
@@ -264,7 +264,7 @@
 	result.GoodputWithUnrouted = result.Checker.Stats.GoodputWithUnseen(d.clients.UnroutedValue)
 	result.LostWrites = len(d.clients.history.LostWrites)
 	if operator := d.operator; operator != nil {
-		result.OperatorCommands, result.RegionLosses = operator.Said, d.fleet.regionLosses
+		result.OperatorCommands, result.RegionLosses = operator.CommandCounts, d.fleet.regionLosses
 	}
 	result.RepeatedEffects, result.OverloadCrashed = d.fleet.RepeatedEffects(), d.fleet.OverloadCrashed()
 	if d.options.OutDir == "" {
--- a/internal/simulation/lab/changes_test.go
+++ b/internal/simulation/lab/changes_test.go
@@ -12,7 +12,7 @@
 // Four operators change settings all through a bad day; no command is judged by a mixture
 // and the record is what they were answered. Then the trail is doctored in every way that
 // the checker is there for.
-func TestChangesAllDay(t *testing.T) {
+func TestSettingsChangesUnderFaults(t *testing.T) {
 	rate := 150.0
 	if testing.Short() {
 		rate = 75
--- a/internal/simulation/lab/clients.go
+++ b/internal/simulation/lab/clients.go
@@ -391,7 +391,7 @@
 // finish records the outcome of the command and retries it if its client would.
 func (c *Clients) finish(command clientCommand, client *initiator.Client, completed *completion, writeID uint64, begin time.Duration, abandoned abandonment, onRead func([]byte)) {
 	now := c.fleet.Environment.Now()
-	command.path.judge(now, completed.err == nil && completed.result.Status == scsi.Good)
+	command.path.recordResult(now, completed.err == nil && completed.result.Status == scsi.Good)
 	outcome, retry := WriteIndeterminate, false
 	effectBy := now
 	sense, _ := scsi.ParseSense(completed.result.Sense)
--- a/internal/simulation/lab/experiment_test.go
+++ b/internal/simulation/lab/experiment_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-func small() Grid {
+func smallGrid() Grid {
 	return Grid{Hosts: []int{1, 3}, Servers: []int{3}, Rates: []float64{60}, Loads: []float64{1}, Layouts: []string{""}, Troubles: []string{"none", "crash"},
 		Seeds: 3, Duration: 6 * time.Second, Parallel: 4}
 }
 
 // An experiment is the same at each play, is read back as it was, and has its pictures.
-func TestExperimentIsKeptAndPlaysAgain(t *testing.T) {
-	rows, seconds, err := Experiment(context.Background(), small(), io.Discard)
+func TestExperimentIsReproducibleAndSaved(t *testing.T) {
+	rows, seconds, err := Experiment(context.Background(), smallGrid(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 	if err != nil || len(got) != 12 {
 		t.Fatal(len(got), err)
 	}
-	again, _, err := Experiment(context.Background(), small(), io.Discard)
+	again, _, err := Experiment(context.Background(), smallGrid(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 }
 
 // What is within noise is called neither gain nor loss; what is not, is.
-func TestComparisonsKnowNoise(t *testing.T) {
+func TestComparisonSeparatesNoise(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	before := make([]ExperimentRow, 20)
 	for i := range before {
@@ -91,7 +91,7 @@
 }
 
 // Bad grids and settings are refused by name.
-func TestBadGrids(t *testing.T) {
+func TestInvalidGridsAreRejected(t *testing.T) {
 	for want, change := range map[string]func(*Grid){
 		"earthquake":   func(g *Grid) { g.Troubles = []string{"earthquake"} },
 		"needs hosts":  func(g *Grid) { g.Hosts = nil },
@@ -100,7 +100,7 @@
 		"max_attempts": func(g *Grid) { g.Setting, g.Values = "limits.max_attempts", []float64{-1} },
 		"layout":       func(g *Grid) { g.Layouts = []string{"round"} },
 	} {
-		g := small()
+		g := smallGrid()
 		change(&g)
 		if _, _, err := Experiment(context.Background(), g, io.Discard); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
@@ -109,12 +109,12 @@
 }
 
 // 170 hosts before 47 servers with 760 requests a second.
-func TestHallsFullOfHosts(t *testing.T) {
+func TestLargeFleet(t *testing.T) {
 	if testing.Short() {
 		t.Skip("long")
 	}
 	s := DrawScenario(1, 170, 47, 10*time.Second, 760, true)
-	out := kept(t, s)
+	out := runPassing(t, s)
 	if n := out.Checker.Stats.Commands; n < 7000 {
 		t.Fatalf("%d commands", n)
 	}
--- a/internal/simulation/lab/explore.go
+++ b/internal/simulation/lab/explore.go
@@ -160,7 +160,7 @@
 // region fault and some of the others.
 func DrawRegionScenario(seed uint64, hosts, servers int, span time.Duration, rate float64) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 19))
-	kinds := RegionKinds()
+	kinds := RegionFaultKinds()
 	selected := []string{"tenant_burst"} // otherwise the load never reaches a limit
 	for _, index := range rng.Perm(len(kinds))[:1+rng.IntN(3)] {
 		selected = append(selected, kinds[index])
@@ -172,13 +172,13 @@
 	}
 	faults := drawFaults(selected, rng, span*2/3)
 	for i := range faults { // long enough for leases to expire
-		if regionKinds[faults[i].Kind] != nil {
+		if regionFaults[faults[i].Kind] != nil {
 			faults[i].Duration *= 2
 		}
 	}
 	// Stalls while leases expire reveal code that assumes timely execution.
 	for _, fault := range faults {
-		if regionKinds[fault.Kind] != nil && rng.IntN(2) == 0 {
+		if regionFaults[fault.Kind] != nil && rng.IntN(2) == 0 {
 			faults = append(faults, ScheduledFault{Kind: companionFaults[rng.IntN(len(companionFaults))], At: fault.At + time.Duration(rng.Float64()*9*float64(time.Second)),
 				Duration: time.Duration((2 + 6*rng.Float64()) * float64(time.Second)), Seed: rng.Uint64()})
 		}
@@ -193,7 +193,7 @@
 		return nil, errors.New("lab: scenario needs a planted fault; build with the tag planted")
 	}
 	for _, fault := range s.Faults {
-		if faultFuncs[fault.Kind] == nil && worldFaultFuncs[fault.Kind] == nil && (regionKinds[fault.Kind] == nil || !s.Regions) {
+		if faultFuncs[fault.Kind] == nil && worldFaultFuncs[fault.Kind] == nil && (regionFaults[fault.Kind] == nil || !s.Regions) {
 			return nil, fmt.Errorf("lab: unknown kind of fault %q", fault.Kind)
 		}
 	}
@@ -358,7 +358,7 @@
 		}
 	}
 	o.Goodput, o.CheckedReads = result.Checker.Stats.Goodput(), result.CheckedReads
-	o.LostWrites, o.OperatorCommands, o.Outages = result.LostWrites, result.OperatorCommands, outages(result)
+	o.LostWrites, o.OperatorCommands, o.Outages = result.LostWrites, result.OperatorCommands, takeoverOutages(result)
 	var anomalies []string
 	if o.CheckedBlocks, o.UndecidedBlocks, anomalies = result.history.CheckLinearizable(); len(result.InvalidReads) > 0 {
 		fail(failureInvalidRead, "%s", result.InvalidReads[0])
--- a/internal/simulation/lab/fleet.go
+++ b/internal/simulation/lab/fleet.go
@@ -55,7 +55,7 @@
 	stateDir         string          // directory for the hosts' snapshots; "": none are kept
 	fixedShares      bool            // regions' shares of limits are not rebalanced
 	normalRegionLink world.LinkState // of links between regions, without faults
-	regionLosses     []Loss
+	regionLosses     []RegionLoss
 	// effectsMu guards effects and repeatedEffects. It is separate from mu because disk servers
 	// call Fleet.effect with their own locks held.
 	effectsMu sync.Mutex
@@ -155,7 +155,7 @@
 		if config.Regions != nil {
 			disk.name, disk.zone = fmt.Sprintf("d%d.%d", shard, disk.region), fmt.Sprintf("%s.%d", disk.zone, disk.region)
 			disk.store.EnableReplication(region.ID(disk.region))
-			disk.store.OnExecute = f.effect
+			disk.store.OnExecute = f.recordEffect
 		}
 		if options.SharedStores {
 			disk.store = sharedStore
@@ -178,8 +178,8 @@
 	}
 	if config.Regions != nil {
 		f.normalRegionLink = testbed.regionLink()
-		f.Across(0, f.normalRegionLink)
-		f.Across(1, f.normalRegionLink)
+		f.SetCrossRegionLinks(0, f.normalRegionLink)
+		f.SetCrossRegionLinks(1, f.normalRegionLink)
 	}
 	for _, h := range f.hosts {
 		if err := f.startHost(h); err != nil {
@@ -210,7 +210,7 @@
 	machine := standin.NewMachine(config, f.seed*1000+uint64(disk.shard*10+disk.starts+disk.region*1000), disk.store, disk.dedupCache, f.usageMeter, uint32(disk.shard), now, cold)
 	server := &standin.DiskServer{Name: fmt.Sprintf("%s#%d", disk.name, disk.starts), Zone: disk.zone, Rack: disk.name, Shard: disk.shard}
 	disk.process = f.testbed.startProcess(server.Name)
-	f.regional(disk, server)
+	f.setInventoryAndPeer(disk, server)
 	if err := standin.ServeDisk(disk.process, machine, server); err != nil {
 		return err
 	}
--- a/internal/simulation/lab/lab_test.go
+++ b/internal/simulation/lab/lab_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func play(t *testing.T, seed uint64, commands int, rate float64, troubles ...string) *lab.Result {
+func runDay(t *testing.T, seed uint64, commands int, rate float64, troubles ...string) *lab.Result {
 	t.Helper()
 	res, err := lab.BadDay(context.Background(), lab.Options{Seed: seed, Commands: commands, Rate: rate, Hosts: 3, Servers: 9, FaultKinds: troubles})
 	if err != nil {
@@ -32,7 +32,7 @@
 // Three hosts on limited volumes whose plan asks for many times its rate, one
 // killed and started again: the limit holds over all of them.
 func TestLimitOverThreeHostsAndARestart(t *testing.T) {
-	res := play(t, 2, 900, 300, "tenant_burst", "balancer_crash")
+	res := runDay(t, 2, 900, 300, "tenant_burst", "balancer_crash")
 	if res.Checker.Checks[rules.Limits] == 0 {
 		t.Error("no send of a limited volume")
 	}
@@ -40,8 +40,8 @@
 
 // A hall of servers restarts within 0.4 s while clients repeat at once, without
 // heed of advice.
-func TestHallRestartsUnderAbuse(t *testing.T) {
-	res := play(t, 3, 900, 300, "mass_restart", "retry_abuse")
+func TestHallRestartUnderAggressiveRetries(t *testing.T) {
+	res := runDay(t, 3, 900, 300, "mass_restart", "retry_abuse")
 	if res.Checker.Checks[rules.Cold] == 0 {
 		t.Error("no send to a cold server")
 	}
@@ -49,8 +49,8 @@
 
 // Clients that give up, by abort and by closing, while servers drain, tear
 // connections, answer late and fail at once, so that there are repeats to judge.
-func TestGivingUpUnderNetTroubles(t *testing.T) {
-	res := play(t, 4, 1800, 300, "give_up", "deploy", "net_torn", "net_late", "fast_errors")
+func TestClientAbortsUnderNetworkFaults(t *testing.T) {
+	res := runDay(t, 4, 1800, 300, "give_up", "deploy", "net_torn", "net_late", "fast_errors")
 	// With the race detector a machine may be too slow for any repeat to be in time.
 	if !testing.Short() && (res.Checker.Checks[rules.Drains] == 0 || res.Checker.Checks[rules.Effects] == 0) {
 		t.Errorf("checks: %v", res.Checker.Checks)
@@ -58,7 +58,7 @@
 }
 
 // The ledger rejects what could not have been read.
-func TestLedgerRejects(t *testing.T) {
+func TestBlockHistoryRejectsImpossibleReads(t *testing.T) {
 	s := func(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 	base := func() (*lab.BlockHistory, uint64, uint64) {
 		l := lab.NewBlockHistory()
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestUnknownTrouble(t *testing.T) {
+func TestUnknownFaultKindIsRejected(t *testing.T) {
 	if _, err := lab.BadDay(context.Background(), lab.Options{Hosts: 1, Servers: 3, Commands: 1, Rate: 1, FaultKinds: []string{"earthquake"}}); err == nil {
 		t.Error("taken")
 	}
@@ -118,7 +118,7 @@
 
 // Losses of every kind are seen by the router, and nothing is announced while they
 // last. How soon is measured by `merlinhitch announce losses`, not judged here.
-func TestLossesReachTheRouter(t *testing.T) {
+func TestRouterSeesEveryLoss(t *testing.T) {
 	rows, err := lab.MeasureLosses(context.Background(), 2, 4, io.Discard)
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +132,7 @@
 
 // A hall goes dark, hosts and all, under clients that follow announcements: the rules
 // hold, and who finds a host is served by one that is there.
-func TestHallDarkUnderAnnouncements(t *testing.T) {
+func TestHallPowerLossWithAnnouncements(t *testing.T) {
 	atOnce := 4
 	if testing.Short() { // as under the race detector, where four whole halls at once are more than a machine can do in time
 		atOnce = 1
@@ -150,7 +150,7 @@
 
 // The solver's layout comes into force step by step on a busy day: the rules hold and
 // every block that was written is read back.
-func TestLayoutAppliedOnABusyDay(t *testing.T) {
+func TestLayoutAppliedUnderLoad(t *testing.T) {
 	rows, err := lab.RunLayoutRollout(context.Background(), lab.Options{Seed: 1, Hosts: 3, Servers: 9, Commands: 1500, Rate: 260})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/lab/regioncost.go
+++ b/internal/simulation/lab/regioncost.go
@@ -17,61 +17,61 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// RegionCost is what losses of a region cost, over days that differ in their seed alone.
-type RegionCost struct {
-	Rows   []*CostRow
-	Limits []*LimitRow
+// RegionLossCosts is what losses of a region cost, over days that differ in their seed alone.
+type RegionLossCosts struct {
+	Losses []*RegionLossRow
+	Limits []*LimitShareRow
 }
 
-// CostRow is one kind of loss.
-type CostRow struct {
-	Name    string
-	Days    int
-	Failed  []string
-	Outages []time.Duration // of shards that were taken over
-	Lost    []float64       // worth not served of what was asked for from the loss on, in seconds of a calm day's worth
-	Back    []time.Duration // from the loss until goodput is back
-	Never   int             // days on which it was not, while the region was lost
-	Writes  int             // acknowledged before their copy, and lost
-	curve   []float64       // mean goodput by second of the day
+// RegionLossRow is one kind of loss.
+type RegionLossRow struct {
+	Name            string
+	Runs            int
+	Failures        []string
+	Outages         []time.Duration // of shards that were taken over
+	LostWorth       []float64       // worth not served of what was asked for from the loss on, in seconds of a calm day's worth
+	RecoveryTimes   []time.Duration // from the loss until goodput is back
+	NotRecovered    int             // days on which it was not, while the region was lost
+	LostAckedWrites int             // acknowledged before their copy, and lost
+	goodputSum      []float64       // mean goodput by second of the day
 }
 
-// LimitRow is what limited volumes got through a cut.
-type LimitRow struct {
-	Name string
-	Days int
-	Part []float64 // of what their limits bear from the cut to its end
+// LimitShareRow is what limited volumes got through a cut.
+type LimitShareRow struct {
+	Name         string
+	Runs         int
+	ServedShares []float64 // of what their limits bear from the cut to its end
 }
 
 const (
 	costHosts, costServers = 4, 8
-	costLoss               = 20 * time.Second // into the day
-	costGone               = 25 * time.Second
-	costDay                = 75 * time.Second
+	costLossStart          = 20 * time.Second // into the day
+	costLossDuration       = 25 * time.Second
+	costRunDuration        = 75 * time.Second
 	costRate               = 120.0
-	// backAt is the goodput that counts as back.
-	backAt = 0.9
+	// recoveredGoodput is the goodput that counts as back.
+	recoveredGoodput = 0.9
 )
 
-// costKinds are the losses that are measured.
-var costKinds = []struct {
+// costCases are the losses that are measured.
+var costCases = []struct {
 	name   string
 	script func(rng *rand.Rand) []ScheduledFault
 }{
 	{"the region that does not lead is lost", func(rng *rand.Rand) []ScheduledFault {
-		return []ScheduledFault{{Kind: "region_loss", Seed: struck(rng, 1)}}
+		return []ScheduledFault{{Kind: "region_loss", Seed: faultSeedForRegion(rng, 1)}}
 	}},
 	{"the leading region is lost, an operator says so", func(rng *rand.Rand) []ScheduledFault {
-		return []ScheduledFault{{Kind: "region_loss", Seed: struck(rng, 0)}}
+		return []ScheduledFault{{Kind: "region_loss", Seed: faultSeedForRegion(rng, 0)}}
 	}},
 	{"the regions are cut from each other", func(*rand.Rand) []ScheduledFault { return []ScheduledFault{{Kind: "region_cut"}} }},
 	{"lost at opening time, 1.7 to 2.4 times the load", func(rng *rand.Rand) []ScheduledFault {
-		return []ScheduledFault{{Kind: "region_loss", Seed: struck(rng, 1)}, {Kind: "burst", Seed: rng.Uint64()}}
+		return []ScheduledFault{{Kind: "region_loss", Seed: faultSeedForRegion(rng, 1)}, {Kind: "burst", Seed: rng.Uint64()}}
 	}},
 }
 
-// struck draws a strike's seed that hits that region.
-func struck(rng *rand.Rand, region int) uint64 {
+// faultSeedForRegion draws a strike's seed that hits that region.
+func faultSeedForRegion(rng *rand.Rand, region int) uint64 {
 	for {
 		seed := rng.Uint64()
 		if rand.New(rand.NewPCG(seed, 4)).IntN(2) == region {
@@ -80,24 +80,24 @@
 	}
 }
 
-// RegionCosts plays so many days of each kind in virtual worlds.
-func RegionCosts(ctx context.Context, seeds uint64, parallel int, progress io.Writer) (*RegionCost, error) {
-	c := &RegionCost{}
-	for _, k := range costKinds {
-		c.Rows = append(c.Rows, &CostRow{Name: k.name, curve: make([]float64, int(costDay/time.Second))})
+// MeasureRegionLosses plays so many days of each kind in virtual worlds.
+func MeasureRegionLosses(ctx context.Context, seeds uint64, parallel int, progress io.Writer) (*RegionLossCosts, error) {
+	c := &RegionLossCosts{}
+	for _, k := range costCases {
+		c.Losses = append(c.Losses, &RegionLossRow{Name: k.name, goodputSum: make([]float64, int(costRunDuration/time.Second))})
 	}
 	for _, way := range []string{"parts that move", "parts fixed for ever"} {
-		c.Limits = append(c.Limits, &LimitRow{Name: way})
+		c.Limits = append(c.Limits, &LimitShareRow{Name: way})
 	}
-	err := runSeeds(len(c.Rows)+len(c.Limits), int(seeds), max(parallel, 1), progress, func(row int, seed uint64) (string, func(), error) {
-		if k := row - len(c.Rows); k >= 0 {
-			s, units := limitScene(seed, k == 1)
+	err := runSeeds(len(c.Losses)+len(c.Limits), int(seeds), max(parallel, 1), progress, func(row int, seed uint64) (string, func(), error) {
+		if k := row - len(c.Losses); k >= 0 {
+			s, units := limitScenario(seed, k == 1)
 			_, err := s.Run(ctx, "")
 			return c.Limits[k].Name, func() { c.Limits[k].add(units) }, cmp.Or(ctx.Err(), err)
 		}
-		s, r := costScene(seed), c.Rows[row]
-		for _, t := range costKinds[row].script(rand.New(rand.NewPCG(seed-1, 41))) {
-			t.At, t.Duration = costLoss, costGone
+		s, r := costScenario(seed), c.Losses[row]
+		for _, t := range costCases[row].script(rand.New(rand.NewPCG(seed-1, 41))) {
+			t.At, t.Duration = costLossStart, costLossDuration
 			s.Faults = append(s.Faults, t)
 		}
 		out, err := s.Run(ctx, "")
@@ -106,20 +106,20 @@
 	return c, err
 }
 
-func costScene(seed uint64) Scenario {
-	return Scenario{Seed: seed, Hosts: costHosts, Servers: costServers, Commands: int(costDay.Seconds() * costRate), Rate: costRate, Regions: true}
+func costScenario(seed uint64) Scenario {
+	return Scenario{Seed: seed, Hosts: costHosts, Servers: costServers, Commands: int(costRunDuration.Seconds() * costRate), Rate: costRate, Regions: true}
 }
 
-func (r *CostRow) add(o *Outcome) {
-	r.Days++
+func (r *RegionLossRow) add(o *Outcome) {
+	r.Runs++
 	if o.Failure != nil {
-		r.Failed = append(r.Failed, fmt.Sprintf("seed %d: %v", o.Scenario.Seed, o.Failure))
+		r.Failures = append(r.Failures, fmt.Sprintf("seed %d: %v", o.Scenario.Seed, o.Failure))
 	}
-	r.Outages, r.Writes = append(r.Outages, o.Outages...), r.Writes+o.LostWrites
+	r.Outages, r.LostAckedWrites = append(r.Outages, o.Outages...), r.LostAckedWrites+o.LostWrites
 	t := o.Checker.Stats
-	day := int64(costDay / time.Second)
+	day := int64(costRunDuration / time.Second)
 	calm, n := 0.0, 0.0
-	for s := int64(5); s < int64(costLoss/time.Second); s++ {
+	for s := int64(5); s < int64(costLossStart/time.Second); s++ {
 		if x := t.PerSecond[s]; x != nil {
 			calm, n = calm+x.Offered, n+1
 		}
@@ -128,41 +128,41 @@
 	for s := range day {
 		x := t.PerSecond[s]
 		if x == nil || x.Offered == 0 {
-			r.curve[s]++
+			r.goodputSum[s]++
 			continue
 		}
-		r.curve[s] += x.Served / x.Offered
-		if s < int64(costLoss/time.Second) {
+		r.goodputSum[s] += x.Served / x.Offered
+		if s < int64(costLossStart/time.Second) {
 			continue
 		}
 		lost += x.Offered - x.Served
-		if back < 0 && s > int64(costLoss/time.Second)+1 && t.GoodputBetween(s, s+3) >= backAt {
-			back = time.Duration(s)*time.Second - costLoss
+		if back < 0 && s > int64(costLossStart/time.Second)+1 && t.GoodputBetween(s, s+3) >= recoveredGoodput {
+			back = time.Duration(s)*time.Second - costLossStart
 		}
 	}
-	r.Lost = append(r.Lost, lost/(calm/n))
-	if back < 0 || back > costGone {
-		r.Never++
+	r.LostWorth = append(r.LostWorth, lost/(calm/n))
+	if back < 0 || back > costLossDuration {
+		r.NotRecovered++
 	}
 	if back >= 0 {
-		r.Back = append(r.Back, back)
+		r.RecoveryTimes = append(r.RecoveryTimes, back)
 	}
 }
 
-// limitScene asks for far more than limits bear, all day, and cuts the regions from each
+// limitScenario asks for far more than limits bear, all day, and cuts the regions from each
 // other. The units of limited volumes that went out from the cut to its end are added up.
-func limitScene(seed uint64, fixed bool) (Scenario, *limitCount) {
-	n := &limitCount{limited: map[string]bool{}}
-	s := costScene(seed)
+func limitScenario(seed uint64, fixed bool) (Scenario, *limitUsage) {
+	n := &limitUsage{limited: map[string]bool{}}
+	s := costScenario(seed)
 	s.fixedShares = fixed
-	s.Faults = []ScheduledFault{{Kind: "region_cut", At: costLoss, Duration: costGone}}
+	s.Faults = []ScheduledFault{{Kind: "region_cut", At: costLossStart, Duration: costLossDuration}}
 	s.changeSettings = func(set *settings.Settings) {
 		for i := range set.Plans {
 			if p := &set.Plans[i]; p.Limit > 0 {
 				p.Limit, p.Burst, p.Overdraft = 4, 12, 10
 				for _, v := range set.Volumes {
 					if v.Plan == p.Name {
-						n.limited[v.Name], n.bears = true, n.bears+p.Limit*costGone.Seconds()
+						n.limited[v.Name], n.allowedUnits = true, n.allowedUnits+p.Limit*costLossDuration.Seconds()
 					}
 				}
 			}
@@ -175,35 +175,35 @@
 	}
 	s.onEvent = func(e *trail.Event) {
 		at := time.Duration(e.Time) * time.Microsecond
-		if e.Kind == trail.Do && e.Attempt == 0 && n.limited[e.Volume] && at >= costLoss && at < costLoss+costGone {
-			n.units += e.Units
+		if e.Kind == trail.Do && e.Attempt == 0 && n.limited[e.Volume] && at >= costLossStart && at < costLossStart+costLossDuration {
+			n.servedUnits += e.Units
 		}
 	}
 	return s, n
 }
 
-type limitCount struct {
-	limited map[string]bool
-	bears   float64 // what limits bear in that time, the impossible best
-	units   float64
+type limitUsage struct {
+	limited      map[string]bool
+	allowedUnits float64 // what limits bear in that time, the impossible best
+	servedUnits  float64
 }
 
-func (r *LimitRow) add(n *limitCount) {
-	r.Days++
-	r.Part = append(r.Part, n.units/n.bears)
+func (r *LimitShareRow) add(n *limitUsage) {
+	r.Runs++
+	r.ServedShares = append(r.ServedShares, n.servedUnits/n.allowedUnits)
 }
 
 // Print writes the tables.
-func (c *RegionCost) Print(w io.Writer) error {
+func (c *RegionLossCosts) Print(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| what happens\t| days\t| failed\t| shards taken over\t| s not served: least\t| median\t| 90%\t| most\t| worth lost, s of a calm day: median\t| 90%\t| most\t| goodput 0.9 again after, s: median\t| most\t| never while it lasts\t| writes lost\t|")
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
-	for _, r := range c.Rows {
-		out := spreadOf(r.Outages, time.Duration.Seconds)
-		lost := spreadOf(r.Lost, func(x float64) float64 { return x })
-		back := spreadOf(r.Back, time.Duration.Seconds)
-		fmt.Fprintf(tw, "| %s\t| %d\t| %d\t| %d\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.0f\t| %.0f\t| %d\t| %d\t|\n", r.Name, r.Days, len(r.Failed), len(r.Outages),
-			out[0], out[1], out[2], out[3], lost[1], lost[2], lost[3], back[1], back[3], r.Never, r.Writes)
+	for _, r := range c.Losses {
+		out := summaryQuantiles(r.Outages, time.Duration.Seconds)
+		lost := summaryQuantiles(r.LostWorth, func(x float64) float64 { return x })
+		back := summaryQuantiles(r.RecoveryTimes, time.Duration.Seconds)
+		fmt.Fprintf(tw, "| %s\t| %d\t| %d\t| %d\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.0f\t| %.0f\t| %d\t| %d\t|\n", r.Name, r.Runs, len(r.Failures), len(r.Outages),
+			out[0], out[1], out[2], out[3], lost[1], lost[2], lost[3], back[1], back[3], r.NotRecovered, r.LostAckedWrites)
 	}
 	if err := tw.Flush(); err != nil {
 		return err
@@ -212,23 +212,23 @@
 	fmt.Fprintln(tw, "| limits through a cut of 25 s, three times as much asked for\t| days\t| part of the limit served: least\t| median\t| most\t|")
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t|")
 	for _, r := range c.Limits {
-		q := spreadOf(r.Part, func(x float64) float64 { return x })
-		fmt.Fprintf(tw, "| %s\t| %d\t| %.3f\t| %.3f\t| %.3f\t|\n", r.Name, r.Days, q[0], q[1], q[3])
+		q := summaryQuantiles(r.ServedShares, func(x float64) float64 { return x })
+		fmt.Fprintf(tw, "| %s\t| %d\t| %.3f\t| %.3f\t| %.3f\t|\n", r.Name, r.Runs, q[0], q[1], q[3])
 	}
 	fmt.Fprintln(tw, "| the impossible best\t| \t| 1\t| 1\t| 1\t|")
 	if err := tw.Flush(); err != nil {
 		return err
 	}
-	for _, r := range c.Rows {
-		for _, f := range r.Failed {
+	for _, r := range c.Losses {
+		for _, f := range r.Failures {
 			fmt.Fprintf(w, "FAILED, %s, %s\n", r.Name, f)
 		}
 	}
 	return nil
 }
 
-// spreadOf are the least, the median, the 90th percentile and the most.
-func spreadOf[T any](list []T, value func(T) float64) (out [4]float64) {
+// summaryQuantiles are the least, the median, the 90th percentile and the most.
+func summaryQuantiles[T any](list []T, value func(T) float64) (out [4]float64) {
 	if len(list) == 0 {
 		return out
 	}
@@ -245,15 +245,15 @@
 }
 
 // Charts draws goodput over the day and the outages.
-func (c *RegionCost) Charts(dir string) error {
+func (c *RegionLossCosts) Charts(dir string) error {
 	if err := os.MkdirAll(dir, 0o777); err != nil {
 		return err
 	}
 	var good, outages []chart.Series
-	for _, r := range c.Rows {
+	for _, r := range c.Losses {
 		g := chart.Series{Name: r.Name}
-		for s, x := range r.curve {
-			g.X, g.Y = append(g.X, float64(s)), append(g.Y, x/float64(max(r.Days, 1)))
+		for s, x := range r.goodputSum {
+			g.X, g.Y = append(g.X, float64(s)), append(g.Y, x/float64(max(r.Runs, 1)))
 		}
 		good = append(good, g)
 		o := chart.Series{Name: r.Name}
--- a/internal/simulation/lab/regionday.go
+++ b/internal/simulation/lab/regionday.go
@@ -18,68 +18,68 @@
 	"merlinhitch/internal/verify/rules"
 )
 
-// regionKinds are the troubles of a service over two regions.
-var regionKinds = map[string]func(d *dayRun, rng *rand.Rand, len time.Duration){
+// regionFaults are the troubles of a service over two regions.
+var regionFaults = map[string]func(d *dayRun, rng *rand.Rand, len time.Duration){
 	"region_loss":     regionLoss,
 	"region_loss_two": regionLossTwice,
-	"region_cut":      regionCut,
-	"region_half":     regionHalf,
-	"region_hosts":    regionHosts,
-	"region_one_way":  regionOneWay,
-	"region_slow":     regionSlow,
-	"inventory_cut":   inventoryCut,
-	"inventory_old":   inventoryOld,
+	"region_cut":      regionPartition,
+	"region_half":     regionPacketLoss,
+	"region_hosts":    regionHostFailures,
+	"region_one_way":  regionOneWayPartition,
+	"region_slow":     regionDelay,
+	"inventory_cut":   inventoryPartition,
+	"inventory_old":   staleInventory,
 	"lease_stall":     leaseStall,
-	"opening":         opening,
-	"moves":           moves,
+	"opening":         regionLossAtPeak,
+	"moves":           shardMoves,
 }
 
-// RegionKinds lists the kinds of trouble of a service over two regions.
-func RegionKinds() []string { return sortedKeys(regionKinds) }
+// RegionFaultKinds lists the kinds of trouble of a service over two regions.
+func RegionFaultKinds() []string { return sortedKeys(regionFaults) }
 
 // regionLoss ends a region; it comes back with the inventory that it began the day with.
 func regionLoss(d *dayRun, rng *rand.Rand, len time.Duration) {
-	d.fleet.LoseRegion(rng.IntN(2), len, d.old(rng))
+	d.fleet.LoseRegion(rng.IntN(2), len, d.drawStaleInventories(rng))
 }
 
 // regionLossTwice loses a region again while it recovers.
 func regionLossTwice(d *dayRun, rng *rand.Rand, len time.Duration) {
 	r := rng.IntN(2)
 	again := time.Duration(uniform(rng, 0.3, 4) * float64(time.Second))
-	d.fleet.LoseRegion(r, len/3, d.old(rng))
+	d.fleet.LoseRegion(r, len/3, d.drawStaleInventories(rng))
 	d.fleet.afterFunc(len/3+again, func() { d.fleet.LoseRegion(r, len/3, [2]*standin.InventoryState{}) })
 }
 
-// old is the inventories' state of long ago, or none.
-func (d *dayRun) old(rng *rand.Rand) (out [2]*standin.InventoryState) {
+// drawStaleInventories is the inventories' state of long ago, or none.
+func (d *dayRun) drawStaleInventories(rng *rand.Rand) (out [2]*standin.InventoryState) {
 	if rng.IntN(2) == 0 {
 		out = d.initialInventories
 	}
 	return out
 }
 
-func regionCut(d *dayRun, _ *rand.Rand, len time.Duration) {
-	d.across(len, true, true, world.LinkState{Partitioned: true})
+func regionPartition(d *dayRun, _ *rand.Rand, len time.Duration) {
+	d.degradeRegionLinks(len, true, true, world.LinkState{Partitioned: true})
 }
 
-// regionHalf drops half of what passes between the regions.
-func regionHalf(d *dayRun, _ *rand.Rand, len time.Duration) {
-	d.across(len, true, true, world.LinkState{Loss: 0.5})
+// regionPacketLoss drops half of what passes between the regions.
+func regionPacketLoss(d *dayRun, _ *rand.Rand, len time.Duration) {
+	d.degradeRegionLinks(len, true, true, world.LinkState{Loss: 0.5})
 }
 
-func regionOneWay(d *dayRun, rng *rand.Rand, len time.Duration) {
+func regionOneWayPartition(d *dayRun, rng *rand.Rand, len time.Duration) {
 	there := rng.IntN(2) == 0
-	d.across(len, there, !there, world.LinkState{Partitioned: true})
+	d.degradeRegionLinks(len, there, !there, world.LinkState{Partitioned: true})
 }
 
-func regionSlow(d *dayRun, rng *rand.Rand, len time.Duration) {
+func regionDelay(d *dayRun, rng *rand.Rand, len time.Duration) {
 	late := time.Duration(uniform(rng, 5, 80) * float64(time.Millisecond))
-	d.across(len, true, true, world.LinkState{Delay: late, Jitter: late})
+	d.degradeRegionLinks(len, true, true, world.LinkState{Delay: late, Jitter: late})
 }
 
-// regionHosts ends every host of the region that leads as the day begins, and one of the
+// regionHostFailures ends every host of the region that leads as the day begins, and one of the
 // other.
-func regionHosts(d *dayRun, _ *rand.Rand, len time.Duration) {
+func regionHostFailures(d *dayRun, _ *rand.Rand, len time.Duration) {
 	spared := false
 	for i := range d.fleet.hosts {
 		if d.fleet.regionOf(i) == 0 || !spared {
@@ -89,29 +89,29 @@
 	}
 }
 
-// across changes the ways between the regions for a while.
-func (d *dayRun) across(len time.Duration, there, back bool, n world.LinkState) {
+// degradeRegionLinks changes the ways between the regions for a while.
+func (d *dayRun) degradeRegionLinks(len time.Duration, there, back bool, n world.LinkState) {
 	set := func(n world.LinkState) {
 		if there {
-			d.fleet.Across(0, n)
+			d.fleet.SetCrossRegionLinks(0, n)
 		}
 		if back {
-			d.fleet.Across(1, n)
+			d.fleet.SetCrossRegionLinks(1, n)
 		}
 	}
 	set(n)
 	d.fleet.afterFunc(len, func() { set(d.fleet.normalRegionLink) })
 }
 
-// inventoryCut has nobody reach any inventory, nor these each other, while hosts and disk
+// inventoryPartition has nobody reach any inventory, nor these each other, while hosts and disk
 // servers of both regions reach each other.
-func inventoryCut(d *dayRun, _ *rand.Rand, len time.Duration) {
-	d.fleet.ToInventories(world.LinkState{Partitioned: true})
-	d.fleet.afterFunc(len, func() { d.fleet.ToInventories(d.fleet.normalRegionLink) })
+func inventoryPartition(d *dayRun, _ *rand.Rand, len time.Duration) {
+	d.fleet.SetInventoryLinks(world.LinkState{Partitioned: true})
+	d.fleet.afterFunc(len, func() { d.fleet.SetInventoryLinks(d.fleet.normalRegionLink) })
 }
 
-// inventoryOld has a region's inventory come back with the state of long ago; all else runs on.
-func inventoryOld(d *dayRun, rng *rand.Rand, len time.Duration) {
+// staleInventory has a region's inventory come back with the state of long ago; all else runs on.
+func staleInventory(d *dayRun, rng *rand.Rand, len time.Duration) {
 	d.fleet.LoseInventory(rng.IntN(2), len/4, d.initialInventories)
 }
 
@@ -120,70 +120,70 @@
 	d.fleet.StallHost(rng.IntN(d.options.Hosts), min(time.Duration(uniform(rng, 1, 30)*float64(time.Second)), len))
 }
 
-// opening is a region lost as the morning begins: 1.7 to 2.4 times the usual, for all of
+// regionLossAtPeak is a region lost as the morning begins: 1.7 to 2.4 times the usual, for all of
 // the loss and while the region comes back.
-func opening(d *dayRun, rng *rand.Rand, len time.Duration) {
+func regionLossAtPeak(d *dayRun, rng *rand.Rand, len time.Duration) {
 	x := uniform(rng, 1.7, 2.4)
 	d.changeBehaviour(len, func(h *ClientBehaviour) { h.RateFactor = x }, func(h *ClientBehaviour) { h.RateFactor = 0 })
-	d.fleet.LoseRegion(rng.IntN(2), len/2, d.old(rng))
+	d.fleet.LoseRegion(rng.IntN(2), len/2, d.drawStaleInventories(rng))
 }
 
-// moves has shards moved to and fro by an operator.
-func moves(d *dayRun, rng *rand.Rand, len time.Duration) {
+// shardMoves has shards moved to and fro by an operator.
+func shardMoves(d *dayRun, rng *rand.Rand, len time.Duration) {
 	for range 4 {
 		shard, to := rng.IntN(d.fleet.Settings.Shards), rng.IntN(2)
 		d.fleet.afterFunc(time.Duration(rng.Float64()*float64(len)), func() {
 			for r := range 2 { // one of them leads
-				d.fleet.Tell(r, inventory.Ask{Op: "move", Shard: shard, To: region.ID(to)})
+				d.fleet.AskInventory(r, inventory.Ask{Op: "move", Shard: shard, To: region.ID(to)})
 			}
 		})
 	}
 }
 
 const (
-	operatorLooks = 500 * time.Millisecond
-	// operatorWaits is how long an operator looks before a word that can't be taken back.
-	operatorWaits = 2 * time.Second
-	// heardUntil is how long before its loss a region was heard of for its word to count:
+	operatorPollInterval = 500 * time.Millisecond
+	// operatorDelay is how long an operator looks before a word that can't be taken back.
+	operatorDelay = 2 * time.Second
+	// maxSilenceBeforeLoss is how long before its loss a region was heard of for its word to count:
 	// less than it takes one to answer alone.
-	heardUntil = 1200 * time.Millisecond
+	maxSilenceBeforeLoss = 1200 * time.Millisecond
 )
 
 // operator plays the person at a service over two regions until over opens: it says which
 // region leads when the other is lost for certain, and has shards return once every copy
 // has all.
 type operator struct {
-	f       *Fleet
-	lostAt  [2]time.Duration // since when a region is gone; 0: it is not
-	calmAt  time.Duration
-	stuckAt time.Duration // since when no inventory grants although both are there
-	Said    map[string]int
-	returns bool // shards are brought back to where they prefer to be
+	managedFleet  *Fleet
+	lostSince     [2]time.Duration // since when a region is gone; 0: it is not
+	calmSince     time.Duration
+	noGrantSince  time.Duration // since when no inventory grants although both are there
+	CommandCounts map[string]int
+	returnsShards bool // shards are brought back to where they prefer to be
 }
 
 func (o *operator) run(over *env.Gate) {
-	for env.Sleep(o.f.Environment, operatorLooks, over) {
-		o.look()
+	for env.Sleep(o.managedFleet.Environment, operatorPollInterval, over) {
+		o.poll()
 	}
 }
 
-func (o *operator) look() {
-	now := o.f.Environment.Now()
+func (o *operator) poll() {
+	now := o.managedFleet.Environment.Now()
 	for r := range 2 {
-		switch gone := o.f.Gone(r); {
+		switch gone := o.managedFleet.RegionDown(r); {
 		case !gone:
-			o.lostAt[r] = 0
-		case o.lostAt[r] == 0:
-			o.lostAt[r] = now
+			o.lostSince[r] = 0
+		case o.lostSince[r] == 0:
+			o.lostSince[r] = now
 		}
 	}
 	grants, there := false, 0
-	defer func() { o.stuck(now, grants, there) }()
+	defer func() { o.handleMissingGrants(now, grants, there) }()
 	for r := range 2 {
-		if o.lostAt[r] != 0 {
+		if o.lostSince[r] != 0 {
 			continue
 		}
-		l, err := o.f.Tell(r, inventory.Ask{Op: "record"})
+		l, err := o.managedFleet.AskInventory(r, inventory.Ask{Op: "record"})
 		if err != nil || l.Kind != inventory.Told || l.Status == nil {
 			continue
 		}
@@ -191,66 +191,66 @@
 		grants = grants || l.Status.Grants
 		other := 1 - r
 		// A region that was cut off before it was lost may have answered alone: better wait.
-		heard := time.Duration(l.Status.HeardMS*float64(time.Millisecond))-(now-o.lostAt[other]) < heardUntil
-		if o.lostAt[other] != 0 && now-o.lostAt[other] > operatorWaits && heard && (l.Record.Leader != region.ID(r) || !l.Status.Grants) {
-			o.say(r, "lead")
+		heard := time.Duration(l.Status.HeardMS*float64(time.Millisecond))-(now-o.lostSince[other]) < maxSilenceBeforeLoss
+		if o.lostSince[other] != 0 && now-o.lostSince[other] > operatorDelay && heard && (l.Record.Leader != region.ID(r) || !l.Status.Grants) {
+			o.send(r, "lead")
 		}
 		if l.Record.Leader == region.ID(r) {
-			o.bringBack(now, r, &l)
+			o.returnShards(now, r, &l)
 		}
 	}
 }
 
-// stuck has a region lead where both are there for long and neither grants: what came back
+// handleMissingGrants has a region lead where both are there for long and neither grants: what came back
 // with an old list can't know that there is no newer one.
-func (o *operator) stuck(now time.Duration, grants bool, there int) {
+func (o *operator) handleMissingGrants(now time.Duration, grants bool, there int) {
 	switch {
 	case grants || there < 2:
-		o.stuckAt = 0
-	case o.stuckAt == 0:
-		o.stuckAt = now
-	case now-o.stuckAt > 3*operatorWaits:
-		o.stuckAt = 0
-		o.say(0, "lead")
+		o.noGrantSince = 0
+	case o.noGrantSince == 0:
+		o.noGrantSince = now
+	case now-o.noGrantSince > 3*operatorDelay:
+		o.noGrantSince = 0
+		o.send(0, "lead")
 	}
 }
 
-// bringBack has shards return after some calm.
-func (o *operator) bringBack(now time.Duration, r int, l *inventory.List) {
+// returnShards has shards return after some calm.
+func (o *operator) returnShards(now time.Duration, r int, l *inventory.List) {
 	away := false
 	for _, h := range l.Record.Homes {
 		if h.Alone || h.Region == region.Nowhere {
-			o.calmAt = 0
+			o.calmSince = 0
 			return
 		}
 		away = away || h.Region != h.Prefer
 	}
 	switch {
-	case l.Status.HeardMS > 500 || !away || !o.returns:
-		o.calmAt = 0
-	case o.calmAt == 0:
-		o.calmAt = now
-	case now-o.calmAt > operatorWaits:
-		o.calmAt = 0
-		o.say(r, "return")
+	case l.Status.HeardMS > 500 || !away || !o.returnsShards:
+		o.calmSince = 0
+	case o.calmSince == 0:
+		o.calmSince = now
+	case now-o.calmSince > operatorDelay:
+		o.calmSince = 0
+		o.send(r, "return")
 	}
 }
 
-func (o *operator) say(r int, op string) {
-	if _, err := o.f.Tell(r, inventory.Ask{Op: op}); err == nil {
-		o.Said[op]++
+func (o *operator) send(r int, op string) {
+	if _, err := o.managedFleet.AskInventory(r, inventory.Ask{Op: op}); err == nil {
+		o.CommandCounts[op]++
 	}
 }
 
-// outages are the times for which shards of a lost region were not served, of those that
+// takeoverOutages are the times for which shards of a lost region were not served, of those that
 // were served in the other before theirs came back.
-func outages(res *Result) (out []time.Duration) {
+func takeoverOutages(res *Result) (out []time.Duration) {
 	homes := res.Checker.HomeHistory()
 	for _, l := range res.RegionLosses {
 		last := map[int]rules.FirstServed{} // by shard, before the loss
 		for _, s := range homes {
 			at := time.Duration(s.At) * time.Microsecond
-			if was, ok := last[s.Shard]; ok && was.Region == l.Region && s.Region != l.Region && at > l.At && at < l.Back {
+			if was, ok := last[s.Shard]; ok && was.Region == l.Region && s.Region != l.Region && at > l.At && at < l.RestoredAt {
 				out = append(out, at-l.At)
 			}
 			if at <= l.At || s.Region != l.Region {
@@ -275,12 +275,12 @@
 	fmt.Fprintf(w, "%d writes lost that were acknowledged before their copy; operators said lead %d and return %d times\n", e.LostWrites, e.OperatorCommands["lead"], e.OperatorCommands["return"])
 }
 
-// EveryRegionTrouble is a day with each trouble of regions in turn, so long each and with
+// EveryRegionFault is a day with each trouble of regions in turn, so long each and with
 // so much calm between them.
-func EveryRegionTrouble(each, calm time.Duration, seed uint64) (script []ScheduledFault, span time.Duration) {
+func EveryRegionFault(each, calm time.Duration, seed uint64) (script []ScheduledFault, span time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 23))
 	span = calm / 2
-	for _, k := range RegionKinds() {
+	for _, k := range RegionFaultKinds() {
 		script = append(script, ScheduledFault{Kind: k, At: span, Duration: each, Seed: rng.Uint64()})
 		span += each + calm
 	}
@@ -303,7 +303,7 @@
 
 // PrintRegions writes what a day of two regions showed of them.
 func (r *Result) PrintRegions(w io.Writer) {
-	e := &ExploreSummary{Outages: outages(r), LostWrites: r.LostWrites, OperatorCommands: r.OperatorCommands}
+	e := &ExploreSummary{Outages: takeoverOutages(r), LostWrites: r.LostWrites, OperatorCommands: r.OperatorCommands}
 	e.PrintRegions(w)
 	writes := 0
 	for k, row := range r.Checker.Stats.ByClass {
--- a/internal/simulation/lab/regions.go
+++ b/internal/simulation/lab/regions.go
@@ -18,16 +18,16 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// regionDrift is the bound on clocks in the lab's services over two regions: far more than
+// regionClockDrift is the bound on clocks in the lab's services over two regions: far more than
 // clocks of machines are off, so that what forgets it is found.
-const regionDrift = 0.05
+const regionClockDrift = 0.05
 
 // RegionSettings is a service over two regions: hosts and shards alternate between them,
 // each volume comes through hosts of both and lies on shards of one, and writes are
 // acknowledged after their copy but in the plan basico.
 func RegionSettings(hosts, shards int) *settings.Settings {
 	s := SmallBlocks(settings.Example(hosts, shards))
-	s.Regions = &settings.Regions{LeaseTime: 3000, PeerTimeout: 1500, Drift: regionDrift}
+	s.Regions = &settings.Regions{LeaseTime: 3000, PeerTimeout: 1500, Drift: regionClockDrift}
 	for h := range hosts {
 		s.Regions.Hosts = append(s.Regions.Hosts, h%2)
 	}
@@ -49,8 +49,8 @@
 	return s
 }
 
-// homeOf is the region that a shard prefers.
-func homeOf(shard int) region.ID { return region.ID(shard % 2) }
+// preferredRegion is the region that a shard prefers.
+func preferredRegion(shard int) region.ID { return region.ID(shard % 2) }
 
 // regionOf is the region of a host.
 func (f *Fleet) regionOf(host int) int {
@@ -60,11 +60,11 @@
 	return f.Settings.Regions.Hosts[host]
 }
 
-// firstRecord is that of a new service: region 0 leads, limits are split by the hosts.
-func firstRecord(s *settings.Settings) region.Record {
+// initialRecord is that of a new service: region 0 leads, limits are split by the hosts.
+func initialRecord(s *settings.Settings) region.Record {
 	var homes []region.ID
 	for i := range s.Shards {
-		homes = append(homes, homeOf(i))
+		homes = append(homes, preferredRegion(i))
 	}
 	n := [2]float64{}
 	for _, r := range s.Regions.Hosts {
@@ -99,7 +99,7 @@
 	}
 	f.effects = map[effectKey]bool{}
 	for r := range 2 {
-		f.inventories = append(f.inventories, &inventoryProcess{region: r, saved: &standin.InventoryState{Record: firstRecord(f.Settings)}})
+		f.inventories = append(f.inventories, &inventoryProcess{region: r, saved: &standin.InventoryState{Record: initialRecord(f.Settings)}})
 	}
 	for _, p := range f.inventories {
 		if err := f.startInventory(p); err != nil {
@@ -119,9 +119,9 @@
 	cfg := f.Settings.Regions.Config()
 	cfg.Fixed = f.fixedShares
 	serve := func(addr string) (*standin.Inventory, error) {
-		return standin.ServeRegion(p.process, addr, inventoryDelay, cfg, region.ID(p.region), uint64(p.starts), p.saved, func() string { return at(&other.addr) })
+		return standin.ServeRegion(p.process, addr, inventoryDelay, cfg, region.ID(p.region), uint64(p.starts), p.saved, func() string { return loadAddr(&other.addr) })
 	}
-	inv, err := serve(cmp.Or(at(&p.addr), "127.0.0.1:0"))
+	inv, err := serve(cmp.Or(loadAddr(&p.addr), "127.0.0.1:0"))
 	if err != nil { // somebody else has the port that it had
 		inv, err = serve("127.0.0.1:0")
 	}
@@ -138,29 +138,29 @@
 	return nil
 }
 
-// at is an address that may not be there yet.
-func at(p interface{ Load() *string }) string {
+// loadAddr is an address that may not be there yet.
+func loadAddr(p interface{ Load() *string }) string {
 	if s := p.Load(); s != nil {
 		return *s
 	}
 	return ""
 }
 
-// regional gives a disk server its inventory and its peer.
-func (f *Fleet) regional(d *diskProcess, s *standin.DiskServer) {
+// setInventoryAndPeer gives a disk server its inventory and its peer.
+func (f *Fleet) setInventoryAndPeer(d *diskProcess, s *standin.DiskServer) {
 	if f.Settings.Regions == nil {
 		return
 	}
 	inv := f.inventories[d.region]
-	s.Inventory = func() string { return at(&inv.addr) }
+	s.Inventory = func() string { return loadAddr(&inv.addr) }
 	peer := f.disks[d.shard+(1-d.region)*f.Settings.Shards]
-	s.Peer = func() string { return at(&peer.serverAddr) }
+	s.Peer = func() string { return loadAddr(&peer.serverAddr) }
 }
 
 type effectKey struct{ host, seq uint64 }
 
-// effect counts what takes effect at disk servers of either region.
-func (f *Fleet) effect(d *diskproto.Do) {
+// recordEffect counts what takes recordEffect at disk servers of either region.
+func (f *Fleet) recordEffect(d *diskproto.Do) {
 	if d.Effect == diskproto.Safe {
 		return
 	}
@@ -181,7 +181,7 @@
 	}
 	f.mu.Lock()
 	f.regionDown[r] = true
-	f.regionLosses = append(f.regionLosses, Loss{r, f.Environment.Now(), f.Environment.Now() + down})
+	f.regionLosses = append(f.regionLosses, RegionLoss{r, f.Environment.Now(), f.Environment.Now() + down})
 	f.mu.Unlock()
 	for i := range f.hosts {
 		if f.regionOf(i) == r {
@@ -195,10 +195,10 @@
 	}
 }
 
-// Loss is the time for which a region was lost.
-type Loss struct {
-	Region   int
-	At, Back time.Duration
+// RegionLoss is the time for which a region was lost.
+type RegionLoss struct {
+	Region         int
+	At, RestoredAt time.Duration
 }
 
 // LoseInventory ends a region's inventory, and starts it again after down, with what was
@@ -235,15 +235,15 @@
 	return true
 }
 
-// Gone tells whether a region is lost as a whole.
-func (f *Fleet) Gone(r int) bool {
+// RegionDown tells whether a region is lost as a whole.
+func (f *Fleet) RegionDown(r int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.regionDown[r]
 }
 
-// PutBy is a copy of what the inventories have now.
-func (f *Fleet) PutBy() (out [2]*standin.InventoryState) {
+// InventoryStates is a copy of what the inventories have now.
+func (f *Fleet) InventoryStates() (out [2]*standin.InventoryState) {
 	for r, p := range f.inventories {
 		if p.server != nil && p.saved != nil {
 			out[r] = p.server.State()
@@ -252,8 +252,8 @@
 	return out
 }
 
-// programs names the programs of a region, without its clients.
-func (f *Fleet) programs(r int) (out []string) {
+// regionPrograms names the regionPrograms of a region, without its clients.
+func (f *Fleet) regionPrograms(r int) (out []string) {
 	out = append(out, f.inventories[r].name())
 	for i := range f.hosts {
 		if f.regionOf(i) == r {
@@ -268,18 +268,18 @@
 	return out
 }
 
-// Across gives the ways from programs of one region to those of the other a state.
-func (f *Fleet) Across(from int, n world.LinkState) {
-	for _, a := range f.programs(from) {
-		for _, b := range f.programs(1 - from) {
+// SetCrossRegionLinks gives the ways from programs of one region to those of the other a state.
+func (f *Fleet) SetCrossRegionLinks(from int, n world.LinkState) {
+	for _, a := range f.regionPrograms(from) {
+		for _, b := range f.regionPrograms(1 - from) {
 			f.testbed.setLink(a, b, n)
 		}
 	}
 }
 
-// ToInventories gives the ways from and to the inventories a state.
-func (f *Fleet) ToInventories(n world.LinkState) {
-	all := append(f.programs(0), f.programs(1)...)
+// SetInventoryLinks gives the ways from and to the inventories a state.
+func (f *Fleet) SetInventoryLinks(n world.LinkState) {
+	all := append(f.regionPrograms(0), f.regionPrograms(1)...)
 	for r := range 2 {
 		inv := f.inventories[r].name()
 		for _, p := range all {
@@ -291,11 +291,11 @@
 	}
 }
 
-// spanRegions has clients try the hosts of the region that their volume prefers first, and
+// preferLocalPaths has clients try the hosts of the region that their volume prefers first, and
 // others while those do not serve, as multipath does.
-func (c *Clients) spanRegions() {
+func (c *Clients) preferLocalPaths() {
 	for i, ls := range c.paths {
-		prefers := int(homeOf(c.fleet.Settings.Volumes[i].Layout[0]))
+		prefers := int(preferredRegion(c.fleet.Settings.Volumes[i].Layout[0]))
 		slices.SortStableFunc(ls, func(a, b *clientPath) int {
 			return cmp.Compare((c.fleet.regionOf(a.host)+prefers)%2, (c.fleet.regionOf(b.host)+prefers)%2)
 		})
@@ -307,7 +307,7 @@
 			if c.fleet.HostAddr(l.host) == "" {
 				continue
 			}
-			if l.tried(now) {
+			if l.usable(now) {
 				return l
 			}
 			if up == nil {
@@ -327,31 +327,31 @@
 }
 
 const (
-	shunAfter = 3
-	shunFor   = time.Second
+	maxPathFailures = 3
+	pathAvoidTime   = time.Second
 )
 
-// judge notes how a command fared on the lane.
-func (path *clientPath) judge(now time.Duration, served bool) {
+// recordResult notes how a command fared on the lane.
+func (path *clientPath) recordResult(now time.Duration, served bool) {
 	path.mu.Lock()
 	defer path.mu.Unlock()
 	if path.consecutiveFailures++; served {
 		path.consecutiveFailures = 0
-	} else if path.consecutiveFailures >= shunAfter {
-		path.consecutiveFailures, path.avoidUntil = 0, now+shunFor
+	} else if path.consecutiveFailures >= maxPathFailures {
+		path.consecutiveFailures, path.avoidUntil = 0, now+pathAvoidTime
 	}
 }
 
-// tried tells whether the lane is one to try now.
-func (path *clientPath) tried(now time.Duration) bool {
+// usable tells whether the lane is one to try now.
+func (path *clientPath) usable(now time.Duration) bool {
 	path.mu.Lock()
 	defer path.mu.Unlock()
 	return now >= path.avoidUntil
 }
 
-// Tell asks a region's inventory for something, as an operator would.
-func (f *Fleet) Tell(r int, a inventory.Ask) (inventory.List, error) {
-	c := inventory.NewCaller(f.Environment, func() string { return at(&f.inventories[r].addr) })
+// AskInventory asks a region's inventory for something, as an operator would.
+func (f *Fleet) AskInventory(r int, a inventory.Ask) (inventory.List, error) {
+	c := inventory.NewCaller(f.Environment, func() string { return loadAddr(&f.inventories[r].addr) })
 	defer c.Close()
 	return c.Ask(a, time.Second)
 }
--- a/internal/simulation/lab/regions_test.go
+++ b/internal/simulation/lab/regions_test.go
@@ -10,16 +10,16 @@
 	"merlinhitch/internal/verify/rules"
 )
 
-func regionScene(seed uint64, seconds int, script ...ScheduledFault) Scenario {
-	s := strike(seed, seconds, script...)
+func regionScenario(seed uint64, seconds int, script ...ScheduledFault) Scenario {
+	s := faultScenario(seed, seconds, script...)
 	s.Regions, s.Hosts, s.Servers = true, 4, 8
 	return s
 }
 
-// leaderWithoutHosts is a day on which the leader takes over just as its hosts come back:
+// leaderWithRestartingHosts is a day on which the leader takes over just as its hosts come back:
 // with no lease of its own to wait for, it relies on the bounds of clocks alone.
-func leaderWithoutHosts(seed uint64) Scenario {
-	s := regionScene(seed, 16, ScheduledFault{Kind: "region_cut", At: 5 * time.Second, Duration: 9 * time.Second},
+func leaderWithRestartingHosts(seed uint64) Scenario {
+	s := regionScenario(seed, 16, ScheduledFault{Kind: "region_cut", At: 5 * time.Second, Duration: 9 * time.Second},
 		ScheduledFault{Kind: "region_hosts", At: 5 * time.Second, Duration: time.Duration(3950+seed%10*20) * time.Millisecond})
 	s.Figures = map[string]float64{"regions.drift": 0.15}
 	s.Rate, s.Commands = 300, 16*300
@@ -27,16 +27,16 @@
 }
 
 // A calm day of two regions serves all that is asked for, each shard at its home.
-func TestCalmDayOfTwoRegions(t *testing.T) {
-	out := kept(t, regionScene(1, 10))
+func TestTwoRegionsWithoutFaults(t *testing.T) {
+	out := runPassing(t, regionScenario(1, 10))
 	if out.Goodput < 0.99 || out.Checker.Checks[rules.Homes] == 0 {
 		t.Errorf("goodput %.3f, %d checks of homes", out.Goodput, out.Checker.Checks[rules.Homes])
 	}
 }
 
-// hit draws a strike's seed on which that region is struck, and comes back with the
+// seedForRegionLoss draws a strike's seed on which that region is struck, and comes back with the
 // inventory of long ago or not.
-func hit(region int, old bool) uint64 {
+func seedForRegionLoss(region int, old bool) uint64 {
 	for seed := uint64(1); ; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		if rng.IntN(2) == region && (rng.IntN(2) == 0) == old {
@@ -46,8 +46,8 @@
 }
 
 // The hard cases of two regions, each caused on some seeds.
-func TestHardCasesOfTwoRegions(t *testing.T) {
-	whole(t)
+func TestTwoRegionsUnderFaults(t *testing.T) {
+	skipIfShort(t)
 	second := time.Second
 	for _, c := range []struct {
 		name    string
@@ -57,20 +57,20 @@
 	}{
 		{"half the packets dropped for two minutes", 170, []ScheduledFault{{Kind: "region_half", At: 5 * second, Duration: 120 * second}},
 			func(o *Outcome) bool { return o.Goodput < 0.995 }},
-		{"a cut there", 60, []ScheduledFault{{Kind: "region_one_way", At: 5 * second, Duration: 15 * second, Seed: 1}}, tookOver},
-		{"a cut back", 60, []ScheduledFault{{Kind: "region_one_way", At: 5 * second, Duration: 15 * second, Seed: 2}}, tookOver},
-		{"a region back with an old inventory", 70, []ScheduledFault{{Kind: "region_loss", At: 20 * second, Duration: 15 * second, Seed: hit(1, true)}}, tookOver},
-		{"the leading region back with an old inventory", 70, []ScheduledFault{{Kind: "region_loss", At: 20 * second, Duration: 15 * second, Seed: hit(0, true)}},
-			func(o *Outcome) bool { return tookOver(o) && o.OperatorCommands["lead"] > 0 }},
+		{"a cut there", 60, []ScheduledFault{{Kind: "region_one_way", At: 5 * second, Duration: 15 * second, Seed: 1}}, hasTakeover},
+		{"a cut back", 60, []ScheduledFault{{Kind: "region_one_way", At: 5 * second, Duration: 15 * second, Seed: 2}}, hasTakeover},
+		{"a region back with an old inventory", 70, []ScheduledFault{{Kind: "region_loss", At: 20 * second, Duration: 15 * second, Seed: seedForRegionLoss(1, true)}}, hasTakeover},
+		{"the leading region back with an old inventory", 70, []ScheduledFault{{Kind: "region_loss", At: 20 * second, Duration: 15 * second, Seed: seedForRegionLoss(0, true)}},
+			func(o *Outcome) bool { return hasTakeover(o) && o.OperatorCommands["lead"] > 0 }},
 		{"the leading region's inventory old, all else well", 60, []ScheduledFault{{Kind: "region_cut", At: 3 * second, Duration: 10 * second},
-			{Kind: "inventory_old", At: 30 * second, Duration: 8 * second, Seed: hit(0, true)}}, tookOver},
+			{Kind: "inventory_old", At: 30 * second, Duration: 8 * second, Seed: seedForRegionLoss(0, true)}}, hasTakeover},
 		{"nobody reaches an inventory", 60, []ScheduledFault{{Kind: "inventory_cut", At: 5 * second, Duration: 15 * second}},
 			func(o *Outcome) bool { return o.Checker.Stats.GoodputBetween(10, 18) < 0.05 }},
 		{"a host stands still for 30 s while its region is taken over", 80, []ScheduledFault{{Kind: "lease_stall", At: 8 * second, Duration: 30 * second, Seed: 3},
-			{Kind: "region_cut", At: 7 * second, Duration: 20 * second}}, tookOver},
-		{"lost at opening time, and back while the peak lasts", 80, []ScheduledFault{{Kind: "opening", At: 8 * second, Duration: 40 * second, Seed: hit(1, false)}},
-			func(o *Outcome) bool { return tookOver(o) && o.OperatorCommands["return"] > 0 }},
-		{"lost again while it recovers", 80, []ScheduledFault{{Kind: "region_loss_two", At: 8 * second, Duration: 36 * second, Seed: hit(1, true)}}, tookOver},
+			{Kind: "region_cut", At: 7 * second, Duration: 20 * second}}, hasTakeover},
+		{"lost at opening time, and back while the peak lasts", 80, []ScheduledFault{{Kind: "opening", At: 8 * second, Duration: 40 * second, Seed: seedForRegionLoss(1, false)}},
+			func(o *Outcome) bool { return hasTakeover(o) && o.OperatorCommands["return"] > 0 }},
+		{"lost again while it recovers", 80, []ScheduledFault{{Kind: "region_loss_two", At: 8 * second, Duration: 36 * second, Seed: seedForRegionLoss(1, true)}}, hasTakeover},
 		{"shards moved to and fro", 50, []ScheduledFault{{Kind: "moves", At: 3 * second, Duration: 20 * second, Seed: 5}},
 			func(o *Outcome) bool { return len(o.Checker.HomeHistory()) > 8 }},
 	} {
@@ -78,8 +78,8 @@
 			t.Parallel()
 			caused := false
 			for seed := range uint64(2) {
-				s := regionScene(seed+1, c.seconds, append(slices.Clone(c.script), ScheduledFault{Kind: "tenant_burst", At: 4 * second, Duration: 20 * second, Seed: seed})...)
-				caused = c.caused(kept(t, s)) || caused
+				s := regionScenario(seed+1, c.seconds, append(slices.Clone(c.script), ScheduledFault{Kind: "tenant_burst", At: 4 * second, Duration: 20 * second, Seed: seed})...)
+				caused = c.caused(runPassing(t, s)) || caused
 			}
 			if !caused {
 				t.Error("the case was not caused")
@@ -88,21 +88,21 @@
 	}
 }
 
-// tookOver tells whether a shard was served in both regions, one after the other.
-func tookOver(o *Outcome) bool {
-	return slices.ContainsFunc(o.Checker.HomeHistory(), func(s rules.FirstServed) bool { return s.Region != int(homeOf(s.Shard)) })
+// hasTakeover tells whether a shard was served in both regions, one after the other.
+func hasTakeover(o *Outcome) bool {
+	return slices.ContainsFunc(o.Checker.HomeHistory(), func(s rules.FirstServed) bool { return s.Region != int(preferredRegion(s.Shard)) })
 }
 
 // Writes that are acknowledged before their copy may be lost with a region, but no more of
 // a shard than are said.
-func TestLossesOfWritesHaveTheirBound(t *testing.T) {
-	whole(t)
+func TestRegionLossLosesBoundedWrites(t *testing.T) {
+	skipIfShort(t)
 	lost := 0
 	for seed := range uint64(3) {
-		s := regionScene(seed+1, 24, ScheduledFault{Kind: "region_cut", At: 5650 * time.Millisecond, Duration: 11 * time.Second},
-			ScheduledFault{Kind: "region_loss", At: 6 * time.Second, Duration: 12 * time.Second, Seed: hit(1, false)})
+		s := regionScenario(seed+1, 24, ScheduledFault{Kind: "region_cut", At: 5650 * time.Millisecond, Duration: 11 * time.Second},
+			ScheduledFault{Kind: "region_loss", At: 6 * time.Second, Duration: 12 * time.Second, Seed: seedForRegionLoss(1, false)})
 		s.Rate, s.Commands = 400, 24*400
-		out := kept(t, s)
+		out := runPassing(t, s)
 		if lost += out.LostWrites; out.LostWrites > standin.MaxReplicationLag*s.Servers/2 {
 			t.Errorf("%d writes lost, at most %d of each shard may be", out.LostWrites, standin.MaxReplicationLag)
 		}
--- a/internal/simulation/lab/reservations_test.go
+++ b/internal/simulation/lab/reservations_test.go
@@ -26,7 +26,7 @@
 }
 
 // Disk servers that keep no fence are found out.
-func TestMissingFenceIsFound(t *testing.T) {
+func TestMissingFenceIsDetected(t *testing.T) {
 	for seed := range uint64(40) {
 		h, err := RunReservations(context.Background(), seed+1, 15, true)
 		if err != nil {
@@ -40,9 +40,9 @@
 	t.Error("forty runs without fences were all taken for good")
 }
 
-// history has three initiators registered, the first holding a write exclusive
+// validHistory has three initiators registered, the first holding a write exclusive
 // reservation that the second pre-empts.
-func history() *ReservationHistory {
+func validHistory() *ReservationHistory {
 	at := func(n int) (time.Duration, time.Duration) { return time.Duration(10 * n), time.Duration(10*n + 5) }
 	h := &ReservationHistory{AppliedWrites: map[uint64][]time.Duration{1: {43}}}
 	add := func(s ReservationStep) {
@@ -61,8 +61,8 @@
 	return h
 }
 
-func TestDoctoredHistoriesAreRejected(t *testing.T) {
-	if bad := history().Check(); bad != "" {
+func TestInvalidHistoriesAreRejected(t *testing.T) {
+	if bad := validHistory().Check(); bad != "" {
 		t.Fatal(bad)
 	}
 	for name, spoil := range map[string]func(*ReservationHistory){
@@ -72,9 +72,9 @@
 		"two hold at once":                    func(h *ReservationHistory) { h.Steps[6].Kind = stepReserve },
 		"a pre-emption of who is not there":   func(h *ReservationHistory) { h.Steps[6].Preempted = 3 },
 		"a reservation without a key":         func(h *ReservationHistory) { h.Steps[0].Kind = stepUnregister },
-		"a write lands after its pre-emption": func(h *ReservationHistory) { h.preempted() },
+		"a write lands after its pre-emption": func(h *ReservationHistory) { h.applyWriteAfterPreemption() },
 	} {
-		h := history()
+		h := validHistory()
 		spoil(h)
 		if h.Check() == "" {
 			t.Errorf("%s: taken for good", name)
@@ -82,18 +82,18 @@
 	}
 }
 
-// preempted has the pre-empted write land at a disk server long after the answer: it had
+// applyWriteAfterPreemption has the pre-empted write land at a disk server long after the answer: it had
 // been sent before, and its client never heard.
-func (h *ReservationHistory) preempted() {
+func (h *ReservationHistory) applyWriteAfterPreemption() {
 	h.Steps[3] = ReservationStep{Initiator: 1, Kind: stepReserve, ReservationType: 5, Outcome: outcomeGood, Call: 30, Return: 35}
 	h.Steps[4].Outcome, h.Steps[5].Outcome = outcomeUnknown, outcomeGood
 	h.Steps[7].Outcome = outcomeConflict
 	h.AppliedWrites[1] = []time.Duration{70}
 }
 
-// quiet is a rig without faults, with a session of each of two initiators, through two
+// newTwoSessionRig is a rig without faults, with a session of each of two initiators, through two
 // hosts.
-func quiet(t *testing.T) (*reservationRig, func(who int, kind string, typ byte, whom int, want string)) {
+func newTwoSessionRig(t *testing.T) (*reservationRig, func(who int, kind string, typ byte, whom int, want string)) {
 	t.Helper()
 	w := env.NewReal()
 	r, err := newReservationRig(w, loopbackTestbed{Environment: w}, 1, false)
@@ -129,7 +129,7 @@
 
 // The holder's host has not heard of the pre-emption, which came through another.
 func TestPreemptionThroughAnotherHost(t *testing.T) {
-	_, do := quiet(t)
+	_, do := newTwoSessionRig(t)
 	do(0, stepRegister, 0, 0, outcomeGood)
 	do(1, stepRegister, 0, 0, outcomeGood)
 	do(0, stepReserve, 1, 0, outcomeGood)
@@ -145,7 +145,7 @@
 // it is gone, and either way nobody acts on what was before.
 func TestPowerLossWithAndWithoutAPTPL(t *testing.T) {
 	for _, persist := range []bool{true, false} {
-		r, do := quiet(t)
+		r, do := newTwoSessionRig(t)
 		r.history.Persist = persist
 		do(0, stepRegister, 0, 0, outcomeGood)
 		do(0, stepReserve, 3, 0, outcomeGood)
@@ -164,8 +164,8 @@
 }
 
 // The server that keeps the state is drained and its successor takes over.
-func TestDrainedWhileReserved(t *testing.T) {
-	r, do := quiet(t)
+func TestReservationSurvivesDrain(t *testing.T) {
+	r, do := newTwoSessionRig(t)
 	do(0, stepRegister, 0, 0, outcomeGood)
 	do(0, stepReserve, 1, 0, outcomeGood)
 	old := r.disks[0]
@@ -181,7 +181,7 @@
 // The holder's write is on its way to the disk server when its host's pre-emption is
 // answered: it comes too late there.
 func TestPreemptionOvertakesAWrite(t *testing.T) {
-	r, do := quiet(t)
+	r, do := newTwoSessionRig(t)
 	do(0, stepRegister, 0, 0, outcomeGood)
 	do(1, stepRegister, 0, 0, outcomeGood)
 	do(0, stepReserve, 1, 0, outcomeGood)
@@ -206,7 +206,7 @@
 			}
 		}
 	}()
-	for r.hostEnvironments[0].waiting() < r.settings.Volumes[0].BlockSize { // the write is in the link
+	for r.hostEnvironments[0].delayedBytes() < r.settings.Volumes[0].BlockSize { // the write is in the link
 		env.Sleep(r.environment, time.Millisecond, nil)
 	}
 	do(1, stepPreempt, 1, 0, outcomeGood)
@@ -222,7 +222,7 @@
 // An abort of a registration under way is answered once the registration is made, or
 // certainly is not.
 func TestAbortOfARegistration(t *testing.T) {
-	r, do := quiet(t)
+	r, do := newTwoSessionRig(t)
 	do(0, stepRegister, 0, 0, outcomeGood)
 	var addrs []string
 	for _, d := range r.disks {
@@ -235,7 +235,7 @@
 	}
 	r.hostEnvironments[0].partition(partitionDelay, addrs...)
 	h := s.Submit(0, []byte{0x5f, 6, 0, 0, 0, 0, 0, 0, 24, 0}, append(make([]byte, 15), 9, 0, 0, 0, 0, 0, 0, 0, 0), 0, func(iscsi.Result, error) {})
-	for r.hostEnvironments[0].waiting() == 0 {
+	for r.hostEnvironments[0].delayedBytes() == 0 {
 		env.Sleep(r.environment, time.Millisecond, nil)
 	}
 	answered := make(chan byte, 1)
@@ -253,8 +253,8 @@
 }
 
 // A host stands still for longer than its lease while the reservation passes on.
-func TestPauseOutlastsTheLease(t *testing.T) {
-	r, do := quiet(t)
+func TestHostPausedPastItsLease(t *testing.T) {
+	r, do := newTwoSessionRig(t)
 	do(0, stepRegister, 0, 0, outcomeGood)
 	do(1, stepRegister, 0, 0, outcomeGood)
 	do(0, stepReserve, 1, 0, outcomeGood)
@@ -267,8 +267,8 @@
 	do(1, stepWrite, 0, 0, outcomeGood)
 }
 
-// waiting is the number of bytes that are held on their way.
-func (environment *partitionEnvironment) waiting() (n int) {
+// delayedBytes is the number of bytes that are held on their way.
+func (environment *partitionEnvironment) delayedBytes() (n int) {
 	environment.mu.Lock()
 	defer environment.mu.Unlock()
 	for c := range environment.conns {
@@ -279,9 +279,9 @@
 	return n
 }
 
-// crowd registers so many initiators with a key each, some at once, and returns the keys
+// registerKeys registers so many initiators with a key each, some at once, and returns the keys
 // that are read back.
-func crowd(t *testing.T, n, atOnce int) int {
+func registerKeys(t *testing.T, n, atOnce int) int {
 	t.Helper()
 	w := env.NewReal()
 	r, err := newReservationRig(w, loopbackTestbed{Environment: w}, 1, false)
@@ -324,23 +324,23 @@
 }
 
 func TestBurstOfRegistrations(t *testing.T) {
-	if got := crowd(t, 64, 64); got != 64 {
+	if got := registerKeys(t, 64, 64); got != 64 {
 		t.Errorf("%d keys of 64", got)
 	}
 }
 
-func TestAThousandSessionsWithAKeyEach(t *testing.T) {
+func TestThousandRegisteredSessions(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a thousand sessions")
 	}
-	if got := crowd(t, 1000, 16); got != 1000 {
+	if got := registerKeys(t, 1000, 16); got != 1000 {
 		t.Errorf("%d keys of 1000", got)
 	}
 }
 
 // Two hosts register the same key at once: both nexus have it, and each is its own.
 func TestSameKeyThroughTwoHosts(t *testing.T) {
-	r, do := quiet(t)
+	r, do := newTwoSessionRig(t)
 	var all sync.WaitGroup
 	for _, who := range []int{0, 1} {
 		s := r.dial(context.Background(), 10+who) // of keys of their own, changed to one
--- a/internal/simulation/lab/virtual_test.go
+++ b/internal/simulation/lab/virtual_test.go
@@ -18,16 +18,16 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// whole skips what the race detector would take minutes for: one goroutine at a time
+// skipIfShort skips what the race detector would take minutes for: one goroutine at a time
 // leaves it nothing to find.
-func whole(t *testing.T) {
+func skipIfShort(t *testing.T) {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("long")
 	}
 }
 
-func played(t *testing.T, s Scenario) *Outcome {
+func runScenario(t *testing.T, s Scenario) *Outcome {
 	t.Helper()
 	out, err := s.Run(context.Background(), "")
 	if err != nil {
@@ -36,17 +36,17 @@
 	return out
 }
 
-func kept(t *testing.T, s Scenario) *Outcome {
+func runPassing(t *testing.T, s Scenario) *Outcome {
 	t.Helper()
-	out := played(t, s)
+	out := runScenario(t, s)
 	if out.Failure != nil {
 		t.Fatalf("seed %d: %v", s.Seed, out.Failure)
 	}
 	return out
 }
 
-// passed is the trail of a scene that keeps everything.
-func passed(t *testing.T, s Scenario) []trail.Event {
+// passingTrail is the trail of a scene that keeps everything.
+func passingTrail(t *testing.T, s Scenario) []trail.Event {
 	t.Helper()
 	file := t.TempDir() + "/trail.parquet"
 	out, err := s.Run(context.Background(), file)
@@ -61,36 +61,36 @@
 }
 
 // The same seed gives the same run, event for event, whatever the machine.
-func TestSceneIsTheSameAtAnyProcessors(t *testing.T) {
+func TestScenarioIsDeterministicAcrossGOMAXPROCS(t *testing.T) {
 	before := runtime.GOMAXPROCS(0)
 	defer runtime.GOMAXPROCS(before)
 	var digests []uint64
 	for _, procs := range []int{1, 4, 4} {
 		runtime.GOMAXPROCS(procs)
-		digests = append(digests, kept(t, DrawScenario(1, 3, 9, 12*time.Second, 120, false)).Scenario.Digest)
+		digests = append(digests, runPassing(t, DrawScenario(1, 3, 9, 12*time.Second, 120, false)).Scenario.Digest)
 	}
 	if digests[0] != digests[1] || digests[1] != digests[2] {
 		t.Fatalf("three runs of one seed differ: %x", digests)
 	}
-	if played(t, DrawScenario(2, 3, 9, 12*time.Second, 120, false)).Scenario.Digest == digests[0] {
+	if runScenario(t, DrawScenario(2, 3, 9, 12*time.Second, 120, false)).Scenario.Digest == digests[0] {
 		t.Fatal("another seed gives the same run")
 	}
 }
 
-// digestOf has the test that is named in the environment say a scene's digest.
-const digestOf = "MERLINHITCH_SAY_DIGEST"
+// digestVariable has the test that is named in the environment say a scene's digest.
+const digestVariable = "MERLINHITCH_SAY_DIGEST"
 
 // Two processes play one seed alike: nothing of a process reaches the world.
-func TestSceneIsTheSameInTwoProcesses(t *testing.T) {
-	whole(t)
-	if os.Getenv(digestOf) != "" {
-		os.Stdout.WriteString("digest " + itoa(kept(t, DrawScenario(5, 3, 9, 8*time.Second, 120, true)).Scenario.Digest) + "\n")
+func TestScenarioIsDeterministicAcrossProcesses(t *testing.T) {
+	skipIfShort(t)
+	if os.Getenv(digestVariable) != "" {
+		os.Stdout.WriteString("digest " + hexDigest(runPassing(t, DrawScenario(5, 3, 9, 8*time.Second, 120, true)).Scenario.Digest) + "\n")
 		return
 	}
 	var said []string
 	for _, procs := range []string{"1", "4"} {
 		c := exec.Command(os.Args[0], "-test.run=^TestSceneIsTheSameInTwoProcesses$")
-		c.Env = append(os.Environ(), digestOf+"=1", "GOMAXPROCS="+procs)
+		c.Env = append(os.Environ(), digestVariable+"=1", "GOMAXPROCS="+procs)
 		b, err := c.CombinedOutput()
 		if err != nil {
 			t.Fatalf("%v: %s", err, b)
@@ -103,7 +103,7 @@
 	}
 }
 
-func itoa(v uint64) string {
+func hexDigest(v uint64) string {
 	const hex = "0123456789abcdef"
 	b := make([]byte, 16)
 	for i := range b {
@@ -113,8 +113,8 @@
 }
 
 // What the exploration found in the product, each by the scene or run that showed it.
-func TestFoundByExploration(t *testing.T) {
-	whole(t)
+func TestExplorationRegressions(t *testing.T) {
+	skipIfShort(t)
 	scenes := map[uint64]string{
 		1:   "a retired connection to a server that died without a word was never closed",
 		48:  "attempts that waited for their connection passed the budget when they went",
@@ -122,7 +122,7 @@
 		748: "commands that waited for the window never ended when their connection did",
 	}
 	for _, seed := range []uint64{1, 48, 103, 748} {
-		t.Run(scenes[seed], func(t *testing.T) { kept(t, DrawScenario(seed, 3, 9, 60*time.Second, 120, true)) })
+		t.Run(scenes[seed], func(t *testing.T) { runPassing(t, DrawScenario(seed, 3, 9, 60*time.Second, 120, true)) })
 	}
 	t.Run("a reservation change that others overtook was called a conflict", func(t *testing.T) {
 		for _, seed := range []uint64{371, 661, 1709} {
@@ -137,8 +137,8 @@
 	})
 }
 
-// strike is a scene of some troubles at given times, with the load of a calm day.
-func strike(seed uint64, seconds int, list ...ScheduledFault) Scenario {
+// faultScenario is a scene of some troubles at given times, with the load of a calm day.
+func faultScenario(seed uint64, seconds int, list ...ScheduledFault) Scenario {
 	for i := range list {
 		if list[i].Seed == 0 {
 			list[i].Seed = seed*100 + uint64(i)
@@ -150,11 +150,11 @@
 // A hall's servers restart inside the window in which repeats of txn-write are dropped,
 // while answers are late and connections torn: the repeats that hosts then want to send
 // must stay in the window and in the group.
-func TestMassRestartInsideTheRepeatWindow(t *testing.T) {
-	whole(t)
+func TestMassRestartWithinTheDedupWindow(t *testing.T) {
+	skipIfShort(t)
 	again := 0
 	for seed := range uint64(4) {
-		out := kept(t, strike(seed+1, 20,
+		out := runPassing(t, faultScenario(seed+1, 20,
 			ScheduledFault{Kind: "net_late", At: 3 * time.Second, Duration: 5 * time.Second},
 			ScheduledFault{Kind: "net_torn", At: 3 * time.Second, Duration: 5 * time.Second},
 			ScheduledFault{Kind: "mass_restart", At: 5 * time.Second, Duration: 4 * time.Second}))
@@ -167,12 +167,12 @@
 
 // Answers come long after their attempts timed out, on connections that carry newer
 // ones meanwhile.
-func TestAnswersLongAfterTheirTimeOut(t *testing.T) {
-	whole(t)
+func TestAnswersAfterAttemptTimeout(t *testing.T) {
+	skipIfShort(t)
 	late := 0
 	for seed := range uint64(3) {
-		s := strike(seed+1, 15, ScheduledFault{Kind: "net_late", At: 2 * time.Second, Duration: 8 * time.Second}, ScheduledFault{Kind: "net_late", At: 3 * time.Second, Duration: 8 * time.Second})
-		late += lateAnswers(passed(t, s))
+		s := faultScenario(seed+1, 15, ScheduledFault{Kind: "net_late", At: 2 * time.Second, Duration: 8 * time.Second}, ScheduledFault{Kind: "net_late", At: 3 * time.Second, Duration: 8 * time.Second})
+		late += lateAnswers(passingTrail(t, s))
 	}
 	if late == 0 {
 		t.Fatal("no answer came after its attempt's time: the case was not caused")
@@ -197,23 +197,23 @@
 }
 
 // Hosts end as their bytes leave: whatever was sent, nothing of it is known any more.
-func TestHostsEndAsTheirBytesLeave(t *testing.T) {
-	whole(t)
+func TestHostsDieWhileSending(t *testing.T) {
+	skipIfShort(t)
 	for seed := range uint64(4) {
-		s := strike(seed+1, 15, ScheduledFault{Kind: "host_torn", At: 2 * time.Second, Duration: 4 * time.Second},
+		s := faultScenario(seed+1, 15, ScheduledFault{Kind: "host_torn", At: 2 * time.Second, Duration: 4 * time.Second},
 			ScheduledFault{Kind: "host_torn", At: 5 * time.Second, Duration: 4 * time.Second})
-		if !slices.ContainsFunc(passed(t, s), func(e trail.Event) bool { return e.Kind == trail.Killed }) {
+		if !slices.ContainsFunc(passingTrail(t, s), func(e trail.Event) bool { return e.Kind == trail.Killed }) {
 			t.Fatal("no host died: the case was not caused")
 		}
 	}
 }
 
 // A host stands still for longer than any deadline and wakes with every timer due.
-func TestStalledHostWakesWithEveryTimerDue(t *testing.T) {
-	whole(t)
+func TestStalledHostResumesWithExpiredTimers(t *testing.T) {
+	skipIfShort(t)
 	for seed := range uint64(3) {
-		s := strike(seed+1, 25, ScheduledFault{Kind: "host_stall", At: 3 * time.Second, Duration: 8 * time.Second}, ScheduledFault{Kind: "crash", At: 4 * time.Second, Duration: 4 * time.Second})
-		out := kept(t, s)
+		s := faultScenario(seed+1, 25, ScheduledFault{Kind: "host_stall", At: 3 * time.Second, Duration: 8 * time.Second}, ScheduledFault{Kind: "crash", At: 4 * time.Second, Duration: 4 * time.Second})
+		out := runPassing(t, s)
 		if out.RecoveryGoodput < minRecoveryGoodput {
 			t.Fatalf("goodput %.3f after the stall", out.RecoveryGoodput)
 		}
@@ -223,9 +223,9 @@
 // A clock that jumps forward by seconds takes along the deadlines that disk servers are
 // told, so that an abort can be answered too early (docs/world.md). All the rest holds.
 func TestClockJumpsForward(t *testing.T) {
-	whole(t)
+	skipIfShort(t)
 	for seed := range uint64(4) {
-		out := played(t, strike(seed+1, 20, ScheduledFault{Kind: "clock_jump", At: 4 * time.Second, Duration: time.Second}, ScheduledFault{Kind: "clock_jump", At: 9 * time.Second, Duration: time.Second}))
+		out := runScenario(t, faultScenario(seed+1, 20, ScheduledFault{Kind: "clock_jump", At: 4 * time.Second, Duration: time.Second}, ScheduledFault{Kind: "clock_jump", At: 9 * time.Second, Duration: time.Second}))
 		if out.Failure != nil && out.Failure.Kind != "rule 2" {
 			t.Fatalf("seed %d: %v", seed+1, out.Failure)
 		}
@@ -233,7 +233,7 @@
 }
 
 // Events of one instant happen in the order in which they were set, in every run.
-func TestEventsOfOneInstant(t *testing.T) {
+func TestSimultaneousEventsKeepTheirOrder(t *testing.T) {
 	run := func() (order []int) {
 		w := world.New(1)
 		err := w.Run("main", time.Second, func(p *world.Process) {
@@ -259,8 +259,8 @@
 }
 
 // One scripted day in both places: what does not depend on the machine's time agrees.
-func TestOneDayOnSocketsAndInTheWorld(t *testing.T) {
-	whole(t)
+func TestLoopbackAndVirtualRunsAgree(t *testing.T) {
+	skipIfShort(t)
 	opt := Options{Seed: 3, Commands: 600, Rate: 120, Hosts: 3, Servers: 9, FaultKinds: []string{"none"}}
 	set := func() *settings.Settings { return SmallBlocks(settings.Example(3, 9)) }
 	w := env.NewReal()
@@ -299,7 +299,7 @@
 
 // Each planted fault is found, plays again as it was, and gets smaller. Only in a build
 // with the tag "planted".
-func TestPlantedFaultsAreFound(t *testing.T) {
+func TestPlantedFaultsAreDetected(t *testing.T) {
 	if !faultinject.Enabled {
 		t.Skip("needs the build tag planted")
 	}
@@ -313,7 +313,7 @@
 			case slices.Contains(faultinject.RegionFaults, name):
 				x.Regions, x.Hosts, x.Servers, x.Span, x.Rate = true, 4, 8, time.Minute, 120
 				if name == faultinject.LeaseNoDrift {
-					x.DrawScenario = leaderWithoutHosts
+					x.DrawScenario = leaderWithRestartingHosts
 				}
 			case name == faultinject.LimitMisread:
 				x.Span *= 2 // a volume must stay above its limit until its burst is spent
@@ -326,7 +326,7 @@
 				t.Fatalf("not found in %d scenes", sum.Runs)
 			}
 			s := sum.Failures[0]
-			if again := played(t, s); again.Scenario.Digest != s.Digest || again.Failure == nil || again.Failure.Kind != s.Failure.Kind {
+			if again := runScenario(t, s); again.Scenario.Digest != s.Digest || again.Failure == nil || again.Failure.Kind != s.Failure.Kind {
 				t.Fatalf("played again: %v, was %v", again.Failure, s.Failure)
 			}
 			small, err := s.Shrink(context.Background(), 30, &strings.Builder{})
@@ -336,7 +336,7 @@
 			faultinject.Activate("")
 			sane := s
 			sane.Planted, sane.Failure = "", nil
-			kept(t, sane) // it is the fault that fails it
+			runPassing(t, sane) // it is the fault that fails it
 			t.Logf("seed %d of %d played: %v; %d troubles shrunk to %d, %d commands to %d, %d hosts", s.Seed, sum.Runs, s.Failure, len(s.Faults),
 				len(small.Faults), s.Commands, small.Commands, small.Hosts)
 		})
@@ -344,7 +344,7 @@
 }
 
 // A scene's file is read back as it was; another is refused with a reason.
-func TestSceneFiles(t *testing.T) {
+func TestScenarioFiles(t *testing.T) {
 	s := DrawScenario(rand.Uint64(), 3, 9, time.Minute, 120, true)
 	file := t.TempDir() + "/scene.json"
 	if err := s.Save(file); err != nil {
--- a/internal/simulation/lab/worldfaults.go
+++ b/internal/simulation/lab/worldfaults.go
@@ -40,7 +40,7 @@
 	if f := faultFuncs[kind]; f != nil {
 		return f
 	}
-	if f := regionKinds[kind]; f != nil {
+	if f := regionFaults[kind]; f != nil {
 		return f
 	}
 	f := worldFaultFuncs[kind]
