--- a/internal/simulation/lab/explore.go
+++ b/internal/simulation/lab/explore.go
@@ -42,13 +42,13 @@
 	// Regions simulates a service across two regions.
 	Regions bool `json:"regions,omitempty"`
 
-	changeSettings func(*settings.Settings)          // further changes to the settings of a service with regions
-	fixedShares    bool                              // regions' shares of limits are not rebalanced
-	onEvent        func(*trail.Event)                // called for each trail event
-	onAnswer       func(at, took int64, served bool) // see rules.Stats.OnAnswer
-	Failure        *Failure                          `json:"failure,omitempty"` // result of the run, as are Digest and Steps
-	Digest         uint64                            `json:"digest,omitempty"`
-	Steps          uint64                            `json:"steps,omitempty"`
+	changeSettings func(*settings.Settings)                   // further changes to the settings of a service with regions
+	fixedShares    bool                                       // regions' shares of limits are not rebalanced
+	onEvent        func(*trail.Event)                         // called for each trail event
+	onAnswer       func(issuedAt, latency int64, served bool) // see rules.Stats.OnAnswer
+	Failure        *Failure                                   `json:"failure,omitempty"` // result of the run, as are Digest and Steps
+	Digest         uint64                                     `json:"digest,omitempty"`
+	Steps          uint64                                     `json:"steps,omitempty"`
 }
 
 // Failure is the first failure of a run. Equal failures have the same Kind.
@@ -241,8 +241,8 @@
 		outcome.evaluate(result, simulated.Now())
 	}
 	outcome.VirtualTime, outcome.Steps = simulated.Now(), simulated.Steps
-	for _, n := range outcome.Checker.Checks {
-		outcome.RuleChecks += n
+	for _, count := range outcome.Checker.Checks {
+		outcome.RuleChecks += count
 	}
 	outcome.Scenario.Failure, outcome.Scenario.Digest, outcome.Scenario.Steps = outcome.Failure, simulated.Digest(), simulated.Steps
 	if trailFile != "" {
--- a/internal/simulation/lab/muxrelay.go
+++ b/internal/simulation/lab/muxrelay.go
@@ -23,7 +23,7 @@
 // muxUpstream is a connection to one server.
 type muxUpstream struct {
 	conn    net.Conn
-	out     *writequeue.Queue
+	queue   *writequeue.Queue
 	mu      sync.Mutex
 	lastTag uint32
 	pending map[uint32]pendingReply
@@ -31,8 +31,8 @@
 
 // pendingReply is whose reply is awaited.
 type pendingReply struct {
-	out *writequeue.Queue
-	tag uint32
+	queue *writequeue.Queue
+	tag   uint32
 }
 
 const (
@@ -48,7 +48,7 @@
 		if err != nil {
 			return nil, err
 		}
-		upstream := &muxUpstream{conn: connection, out: writequeue.New(environment, connection, muxMaxQueueBytes, muxWriteTimeout), pending: map[uint32]pendingReply{}}
+		upstream := &muxUpstream{conn: connection, queue: writequeue.New(environment, connection, muxMaxQueueBytes, muxWriteTimeout), pending: map[uint32]pendingReply{}}
 		relay.upstreams = append(relay.upstreams, upstream)
 		go upstream.readReplies()
 	}
@@ -57,26 +57,26 @@
 	return relay, err
 }
 
-func (relay *muxRelay) serve(connection net.Conn, out *writequeue.Queue) {
-	defer out.Wait()
-	defer out.Abort()
+func (relay *muxRelay) serve(connection net.Conn, queue *writequeue.Queue) {
+	defer queue.Wait()
+	defer queue.Abort()
 	reader := bufio.NewReaderSize(connection, 64<<10)
 	var request [requestLen]byte
 	for count := uint32(0); ; count++ {
 		if _, err := io.ReadFull(reader, request[:]); err != nil {
 			return
 		}
-		relay.upstreams[count%uint32(len(relay.upstreams))].send(&request, out)
+		relay.upstreams[count%uint32(len(relay.upstreams))].send(&request, queue)
 	}
 }
 
-func (upstream *muxUpstream) send(request *[requestLen]byte, client *writequeue.Queue) {
+func (upstream *muxUpstream) send(request *[requestLen]byte, clientQueue *writequeue.Queue) {
 	upstream.mu.Lock()
 	upstream.lastTag++
 	tag := upstream.lastTag
-	upstream.pending[tag] = pendingReply{client, binary.BigEndian.Uint32(request[16:])}
+	upstream.pending[tag] = pendingReply{clientQueue, binary.BigEndian.Uint32(request[16:])}
 	upstream.mu.Unlock()
-	upstream.out.Enqueue(func(buffer []byte) []byte {
+	upstream.queue.Enqueue(func(buffer []byte) []byte {
 		start := len(buffer)
 		buffer = append(append(buffer, request[:]...), make([]byte, doFrameLen-requestLen)...)
 		binary.BigEndian.PutUint32(buffer[start+16:], tag)
@@ -85,7 +85,7 @@
 }
 
 func (upstream *muxUpstream) readReplies() {
-	defer upstream.out.Abort()
+	defer upstream.queue.Abort()
 	reader := bufio.NewReaderSize(upstream.conn, 256<<10)
 	reply := make([]byte, answerFrameLen)
 	for {
@@ -97,10 +97,10 @@
 		waiting := upstream.pending[tag]
 		delete(upstream.pending, tag)
 		upstream.mu.Unlock()
-		if waiting.out == nil {
+		if waiting.queue == nil {
 			return
 		}
-		waiting.out.Enqueue(func(buffer []byte) []byte {
+		waiting.queue.Enqueue(func(buffer []byte) []byte {
 			start := len(buffer)
 			buffer = append(append(buffer, reply...), make([]byte, responseLen-answerFrameLen)...)
 			buffer[start+3], buffer[start+5], buffer[start+6], buffer[start+7] = 0, byte(benchBlockSize>>16), byte(benchBlockSize>>8&0xff), byte(benchBlockSize&0xff)
@@ -114,6 +114,6 @@
 	relay.listener.Close()
 	for _, upstream := range relay.upstreams {
 		upstream.conn.Close()
-		upstream.out.Wait()
+		upstream.queue.Wait()
 	}
 }
--- a/internal/simulation/lab/sweep.go
+++ b/internal/simulation/lab/sweep.go
@@ -41,7 +41,7 @@
 
 // runSeeds plays each row with the seeds 1 to n, so many at once. play returns a name
 // for the progress and what enters its result, which is called one at a time.
-func runSeeds(rows, seeds, parallel int, progress io.Writer, play func(row int, seed uint64) (name string, enter func(), err error)) error {
+func runSeeds(rows, seeds, parallel int, progress io.Writer, run func(row int, seed uint64) (name string, record func(), err error)) error {
 	type job struct {
 		row  int
 		seed uint64
@@ -54,7 +54,7 @@
 	for range parallel {
 		workers.Go(func() {
 			for job := range jobs {
-				name, enter, err := play(job.row, job.seed)
+				name, enter, err := run(job.row, job.seed)
 				mu.Lock()
 				if done++; err != nil {
 					runErr = fmt.Errorf("%s, seed %d: %w", name, job.seed, err)
--- a/internal/simulation/lab/testbed.go
+++ b/internal/simulation/lab/testbed.go
@@ -112,6 +112,6 @@
 	addr  string
 }
 
-func (a *virtualRelay) Address() string     { return a.addr }
-func (a *virtualRelay) Point(target string) { a.world.RetargetAlias(a.addr, target) }
-func (a *virtualRelay) Close()              {} // ends with its world
+func (relay *virtualRelay) Address() string     { return relay.addr }
+func (relay *virtualRelay) Point(target string) { relay.world.RetargetAlias(relay.addr, target) }
+func (relay *virtualRelay) Close()              {} // ends with its world
--- a/internal/simulation/lab/worldfaults.go
+++ b/internal/simulation/lab/worldfaults.go
@@ -51,7 +51,7 @@
 
 // changeLink gives the ways between a host and a disk server another state for a while.
 func changeLink(d *dayRun, simulated *world.World, host, disk string, toDisk, toHost bool, duration time.Duration, change func(*world.LinkState)) {
-	set := func(from, to string) {
+	changeDirection := func(from, to string) {
 		link := simulated.Link(from, to)
 		state := link.LinkState
 		change(&state)
@@ -59,10 +59,10 @@
 		d.fleet.afterFunc(duration, func() { link.SetState(simulated.DefaultLink) })
 	}
 	if toDisk {
-		set(host, disk)
+		changeDirection(host, disk)
 	}
 	if toHost {
-		set(disk, host)
+		changeDirection(disk, host)
 	}
 }
 
