--- a/internal/simulation/lab/blockhistory.go
+++ b/internal/simulation/lab/blockhistory.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// BlockHistory keeps what clients wrote and read, and tells afterwards whether every
-// block that was read is one that it could have been: put there by a write that
-// was acknowledged or never answered, and not older than the last acknowledged.
+// BlockHistory records what clients wrote and read and checks afterwards that each block read was
+// allowed: written by a write that was acknowledged or whose outcome is unknown, and not older than
+// the last acknowledged write before the read.
 type BlockHistory struct {
 	mu     sync.Mutex
 	nextID uint64
 	writes map[uint64]*writeRecord
 	blocks map[blockAddr][]*writeRecord
 	reads  []readRecord
-	// AsyncVolumes are volumes whose writes are acknowledged before they are copied: some may be
-	// lost with a region. Lost are those that were.
+	// AsyncVolumes are volumes whose writes are acknowledged before they are copied and may be lost
+	// with a region. LostWrites are the acknowledged writes that CheckReads found lost.
 	AsyncVolumes map[string]bool
 	LostWrites   map[uint64]bool
-	// CheckedReads counts the blocks that were judged.
+	// CheckedReads counts the block reads that were checked.
 	CheckedReads int
 }
 
@@ -30,15 +30,15 @@
 	lba    uint64
 }
 
-// WriteOutcome is what became of a write.
+// WriteOutcome is what a client knows about a write.
 type WriteOutcome int
 
-// The fates.
+// Outcomes of writes.
 const (
-	WritePending       WriteOutcome = iota // no answer yet, or none at all
-	WriteAcked                             // GOOD
-	WriteIndeterminate                     // failed, or given up: it may have run by end
-	WriteNotApplied                        // refused, or compared unequal: it did not run
+	WritePending       WriteOutcome = iota // no outcome recorded
+	WriteAcked                             // status GOOD
+	WriteIndeterminate                     // failed or abandoned: it may have taken effect
+	WriteNotApplied                        // refused, not sent or miscompared: no effect
 )
 
 type writeRecord struct {
@@ -46,7 +46,7 @@
 	volume     string
 	lba        uint64
 	blocks     int
-	begin, end time.Duration // it took effect, if at all, between these
+	begin, end time.Duration // any effect happened between these times
 	outcome    WriteOutcome
 }
 
@@ -57,12 +57,12 @@
 	torn       bool
 }
 
-// NewBlockHistory returns an empty ledger; blocks start as zeros, write 0.
+// NewBlockHistory returns an empty history. All blocks hold zeros at first, which is write 0.
 func NewBlockHistory() *BlockHistory {
 	return &BlockHistory{LostWrites: map[uint64]bool{}, writes: map[uint64]*writeRecord{}, blocks: map[blockAddr][]*writeRecord{}}
 }
 
-// BeginWrite enters a write that is about to be sent and returns its number.
+// BeginWrite records a write that is about to be sent and returns its ID.
 func (history *BlockHistory) BeginWrite(volume string, lba uint64, blocks int, now time.Duration) uint64 {
 	history.mu.Lock()
 	defer history.mu.Unlock()
@@ -76,7 +76,7 @@
 	return write.id
 }
 
-// EndWrite tells what became of a write and by when any effect was there.
+// EndWrite records the outcome of a write and the time by which it has taken effect, if at all.
 func (history *BlockHistory) EndWrite(id uint64, outcome WriteOutcome, effectBy time.Duration) {
 	history.mu.Lock()
 	defer history.mu.Unlock()
@@ -84,7 +84,7 @@
 	write.outcome, write.end = outcome, effectBy
 }
 
-// RecordRead enters the blocks of a read.
+// RecordRead records the blocks that a read returned.
 func (history *BlockHistory) RecordRead(volume string, lba uint64, data []byte, blockSize int, begin, end time.Duration) {
 	history.mu.Lock()
 	defer history.mu.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// WrittenBlocks lists every block that a write was sent for.
+// WrittenBlocks returns the LBAs, by volume, of all blocks that a write was sent for.
 func (history *BlockHistory) WrittenBlocks() map[string][]uint64 {
 	history.mu.Lock()
 	defer history.mu.Unlock()
@@ -105,7 +105,7 @@
 	return blocks
 }
 
-// Stamp fills blocks with a write's number.
+// Stamp returns data of the given length in bytes that consists of a write's ID.
 func Stamp(id uint64, length int) []byte {
 	data := make([]byte, length)
 	for i := 0; i < length; i += 8 {
@@ -114,7 +114,7 @@
 	return data
 }
 
-// readStamp reads the number back; torn if the block holds more than one.
+// readStamp returns the write ID of a block; torn reports whether the block holds several.
 func readStamp(block []byte) (id uint64, torn bool) {
 	id = binary.BigEndian.Uint64(block)
 	for i := 8; i < len(block); i += 8 {
@@ -125,7 +125,7 @@
 	return id, false
 }
 
-// CheckReads returns what is wrong with what was read.
+// CheckReads returns a description of each block read that was not allowed.
 func (history *BlockHistory) CheckReads() (anomalies []string) {
 	history.mu.Lock()
 	defer history.mu.Unlock()
@@ -143,20 +143,20 @@
 		return fmt.Sprintf("block %d of %s, read at %.3f s: ", read.addr.lba, read.addr.volume, read.begin.Seconds()) + fmt.Sprintf(format, args...)
 	}
 	if read.torn {
-		return anomaly("holds parts of several writes")
+		return anomaly("block contains several writes")
 	}
-	end := time.Duration(-1) // of the write that was read; zeros were there before all
+	end := time.Duration(-1) // of the write that was read; zeros precede all writes
 	if read.writeID != 0 {
 		write := history.writes[read.writeID]
 		switch {
 		case write == nil:
-			return anomaly("holds write %d, which nobody sent", read.writeID)
+			return anomaly("contains write %d, which no client sent", read.writeID)
 		case write.volume != read.addr.volume || read.addr.lba < write.lba || read.addr.lba >= write.lba+uint64(write.blocks):
-			return anomaly("holds write %d, which was for another place", read.writeID)
+			return anomaly("contains write %d, which was sent to other blocks", read.writeID)
 		case write.outcome == WriteNotApplied:
-			return anomaly("holds write %d, of which the client was told that nothing happened", read.writeID)
+			return anomaly("contains write %d, which was reported as not applied", read.writeID)
 		case write.begin > read.end:
-			return anomaly("holds write %d, which was sent later", read.writeID)
+			return anomaly("contains write %d, which was sent after the read", read.writeID)
 		}
 		end = write.end
 	}
@@ -166,7 +166,7 @@
 				history.LostWrites[write.id] = true
 				continue
 			}
-			return anomaly("holds write %d, over by %.3f s, although write %d was begun at %.3f s and acknowledged at %.3f s",
+			return anomaly("contains write %d, finished by %.3f s, although write %d was sent at %.3f s and acknowledged at %.3f s",
 				read.writeID, end.Seconds(), write.id, write.begin.Seconds(), write.end.Seconds())
 		}
 	}
--- a/internal/simulation/lab/blockranges.go
+++ b/internal/simulation/lab/blockranges.go
@@ -7,7 +7,7 @@
 	blocks uint32
 }
 
-// mergeBlocks joins neighbouring blocks into mergeBlocks of at most that many.
+// mergeBlocks merges adjacent blocks into ranges of at most maxBlocks. It sorts lbas.
 func mergeBlocks(lbas []uint64, maxBlocks uint32) (ranges []blockRange) {
 	slices.Sort(lbas)
 	for _, lba := range slices.Compact(lbas) {
--- a/internal/simulation/lab/faults.go
+++ b/internal/simulation/lab/faults.go
@@ -7,21 +7,23 @@
 	"merlinhitch/internal/simulation/standin"
 )
 
-// Each trouble begins at once, lasts so long and undoes itself. Sizes are within
-// what the deployments have seen.
+// The functions of faultFuncs start a fault immediately and schedule its end, if it does not end by
+// itself.
 
+// uniform draws a number from [low, high).
 func uniform(random *rand.Rand, low, high float64) float64 { return low + (high-low)*random.Float64() }
 
-// diskCount is how many disk servers there are, in all regions.
+// diskCount returns the number of disk servers in all regions.
 func (d *dayRun) diskCount() int { return len(d.fleet.disks) }
 
-// sample draws a part of n things, one at least.
+// sample draws a share of the numbers 0 to n-1, at least one of them.
 func sample(rng *rand.Rand, n int, share float64) []int {
 	count := max(int(float64(n)*share+0.5), 1)
 	return rng.Perm(n)[:min(count, n)]
 }
 
-// injectMachineFaults gives some disk servers a trouble for a while.
+// injectMachineFaults sets faults on a share of the disk servers for a duration; newFaults is called
+// for each of them.
 func (d *dayRun) injectMachineFaults(rng *rand.Rand, share float64, duration time.Duration, newFaults func() standin.MachineFaults) {
 	for _, index := range sample(rng, d.diskCount(), share) {
 		if server := d.fleet.DiskServer(index); server != nil {
@@ -31,7 +33,7 @@
 	}
 }
 
-// injectNetworkFaults gives some disk servers' connections a trouble for a while.
+// injectNetworkFaults sets faults on the connections of a share of the disk servers for a duration.
 func (d *dayRun) injectNetworkFaults(rng *rand.Rand, share float64, duration time.Duration, faults standin.NetworkFaults) {
 	for _, index := range sample(rng, d.diskCount(), share) {
 		if server := d.fleet.DiskServer(index); server != nil {
@@ -41,12 +43,13 @@
 	}
 }
 
-// changeBehaviour changes the clients for a while.
+// changeBehaviour changes the clients' behaviour and reverts it after a duration.
 func (d *dayRun) changeBehaviour(duration time.Duration, apply, revert func(*ClientBehaviour)) {
 	d.clients.ChangeBehaviour(apply)
 	d.fleet.afterFunc(duration, func() { d.clients.ChangeBehaviour(revert) })
 }
 
+// crash kills 15 % of the disk servers for half the duration, but at least 1 s.
 func crash(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	for _, index := range sample(rng, d.diskCount(), 0.15) {
 		d.fleet.KillDisk(index, max(duration/2, time.Second))
@@ -63,15 +66,18 @@
 	})
 }
 
+// noisyNeighbour lets another program use part of the capacity of 44 % of the disk servers.
 func noisyNeighbour(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	d.injectMachineFaults(rng, 0.44, duration, func() standin.MachineFaults { return standin.MachineFaults{StolenShare: uniform(rng, 0.3, 0.58)} })
 }
 
+// fastErrors makes 20 % of the disk servers fail 44 to 97 % of their requests after 1 ms.
 func fastErrors(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	d.injectMachineFaults(rng, 0.2, duration, func() standin.MachineFaults { return standin.MachineFaults{FailShare: uniform(rng, 0.44, 0.97)} })
 }
 
-// massRestart strikes one hall: all its servers within 0.4 s.
+// massRestart kills every third disk server within 0.4 s; with the example settings these are the
+// servers of one hall. Each restarts after 1 to 4 s.
 func massRestart(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	hall := rng.IntN(min(d.diskCount(), 3))
 	for index := hall; index < d.diskCount(); index += 3 {
@@ -80,6 +86,7 @@
 	}
 }
 
+// deploy replaces half of the disk servers one after another.
 func deploy(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	order := sample(rng, d.diskCount(), 0.5)
 	for position, index := range order {
@@ -87,6 +94,7 @@
 	}
 }
 
+// reportLate delays changes of the inventory and usage reports of the disk servers.
 func reportLate(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	delay := uniform(rng, 500, 4800)
 	d.fleet.eachInventory(func(inventory *standin.Inventory) { inventory.SetDelay(inventoryDelay + delay/4) })
@@ -96,6 +104,7 @@
 	d.injectMachineFaults(rng, 1, duration, func() standin.MachineFaults { return standin.MachineFaults{UsageDelay: delay} })
 }
 
+// hotKey directs 10 to 40 % of the commands to three volumes.
 func hotKey(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	volumes := rng.Perm(d.options.Servers)[:min(3, d.options.Servers)]
 	share := uniform(rng, 0.1, 0.4)
@@ -107,13 +116,15 @@
 	d.changeBehaviour(duration, func(h *ClientBehaviour) { h.RateFactor = factor }, func(h *ClientBehaviour) { h.RateFactor = 0 })
 }
 
+// tenantBurst multiplies the weight of the volumes of one plan.
 func tenantBurst(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	plan := d.fleet.Settings.Plans[rng.IntN(3)].Name
 	factor := uniform(rng, 2.8, 5.9)
 	d.changeBehaviour(duration, func(h *ClientBehaviour) { h.BurstPlan, h.BurstFactor = plan, factor }, func(h *ClientBehaviour) { h.BurstPlan, h.BurstFactor = "", 0 })
 }
 
-// reconnect drops a share of the sessions, and the lead passes to other hosts.
+// reconnect closes the sessions of about 40 % of the volumes, and clients prefer each volume's last
+// host for the duration.
 func reconnect(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	for _, paths := range d.clients.paths {
 		if rng.Float64() > 0.4 {
@@ -131,6 +142,7 @@
 	d.changeBehaviour(duration, func(h *ClientBehaviour) { h.PreferLastHost = true }, func(h *ClientBehaviour) { h.PreferLastHost = false })
 }
 
+// retryAbuse makes the clients of one plan abort early and retry immediately.
 func retryAbuse(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	plan := d.fleet.Settings.Plans[rng.IntN(3)].Name
 	abortFraction, maxRetries := uniform(rng, 0.2, 0.58), 5+rng.IntN(10)
@@ -140,11 +152,13 @@
 		func(h *ClientBehaviour) { h.AbusePlan, h.AbuseAbortFraction, h.AbuseMaxRetries = "", 0, 0 })
 }
 
+// giveUp makes clients abandon 10 to 40 % of the commands early.
 func giveUp(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	share := uniform(rng, 0.1, 0.4)
 	d.changeBehaviour(duration, func(h *ClientBehaviour) { h.AbandonShare = share }, func(h *ClientBehaviour) { h.AbandonShare = 0 })
 }
 
+// balancerCrash kills 40 % of the hosts for 1.2 to 3 s.
 func balancerCrash(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	for _, index := range sample(rng, d.options.Hosts, 0.4) {
 		d.fleet.KillHost(index, time.Duration(uniform(rng, 1.2, 3)*float64(time.Second)))
@@ -163,12 +177,12 @@
 	d.injectNetworkFaults(rng, 0.1, duration, standin.NetworkFaults{ByteAtATime: true})
 }
 
-// netLate holds answers back until after most time-outs.
+// netLate delays part of the answers by 0.9 to 5 s, beyond most timeouts.
 func netLate(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	d.injectNetworkFaults(rng, 0.2, duration, standin.NetworkFaults{Delay: uniform(rng, 900, 5000), DelayShare: uniform(rng, 0.05, 0.3)})
 }
 
-// listCut breaks the hosts' connections to the inventory.
+// listCut closes the hosts' connections to the inventory, now and after half the duration.
 func listCut(d *dayRun, _ *rand.Rand, duration time.Duration) {
 	dropAll := func() { d.fleet.eachInventory((*standin.Inventory).DropConnections) }
 	dropAll()
--- a/internal/simulation/lab/limits.go
+++ b/internal/simulation/lab/limits.go
@@ -13,39 +13,40 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// LimitResult is what passed of a limit that changes all the time.
+// LimitResult compares the units sent under a continually changing limit with the limit's integral.
 type LimitResult struct {
 	*Result
 	Changes       int
-	SentUnits     float64 // units of the limited volume that were sent first, over all hosts
-	LimitIntegral float64 // of the limit over the same time
-	// UpperBound and LowerBound bound Passed: the integral and the store of the beginning, and the
-	// integral less the stores that shrank and a request of each host.
+	SentUnits     float64 // units of first attempts, over all hosts
+	LimitIntegral float64 // integral of the limit until the last first attempt, in units
+	// UpperBound and LowerBound are the bounds of SentUnits: the integral plus the burst and the
+	// overdraft; the integral minus the burst and one request of the maximum size per host.
 	UpperBound, LowerBound float64
-	RequestedUnits         float64 // units that clients asked for, at the least
+	RequestedUnits         float64 // units of the commands that clients issued
 }
 
-// OK tells whether the bounds and all else were kept.
+// OK reports whether SentUnits is within its bounds and all other checks passed.
 func (r *LimitResult) OK() bool {
 	return r.Result.OK() && r.SentUnits <= r.UpperBound && r.SentUnits >= r.LowerBound
 }
 
-// limitStep is a limit that came into force at a host.
+// limitStep is a limit that came into force at one host.
 type limitStep struct {
 	host         int
-	time         int64 // us, when the call was answered
+	time         int64 // time in us after the change was applied
 	limit, burst float64
 }
 
-// The limits that are drawn, units a second over all hosts, and how often.
+// Limits are drawn from [limitLow, limitHigh], in units per second over all hosts, every
+// limitInterval. The load is limitLoadFactor times the mean limit.
 const (
 	limitLow, limitHigh = 20, 60
 	limitInterval       = 100 * time.Millisecond
 	limitLoadFactor     = 8
 )
 
-// LimitDay has clients ask for eight times the mean limit of one volume through two hosts
-// on loopback, for so long, while the limit is changed at both every 100 ms.
+// LimitDay runs two hosts on loopback under a load of eight times the mean limit of one volume, for
+// the given time, while the limit changes at both hosts every limitInterval.
 func LimitDay(ctx context.Context, options Options, span time.Duration) (*LimitResult, error) {
 	config := settings.Example(2, 6)
 	volume := config.Volumes[0]
@@ -97,7 +98,7 @@
 	return result, nil
 }
 
-// measure adds up what passed between two times, and the integral of the limit there.
+// measure sums the units between two times in us and integrates the limit over that period.
 func (r *LimitResult) measure(config *settings.Settings, changes []limitStep, events []trail.Event, from, to int64) {
 	last := from
 	for i := range events {
@@ -128,9 +129,9 @@
 	r.LowerBound = r.LimitIntegral - plan.Burst - hosts*config.MaxUnits
 }
 
-// Print writes the figures.
+// Print writes the result as text.
 func (r *LimitResult) Print(w io.Writer) {
-	fmt.Fprintf(w, "%d changes of a limit between %d and %d units a second; %.0f units asked for, %.1f passed, the integral of the limit is %.1f, bounds %.1f to %.1f\n",
+	fmt.Fprintf(w, "%d changes of a limit between %d and %d units/s; %.0f units requested, %.1f sent; limit integral %.1f units, bounds %.1f to %.1f\n",
 		r.Changes, limitLow, limitHigh, r.RequestedUnits, r.SentUnits, r.LimitIntegral, r.LowerBound, r.UpperBound)
 	r.Checker.Print(w)
 }
--- a/internal/simulation/lab/linearizability.go
+++ b/internal/simulation/lab/linearizability.go
@@ -10,14 +10,14 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// blockOp is what one command did to one block.
+// blockOp is the operation of one command on one block.
 type blockOp struct {
 	write         bool
-	indeterminate bool // it may have had no effect
+	indeterminate bool // the write may have had no effect
 	writeID       uint64
 }
 
-// blockModel is a register that holds the number of the write that it was last given.
+// blockModel models a block as a register that holds the ID of the last write.
 var blockModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, input, _ any) []any {
@@ -35,11 +35,12 @@
 	Equal: func(a, b any) bool { return a.(uint64) == b.(uint64) },
 }).ToModel()
 
-// blockCheckTimeout bounds the check of one block's history.
+// blockCheckTimeout limits the check of one block's history.
 const blockCheckTimeout = 2 * time.Second
 
-// CheckLinearizable checks that each block's history can be put in one order. It returns how many
-// blocks it judged, how many it could not judge in time, and what is wrong.
+// CheckLinearizable checks that the history of each block is linearizable, except on AsyncVolumes. It
+// returns the number of blocks checked, how many of these timed out, and a description of each
+// violation.
 func (history *BlockHistory) CheckLinearizable() (checked, unknown int, anomalies []string) {
 	history.mu.Lock()
 	defer history.mu.Unlock()
@@ -59,7 +60,7 @@
 		checked++
 		switch porcupine.CheckOperationsTimeout(blockModel, history.operations(addr, reads[addr]), blockCheckTimeout) {
 		case porcupine.Illegal:
-			anomalies = append(anomalies, fmt.Sprintf("block %d of %s: its %d writes and %d reads can't be put in one order", addr.lba, addr.volume, len(history.blocks[addr]), len(reads[addr])))
+			anomalies = append(anomalies, fmt.Sprintf("block %d of %s: %d writes and %d reads are not linearizable", addr.lba, addr.volume, len(history.blocks[addr]), len(reads[addr])))
 		case porcupine.Unknown:
 			unknown++
 		}
@@ -67,7 +68,8 @@
 	return checked, unknown, anomalies
 }
 
-// operations is one block's. A write of which nothing is known may take effect at any time.
+// operations returns the history of one block. A write with an unknown outcome may take effect at
+// any time after it was sent.
 func (history *BlockHistory) operations(addr blockAddr, reads []*readRecord) (operations []porcupine.Operation) {
 	wasRead := map[uint64]bool{}
 	for _, read := range reads {
@@ -76,7 +78,7 @@
 	}
 	for _, write := range history.blocks[addr] {
 		if write.outcome == WriteNotApplied || write.outcome != WriteAcked && !wasRead[write.id] {
-			continue // no effect, or none that anyone saw
+			continue // no effect, or none that a read observed
 		}
 		operation := porcupine.Operation{Input: blockOp{write: true, indeterminate: write.outcome != WriteAcked, writeID: write.id}, Call: int64(write.begin), Return: int64(write.end)}
 		if write.outcome != WriteAcked {
--- a/internal/simulation/lab/muxrelay.go
+++ b/internal/simulation/lab/muxrelay.go
@@ -12,15 +12,15 @@
 	"merlinhitch/internal/runtime/writequeue"
 )
 
-// muxRelay is a bare relay with the gateway's own connections: many clients in front,
-// one connection to each of a few servers behind. It pairs replies by tag and
-// knows nothing else of what it passes on.
+// muxRelay is the baseline that Bench reports as fan: a minimal relay with the same connections as
+// the gateway, many from clients and one to each of a few servers. It only matches replies to
+// requests by tag.
 type muxRelay struct {
 	upstreams []*muxUpstream
 	listener  net.Listener
 }
 
-// muxUpstream is a connection to one server.
+// muxUpstream is the connection to one server.
 type muxUpstream struct {
 	conn    net.Conn
 	queue   *writequeue.Queue
@@ -29,7 +29,7 @@
 	pending map[uint32]pendingReply
 }
 
-// pendingReply is whose reply is awaited.
+// pendingReply is the client queue and the client's tag of a request without a reply.
 type pendingReply struct {
 	queue *writequeue.Queue
 	tag   uint32
@@ -40,7 +40,7 @@
 	muxWriteTimeout  = 10 * time.Second
 )
 
-// newMuxRelay relays to so many connections of the server.
+// newMuxRelay starts a relay to a server, over the given number of connections.
 func newMuxRelay(environment env.Environment, addr string, connections int) (*muxRelay, error) {
 	relay := &muxRelay{}
 	for range connections {
--- a/internal/simulation/lab/partition.go
+++ b/internal/simulation/lab/partition.go
@@ -10,16 +10,17 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// partitionKind is how an address can't be reached.
+// partitionKind tells how an address is unreachable.
 type partitionKind int
 
 const (
-	partitionReset     partitionKind = iota // connections end at once, new ones are refused
-	partitionBlackhole                      // nothing passes, and nothing says so
-	partitionDelay                          // what is sent waits on its way until the address is healed
+	partitionReset     partitionKind = iota // connections are closed, new ones are refused
+	partitionBlackhole                      // data is dropped without an error; new connections time out
+	partitionDelay                          // sent data is delayed until the address is healed; new connections time out
 )
 
-// partitionEnvironment is a host's world in which addresses can be cut off for that host alone.
+// partitionEnvironment is the environment of one host, in which addresses can be made unreachable for
+// that host alone.
 type partitionEnvironment struct {
 	env.Environment
 	mu          sync.Mutex
@@ -31,7 +32,7 @@
 	return &partitionEnvironment{Environment: environment, partitioned: map[string]partitionKind{}, conns: map[*partitionConn]string{}}
 }
 
-// partitionConn is a connection that can be cut.
+// partitionConn is a connection of a partitionEnvironment.
 type partitionConn struct {
 	net.Conn
 	env      *partitionEnvironment
@@ -41,7 +42,7 @@
 	delayed  []byte
 }
 
-var errPartitioned = errors.New("lab: cut off")
+var errPartitioned = errors.New("lab: address is partitioned")
 
 // Dial implements env.Environment.
 func (environment *partitionEnvironment) Dial(ctx context.Context, network, address string, timeout time.Duration) (net.Conn, error) {
@@ -62,7 +63,7 @@
 	partitionable := &partitionConn{Conn: connection, env: environment}
 	environment.mu.Lock()
 	defer environment.mu.Unlock()
-	if _, nowPartitioned := environment.partitioned[address]; nowPartitioned { // it came in between
+	if _, nowPartitioned := environment.partitioned[address]; nowPartitioned { // partitioned while dialling
 		connection.Close()
 		return nil, errPartitioned
 	}
@@ -76,7 +77,7 @@
 	return connection.dropping
 }
 
-// Read implements net.Conn; what comes over a hung connection is lost.
+// Read implements net.Conn. Data received on a dropping connection is discarded.
 func (connection *partitionConn) Read(buffer []byte) (int, error) {
 	for {
 		n, err := connection.Conn.Read(buffer)
@@ -86,7 +87,7 @@
 	}
 }
 
-// Write implements net.Conn.
+// Write implements net.Conn. Data sent is delayed or discarded while the address is partitioned.
 func (connection *partitionConn) Write(data []byte) (int, error) {
 	connection.mu.Lock()
 	if connection.delaying {
@@ -109,7 +110,7 @@
 	return connection.Conn.Close()
 }
 
-// partition cuts addresses partition.
+// partition makes addresses unreachable.
 func (environment *partitionEnvironment) partition(kind partitionKind, addrs ...string) {
 	for _, connection := range environment.updateAddresses(addrs, func(addr string) { environment.partitioned[addr] = kind }) {
 		connection.mu.Lock()
@@ -121,7 +122,8 @@
 	}
 }
 
-// heal lets addresses be reached again; what hung ends, for bytes of it are missing.
+// heal makes addresses reachable again. It closes connections that dropped data, since their streams
+// have gaps.
 func (environment *partitionEnvironment) heal(addrs ...string) {
 	for _, connection := range environment.updateAddresses(addrs, func(addr string) { delete(environment.partitioned, addr) }) {
 		if connection.isDropping() {
@@ -132,13 +134,14 @@
 		delayed := connection.delayed
 		connection.delaying, connection.delayed = false, nil
 		if len(delayed) > 0 {
-			connection.Conn.Write(delayed) // under the lock, before what comes next; a failure ends the reader
+			connection.Conn.Write(delayed) // under the lock, so that no later write overtakes it; the reader sees a failure
 		}
 		connection.mu.Unlock()
 	}
 }
 
-// updateAddresses does f for each address under the lock and returns the connections to them.
+// updateAddresses calls update for each address under the lock and returns the connections to these
+// addresses.
 func (environment *partitionEnvironment) updateAddresses(addrs []string, update func(string)) (connections []*partitionConn) {
 	environment.mu.Lock()
 	defer environment.mu.Unlock()
--- a/internal/simulation/lab/sweep.go
+++ b/internal/simulation/lab/sweep.go
@@ -11,11 +11,11 @@
 	"merlinhitch/internal/verify/rules"
 )
 
-// SweepRow is one kind of trouble over its seeds.
+// SweepRow sums up the runs of one kind of fault.
 type SweepRow struct {
 	Kind          string
 	Runs          int
-	FailedRuns    int // runs that broke something
+	FailedRuns    int // runs with a failed check
 	Commands      int
 	RuleChecks    [8]int
 	Goodputs      []float64
@@ -23,8 +23,8 @@
 	InvalidBlocks int
 }
 
-// Sweep plays each kind of trouble alone, then all together and none, over the
-// seeds 1 to n, so many days at once.
+// Sweep runs each kind of fault alone, then all together and none, with the seeds 1 to seeds.
+// parallel is the number of runs at the same time.
 func Sweep(ctx context.Context, options Options, seeds, parallel int, progress io.Writer) ([]SweepRow, error) {
 	names := append(FaultKinds(), "all together", "none")
 	rows := make([]SweepRow, len(names))
@@ -39,8 +39,9 @@
 	})
 }
 
-// runSeeds plays each row with the seeds 1 to n, so many at once. play returns a name
-// for the progress and what enters its result, which is called one at a time.
+// runSeeds calls run for each row with the seeds 1 to seeds, up to parallel calls at the same time.
+// run returns a name for progress lines and a function that records its result; these functions are
+// called one at a time.
 func runSeeds(rows, seeds, parallel int, progress io.Writer, run func(row int, seed uint64) (name string, record func(), err error)) error {
 	type job struct {
 		row  int
@@ -94,10 +95,10 @@
 	}
 }
 
-// PrintSweep writes the rows as a table that is also Markdown.
+// PrintSweep writes the rows as a Markdown table.
 func PrintSweep(w io.Writer, rows []SweepRow) error {
 	table := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
-	fmt.Fprint(table, "| trouble\t| days\t| broken\t| commands\t| goodput least\t| median\t| most")
+	fmt.Fprint(table, "| fault\t| runs\t| failed\t| commands\t| min goodput\t| median\t| max")
 	for rule := rules.Answers; rule <= rules.Budget; rule++ {
 		fmt.Fprintf(table, "\t| rule %d", rule)
 	}
@@ -120,7 +121,7 @@
 	}
 	for _, row := range rows {
 		if row.FirstFailure != "" {
-			fmt.Fprintf(w, "BROKEN with %s: %s\n", row.Kind, row.FirstFailure)
+			fmt.Fprintf(w, "FAILED with %s: %s\n", row.Kind, row.FirstFailure)
 		}
 	}
 	return nil
--- a/internal/simulation/lab/testbed.go
+++ b/internal/simulation/lab/testbed.go
@@ -8,42 +8,42 @@
 	"merlinhitch/internal/simulation/world"
 )
 
-// testbed is where a service runs: on loopback, or in a virtual world. All that differs
-// between the two stands here.
+// testbed abstracts where a service runs: on loopback sockets or in a virtual world. All differences
+// between the two are behind this interface.
 type testbed interface {
-	// startProcess is the world as a new program of that name has it.
+	// startProcess returns the environment of a new process of that name.
 	startProcess(name string) env.Environment
-	// killProcess ends a program where it stands; false if the site can't, and the program
-	// is to be told to end.
+	// killProcess kills a process, or its machine with powerLoss. It returns false if the testbed
+	// cannot kill processes, and the caller has to stop it.
 	killProcess(process env.Environment, powerLoss bool) bool
-	// newRelay makes an address that leads to target and on which what passes is recorded,
-	// beside the side that dials or the one that listens.
+	// newRelay returns an address that forwards to target and records the traffic as the client
+	// sees it (clientSide) or as the server does.
 	newRelay(target string, clientSide bool, newRecorder func(addr string) *standin.FrameRecorder) (relay, error)
-	// setLink gives the way from one program to another a state, by their lasting names.
+	// setLink sets the state of the link from one process to another, by their stable names.
 	setLink(from, to string, state world.LinkState)
-	// regionLink is the state of the ways regionLink two regions on a calm day.
+	// regionLink returns the state of links between regions without faults.
 	regionLink() world.LinkState
-	// setClockRate has a new program's clock run at so many times the world's, if the site can.
+	// setClockRate sets the clock rate of a new process relative to the world's, if supported.
 	setClockRate(process env.Environment, rate float64)
-	// mustStopProcesses tells whether programs stay until they are told to end.
+	// mustStopProcesses reports whether processes run until the fleet stops them.
 	mustStopProcesses() bool
-	// adminListen is where a host serves its adminListen API, "" where that has no HTTP.
+	// adminListen returns the listen address of hosts' admin APIs, or "" if HTTP is not available.
 	adminListen() string
 }
 
-// relay is an address with a recorder.
+// relay is an address that forwards to another and records the traffic.
 type relay interface {
 	Address() string
-	// Point has connections from now on go to another address.
+	// Point changes the target of new connections.
 	Point(target string)
 	Close()
 }
 
-// loopbackTestbed is the site of real sockets. Programs of a service over two regions meet by
-// way of links.
+// loopbackTestbed runs a service on loopback sockets. With regions, processes communicate through
+// links.
 type loopbackTestbed struct {
 	env.Environment
-	links *standin.Links // nil: sockets as they are
+	links *standin.Links // nil: plain sockets
 }
 
 func (testbed loopbackTestbed) startProcess(name string) env.Environment {
@@ -66,12 +66,12 @@
 	}
 	relay, err := standin.ServeRelay(testbed.Environment, target, newRecorder)
 	if err != nil {
-		return nil, err // not a wire that holds no relay
+		return nil, err // an explicit nil: a nil *Relay in the interface would not equal nil
 	}
 	return relay, nil
 }
 
-// virtualTestbed is the site in a virtualTestbed world.
+// virtualTestbed runs a service in a virtual world.
 type virtualTestbed struct{ world *world.World }
 
 func (testbed virtualTestbed) setLink(from, to string, state world.LinkState) {
@@ -97,7 +97,7 @@
 	return true
 }
 
-func (virtualTestbed) mustStopProcesses() bool { return false } // the world ends them
+func (virtualTestbed) mustStopProcesses() bool { return false } // they end with the world
 
 func (virtualTestbed) adminListen() string { return "" }
 
@@ -114,4 +114,4 @@
 
 func (relay *virtualRelay) Address() string     { return relay.addr }
 func (relay *virtualRelay) Point(target string) { relay.world.RetargetAlias(relay.addr, target) }
-func (relay *virtualRelay) Close()              {} // ends with its world
+func (relay *virtualRelay) Close()              {} // ends with the world
--- a/internal/simulation/lab/worldfaults.go
+++ b/internal/simulation/lab/worldfaults.go
@@ -9,8 +9,8 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// worldFaultFuncs are the troubles that only a virtual world has: those of links, of
-// processes that stand still or end in the midst of a step, and of clocks.
+// worldFaultFuncs are the kinds of fault that only a virtual world supports: faults of links and
+// clocks, stalls of processes, and crashes in the middle of a write.
 var worldFaultFuncs = map[string]func(d *dayRun, simulated *world.World, rng *rand.Rand, duration time.Duration){
 	"link_cut":     linkCut,
 	"link_one_way": linkOneWay,
@@ -25,7 +25,7 @@
 	"clock_jump":   clockJump,
 }
 
-// WorldFaultKinds lists every kind of trouble of a virtual day.
+// WorldFaultKinds returns all kinds of fault in a virtual world without regions, sorted.
 func WorldFaultKinds() []string {
 	kinds := FaultKinds()
 	for kind := range worldFaultFuncs {
@@ -35,7 +35,7 @@
 	return kinds
 }
 
-// faultFunc is what a kind of trouble does.
+// faultFunc returns the function that injects a kind of fault.
 func faultFunc(kind string) func(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	if f := faultFuncs[kind]; f != nil {
 		return f
@@ -49,7 +49,8 @@
 	}
 }
 
-// changeLink gives the ways between a host and a disk server another state for a while.
+// changeLink changes the link between a host and a server, in one or both directions, for a
+// duration.
 func changeLink(d *dayRun, simulated *world.World, host, disk string, toDisk, toHost bool, duration time.Duration, change func(*world.LinkState)) {
 	changeDirection := func(from, to string) {
 		link := simulated.Link(from, to)
@@ -66,7 +67,7 @@
 	}
 }
 
-// samplePairs draws hosts and disk servers.
+// samplePairs calls apply for each host with a share of the disk servers.
 func samplePairs(d *dayRun, rng *rand.Rand, share float64, apply func(host, disk string)) {
 	for host := range d.options.Hosts {
 		for _, index := range sample(rng, d.diskCount(), share) {
@@ -75,12 +76,14 @@
 	}
 }
 
+// linkCut partitions pairs of hosts and disk servers for half the duration.
 func linkCut(d *dayRun, simulated *world.World, rng *rand.Rand, duration time.Duration) {
 	samplePairs(d, rng, 0.15, func(host, disk string) {
 		changeLink(d, simulated, host, disk, true, true, duration/2, func(state *world.LinkState) { state.Partitioned = true })
 	})
 }
 
+// linkOneWay partitions pairs of hosts and disk servers in one direction for half the duration.
 func linkOneWay(d *dayRun, simulated *world.World, rng *rand.Rand, duration time.Duration) {
 	toDisk := rng.IntN(2) == 0
 	samplePairs(d, rng, 0.15, func(host, disk string) {
@@ -102,13 +105,14 @@
 	})
 }
 
+// linkSplit splits reads on links between hosts and disk servers.
 func linkSplit(d *dayRun, simulated *world.World, rng *rand.Rand, duration time.Duration) {
 	samplePairs(d, rng, 0.3, func(host, disk string) {
 		changeLink(d, simulated, host, disk, true, true, duration, func(state *world.LinkState) { state.SplitReads = true })
 	})
 }
 
-// listHang has nothing pass between some hosts and the inventory, and nothing say so.
+// listHang partitions half of the hosts from their inventory without closing connections.
 func listHang(d *dayRun, simulated *world.World, rng *rand.Rand, duration time.Duration) {
 	for _, host := range sample(rng, d.options.Hosts, 0.5) {
 		inventoryName := world.StableName(d.fleet.inventories[d.fleet.regionOf(host)].name())
@@ -116,7 +120,7 @@
 	}
 }
 
-// hostStall has a host stand still and then wake with all that came due meanwhile.
+// hostStall stalls a host for up to 8 s; timers that expire meanwhile are due when it resumes.
 func hostStall(d *dayRun, _ *world.World, rng *rand.Rand, duration time.Duration) {
 	host := d.fleet.hosts[rng.IntN(d.options.Hosts)]
 	stall := min(time.Duration(uniform(rng, 0.05, 8)*float64(time.Second)), duration)
@@ -129,7 +133,8 @@
 		Deadline: int64((d.fleet.Environment.Now() + stall) / time.Microsecond)})
 }
 
-// hostTorn ends a host as the bytes of one of its next writes leave it.
+// hostTorn crashes a host during one of its next 200 writes and restarts it 0.5 s after half the
+// duration.
 func hostTorn(d *dayRun, _ *world.World, rng *rand.Rand, duration time.Duration) {
 	index := rng.IntN(d.options.Hosts)
 	host := d.fleet.hosts[index]
@@ -140,24 +145,25 @@
 			d.fleet.KillHost(index, 500*time.Millisecond)
 			return
 		}
-		process.CrashAfterWrites(0, nil) // it wrote too little
+		process.CrashAfterWrites(0, nil) // too few writes: cancel the crash
 	})
 }
 
+// diskStall stalls 20 % of the disk servers for up to 4 s.
 func diskStall(d *dayRun, _ *world.World, rng *rand.Rand, duration time.Duration) {
 	for _, index := range sample(rng, d.diskCount(), 0.2) {
 		d.fleet.disks[index].process.(*world.Process).Stall(min(time.Duration(uniform(rng, 0.05, 4)*float64(time.Second)), duration))
 	}
 }
 
-// powerCut ends disk servers together with their machines: no connection is closed.
+// powerCut kills 15 % of the disk servers by a power loss: peers do not see their connections closed.
 func powerCut(d *dayRun, _ *world.World, rng *rand.Rand, duration time.Duration) {
 	for _, index := range sample(rng, d.diskCount(), 0.15) {
 		d.fleet.PowerOffDisk(index, max(duration/2, time.Second))
 	}
 }
 
-// clockJump sets a host's clock forward.
+// clockJump advances a host's clock by up to 3 s.
 func clockJump(d *dayRun, _ *world.World, rng *rand.Rand, _ time.Duration) {
 	process := d.fleet.hosts[rng.IntN(d.options.Hosts)].process.(*world.Process)
 	process.AdvanceClock(time.Duration(uniform(rng, 0.02, 3) * float64(time.Second)))
