--- a/internal/fleet/placement/baselines.go
+++ b/internal/fleet/placement/baselines.go
@@ -11,81 +11,81 @@
 // another hall and bans, and look at nothing else; Check tells what they break.
 
 // RoundRobin gives volumes their nodes in turn.
-func RoundRobin(p *Problem) Layout {
+func RoundRobin(problem *Problem) Layout {
 	next := 0
-	return equalPieces(p, func(int) int { next++; return next - 1 })
+	return equalPieces(problem, func(int) int { next++; return next - 1 })
 }
 
 // ByNameHash gives a volume the nodes after the hash of its name.
-func ByNameHash(p *Problem) Layout {
-	return equalPieces(p, func(v int) int { return int(xxhash.Sum64String(p.Volumes[v].Name) % uint64(len(p.Nodes))) })
+func ByNameHash(problem *Problem) Layout {
+	return equalPieces(problem, func(v int) int { return int(xxhash.Sum64String(problem.Volumes[v].Name) % uint64(len(problem.Nodes))) })
 }
 
 // LargestFirst gives volumes whole, the largest first, to the nodes with the most
 // room by then, and their copies likewise.
-func LargestFirst(p *Problem) Layout {
-	hall, _ := p.indexHalls()
-	room := make([]float64, len(p.Nodes))
-	for n := range room {
-		room[n] = p.Nodes[n].Capacity
+func LargestFirst(problem *Problem) Layout {
+	hallOf, _ := problem.indexHalls()
+	freeCapacity := make([]float64, len(problem.Nodes))
+	for n := range freeCapacity {
+		freeCapacity[n] = problem.Nodes[n].Capacity
 	}
-	order := make([]int, len(p.Volumes))
+	order := make([]int, len(problem.Volumes))
 	for v := range order {
 		order[v] = v
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(p.Volumes[b].Rate, p.Volumes[a].Rate) })
-	widest := func(v int, not func(n int) bool) int {
-		best := -1
-		for n := range p.Nodes {
-			if !not(n) && !slices.Contains(p.Volumes[v].ExcludedNodes, n) && (best < 0 || room[n] > room[best]) {
-				best = n
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(problem.Volumes[b].Rate, problem.Volumes[a].Rate) })
+	mostFree := func(v int, excluded func(n int) bool) int {
+		bestNode := -1
+		for n := range problem.Nodes {
+			if !excluded(n) && !slices.Contains(problem.Volumes[v].ExcludedNodes, n) && (bestNode < 0 || freeCapacity[n] > freeCapacity[bestNode]) {
+				bestNode = n
 			}
 		}
-		return best
+		return bestNode
 	}
-	l := make(Layout, len(p.Volumes))
+	layout := make(Layout, len(problem.Volumes))
 	for _, v := range order {
-		vol := &p.Volumes[v]
-		n := widest(v, func(int) bool { return false })
+		volume := &problem.Volumes[v]
+		n := mostFree(v, func(int) bool { return false })
 		if n < 0 {
 			continue
 		}
-		pc := Piece{n, -1, p.Parts}
-		room[n] -= vol.Rate
-		if vol.Copies == 2 {
-			if pc.Copy = widest(v, func(c int) bool { return hall[c] == hall[n] }); pc.Copy < 0 {
+		piece := Piece{n, -1, problem.Parts}
+		freeCapacity[n] -= volume.Rate
+		if volume.Copies == 2 {
+			if piece.Copy = mostFree(v, func(c int) bool { return hallOf[c] == hallOf[n] }); piece.Copy < 0 {
 				continue
 			}
-			room[pc.Copy] -= vol.Rate * vol.WriteFraction
+			freeCapacity[piece.Copy] -= volume.Rate * volume.WriteFraction
 		}
-		l[v] = []Piece{pc}
+		layout[v] = []Piece{piece}
 	}
-	return l
+	return layout
 }
 
 // equalPieces lays each volume in equal pieces on its most nodes from a first one on.
-func equalPieces(p *Problem, first func(v int) int) Layout {
-	hall, _ := p.indexHalls()
-	l := make(Layout, len(p.Volumes))
-	for v := range p.Volumes {
-		vol := &p.Volumes[v]
-		at := first(v)
-		nodes := min(vol.MaxNodes, p.Parts, len(p.Nodes))
-		for i := range nodes {
-			n := (at + i) % len(p.Nodes)
-			pc := Piece{n, -1, p.Parts / nodes}
-			if i < p.Parts%nodes {
-				pc.Parts++
+func equalPieces(problem *Problem, firstNode func(v int) int) Layout {
+	hallOf, _ := problem.indexHalls()
+	layout := make(Layout, len(problem.Volumes))
+	for v := range problem.Volumes {
+		volume := &problem.Volumes[v]
+		start := firstNode(v)
+		nodeCount := min(volume.MaxNodes, problem.Parts, len(problem.Nodes))
+		for i := range nodeCount {
+			n := (start + i) % len(problem.Nodes)
+			piece := Piece{n, -1, problem.Parts / nodeCount}
+			if i < problem.Parts%nodeCount {
+				piece.Parts++
 			}
-			for c := 1; c < len(p.Nodes) && vol.Copies == 2 && pc.Copy < 0; c++ {
-				if k := (n + c) % len(p.Nodes); hall[k] != hall[n] && !slices.Contains(vol.ExcludedNodes, k) {
-					pc.Copy = k
+			for offset := 1; offset < len(problem.Nodes) && volume.Copies == 2 && piece.Copy < 0; offset++ {
+				if copyNode := (n + offset) % len(problem.Nodes); hallOf[copyNode] != hallOf[n] && !slices.Contains(volume.ExcludedNodes, copyNode) {
+					piece.Copy = copyNode
 				}
 			}
-			if !slices.Contains(vol.ExcludedNodes, n) {
-				l[v] = append(l[v], pc)
+			if !slices.Contains(volume.ExcludedNodes, n) {
+				layout[v] = append(layout[v], piece)
 			}
 		}
 	}
-	return l
+	return layout
 }
--- a/internal/fleet/placement/bench_test.go
+++ b/internal/fleet/placement/bench_test.go
@@ -9,18 +9,18 @@
 // BenchmarkSolve measures large instances: time and the proved gap of the highest
 // use.
 func BenchmarkSolve(b *testing.B) {
-	for _, nodes := range []int{10, 47, 200, 1000} {
-		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
+	for _, nodeCount := range []int{10, 47, 200, 1000} {
+		b.Run(fmt.Sprintf("nodes=%d", nodeCount), func(b *testing.B) {
 			for b.Loop() {
-				p := SyntheticProblem(nodes, 1)
-				begin := time.Now()
-				r, err := Solve(p, Options{Stop: func() bool { return time.Since(begin) > 30*time.Second }})
+				problem := SyntheticProblem(nodeCount, 1)
+				startTime := time.Now()
+				result, err := Solve(problem, Options{Stop: func() bool { return time.Since(startTime) > 30*time.Second }})
 				if err != nil {
 					b.Fatal(err)
 				}
-				b.ReportMetric(100*r.Gap(), "%gap")
-				b.ReportMetric(r.Objective.LossUse, "loss-use")
-				b.ReportMetric(r.Objective.Unmet, "unmet")
+				b.ReportMetric(100*result.Gap(), "%gap")
+				b.ReportMetric(result.Objective.LossUse, "loss-use")
+				b.ReportMetric(result.Objective.Unmet, "unmet")
 			}
 		})
 	}
--- a/internal/fleet/placement/check.go
+++ b/internal/fleet/placement/check.go
@@ -7,12 +7,12 @@
 
 // Check judges a layout from the definitions alone: what it breaks, and what it is
 // worth. It shares no bookkeeping with the search.
-func Check(p *Problem, l Layout) (Objective, []string) {
-	c := &checker{problem: p, layout: l}
-	if len(l) != len(p.Volumes) {
-		return Objective{}, []string{fmt.Sprintf("%d volumes of %d", len(l), len(p.Volumes))}
+func Check(problem *Problem, layout Layout) (Objective, []string) {
+	c := &checker{problem: problem, layout: layout}
+	if len(layout) != len(problem.Volumes) {
+		return Objective{}, []string{fmt.Sprintf("%d volumes of %d", len(layout), len(problem.Volumes))}
 	}
-	for v := range l {
+	for v := range layout {
 		c.checkVolume(v)
 	}
 	c.checkLoads()
@@ -31,123 +31,123 @@
 }
 
 func (c *checker) checkVolume(v int) {
-	p, vol := c.problem, &c.problem.Volumes[v]
-	placed, nodes, halls := 0, map[int]int{}, map[string]bool{}
-	copies := map[int]int{}
-	banned := map[int]bool{}
-	for _, n := range vol.ExcludedNodes {
-		banned[n] = true
+	problem, volume := c.problem, &c.problem.Volumes[v]
+	placed, partsByNode, halls := 0, map[int]int{}, map[string]bool{}
+	copyPartsByNode := map[int]int{}
+	excluded := map[int]bool{}
+	for _, n := range volume.ExcludedNodes {
+		excluded[n] = true
 	}
-	for _, pc := range c.layout[v] {
-		if pc.Parts < 1 || pc.Node < 0 || pc.Node >= len(p.Nodes) || pc.Copy >= len(p.Nodes) {
-			c.addViolation("%s: piece %+v means nothing", vol.Name, pc)
+	for _, piece := range c.layout[v] {
+		if piece.Parts < 1 || piece.Node < 0 || piece.Node >= len(problem.Nodes) || piece.Copy >= len(problem.Nodes) {
+			c.addViolation("%s: piece %+v means nothing", volume.Name, piece)
 			return
 		}
-		if nodes[pc.Node] > 0 {
-			c.addViolation("%s has two pieces on %s", vol.Name, p.Nodes[pc.Node].Name)
+		if partsByNode[piece.Node] > 0 {
+			c.addViolation("%s has two pieces on %s", volume.Name, problem.Nodes[piece.Node].Name)
 		}
-		placed += pc.Parts
-		nodes[pc.Node] += pc.Parts
-		halls[p.Nodes[pc.Node].Hall] = true
-		if banned[pc.Node] || pc.Copy >= 0 && banned[pc.Copy] {
-			c.addViolation("%s lies on a banned node", vol.Name)
+		placed += piece.Parts
+		partsByNode[piece.Node] += piece.Parts
+		halls[problem.Nodes[piece.Node].Hall] = true
+		if excluded[piece.Node] || piece.Copy >= 0 && excluded[piece.Copy] {
+			c.addViolation("%s lies on a banned node", volume.Name)
 		}
-		if (vol.Copies == 2) != (pc.Copy >= 0) {
-			c.addViolation("%s: a piece with the wrong number of copies", vol.Name)
+		if (volume.Copies == 2) != (piece.Copy >= 0) {
+			c.addViolation("%s: a piece with the wrong number of copies", volume.Name)
 		}
-		if pc.Copy >= 0 {
-			copies[pc.Copy] += pc.Parts
-			if p.Nodes[pc.Copy].Hall == p.Nodes[pc.Node].Hall {
-				c.addViolation("%s: a copy in the hall of its data", vol.Name)
+		if piece.Copy >= 0 {
+			copyPartsByNode[piece.Copy] += piece.Parts
+			if problem.Nodes[piece.Copy].Hall == problem.Nodes[piece.Node].Hall {
+				c.addViolation("%s: a copy in the hall of its data", volume.Name)
 			}
 		}
 	}
-	if placed > p.Parts {
-		c.addViolation("%s: %d parts of %d", vol.Name, placed, p.Parts)
+	if placed > problem.Parts {
+		c.addViolation("%s: %d parts of %d", volume.Name, placed, problem.Parts)
 	}
-	if !vol.IgnoreReserve && float64(placed) < p.Tiers[vol.Tier].Reserve*float64(p.Parts)-tolerance {
-		c.addViolation("%s: %d parts placed, below its reserve", vol.Name, placed)
+	if !volume.IgnoreReserve && float64(placed) < problem.Tiers[volume.Tier].Reserve*float64(problem.Parts)-tolerance {
+		c.addViolation("%s: %d parts placed, below its reserve", volume.Name, placed)
 	}
-	if len(nodes) > vol.MaxNodes {
-		c.addViolation("%s lies on %d nodes, at most %d", vol.Name, len(nodes), vol.MaxNodes)
+	if len(partsByNode) > volume.MaxNodes {
+		c.addViolation("%s lies on %d nodes, at most %d", volume.Name, len(partsByNode), volume.MaxNodes)
 	}
-	if placed == p.Parts && len(halls) < vol.MinHalls {
-		c.addViolation("%s lies in %d halls, at least %d", vol.Name, len(halls), vol.MinHalls)
+	if placed == problem.Parts && len(halls) < volume.MinHalls {
+		c.addViolation("%s lies in %d halls, at least %d", volume.Name, len(halls), volume.MinHalls)
 	}
 	if placed > 0 {
-		for _, n := range vol.PinnedNodes {
-			if nodes[n] == 0 {
-				c.addViolation("%s is pinned to %s and has nothing there", vol.Name, p.Nodes[n].Name)
+		for _, n := range volume.PinnedNodes {
+			if partsByNode[n] == 0 {
+				c.addViolation("%s is pinned to %s and has nothing there", volume.Name, problem.Nodes[n].Name)
 			}
 		}
 	}
-	c.objective.Unmet += p.Tiers[vol.Tier].Value * vol.Rate * float64(p.Parts-placed) / float64(p.Parts)
-	for n := range p.Nodes {
-		data, copied := p.currentParts(v, n)
-		if p.Nodes[n].Draining && (nodes[n] > data || copies[n] > copied) {
-			c.addViolation("%s puts something new on %s, which drains", vol.Name, p.Nodes[n].Name)
+	c.objective.Unmet += problem.Tiers[volume.Tier].Value * volume.Rate * float64(problem.Parts-placed) / float64(problem.Parts)
+	for n := range problem.Nodes {
+		currentData, currentCopies := problem.currentParts(v, n)
+		if problem.Nodes[n].Draining && (partsByNode[n] > currentData || copyPartsByNode[n] > currentCopies) {
+			c.addViolation("%s puts something new on %s, which drains", volume.Name, problem.Nodes[n].Name)
 		}
-		if p.Current != nil {
-			c.objective.Moves += vol.Rate / float64(p.Parts) * float64(max(nodes[n]-data, 0)+max(copies[n]-copied, 0))
+		if problem.Current != nil {
+			c.objective.Moves += volume.Rate / float64(problem.Parts) * float64(max(partsByNode[n]-currentData, 0)+max(copyPartsByNode[n]-currentCopies, 0))
 		}
 	}
 }
 
 // checkLoads reckons every node, with all halls and with each one lost.
 func (c *checker) checkLoads() {
-	lost := []string{""}
-	_, names := c.problem.indexHalls()
-	for _, h := range names {
-		if c.problem.SurviveHallLoss && !slices.Contains(c.problem.ExemptHalls, h) {
-			lost = append(lost, h)
+	lostHalls := []string{""}
+	_, hallNames := c.problem.indexHalls()
+	for _, hall := range hallNames {
+		if c.problem.SurviveHallLoss && !slices.Contains(c.problem.ExemptHalls, hall) {
+			lostHalls = append(lostHalls, hall)
 		}
 	}
-	for _, hall := range lost {
-		load := Loads(c.problem, c.layout, hall)
-		worst := 0.0
-		for n, x := range load {
+	for _, hall := range lostHalls {
+		loads := Loads(c.problem, c.layout, hall)
+		maxUtilization := 0.0
+		for n, load := range loads {
 			node := &c.problem.Nodes[n]
 			if hall != "" && node.Hall == hall {
 				continue
 			}
-			if x > node.Capacity*(1+tolerance)+tolerance {
-				c.addViolation("%s carries %.3f of %.3f with hall %q lost", node.Name, x, node.Capacity, hall)
+			if load > node.Capacity*(1+tolerance)+tolerance {
+				c.addViolation("%s carries %.3f of %.3f with hall %q lost", node.Name, load, node.Capacity, hall)
 			}
-			if x > 0 && node.Capacity > 0 {
-				worst = max(worst, x/node.Capacity)
+			if load > 0 && node.Capacity > 0 {
+				maxUtilization = max(maxUtilization, load/node.Capacity)
 			}
 			if hall == "" {
-				c.objective.Cost += x * node.Cost
+				c.objective.Cost += load * node.Cost
 			}
 		}
 		if hall == "" {
-			c.objective.Use = worst
+			c.objective.Use = maxUtilization
 		} else {
-			c.objective.LossUse = max(c.objective.LossUse, worst)
+			c.objective.LossUse = max(c.objective.LossUse, maxUtilization)
 		}
 	}
 }
 
 // Loads is what a layout puts on each node, units a second, with a hall lost or
 // with none ("").
-func Loads(p *Problem, l Layout, hall string) []float64 {
-	load := make([]float64, len(p.Nodes))
-	for v, pieces := range l {
-		vol := &p.Volumes[v]
-		for _, pc := range pieces {
-			part := vol.Rate * float64(pc.Parts) / float64(p.Parts)
-			gone := hall != "" && p.Nodes[pc.Node].Hall == hall
-			if !gone {
-				load[pc.Node] += part
+func Loads(problem *Problem, layout Layout, lostHall string) []float64 {
+	loads := make([]float64, len(problem.Nodes))
+	for v, pieces := range layout {
+		volume := &problem.Volumes[v]
+		for _, piece := range pieces {
+			rate := volume.Rate * float64(piece.Parts) / float64(problem.Parts)
+			dataLost := lostHall != "" && problem.Nodes[piece.Node].Hall == lostHall
+			if !dataLost {
+				loads[piece.Node] += rate
 			}
-			if pc.Copy >= 0 && gone {
-				load[pc.Copy] += part
-			} else if pc.Copy >= 0 {
-				load[pc.Copy] += part * vol.WriteFraction
+			if piece.Copy >= 0 && dataLost {
+				loads[piece.Copy] += rate
+			} else if piece.Copy >= 0 {
+				loads[piece.Copy] += rate * volume.WriteFraction
 			}
 		}
 	}
-	return load
+	return loads
 }
 
 // Halls names the halls, in the order of their first nodes.
--- a/internal/fleet/placement/conflict.go
+++ b/internal/fleet/placement/conflict.go
@@ -52,70 +52,70 @@
 
 // FindConflict explains why a problem has no layout. It returns nil where there is
 // one.
-func FindConflict(p *Problem, opt Options) (*Conflict, error) {
-	if err := p.Validate(); err != nil {
+func FindConflict(problem *Problem, options Options) (*Conflict, error) {
+	if err := problem.Validate(); err != nil {
 		return nil, err
 	}
-	f := &conflictFinder{problem: p, options: opt}
-	kept := constraints(p)
-	if ok, err := f.feasible(kept); ok || err != nil {
+	finder := &conflictFinder{problem: problem, options: options}
+	kept := constraints(problem)
+	if ok, err := finder.feasible(kept); ok || err != nil {
 		return nil, err
 	}
 	for i := 0; i < len(kept); {
-		without := slices.Delete(slices.Clone(kept), i, i+1)
-		ok, err := f.feasible(without)
+		remaining := slices.Delete(slices.Clone(kept), i, i+1)
+		ok, err := finder.feasible(remaining)
 		if err != nil {
 			return nil, err
 		}
 		if ok {
 			i++ // it is needed
 		} else {
-			kept = without
+			kept = remaining
 		}
 	}
-	c := &Conflict{Constraints: kept}
+	conflict := &Conflict{Constraints: kept}
 	var err error
-	c.Remedy, err = f.findRemedy(kept)
-	return c, err
+	conflict.Remedy, err = finder.findRemedy(kept)
+	return conflict, err
 }
 
 // constraints lists what a problem asks, by kind, and within a kind the smallest
 // first, so that what is large stays in the explanation.
-func constraints(p *Problem) (out []Constraint) {
-	for n := range p.Nodes {
-		if p.Nodes[n].Draining {
+func constraints(problem *Problem) (out []Constraint) {
+	for n := range problem.Nodes {
+		if problem.Nodes[n].Draining {
 			out = append(out, Constraint{KindDrain, -1, n, ""})
 		}
 		out = append(out, Constraint{KindCapacity, -1, n, ""})
 	}
-	for v := range p.Volumes {
-		vol := &p.Volumes[v]
+	for v := range problem.Volumes {
+		volume := &problem.Volumes[v]
 		out = append(out, Constraint{KindReserve, v, -1, ""}, Constraint{KindMaxNodes, v, -1, ""})
-		if vol.MinHalls > 1 {
+		if volume.MinHalls > 1 {
 			out = append(out, Constraint{KindMinHalls, v, -1, ""})
 		}
-		if vol.Copies == 2 {
+		if volume.Copies == 2 {
 			out = append(out, Constraint{KindCopy, v, -1, ""})
 		}
-		for _, n := range vol.PinnedNodes {
+		for _, n := range volume.PinnedNodes {
 			out = append(out, Constraint{KindPin, v, n, ""})
 		}
-		for _, n := range vol.ExcludedNodes {
+		for _, n := range volume.ExcludedNodes {
 			out = append(out, Constraint{KindExclude, v, n, ""})
 		}
 	}
-	_, names := p.indexHalls()
-	for _, h := range names {
-		if p.mustSurvive(h) {
-			out = append(out, Constraint{KindHallLoss, -1, -1, h})
+	_, hallNames := problem.indexHalls()
+	for _, hall := range hallNames {
+		if problem.mustSurvive(hall) {
+			out = append(out, Constraint{KindHallLoss, -1, -1, hall})
 		}
 	}
 	size := func(c Constraint) float64 {
 		switch {
 		case c.Volume >= 0:
-			return p.Volumes[c.Volume].Rate
+			return problem.Volumes[c.Volume].Rate
 		case c.Node >= 0:
-			return -p.Nodes[c.Node].Capacity // a small node explains more than a large
+			return -problem.Nodes[c.Node].Capacity // a small node explains more than a large
 		}
 		return 0
 	}
@@ -126,46 +126,46 @@
 }
 
 // Relax returns the problem with only those of its constraints.
-func Relax(p *Problem, kept []Constraint) *Problem {
-	q := *p
-	q.Nodes, q.Volumes = slices.Clone(p.Nodes), slices.Clone(p.Volumes)
-	q.ExemptHalls = nil
-	has := func(c Constraint) bool { return slices.Contains(kept, c) }
-	room := 1.0
-	for i := range q.Volumes {
-		room += 2 * q.Volumes[i].Rate
+func Relax(problem *Problem, kept []Constraint) *Problem {
+	relaxed := *problem
+	relaxed.Nodes, relaxed.Volumes = slices.Clone(problem.Nodes), slices.Clone(problem.Volumes)
+	relaxed.ExemptHalls = nil
+	isKept := func(c Constraint) bool { return slices.Contains(kept, c) }
+	unlimited := 1.0
+	for i := range relaxed.Volumes {
+		unlimited += 2 * relaxed.Volumes[i].Rate
 	}
-	for n := range q.Nodes {
-		node := &q.Nodes[n]
-		node.Draining = node.Draining && has(Constraint{KindDrain, -1, n, ""})
-		if !has(Constraint{KindCapacity, -1, n, ""}) {
-			node.Capacity = max(node.Capacity, room)
+	for n := range relaxed.Nodes {
+		node := &relaxed.Nodes[n]
+		node.Draining = node.Draining && isKept(Constraint{KindDrain, -1, n, ""})
+		if !isKept(Constraint{KindCapacity, -1, n, ""}) {
+			node.Capacity = max(node.Capacity, unlimited)
 		}
 	}
-	for v := range q.Volumes {
-		vol := &q.Volumes[v]
-		vol.IgnoreReserve = vol.IgnoreReserve || !has(Constraint{KindReserve, v, -1, ""})
-		if !has(Constraint{KindMaxNodes, v, -1, ""}) {
-			vol.MaxNodes = len(q.Nodes)
+	for v := range relaxed.Volumes {
+		volume := &relaxed.Volumes[v]
+		volume.IgnoreReserve = volume.IgnoreReserve || !isKept(Constraint{KindReserve, v, -1, ""})
+		if !isKept(Constraint{KindMaxNodes, v, -1, ""}) {
+			volume.MaxNodes = len(relaxed.Nodes)
 		}
-		if !has(Constraint{KindMinHalls, v, -1, ""}) {
-			vol.MinHalls = 0
+		if !isKept(Constraint{KindMinHalls, v, -1, ""}) {
+			volume.MinHalls = 0
 		}
-		if !has(Constraint{KindCopy, v, -1, ""}) {
-			vol.Copies = 1
+		if !isKept(Constraint{KindCopy, v, -1, ""}) {
+			volume.Copies = 1
 		}
-		only := func(list []int, k ConstraintKind) []int {
-			return slices.DeleteFunc(slices.Clone(list), func(n int) bool { return !has(Constraint{k, v, n, ""}) })
+		keptNodes := func(nodes []int, kind ConstraintKind) []int {
+			return slices.DeleteFunc(slices.Clone(nodes), func(n int) bool { return !isKept(Constraint{kind, v, n, ""}) })
 		}
-		vol.PinnedNodes, vol.ExcludedNodes = only(vol.PinnedNodes, KindPin), only(vol.ExcludedNodes, KindExclude)
+		volume.PinnedNodes, volume.ExcludedNodes = keptNodes(volume.PinnedNodes, KindPin), keptNodes(volume.ExcludedNodes, KindExclude)
 	}
-	_, names := p.indexHalls()
-	for _, h := range names {
-		if !has(Constraint{KindHallLoss, -1, -1, h}) {
-			q.ExemptHalls = append(q.ExemptHalls, h)
+	_, hallNames := problem.indexHalls()
+	for _, hall := range hallNames {
+		if !isKept(Constraint{KindHallLoss, -1, -1, hall}) {
+			relaxed.ExemptHalls = append(relaxed.ExemptHalls, hall)
 		}
 	}
-	return &q
+	return &relaxed
 }
 
 type conflictFinder struct {
@@ -178,20 +178,20 @@
 	return f.hasLayout(Relax(f.problem, kept))
 }
 
-func (f *conflictFinder) hasLayout(q *Problem) (bool, error) {
-	if l, _ := heuristicLayout(q, f.options.Stop); l != nil {
+func (f *conflictFinder) hasLayout(problem *Problem) (bool, error) {
+	if layout, _ := heuristicLayout(problem, f.options.Stop); layout != nil {
 		return true, nil
 	}
-	x := newExactSearch(q, f.options)
-	if x == nil {
+	search := newExactSearch(problem, f.options)
+	if search == nil {
 		return false, ErrUndecided
 	}
-	x.acceptAny = true
-	x.search(0)
-	if x.best == nil && x.stopped {
+	search.acceptAny = true
+	search.search(0)
+	if search.best == nil && search.stopped {
 		return false, ErrUndecided
 	}
-	return x.best != nil, nil
+	return search.best != nil, nil
 }
 
 // capacityPrecision is how close, as a part of it, the capacity to add is worked out.
@@ -199,44 +199,44 @@
 
 // findRemedy looks for the node of the conflict whose growth is the cheapest way to a
 // layout of the whole problem.
-func (f *conflictFinder) findRemedy(members []Constraint) (best *Remedy, err error) {
-	for _, m := range members {
-		if m.Kind != KindCapacity {
+func (f *conflictFinder) findRemedy(constraints []Constraint) (best *Remedy, err error) {
+	for _, constraint := range constraints {
+		if constraint.Kind != KindCapacity {
 			continue
 		}
-		add, ok, err := f.minAddedCapacity(m.Node)
+		added, ok, err := f.minAddedCapacity(constraint.Node)
 		if err != nil {
 			return nil, err
 		}
-		price := f.problem.Nodes[m.Node].Cost
+		price := f.problem.Nodes[constraint.Node].Cost
 		if price == 0 {
 			price = 1
 		}
-		if ok && (best == nil || add*price < best.Price) {
-			best = &Remedy{m.Node, add, add * price}
+		if ok && (best == nil || added*price < best.Price) {
+			best = &Remedy{constraint.Node, added, added * price}
 		}
 	}
 	return best, nil
 }
 
 // minAddedCapacity is the least capacity that node n must be given more, within finest.
-func (f *conflictFinder) minAddedCapacity(n int) (add float64, ok bool, err error) {
-	with := func(add float64) (bool, error) {
-		q := *f.problem
-		q.Nodes = slices.Clone(f.problem.Nodes)
-		q.Nodes[n].Capacity += add
-		return f.hasLayout(&q)
+func (f *conflictFinder) minAddedCapacity(n int) (added float64, ok bool, err error) {
+	feasibleWith := func(added float64) (bool, error) {
+		enlarged := *f.problem
+		enlarged.Nodes = slices.Clone(f.problem.Nodes)
+		enlarged.Nodes[n].Capacity += added
+		return f.hasLayout(&enlarged)
 	}
 	low, high := 0.0, 1.0
 	for i := range f.problem.Volumes {
 		high += 2 * f.problem.Volumes[i].Rate
 	}
-	if ok, err = with(high); !ok || err != nil {
+	if ok, err = feasibleWith(high); !ok || err != nil {
 		return 0, false, err
 	}
 	for high-low > capacityPrecision*max(high, 1) {
 		mid := (low + high) / 2
-		if ok, err = with(mid); err != nil {
+		if ok, err = feasibleWith(mid); err != nil {
 			return 0, false, err
 		}
 		if ok {
@@ -249,38 +249,38 @@
 }
 
 // Describe says a constraint plainly, with its figures.
-func (c Constraint) Describe(p *Problem) string {
+func (c Constraint) Describe(problem *Problem) string {
 	switch c.Kind {
 	case KindDrain:
-		return fmt.Sprintf("node %s drains and takes nothing new", p.Nodes[c.Node].Name)
+		return fmt.Sprintf("node %s drains and takes nothing new", problem.Nodes[c.Node].Name)
 	case KindMinHalls:
-		return fmt.Sprintf("volume %s must lie in %d halls", p.Volumes[c.Volume].Name, p.Volumes[c.Volume].MinHalls)
+		return fmt.Sprintf("volume %s must lie in %d halls", problem.Volumes[c.Volume].Name, problem.Volumes[c.Volume].MinHalls)
 	case KindCopy:
-		return fmt.Sprintf("volume %s needs a copy of each piece in another hall", p.Volumes[c.Volume].Name)
+		return fmt.Sprintf("volume %s needs a copy of each piece in another hall", problem.Volumes[c.Volume].Name)
 	case KindMaxNodes:
-		return fmt.Sprintf("volume %s may lie on %d nodes at most", p.Volumes[c.Volume].Name, p.Volumes[c.Volume].MaxNodes)
+		return fmt.Sprintf("volume %s may lie on %d nodes at most", problem.Volumes[c.Volume].Name, problem.Volumes[c.Volume].MaxNodes)
 	case KindExclude:
-		return fmt.Sprintf("volume %s is banned from node %s", p.Volumes[c.Volume].Name, p.Nodes[c.Node].Name)
+		return fmt.Sprintf("volume %s is banned from node %s", problem.Volumes[c.Volume].Name, problem.Nodes[c.Node].Name)
 	case KindPin:
-		return fmt.Sprintf("volume %s is pinned to node %s", p.Volumes[c.Volume].Name, p.Nodes[c.Node].Name)
+		return fmt.Sprintf("volume %s is pinned to node %s", problem.Volumes[c.Volume].Name, problem.Nodes[c.Node].Name)
 	case KindHallLoss:
 		return fmt.Sprintf("the load that moves when %s is lost must fit", c.Hall)
 	case KindReserve:
-		v := &p.Volumes[c.Volume]
-		return fmt.Sprintf("volume %s needs %.3g of its %.3g units a second placed", v.Name, p.partRate(c.Volume)*float64(p.minParts(c.Volume)), v.Rate)
+		volume := &problem.Volumes[c.Volume]
+		return fmt.Sprintf("volume %s needs %.3g of its %.3g units a second placed", volume.Name, problem.partRate(c.Volume)*float64(problem.minParts(c.Volume)), volume.Rate)
 	}
-	n := &p.Nodes[c.Node]
-	return fmt.Sprintf("node %s in %s carries %.3g units a second", n.Name, n.Hall, n.Capacity)
+	node := &problem.Nodes[c.Node]
+	return fmt.Sprintf("node %s in %s carries %.3g units a second", node.Name, node.Hall, node.Capacity)
 }
 
 // Describe says the whole conflict.
-func (c *Conflict) Describe(p *Problem) []string {
+func (c *Conflict) Describe(problem *Problem) []string {
 	var out []string
-	for _, m := range c.Constraints {
-		out = append(out, m.Describe(p))
+	for _, constraint := range c.Constraints {
+		out = append(out, constraint.Describe(problem))
 	}
 	if c.Remedy != nil {
-		out = append(out, fmt.Sprintf("way out: %.4g units a second more at node %s", c.Remedy.AddedCapacity, p.Nodes[c.Remedy.Node].Name))
+		out = append(out, fmt.Sprintf("way out: %.4g units a second more at node %s", c.Remedy.AddedCapacity, problem.Nodes[c.Remedy.Node].Name))
 	}
 	return out
 }
--- a/internal/fleet/placement/model.go
+++ b/internal/fleet/placement/model.go
@@ -87,9 +87,9 @@
 }
 
 // Compare orders objectives; 0 where no goal tells them apart.
-func (o Objective) Compare(p Objective) int {
-	return cmp.Or(compareFloat(o.Unmet, p.Unmet), compareFloat(o.Use, p.Use), compareFloat(o.LossUse, p.LossUse),
-		compareFloat(o.Cost, p.Cost), compareFloat(o.Moves, p.Moves))
+func (o Objective) Compare(other Objective) int {
+	return cmp.Or(compareFloat(o.Unmet, other.Unmet), compareFloat(o.Use, other.Use), compareFloat(o.LossUse, other.LossUse),
+		compareFloat(o.Cost, other.Cost), compareFloat(o.Moves, other.Moves))
 }
 
 // ProblemError says what makes an instance no instance.
@@ -100,48 +100,48 @@
 // Validate checks that the figures mean something; it does not ask whether there
 // is a layout.
 func (p *Problem) Validate() error {
-	bad := func(path, format string, args ...any) error {
+	problemError := func(path, format string, args ...any) error {
 		return &ProblemError{path, fmt.Sprintf(format, args...)}
 	}
 	finite := func(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
 	if p.Parts < 1 || p.Parts > 1024 {
-		return bad("parts", "is %d, must be from 1 to 1024", p.Parts)
+		return problemError("parts", "is %d, must be from 1 to 1024", p.Parts)
 	}
 	if len(p.Nodes) == 0 {
-		return bad("nodes", "is empty")
+		return problemError("nodes", "is empty")
 	}
 	for i, n := range p.Nodes {
 		if !finite(n.Capacity) || !finite(n.Cost) {
-			return bad(fmt.Sprintf("nodes[%d]", i), "capacity or cost is negative or not finite")
+			return problemError(fmt.Sprintf("nodes[%d]", i), "capacity or cost is negative or not finite")
 		}
 	}
 	for i, t := range p.Tiers {
 		if !finite(t.Value) || !(t.Reserve >= 0 && t.Reserve <= 1) {
-			return bad(fmt.Sprintf("tiers[%d]", i), "worth is negative or reserve not from 0 to 1")
+			return problemError(fmt.Sprintf("tiers[%d]", i), "worth is negative or reserve not from 0 to 1")
 		}
 	}
 	for i, v := range p.Volumes {
-		at := fmt.Sprintf("volumes[%d]", i)
+		path := fmt.Sprintf("volumes[%d]", i)
 		switch {
 		case v.Tier < 0 || v.Tier >= len(p.Tiers):
-			return bad(at+".tier", "there is no tier %d", v.Tier)
+			return problemError(path+".tier", "there is no tier %d", v.Tier)
 		case !finite(v.Rate):
-			return bad(at+".rate", "is negative or not finite")
+			return problemError(path+".rate", "is negative or not finite")
 		case !(v.WriteFraction >= 0 && v.WriteFraction <= 1):
-			return bad(at+".writes", "is not from 0 to 1")
+			return problemError(path+".writes", "is not from 0 to 1")
 		case v.MaxNodes < 1:
-			return bad(at+".max_nodes", "is below 1")
+			return problemError(path+".max_nodes", "is below 1")
 		case v.Copies != 1 && v.Copies != 2:
-			return bad(at+".copies", "is neither 1 nor 2")
+			return problemError(path+".copies", "is neither 1 nor 2")
 		}
 		for _, n := range slices.Concat(v.PinnedNodes, v.ExcludedNodes) {
 			if n < 0 || n >= len(p.Nodes) {
-				return bad(at, "there is no node %d", n)
+				return problemError(path, "there is no node %d", n)
 			}
 		}
 	}
 	if p.Current != nil && len(p.Current) != len(p.Volumes) {
-		return bad("current", "has %d volumes of %d", len(p.Current), len(p.Volumes))
+		return problemError("current", "has %d volumes of %d", len(p.Current), len(p.Volumes))
 	}
 	return nil
 }
@@ -168,12 +168,12 @@
 // partsOnNode is the number of parts of a volume's pieces that lie on n, as data and as
 // copies.
 func partsOnNode(pieces []Piece, n int) (data, copies int) {
-	for _, pc := range pieces {
-		if pc.Node == n {
-			data += pc.Parts
+	for _, piece := range pieces {
+		if piece.Node == n {
+			data += piece.Parts
 		}
-		if pc.Copy == n {
-			copies += pc.Parts
+		if piece.Copy == n {
+			copies += piece.Parts
 		}
 	}
 	return data, copies
--- a/internal/fleet/placement/solve.go
+++ b/internal/fleet/placement/solve.go
@@ -62,150 +62,150 @@
 // Solve returns the best layout that it finds, proved where the exact search came
 // to its end. Without a layout the error is ErrNoLayout, which is a proof, or
 // ErrStopped.
-func Solve(p *Problem, opt Options) (*Result, error) {
-	if err := p.Validate(); err != nil {
+func Solve(problem *Problem, options Options) (*Result, error) {
+	if err := problem.Validate(); err != nil {
 		return nil, err
 	}
-	res := &Result{Bound: lowerBound(p)}
-	res.Layout, res.Objective = heuristicLayout(p, opt.Stop)
-	near := improveCurrent(p, opt.Stop)
-	if near != nil && (res.Layout == nil || near.Objective.Compare(res.Objective) <= 0) {
-		res.Layout, res.Objective = near.Layout, near.Objective
-	}
-	x := newExactSearch(p, opt)
-	if x != nil {
-		x.best, x.bestObjective = res.Layout, res.Objective
-		x.search(0)
-		res.Layout, res.Objective, res.Steps = x.best, x.bestObjective, x.steps
-		res.Optimal = !x.stopped
-		if res.Optimal && x.best == nil {
+	result := &Result{Bound: lowerBound(problem)}
+	result.Layout, result.Objective = heuristicLayout(problem, options.Stop)
+	improved := improveCurrent(problem, options.Stop)
+	if improved != nil && (result.Layout == nil || improved.Objective.Compare(result.Objective) <= 0) {
+		result.Layout, result.Objective = improved.Layout, improved.Objective
+	}
+	search := newExactSearch(problem, options)
+	if search != nil {
+		search.best, search.bestObjective = result.Layout, result.Objective
+		search.search(0)
+		result.Layout, result.Objective, result.Steps = search.best, search.bestObjective, search.steps
+		result.Optimal = !search.stopped
+		if result.Optimal && search.best == nil {
 			return nil, ErrNoLayout
 		}
 	}
-	if res.Layout == nil {
+	if result.Layout == nil {
 		return nil, ErrStopped
 	}
-	if near != nil && near.Objective.Moves < res.Objective.Moves && near.Objective.isWithin(res.Objective, opt.MaxRegression) {
-		res.Layout, res.Objective, res.Optimal = near.Layout, near.Objective, false
+	if improved != nil && improved.Objective.Moves < result.Objective.Moves && improved.Objective.isWithin(result.Objective, options.MaxRegression) {
+		result.Layout, result.Objective, result.Optimal = improved.Layout, improved.Objective, false
 	}
-	return res, nil
+	return result, nil
 }
 
 // isWithin tells whether o is at most that part worse than p in each goal above the
 // moves.
-func (o Objective) isWithin(p Objective, part float64) bool {
-	ok := func(a, b float64) bool { return a <= b*(1+part)+tolerance }
-	return part > 0 && ok(o.Unmet, p.Unmet) && ok(o.Use, p.Use) && ok(o.LossUse, p.LossUse) && ok(o.Cost, p.Cost)
+func (o Objective) isWithin(other Objective, fraction float64) bool {
+	within := func(a, b float64) bool { return a <= b*(1+fraction)+tolerance }
+	return fraction > 0 && within(o.Unmet, other.Unmet) && within(o.Use, other.Use) && within(o.LossUse, other.LossUse) && within(o.Cost, other.Cost)
 }
 
 // improveCurrent betters the layout in force by small changes; nil if there is none, or
 // it breaks something that changes alone don't mend.
-func improveCurrent(p *Problem, stop func() bool) *Result {
-	if p.Current == nil {
+func improveCurrent(problem *Problem, stop func() bool) *Result {
+	if problem.Current == nil {
 		return nil
 	}
-	if _, broken := Check(p, p.Current); len(broken) > 0 {
+	if _, violations := Check(problem, problem.Current); len(violations) > 0 {
 		return nil
 	}
-	g := &builder{problem: p, state: newState(p), layout: make(Layout, len(p.Volumes))}
-	for v, pieces := range p.Current {
-		g.layout[v] = slices.Clone(pieces)
-		for _, pc := range pieces {
-			g.state.addPiece(v, pc, 1)
+	b := &builder{problem: problem, state: newState(problem), layout: make(Layout, len(problem.Volumes))}
+	for v, pieces := range problem.Current {
+		b.layout[v] = slices.Clone(pieces)
+		for _, piece := range pieces {
+			b.state.addPiece(v, piece, 1)
 		}
 	}
-	g.improve(stop, g.relieveBusiest)
-	g.improve(stop, g.relieveBusiestAfterLoss)
-	l, o := p.Current, Objective{}
-	if after, broken := Check(p, g.layout); len(broken) == 0 {
-		l, o = g.layout, after
+	b.improve(stop, b.relieveBusiest)
+	b.improve(stop, b.relieveBusiestAfterLoss)
+	layout, objective := problem.Current, Objective{}
+	if improved, violations := Check(problem, b.layout); len(violations) == 0 {
+		layout, objective = b.layout, improved
 	} else {
-		o, _ = Check(p, l)
+		objective, _ = Check(problem, layout)
 	}
-	if now, _ := Check(p, p.Current); now.Compare(o) <= 0 {
-		l, o = p.Current, now
+	if current, _ := Check(problem, problem.Current); current.Compare(objective) <= 0 {
+		layout, objective = problem.Current, current
 	}
-	return &Result{Layout: l, Objective: o}
+	return &Result{Layout: layout, Objective: objective}
 }
 
 // lowerBound is what no layout can be below, goal by goal in their order.
-func lowerBound(p *Problem) Objective {
-	var o Objective
-	demand, capacity, widest := 0.0, 0.0, 0.0
-	for _, n := range p.Nodes {
+func lowerBound(problem *Problem) Objective {
+	var objective Objective
+	demand, capacity, maxCapacity := 0.0, 0.0, 0.0
+	for _, n := range problem.Nodes {
 		capacity += n.Capacity
-		widest = max(widest, n.Capacity)
+		maxCapacity = max(maxCapacity, n.Capacity)
 	}
-	for v := range p.Volumes {
-		demand += p.Volumes[v].Rate
+	for v := range problem.Volumes {
+		demand += problem.Volumes[v].Rate
 	}
-	o.Unmet = minUnmetValue(p, demand-capacity)
-	carried, moved := 0.0, 0.0 // by all nodes; by those that are left of a lost hall
-	for v := range p.Volumes {
-		vol := &p.Volumes[v]
-		carried += vol.Rate
-		if vol.Copies == 2 {
-			carried += vol.Rate * vol.WriteFraction
-			moved += vol.Rate
+	objective.Unmet = minUnmetValue(problem, demand-capacity)
+	carried, redirected := 0.0, 0.0 // by all nodes; by those that are left of a lost hall
+	for v := range problem.Volumes {
+		volume := &problem.Volumes[v]
+		carried += volume.Rate
+		if volume.Copies == 2 {
+			carried += volume.Rate * volume.WriteFraction
+			redirected += volume.Rate
 		}
 	}
 	if capacity > 0 && demand <= capacity {
-		o.Use = carried / capacity
-		o.LossUse = p.lossUtilizationBound(moved, capacity)
-		for v := range p.Volumes {
-			o.Use = max(o.Use, p.volumeUtilizationBound(v, widest))
+		objective.Use = carried / capacity
+		objective.LossUse = problem.lossUtilizationBound(redirected, capacity)
+		for v := range problem.Volumes {
+			objective.Use = max(objective.Use, problem.volumeUtilizationBound(v, maxCapacity))
 		}
 	}
-	if o.Unmet > 0 || demand > capacity {
-		o.Use, o.LossUse = 0, 0 // what is left out may make any node lighter
+	if objective.Unmet > 0 || demand > capacity {
+		objective.Use, objective.LossUse = 0, 0 // what is left out may make any node lighter
 	}
-	return o
+	return objective
 }
 
 // lossUtilizationBound is the use of the nodes outside the hall whose loss leaves least, if
 // they carry what has copies.
-func (p *Problem) lossUtilizationBound(moved, capacity float64) (use float64) {
-	_, names := p.indexHalls()
-	for _, h := range names {
-		left := capacity
+func (p *Problem) lossUtilizationBound(redirected, capacity float64) (bound float64) {
+	_, hallNames := p.indexHalls()
+	for _, hall := range hallNames {
+		remaining := capacity
 		for _, n := range p.Nodes {
-			if n.Hall == h {
-				left -= n.Capacity
+			if n.Hall == hall {
+				remaining -= n.Capacity
 			}
 		}
-		if p.mustSurvive(h) && left > tolerance {
-			use = max(use, moved/left)
+		if p.mustSurvive(hall) && remaining > tolerance {
+			bound = max(bound, redirected/remaining)
 		}
 	}
-	return use
+	return bound
 }
 
 // volumeUtilizationBound is the use that v alone puts on some node, were it on the widest.
-func (p *Problem) volumeUtilizationBound(v int, widest float64) float64 {
-	if p.minParts(v) < p.Parts || widest <= 0 {
+func (p *Problem) volumeUtilizationBound(v int, maxCapacity float64) float64 {
+	if p.minParts(v) < p.Parts || maxCapacity <= 0 {
 		return 0
 	}
-	nodes := min(p.Volumes[v].MaxNodes, p.Parts, len(p.Nodes))
-	parts := math.Ceil(float64(p.Parts) / float64(nodes))
-	return p.partRate(v) * parts / widest
+	maxNodes := min(p.Volumes[v].MaxNodes, p.Parts, len(p.Nodes))
+	minLargestPiece := math.Ceil(float64(p.Parts) / float64(maxNodes))
+	return p.partRate(v) * minLargestPiece / maxCapacity
 }
 
 // minUnmetValue is the worth of that much demand, the least worthy first.
-func minUnmetValue(p *Problem, over float64) float64 {
-	if over <= 0 {
+func minUnmetValue(problem *Problem, excess float64) float64 {
+	if excess <= 0 {
 		return 0
 	}
-	order := make([]int, len(p.Volumes))
+	order := make([]int, len(problem.Volumes))
 	for i := range order {
 		order[i] = i
 	}
-	worth := func(v int) float64 { return p.Tiers[p.Volumes[v].Tier].Value }
-	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(worth(a), worth(b)) })
+	value := func(v int) float64 { return problem.Tiers[problem.Volumes[v].Tier].Value }
+	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(value(a), value(b)) })
 	total := 0.0
 	for _, v := range order {
-		x := min(over, p.Volumes[v].Rate)
-		total += x * worth(v)
-		over -= x
+		unmet := min(excess, problem.Volumes[v].Rate)
+		total += unmet * value(v)
+		excess -= unmet
 	}
 	return total
 }
@@ -230,30 +230,30 @@
 }
 
 // newExactSearch lists the ways of every volume; nil if they are too many to search.
-func newExactSearch(p *Problem, opt Options) *exactSearch {
-	x := &exactSearch{problem: p, options: opt, state: newState(p), maxSteps: opt.MaxSteps}
-	if x.maxSteps == 0 {
-		x.maxSteps = defaultMaxSteps
+func newExactSearch(problem *Problem, options Options) *exactSearch {
+	search := &exactSearch{problem: problem, options: options, state: newState(problem), maxSteps: options.MaxSteps}
+	if search.maxSteps == 0 {
+		search.maxSteps = defaultMaxSteps
 	}
-	x.candidates = make([][]candidate, len(p.Volumes))
+	search.candidates = make([][]candidate, len(problem.Volumes))
 	total := 0
-	for v := range p.Volumes {
-		ways, ok := p.candidates(v, x.state.hallOf)
-		if total += len(ways); !ok || total > 4*maxCandidates {
+	for v := range problem.Volumes {
+		candidates, ok := problem.candidates(v, search.state.hallOf)
+		if total += len(candidates); !ok || total > 4*maxCandidates {
 			return nil
 		}
-		x.candidates[v] = ways
-		x.order = append(x.order, v)
-		slices.SortStableFunc(x.candidates[v], func(a, b candidate) int {
+		search.candidates[v] = candidates
+		search.order = append(search.order, v)
+		slices.SortStableFunc(search.candidates[v], func(a, b candidate) int {
 			return cmp.Or(compareFloat(a.unmet, b.unmet), compareFloat(a.movedRate, b.movedRate), len(b.pieces)-len(a.pieces))
 		})
 	}
-	slices.SortStableFunc(x.order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(p.Volumes[b].Rate, p.Volumes[a].Rate), len(x.candidates[a])-len(x.candidates[b]))
+	slices.SortStableFunc(search.order, func(a, b int) int {
+		return cmp.Or(cmp.Compare(problem.Volumes[b].Rate, problem.Volumes[a].Rate), len(search.candidates[a])-len(search.candidates[b]))
 	})
-	x.chosen = make([]int, len(p.Volumes))
-	x.computeRestBounds()
-	return x
+	search.chosen = make([]int, len(problem.Volumes))
+	search.computeRestBounds()
+	return search
 }
 
 // computeRestBounds sums, from the last volume back, the least that each adds.
@@ -261,22 +261,22 @@
 	x.restBounds = make([]Objective, len(x.order)+1)
 	for i := len(x.order) - 1; i >= 0; i-- {
 		v := x.order[i]
-		low := Objective{Unmet: math.Inf(1), Cost: math.Inf(1), Moves: math.Inf(1)}
-		for _, w := range x.candidates[v] {
-			low.Unmet, low.Moves = min(low.Unmet, w.unmet), min(low.Moves, w.movedRate)
-			low.Cost = min(low.Cost, x.costOf(v, w))
+		minimum := Objective{Unmet: math.Inf(1), Cost: math.Inf(1), Moves: math.Inf(1)}
+		for _, option := range x.candidates[v] {
+			minimum.Unmet, minimum.Moves = min(minimum.Unmet, option.unmet), min(minimum.Moves, option.movedRate)
+			minimum.Cost = min(minimum.Cost, x.costOf(v, option))
 		}
-		x.restBounds[i] = Objective{Unmet: x.restBounds[i+1].Unmet + low.Unmet, Cost: x.restBounds[i+1].Cost + low.Cost, Moves: x.restBounds[i+1].Moves + low.Moves}
+		x.restBounds[i] = Objective{Unmet: x.restBounds[i+1].Unmet + minimum.Unmet, Cost: x.restBounds[i+1].Cost + minimum.Cost, Moves: x.restBounds[i+1].Moves + minimum.Moves}
 	}
 }
 
-func (x *exactSearch) costOf(v int, w candidate) float64 {
+func (x *exactSearch) costOf(v int, option candidate) float64 {
 	cost := 0.0
-	for _, pc := range w.pieces {
-		load := x.problem.partRate(v) * float64(pc.Parts)
-		cost += load * x.problem.Nodes[pc.Node].Cost
-		if pc.Copy >= 0 {
-			cost += load * x.problem.Volumes[v].WriteFraction * x.problem.Nodes[pc.Copy].Cost
+	for _, piece := range option.pieces {
+		load := x.problem.partRate(v) * float64(piece.Parts)
+		cost += load * x.problem.Nodes[piece.Node].Cost
+		if piece.Copy >= 0 {
+			cost += load * x.problem.Volumes[v].WriteFraction * x.problem.Nodes[piece.Copy].Cost
 		}
 	}
 	return cost
@@ -284,9 +284,9 @@
 
 // lowerBound is what a completion of the present choice is at the lowerBound.
 func (x *exactSearch) lowerBound(i int) Objective {
-	now, loss := x.state.maxUtilization()
-	r := x.restBounds[i]
-	return Objective{Unmet: x.unmet + r.Unmet, Use: now, LossUse: loss, Cost: x.state.cost + r.Cost, Moves: x.movedRate + r.Moves}
+	use, lossUse := x.state.maxUtilization()
+	rest := x.restBounds[i]
+	return Objective{Unmet: x.unmet + rest.Unmet, Use: use, LossUse: lossUse, Cost: x.state.cost + rest.Cost, Moves: x.movedRate + rest.Moves}
 }
 
 func (x *exactSearch) search(i int) {
@@ -296,37 +296,37 @@
 	if x.stopped || x.acceptAny && x.best != nil {
 		return
 	}
-	low := x.lowerBound(i)
-	if x.best != nil && low.Compare(x.bestObjective) >= 0 {
+	bound := x.lowerBound(i)
+	if x.best != nil && bound.Compare(x.bestObjective) >= 0 {
 		return
 	}
 	if i == len(x.order) {
-		x.recordBest(low)
+		x.recordBest(bound)
 		return
 	}
 	v := x.order[i]
 	for k := range x.candidates[v] {
-		w := &x.candidates[v][k]
-		x.apply(v, w, 1)
-		if x.fits(w) {
+		option := &x.candidates[v][k]
+		x.apply(v, option, 1)
+		if x.fits(option) {
 			x.chosen[v] = k
 			x.search(i + 1)
 		}
-		x.apply(v, w, -1)
+		x.apply(v, option, -1)
 	}
 }
 
-func (x *exactSearch) apply(v int, w *candidate, sign float64) {
-	for _, pc := range w.pieces {
-		x.state.addPiece(v, pc, sign)
+func (x *exactSearch) apply(v int, option *candidate, sign float64) {
+	for _, piece := range option.pieces {
+		x.state.addPiece(v, piece, sign)
 	}
-	x.unmet += sign * w.unmet
-	x.movedRate += sign * w.movedRate
+	x.unmet += sign * option.unmet
+	x.movedRate += sign * option.movedRate
 }
 
-func (x *exactSearch) fits(w *candidate) bool {
-	for _, pc := range w.pieces {
-		if !x.state.fits(pc) {
+func (x *exactSearch) fits(option *candidate) bool {
+	for _, piece := range option.pieces {
+		if !x.state.fits(piece) {
 			return false
 		}
 	}
@@ -334,8 +334,8 @@
 }
 
 // recordBest keeps a layout that is better than the best.
-func (x *exactSearch) recordBest(o Objective) {
-	x.bestObjective = o
+func (x *exactSearch) recordBest(objective Objective) {
+	x.bestObjective = objective
 	x.best = make(Layout, len(x.problem.Volumes))
 	for v, k := range x.chosen {
 		x.best[v] = slices.Clone(x.candidates[v][k].pieces)
@@ -345,14 +345,14 @@
 // heuristicLayout returns a layout that keeps everything, nil if the heuristic finds none.
 // Where halls have little to spare, minding every hall's loss at each part paints
 // the search into a corner; it then fills the nodes first and mends the losses after.
-func heuristicLayout(p *Problem, stop func() bool) (Layout, Objective) {
-	for _, loose := range [2]bool{false, true} {
-		if loose && !p.SurviveHallLoss {
+func heuristicLayout(problem *Problem, stop func() bool) (Layout, Objective) {
+	for _, ignoreHallLoss := range [2]bool{false, true} {
+		if ignoreHallLoss && !problem.SurviveHallLoss {
 			break
 		}
-		if l, ok := greedy(p, loose, stop); ok {
-			if o, broken := Check(p, l); len(broken) == 0 {
-				return l, o
+		if layout, ok := greedy(problem, ignoreHallLoss, stop); ok {
+			if objective, violations := Check(problem, layout); len(violations) == 0 {
+				return layout, objective
 			}
 		}
 	}
@@ -361,28 +361,28 @@
 
 // greedy places the largest first, part by part, each where the highest use stays
 // lowest, then moves parts off the fullest node while that helps.
-func greedy(p *Problem, loose bool, stop func() bool) (Layout, bool) {
-	g := &builder{problem: p, state: newState(p), layout: make(Layout, len(p.Volumes))}
-	g.state.ignoreHallLoss = loose
-	order := make([]int, len(p.Volumes))
+func greedy(problem *Problem, ignoreHallLoss bool, stop func() bool) (Layout, bool) {
+	b := &builder{problem: problem, state: newState(problem), layout: make(Layout, len(problem.Volumes))}
+	b.state.ignoreHallLoss = ignoreHallLoss
+	order := make([]int, len(problem.Volumes))
 	for v := range order {
 		order[v] = v
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		va, vb := &p.Volumes[a], &p.Volumes[b]
-		return cmp.Or(cmp.Compare(p.Tiers[vb.Tier].Value, p.Tiers[va.Tier].Value), cmp.Compare(vb.Rate, va.Rate))
+		volumeA, volumeB := &problem.Volumes[a], &problem.Volumes[b]
+		return cmp.Or(cmp.Compare(problem.Tiers[volumeB.Tier].Value, problem.Tiers[volumeA.Tier].Value), cmp.Compare(volumeB.Rate, volumeA.Rate))
 	})
 	for _, v := range order {
-		if !g.placeVolume(v) {
+		if !b.placeVolume(v) {
 			return nil, false
 		}
 	}
-	g.improve(stop, g.relieveBusiest)
-	g.improve(stop, g.relieveBusiestAfterLoss)
-	for _, pieces := range g.layout {
+	b.improve(stop, b.relieveBusiest)
+	b.improve(stop, b.relieveBusiestAfterLoss)
+	for _, pieces := range b.layout {
 		slices.SortFunc(pieces, func(a, b Piece) int { return a.Node - b.Node })
 	}
-	return g.layout, true
+	return b.layout, true
 }
 
 type builder struct {
@@ -393,16 +393,16 @@
 
 // placeVolume puts v's parts one by one; false if its reserve has no placeVolume.
 func (g *builder) placeVolume(v int) bool {
-	vol := &g.problem.Volumes[v]
+	volume := &g.problem.Volumes[v]
 	pinned := 0
-	for done := 0; done < g.problem.Parts; done++ {
-		only := -1
-		if pinned < len(vol.PinnedNodes) {
-			only = vol.PinnedNodes[pinned]
+	for placed := 0; placed < g.problem.Parts; placed++ {
+		requiredNode := -1
+		if pinned < len(volume.PinnedNodes) {
+			requiredNode = volume.PinnedNodes[pinned]
 			pinned++
 		}
-		if !g.placePart(v, only) {
-			if done < max(g.problem.minParts(v), len(vol.PinnedNodes)) {
+		if !g.placePart(v, requiredNode) {
+			if placed < max(g.problem.minParts(v), len(volume.PinnedNodes)) {
 				for i := range g.layout[v] {
 					g.state.addPiece(v, g.layout[v][i], -1)
 				}
@@ -416,109 +416,109 @@
 }
 
 // placePart puts one placePart of v where it does least, or on that node alone.
-func (g *builder) placePart(v, only int) bool {
-	vol := &g.problem.Volumes[v]
-	best, bestAt := Piece{-1, -1, 1}, math.Inf(1)
-	full := len(g.layout[v]) >= vol.MaxNodes
-	apart := g.needsNewHall(v)
-	copies := make([]int, g.state.hallCount) // by the hall of the data, looked for once
-	for h := range copies {
-		copies[h] = notSearched
+func (g *builder) placePart(v, requiredNode int) bool {
+	volume := &g.problem.Volumes[v]
+	bestPiece, bestUtilization := Piece{-1, -1, 1}, math.Inf(1)
+	atMaxNodes := len(g.layout[v]) >= volume.MaxNodes
+	newHallOnly := g.needsNewHall(v)
+	copyNodeByHall := make([]int, g.state.hallCount) // by the hall of the data, looked for once
+	for h := range copyNodeByHall {
+		copyNodeByHall[h] = notSearched
 	}
 	for n := range g.problem.Nodes {
-		has := g.pieceIndex(v, n)
-		if only >= 0 && n != only || full && has < 0 || slices.Contains(vol.ExcludedNodes, n) || !g.mayGrow(v, n, has) || apart && g.hasDataInHall(v, g.state.hallOf[n]) {
+		index := g.pieceIndex(v, n)
+		if requiredNode >= 0 && n != requiredNode || atMaxNodes && index < 0 || slices.Contains(volume.ExcludedNodes, n) || !g.mayGrow(v, n, index) || newHallOnly && g.hasDataInHall(v, g.state.hallOf[n]) {
 			continue
 		}
-		pc := Piece{n, -1, 1}
-		if has >= 0 {
-			pc.Copy = g.layout[v][has].Copy
-		} else if vol.Copies == 2 {
+		piece := Piece{n, -1, 1}
+		if index >= 0 {
+			piece.Copy = g.layout[v][index].Copy
+		} else if volume.Copies == 2 {
 			h := g.state.hallOf[n]
-			if copies[h] == notSearched {
-				copies[h] = g.selectCopyNode(v, n)
+			if copyNodeByHall[h] == notSearched {
+				copyNodeByHall[h] = g.selectCopyNode(v, n)
 			}
-			if pc.Copy = copies[h]; pc.Copy < 0 {
+			if piece.Copy = copyNodeByHall[h]; piece.Copy < 0 {
 				continue
 			}
 		}
-		if at, ok := g.tryPiece(v, pc); ok && at < bestAt-tolerance {
-			best, bestAt = pc, at
+		if use, ok := g.tryPiece(v, piece); ok && use < bestUtilization-tolerance {
+			bestPiece, bestUtilization = piece, use
 		}
 	}
-	if best.Node < 0 {
+	if bestPiece.Node < 0 {
 		return false
 	}
-	g.state.addPiece(v, best, 1)
-	if has := g.pieceIndex(v, best.Node); has >= 0 {
-		g.layout[v][has].Parts++
+	g.state.addPiece(v, bestPiece, 1)
+	if index := g.pieceIndex(v, bestPiece.Node); index >= 0 {
+		g.layout[v][index].Parts++
 	} else {
-		g.layout[v] = append(g.layout[v], best)
+		g.layout[v] = append(g.layout[v], bestPiece)
 	}
 	return true
 }
 
 // needsNewHall tells whether the next part must go to a hall that has none of v.
 func (g *builder) needsNewHall(v int) bool {
-	vol := &g.problem.Volumes[v]
-	left, in := g.problem.Parts, countHalls(g.layout[v], g.state.hallOf)
-	for _, pc := range g.layout[v] {
-		left -= pc.Parts
+	volume := &g.problem.Volumes[v]
+	unplaced, usedHalls := g.problem.Parts, countHalls(g.layout[v], g.state.hallOf)
+	for _, piece := range g.layout[v] {
+		unplaced -= piece.Parts
 	}
-	return vol.MinHalls > in && vol.MinHalls-in >= min(left, vol.MaxNodes-len(g.layout[v]))
+	return volume.MinHalls > usedHalls && volume.MinHalls-usedHalls >= min(unplaced, volume.MaxNodes-len(g.layout[v]))
 }
 
 func (g *builder) hasDataInHall(v, hall int) bool {
-	return slices.ContainsFunc(g.layout[v], func(pc Piece) bool { return g.state.hallOf[pc.Node] == hall })
+	return slices.ContainsFunc(g.layout[v], func(piece Piece) bool { return g.state.hallOf[piece.Node] == hall })
 }
 
 const notSearched = -2
 
 // pieceIndex is the index of v's piece on n, -1 if there is none.
 func (g *builder) pieceIndex(v, n int) int {
-	return slices.IndexFunc(g.layout[v], func(pc Piece) bool { return pc.Node == n })
+	return slices.IndexFunc(g.layout[v], func(piece Piece) bool { return piece.Node == n })
 }
 
 // mayGrow holds nodes that drain to what they have.
-func (g *builder) mayGrow(v, n, has int) bool {
+func (g *builder) mayGrow(v, n, index int) bool {
 	if !g.problem.Nodes[n].Draining {
 		return true
 	}
 	data, _ := g.problem.currentParts(v, n)
-	return has < 0 && data > 0 || has >= 0 && g.layout[v][has].Parts < data
+	return index < 0 && data > 0 || index >= 0 && g.layout[v][index].Parts < data
 }
 
 // selectCopyNode is the least used node of another hall; what drains takes no new copy.
 func (g *builder) selectCopyNode(v, n int) int {
-	best, bestAt := -1, math.Inf(1)
+	bestNode, lowest := -1, math.Inf(1)
 	for c := range g.problem.Nodes {
 		if g.state.hallOf[c] == g.state.hallOf[n] || g.problem.Nodes[c].Draining || g.problem.Nodes[c].Capacity <= 0 || slices.Contains(g.problem.Volumes[v].ExcludedNodes, c) {
 			continue
 		}
-		at := g.state.load[c]
-		for _, l := range g.state.lossLoads {
-			at = max(at, l[c])
+		highest := g.state.load[c]
+		for _, loads := range g.state.lossLoads {
+			highest = max(highest, loads[c])
 		}
-		if at /= g.problem.Nodes[c].Capacity; at < bestAt {
-			best, bestAt = c, at
+		if highest /= g.problem.Nodes[c].Capacity; highest < lowest {
+			bestNode, lowest = c, highest
 		}
 	}
-	return best
+	return bestNode
 }
 
 // tryPiece is the use to which a piece brings its nodes, and whether it fits.
-func (g *builder) tryPiece(v int, pc Piece) (float64, bool) {
-	g.state.addPiece(v, pc, 1)
-	defer g.state.addPiece(v, pc, -1)
-	return g.pieceUtilization(pc), g.state.fits(pc)
+func (g *builder) tryPiece(v int, piece Piece) (float64, bool) {
+	g.state.addPiece(v, piece, 1)
+	defer g.state.addPiece(v, piece, -1)
+	return g.pieceUtilization(piece), g.state.fits(piece)
 }
 
-func (g *builder) pieceUtilization(pc Piece) float64 {
-	at := utilization(g.state.load[pc.Node], g.problem.Nodes[pc.Node].Capacity)
-	if pc.Copy >= 0 {
-		at = max(at, utilization(g.state.load[pc.Copy], g.problem.Nodes[pc.Copy].Capacity))
+func (g *builder) pieceUtilization(piece Piece) float64 {
+	highest := utilization(g.state.load[piece.Node], g.problem.Nodes[piece.Node].Capacity)
+	if piece.Copy >= 0 {
+		highest = max(highest, utilization(g.state.load[piece.Copy], g.problem.Nodes[piece.Copy].Capacity))
 	}
-	return at
+	return highest
 }
 
 // improve makes one change after another while one helps.
@@ -533,28 +533,28 @@
 // relieveBusiestAfterLoss takes a copy off the node that would be the fullest after the loss of
 // a hall, without making any node fuller than the fullest is now.
 func (g *builder) relieveBusiestAfterLoss() bool {
-	from, hall, high := -1, -1, 0.0
-	top, worst := g.state.maxUtilization()
-	if worst > 1 {
-		top = 1 // what does not survive yet may cost use
-	}
-	for i, loss := range g.state.lossLoads {
-		for n, x := range loss {
-			if u := utilization(x, g.problem.Nodes[n].Capacity); g.state.hallOf[n] != g.state.lostHalls[i] && u > high {
-				from, hall, high = n, g.state.lostHalls[i], u
+	busiest, hall, highest := -1, -1, 0.0
+	maxUse, maxLossUse := g.state.maxUtilization()
+	if maxLossUse > 1 {
+		maxUse = 1 // what does not survive yet may cost use
+	}
+	for i, loads := range g.state.lossLoads {
+		for n, load := range loads {
+			if use := utilization(load, g.problem.Nodes[n].Capacity); g.state.hallOf[n] != g.state.lostHalls[i] && use > highest {
+				busiest, hall, highest = n, g.state.lostHalls[i], use
 			}
 		}
 	}
 	for v := range g.layout {
-		for i, pc := range g.layout[v] {
-			if pc.Copy == from && g.state.hallOf[pc.Node] == hall && g.moveCopy(v, i, top, high) {
+		for i, piece := range g.layout[v] {
+			if piece.Copy == busiest && g.state.hallOf[piece.Node] == hall && g.moveCopy(v, i, maxUse, highest) {
 				return true
 			}
 		}
 	}
 	for v := range g.layout {
-		for i, pc := range g.layout[v] {
-			if pc.Copy == from && g.state.hallOf[pc.Node] == hall && g.swapCopies(v, i, top, high) {
+		for i, piece := range g.layout[v] {
+			if piece.Copy == busiest && g.state.hallOf[piece.Node] == hall && g.swapCopies(v, i, maxUse, highest) {
 				return true
 			}
 		}
@@ -565,33 +565,33 @@
 // swapCopies lets a piece change copies with another whose data lies in a third
 // hall: what their nodes carry day by day hardly changes, what they would carry after
 // the loss does. False if no swap leaves both below high.
-func (g *builder) swapCopies(v, i int, top, high float64) bool {
-	a := g.layout[v][i]
-	from, lost := a.Copy, g.state.hallOf[a.Node]
-	g.state.addPiece(v, a, -1)
+func (g *builder) swapCopies(v, i int, maxUse, lossLimit float64) bool {
+	piece := g.layout[v][i]
+	oldCopy, lostHall := piece.Copy, g.state.hallOf[piece.Node]
+	g.state.addPiece(v, piece, -1)
 	defer func() { g.state.addPiece(v, g.layout[v][i], 1) }()
-	for w := range g.layout {
-		if w == v || slices.Contains(g.problem.Volumes[w].ExcludedNodes, from) {
+	for otherVolume := range g.layout {
+		if otherVolume == v || slices.Contains(g.problem.Volumes[otherVolume].ExcludedNodes, oldCopy) {
 			continue
 		}
-		for j, b := range g.layout[w] {
-			if b.Copy < 0 || b.Copy == from || g.state.hallOf[b.Node] == lost || g.state.hallOf[b.Node] == g.state.hallOf[from] || g.state.hallOf[b.Copy] == lost ||
-				g.problem.Nodes[b.Copy].Draining || g.problem.Nodes[from].Draining || slices.Contains(g.problem.Volumes[v].ExcludedNodes, b.Copy) {
+		for j, otherPiece := range g.layout[otherVolume] {
+			if otherPiece.Copy < 0 || otherPiece.Copy == oldCopy || g.state.hallOf[otherPiece.Node] == lostHall || g.state.hallOf[otherPiece.Node] == g.state.hallOf[oldCopy] || g.state.hallOf[otherPiece.Copy] == lostHall ||
+				g.problem.Nodes[otherPiece.Copy].Draining || g.problem.Nodes[oldCopy].Draining || slices.Contains(g.problem.Volumes[v].ExcludedNodes, otherPiece.Copy) {
 				continue
 			}
-			x, y := Piece{a.Node, b.Copy, a.Parts}, Piece{b.Node, from, b.Parts}
-			g.state.addPiece(w, b, -1)
-			g.state.addPiece(v, x, 1)
-			g.state.addPiece(w, y, 1)
-			good := g.pieceUtilization(x) <= top+tolerance && g.pieceUtilization(y) <= top+tolerance && g.state.fits(x) && g.state.fits(y) &&
-				max(g.state.utilizationAfterLoss(from), g.state.utilizationAfterLoss(b.Copy)) < high-tolerance
-			g.state.addPiece(v, x, -1)
-			if good {
-				g.layout[v][i], g.layout[w][j] = x, y
+			swapped, otherSwapped := Piece{piece.Node, otherPiece.Copy, piece.Parts}, Piece{otherPiece.Node, oldCopy, otherPiece.Parts}
+			g.state.addPiece(otherVolume, otherPiece, -1)
+			g.state.addPiece(v, swapped, 1)
+			g.state.addPiece(otherVolume, otherSwapped, 1)
+			improves := g.pieceUtilization(swapped) <= maxUse+tolerance && g.pieceUtilization(otherSwapped) <= maxUse+tolerance && g.state.fits(swapped) && g.state.fits(otherSwapped) &&
+				max(g.state.utilizationAfterLoss(oldCopy), g.state.utilizationAfterLoss(otherPiece.Copy)) < lossLimit-tolerance
+			g.state.addPiece(v, swapped, -1)
+			if improves {
+				g.layout[v][i], g.layout[otherVolume][j] = swapped, otherSwapped
 				return true
 			}
-			g.state.addPiece(w, y, -1)
-			g.state.addPiece(w, b, 1)
+			g.state.addPiece(otherVolume, otherSwapped, -1)
+			g.state.addPiece(otherVolume, otherPiece, 1)
 		}
 	}
 	return false
@@ -599,55 +599,55 @@
 
 // moveCopy gives a piece's copy another node: the one that the loss of a hall would
 // fill least, if that stays below high. False if there is none.
-func (g *builder) moveCopy(v, i int, top, high float64) bool {
-	pc := g.layout[v][i]
-	old, best, bestAt := pc.Copy, -1, high-tolerance
-	g.state.addPiece(v, pc, -1)
+func (g *builder) moveCopy(v, i int, maxUse, lossLimit float64) bool {
+	piece := g.layout[v][i]
+	oldCopy, bestNode, lowest := piece.Copy, -1, lossLimit-tolerance
+	g.state.addPiece(v, piece, -1)
 	for c := range g.problem.Nodes {
-		if c == old || g.state.hallOf[c] == g.state.hallOf[pc.Node] || g.problem.Nodes[c].Draining || g.problem.Nodes[c].Capacity <= 0 || slices.Contains(g.problem.Volumes[v].ExcludedNodes, c) {
+		if c == oldCopy || g.state.hallOf[c] == g.state.hallOf[piece.Node] || g.problem.Nodes[c].Draining || g.problem.Nodes[c].Capacity <= 0 || slices.Contains(g.problem.Volumes[v].ExcludedNodes, c) {
 			continue
 		}
-		pc.Copy = c
-		g.state.addPiece(v, pc, 1)
-		if at := g.state.utilizationAfterLoss(c); at < bestAt && g.pieceUtilization(pc) <= top+tolerance && g.state.fits(pc) {
-			best, bestAt = c, at
+		piece.Copy = c
+		g.state.addPiece(v, piece, 1)
+		if lossUse := g.state.utilizationAfterLoss(c); lossUse < lowest && g.pieceUtilization(piece) <= maxUse+tolerance && g.state.fits(piece) {
+			bestNode, lowest = c, lossUse
 		}
-		g.state.addPiece(v, pc, -1)
+		g.state.addPiece(v, piece, -1)
 	}
-	if pc.Copy = best; best < 0 {
-		pc.Copy = old
+	if piece.Copy = bestNode; bestNode < 0 {
+		piece.Copy = oldCopy
 	}
-	g.state.addPiece(v, pc, 1)
-	g.layout[v][i] = pc
-	return best >= 0
+	g.state.addPiece(v, piece, 1)
+	g.layout[v][i] = piece
+	return bestNode >= 0
 }
 
 // relieveBusiest moves one part from the fullest node to where it does least; false if
 // none helps.
 func (g *builder) relieveBusiest() bool {
-	from, high := -1, 0.0
+	busiest, highest := -1, 0.0
 	for n := range g.state.load {
-		if u := utilization(g.state.load[n], g.problem.Nodes[n].Capacity); u > high {
-			from, high = n, u
+		if use := utilization(g.state.load[n], g.problem.Nodes[n].Capacity); use > highest {
+			busiest, highest = n, use
 		}
 	}
-	if from < 0 {
+	if busiest < 0 {
 		return false
 	}
 	// A part at a time first: it does the least to the nodes that take it. Then whole
 	// pieces, which may change their copy too.
 	for v := range g.layout {
-		i := g.pieceIndex(v, from)
-		if i < 0 || g.layout[v][i].Parts == 1 && g.isPinned(v, from) {
+		i := g.pieceIndex(v, busiest)
+		if i < 0 || g.layout[v][i].Parts == 1 && g.isPinned(v, busiest) {
 			continue
 		}
-		if g.moveParts(v, i, 1, high) {
+		if g.moveParts(v, i, 1, highest) {
 			return true
 		}
 	}
 	for v := range g.layout {
-		for i, pc := range g.layout[v] {
-			if (pc.Node == from || pc.Copy == from) && !g.isPinned(v, pc.Node) && g.moveParts(v, i, pc.Parts, high) {
+		for i, piece := range g.layout[v] {
+			if (piece.Node == busiest || piece.Copy == busiest) && !g.isPinned(v, piece.Node) && g.moveParts(v, i, piece.Parts, highest) {
 				return true
 			}
 		}
@@ -661,44 +661,46 @@
 
 // moveParts moves k parts of v's piece i elsewhere if all that they touch then stays
 // below the use they leave behind.
-func (g *builder) moveParts(v, i, k int, high float64) bool {
-	old := slices.Clone(g.layout[v])
-	pc := old[i]
-	g.state.addPiece(v, Piece{pc.Node, pc.Copy, k}, -1)
-	if g.layout[v][i].Parts -= k; g.layout[v][i].Parts == 0 {
+func (g *builder) moveParts(v, i, count int, limit float64) bool {
+	oldPieces := slices.Clone(g.layout[v])
+	piece := oldPieces[i]
+	g.state.addPiece(v, Piece{piece.Node, piece.Copy, count}, -1)
+	if g.layout[v][i].Parts -= count; g.layout[v][i].Parts == 0 {
 		g.layout[v] = slices.Delete(g.layout[v], i, i+1)
 	}
-	ok := true
-	for range k {
-		ok = ok && g.placePart(v, -1)
+	allPlaced := true
+	for range count {
+		allPlaced = allPlaced && g.placePart(v, -1)
 	}
-	if ok && g.keepsMinHalls(v, old) && g.relieved(old, g.layout[v], high) {
+	if allPlaced && g.keepsMinHalls(v, oldPieces) && g.relieved(oldPieces, g.layout[v], limit) {
 		return true
 	}
-	for _, x := range g.layout[v] {
-		g.state.addPiece(v, x, -1)
+	for _, piece := range g.layout[v] {
+		g.state.addPiece(v, piece, -1)
 	}
-	g.layout[v] = old
-	for _, x := range old {
-		g.state.addPiece(v, x, 1)
+	g.layout[v] = oldPieces
+	for _, piece := range oldPieces {
+		g.state.addPiece(v, piece, 1)
 	}
 	return false
 }
 
 // relieved tells whether something has moved, and all that took it is below that use.
-func (g *builder) relieved(before, now []Piece, high float64) bool {
+func (g *builder) relieved(before, after []Piece, limit float64) bool {
 	moved := false
-	for _, pc := range now {
-		if slices.ContainsFunc(before, func(o Piece) bool { return o.Node == pc.Node && o.Copy == pc.Copy && o.Parts >= pc.Parts }) {
+	for _, piece := range after {
+		if slices.ContainsFunc(before, func(old Piece) bool {
+			return old.Node == piece.Node && old.Copy == piece.Copy && old.Parts >= piece.Parts
+		}) {
 			continue
 		}
-		if moved = true; g.pieceUtilization(pc) >= high-tolerance {
+		if moved = true; g.pieceUtilization(piece) >= limit-tolerance {
 			return false
 		}
 	}
 	return moved
 }
 
-func (g *builder) keepsMinHalls(v int, old []Piece) bool {
-	return countHalls(g.layout[v], g.state.hallOf) >= min(countHalls(old, g.state.hallOf), g.problem.Volumes[v].MinHalls)
+func (g *builder) keepsMinHalls(v int, oldPieces []Piece) bool {
+	return countHalls(g.layout[v], g.state.hallOf) >= min(countHalls(oldPieces, g.state.hallOf), g.problem.Volumes[v].MinHalls)
 }
--- a/internal/fleet/placement/state.go
+++ b/internal/fleet/placement/state.go
@@ -15,60 +15,60 @@
 	ignoreHallLoss bool
 }
 
-func newState(p *Problem) *state {
-	s := &state{problem: p, load: make([]float64, len(p.Nodes))}
-	var names []string
-	s.hallOf, names = p.indexHalls()
-	s.hallCount = len(names)
-	for h, name := range names {
-		if p.mustSurvive(name) {
-			s.lossLoads, s.lostHalls = append(s.lossLoads, make([]float64, len(p.Nodes))), append(s.lostHalls, h)
+func newState(problem *Problem) *state {
+	loads := &state{problem: problem, load: make([]float64, len(problem.Nodes))}
+	var hallNames []string
+	loads.hallOf, hallNames = problem.indexHalls()
+	loads.hallCount = len(hallNames)
+	for h, name := range hallNames {
+		if problem.mustSurvive(name) {
+			loads.lossLoads, loads.lostHalls = append(loads.lossLoads, make([]float64, len(problem.Nodes))), append(loads.lostHalls, h)
 		}
 	}
-	return s
+	return loads
 }
 
 // addPiece adds a piece of v, or takes it away with sign -1.
-func (s *state) addPiece(v int, pc Piece, sign float64) {
-	vol := &s.problem.Volumes[v]
-	x := sign * s.problem.partRate(v) * float64(pc.Parts)
-	s.addLoad(pc.Node, x)
-	if pc.Copy >= 0 {
-		s.addLoad(pc.Copy, x*vol.WriteFraction)
-	}
-	for i, loss := range s.lossLoads {
-		h := s.lostHalls[i]
-		gone := s.hallOf[pc.Node] == h
-		if !gone {
-			loss[pc.Node] += x
+func (s *state) addPiece(v int, piece Piece, sign float64) {
+	volume := &s.problem.Volumes[v]
+	rate := sign * s.problem.partRate(v) * float64(piece.Parts)
+	s.addLoad(piece.Node, rate)
+	if piece.Copy >= 0 {
+		s.addLoad(piece.Copy, rate*volume.WriteFraction)
+	}
+	for i, loads := range s.lossLoads {
+		lostHall := s.lostHalls[i]
+		dataLost := s.hallOf[piece.Node] == lostHall
+		if !dataLost {
+			loads[piece.Node] += rate
 		}
 		switch {
-		case pc.Copy < 0 || s.hallOf[pc.Copy] == h:
-		case gone:
-			loss[pc.Copy] += x
+		case piece.Copy < 0 || s.hallOf[piece.Copy] == lostHall:
+		case dataLost:
+			loads[piece.Copy] += rate
 		default:
-			loss[pc.Copy] += x * vol.WriteFraction
+			loads[piece.Copy] += rate * volume.WriteFraction
 		}
 	}
 }
 
-func (s *state) addLoad(n int, x float64) {
-	s.load[n] += x
-	s.cost += x * s.problem.Nodes[n].Cost
+func (s *state) addLoad(n int, rate float64) {
+	s.load[n] += rate
+	s.cost += rate * s.problem.Nodes[n].Cost
 }
 
 // fits tells whether the nodes of a piece carry what they have, in every case.
-func (s *state) fits(pc Piece) bool {
-	for _, n := range [2]int{pc.Node, pc.Copy} {
+func (s *state) fits(piece Piece) bool {
+	for _, n := range [2]int{piece.Node, piece.Copy} {
 		if n < 0 {
 			continue
 		}
-		most := s.problem.Nodes[n].Capacity*(1+tolerance) + tolerance
-		if s.load[n] > most {
+		limit := s.problem.Nodes[n].Capacity*(1+tolerance) + tolerance
+		if s.load[n] > limit {
 			return false
 		}
-		for _, loss := range s.lossLoads {
-			if loss[n] > most && !s.ignoreHallLoss {
+		for _, loads := range s.lossLoads {
+			if loads[n] > limit && !s.ignoreHallLoss {
 				return false
 			}
 		}
@@ -85,24 +85,24 @@
 
 // utilizationAfterLoss is the use of a node after the loss that is worst for it.
 func (s *state) utilizationAfterLoss(n int) (worst float64) {
-	for i, l := range s.lossLoads {
+	for i, loads := range s.lossLoads {
 		if s.hallOf[n] != s.lostHalls[i] {
-			worst = max(worst, utilization(l[n], s.problem.Nodes[n].Capacity))
+			worst = max(worst, utilization(loads[n], s.problem.Nodes[n].Capacity))
 		}
 	}
 	return worst
 }
 
 // maxUtilization returns the highest use of a node, and after the worst loss of a hall.
-func (s *state) maxUtilization() (now, loss float64) {
+func (s *state) maxUtilization() (use, lossUse float64) {
 	for n := range s.load {
 		capacity := s.problem.Nodes[n].Capacity
-		now = max(now, utilization(s.load[n], capacity))
-		for _, l := range s.lossLoads {
-			loss = max(loss, utilization(l[n], capacity))
+		use = max(use, utilization(s.load[n], capacity))
+		for _, loads := range s.lossLoads {
+			lossUse = max(lossUse, utilization(loads[n], capacity))
 		}
 	}
-	return now, loss
+	return use, lossUse
 }
 
 // candidate is one way to place a volume.
@@ -117,97 +117,97 @@
 
 // candidates lists every way to place v, nothing included where its reserve lets
 // that; ok is false if there are too many to list.
-func (p *Problem) candidates(v int, hall []int) (out []candidate, ok bool) {
-	vol := &p.Volumes[v]
+func (p *Problem) candidates(v int, hallOf []int) (out []candidate, ok bool) {
+	volume := &p.Volumes[v]
 	ok = true
 	add := func(pieces []Piece, placed int) {
-		if placed < p.minParts(v) || !p.isAllowed(v, pieces, placed, hall) {
+		if placed < p.minParts(v) || !p.isAllowed(v, pieces, placed, hallOf) {
 			return
 		}
 		if len(out) >= maxCandidates {
 			ok = false
 			return
 		}
-		out = append(out, candidate{slices.Clone(pieces), p.Tiers[vol.Tier].Value * p.partRate(v) * float64(p.Parts-placed), p.movedRate(v, pieces)})
+		out = append(out, candidate{slices.Clone(pieces), p.Tiers[volume.Tier].Value * p.partRate(v) * float64(p.Parts-placed), p.movedRate(v, pieces)})
 	}
-	var pick func(from int, pieces []Piece, placed int)
-	pick = func(from int, pieces []Piece, placed int) {
+	var placeFrom func(from int, pieces []Piece, placed int)
+	placeFrom = func(firstNode int, pieces []Piece, placed int) {
 		if !ok {
 			return
 		}
 		add(pieces, placed)
-		if len(pieces) == vol.MaxNodes {
+		if len(pieces) == volume.MaxNodes {
 			return
 		}
-		for n := from; n < len(p.Nodes); n++ {
-			if slices.Contains(vol.ExcludedNodes, n) {
+		for n := firstNode; n < len(p.Nodes); n++ {
+			if slices.Contains(volume.ExcludedNodes, n) {
 				continue
 			}
 			for parts := 1; placed+parts <= p.Parts; parts++ {
-				for _, c := range p.copyNodes(v, n, hall) {
-					pick(n+1, append(pieces, Piece{n, c, parts}), placed+parts)
+				for _, copyNode := range p.copyNodes(v, n, hallOf) {
+					placeFrom(n+1, append(pieces, Piece{n, copyNode, parts}), placed+parts)
 				}
 			}
 		}
 	}
-	pick(0, nil, 0)
+	placeFrom(0, nil, 0)
 	return out, ok
 }
 
 var noCopy = []int{-1}
 
 // copyNodes lists where a copy of what lies on n may lie.
-func (p *Problem) copyNodes(v, n int, hall []int) []int {
+func (p *Problem) copyNodes(v, n int, hallOf []int) []int {
 	if p.Volumes[v].Copies == 1 {
 		return noCopy
 	}
 	var out []int
-	for c := range p.Nodes {
-		if hall[c] != hall[n] && !slices.Contains(p.Volumes[v].ExcludedNodes, c) {
-			out = append(out, c)
+	for candidate := range p.Nodes {
+		if hallOf[candidate] != hallOf[n] && !slices.Contains(p.Volumes[v].ExcludedNodes, candidate) {
+			out = append(out, candidate)
 		}
 	}
 	return out
 }
 
 // countHalls is the number of halls that pieces lie in, copies apart.
-func countHalls(pieces []Piece, hall []int) int {
-	var in []int
-	for _, pc := range pieces {
-		if !slices.Contains(in, hall[pc.Node]) {
-			in = append(in, hall[pc.Node])
+func countHalls(pieces []Piece, hallOf []int) int {
+	var halls []int
+	for _, piece := range pieces {
+		if !slices.Contains(halls, hallOf[piece.Node]) {
+			halls = append(halls, hallOf[piece.Node])
 		}
 	}
-	return len(in)
+	return len(halls)
 }
 
 // isAllowed holds a whole choice of pieces to pins, spread and drains.
-func (p *Problem) isAllowed(v int, pieces []Piece, placed int, hall []int) bool {
-	vol := &p.Volumes[v]
+func (p *Problem) isAllowed(v int, pieces []Piece, placed int, hallOf []int) bool {
+	volume := &p.Volumes[v]
 	if placed > 0 {
-		for _, n := range vol.PinnedNodes {
-			if !slices.ContainsFunc(pieces, func(pc Piece) bool { return pc.Node == n }) {
+		for _, n := range volume.PinnedNodes {
+			if !slices.ContainsFunc(pieces, func(piece Piece) bool { return piece.Node == n }) {
 				return false
 			}
 		}
 	}
-	if placed == p.Parts && countHalls(pieces, hall) < vol.MinHalls {
+	if placed == p.Parts && countHalls(pieces, hallOf) < volume.MinHalls {
 		return false
 	}
-	for i, pc := range pieces {
-		if data, _ := p.currentParts(v, pc.Node); p.Nodes[pc.Node].Draining && pc.Parts > data {
+	for i, piece := range pieces {
+		if data, _ := p.currentParts(v, piece.Node); p.Nodes[piece.Node].Draining && piece.Parts > data {
 			return false
 		}
-		if pc.Copy < 0 || !p.Nodes[pc.Copy].Draining {
+		if piece.Copy < 0 || !p.Nodes[piece.Copy].Draining {
 			continue
 		}
-		copied := 0
-		for _, o := range pieces[:i+1] {
-			if o.Copy == pc.Copy {
-				copied += o.Parts
+		copies := 0
+		for _, other := range pieces[:i+1] {
+			if other.Copy == piece.Copy {
+				copies += other.Parts
 			}
 		}
-		if _, had := p.currentParts(v, pc.Copy); copied > had {
+		if _, currentCopies := p.currentParts(v, piece.Copy); copies > currentCopies {
 			return false
 		}
 	}
@@ -219,18 +219,18 @@
 	if p.Current == nil {
 		return 0
 	}
-	moved := 0
+	movedParts := 0
 	for n := range p.Nodes {
-		data, copied := p.currentParts(v, n)
-		for _, pc := range pieces {
-			if pc.Node == n {
-				data -= pc.Parts
+		newData, newCopies := p.currentParts(v, n)
+		for _, piece := range pieces {
+			if piece.Node == n {
+				newData -= piece.Parts
 			}
-			if pc.Copy == n {
-				copied -= pc.Parts
+			if piece.Copy == n {
+				newCopies -= piece.Parts
 			}
 		}
-		moved += max(-data, 0) + max(-copied, 0)
+		movedParts += max(-newData, 0) + max(-newCopies, 0)
 	}
-	return p.partRate(v) * float64(moved)
+	return p.partRate(v) * float64(movedParts)
 }
--- a/internal/fleet/placement/steps.go
+++ b/internal/fleet/placement/steps.go
@@ -32,29 +32,29 @@
 // may lie on one node more than it may at the end. A new target that arrives
 // half-way starts from where things stand. Where no order is found the steps that
 // were are returned with a *BlockedError.
-func Steps(p *Problem, from, to Layout, most float64) ([]Step, error) {
-	w := &stepSearch{problem: p, state: newState(p), current: make(Layout, len(from)), target: to, maxMoved: most}
+func Steps(problem *Problem, from, to Layout, maxMoved float64) ([]Step, error) {
+	search := &stepSearch{problem: problem, state: newState(problem), current: make(Layout, len(from)), target: to, maxMoved: maxMoved}
 	for v := range from {
-		w.current[v] = slices.Clone(from[v])
-		for _, pc := range from[v] {
-			w.state.addPiece(v, pc, 1)
+		search.current[v] = slices.Clone(from[v])
+		for _, piece := range from[v] {
+			search.state.addPiece(v, piece, 1)
 		}
 	}
 	for detours := 0; ; {
-		w.state.ignoreHallLoss = false
-		if w.findStep(false) {
+		search.state.ignoreHallLoss = false
+		if search.findStep(false) {
 			continue
 		}
-		left := w.remainingVolumes()
-		if len(left) == 0 {
-			return w.steps, nil
+		remaining := search.remainingVolumes()
+		if len(remaining) == 0 {
+			return search.steps, nil
 		}
-		if w.relaxHallLoss() && w.findStep(false) {
+		if search.relaxHallLoss() && search.findStep(false) {
 			continue
 		}
-		w.state.ignoreHallLoss = false
-		if detours++; detours > maxDetours || !w.findStep(true) {
-			return w.steps, &BlockedError{left, len(w.steps)}
+		search.state.ignoreHallLoss = false
+		if detours++; detours > maxDetours || !search.findStep(true) {
+			return search.steps, &BlockedError{remaining, len(search.steps)}
 		}
 	}
 }
@@ -83,15 +83,15 @@
 	if !w.state.ignoreHallLoss {
 		return true
 	}
-	_, now := w.state.maxUtilization()
-	return now <= w.maxLossUtilization+tolerance
+	_, lossUse := w.state.maxUtilization()
+	return lossUse <= w.maxLossUtilization+tolerance
 }
 
 // parts of v at that place.
-func partsAt(l []Piece, node, copy int) int {
-	for _, pc := range l {
-		if pc.Node == node && pc.Copy == copy {
-			return pc.Parts
+func partsAt(pieces []Piece, node, copy int) int {
+	for _, piece := range pieces {
+		if piece.Node == node && piece.Copy == copy {
+			return piece.Parts
 		}
 	}
 	return 0
@@ -111,7 +111,7 @@
 	if len(w.current[v]) != len(w.target[v]) {
 		return true
 	}
-	return slices.ContainsFunc(w.target[v], func(pc Piece) bool { return partsAt(w.current[v], pc.Node, pc.Copy) != pc.Parts })
+	return slices.ContainsFunc(w.target[v], func(piece Piece) bool { return partsAt(w.current[v], piece.Node, piece.Copy) != piece.Parts })
 }
 
 // findStep makes one step: towards the target, or as a detour to any node with room.
@@ -120,9 +120,9 @@
 		if !w.differsFromTarget(v) {
 			continue
 		}
-		for _, src := range w.sources(v) {
-			for _, dst := range w.targets(v, src, detour) {
-				if w.tryStep(v, src, dst) {
+		for _, source := range w.sources(v) {
+			for _, target := range w.targets(v, source, detour) {
+				if w.tryStep(v, source, target) {
 					return true
 				}
 			}
@@ -134,115 +134,115 @@
 // sources are the pieces that have more than they should; nothing, where too few
 // parts are placed.
 func (w *stepSearch) sources(v int) (out []Piece) {
-	placed, want := 0, 0
-	for _, pc := range w.current[v] {
-		placed += pc.Parts
-		if more := pc.Parts - partsAt(w.target[v], pc.Node, pc.Copy); more > 0 {
-			out = append(out, Piece{pc.Node, pc.Copy, more})
+	placed, wanted := 0, 0
+	for _, piece := range w.current[v] {
+		placed += piece.Parts
+		if surplus := piece.Parts - partsAt(w.target[v], piece.Node, piece.Copy); surplus > 0 {
+			out = append(out, Piece{piece.Node, piece.Copy, surplus})
 		}
 	}
-	for _, pc := range w.target[v] {
-		want += pc.Parts
+	for _, piece := range w.target[v] {
+		wanted += piece.Parts
 	}
-	if placed < want {
-		out = append(out, Piece{-1, -1, want - placed})
+	if placed < wanted {
+		out = append(out, Piece{-1, -1, wanted - placed})
 	}
 	return out
 }
 
 // targets are where parts may go: to pieces that have too few, or away for good
 // where too many are placed; a detour goes to any node, its copy with it.
-func (w *stepSearch) targets(v int, src Piece, detour bool) (out []Piece) {
+func (w *stepSearch) targets(v int, source Piece, detour bool) (out []Piece) {
 	if detour {
-		if src.Node < 0 {
+		if source.Node < 0 {
 			return nil
 		}
 		for n := range w.problem.Nodes {
-			if n == src.Node || n == src.Copy || w.problem.Nodes[n].Draining || slices.Contains(w.problem.Volumes[v].ExcludedNodes, n) ||
-				src.Copy >= 0 && w.state.hallOf[n] == w.state.hallOf[src.Copy] {
+			if n == source.Node || n == source.Copy || w.problem.Nodes[n].Draining || slices.Contains(w.problem.Volumes[v].ExcludedNodes, n) ||
+				source.Copy >= 0 && w.state.hallOf[n] == w.state.hallOf[source.Copy] {
 				continue
 			}
-			out = append(out, Piece{n, src.Copy, src.Parts})
+			out = append(out, Piece{n, source.Copy, source.Parts})
 		}
 		return out
 	}
-	placed, want := 0, 0
-	for _, pc := range w.target[v] {
-		want += pc.Parts
-		if less := pc.Parts - partsAt(w.current[v], pc.Node, pc.Copy); less > 0 {
-			out = append(out, Piece{pc.Node, pc.Copy, min(less, src.Parts)})
+	placed, wanted := 0, 0
+	for _, piece := range w.target[v] {
+		wanted += piece.Parts
+		if missing := piece.Parts - partsAt(w.current[v], piece.Node, piece.Copy); missing > 0 {
+			out = append(out, Piece{piece.Node, piece.Copy, min(missing, source.Parts)})
 		}
 	}
 	// What can stay on its node does: on one that drains it could not come back.
 	slices.SortStableFunc(out, func(a, b Piece) int {
 		switch {
-		case a.Node == src.Node && b.Node != src.Node:
+		case a.Node == source.Node && b.Node != source.Node:
 			return -1
-		case b.Node == src.Node && a.Node != src.Node:
+		case b.Node == source.Node && a.Node != source.Node:
 			return 1
 		}
 		return 0
 	})
-	for _, pc := range w.current[v] {
-		placed += pc.Parts
+	for _, piece := range w.current[v] {
+		placed += piece.Parts
 	}
-	if placed > want && src.Node >= 0 {
-		out = append(out, Piece{-1, -1, min(placed-want, src.Parts)})
+	if placed > wanted && source.Node >= 0 {
+		out = append(out, Piece{-1, -1, min(placed-wanted, source.Parts)})
 	}
 	return out
 }
 
 // tryStep moves as many parts as the amount lets it, if what it leaves behind holds.
-func (w *stepSearch) tryStep(v int, src, dst Piece) bool {
-	each := 0.0 // what one part moves
-	if dst.Node >= 0 && dst.Node != src.Node {
-		each += w.problem.partRate(v)
+func (w *stepSearch) tryStep(v int, source, target Piece) bool {
+	ratePerPart := 0.0 // what one part moves
+	if target.Node >= 0 && target.Node != source.Node {
+		ratePerPart += w.problem.partRate(v)
 	}
-	if dst.Copy >= 0 && dst.Copy != src.Copy {
-		each += w.problem.partRate(v)
+	if target.Copy >= 0 && target.Copy != source.Copy {
+		ratePerPart += w.problem.partRate(v)
 	}
-	for k := dst.Parts; k > 0; k-- {
-		if each*float64(k) > w.maxMoved+tolerance {
+	for parts := target.Parts; parts > 0; parts-- {
+		if ratePerPart*float64(parts) > w.maxMoved+tolerance {
 			continue
 		}
 		before := slices.Clone(w.current[v])
-		w.addParts(v, src, -k)
-		w.addParts(v, dst, k)
-		if w.keepsNodeAndHallLimits(v, before) && !w.growsOnDrainingNode(v, before, dst) && (dst.Node < 0 || w.state.fits(dst)) && w.lossNotIncreased() {
-			w.steps = append(w.steps, Step{v, Piece{src.Node, src.Copy, k}, Piece{dst.Node, dst.Copy, k}, each * float64(k)})
+		w.addParts(v, source, -parts)
+		w.addParts(v, target, parts)
+		if w.keepsNodeAndHallLimits(v, before) && !w.growsOnDrainingNode(v, before, target) && (target.Node < 0 || w.state.fits(target)) && w.lossNotIncreased() {
+			w.steps = append(w.steps, Step{v, Piece{source.Node, source.Copy, parts}, Piece{target.Node, target.Copy, parts}, ratePerPart * float64(parts)})
 			return true
 		}
-		w.addParts(v, dst, -k)
-		w.addParts(v, src, k)
+		w.addParts(v, target, -parts)
+		w.addParts(v, source, parts)
 		w.current[v] = before
 	}
 	return false
 }
 
 // addParts adds k parts to a piece of v, which comes and goes with them.
-func (w *stepSearch) addParts(v int, pc Piece, k int) {
-	if pc.Node < 0 {
+func (w *stepSearch) addParts(v int, place Piece, parts int) {
+	if place.Node < 0 {
 		return
 	}
-	w.state.addPiece(v, Piece{pc.Node, pc.Copy, 1}, float64(k))
-	i := slices.IndexFunc(w.current[v], func(x Piece) bool { return x.Node == pc.Node && x.Copy == pc.Copy })
+	w.state.addPiece(v, Piece{place.Node, place.Copy, 1}, float64(parts))
+	i := slices.IndexFunc(w.current[v], func(piece Piece) bool { return piece.Node == place.Node && piece.Copy == place.Copy })
 	if i < 0 {
-		w.current[v] = append(w.current[v], Piece{pc.Node, pc.Copy, k})
+		w.current[v] = append(w.current[v], Piece{place.Node, place.Copy, parts})
 		return
 	}
-	if w.current[v][i].Parts += k; w.current[v][i].Parts == 0 {
+	if w.current[v][i].Parts += parts; w.current[v][i].Parts == 0 {
 		w.current[v] = slices.Delete(w.current[v], i, i+1)
 	}
 }
 
 // growsOnDrainingNode tells whether a node that drains has more of v than before.
-func (w *stepSearch) growsOnDrainingNode(v int, before []Piece, dst Piece) bool {
-	for _, n := range [2]int{dst.Node, dst.Copy} {
+func (w *stepSearch) growsOnDrainingNode(v int, before []Piece, target Piece) bool {
+	for _, n := range [2]int{target.Node, target.Copy} {
 		if n < 0 || !w.problem.Nodes[n].Draining {
 			continue
 		}
-		data, copies := partsOnNode(before, n)
-		if d, c := partsOnNode(w.current[v], n); d > data || c > copies {
+		dataBefore, copiesBefore := partsOnNode(before, n)
+		if data, copies := partsOnNode(w.current[v], n); data > dataBefore || copies > copiesBefore {
 			return true
 		}
 	}
@@ -252,11 +252,11 @@
 // keepsNodeAndHallLimits keeps spread and the number of nodes on the way.
 func (w *stepSearch) keepsNodeAndHallLimits(v int, before []Piece) bool {
 	var nodes []int
-	for _, pc := range w.current[v] {
-		if !slices.Contains(nodes, pc.Node) {
-			nodes = append(nodes, pc.Node)
+	for _, piece := range w.current[v] {
+		if !slices.Contains(nodes, piece.Node) {
+			nodes = append(nodes, piece.Node)
 		}
 	}
-	vol := &w.problem.Volumes[v]
-	return len(nodes) <= vol.MaxNodes+1 && countHalls(w.current[v], w.state.hallOf) >= min(countHalls(before, w.state.hallOf), vol.MinHalls)
+	volume := &w.problem.Volumes[v]
+	return len(nodes) <= volume.MaxNodes+1 && countHalls(w.current[v], w.state.hallOf) >= min(countHalls(before, w.state.hallOf), volume.MinHalls)
 }
--- a/internal/fleet/placement/synthetic.go
+++ b/internal/fleet/placement/synthetic.go
@@ -10,21 +10,21 @@
 // tenfold, the loss of any hall to be survived.
 func SyntheticProblem(nodeCount int, seed uint64) *Problem {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	p := &Problem{Parts: 8, SurviveHallLoss: true, Tiers: []Tier{{Name: "basico", Value: 1}, {Name: "normal", Value: 3}, {Name: "prioritario", Value: 6, Reserve: 1}}}
+	problem := &Problem{Parts: 8, SurviveHallLoss: true, Tiers: []Tier{{Name: "basico", Value: 1}, {Name: "normal", Value: 3}, {Name: "prioritario", Value: 6, Reserve: 1}}}
 	capacity := 0.0
 	for i := range nodeCount {
-		n := Node{Name: fmt.Sprintf("n%d", i), Hall: fmt.Sprintf("hall-%c", 'a'+i%3), Capacity: 100 + 50*rng.Float64(), Cost: 1 + rng.Float64()}
-		capacity += n.Capacity
-		p.Nodes = append(p.Nodes, n)
+		node := Node{Name: fmt.Sprintf("n%d", i), Hall: fmt.Sprintf("hall-%c", 'a'+i%3), Capacity: 100 + 50*rng.Float64(), Cost: 1 + rng.Float64()}
+		capacity += node.Capacity
+		problem.Nodes = append(problem.Nodes, node)
 	}
-	total := 0.0
+	demand := 0.0
 	for i := range 8 * nodeCount {
-		v := Volume{Name: fmt.Sprintf("v%d", i), Tier: rng.IntN(3), Rate: 1 + 9*rng.Float64()*rng.Float64(), WriteFraction: 0.3, MaxNodes: 1 + rng.IntN(4), Copies: 2}
-		total += v.Rate
-		p.Volumes = append(p.Volumes, v)
+		volume := Volume{Name: fmt.Sprintf("v%d", i), Tier: rng.IntN(3), Rate: 1 + 9*rng.Float64()*rng.Float64(), WriteFraction: 0.3, MaxNodes: 1 + rng.IntN(4), Copies: 2}
+		demand += volume.Rate
+		problem.Volumes = append(problem.Volumes, volume)
 	}
-	for i := range p.Volumes {
-		p.Volumes[i].Rate *= 0.5 * capacity / total
+	for i := range problem.Volumes {
+		problem.Volumes[i].Rate *= 0.5 * capacity / demand
 	}
-	return p
+	return problem
 }
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/plan/plan.go
@@ -43,34 +43,34 @@
 const maxParts = 1024
 
 // From makes the instance of the settings.
-func From(s *settings.Settings, opt Options) (*Plan, error) {
+func From(s *settings.Settings, options Options) (*Plan, error) {
 	if len(s.Nodes) == 0 {
 		return nil, &Error{"nodes", "is empty: a layout needs each shard's hall and capacity"}
 	}
-	set := s.Placement
-	if set == (settings.Placement{}) {
-		set = settings.DefaultPlacement
+	config := s.Placement
+	if config == (settings.Placement{}) {
+		config = settings.DefaultPlacement
 	}
-	parts := set.Parts
+	parts := config.Parts
 	for i := range s.Volumes {
 		parts = lcm(parts, len(s.Volumes[i].Layout))
 		if parts > maxParts {
 			return nil, &Error{fmt.Sprintf("volumes[%d].layout", i), fmt.Sprintf("with %d entries there is no common number of parts up to %d", len(s.Volumes[i].Layout), maxParts)}
 		}
 	}
-	pl := &Plan{Settings: s, Problem: &placement.Problem{Parts: parts, SurviveHallLoss: set.SurviveLoss && len(opt.LostHalls) == 0}, nodeOfShard: map[int]int{}}
+	layoutPlan := &Plan{Settings: s, Problem: &placement.Problem{Parts: parts, SurviveHallLoss: config.SurviveLoss && len(options.LostHalls) == 0}, nodeOfShard: map[int]int{}}
 	for i, n := range s.Nodes {
-		pl.nodeOfShard[n.Shard] = i
+		layoutPlan.nodeOfShard[n.Shard] = i
 		node := placement.Node{Name: fmt.Sprintf("shard %d", n.Shard), Hall: s.DomainOf(&n), Capacity: n.Capacity, Cost: n.Cost, Draining: n.Draining}
-		if slices.Contains(opt.LostHalls, node.Hall) {
+		if slices.Contains(options.LostHalls, node.Hall) {
 			node.Capacity = 0
 		}
-		pl.Problem.Nodes = append(pl.Problem.Nodes, node)
+		layoutPlan.Problem.Nodes = append(layoutPlan.Problem.Nodes, node)
 	}
-	pl.addTiers()
-	pl.addVolumes(opt, set.Margin)
-	pl.Problem.Current = pl.Current
-	return pl, pl.Problem.Validate()
+	layoutPlan.addTiers()
+	layoutPlan.addVolumes(options, config.Margin)
+	layoutPlan.Problem.Current = layoutPlan.Current
+	return layoutPlan, layoutPlan.Problem.Validate()
 }
 
 func lcm(a, b int) int {
@@ -84,69 +84,71 @@
 // addTiers are the plans. Every volume must be reachable whole, so each tier's
 // reserve is all of it.
 func (pl *Plan) addTiers() {
-	for _, p := range pl.Settings.Plans {
-		pl.Problem.Tiers = append(pl.Problem.Tiers, placement.Tier{Name: p.Name, Value: p.Weight, Reserve: 1})
+	for _, settingsPlan := range pl.Settings.Plans {
+		pl.Problem.Tiers = append(pl.Problem.Tiers, placement.Tier{Name: settingsPlan.Name, Value: settingsPlan.Weight, Reserve: 1})
 	}
 }
 
-func (pl *Plan) addVolumes(opt Options, margin float64) {
+func (pl *Plan) addVolumes(options Options, margin float64) {
 	s := pl.Settings
 	measured := map[string]rates.Rate{}
-	for _, r := range opt.Measured {
+	for _, r := range options.Measured {
 		measured[r.Volume] = r
 	}
 	for i := range s.Volumes {
-		v := &s.Volumes[i]
-		cut := pl.layoutSlots(v, pl.Problem.Parts)
-		now := groupPieces(cut)
-		out := placement.Volume{Name: v.Name, Rate: s.RateOf(v), WriteFraction: v.WriteFraction, MaxNodes: v.MaxNodes, MinHalls: minDomains(s, v), Copies: max(v.Copies, 1),
-			Tier: slices.IndexFunc(s.Plans, func(p settings.Plan) bool { return p.Name == v.Plan })}
-		if out.MaxNodes == 0 {
-			out.MaxNodes = max(len(now), 1)
+		volume := &s.Volumes[i]
+		volumeSlots := pl.layoutSlots(volume, pl.Problem.Parts)
+		current := groupPieces(volumeSlots)
+		placed := placement.Volume{Name: volume.Name, Rate: s.RateOf(volume), WriteFraction: volume.WriteFraction, MaxNodes: volume.MaxNodes, MinHalls: minDomains(s, volume), Copies: max(volume.Copies, 1),
+			Tier: slices.IndexFunc(s.Plans, func(p settings.Plan) bool { return p.Name == volume.Plan })}
+		if placed.MaxNodes == 0 {
+			placed.MaxNodes = max(len(current), 1)
 		}
-		if opt.Measured != nil {
-			r := measured[v.Name]
-			out.Rate, out.WriteFraction = r.Mean+margin*r.StdDev, min(max(r.WriteFraction, 0), 1)
+		if options.Measured != nil {
+			rate := measured[volume.Name]
+			placed.Rate, placed.WriteFraction = rate.Mean+margin*rate.StdDev, min(max(rate.WriteFraction, 0), 1)
 		}
-		for _, sh := range v.PinnedShards {
-			out.PinnedNodes = append(out.PinnedNodes, pl.nodeOfShard[sh])
+		for _, shard := range volume.PinnedShards {
+			placed.PinnedNodes = append(placed.PinnedNodes, pl.nodeOfShard[shard])
 		}
-		for _, sh := range v.ExcludedShards {
-			out.ExcludedNodes = append(out.ExcludedNodes, pl.nodeOfShard[sh])
+		for _, shard := range volume.ExcludedShards {
+			placed.ExcludedNodes = append(placed.ExcludedNodes, pl.nodeOfShard[shard])
 		}
 		for n, node := range s.Nodes {
-			if slices.Contains(opt.LostHalls, node.Hall) && !slices.Contains(out.ExcludedNodes, n) {
-				out.ExcludedNodes = append(out.ExcludedNodes, n)
+			if slices.Contains(options.LostHalls, node.Hall) && !slices.Contains(placed.ExcludedNodes, n) {
+				placed.ExcludedNodes = append(placed.ExcludedNodes, n)
 			}
 		}
-		out.PinnedNodes = slices.DeleteFunc(out.PinnedNodes, func(n int) bool { return slices.Contains(out.ExcludedNodes, n) })
-		pl.Problem.Volumes = append(pl.Problem.Volumes, out)
-		pl.slots = append(pl.slots, cut)
-		pl.Current = append(pl.Current, now)
+		placed.PinnedNodes = slices.DeleteFunc(placed.PinnedNodes, func(n int) bool { return slices.Contains(placed.ExcludedNodes, n) })
+		pl.Problem.Volumes = append(pl.Problem.Volumes, placed)
+		pl.slots = append(pl.slots, volumeSlots)
+		pl.Current = append(pl.Current, current)
 	}
 }
 
 // layoutSlots deals a volume's layout out over that many parts.
-func (pl *Plan) layoutSlots(v *settings.Volume, parts int) slots {
-	c := slots{make([]int, parts), make([]int, parts)}
+func (pl *Plan) layoutSlots(volume *settings.Volume, parts int) slots {
+	cut := slots{make([]int, parts), make([]int, parts)}
 	for i := range parts {
-		c.data[i], c.copy[i] = pl.nodeOfShard[v.Layout[i%len(v.Layout)]], -1
-		if len(v.CopyLayout) > 0 {
-			c.copy[i] = pl.nodeOfShard[v.CopyLayout[i%len(v.CopyLayout)]]
+		cut.data[i], cut.copy[i] = pl.nodeOfShard[volume.Layout[i%len(volume.Layout)]], -1
+		if len(volume.CopyLayout) > 0 {
+			cut.copy[i] = pl.nodeOfShard[volume.CopyLayout[i%len(volume.CopyLayout)]]
 		}
 	}
-	return c
+	return cut
 }
 
 // groupPieces gathers parts by node and copy, in the order of the nodes.
-func groupPieces(c slots) (out []placement.Piece) {
-	for i := range c.data {
-		k := slices.IndexFunc(out, func(p placement.Piece) bool { return p.Node == c.data[i] && p.Copy == c.copy[i] })
-		if k < 0 {
-			k = len(out)
-			out = append(out, placement.Piece{Node: c.data[i], Copy: c.copy[i]})
+func groupPieces(volumeSlots slots) (out []placement.Piece) {
+	for i := range volumeSlots.data {
+		index := slices.IndexFunc(out, func(piece placement.Piece) bool {
+			return piece.Node == volumeSlots.data[i] && piece.Copy == volumeSlots.copy[i]
+		})
+		if index < 0 {
+			index = len(out)
+			out = append(out, placement.Piece{Node: volumeSlots.data[i], Copy: volumeSlots.copy[i]})
 		}
-		out[k].Parts++
+		out[index].Parts++
 	}
 	slices.SortFunc(out, func(a, b placement.Piece) int {
 		if a.Node != b.Node {
@@ -168,21 +170,21 @@
 }
 
 // ApplyStep returns the settings after a step. The plan then stands where the step led.
-func (pl *Plan) ApplyStep(st placement.Step) (*settings.Settings, error) {
-	c, left := pl.slots[st.Volume], st.To.Parts
-	for i := range c.data {
-		if left > 0 && c.data[i] == st.From.Node && c.copy[i] == st.From.Copy {
-			c.data[i], c.copy[i] = st.To.Node, st.To.Copy
+func (pl *Plan) ApplyStep(step placement.Step) (*settings.Settings, error) {
+	volumeSlots, left := pl.slots[step.Volume], step.To.Parts
+	for i := range volumeSlots.data {
+		if left > 0 && volumeSlots.data[i] == step.From.Node && volumeSlots.copy[i] == step.From.Copy {
+			volumeSlots.data[i], volumeSlots.copy[i] = step.To.Node, step.To.Copy
 			left--
 		}
 	}
 	if left > 0 {
-		return nil, &Error{"volumes." + pl.Problem.Volumes[st.Volume].Name, "the step does not begin where the layout stands"}
+		return nil, &Error{"volumes." + pl.Problem.Volumes[step.Volume].Name, "the step does not begin where the layout stands"}
 	}
-	pl.Current[st.Volume] = groupPieces(c)
+	pl.Current[step.Volume] = groupPieces(volumeSlots)
 	next := *pl.Settings
 	next.Volumes = slices.Clone(next.Volumes)
-	pl.setLayout(&next.Volumes[st.Volume], c)
+	pl.setLayout(&next.Volumes[step.Volume], volumeSlots)
 	pl.Settings = &next
 	return &next, nil
 }
@@ -193,85 +195,85 @@
 	next := *pl.Settings
 	next.Volumes = slices.Clone(next.Volumes)
 	for v := range to {
-		var c slots
-		for _, pc := range to[v] {
-			for range pc.Parts {
-				c.data, c.copy = append(c.data, pc.Node), append(c.copy, pc.Copy)
+		var volumeSlots slots
+		for _, piece := range to[v] {
+			for range piece.Parts {
+				volumeSlots.data, volumeSlots.copy = append(volumeSlots.data, piece.Node), append(volumeSlots.copy, piece.Copy)
 			}
 		}
-		if len(c.data) != pl.Problem.Parts {
-			return nil, &Error{"volumes." + pl.Problem.Volumes[v].Name, fmt.Sprintf("%d parts of %d have a place", len(c.data), pl.Problem.Parts)}
+		if len(volumeSlots.data) != pl.Problem.Parts {
+			return nil, &Error{"volumes." + pl.Problem.Volumes[v].Name, fmt.Sprintf("%d parts of %d have a place", len(volumeSlots.data), pl.Problem.Parts)}
 		}
-		pl.setLayout(&next.Volumes[v], interleave(c))
+		pl.setLayout(&next.Volumes[v], interleave(volumeSlots))
 	}
 	return &next, next.Check()
 }
 
 // interleave spreads the parts of each piece evenly over the slots, so that neighbouring
 // extents, which are often busy together, lie apart.
-func interleave(c slots) slots {
-	n := len(c.data)
-	out := slots{make([]int, n), make([]int, n)}
+func interleave(grouped slots) slots {
+	count := len(grouped.data)
+	spread := slots{make([]int, count), make([]int, count)}
 	stride := 1
-	for s := n/2 + 1; s < n; s++ { // the nearest step above a half that meets every slot
-		if lcm(s, n) == s*n {
-			stride = s
+	for candidate := count/2 + 1; candidate < count; candidate++ { // the nearest step above a half that meets every slot
+		if lcm(candidate, count) == candidate*count {
+			stride = candidate
 			break
 		}
 	}
-	for i := range n {
-		out.data[i*stride%n], out.copy[i*stride%n] = c.data[i], c.copy[i]
+	for i := range count {
+		spread.data[i*stride%count], spread.copy[i*stride%count] = grouped.data[i], grouped.copy[i]
 	}
-	return out
+	return spread
 }
 
 // setLayout writes parts into a volume.
-func (pl *Plan) setLayout(v *settings.Volume, c slots) {
-	v.Layout, v.CopyLayout = make([]int, len(c.data)), nil
-	for i, n := range c.data {
-		v.Layout[i] = pl.Settings.Nodes[n].Shard
-		if c.copy[i] >= 0 {
-			v.CopyLayout = append(v.CopyLayout, pl.Settings.Nodes[c.copy[i]].Shard)
+func (pl *Plan) setLayout(volume *settings.Volume, volumeSlots slots) {
+	volume.Layout, volume.CopyLayout = make([]int, len(volumeSlots.data)), nil
+	for i, n := range volumeSlots.data {
+		volume.Layout[i] = pl.Settings.Nodes[n].Shard
+		if volumeSlots.copy[i] >= 0 {
+			volume.CopyLayout = append(volume.CopyLayout, pl.Settings.Nodes[volumeSlots.copy[i]].Shard)
 		}
 	}
-	if len(v.CopyLayout) != len(v.Layout) {
-		v.CopyLayout = nil
+	if len(volume.CopyLayout) != len(volume.Layout) {
+		volume.CopyLayout = nil
 	}
 }
 
 // FailOver returns the settings with what lies in a hall served from its copies,
 // and the names of volumes parts of which have none elsewhere.
 func FailOver(s *settings.Settings, hall string) (*settings.Settings, []string) {
-	in := map[int]bool{}
+	inHall := map[int]bool{}
 	for _, n := range s.Nodes {
-		in[n.Shard] = s.DomainOf(&n) == hall
+		inHall[n.Shard] = s.DomainOf(&n) == hall
 	}
 	next := *s
 	next.Volumes = slices.Clone(s.Volumes)
 	var stranded []string
 	for i := range next.Volumes {
-		v := &next.Volumes[i]
-		lay, lost := slices.Clone(v.Layout), false
-		for k, sh := range lay {
+		volume := &next.Volumes[i]
+		layout, hasLost := slices.Clone(volume.Layout), false
+		for slot, shard := range layout {
 			switch {
-			case !in[sh]:
-			case len(v.CopyLayout) == len(lay) && !in[v.CopyLayout[k]]:
-				lay[k] = v.CopyLayout[k]
+			case !inHall[shard]:
+			case len(volume.CopyLayout) == len(layout) && !inHall[volume.CopyLayout[slot]]:
+				layout[slot] = volume.CopyLayout[slot]
 			default:
-				lost = true
+				hasLost = true
 			}
 		}
-		if v.Layout = lay; lost {
-			stranded = append(stranded, v.Name)
+		if volume.Layout = layout; hasLost {
+			stranded = append(stranded, volume.Name)
 		}
 	}
 	return &next, stranded
 }
 
 // minDomains is how many domains a volume must lie in: there are two regions at most.
-func minDomains(s *settings.Settings, v *settings.Volume) int {
+func minDomains(s *settings.Settings, volume *settings.Volume) int {
 	if s.Placement.FailureDomain == settings.DomainRegion {
-		return min(v.MinDomains, 2)
+		return min(volume.MinDomains, 2)
 	}
-	return v.MinDomains
+	return volume.MinDomains
 }
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -12,22 +12,22 @@
 	"merlinhitch/internal/fleet/rates"
 )
 
-func from(t *testing.T, s *settings.Settings, opt plan.Options) *plan.Plan {
+func from(t *testing.T, s *settings.Settings, options plan.Options) *plan.Plan {
 	t.Helper()
-	pl, err := plan.From(s, opt)
+	layoutPlan, err := plan.From(s, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return pl
+	return layoutPlan
 }
 
-func solve(t *testing.T, pl *plan.Plan) *placement.Result {
+func solve(t *testing.T, layoutPlan *plan.Plan) *placement.Result {
 	t.Helper()
-	r, err := placement.Solve(pl.Problem, placement.Options{MaxSteps: 20000})
+	result, err := placement.Solve(layoutPlan.Problem, placement.Options{MaxSteps: 20000})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return result
 }
 
 // Steps one by one lead from any settings to the layout, each step's settings hold,
@@ -39,56 +39,56 @@
 		for i := range s.Volumes {
 			s.Volumes[i].Rate = 2 + 20*rng.Float64()*rng.Float64()
 		}
-		pl := from(t, s, plan.Options{})
-		r := solve(t, pl)
-		steps, err := pl.Steps(r.Layout)
+		layoutPlan := from(t, s, plan.Options{})
+		result := solve(t, layoutPlan)
+		steps, err := layoutPlan.Steps(result.Layout)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(steps) == 0 {
 			t.Fatal("no steps: nothing is tested")
 		}
-		now := s
-		for _, st := range steps {
-			if now, err = pl.ApplyStep(st); err != nil {
+		current := s
+		for _, step := range steps {
+			if current, err = layoutPlan.ApplyStep(step); err != nil {
 				t.Fatal(err)
 			}
-			if err := now.Check(); err != nil {
+			if err := current.Check(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		again := from(t, now, plan.Options{})
-		if left, err := again.Steps(r.Layout); err != nil || len(left) != 0 {
-			t.Fatalf("seed %d: %d steps left, %v", seed, len(left), err)
+		replanned := from(t, current, plan.Options{})
+		if remaining, err := replanned.Steps(result.Layout); err != nil || len(remaining) != 0 {
+			t.Fatalf("seed %d: %d steps left, %v", seed, len(remaining), err)
 		}
-		whole, err := pl.WithLayout(r.Layout)
+		final, err := layoutPlan.WithLayout(result.Layout)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if left, err := from(t, whole, plan.Options{}).Steps(r.Layout); err != nil || len(left) != 0 {
-			t.Fatalf("seed %d: at once: %d steps left, %v", seed, len(left), err)
+		if remaining, err := from(t, final, plan.Options{}).Steps(result.Layout); err != nil || len(remaining) != 0 {
+			t.Fatalf("seed %d: at once: %d steps left, %v", seed, len(remaining), err)
 		}
 	}
 }
 
 // A step that does not begin where the layout stands changes nothing.
 func TestStepFromElsewhereIsAnError(t *testing.T) {
-	pl := from(t, settings.Example(1, 3), plan.Options{})
-	before := slices.Clone(pl.Current[0])
-	bad := placement.Step{Volume: 0, From: placement.Piece{Node: 2, Copy: 2, Parts: 1}, To: placement.Piece{Node: 1, Copy: 0, Parts: 1}}
-	var e *plan.Error
-	if _, err := pl.ApplyStep(bad); !errors.As(err, &e) {
+	layoutPlan := from(t, settings.Example(1, 3), plan.Options{})
+	before := slices.Clone(layoutPlan.Current[0])
+	wrongStep := placement.Step{Volume: 0, From: placement.Piece{Node: 2, Copy: 2, Parts: 1}, To: placement.Piece{Node: 1, Copy: 0, Parts: 1}}
+	var planError *plan.Error
+	if _, err := layoutPlan.ApplyStep(wrongStep); !errors.As(err, &planError) {
 		t.Fatal(err)
 	}
-	if !slices.Equal(before, pl.Current[0]) {
+	if !slices.Equal(before, layoutPlan.Current[0]) {
 		t.Fatal("the plan has moved")
 	}
 }
 
 func TestMeasuredRatesTakeThePlaceOfTypedOnes(t *testing.T) {
 	s := settings.Example(1, 3)
-	pl := from(t, s, plan.Options{Measured: []rates.Rate{{Volume: "vol-001", Mean: 10, StdDev: 3, WriteFraction: 0.5}}})
-	for i, v := range pl.Problem.Volumes {
+	layoutPlan := from(t, s, plan.Options{Measured: []rates.Rate{{Volume: "vol-001", Mean: 10, StdDev: 3, WriteFraction: 0.5}}})
+	for i, v := range layoutPlan.Problem.Volumes {
 		want := 0.0
 		if v.Name == "vol-001" {
 			want = 10 + 2*3
@@ -98,8 +98,8 @@
 		}
 	}
 	// All that is measured as 0 still gets its place.
-	r := solve(t, from(t, s, plan.Options{Measured: []rates.Rate{}}))
-	for v, pieces := range r.Layout {
+	result := solve(t, from(t, s, plan.Options{Measured: []rates.Rate{}}))
+	for v, pieces := range result.Layout {
 		if len(pieces) == 0 {
 			t.Errorf("volume %d has no place", v)
 		}
@@ -108,11 +108,11 @@
 
 func TestALostHallTakesNothing(t *testing.T) {
 	s := settings.Example(3, 9)
-	pl := from(t, s, plan.Options{LostHalls: []string{"hall-b"}})
-	r := solve(t, pl)
-	for v, pieces := range r.Layout {
-		for _, pc := range pieces {
-			if s.Nodes[pc.Node].Hall == "hall-b" || pc.Copy >= 0 && s.Nodes[pc.Copy].Hall == "hall-b" {
+	layoutPlan := from(t, s, plan.Options{LostHalls: []string{"hall-b"}})
+	result := solve(t, layoutPlan)
+	for v, pieces := range result.Layout {
+		for _, piece := range pieces {
+			if s.Nodes[piece.Node].Hall == "hall-b" || piece.Copy >= 0 && s.Nodes[piece.Copy].Hall == "hall-b" {
 				t.Fatalf("volume %d lies in the lost hall", v)
 			}
 		}
@@ -121,22 +121,22 @@
 
 func TestFailOverServesFromCopies(t *testing.T) {
 	s := settings.Example(3, 9)
-	pl := from(t, s, plan.Options{})
-	whole, err := pl.WithLayout(solve(t, pl).Layout)
+	layoutPlan := from(t, s, plan.Options{})
+	planned, err := layoutPlan.WithLayout(solve(t, layoutPlan).Layout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, stranded := plan.FailOver(whole, "hall-a")
+	next, stranded := plan.FailOver(planned, "hall-a")
 	if len(stranded) != 0 {
 		t.Fatalf("stranded: %v", stranded)
 	}
 	changed := 0
 	for i, v := range next.Volumes {
-		for k, sh := range v.Layout {
-			if whole.Nodes[sh].Hall == "hall-a" {
-				t.Fatalf("%s still lies on shard %d", v.Name, sh)
+		for slot, shard := range v.Layout {
+			if planned.Nodes[shard].Hall == "hall-a" {
+				t.Fatalf("%s still lies on shard %d", v.Name, shard)
 			}
-			if sh != whole.Volumes[i].Layout[k] {
+			if shard != planned.Volumes[i].Layout[slot] {
 				changed++
 			}
 		}
@@ -152,14 +152,14 @@
 func TestSettingsThatCantBePlannedWith(t *testing.T) {
 	s := settings.Example(1, 3)
 	s.Nodes = nil
-	var e *plan.Error
-	if _, err := plan.From(s, plan.Options{}); !errors.As(err, &e) || e.Path != "nodes" {
+	var planError *plan.Error
+	if _, err := plan.From(s, plan.Options{}); !errors.As(err, &planError) || planError.Path != "nodes" {
 		t.Fatal(err)
 	}
 	s = settings.Example(1, 3)
 	s.Volumes[0].Layout = make([]int, 17)
 	s.Volumes[1].Layout = make([]int, 19)
-	if _, err := plan.From(s, plan.Options{}); !errors.As(err, &e) || e.Path != "volumes[1].layout" {
+	if _, err := plan.From(s, plan.Options{}); !errors.As(err, &planError) || planError.Path != "volumes[1].layout" {
 		t.Fatal(err)
 	}
 }
@@ -174,21 +174,21 @@
 	}
 	s.Placement.FailureDomain, s.Placement.SurviveLoss = settings.DomainRegion, true
 	for i := range s.Volumes {
-		v := &s.Volumes[i]
-		v.Copies, v.MinDomains, v.Rate = 2, 0, 20
+		volume := &s.Volumes[i]
+		volume.Copies, volume.MinDomains, volume.Rate = 2, 0, 20
 	}
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
 	}
-	pl := from(t, s, plan.Options{})
-	r := solve(t, pl)
-	o, wrong := placement.Check(pl.Problem, r.Layout)
-	if len(wrong) > 0 || o.LossUse <= o.Use {
-		t.Fatal(o, wrong)
+	layoutPlan := from(t, s, plan.Options{})
+	result := solve(t, layoutPlan)
+	objective, violations := placement.Check(layoutPlan.Problem, result.Layout)
+	if len(violations) > 0 || objective.LossUse <= objective.Use {
+		t.Fatal(objective, violations)
 	}
-	for v, pieces := range r.Layout {
-		for _, pc := range pieces {
-			if s.Nodes[pc.Node].Region == s.Nodes[pc.Copy].Region {
+	for v, pieces := range result.Layout {
+		for _, piece := range pieces {
+			if s.Nodes[piece.Node].Region == s.Nodes[piece.Copy].Region {
 				t.Errorf("volume %d: data and copy in one region", v)
 			}
 		}
@@ -199,13 +199,13 @@
 	for i := range s.Plans {
 		s.Plans[i].Reserve = 0
 	}
-	pl = from(t, s, plan.Options{})
-	for i := range pl.Problem.Tiers {
-		pl.Problem.Tiers[i].Reserve = 1
+	layoutPlan = from(t, s, plan.Options{})
+	for i := range layoutPlan.Problem.Tiers {
+		layoutPlan.Problem.Tiers[i].Reserve = 1
 	}
-	if _, err := placement.Solve(pl.Problem, placement.Options{MaxSteps: 200000}); err == nil {
+	if _, err := placement.Solve(layoutPlan.Problem, placement.Options{MaxSteps: 200000}); err == nil {
 		t.Fatal("half of the nodes can't carry it all, and yet there is a layout")
 	}
-	pl.Problem.SurviveHallLoss = false
-	solve(t, pl) // it is the region's loss that does not fit
+	layoutPlan.Problem.SurviveHallLoss = false
+	solve(t, layoutPlan) // it is the region's loss that does not fit
 }
--- a/internal/fleet/plan/report.go
+++ b/internal/fleet/plan/report.go
@@ -17,26 +17,26 @@
 // LossCases are all halls up, then each lost.
 func (pl *Plan) LossCases() []LossCase {
 	out := []LossCase{{"all up", ""}}
-	for _, h := range pl.Problem.Halls() {
-		out = append(out, LossCase{h + " lost", h})
+	for _, hall := range pl.Problem.Halls() {
+		out = append(out, LossCase{hall + " lost", hall})
 	}
 	return out
 }
 
 // Utilization is each node's load over its capacity under a layout; -1 for nodes in a
 // lost hall, and for load on a node without capacity.
-func (pl *Plan) Utilization(l placement.Layout, lost string) []float64 {
-	out := placement.Loads(pl.Problem, l, lost)
-	for n, x := range out {
+func (pl *Plan) Utilization(layout placement.Layout, lostHall string) []float64 {
+	utilization := placement.Loads(pl.Problem, layout, lostHall)
+	for n, load := range utilization {
 		node := &pl.Problem.Nodes[n]
 		switch {
-		case lost != "" && node.Hall == lost || node.Capacity == 0 && x > 0:
-			out[n] = -1
+		case lostHall != "" && node.Hall == lostHall || node.Capacity == 0 && load > 0:
+			utilization[n] = -1
 		case node.Capacity > 0:
-			out[n] = x / node.Capacity
+			utilization[n] = load / node.Capacity
 		}
 	}
-	return out
+	return utilization
 }
 
 // Report is a plan as a machine reads it.
@@ -92,41 +92,41 @@
 }
 
 // Report tells what a result means for the settings.
-func (pl *Plan) Report(r *placement.Result, steps []placement.Step, blocked []string) *Report {
-	p := pl.Problem
-	out := &Report{Objective: r.Objective, Bound: r.Bound, Optimal: r.Optimal, Gap: r.Gap(), LossGap: r.LossGap(), Blocked: blocked}
-	out.Before, out.Violations = placement.Check(p, pl.Current)
-	before, after := placement.Loads(p, pl.Current, ""), placement.Loads(p, r.Layout, "")
-	for n := range p.Nodes {
-		nr := NodeReport{Shard: pl.shard(n), Hall: p.Nodes[n].Hall, Capacity: p.Nodes[n].Capacity, LoadBefore: before[n], LoadAfter: after[n],
-			SpareAfter: p.Nodes[n].Capacity - after[n], LoadAfterWorstLoss: after[n], TierShares: map[string]float64{}}
-		out.Nodes = append(out.Nodes, nr)
+func (pl *Plan) Report(result *placement.Result, steps []placement.Step, blocked []string) *Report {
+	problem := pl.Problem
+	report := &Report{Objective: result.Objective, Bound: result.Bound, Optimal: result.Optimal, Gap: result.Gap(), LossGap: result.LossGap(), Blocked: blocked}
+	report.Before, report.Violations = placement.Check(problem, pl.Current)
+	before, after := placement.Loads(problem, pl.Current, ""), placement.Loads(problem, result.Layout, "")
+	for n := range problem.Nodes {
+		nodeReport := NodeReport{Shard: pl.shard(n), Hall: problem.Nodes[n].Hall, Capacity: problem.Nodes[n].Capacity, LoadBefore: before[n], LoadAfter: after[n],
+			SpareAfter: problem.Nodes[n].Capacity - after[n], LoadAfterWorstLoss: after[n], TierShares: map[string]float64{}}
+		report.Nodes = append(report.Nodes, nodeReport)
 	}
-	for _, c := range pl.LossCases()[1:] {
-		for n, x := range placement.Loads(p, r.Layout, c.LostHall) {
-			if p.Nodes[n].Hall != c.LostHall {
-				out.Nodes[n].LoadAfterWorstLoss = max(out.Nodes[n].LoadAfterWorstLoss, x)
+	for _, lossCase := range pl.LossCases()[1:] {
+		for n, load := range placement.Loads(problem, result.Layout, lossCase.LostHall) {
+			if problem.Nodes[n].Hall != lossCase.LostHall {
+				report.Nodes[n].LoadAfterWorstLoss = max(report.Nodes[n].LoadAfterWorstLoss, load)
 			}
 		}
 	}
-	for v := range r.Layout {
-		vol := &p.Volumes[v]
-		vr := VolumeReport{Name: vol.Name, Rate: vol.Rate}
-		for _, pc := range r.Layout[v] {
-			share := float64(pc.Parts) / float64(p.Parts)
-			vr.Pieces = append(vr.Pieces, PieceReport{pl.shard(pc.Node), pl.shard(pc.Copy), share})
-			tier := p.Tiers[vol.Tier].Name
-			out.addTierShare(pc.Node, tier, vol.Rate*share)
-			if pc.Copy >= 0 {
-				out.addTierShare(pc.Copy, tier, vol.Rate*share*vol.WriteFraction)
+	for v := range result.Layout {
+		volume := &problem.Volumes[v]
+		volumeReport := VolumeReport{Name: volume.Name, Rate: volume.Rate}
+		for _, piece := range result.Layout[v] {
+			share := float64(piece.Parts) / float64(problem.Parts)
+			volumeReport.Pieces = append(volumeReport.Pieces, PieceReport{pl.shard(piece.Node), pl.shard(piece.Copy), share})
+			tier := problem.Tiers[volume.Tier].Name
+			report.addTierShare(piece.Node, tier, volume.Rate*share)
+			if piece.Copy >= 0 {
+				report.addTierShare(piece.Copy, tier, volume.Rate*share*volume.WriteFraction)
 			}
 		}
-		out.Volumes = append(out.Volumes, vr)
+		report.Volumes = append(report.Volumes, volumeReport)
 	}
-	for _, st := range steps {
-		out.Steps = append(out.Steps, StepReport{p.Volumes[st.Volume].Name, pl.shard(st.From.Node), pl.shard(st.To.Node), pl.shard(st.To.Copy), st.To.Parts, st.Moved})
+	for _, step := range steps {
+		report.Steps = append(report.Steps, StepReport{problem.Volumes[step.Volume].Name, pl.shard(step.From.Node), pl.shard(step.To.Node), pl.shard(step.To.Copy), step.To.Parts, step.Moved})
 	}
-	return out
+	return report
 }
 
 func (r *Report) addTierShare(n int, tier string, load float64) {
@@ -144,12 +144,12 @@
 
 // Print writes a report as a table for people.
 func (r *Report) Print(w io.Writer) error {
-	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(tw, "shard\thall\tcapacity\tload before\tafter\tspare\tafter worst loss\t")
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "shard\thall\tcapacity\tload before\tafter\tspare\tafter worst loss\t")
 	for _, n := range r.Nodes {
-		fmt.Fprintf(tw, "%d\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", n.Shard, n.Hall, n.Capacity, n.LoadBefore, n.LoadAfter, n.SpareAfter, n.LoadAfterWorstLoss)
+		fmt.Fprintf(table, "%d\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", n.Shard, n.Hall, n.Capacity, n.LoadBefore, n.LoadAfter, n.SpareAfter, n.LoadAfterWorstLoss)
 	}
-	if err := tw.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "\nhighest use %.3f (before %.3f), after the worst loss %.3f (before %.3f)\n", r.Objective.Use, r.Before.Use, r.Objective.LossUse, r.Before.LossUse)
@@ -158,12 +158,12 @@
 	} else {
 		fmt.Fprintf(w, "at most %.2f%% above the best possible use, %.1f%% above that after a loss\n", 100*r.Gap, 100*r.LossGap)
 	}
-	for i, b := range r.Violations {
+	for i, violation := range r.Violations {
 		if i == 5 {
 			fmt.Fprintf(w, "the layout in force breaks %d more\n", len(r.Violations)-i)
 			break
 		}
-		fmt.Fprintln(w, "the layout in force breaks:", b)
+		fmt.Fprintln(w, "the layout in force breaks:", violation)
 	}
 	moved := 0.0
 	for _, s := range r.Steps {
--- a/internal/fleet/rates/rates.go
+++ b/internal/fleet/rates/rates.go
@@ -43,41 +43,41 @@
 
 // Add counts a request.
 func (m *Meter) Add(now float64, volume string, units float64, write bool) {
-	s := m.volumes[volume]
-	if s == nil {
-		s = &volumeSums{second: wholeSecond(now)}
-		m.volumes[volume] = s
+	sums := m.volumes[volume]
+	if sums == nil {
+		sums = &volumeSums{second: wholeSecond(now)}
+		m.volumes[volume] = sums
 	}
-	s.advance(wholeSecond(now), m.decay)
-	s.units += units
+	sums.advance(wholeSecond(now), m.decay)
+	sums.units += units
 	if write {
-		s.writtenUnits += units
+		sums.writtenUnits += units
 	}
 }
 
 // advance closes the seconds before at; those without a request only let the others age.
-func (s *volumeSums) advance(at int64, keep float64) {
-	if at <= s.second {
+func (s *volumeSums) advance(second int64, decay float64) {
+	if second <= s.second {
 		return
 	}
-	a, idle := 1-keep, math.Pow(keep, float64(at-s.second-1))
-	s.mean = (s.mean*keep + a*s.units) * idle
-	s.meanSquare = (s.meanSquare*keep + a*s.units*s.units) * idle
-	s.meanWritten = (s.meanWritten*keep + a*s.writtenUnits) * idle
-	s.units, s.writtenUnits, s.second = 0, 0, at
+	gain, idleDecay := 1-decay, math.Pow(decay, float64(second-s.second-1))
+	s.mean = (s.mean*decay + gain*s.units) * idleDecay
+	s.meanSquare = (s.meanSquare*decay + gain*s.units*s.units) * idleDecay
+	s.meanWritten = (s.meanWritten*decay + gain*s.writtenUnits) * idleDecay
+	s.units, s.writtenUnits, s.second = 0, 0, second
 }
 
 // VolumeRate is a volume's mean so far, units a second, the second under way included at the
 // weight that it has by then.
 func (m *Meter) VolumeRate(now float64, volume string) float64 {
-	s := m.volumes[volume]
-	if s == nil {
+	sums := m.volumes[volume]
+	if sums == nil {
 		return 0
 	}
-	at := wholeSecond(now)
-	s.advance(at, m.decay)
-	weight := 1 - math.Pow(m.decay, float64(at-m.startSecond)+1)
-	return (s.mean*m.decay + (1-m.decay)*s.units) / weight
+	second := wholeSecond(now)
+	sums.advance(second, m.decay)
+	weight := 1 - math.Pow(m.decay, float64(second-m.startSecond)+1)
+	return (sums.mean*m.decay + (1-m.decay)*sums.units) / weight
 }
 
 // minRate is a rate too small to tell from none.
@@ -86,22 +86,22 @@
 // Rates lists the volumes that asked for anything, by name. The second under way
 // does not count yet.
 func (m *Meter) Rates(now float64) []Rate {
-	at := wholeSecond(now)
-	weight := 1 - math.Pow(m.decay, float64(at-m.startSecond))
+	second := wholeSecond(now)
+	weight := 1 - math.Pow(m.decay, float64(second-m.startSecond))
 	if weight <= 0 {
 		return nil
 	}
 	var out []Rate
-	for name, s := range m.volumes {
-		s.advance(at, m.decay)
-		if s.mean < minRate {
-			if s.units == 0 {
+	for name, sums := range m.volumes {
+		sums.advance(second, m.decay)
+		if sums.mean < minRate {
+			if sums.units == 0 {
 				delete(m.volumes, name)
 			}
 			continue
 		}
-		mean := s.mean / weight
-		out = append(out, Rate{name, mean, math.Sqrt(max(s.meanSquare/weight-mean*mean, 0)), s.meanWritten / s.mean})
+		mean := sums.mean / weight
+		out = append(out, Rate{name, mean, math.Sqrt(max(sums.meanSquare/weight-mean*mean, 0)), sums.meanWritten / sums.mean})
 	}
 	slices.SortFunc(out, func(a, b Rate) int { return cmp.Compare(a.Volume, b.Volume) })
 	return out
@@ -110,21 +110,21 @@
 // Merge adds up what several hosts measured of the same volumes. Their spreads are
 // taken as independent.
 func Merge(hosts ...[]Rate) []Rate {
-	by := map[string]Rate{}
+	merged := map[string]Rate{}
 	for _, h := range hosts {
 		for _, r := range h {
-			t := by[r.Volume]
-			t.Volume = r.Volume
-			if sum := t.Mean + r.Mean; sum > 0 {
-				t.WriteFraction = (t.WriteFraction*t.Mean + r.WriteFraction*r.Mean) / sum
-				t.Mean = sum
+			total := merged[r.Volume]
+			total.Volume = r.Volume
+			if sum := total.Mean + r.Mean; sum > 0 {
+				total.WriteFraction = (total.WriteFraction*total.Mean + r.WriteFraction*r.Mean) / sum
+				total.Mean = sum
 			}
-			t.StdDev = math.Hypot(t.StdDev, r.StdDev)
-			by[r.Volume] = t
+			total.StdDev = math.Hypot(total.StdDev, r.StdDev)
+			merged[r.Volume] = total
 		}
 	}
 	var out []Rate
-	for _, r := range by {
+	for _, r := range merged {
 		out = append(out, r)
 	}
 	slices.SortFunc(out, func(a, b Rate) int { return cmp.Compare(a.Volume, b.Volume) })
--- a/internal/fleet/rates/rates_test.go
+++ b/internal/fleet/rates/rates_test.go
@@ -7,53 +7,53 @@
 	"merlinhitch/internal/fleet/rates"
 )
 
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-9*max(1, math.Abs(b)) }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-9*max(1, math.Abs(b)) }
 
 func TestSteadyRateFromTheFirstSecondOn(t *testing.T) {
-	m := rates.New(0, 60)
+	meter := rates.New(0, 60)
 	for s := range 10 {
 		for i := range 8 {
-			m.Add(float64(s*1000+i*100), "a", 0.5, i%4 == 0)
+			meter.Add(float64(s*1000+i*100), "a", 0.5, i%4 == 0)
 		}
 	}
-	got := m.Rates(10_000)
-	if len(got) != 1 || !near(got[0].Mean, 4) || got[0].StdDev > 1e-6 || !near(got[0].WriteFraction, 0.25) {
+	got := meter.Rates(10_000)
+	if len(got) != 1 || !almostEqual(got[0].Mean, 4) || got[0].StdDev > 1e-6 || !almostEqual(got[0].WriteFraction, 0.25) {
 		t.Fatalf("%+v", got)
 	}
 }
 
 // Closing many idle seconds at once gives what closing each would.
 func TestIdleSecondsAtOnceAndOneByOne(t *testing.T) {
-	one, all := rates.New(0, 20), rates.New(0, 20)
+	eachSecond, atOnce := rates.New(0, 20), rates.New(0, 20)
 	for s := range 5 {
-		one.Add(float64(s*1000), "a", float64(s), false)
-		all.Add(float64(s*1000), "a", float64(s), false)
+		eachSecond.Add(float64(s*1000), "a", float64(s), false)
+		atOnce.Add(float64(s*1000), "a", float64(s), false)
 	}
 	for s := 6; s < 40; s++ {
-		one.Rates(float64(s * 1000))
+		eachSecond.Rates(float64(s * 1000))
 	}
-	a, b := one.Rates(40_000), all.Rates(40_000)
-	if len(a) != 1 || len(b) != 1 || !near(a[0].Mean, b[0].Mean) || !near(a[0].StdDev, b[0].StdDev) {
-		t.Fatalf("%+v and %+v", a, b)
+	gotEach, gotAtOnce := eachSecond.Rates(40_000), atOnce.Rates(40_000)
+	if len(gotEach) != 1 || len(gotAtOnce) != 1 || !almostEqual(gotEach[0].Mean, gotAtOnce[0].Mean) || !almostEqual(gotEach[0].StdDev, gotAtOnce[0].StdDev) {
+		t.Fatalf("%+v and %+v", gotEach, gotAtOnce)
 	}
 }
 
-func TestSilentVolumesFadeAndAreForgotten(t *testing.T) {
-	m := rates.New(0, 2)
-	m.Add(0, "a", 100, false)
-	if got := m.Rates(0); got != nil {
+func TestIdleVolumesDecayAndAreRemoved(t *testing.T) {
+	meter := rates.New(0, 2)
+	meter.Add(0, "a", 100, false)
+	if got := meter.Rates(0); got != nil {
 		t.Fatalf("before any second is over: %+v", got)
 	}
-	early, late := m.Rates(1000)[0].Mean, m.Rates(10_000)[0].Mean
+	early, late := meter.Rates(1000)[0].Mean, meter.Rates(10_000)[0].Mean
 	if early < 99 || late > 2 {
 		t.Fatalf("%g, then %g", early, late)
 	}
-	if got := m.Rates(200_000); len(got) != 0 {
+	if got := meter.Rates(200_000); len(got) != 0 {
 		t.Fatalf("not forgotten: %+v", got)
 	}
 }
 
-func TestJoinAddsMeansAndSpreads(t *testing.T) {
+func TestMergeAddsMeansAndDeviations(t *testing.T) {
 	got := rates.Merge([]rates.Rate{{"b", 1, 3, 1}, {"c", 5, 0, 0}}, []rates.Rate{{"a", 2, 0, 0}, {"b", 3, 4, 0}})
 	want := []rates.Rate{{"a", 2, 0, 0}, {"b", 4, 5, 0.25}, {"c", 5, 0, 0}}
 	for i := range want {
@@ -64,17 +64,17 @@
 }
 
 func TestRateOfOneVolume(t *testing.T) {
-	m := rates.New(0, 60)
-	if got := m.VolumeRate(0, "a"); got != 0 {
+	meter := rates.New(0, 60)
+	if got := meter.VolumeRate(0, "a"); got != 0 {
 		t.Errorf("%g of a volume never seen", got)
 	}
 	for s := range 5 {
-		m.Add(float64(s*1000), "a", 7, false)
+		meter.Add(float64(s*1000), "a", 7, false)
 	}
-	if got := m.VolumeRate(4999, "a"); !near(got, 7) {
+	if got := meter.VolumeRate(4999, "a"); !almostEqual(got, 7) {
 		t.Errorf("%g, want 7", got)
 	}
-	if m.Add(4999, "a", 700, false); m.VolumeRate(4999, "a") < 100 {
+	if meter.Add(4999, "a", 700, false); meter.VolumeRate(4999, "a") < 100 {
 		t.Error("a surge in the second under way is not seen")
 	}
 }
