--- a/internal/simulation/lab/counters_test.go
+++ b/internal/simulation/lab/counters_test.go
@@ -13,31 +13,31 @@
 	if testing.Short() {
 		rate = 75
 	}
-	c, err := CheckCounters(context.Background(), Options{Seed: 3, Commands: int(4 * rate), Rate: rate, Hosts: 2, Servers: 6, FaultKinds: []string{"crash", "fast_errors", "balancer_crash"}})
+	counts, err := CheckCounters(context.Background(), Options{Seed: 3, Commands: int(4 * rate), Rate: rate, Hosts: 2, Servers: 6, FaultKinds: []string{"crash", "fast_errors", "balancer_crash"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var b strings.Builder
-	c.Print(&b)
-	t.Log("\n" + b.String())
-	if !c.OK() || c.Attempts < 2*rate || c.ExactNodes == 0 {
+	var report strings.Builder
+	counts.Print(&report)
+	t.Log("\n" + report.String())
+	if !counts.OK() || counts.Attempts < 2*rate || counts.ExactNodes == 0 {
 		t.Fatal("not kept, or too little was compared")
 	}
-	doctored := 0
-	for k, by := range c.reported.attempts {
-		if by["no_answer"]+by["connection_lost"]+by["cancelled"] > 0 {
+	corrupted := 0
+	for key, results := range counts.reported.attempts {
+		if results["no_answer"]+results["connection_lost"]+results["cancelled"] > 0 {
 			continue
 		}
-		for _, r := range []string{"served", "server_error", "turned_away"} {
-			by[r]++
-			if len(c.compare()) == 0 {
-				t.Errorf("one more %s at %v was not found", r, k)
+		for _, reason := range []string{"served", "server_error", "turned_away"} {
+			results[reason]++
+			if len(counts.compare()) == 0 {
+				t.Errorf("one more %s at %v was not found", reason, key)
 			}
-			by[r]--
-			doctored++
+			results[reason]--
+			corrupted++
 		}
 	}
-	if doctored == 0 || len(c.compare()) > 0 {
+	if corrupted == 0 || len(counts.compare()) > 0 {
 		t.Error("nothing was doctored, or it was not undone")
 	}
 }
--- a/internal/simulation/lab/experiment_test.go
+++ b/internal/simulation/lab/experiment_test.go
@@ -42,14 +42,14 @@
 			t.Fatalf("played again %+v, was %+v", again[i], got[i])
 		}
 	}
-	for _, f := range []string{TableFile, "goodput-hosts.png", "cost-hosts.png", "goodput-time.png", "p99-time.png"} {
-		if st, err := os.Stat(filepath.Join(dir, f)); err != nil || st.Size() < 200 {
-			t.Error(f, err)
+	for _, name := range []string{TableFile, "goodput-hosts.png", "cost-hosts.png", "goodput-time.png", "p99-time.png"} {
+		if info, err := os.Stat(filepath.Join(dir, name)); err != nil || info.Size() < 200 {
+			t.Error(name, err)
 		}
 	}
-	for _, c := range CompareExperiments(got, again) {
-		if c.Verdict != "the same" {
-			t.Errorf("an experiment differs from itself: %+v", c)
+	for _, comparison := range CompareExperiments(got, again) {
+		if comparison.Verdict != "the same" {
+			t.Errorf("an experiment differs from itself: %+v", comparison)
 		}
 	}
 }
@@ -61,14 +61,14 @@
 	for i := range before {
 		before[i] = ExperimentRow{Hosts: 3, Seed: uint64(i), Goodput: 0.7 + 0.1*rng.Float64(), WorstPlan: 0.5, P99: 100 + 50*rng.Float64(), StepsPerCommand: 20}
 	}
-	change := func(f func(r *ExperimentRow)) map[string]string {
+	change := func(modify func(r *ExperimentRow)) map[string]string {
 		after := append([]ExperimentRow(nil), before...)
 		for i := range after {
-			f(&after[i])
+			modify(&after[i])
 		}
 		out := map[string]string{}
-		for _, c := range CompareExperiments(before, after) {
-			out[c.Metric] = c.Verdict
+		for _, comparison := range CompareExperiments(before, after) {
+			out[comparison.Metric] = comparison.Verdict
 		}
 		return out
 	}
@@ -100,9 +100,9 @@
 		"max_attempts": func(g *Grid) { g.Setting, g.Values = "limits.max_attempts", []float64{-1} },
 		"layout":       func(g *Grid) { g.Layouts = []string{"round"} },
 	} {
-		g := smallGrid()
-		change(&g)
-		if _, _, err := Experiment(context.Background(), g, io.Discard); err == nil || !strings.Contains(err.Error(), want) {
+		grid := smallGrid()
+		change(&grid)
+		if _, _, err := Experiment(context.Background(), grid, io.Discard); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
@@ -113,9 +113,9 @@
 	if testing.Short() {
 		t.Skip("long")
 	}
-	s := DrawScenario(1, 170, 47, 10*time.Second, 760, true)
-	out := runPassing(t, s)
-	if n := out.Checker.Stats.Commands; n < 7000 {
-		t.Fatalf("%d commands", n)
+	scenario := DrawScenario(1, 170, 47, 10*time.Second, 760, true)
+	outcome := runPassing(t, scenario)
+	if commands := outcome.Checker.Stats.Commands; commands < 7000 {
+		t.Fatalf("%d commands", commands)
 	}
 }
--- a/internal/simulation/lab/lab_test.go
+++ b/internal/simulation/lab/lab_test.go
@@ -17,23 +17,23 @@
 
 func runDay(t *testing.T, seed uint64, commands int, rate float64, troubles ...string) *lab.Result {
 	t.Helper()
-	res, err := lab.BadDay(context.Background(), lab.Options{Seed: seed, Commands: commands, Rate: rate, Hosts: 3, Servers: 9, FaultKinds: troubles})
+	result, err := lab.BadDay(context.Background(), lab.Options{Seed: seed, Commands: commands, Rate: rate, Hosts: 3, Servers: 9, FaultKinds: troubles})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !res.OK() {
-		var b strings.Builder
-		res.Print(&b)
-		t.Fatal(b.String())
+	if !result.OK() {
+		var report strings.Builder
+		result.Print(&report)
+		t.Fatal(report.String())
 	}
-	return res
+	return result
 }
 
 // Three hosts on limited volumes whose plan asks for many times its rate, one
 // killed and started again: the limit holds over all of them.
 func TestLimitOverThreeHostsAndARestart(t *testing.T) {
-	res := runDay(t, 2, 900, 300, "tenant_burst", "balancer_crash")
-	if res.Checker.Checks[rules.Limits] == 0 {
+	result := runDay(t, 2, 900, 300, "tenant_burst", "balancer_crash")
+	if result.Checker.Checks[rules.Limits] == 0 {
 		t.Error("no send of a limited volume")
 	}
 }
@@ -41,8 +41,8 @@
 // A hall of servers restarts within 0.4 s while clients repeat at once, without
 // heed of advice.
 func TestHallRestartUnderAggressiveRetries(t *testing.T) {
-	res := runDay(t, 3, 900, 300, "mass_restart", "retry_abuse")
-	if res.Checker.Checks[rules.Cold] == 0 {
+	result := runDay(t, 3, 900, 300, "mass_restart", "retry_abuse")
+	if result.Checker.Checks[rules.Cold] == 0 {
 		t.Error("no send to a cold server")
 	}
 }
@@ -50,33 +50,33 @@
 // Clients that give up, by abort and by closing, while servers drain, tear
 // connections, answer late and fail at once, so that there are repeats to judge.
 func TestClientAbortsUnderNetworkFaults(t *testing.T) {
-	res := runDay(t, 4, 1800, 300, "give_up", "deploy", "net_torn", "net_late", "fast_errors")
+	result := runDay(t, 4, 1800, 300, "give_up", "deploy", "net_torn", "net_late", "fast_errors")
 	// With the race detector a machine may be too slow for any repeat to be in time.
-	if !testing.Short() && (res.Checker.Checks[rules.Drains] == 0 || res.Checker.Checks[rules.Effects] == 0) {
-		t.Errorf("checks: %v", res.Checker.Checks)
+	if !testing.Short() && (result.Checker.Checks[rules.Drains] == 0 || result.Checker.Checks[rules.Effects] == 0) {
+		t.Errorf("checks: %v", result.Checker.Checks)
 	}
 }
 
 // The ledger rejects what could not have been read.
 func TestBlockHistoryRejectsImpossibleReads(t *testing.T) {
-	s := func(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
-	base := func() (*lab.BlockHistory, uint64, uint64) {
-		l := lab.NewBlockHistory()
-		a := l.BeginWrite("v", 10, 2, s(1))
-		l.EndWrite(a, lab.WriteAcked, s(2))
-		b := l.BeginWrite("v", 10, 1, s(3))
-		l.EndWrite(b, lab.WriteAcked, s(4))
-		return l, a, b
-	}
-	read := func(l *lab.BlockHistory, lba uint64, data []byte, at float64) []string {
-		l.RecordRead("v", lba, data, 512, s(at), s(at+0.1))
-		return l.CheckReads()
-	}
-	l, _, b := base()
+	seconds := func(count float64) time.Duration { return time.Duration(count * float64(time.Second)) }
+	newHistory := func() (*lab.BlockHistory, uint64, uint64) {
+		history := lab.NewBlockHistory()
+		first := history.BeginWrite("v", 10, 2, seconds(1))
+		history.EndWrite(first, lab.WriteAcked, seconds(2))
+		second := history.BeginWrite("v", 10, 1, seconds(3))
+		history.EndWrite(second, lab.WriteAcked, seconds(4))
+		return history, first, second
+	}
+	read := func(history *lab.BlockHistory, lba uint64, data []byte, at float64) []string {
+		history.RecordRead("v", lba, data, 512, seconds(at), seconds(at+0.1))
+		return history.CheckReads()
+	}
+	l, _, b := newHistory()
 	if w := read(l, 10, lab.Stamp(b, 512), 5); len(w) != 0 {
 		t.Errorf("the last write: %v", w)
 	}
-	l, a, _ := base()
+	l, a, _ := newHistory()
 	if w := read(l, 10, lab.Stamp(a, 512), 3.5); len(w) != 0 {
 		t.Errorf("the write before, while the last is under way: %v", w)
 	}
@@ -90,21 +90,21 @@
 			return read(l, 10, append(lab.Stamp(a, 256), lab.Stamp(b, 256)...), 3.5)
 		},
 		"a write that was refused": func(l *lab.BlockHistory, _, _ uint64) []string {
-			c := l.BeginWrite("v", 10, 1, s(5))
-			l.EndWrite(c, lab.WriteNotApplied, s(6))
+			c := l.BeginWrite("v", 10, 1, seconds(5))
+			l.EndWrite(c, lab.WriteNotApplied, seconds(6))
 			return read(l, 10, lab.Stamp(c, 512), 7)
 		},
 		"a failed write that lands after a later one": func(l *lab.BlockHistory, _, _ uint64) []string {
-			c := l.BeginWrite("v", 10, 1, s(5))
-			l.EndWrite(c, lab.WriteIndeterminate, s(6))
-			d := l.BeginWrite("v", 10, 1, s(7))
-			l.EndWrite(d, lab.WriteAcked, s(8))
+			c := l.BeginWrite("v", 10, 1, seconds(5))
+			l.EndWrite(c, lab.WriteIndeterminate, seconds(6))
+			d := l.BeginWrite("v", 10, 1, seconds(7))
+			l.EndWrite(d, lab.WriteAcked, seconds(8))
 			return read(l, 10, lab.Stamp(c, 512), 9)
 		},
 	}
-	for name, f := range bad {
-		l, a, b := base()
-		if w := f(l, a, b); len(w) == 0 {
+	for name, check := range bad {
+		l, a, b := newHistory()
+		if w := check(l, a, b); len(w) == 0 {
 			t.Errorf("%s: accepted", name)
 		}
 	}
@@ -123,9 +123,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range rows {
-		if r.NotSeen+r.WrongAnnouncements > 0 || r.Delays.TotalCount() != 2 {
-			t.Errorf("%s: %d seen, %d not, %d announced while unable", r.Kind, r.Delays.TotalCount(), r.NotSeen, r.WrongAnnouncements)
+	for _, row := range rows {
+		if row.NotSeen+row.WrongAnnouncements > 0 || row.Delays.TotalCount() != 2 {
+			t.Errorf("%s: %d seen, %d not, %d announced while unable", row.Kind, row.Delays.TotalCount(), row.NotSeen, row.WrongAnnouncements)
 		}
 	}
 }
@@ -133,17 +133,17 @@
 // A hall goes dark, hosts and all, under clients that follow announcements: the rules
 // hold, and who finds a host is served by one that is there.
 func TestHallPowerLossWithAnnouncements(t *testing.T) {
-	atOnce := 4
+	parallel := 4
 	if testing.Short() { // as under the race detector, where four whole halls at once are more than a machine can do in time
-		atOnce = 1
+		parallel = 1
 	}
-	rows, err := lab.CompareRouting(context.Background(), lab.Options{Hosts: 3, Servers: 9, Commands: 900, Rate: 150}, 1, atOnce, io.Discard)
+	rows, err := lab.CompareRouting(context.Background(), lab.Options{Hosts: 3, Servers: 9, Commands: 900, Rate: 150}, 1, parallel, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range rows {
-		if r.Broken > 0 {
-			t.Errorf("%s, %s: %s", r.Scenario, r.Routing, r.FirstFailure)
+	for _, row := range rows {
+		if row.Broken > 0 {
+			t.Errorf("%s, %s: %s", row.Scenario, row.Routing, row.FirstFailure)
 		}
 	}
 }
@@ -151,11 +151,11 @@
 // The solver's layout comes into force step by step on a busy day: the rules hold and
 // every block that was written is read back.
 func TestLayoutAppliedUnderLoad(t *testing.T) {
-	rows, err := lab.RunLayoutRollout(context.Background(), lab.Options{Seed: 1, Hosts: 3, Servers: 9, Commands: 1500, Rate: 260})
+	result, err := lab.RunLayoutRollout(context.Background(), lab.Options{Seed: 1, Hosts: 3, Servers: 9, Commands: 1500, Rate: 260})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if rows.Broken > 0 || rows.Steps == 0 {
-		t.Errorf("%d steps; %s", rows.Steps, rows.FirstFailure)
+	if result.Broken > 0 || result.Steps == 0 {
+		t.Errorf("%d steps; %s", result.Steps, result.FirstFailure)
 	}
 }
--- a/internal/simulation/lab/regioncost.go
+++ b/internal/simulation/lab/regioncost.go
@@ -71,10 +71,10 @@
 }
 
 // faultSeedForRegion draws a strike's seed that hits that region.
-func faultSeedForRegion(rng *rand.Rand, region int) uint64 {
+func faultSeedForRegion(rng *rand.Rand, target int) uint64 {
 	for {
 		seed := rng.Uint64()
-		if rand.New(rand.NewPCG(seed, 4)).IntN(2) == region {
+		if rand.New(rand.NewPCG(seed, 4)).IntN(2) == target {
 			return seed
 		}
 	}
@@ -82,104 +82,104 @@
 
 // MeasureRegionLosses plays so many days of each kind in virtual worlds.
 func MeasureRegionLosses(ctx context.Context, seeds uint64, parallel int, progress io.Writer) (*RegionLossCosts, error) {
-	c := &RegionLossCosts{}
-	for _, k := range costCases {
-		c.Losses = append(c.Losses, &RegionLossRow{Name: k.name, goodputSum: make([]float64, int(costRunDuration/time.Second))})
+	costs := &RegionLossCosts{}
+	for _, costCase := range costCases {
+		costs.Losses = append(costs.Losses, &RegionLossRow{Name: costCase.name, goodputSum: make([]float64, int(costRunDuration/time.Second))})
 	}
-	for _, way := range []string{"parts that move", "parts fixed for ever"} {
-		c.Limits = append(c.Limits, &LimitShareRow{Name: way})
+	for _, label := range []string{"parts that move", "parts fixed for ever"} {
+		costs.Limits = append(costs.Limits, &LimitShareRow{Name: label})
 	}
-	err := runSeeds(len(c.Losses)+len(c.Limits), int(seeds), max(parallel, 1), progress, func(row int, seed uint64) (string, func(), error) {
-		if k := row - len(c.Losses); k >= 0 {
-			s, units := limitScenario(seed, k == 1)
-			_, err := s.Run(ctx, "")
-			return c.Limits[k].Name, func() { c.Limits[k].add(units) }, cmp.Or(ctx.Err(), err)
+	err := runSeeds(len(costs.Losses)+len(costs.Limits), int(seeds), max(parallel, 1), progress, func(row int, seed uint64) (string, func(), error) {
+		if limit := row - len(costs.Losses); limit >= 0 {
+			scenario, usage := limitScenario(seed, limit == 1)
+			_, err := scenario.Run(ctx, "")
+			return costs.Limits[limit].Name, func() { costs.Limits[limit].add(usage) }, cmp.Or(ctx.Err(), err)
 		}
-		s, r := costScenario(seed), c.Losses[row]
-		for _, t := range costCases[row].script(rand.New(rand.NewPCG(seed-1, 41))) {
-			t.At, t.Duration = costLossStart, costLossDuration
-			s.Faults = append(s.Faults, t)
+		scenario, lossRow := costScenario(seed), costs.Losses[row]
+		for _, fault := range costCases[row].script(rand.New(rand.NewPCG(seed-1, 41))) {
+			fault.At, fault.Duration = costLossStart, costLossDuration
+			scenario.Faults = append(scenario.Faults, fault)
 		}
-		out, err := s.Run(ctx, "")
-		return r.Name, func() { r.add(out) }, cmp.Or(ctx.Err(), err)
+		outcome, err := scenario.Run(ctx, "")
+		return lossRow.Name, func() { lossRow.add(outcome) }, cmp.Or(ctx.Err(), err)
 	})
-	return c, err
+	return costs, err
 }
 
 func costScenario(seed uint64) Scenario {
 	return Scenario{Seed: seed, Hosts: costHosts, Servers: costServers, Commands: int(costRunDuration.Seconds() * costRate), Rate: costRate, Regions: true}
 }
 
-func (r *RegionLossRow) add(o *Outcome) {
+func (r *RegionLossRow) add(outcome *Outcome) {
 	r.Runs++
-	if o.Failure != nil {
-		r.Failures = append(r.Failures, fmt.Sprintf("seed %d: %v", o.Scenario.Seed, o.Failure))
+	if outcome.Failure != nil {
+		r.Failures = append(r.Failures, fmt.Sprintf("seed %d: %v", outcome.Scenario.Seed, outcome.Failure))
 	}
-	r.Outages, r.LostAckedWrites = append(r.Outages, o.Outages...), r.LostAckedWrites+o.LostWrites
-	t := o.Checker.Stats
-	day := int64(costRunDuration / time.Second)
-	calm, n := 0.0, 0.0
-	for s := int64(5); s < int64(costLossStart/time.Second); s++ {
-		if x := t.PerSecond[s]; x != nil {
-			calm, n = calm+x.Offered, n+1
+	r.Outages, r.LostAckedWrites = append(r.Outages, outcome.Outages...), r.LostAckedWrites+outcome.LostWrites
+	stats := outcome.Checker.Stats
+	duration := int64(costRunDuration / time.Second)
+	calmWorth, calmSeconds := 0.0, 0.0
+	for second := int64(5); second < int64(costLossStart/time.Second); second++ {
+		if row := stats.PerSecond[second]; row != nil {
+			calmWorth, calmSeconds = calmWorth+row.Offered, calmSeconds+1
 		}
 	}
-	lost, back := 0.0, time.Duration(-1)
-	for s := range day {
-		x := t.PerSecond[s]
-		if x == nil || x.Offered == 0 {
-			r.goodputSum[s]++
+	lostWorth, recovery := 0.0, time.Duration(-1)
+	for second := range duration {
+		row := stats.PerSecond[second]
+		if row == nil || row.Offered == 0 {
+			r.goodputSum[second]++
 			continue
 		}
-		r.goodputSum[s] += x.Served / x.Offered
-		if s < int64(costLossStart/time.Second) {
+		r.goodputSum[second] += row.Served / row.Offered
+		if second < int64(costLossStart/time.Second) {
 			continue
 		}
-		lost += x.Offered - x.Served
-		if back < 0 && s > int64(costLossStart/time.Second)+1 && t.GoodputBetween(s, s+3) >= recoveredGoodput {
-			back = time.Duration(s)*time.Second - costLossStart
+		lostWorth += row.Offered - row.Served
+		if recovery < 0 && second > int64(costLossStart/time.Second)+1 && stats.GoodputBetween(second, second+3) >= recoveredGoodput {
+			recovery = time.Duration(second)*time.Second - costLossStart
 		}
 	}
-	r.LostWorth = append(r.LostWorth, lost/(calm/n))
-	if back < 0 || back > costLossDuration {
+	r.LostWorth = append(r.LostWorth, lostWorth/(calmWorth/calmSeconds))
+	if recovery < 0 || recovery > costLossDuration {
 		r.NotRecovered++
 	}
-	if back >= 0 {
-		r.RecoveryTimes = append(r.RecoveryTimes, back)
+	if recovery >= 0 {
+		r.RecoveryTimes = append(r.RecoveryTimes, recovery)
 	}
 }
 
 // limitScenario asks for far more than limits bear, all day, and cuts the regions from each
 // other. The units of limited volumes that went out from the cut to its end are added up.
 func limitScenario(seed uint64, fixed bool) (Scenario, *limitUsage) {
-	n := &limitUsage{limited: map[string]bool{}}
-	s := costScenario(seed)
-	s.fixedShares = fixed
-	s.Faults = []ScheduledFault{{Kind: "region_cut", At: costLossStart, Duration: costLossDuration}}
-	s.changeSettings = func(set *settings.Settings) {
-		for i := range set.Plans {
-			if p := &set.Plans[i]; p.Limit > 0 {
-				p.Limit, p.Burst, p.Overdraft = 4, 12, 10
-				for _, v := range set.Volumes {
-					if v.Plan == p.Name {
-						n.limited[v.Name], n.allowedUnits = true, n.allowedUnits+p.Limit*costLossDuration.Seconds()
+	usage := &limitUsage{limited: map[string]bool{}}
+	scenario := costScenario(seed)
+	scenario.fixedShares = fixed
+	scenario.Faults = []ScheduledFault{{Kind: "region_cut", At: costLossStart, Duration: costLossDuration}}
+	scenario.changeSettings = func(config *settings.Settings) {
+		for i := range config.Plans {
+			if plan := &config.Plans[i]; plan.Limit > 0 {
+				plan.Limit, plan.Burst, plan.Overdraft = 4, 12, 10
+				for _, volume := range config.Volumes {
+					if volume.Plan == plan.Name {
+						usage.limited[volume.Name], usage.allowedUnits = true, usage.allowedUnits+plan.Limit*costLossDuration.Seconds()
 					}
 				}
 			}
 		}
-		for i := range set.Volumes { // the limited ones are most of what is asked for
-			if v := &set.Volumes[i]; n.limited[v.Name] {
-				v.Rate = 10 * set.RateOf(v)
+		for i := range config.Volumes { // the limited ones are most of what is asked for
+			if volume := &config.Volumes[i]; usage.limited[volume.Name] {
+				volume.Rate = 10 * config.RateOf(volume)
 			}
 		}
 	}
-	s.onEvent = func(e *trail.Event) {
-		at := time.Duration(e.Time) * time.Microsecond
-		if e.Kind == trail.Do && e.Attempt == 0 && n.limited[e.Volume] && at >= costLossStart && at < costLossStart+costLossDuration {
-			n.servedUnits += e.Units
+	scenario.onEvent = func(event *trail.Event) {
+		sentAt := time.Duration(event.Time) * time.Microsecond
+		if event.Kind == trail.Do && event.Attempt == 0 && usage.limited[event.Volume] && sentAt >= costLossStart && sentAt < costLossStart+costLossDuration {
+			usage.servedUnits += event.Units
 		}
 	}
-	return s, n
+	return scenario, usage
 }
 
 type limitUsage struct {
@@ -188,9 +188,9 @@
 	servedUnits  float64
 }
 
-func (r *LimitShareRow) add(n *limitUsage) {
+func (r *LimitShareRow) add(usage *limitUsage) {
 	r.Runs++
-	r.ServedShares = append(r.ServedShares, n.servedUnits/n.allowedUnits)
+	r.ServedShares = append(r.ServedShares, usage.servedUnits/usage.allowedUnits)
 }
 
 // Print writes the tables.
@@ -198,12 +198,12 @@
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| what happens\t| days\t| failed\t| shards taken over\t| s not served: least\t| median\t| 90%\t| most\t| worth lost, s of a calm day: median\t| 90%\t| most\t| goodput 0.9 again after, s: median\t| most\t| never while it lasts\t| writes lost\t|")
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
-	for _, r := range c.Losses {
-		out := summaryQuantiles(r.Outages, time.Duration.Seconds)
-		lost := summaryQuantiles(r.LostWorth, func(x float64) float64 { return x })
-		back := summaryQuantiles(r.RecoveryTimes, time.Duration.Seconds)
-		fmt.Fprintf(tw, "| %s\t| %d\t| %d\t| %d\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.0f\t| %.0f\t| %d\t| %d\t|\n", r.Name, r.Runs, len(r.Failures), len(r.Outages),
-			out[0], out[1], out[2], out[3], lost[1], lost[2], lost[3], back[1], back[3], r.NotRecovered, r.LostAckedWrites)
+	for _, row := range c.Losses {
+		outages := summaryQuantiles(row.Outages, time.Duration.Seconds)
+		lostWorth := summaryQuantiles(row.LostWorth, func(x float64) float64 { return x })
+		recovery := summaryQuantiles(row.RecoveryTimes, time.Duration.Seconds)
+		fmt.Fprintf(tw, "| %s\t| %d\t| %d\t| %d\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.0f\t| %.0f\t| %d\t| %d\t|\n", row.Name, row.Runs, len(row.Failures), len(row.Outages),
+			outages[0], outages[1], outages[2], outages[3], lostWorth[1], lostWorth[2], lostWorth[3], recovery[1], recovery[3], row.NotRecovered, row.LostAckedWrites)
 	}
 	if err := tw.Flush(); err != nil {
 		return err
@@ -211,37 +211,37 @@
 	fmt.Fprintln(w)
 	fmt.Fprintln(tw, "| limits through a cut of 25 s, three times as much asked for\t| days\t| part of the limit served: least\t| median\t| most\t|")
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t|")
-	for _, r := range c.Limits {
-		q := summaryQuantiles(r.ServedShares, func(x float64) float64 { return x })
-		fmt.Fprintf(tw, "| %s\t| %d\t| %.3f\t| %.3f\t| %.3f\t|\n", r.Name, r.Runs, q[0], q[1], q[3])
+	for _, row := range c.Limits {
+		shares := summaryQuantiles(row.ServedShares, func(x float64) float64 { return x })
+		fmt.Fprintf(tw, "| %s\t| %d\t| %.3f\t| %.3f\t| %.3f\t|\n", row.Name, row.Runs, shares[0], shares[1], shares[3])
 	}
 	fmt.Fprintln(tw, "| the impossible best\t| \t| 1\t| 1\t| 1\t|")
 	if err := tw.Flush(); err != nil {
 		return err
 	}
-	for _, r := range c.Losses {
-		for _, f := range r.Failures {
-			fmt.Fprintf(w, "FAILED, %s, %s\n", r.Name, f)
+	for _, row := range c.Losses {
+		for _, failure := range row.Failures {
+			fmt.Fprintf(w, "FAILED, %s, %s\n", row.Name, failure)
 		}
 	}
 	return nil
 }
 
 // summaryQuantiles are the least, the median, the 90th percentile and the most.
-func summaryQuantiles[T any](list []T, value func(T) float64) (out [4]float64) {
-	if len(list) == 0 {
-		return out
+func summaryQuantiles[T any](items []T, value func(T) float64) (summary [4]float64) {
+	if len(items) == 0 {
+		return summary
 	}
-	xs := make([]float64, len(list))
-	for i, x := range list {
-		xs[i] = value(x)
+	values := make([]float64, len(items))
+	for i, x := range items {
+		values[i] = value(x)
 	}
-	slices.Sort(xs)
-	last := float64(len(xs) - 1)
+	slices.Sort(values)
+	last := float64(len(values) - 1)
 	for i, q := range []float64{0, 0.5, 0.9, 1} {
-		out[i] = xs[int(q*last+0.5)]
+		summary[i] = values[int(q*last+0.5)]
 	}
-	return out
+	return summary
 }
 
 // Charts draws goodput over the day and the outages.
@@ -249,23 +249,23 @@
 	if err := os.MkdirAll(dir, 0o777); err != nil {
 		return err
 	}
-	var good, outages []chart.Series
-	for _, r := range c.Losses {
-		g := chart.Series{Name: r.Name}
-		for s, x := range r.goodputSum {
-			g.X, g.Y = append(g.X, float64(s)), append(g.Y, x/float64(max(r.Runs, 1)))
+	var goodput, outages []chart.Series
+	for _, row := range c.Losses {
+		goodputLine := chart.Series{Name: row.Name}
+		for second, sum := range row.goodputSum {
+			goodputLine.X, goodputLine.Y = append(goodputLine.X, float64(second)), append(goodputLine.Y, sum/float64(max(row.Runs, 1)))
 		}
-		good = append(good, g)
-		o := chart.Series{Name: r.Name}
-		slices.Sort(r.Outages)
-		for i, d := range r.Outages {
-			o.X, o.Y = append(o.X, d.Seconds()), append(o.Y, float64(i+1)/float64(len(r.Outages)))
+		goodput = append(goodput, goodputLine)
+		outageLine := chart.Series{Name: row.Name}
+		slices.Sort(row.Outages)
+		for i, outage := range row.Outages {
+			outageLine.X, outageLine.Y = append(outageLine.X, outage.Seconds()), append(outageLine.Y, float64(i+1)/float64(len(row.Outages)))
 		}
-		if len(o.X) > 0 {
-			outages = append(outages, o)
+		if len(outageLine.X) > 0 {
+			outages = append(outages, outageLine)
 		}
 	}
-	if err := chart.Lines(filepath.Join(dir, "region-goodput.png"), "goodput, a region lost from 20 to 45 s", "s", "part of the worth asked for", good...); err != nil {
+	if err := chart.Lines(filepath.Join(dir, "region-goodput.png"), "goodput, a region lost from 20 to 45 s", "s", "part of the worth asked for", goodput...); err != nil {
 		return err
 	}
 	return chart.Lines(filepath.Join(dir, "region-outages.png"), "time without service of shards taken over", "s", "part of the shards", outages...)
--- a/internal/simulation/lab/regions.go
+++ b/internal/simulation/lab/regions.go
@@ -26,27 +26,27 @@
 // each volume comes through hosts of both and lies on shards of one, and writes are
 // acknowledged after their copy but in the plan basico.
 func RegionSettings(hosts, shards int) *settings.Settings {
-	s := SmallBlocks(settings.Example(hosts, shards))
-	s.Regions = &settings.Regions{LeaseTime: 3000, PeerTimeout: 1500, Drift: regionClockDrift}
-	for h := range hosts {
-		s.Regions.Hosts = append(s.Regions.Hosts, h%2)
-	}
-	for i := range s.Plans {
-		if s.Plans[i].Name == "basico" {
-			s.Plans[i].WriteAck = settings.AckBeforeCopy
+	config := SmallBlocks(settings.Example(hosts, shards))
+	config.Regions = &settings.Regions{LeaseTime: 3000, PeerTimeout: 1500, Drift: regionClockDrift}
+	for host := range hosts {
+		config.Regions.Hosts = append(config.Regions.Hosts, host%2)
+	}
+	for i := range config.Plans {
+		if config.Plans[i].Name == "basico" {
+			config.Plans[i].WriteAck = settings.AckBeforeCopy
 		}
 	}
-	for i := range s.Volumes {
-		v := &s.Volumes[i]
-		v.Layout, v.Hosts = nil, nil
-		for k := range 1 + i%3 {
-			v.Layout = append(v.Layout, (i+2*k)%(shards&^1))
+	for i := range config.Volumes {
+		volume := &config.Volumes[i]
+		volume.Layout, volume.Hosts = nil, nil
+		for replica := range 1 + i%3 {
+			volume.Layout = append(volume.Layout, (i+2*replica)%(shards&^1))
 		}
-		for k := range min(2+2*(i%2), hosts) {
-			v.Hosts = append(v.Hosts, (i+k)%hosts)
+		for offset := range min(2+2*(i%2), hosts) {
+			volume.Hosts = append(volume.Hosts, (i+offset)%hosts)
 		}
 	}
-	return s
+	return config
 }
 
 // preferredRegion is the region that a shard prefers.
@@ -61,18 +61,18 @@
 }
 
 // initialRecord is that of a new service: region 0 leads, limits are split by the hosts.
-func initialRecord(s *settings.Settings) region.Record {
+func initialRecord(config *settings.Settings) region.Record {
 	var homes []region.ID
-	for i := range s.Shards {
+	for i := range config.Shards {
 		homes = append(homes, preferredRegion(i))
 	}
-	n := [2]float64{}
-	for _, r := range s.Regions.Hosts {
-		n[r] += 1 / float64(s.Hosts)
+	hostShares := [2]float64{}
+	for _, regionIndex := range config.Regions.Hosts {
+		hostShares[regionIndex] += 1 / float64(config.Hosts)
 	}
-	split := make([][2]float64, len(s.Plans))
+	split := make([][2]float64, len(config.Plans))
 	for i := range split {
-		split[i] = n
+		split[i] = hostShares
 	}
 	return region.Begin(0, homes, split)
 }
@@ -88,21 +88,21 @@
 // startInventories starts the inventory, or both.
 func (f *Fleet) startInventories() error {
 	if f.Settings.Regions == nil {
-		p := &inventoryProcess{}
-		p.process = f.testbed.startProcess(p.name())
-		f.inventories = []*inventoryProcess{p}
+		proc := &inventoryProcess{}
+		proc.process = f.testbed.startProcess(proc.name())
+		f.inventories = []*inventoryProcess{proc}
 		var err error
-		if p.server, err = standin.ServeInventory(p.process, "127.0.0.1:0", inventoryDelay); err == nil {
-			p.addr.Store(&p.server.Addr)
+		if proc.server, err = standin.ServeInventory(proc.process, "127.0.0.1:0", inventoryDelay); err == nil {
+			proc.addr.Store(&proc.server.Addr)
 		}
 		return err
 	}
 	f.effects = map[effectKey]bool{}
-	for r := range 2 {
-		f.inventories = append(f.inventories, &inventoryProcess{region: r, saved: &standin.InventoryState{Record: initialRecord(f.Settings)}})
+	for regionIndex := range 2 {
+		f.inventories = append(f.inventories, &inventoryProcess{region: regionIndex, saved: &standin.InventoryState{Record: initialRecord(f.Settings)}})
 	}
-	for _, p := range f.inventories {
-		if err := f.startInventory(p); err != nil {
+	for _, proc := range f.inventories {
+		if err := f.startInventory(proc); err != nil {
 			return err
 		}
 	}
@@ -110,87 +110,87 @@
 }
 
 // startInventory starts a region's inventory with what was saved.
-func (f *Fleet) startInventory(p *inventoryProcess) error {
-	p.starts++
-	p.process = f.testbed.startProcess(fmt.Sprintf("%s#%d", p.name(), p.starts))
+func (f *Fleet) startInventory(proc *inventoryProcess) error {
+	proc.starts++
+	proc.process = f.testbed.startProcess(fmt.Sprintf("%s#%d", proc.name(), proc.starts))
 	// One clock runs fast and one slow, by what the bound leaves.
-	f.testbed.setClockRate(p.process, 1+(0.9-1.8*float64(p.region))*f.Settings.Regions.Drift)
-	other := f.inventories[1-p.region]
-	cfg := f.Settings.Regions.Config()
-	cfg.Fixed = f.fixedShares
+	f.testbed.setClockRate(proc.process, 1+(0.9-1.8*float64(proc.region))*f.Settings.Regions.Drift)
+	other := f.inventories[1-proc.region]
+	regionConfig := f.Settings.Regions.Config()
+	regionConfig.Fixed = f.fixedShares
 	serve := func(addr string) (*standin.Inventory, error) {
-		return standin.ServeRegion(p.process, addr, inventoryDelay, cfg, region.ID(p.region), uint64(p.starts), p.saved, func() string { return loadAddr(&other.addr) })
+		return standin.ServeRegion(proc.process, addr, inventoryDelay, regionConfig, region.ID(proc.region), uint64(proc.starts), proc.saved, func() string { return loadAddr(&other.addr) })
 	}
-	inv, err := serve(cmp.Or(loadAddr(&p.addr), "127.0.0.1:0"))
+	started, err := serve(cmp.Or(loadAddr(&proc.addr), "127.0.0.1:0"))
 	if err != nil { // somebody else has the port that it had
-		inv, err = serve("127.0.0.1:0")
+		started, err = serve("127.0.0.1:0")
 	}
 	if err != nil {
 		return err
 	}
-	p.server = inv
-	p.addr.Store(&inv.Addr)
-	for _, h := range f.hosts {
-		if h.inventoryRelay != nil && f.regionOf(h.index) == p.region {
-			h.inventoryRelay.Point(inv.Addr)
+	proc.server = started
+	proc.addr.Store(&started.Addr)
+	for _, host := range f.hosts {
+		if host.inventoryRelay != nil && f.regionOf(host.index) == proc.region {
+			host.inventoryRelay.Point(started.Addr)
 		}
 	}
 	return nil
 }
 
 // loadAddr is an address that may not be there yet.
-func loadAddr(p interface{ Load() *string }) string {
-	if s := p.Load(); s != nil {
-		return *s
+func loadAddr(pointer interface{ Load() *string }) string {
+	if addr := pointer.Load(); addr != nil {
+		return *addr
 	}
 	return ""
 }
 
 // setInventoryAndPeer gives a disk server its inventory and its peer.
-func (f *Fleet) setInventoryAndPeer(d *diskProcess, s *standin.DiskServer) {
+func (f *Fleet) setInventoryAndPeer(disk *diskProcess, server *standin.DiskServer) {
 	if f.Settings.Regions == nil {
 		return
 	}
-	inv := f.inventories[d.region]
-	s.Inventory = func() string { return loadAddr(&inv.addr) }
-	peer := f.disks[d.shard+(1-d.region)*f.Settings.Shards]
-	s.Peer = func() string { return loadAddr(&peer.serverAddr) }
+	inventoryProc := f.inventories[disk.region]
+	server.Inventory = func() string { return loadAddr(&inventoryProc.addr) }
+	peer := f.disks[disk.shard+(1-disk.region)*f.Settings.Shards]
+	server.Peer = func() string { return loadAddr(&peer.serverAddr) }
 }
 
 type effectKey struct{ host, seq uint64 }
 
 // recordEffect counts what takes recordEffect at disk servers of either region.
-func (f *Fleet) recordEffect(d *diskproto.Do) {
-	if d.Effect == diskproto.Safe {
+func (f *Fleet) recordEffect(request *diskproto.Do) {
+	if request.Effect == diskproto.Safe {
 		return
 	}
-	k := effectKey{d.Host, d.Seq}
+	key := effectKey{request.Host, request.Seq}
 	f.effectsMu.Lock()
 	defer f.effectsMu.Unlock()
-	if f.effects[k] {
+	if f.effects[key] {
 		f.repeatedEffects++
 	}
-	f.effects[k] = true
+	f.effects[key] = true
 }
 
 // LoseRegion ends everything in a region at once, and starts it again after down, with
 // the inventory that was put by, if any.
-func (f *Fleet) LoseRegion(r int, down time.Duration, old [2]*standin.InventoryState) {
-	if !f.LoseInventory(r, down, old) {
+func (f *Fleet) LoseRegion(regionIndex int, outage time.Duration, staleStates [2]*standin.InventoryState) {
+	if !f.LoseInventory(regionIndex, outage, staleStates) {
 		return
 	}
 	f.mu.Lock()
-	f.regionDown[r] = true
-	f.regionLosses = append(f.regionLosses, RegionLoss{r, f.Environment.Now(), f.Environment.Now() + down})
+	f.regionDown[regionIndex] = true
+	f.regionLosses = append(f.regionLosses, RegionLoss{regionIndex, f.Environment.Now(), f.Environment.Now() + outage})
 	f.mu.Unlock()
 	for i := range f.hosts {
-		if f.regionOf(i) == r {
-			f.KillHost(i, down+200*time.Millisecond)
+		if f.regionOf(i) == regionIndex {
+			f.KillHost(i, outage+200*time.Millisecond)
 		}
 	}
-	for i, d := range f.disks {
-		if d.region == r {
-			f.PowerOffDisk(i, down+100*time.Millisecond)
+	for i, disk := range f.disks {
+		if disk.region == regionIndex {
+			f.PowerOffDisk(i, outage+100*time.Millisecond)
 		}
 	}
 }
@@ -203,32 +203,32 @@
 
 // LoseInventory ends a region's inventory, and starts it again after down, with what was
 // put by, if anything; false if it is down.
-func (f *Fleet) LoseInventory(r int, down time.Duration, old [2]*standin.InventoryState) bool {
+func (f *Fleet) LoseInventory(regionIndex int, outage time.Duration, staleStates [2]*standin.InventoryState) bool {
 	f.mu.Lock()
-	p := f.inventories[r]
-	v, w := p.server, p.process
-	p.server = nil
+	proc := f.inventories[regionIndex]
+	stoppedServer, stoppedProcess := proc.server, proc.process
+	proc.server = nil
 	f.mu.Unlock()
-	if v == nil {
+	if stoppedServer == nil {
 		return false
 	}
-	if !f.testbed.killProcess(w, true) {
-		v.Close()
+	if !f.testbed.killProcess(stoppedProcess, true) {
+		stoppedServer.Close()
 	}
-	f.afterFunc(down, func() {
+	f.afterFunc(outage, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.regionDown[r] = false
-		if old[r] != nil {
-			p.saved = old[r].Clone()
+		f.regionDown[regionIndex] = false
+		if staleStates[regionIndex] != nil {
+			proc.saved = staleStates[regionIndex].Clone()
 		}
-		if err := f.startInventory(p); err != nil {
+		if err := f.startInventory(proc); err != nil {
 			f.log.Error("inventory does not start", zap.Error(err))
 			return
 		}
-		for _, d := range f.disks { // those that are up all the same
-			if d.region == r && d.server != nil {
-				f.changeInventory(r, true, d.inventoryEntry())
+		for _, disk := range f.disks { // those that are up all the same
+			if disk.region == regionIndex && disk.server != nil {
+				f.changeInventory(regionIndex, true, disk.inventoryEntry())
 			}
 		}
 	})
@@ -236,56 +236,56 @@
 }
 
 // RegionDown tells whether a region is lost as a whole.
-func (f *Fleet) RegionDown(r int) bool {
+func (f *Fleet) RegionDown(regionIndex int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.regionDown[r]
+	return f.regionDown[regionIndex]
 }
 
 // InventoryStates is a copy of what the inventories have now.
-func (f *Fleet) InventoryStates() (out [2]*standin.InventoryState) {
-	for r, p := range f.inventories {
-		if p.server != nil && p.saved != nil {
-			out[r] = p.server.State()
+func (f *Fleet) InventoryStates() (states [2]*standin.InventoryState) {
+	for regionIndex, proc := range f.inventories {
+		if proc.server != nil && proc.saved != nil {
+			states[regionIndex] = proc.server.State()
 		}
 	}
-	return out
+	return states
 }
 
 // regionPrograms names the regionPrograms of a region, without its clients.
-func (f *Fleet) regionPrograms(r int) (out []string) {
-	out = append(out, f.inventories[r].name())
+func (f *Fleet) regionPrograms(regionIndex int) (names []string) {
+	names = append(names, f.inventories[regionIndex].name())
 	for i := range f.hosts {
-		if f.regionOf(i) == r {
-			out = append(out, fmt.Sprintf("h%d", i))
+		if f.regionOf(i) == regionIndex {
+			names = append(names, fmt.Sprintf("h%d", i))
 		}
 	}
-	for _, d := range f.disks {
-		if d.region == r {
-			out = append(out, d.name)
+	for _, disk := range f.disks {
+		if disk.region == regionIndex {
+			names = append(names, disk.name)
 		}
 	}
-	return out
+	return names
 }
 
 // SetCrossRegionLinks gives the ways from programs of one region to those of the other a state.
-func (f *Fleet) SetCrossRegionLinks(from int, n world.LinkState) {
-	for _, a := range f.regionPrograms(from) {
-		for _, b := range f.regionPrograms(1 - from) {
-			f.testbed.setLink(a, b, n)
+func (f *Fleet) SetCrossRegionLinks(from int, state world.LinkState) {
+	for _, source := range f.regionPrograms(from) {
+		for _, destination := range f.regionPrograms(1 - from) {
+			f.testbed.setLink(source, destination, state)
 		}
 	}
 }
 
 // SetInventoryLinks gives the ways from and to the inventories a state.
-func (f *Fleet) SetInventoryLinks(n world.LinkState) {
-	all := append(f.regionPrograms(0), f.regionPrograms(1)...)
-	for r := range 2 {
-		inv := f.inventories[r].name()
-		for _, p := range all {
-			if p != inv {
-				f.testbed.setLink(p, inv, n)
-				f.testbed.setLink(inv, p, n)
+func (f *Fleet) SetInventoryLinks(state world.LinkState) {
+	programs := append(f.regionPrograms(0), f.regionPrograms(1)...)
+	for regionIndex := range 2 {
+		inventoryName := f.inventories[regionIndex].name()
+		for _, program := range programs {
+			if program != inventoryName {
+				f.testbed.setLink(program, inventoryName, state)
+				f.testbed.setLink(inventoryName, program, state)
 			}
 		}
 	}
@@ -294,33 +294,33 @@
 // preferLocalPaths has clients try the hosts of the region that their volume prefers first, and
 // others while those do not serve, as multipath does.
 func (c *Clients) preferLocalPaths() {
-	for i, ls := range c.paths {
-		prefers := int(preferredRegion(c.fleet.Settings.Volumes[i].Layout[0]))
-		slices.SortStableFunc(ls, func(a, b *clientPath) int {
-			return cmp.Compare((c.fleet.regionOf(a.host)+prefers)%2, (c.fleet.regionOf(b.host)+prefers)%2)
+	for volume, volumePaths := range c.paths {
+		preferred := int(preferredRegion(c.fleet.Settings.Volumes[volume].Layout[0]))
+		slices.SortStableFunc(volumePaths, func(a, b *clientPath) int {
+			return cmp.Compare((c.fleet.regionOf(a.host)+preferred)%2, (c.fleet.regionOf(b.host)+preferred)%2)
 		})
 	}
 	c.choosePath = func(volume int) *clientPath {
 		now := c.fleet.Environment.Now()
-		var up *clientPath
-		for _, l := range c.paths[volume] {
-			if c.fleet.HostAddr(l.host) == "" {
+		var firstUp *clientPath
+		for _, path := range c.paths[volume] {
+			if c.fleet.HostAddr(path.host) == "" {
 				continue
 			}
-			if l.usable(now) {
-				return l
+			if path.usable(now) {
+				return path
 			}
-			if up == nil {
-				up = l
+			if firstUp == nil {
+				firstUp = path
 			}
 		}
-		return up
+		return firstUp
 	}
 	c.history.AsyncVolumes = map[string]bool{}
-	for _, v := range c.fleet.Settings.Volumes {
-		for _, p := range c.fleet.Settings.Plans {
-			if p.Name == v.Plan && p.WriteAck == settings.AckBeforeCopy {
-				c.history.AsyncVolumes[v.Name] = true
+	for _, exported := range c.fleet.Settings.Volumes {
+		for _, plan := range c.fleet.Settings.Plans {
+			if plan.Name == exported.Plan && plan.WriteAck == settings.AckBeforeCopy {
+				c.history.AsyncVolumes[exported.Name] = true
 			}
 		}
 	}
@@ -350,25 +350,25 @@
 }
 
 // AskInventory asks a region's inventory for something, as an operator would.
-func (f *Fleet) AskInventory(r int, a inventory.Ask) (inventory.List, error) {
-	c := inventory.NewCaller(f.Environment, func() string { return loadAddr(&f.inventories[r].addr) })
-	defer c.Close()
-	return c.Ask(a, time.Second)
+func (f *Fleet) AskInventory(regionIndex int, request inventory.Ask) (inventory.List, error) {
+	caller := inventory.NewCaller(f.Environment, func() string { return loadAddr(&f.inventories[regionIndex].addr) })
+	defer caller.Close()
+	return caller.Ask(request, time.Second)
 }
 
 // StallHost has a host stand still and wake inside the lease that it had.
-func (f *Fleet) StallHost(i int, still time.Duration) {
+func (f *Fleet) StallHost(index int, stall time.Duration) {
 	f.mu.Lock()
-	h := f.hosts[i]
+	host := f.hosts[index]
 	f.mu.Unlock()
-	f.Recorder.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Stalled, Host: h.name, Deadline: int64((f.Environment.Now() + still) / time.Microsecond)})
-	if p, ok := h.process.(*world.Process); ok {
-		if !p.Dead() {
-			p.Stall(still)
+	f.Recorder.Add(trail.Event{Link: trail.LinkFault, Kind: trail.Stalled, Host: host.name, Deadline: int64((f.Environment.Now() + stall) / time.Microsecond)})
+	if simulated, ok := host.process.(*world.Process); ok {
+		if !simulated.Dead() {
+			simulated.Stall(stall)
 		}
 		return
 	}
-	var until env.Gate
-	h.gateway.Freeze(&until)
-	f.Environment.AfterFunc(still, until.Open)
+	var resume env.Gate
+	host.gateway.Freeze(&resume)
+	f.Environment.AfterFunc(stall, resume.Open)
 }
--- a/internal/simulation/lab/regions_test.go
+++ b/internal/simulation/lab/regions_test.go
@@ -11,35 +11,35 @@
 )
 
 func regionScenario(seed uint64, seconds int, script ...ScheduledFault) Scenario {
-	s := faultScenario(seed, seconds, script...)
-	s.Regions, s.Hosts, s.Servers = true, 4, 8
-	return s
+	scenario := faultScenario(seed, seconds, script...)
+	scenario.Regions, scenario.Hosts, scenario.Servers = true, 4, 8
+	return scenario
 }
 
 // leaderWithRestartingHosts is a day on which the leader takes over just as its hosts come back:
 // with no lease of its own to wait for, it relies on the bounds of clocks alone.
 func leaderWithRestartingHosts(seed uint64) Scenario {
-	s := regionScenario(seed, 16, ScheduledFault{Kind: "region_cut", At: 5 * time.Second, Duration: 9 * time.Second},
+	scenario := regionScenario(seed, 16, ScheduledFault{Kind: "region_cut", At: 5 * time.Second, Duration: 9 * time.Second},
 		ScheduledFault{Kind: "region_hosts", At: 5 * time.Second, Duration: time.Duration(3950+seed%10*20) * time.Millisecond})
-	s.Figures = map[string]float64{"regions.drift": 0.15}
-	s.Rate, s.Commands = 300, 16*300
-	return s
+	scenario.Figures = map[string]float64{"regions.drift": 0.15}
+	scenario.Rate, scenario.Commands = 300, 16*300
+	return scenario
 }
 
 // A calm day of two regions serves all that is asked for, each shard at its home.
 func TestTwoRegionsWithoutFaults(t *testing.T) {
-	out := runPassing(t, regionScenario(1, 10))
-	if out.Goodput < 0.99 || out.Checker.Checks[rules.Homes] == 0 {
-		t.Errorf("goodput %.3f, %d checks of homes", out.Goodput, out.Checker.Checks[rules.Homes])
+	outcome := runPassing(t, regionScenario(1, 10))
+	if outcome.Goodput < 0.99 || outcome.Checker.Checks[rules.Homes] == 0 {
+		t.Errorf("goodput %.3f, %d checks of homes", outcome.Goodput, outcome.Checker.Checks[rules.Homes])
 	}
 }
 
 // seedForRegionLoss draws a strike's seed on which that region is struck, and comes back with the
 // inventory of long ago or not.
-func seedForRegionLoss(region int, old bool) uint64 {
+func seedForRegionLoss(target int, stale bool) uint64 {
 	for seed := uint64(1); ; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		if rng.IntN(2) == region && (rng.IntN(2) == 0) == old {
+		if rng.IntN(2) == target && (rng.IntN(2) == 0) == stale {
 			return seed
 		}
 	}
@@ -53,7 +53,7 @@
 		name    string
 		seconds int
 		script  []ScheduledFault
-		caused  func(o *Outcome) bool
+		caused  func(outcome *Outcome) bool
 	}{
 		{"half the packets dropped for two minutes", 170, []ScheduledFault{{Kind: "region_half", At: 5 * second, Duration: 120 * second}},
 			func(o *Outcome) bool { return o.Goodput < 0.995 }},
@@ -78,8 +78,8 @@
 			t.Parallel()
 			caused := false
 			for seed := range uint64(2) {
-				s := regionScenario(seed+1, c.seconds, append(slices.Clone(c.script), ScheduledFault{Kind: "tenant_burst", At: 4 * second, Duration: 20 * second, Seed: seed})...)
-				caused = c.caused(runPassing(t, s)) || caused
+				scenario := regionScenario(seed+1, c.seconds, append(slices.Clone(c.script), ScheduledFault{Kind: "tenant_burst", At: 4 * second, Duration: 20 * second, Seed: seed})...)
+				caused = c.caused(runPassing(t, scenario)) || caused
 			}
 			if !caused {
 				t.Error("the case was not caused")
@@ -89,8 +89,8 @@
 }
 
 // hasTakeover tells whether a shard was served in both regions, one after the other.
-func hasTakeover(o *Outcome) bool {
-	return slices.ContainsFunc(o.Checker.HomeHistory(), func(s rules.FirstServed) bool { return s.Region != int(preferredRegion(s.Shard)) })
+func hasTakeover(outcome *Outcome) bool {
+	return slices.ContainsFunc(outcome.Checker.HomeHistory(), func(served rules.FirstServed) bool { return served.Region != int(preferredRegion(served.Shard)) })
 }
 
 // Writes that are acknowledged before their copy may be lost with a region, but no more of
@@ -99,12 +99,12 @@
 	skipIfShort(t)
 	lost := 0
 	for seed := range uint64(3) {
-		s := regionScenario(seed+1, 24, ScheduledFault{Kind: "region_cut", At: 5650 * time.Millisecond, Duration: 11 * time.Second},
+		scenario := regionScenario(seed+1, 24, ScheduledFault{Kind: "region_cut", At: 5650 * time.Millisecond, Duration: 11 * time.Second},
 			ScheduledFault{Kind: "region_loss", At: 6 * time.Second, Duration: 12 * time.Second, Seed: seedForRegionLoss(1, false)})
-		s.Rate, s.Commands = 400, 24*400
-		out := runPassing(t, s)
-		if lost += out.LostWrites; out.LostWrites > standin.MaxReplicationLag*s.Servers/2 {
-			t.Errorf("%d writes lost, at most %d of each shard may be", out.LostWrites, standin.MaxReplicationLag)
+		scenario.Rate, scenario.Commands = 400, 24*400
+		outcome := runPassing(t, scenario)
+		if lost += outcome.LostWrites; outcome.LostWrites > standin.MaxReplicationLag*scenario.Servers/2 {
+			t.Errorf("%d writes lost, at most %d of each shard may be", outcome.LostWrites, standin.MaxReplicationLag)
 		}
 	}
 	if lost == 0 {
--- a/internal/simulation/lab/virtual_test.go
+++ b/internal/simulation/lab/virtual_test.go
@@ -48,12 +48,12 @@
 // passingTrail is the trail of a scene that keeps everything.
 func passingTrail(t *testing.T, s Scenario) []trail.Event {
 	t.Helper()
-	file := t.TempDir() + "/trail.parquet"
-	out, err := s.Run(context.Background(), file)
+	path := t.TempDir() + "/trail.parquet"
+	out, err := s.Run(context.Background(), path)
 	if err != nil || out.Failure != nil {
 		t.Fatal(err, out.Failure)
 	}
-	_, events, err := trail.Read(file)
+	_, events, err := trail.Read(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,29 +87,29 @@
 		os.Stdout.WriteString("digest " + hexDigest(runPassing(t, DrawScenario(5, 3, 9, 8*time.Second, 120, true)).Scenario.Digest) + "\n")
 		return
 	}
-	var said []string
+	var digests []string
 	for _, procs := range []string{"1", "4"} {
-		c := exec.Command(os.Args[0], "-test.run=^TestSceneIsTheSameInTwoProcesses$")
-		c.Env = append(os.Environ(), digestVariable+"=1", "GOMAXPROCS="+procs)
-		b, err := c.CombinedOutput()
+		command := exec.Command(os.Args[0], "-test.run=^TestSceneIsTheSameInTwoProcesses$")
+		command.Env = append(os.Environ(), digestVariable+"=1", "GOMAXPROCS="+procs)
+		output, err := command.CombinedOutput()
 		if err != nil {
-			t.Fatalf("%v: %s", err, b)
+			t.Fatalf("%v: %s", err, output)
 		}
-		i := strings.Index(string(b), "digest ")
-		said = append(said, strings.Fields(string(b)[i:])[1])
+		i := strings.Index(string(output), "digest ")
+		digests = append(digests, strings.Fields(string(output)[i:])[1])
 	}
-	if said[0] != said[1] || len(said[0]) < 8 {
-		t.Fatalf("two processes differ: %v", said)
+	if digests[0] != digests[1] || len(digests[0]) < 8 {
+		t.Fatalf("two processes differ: %v", digests)
 	}
 }
 
 func hexDigest(v uint64) string {
 	const hex = "0123456789abcdef"
-	b := make([]byte, 16)
-	for i := range b {
-		b[i] = hex[v>>(60-4*i)&15]
+	digits := make([]byte, 16)
+	for i := range digits {
+		digits[i] = hex[v>>(60-4*i)&15]
 	}
-	return string(b)
+	return string(digits)
 }
 
 // What the exploration found in the product, each by the scene or run that showed it.
@@ -126,11 +126,11 @@
 	}
 	t.Run("a reservation change that others overtook was called a conflict", func(t *testing.T) {
 		for _, seed := range []uint64{371, 661, 1709} {
-			h, err := RunVirtualReservations(context.Background(), seed, 40, false)
+			history, err := RunVirtualReservations(context.Background(), seed, 40, false)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if verdict := h.Check(); verdict != "" {
+			if verdict := history.Check(); verdict != "" {
 				t.Fatalf("seed %d: %s", seed, verdict)
 			}
 		}
@@ -138,13 +138,13 @@
 }
 
 // faultScenario is a scene of some troubles at given times, with the load of a calm day.
-func faultScenario(seed uint64, seconds int, list ...ScheduledFault) Scenario {
-	for i := range list {
-		if list[i].Seed == 0 {
-			list[i].Seed = seed*100 + uint64(i)
+func faultScenario(seed uint64, seconds int, faults ...ScheduledFault) Scenario {
+	for i := range faults {
+		if faults[i].Seed == 0 {
+			faults[i].Seed = seed*100 + uint64(i)
 		}
 	}
-	return Scenario{Seed: seed, Hosts: 3, Servers: 9, Commands: 120 * seconds, Rate: 120, Faults: list}
+	return Scenario{Seed: seed, Hosts: 3, Servers: 9, Commands: 120 * seconds, Rate: 120, Faults: faults}
 }
 
 // A hall's servers restart inside the window in which repeats of txn-write are dropped,
@@ -152,15 +152,15 @@
 // must stay in the window and in the group.
 func TestMassRestartWithinTheDedupWindow(t *testing.T) {
 	skipIfShort(t)
-	again := 0
+	repeats := 0
 	for seed := range uint64(4) {
 		out := runPassing(t, faultScenario(seed+1, 20,
 			ScheduledFault{Kind: "net_late", At: 3 * time.Second, Duration: 5 * time.Second},
 			ScheduledFault{Kind: "net_torn", At: 3 * time.Second, Duration: 5 * time.Second},
 			ScheduledFault{Kind: "mass_restart", At: 5 * time.Second, Duration: 4 * time.Second}))
-		again += out.Checker.Checks[2]
+		repeats += out.Checker.Checks[2]
 	}
-	if again == 0 {
+	if repeats == 0 {
 		t.Fatal("nothing was repeated: the case was not caused")
 	}
 }
@@ -171,8 +171,8 @@
 	skipIfShort(t)
 	late := 0
 	for seed := range uint64(3) {
-		s := faultScenario(seed+1, 15, ScheduledFault{Kind: "net_late", At: 2 * time.Second, Duration: 8 * time.Second}, ScheduledFault{Kind: "net_late", At: 3 * time.Second, Duration: 8 * time.Second})
-		late += lateAnswers(passingTrail(t, s))
+		scenario := faultScenario(seed+1, 15, ScheduledFault{Kind: "net_late", At: 2 * time.Second, Duration: 8 * time.Second}, ScheduledFault{Kind: "net_late", At: 3 * time.Second, Duration: 8 * time.Second})
+		late += lateAnswers(passingTrail(t, scenario))
 	}
 	if late == 0 {
 		t.Fatal("no answer came after its attempt's time: the case was not caused")
@@ -180,29 +180,29 @@
 }
 
 // lateAnswers counts answers that passed after their attempt's deadline.
-func lateAnswers(events []trail.Event) (n int) {
+func lateAnswers(events []trail.Event) (late int) {
 	type key struct{ conn, tag uint32 }
-	until := map[key]int64{}
-	for _, e := range events {
-		switch k := (key{e.Conn, e.Tag}); e.Kind {
+	deadlines := map[key]int64{}
+	for _, event := range events {
+		switch attempt := (key{event.Conn, event.Tag}); event.Kind {
 		case trail.Do:
-			until[k] = e.Deadline
+			deadlines[attempt] = event.Deadline
 		case trail.Answer:
-			if by, ok := until[k]; ok && e.Time > by {
-				n++
+			if deadline, ok := deadlines[attempt]; ok && event.Time > deadline {
+				late++
 			}
 		}
 	}
-	return n
+	return late
 }
 
 // Hosts end as their bytes leave: whatever was sent, nothing of it is known any more.
 func TestHostsDieWhileSending(t *testing.T) {
 	skipIfShort(t)
 	for seed := range uint64(4) {
-		s := faultScenario(seed+1, 15, ScheduledFault{Kind: "host_torn", At: 2 * time.Second, Duration: 4 * time.Second},
+		scenario := faultScenario(seed+1, 15, ScheduledFault{Kind: "host_torn", At: 2 * time.Second, Duration: 4 * time.Second},
 			ScheduledFault{Kind: "host_torn", At: 5 * time.Second, Duration: 4 * time.Second})
-		if !slices.ContainsFunc(passingTrail(t, s), func(e trail.Event) bool { return e.Kind == trail.Killed }) {
+		if !slices.ContainsFunc(passingTrail(t, scenario), func(e trail.Event) bool { return e.Kind == trail.Killed }) {
 			t.Fatal("no host died: the case was not caused")
 		}
 	}
@@ -212,8 +212,8 @@
 func TestStalledHostResumesWithExpiredTimers(t *testing.T) {
 	skipIfShort(t)
 	for seed := range uint64(3) {
-		s := faultScenario(seed+1, 25, ScheduledFault{Kind: "host_stall", At: 3 * time.Second, Duration: 8 * time.Second}, ScheduledFault{Kind: "crash", At: 4 * time.Second, Duration: 4 * time.Second})
-		out := runPassing(t, s)
+		scenario := faultScenario(seed+1, 25, ScheduledFault{Kind: "host_stall", At: 3 * time.Second, Duration: 8 * time.Second}, ScheduledFault{Kind: "crash", At: 4 * time.Second, Duration: 4 * time.Second})
+		out := runPassing(t, scenario)
 		if out.RecoveryGoodput < minRecoveryGoodput {
 			t.Fatalf("goodput %.3f after the stall", out.RecoveryGoodput)
 		}
@@ -261,38 +261,40 @@
 // One scripted day in both places: what does not depend on the machine's time agrees.
 func TestLoopbackAndVirtualRunsAgree(t *testing.T) {
 	skipIfShort(t)
-	opt := Options{Seed: 3, Commands: 600, Rate: 120, Hosts: 3, Servers: 9, FaultKinds: []string{"none"}}
-	set := func() *settings.Settings { return SmallBlocks(settings.Example(3, 9)) }
-	w := env.NewReal()
-	real, err := runDay(context.Background(), w, loopbackTestbed{Environment: w}, set(), opt)
+	options := Options{Seed: 3, Commands: 600, Rate: 120, Hosts: 3, Servers: 9, FaultKinds: []string{"none"}}
+	newSettings := func() *settings.Settings { return SmallBlocks(settings.Example(3, 9)) }
+	loopback := env.NewReal()
+	onLoopback, err := runDay(context.Background(), loopback, loopbackTestbed{Environment: loopback}, newSettings(), options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := world.New(3)
-	var virt *Result
-	if err := v.Run("lab", maxScenarioTime, func(p *world.Process) { virt, err = runDay(context.Background(), p, virtualTestbed{v}, set(), opt) }); err != nil {
+	virtual := world.New(3)
+	var inWorld *Result
+	if err := virtual.Run("lab", maxScenarioTime, func(p *world.Process) {
+		inWorld, err = runDay(context.Background(), p, virtualTestbed{virtual}, newSettings(), options)
+	}); err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range []*Result{real, virt} {
+	for _, r := range []*Result{onLoopback, inWorld} {
 		if err != nil || !r.OK() {
 			t.Fatal("a calm day was not kept:", err, r.failureSummary())
 		}
 	}
-	asked := func(r *Result) map[string]int {
+	issuedCommands := func(r *Result) map[string]int {
 		out := map[string]int{}
-		for k, row := range r.Checker.Stats.ByClass {
-			out[k.Class+" "+k.Plan] = row.Issued
+		for key, row := range r.Checker.Stats.ByClass {
+			out[key.Class+" "+key.Plan] = row.Issued
 		}
 		return out
 	}
-	// A swap is asked after its read and a refusal asked again, so those may differ.
-	a, b := asked(real), asked(virt)
-	for k, n := range a {
-		if d := n - b[k]; d > 6 || d < -6 {
-			t.Errorf("%s: %d asked on sockets, %d in the world", k, n, b[k])
+	// A swap is asked after its read and loopbackIssued refusal asked again, so those may differ.
+	loopbackIssued, virtualIssued := issuedCommands(onLoopback), issuedCommands(inWorld)
+	for k, n := range loopbackIssued {
+		if d := n - virtualIssued[k]; d > 6 || d < -6 {
+			t.Errorf("%s: %d asked on sockets, %d in the world", k, n, virtualIssued[k])
 		}
 	}
-	if g, h := real.Checker.Stats.Goodput(), virt.Checker.Stats.Goodput(); g < 0.9 || h < 0.9 {
+	if g, h := onLoopback.Checker.Stats.Goodput(), inWorld.Checker.Stats.Goodput(); g < 0.9 || h < 0.9 {
 		t.Errorf("goodput of a calm day: %.3f on sockets, %.3f in the world", g, h)
 	}
 }
@@ -307,57 +309,57 @@
 		t.Run(name, func(t *testing.T) {
 			faultinject.Activate(name)
 			defer faultinject.Activate("")
-			x := ExploreOptions{FirstSeed: 1, Seeds: 200, Hosts: 3, Servers: 9, Span: 30 * time.Second, Rate: 300, Swarm: true,
+			options := ExploreOptions{FirstSeed: 1, Seeds: 200, Hosts: 3, Servers: 9, Span: 30 * time.Second, Rate: 300, Swarm: true,
 				Planted: name, Parallel: 4, StopAtFirst: true}
 			switch {
 			case slices.Contains(faultinject.RegionFaults, name):
-				x.Regions, x.Hosts, x.Servers, x.Span, x.Rate = true, 4, 8, time.Minute, 120
+				options.Regions, options.Hosts, options.Servers, options.Span, options.Rate = true, 4, 8, time.Minute, 120
 				if name == faultinject.LeaseNoDrift {
-					x.DrawScenario = leaderWithRestartingHosts
+					options.DrawScenario = leaderWithRestartingHosts
 				}
 			case name == faultinject.LimitMisread:
-				x.Span *= 2 // a volume must stay above its limit until its burst is spent
+				options.Span *= 2 // a volume must stay above its limit until its burst is spent
 			}
-			sum, err := Explore(context.Background(), x, &strings.Builder{})
-			if err != nil && len(sum.Failures) == 0 {
+			summary, err := Explore(context.Background(), options, &strings.Builder{})
+			if err != nil && len(summary.Failures) == 0 {
 				t.Fatal(err)
 			}
-			if len(sum.Failures) == 0 {
-				t.Fatalf("not found in %d scenes", sum.Runs)
+			if len(summary.Failures) == 0 {
+				t.Fatalf("not found in %d scenes", summary.Runs)
 			}
-			s := sum.Failures[0]
-			if again := runScenario(t, s); again.Scenario.Digest != s.Digest || again.Failure == nil || again.Failure.Kind != s.Failure.Kind {
-				t.Fatalf("played again: %v, was %v", again.Failure, s.Failure)
+			found := summary.Failures[0]
+			if again := runScenario(t, found); again.Scenario.Digest != found.Digest || again.Failure == nil || again.Failure.Kind != found.Failure.Kind {
+				t.Fatalf("played again: %v, was %v", again.Failure, found.Failure)
 			}
-			small, err := s.Shrink(context.Background(), 30, &strings.Builder{})
+			shrunk, err := found.Shrink(context.Background(), 30, &strings.Builder{})
 			if err != nil {
 				t.Fatal(err)
 			}
 			faultinject.Activate("")
-			sane := s
-			sane.Planted, sane.Failure = "", nil
-			runPassing(t, sane) // it is the fault that fails it
-			t.Logf("seed %d of %d played: %v; %d troubles shrunk to %d, %d commands to %d, %d hosts", s.Seed, sum.Runs, s.Failure, len(s.Faults),
-				len(small.Faults), s.Commands, small.Commands, small.Hosts)
+			withoutFault := found
+			withoutFault.Planted, withoutFault.Failure = "", nil
+			runPassing(t, withoutFault) // it is the fault that fails it
+			t.Logf("seed %d of %d played: %v; %d troubles shrunk to %d, %d commands to %d, %d hosts", found.Seed, summary.Runs, found.Failure, len(found.Faults),
+				len(shrunk.Faults), found.Commands, shrunk.Commands, shrunk.Hosts)
 		})
 	}
 }
 
 // A scene's file is read back as it was; another is refused with a reason.
 func TestScenarioFiles(t *testing.T) {
-	s := DrawScenario(rand.Uint64(), 3, 9, time.Minute, 120, true)
-	file := t.TempDir() + "/scene.json"
-	if err := s.Save(file); err != nil {
+	scenario := DrawScenario(rand.Uint64(), 3, 9, time.Minute, 120, true)
+	path := t.TempDir() + "/scene.json"
+	if err := scenario.Save(path); err != nil {
 		t.Fatal(err)
 	}
-	got, err := LoadScenario(file)
-	if err != nil || got.Seed != s.Seed || !slices.Equal(got.Faults, s.Faults) {
+	got, err := LoadScenario(path)
+	if err != nil || got.Seed != scenario.Seed || !slices.Equal(got.Faults, scenario.Faults) {
 		t.Fatal("read back:", got, err)
 	}
-	if err := os.WriteFile(file, []byte("{"), 0o666); err != nil {
+	if err := os.WriteFile(path, []byte("{"), 0o666); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := LoadScenario(file); err == nil {
+	if _, err := LoadScenario(path); err == nil {
 		t.Fatal("a damaged file was taken")
 	}
 	for _, bad := range []Scenario{{Hosts: 0, Servers: 9, Commands: 1, Rate: 1}, {Hosts: 1, Servers: 9, Commands: 1, Rate: 1, Faults: []ScheduledFault{{Kind: "earthquake"}}},
