--- a/internal/simulation/lab/regionday.go
+++ b/internal/simulation/lab/regionday.go
@@ -179,24 +179,24 @@
 	}
 	granting, reachable := false, 0
 	defer func() { o.handleMissingGrants(now, granting, reachable) }()
-	for r := range 2 {
-		if o.lostSince[r] != 0 {
+	for regionIndex := range 2 {
+		if o.lostSince[regionIndex] != 0 {
 			continue
 		}
-		reply, err := o.managedFleet.AskInventory(r, inventory.Ask{Op: "record"})
+		reply, err := o.managedFleet.AskInventory(regionIndex, inventory.Ask{Op: "record"})
 		if err != nil || reply.Kind != inventory.Told || reply.Status == nil {
 			continue
 		}
 		reachable++
 		granting = granting || reply.Status.Grants
-		other := 1 - r
+		other := 1 - regionIndex
 		// A region that was cut off before it was lost may have answered alone: better wait.
 		contactedBeforeLoss := time.Duration(reply.Status.HeardMS*float64(time.Millisecond))-(now-o.lostSince[other]) < maxSilenceBeforeLoss
-		if o.lostSince[other] != 0 && now-o.lostSince[other] > operatorDelay && contactedBeforeLoss && (reply.Record.Leader != region.ID(r) || !reply.Status.Grants) {
-			o.send(r, "lead")
+		if o.lostSince[other] != 0 && now-o.lostSince[other] > operatorDelay && contactedBeforeLoss && (reply.Record.Leader != region.ID(regionIndex) || !reply.Status.Grants) {
+			o.send(regionIndex, "lead")
 		}
-		if reply.Record.Leader == region.ID(r) {
-			o.returnShards(now, r, &reply)
+		if reply.Record.Leader == region.ID(regionIndex) {
+			o.returnShards(now, regionIndex, &reply)
 		}
 	}
 }
--- a/internal/simulation/lab/regions.go
+++ b/internal/simulation/lab/regions.go
@@ -39,11 +39,11 @@
 	for i := range config.Volumes {
 		volume := &config.Volumes[i]
 		volume.Layout, volume.Hosts = nil, nil
-		for replica := range 1 + i%3 {
-			volume.Layout = append(volume.Layout, (i+2*replica)%(shards&^1))
+		for position := range 1 + i%3 {
+			volume.Layout = append(volume.Layout, (i+2*position)%(shards&^1))
 		}
-		for offset := range min(2+2*(i%2), hosts) {
-			volume.Hosts = append(volume.Hosts, (i+offset)%hosts)
+		for position := range min(2+2*(i%2), hosts) {
+			volume.Hosts = append(volume.Hosts, (i+position)%hosts)
 		}
 	}
 	return config
