--- a/internal/simulation/lab/regioncost.go
+++ b/internal/simulation/lab/regioncost.go
@@ -17,60 +17,62 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// RegionLossCosts is what losses of a region cost, over days that differ in their seed alone.
+// RegionLossCosts holds the measured cost of region losses and partitions, over runs that differ only
+// in their seed.
 type RegionLossCosts struct {
 	Losses []*RegionLossRow
 	Limits []*LimitShareRow
 }
 
-// RegionLossRow is one kind of loss.
+// RegionLossRow holds the results of one kind of loss, over its runs.
 type RegionLossRow struct {
 	Name            string
 	Runs            int
 	Failures        []string
-	Outages         []time.Duration // of shards that were taken over
-	LostWorth       []float64       // worth not served of what was asked for from the loss on, in seconds of a calm day's worth
-	RecoveryTimes   []time.Duration // from the loss until goodput is back
-	NotRecovered    int             // days on which it was not, while the region was lost
-	LostAckedWrites int             // acknowledged before their copy, and lost
-	goodputSum      []float64       // mean goodput by second of the day
+	Outages         []time.Duration // see takeoverOutages
+	LostWorth       []float64       // per run: worth offered from the loss on and not served, in seconds of the calm worth per second
+	RecoveryTimes   []time.Duration // per run that recovered: from the loss until goodput is back at recoveredGoodput
+	NotRecovered    int             // runs whose goodput was not back while the region was lost
+	LostAckedWrites int             // lost writes that were acknowledged before replication
+	goodputSum      []float64       // goodput by second of the run, summed over runs
 }
 
-// LimitShareRow is what limited volumes got through a cut.
+// LimitShareRow holds how much of their limits volumes were served during a partition of the regions.
 type LimitShareRow struct {
 	Name         string
 	Runs         int
-	ServedShares []float64 // of what their limits bear from the cut to its end
+	ServedShares []float64 // per run: units sent during the partition divided by the units that the limits allow in it
 }
 
 const (
 	costHosts, costServers = 4, 8
-	costLossStart          = 20 * time.Second // into the day
+	costLossStart          = 20 * time.Second // after the run's start
 	costLossDuration       = 25 * time.Second
 	costRunDuration        = 75 * time.Second
 	costRate               = 120.0
-	// recoveredGoodput is the goodput that counts as back.
+	// recoveredGoodput is the goodput, over 3 s, from which service counts as recovered.
 	recoveredGoodput = 0.9
 )
 
-// costCases are the losses that are measured.
+// costCases are the kinds of loss that are measured. Their faults start at costLossStart and last
+// costLossDuration.
 var costCases = []struct {
 	name   string
 	script func(rng *rand.Rand) []ScheduledFault
 }{
-	{"the region that does not lead is lost", func(rng *rand.Rand) []ScheduledFault {
+	{"loss of the region that does not lead", func(rng *rand.Rand) []ScheduledFault {
 		return []ScheduledFault{{Kind: "region_loss", Seed: faultSeedForRegion(rng, 1)}}
 	}},
-	{"the leading region is lost, an operator says so", func(rng *rand.Rand) []ScheduledFault {
+	{"loss of the leading region, an operator makes the other lead", func(rng *rand.Rand) []ScheduledFault {
 		return []ScheduledFault{{Kind: "region_loss", Seed: faultSeedForRegion(rng, 0)}}
 	}},
-	{"the regions are cut from each other", func(*rand.Rand) []ScheduledFault { return []ScheduledFault{{Kind: "region_cut"}} }},
-	{"lost at opening time, 1.7 to 2.4 times the load", func(rng *rand.Rand) []ScheduledFault {
+	{"partition between the regions", func(*rand.Rand) []ScheduledFault { return []ScheduledFault{{Kind: "region_cut"}} }},
+	{"loss of the region that does not lead, with a load burst", func(rng *rand.Rand) []ScheduledFault {
 		return []ScheduledFault{{Kind: "region_loss", Seed: faultSeedForRegion(rng, 1)}, {Kind: "burst", Seed: rng.Uint64()}}
 	}},
 }
 
-// faultSeedForRegion draws a strike's seed that hits that region.
+// faultSeedForRegion draws a seed with which a region_loss fault strikes the target region.
 func faultSeedForRegion(rng *rand.Rand, target int) uint64 {
 	for {
 		seed := rng.Uint64()
@@ -80,13 +82,14 @@
 	}
 }
 
-// MeasureRegionLosses plays so many days of each kind in virtual worlds.
+// MeasureRegionLosses runs each kind of loss, and the limits through a partition with moving and with
+// fixed shares, with the given number of seeds each in virtual worlds.
 func MeasureRegionLosses(ctx context.Context, seeds uint64, parallel int, progress io.Writer) (*RegionLossCosts, error) {
 	costs := &RegionLossCosts{}
 	for _, costCase := range costCases {
 		costs.Losses = append(costs.Losses, &RegionLossRow{Name: costCase.name, goodputSum: make([]float64, int(costRunDuration/time.Second))})
 	}
-	for _, label := range []string{"parts that move", "parts fixed for ever"} {
+	for _, label := range []string{"shares that move between regions", "fixed shares"} {
 		costs.Limits = append(costs.Limits, &LimitShareRow{Name: label})
 	}
 	err := runSeeds(len(costs.Losses)+len(costs.Limits), int(seeds), max(parallel, 1), progress, func(row int, seed uint64) (string, func(), error) {
@@ -106,10 +109,12 @@
 	return costs, err
 }
 
+// costScenario returns the scenario without faults on which every measured run is based.
 func costScenario(seed uint64) Scenario {
 	return Scenario{Seed: seed, Hosts: costHosts, Servers: costServers, Commands: int(costRunDuration.Seconds() * costRate), Rate: costRate, Regions: true}
 }
 
+// add adds a run's results to the row.
 func (r *RegionLossRow) add(outcome *Outcome) {
 	r.Runs++
 	if outcome.Failure != nil {
@@ -149,8 +154,9 @@
 	}
 }
 
-// limitScenario asks for far more than limits bear, all day, and cuts the regions from each
-// other. The units of limited volumes that went out from the cut to its end are added up.
+// limitScenario returns a scenario that partitions the regions while the load on limited volumes exceeds
+// their limits throughout. The usage sums the units of first attempts on those volumes during the
+// partition.
 func limitScenario(seed uint64, fixed bool) (Scenario, *limitUsage) {
 	usage := &limitUsage{limited: map[string]bool{}}
 	scenario := costScenario(seed)
@@ -167,7 +173,7 @@
 				}
 			}
 		}
-		for i := range config.Volumes { // the limited ones are most of what is asked for
+		for i := range config.Volumes { // raise the limited volumes' share of the load
 			if volume := &config.Volumes[i]; usage.limited[volume.Name] {
 				volume.Rate = 10 * config.RateOf(volume)
 			}
@@ -182,9 +188,10 @@
 	return scenario, usage
 }
 
+// limitUsage compares the units sent on limited volumes during a partition with their limits.
 type limitUsage struct {
 	limited      map[string]bool
-	allowedUnits float64 // what limits bear in that time, the impossible best
+	allowedUnits float64 // limits times the length of the partition
 	servedUnits  float64
 }
 
@@ -193,10 +200,10 @@
 	r.ServedShares = append(r.ServedShares, usage.servedUnits/usage.allowedUnits)
 }
 
-// Print writes the tables.
+// Print writes both tables in Markdown, then one line for each failed run.
 func (c *RegionLossCosts) Print(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
-	fmt.Fprintln(tw, "| what happens\t| days\t| failed\t| shards taken over\t| s not served: least\t| median\t| 90%\t| most\t| worth lost, s of a calm day: median\t| 90%\t| most\t| goodput 0.9 again after, s: median\t| most\t| never while it lasts\t| writes lost\t|")
+	fmt.Fprintln(tw, "| fault\t| runs\t| failed\t| shards taken over\t| time without service, s: min\t| median\t| p90\t| max\t| worth lost, s of calm load: median\t| p90\t| max\t| time to goodput 0.9, s: median\t| max\t| not recovered during the fault\t| writes lost\t|")
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
 	for _, row := range c.Losses {
 		outages := summaryQuantiles(row.Outages, time.Duration.Seconds)
@@ -209,13 +216,13 @@
 		return err
 	}
 	fmt.Fprintln(w)
-	fmt.Fprintln(tw, "| limits through a cut of 25 s, three times as much asked for\t| days\t| part of the limit served: least\t| median\t| most\t|")
+	fmt.Fprintln(tw, "| limits during a partition of 25 s, under overload\t| runs\t| fraction of the limit served: min\t| median\t| max\t|")
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t|")
 	for _, row := range c.Limits {
 		shares := summaryQuantiles(row.ServedShares, func(x float64) float64 { return x })
 		fmt.Fprintf(tw, "| %s\t| %d\t| %.3f\t| %.3f\t| %.3f\t|\n", row.Name, row.Runs, shares[0], shares[1], shares[3])
 	}
-	fmt.Fprintln(tw, "| the impossible best\t| \t| 1\t| 1\t| 1\t|")
+	fmt.Fprintln(tw, "| upper bound\t| \t| 1\t| 1\t| 1\t|")
 	if err := tw.Flush(); err != nil {
 		return err
 	}
@@ -227,7 +234,8 @@
 	return nil
 }
 
-// summaryQuantiles are the least, the median, the 90th percentile and the most.
+// summaryQuantiles returns the minimum, median, 90th percentile and maximum of the items' values, or
+// zeros if there are none.
 func summaryQuantiles[T any](items []T, value func(T) float64) (summary [4]float64) {
 	if len(items) == 0 {
 		return summary
@@ -244,7 +252,8 @@
 	return summary
 }
 
-// Charts draws goodput over the day and the outages.
+// Charts writes two PNG charts to dir: mean goodput by second of the run, and the distribution of the
+// time without service of shards that were taken over.
 func (c *RegionLossCosts) Charts(dir string) error {
 	if err := os.MkdirAll(dir, 0o777); err != nil {
 		return err
@@ -265,8 +274,8 @@
 			outages = append(outages, outageLine)
 		}
 	}
-	if err := chart.Lines(filepath.Join(dir, "region-goodput.png"), "goodput, a region lost from 20 to 45 s", "s", "part of the worth asked for", goodput...); err != nil {
+	if err := chart.Lines(filepath.Join(dir, "region-goodput.png"), "goodput with a region fault from 20 to 45 s", "s", "fraction of the worth offered", goodput...); err != nil {
 		return err
 	}
-	return chart.Lines(filepath.Join(dir, "region-outages.png"), "time without service of shards taken over", "s", "part of the shards", outages...)
+	return chart.Lines(filepath.Join(dir, "region-outages.png"), "time without service of shards taken over", "s", "fraction of the shards", outages...)
 }
--- a/internal/simulation/lab/regionday.go
+++ b/internal/simulation/lab/regionday.go
@@ -18,7 +18,7 @@
 	"merlinhitch/internal/verify/rules"
 )
 
-// regionFaults are the troubles of a service over two regions.
+// regionFaults maps the kinds of fault of a service over two regions to the functions that inject them.
 var regionFaults = map[string]func(d *dayRun, rng *rand.Rand, duration time.Duration){
 	"region_loss":     regionLoss,
 	"region_loss_two": regionLossTwice,
@@ -34,15 +34,16 @@
 	"moves":           shardMoves,
 }
 
-// RegionFaultKinds lists the kinds of trouble of a service over two regions.
+// RegionFaultKinds returns the sorted kinds of fault of a service over two regions.
 func RegionFaultKinds() []string { return sortedKeys(regionFaults) }
 
-// regionLoss ends a region; it comes back with the inventory that it began the day with.
+// regionLoss takes down a region for the duration; its inventory comes back with its saved state or
+// with that of the start of the run.
 func regionLoss(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	d.fleet.LoseRegion(rng.IntN(2), duration, d.drawStaleInventories(rng))
 }
 
-// regionLossTwice loses a region again while it recovers.
+// regionLossTwice takes down a region again 0.3 to 4 s after it came back.
 func regionLossTwice(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	regionIndex := rng.IntN(2)
 	delay := time.Duration(uniform(rng, 0.3, 4) * float64(time.Second))
@@ -50,7 +51,7 @@
 	d.fleet.afterFunc(duration/3+delay, func() { d.fleet.LoseRegion(regionIndex, duration/3, [2]*standin.InventoryState{}) })
 }
 
-// drawStaleInventories is the inventories' state of long ago, or none.
+// drawStaleInventories returns, with equal odds, the inventory states of the start of the run or none.
 func (d *dayRun) drawStaleInventories(rng *rand.Rand) (states [2]*standin.InventoryState) {
 	if rng.IntN(2) == 0 {
 		states = d.initialInventories
@@ -58,27 +59,29 @@
 	return states
 }
 
+// regionPartition cuts all links between the regions.
 func regionPartition(d *dayRun, _ *rand.Rand, duration time.Duration) {
 	d.degradeRegionLinks(duration, true, true, world.LinkState{Partitioned: true})
 }
 
-// regionPacketLoss drops half of what passes between the regions.
+// regionPacketLoss drops half of the packets between the regions.
 func regionPacketLoss(d *dayRun, _ *rand.Rand, duration time.Duration) {
 	d.degradeRegionLinks(duration, true, true, world.LinkState{Loss: 0.5})
 }
 
+// regionOneWayPartition cuts the links between the regions in one direction.
 func regionOneWayPartition(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	forward := rng.IntN(2) == 0
 	d.degradeRegionLinks(duration, forward, !forward, world.LinkState{Partitioned: true})
 }
 
+// regionDelay adds latency of 5 to 80 ms, and jitter of the same size, between the regions.
 func regionDelay(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	delay := time.Duration(uniform(rng, 5, 80) * float64(time.Millisecond))
 	d.degradeRegionLinks(duration, true, true, world.LinkState{Delay: delay, Jitter: delay})
 }
 
-// regionHostFailures ends every host of the region that leads as the day begins, and one of the
-// other.
+// regionHostFailures kills every host of region 0, the initial leader, and the first of region 1.
 func regionHostFailures(d *dayRun, _ *rand.Rand, duration time.Duration) {
 	otherHit := false
 	for host := range d.fleet.hosts {
@@ -89,7 +92,8 @@
 	}
 }
 
-// degradeRegionLinks changes the ways between the regions for a while.
+// degradeRegionLinks sets the state of the links from region 0 to region 1 (forward) and back (reverse)
+// for the duration.
 func (d *dayRun) degradeRegionLinks(duration time.Duration, forward, reverse bool, degraded world.LinkState) {
 	setLinks := func(state world.LinkState) {
 		if forward {
@@ -103,37 +107,39 @@
 	d.fleet.afterFunc(duration, func() { setLinks(d.fleet.normalRegionLink) })
 }
 
-// inventoryPartition has nobody reach any inventory, nor these each other, while hosts and disk
-// servers of both regions reach each other.
+// inventoryPartition cuts both inventories off from each other and from every host and disk server;
+// hosts and disk servers still reach each other across the regions.
 func inventoryPartition(d *dayRun, _ *rand.Rand, duration time.Duration) {
 	d.fleet.SetInventoryLinks(world.LinkState{Partitioned: true})
 	d.fleet.afterFunc(duration, func() { d.fleet.SetInventoryLinks(d.fleet.normalRegionLink) })
 }
 
-// staleInventory has a region's inventory come back with the state of long ago; all else runs on.
+// staleInventory restarts one region's inventory from the state of the start of the run; everything
+// else keeps running.
 func staleInventory(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	d.fleet.LoseInventory(rng.IntN(2), duration/4, d.initialInventories)
 }
 
-// leaseStall has a host stand still for up to 30 s.
+// leaseStall suspends a host for 1 to 30 s, at most for the duration.
 func leaseStall(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	d.fleet.StallHost(rng.IntN(d.options.Hosts), min(time.Duration(uniform(rng, 1, 30)*float64(time.Second)), duration))
 }
 
-// regionLossAtPeak is a region lost as the morning begins: 1.7 to 2.4 times the usual, for all of
-// the loss and while the region comes back.
+// regionLossAtPeak takes down a region for the first half of a load peak of 1.7 to 2.4 times the usual
+// rate, so that it also recovers under the peak.
 func regionLossAtPeak(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	factor := uniform(rng, 1.7, 2.4)
 	d.changeBehaviour(duration, func(h *ClientBehaviour) { h.RateFactor = factor }, func(h *ClientBehaviour) { h.RateFactor = 0 })
 	d.fleet.LoseRegion(rng.IntN(2), duration/2, d.drawStaleInventories(rng))
 }
 
-// shardMoves has shards moved to and fro by an operator.
+// shardMoves sends four operator commands that move random shards to random regions, spread over the
+// duration.
 func shardMoves(d *dayRun, rng *rand.Rand, duration time.Duration) {
 	for range 4 {
 		shard, destination := rng.IntN(d.fleet.Settings.Shards), rng.IntN(2)
 		d.fleet.afterFunc(time.Duration(rng.Float64()*float64(duration)), func() {
-			for regionIndex := range 2 { // one of them leads
+			for regionIndex := range 2 { // only the leader obeys
 				d.fleet.AskInventory(regionIndex, inventory.Ask{Op: "move", Shard: shard, To: region.ID(destination)})
 			}
 		})
@@ -142,31 +148,33 @@
 
 const (
 	operatorPollInterval = 500 * time.Millisecond
-	// operatorDelay is how long an operator looks before a word that can't be taken back.
+	// operatorDelay is how long a condition must last before the operator acts on it.
 	operatorDelay = 2 * time.Second
-	// maxSilenceBeforeLoss is how long before its loss a region was heard of for its word to count:
-	// less than it takes one to answer alone.
+	// maxSilenceBeforeLoss bounds the time between the last contact with a region and its loss for
+	// which the operator makes the other one lead. It is below the time after which a region serves
+	// alone, so that the lost region cannot have done so.
 	maxSilenceBeforeLoss = 1200 * time.Millisecond
 )
 
-// operator plays the person at a service over two regions until over opens: it says which
-// region leads when the other is lost for certain, and has shards return once every copy
-// has all.
+// operator simulates the human operator of a service over two regions. It makes the surviving region
+// lead when the other is lost, and returns shards to their preferred regions once both have caught up.
 type operator struct {
 	managedFleet  *Fleet
-	lostSince     [2]time.Duration // since when a region is gone; 0: it is not
-	calmSince     time.Duration
-	noGrantSince  time.Duration // since when no inventory grants although both are there
-	CommandCounts map[string]int
-	returnsShards bool // shards are brought back to where they prefer to be
+	lostSince     [2]time.Duration // by region; 0 while the region is up
+	calmSince     time.Duration    // since when shards could be returned; 0: not so
+	noGrantSince  time.Duration    // since when both inventories answer but neither grants leases; 0: not so
+	CommandCounts map[string]int   // by operation
+	returnsShards bool             // whether displaced shards are returned
 }
 
+// run polls the service until finished opens.
 func (o *operator) run(finished *env.Gate) {
 	for env.Sleep(o.managedFleet.Environment, operatorPollInterval, finished) {
 		o.poll()
 	}
 }
 
+// poll reads the record of each region that is up and sends the commands that its state calls for.
 func (o *operator) poll() {
 	now := o.managedFleet.Environment.Now()
 	for regionIndex := range 2 {
@@ -190,7 +198,8 @@
 		reachable++
 		granting = granting || reply.Status.Grants
 		other := 1 - regionIndex
-		// A region that was cut off before it was lost may have answered alone: better wait.
+		// A region that was partitioned before it was lost may have served alone; making the other lead
+		// would then lose acknowledged writes.
 		contactedBeforeLoss := time.Duration(reply.Status.HeardMS*float64(time.Millisecond))-(now-o.lostSince[other]) < maxSilenceBeforeLoss
 		if o.lostSince[other] != 0 && now-o.lostSince[other] > operatorDelay && contactedBeforeLoss && (reply.Record.Leader != region.ID(regionIndex) || !reply.Status.Grants) {
 			o.send(regionIndex, "lead")
@@ -201,8 +210,9 @@
 	}
 }
 
-// handleMissingGrants has a region lead where both are there for long and neither grants: what came back
-// with an old list can't know that there is no newer one.
+// handleMissingGrants makes region 0 lead after both inventories have answered for three operator delays
+// and neither granted leases. Inventories restarted from stale state can't rule out a newer record, so
+// they never resume by themselves.
 func (o *operator) handleMissingGrants(now time.Duration, granting bool, reachable int) {
 	switch {
 	case granting || reachable < 2:
@@ -215,7 +225,8 @@
 	}
 }
 
-// returnShards has shards return after some calm.
+// returnShards returns displaced shards after both regions have been in contact, and no shard has been
+// without a home or served by one region alone, for operatorDelay.
 func (o *operator) returnShards(now time.Duration, regionIndex int, reply *inventory.List) {
 	displaced := false
 	for _, home := range reply.Record.Homes {
@@ -236,18 +247,19 @@
 	}
 }
 
+// send sends a command to a region's inventory and counts it if it was answered.
 func (o *operator) send(regionIndex int, op string) {
 	if _, err := o.managedFleet.AskInventory(regionIndex, inventory.Ask{Op: op}); err == nil {
 		o.CommandCounts[op]++
 	}
 }
 
-// takeoverOutages are the times for which shards of a lost region were not served, of those that
-// were served in the other before theirs came back.
+// takeoverOutages returns, for each shard of a lost region that the other region took over during the
+// loss, the time from the loss until it was first served there.
 func takeoverOutages(result *Result) (durations []time.Duration) {
 	history := result.Checker.HomeHistory()
 	for _, loss := range result.RegionLosses {
-		lastServed := map[int]rules.FirstServed{} // by shard, before the loss
+		lastServed := map[int]rules.FirstServed{} // by shard, up to the loss
 		for _, served := range history {
 			servedAt := time.Duration(served.At) * time.Microsecond
 			if previous, ok := lastServed[served.Shard]; ok && previous.Region == loss.Region && served.Region != loss.Region && servedAt > loss.At && servedAt < loss.RestoredAt {
@@ -261,7 +273,7 @@
 	return durations
 }
 
-// PrintRegions writes what an exploration showed of regions.
+// PrintRegions writes the takeover times, lost writes and operator commands of an exploration.
 func (e *ExploreSummary) PrintRegions(w io.Writer) {
 	slices.Sort(e.Outages)
 	quantile := func(q float64) float64 {
@@ -270,13 +282,13 @@
 		}
 		return e.Outages[int(q*float64(len(e.Outages)-1))].Seconds()
 	}
-	fmt.Fprintf(w, "%d shards of lost regions were taken over: not served for %.1f s at the least, %.1f s in the median, %.1f s at the 90th percentile, %.1f s at the most\n",
+	fmt.Fprintf(w, "%d shards of lost regions were taken over: time without service minimum %.1f s, median %.1f s, 90th percentile %.1f s, maximum %.1f s\n",
 		len(e.Outages), quantile(0), quantile(0.5), quantile(0.9), quantile(1))
-	fmt.Fprintf(w, "%d writes lost that were acknowledged before their copy; operators said lead %d and return %d times\n", e.LostWrites, e.OperatorCommands["lead"], e.OperatorCommands["return"])
+	fmt.Fprintf(w, "%d writes lost that were acknowledged before replication; operator commands: lead %d times, return %d times\n", e.LostWrites, e.OperatorCommands["lead"], e.OperatorCommands["return"])
 }
 
-// EveryRegionFault is a day with each trouble of regions in turn, so long each and with
-// so much calm between them.
+// EveryRegionFault returns a schedule with one fault of each region kind in turn, each lasting each and
+// separated by calm, and the length of the schedule.
 func EveryRegionFault(each, calm time.Duration, seed uint64) (script []ScheduledFault, span time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 23))
 	span = calm / 2
@@ -287,7 +299,7 @@
 	return script, span
 }
 
-// RegionDay plays a day of a service over two regions on loopback.
+// RegionDay runs a service over two regions with scheduled faults on loopback.
 func RegionDay(ctx context.Context, options Options) (*Result, error) {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
@@ -301,7 +313,7 @@
 	return runDay(ctx, environment, loopbackTestbed{environment, links}, options.Settings, options)
 }
 
-// PrintRegions writes what a day of two regions showed of them.
+// PrintRegions writes the takeover times, lost writes, operator commands and repeated effects of a run.
 func (r *Result) PrintRegions(w io.Writer) {
 	summary := &ExploreSummary{Outages: takeoverOutages(r), LostWrites: r.LostWrites, OperatorCommands: r.OperatorCommands}
 	summary.PrintRegions(w)
@@ -311,5 +323,5 @@
 			writes += row.Issued
 		}
 	}
-	fmt.Fprintf(w, "%d keyed writes asked for, %d took effect more than once at the disk servers of both regions\n", writes, r.RepeatedEffects)
+	fmt.Fprintf(w, "%d keyed writes issued, %d took effect more than once at the disk servers of both regions\n", writes, r.RepeatedEffects)
 }
--- a/internal/simulation/lab/regions.go
+++ b/internal/simulation/lab/regions.go
@@ -18,13 +18,13 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// regionClockDrift is the bound on clocks in the lab's services over two regions: far more than
-// clocks of machines are off, so that what forgets it is found.
+// regionClockDrift is the clock drift bound of services over two regions, as a fraction of elapsed
+// time. It is far above the drift of real machines, so that code that ignores it fails visibly.
 const regionClockDrift = 0.05
 
-// RegionSettings is a service over two regions: hosts and shards alternate between them,
-// each volume comes through hosts of both and lies on shards of one, and writes are
-// acknowledged after their copy but in the plan basico.
+// RegionSettings returns the settings of a service over two regions. Hosts and shards alternate
+// between the regions; each volume is exported by consecutive hosts and laid out on shards that
+// prefer the same region. Writes are acknowledged after replication, in the plan basico before it.
 func RegionSettings(hosts, shards int) *settings.Settings {
 	config := SmallBlocks(settings.Example(hosts, shards))
 	config.Regions = &settings.Regions{LeaseTime: 3000, PeerTimeout: 1500, Drift: regionClockDrift}
@@ -49,10 +49,9 @@
 	return config
 }
 
-// preferredRegion is the region that a shard prefers.
 func preferredRegion(shard int) region.ID { return region.ID(shard % 2) }
 
-// regionOf is the region of a host.
+// regionOf returns the region of a host, 0 in a service without regions.
 func (f *Fleet) regionOf(host int) int {
 	if f.Settings.Regions == nil {
 		return 0
@@ -60,7 +59,8 @@
 	return f.Settings.Regions.Hosts[host]
 }
 
-// initialRecord is that of a new service: region 0 leads, limits are split by the hosts.
+// initialRecord returns the region record of a new service: region 0 leads, each shard is at its
+// preferred region, and limits are split in proportion to the hosts of each region.
 func initialRecord(config *settings.Settings) region.Record {
 	var homes []region.ID
 	for i := range config.Shards {
@@ -77,7 +77,7 @@
 	return region.Begin(0, homes, split)
 }
 
-// name is that of the inventory's program, without the number of its start.
+// name returns the inventory's stable process name, without the number of its start.
 func (p *inventoryProcess) name() string {
 	if p.saved == nil {
 		return "inventory"
@@ -85,7 +85,7 @@
 	return fmt.Sprintf("inventory-%d", p.region)
 }
 
-// startInventories starts the inventory, or both.
+// startInventories starts the inventory, or one inventory for each of two regions.
 func (f *Fleet) startInventories() error {
 	if f.Settings.Regions == nil {
 		proc := &inventoryProcess{}
@@ -109,11 +109,12 @@
 	return nil
 }
 
-// startInventory starts a region's inventory with what was saved.
+// startInventory starts a region's inventory from its saved state and points the relays of the
+// region's hosts at it.
 func (f *Fleet) startInventory(proc *inventoryProcess) error {
 	proc.starts++
 	proc.process = f.testbed.startProcess(fmt.Sprintf("%s#%d", proc.name(), proc.starts))
-	// One clock runs fast and one slow, by what the bound leaves.
+	// Region 0's clock runs fast and region 1's slow, each by 90% of the drift bound.
 	f.testbed.setClockRate(proc.process, 1+(0.9-1.8*float64(proc.region))*f.Settings.Regions.Drift)
 	other := f.inventories[1-proc.region]
 	regionConfig := f.Settings.Regions.Config()
@@ -122,7 +123,7 @@
 		return standin.ServeRegion(proc.process, addr, inventoryDelay, regionConfig, region.ID(proc.region), uint64(proc.starts), proc.saved, func() string { return loadAddr(&other.addr) })
 	}
 	started, err := serve(cmp.Or(loadAddr(&proc.addr), "127.0.0.1:0"))
-	if err != nil { // somebody else has the port that it had
+	if err != nil { // the former port has been taken
 		started, err = serve("127.0.0.1:0")
 	}
 	if err != nil {
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// loadAddr is an address that may not be there yet.
+// loadAddr returns the stored address, or "" if none has been stored yet.
 func loadAddr(pointer interface{ Load() *string }) string {
 	if addr := pointer.Load(); addr != nil {
 		return *addr
@@ -146,7 +147,8 @@
 	return ""
 }
 
-// setInventoryAndPeer gives a disk server its inventory and its peer.
+// setInventoryAndPeer sets the addresses at which a disk server finds its region's inventory and the
+// server of the same shard in the other region. Without regions it does nothing.
 func (f *Fleet) setInventoryAndPeer(disk *diskProcess, server *standin.DiskServer) {
 	if f.Settings.Regions == nil {
 		return
@@ -157,9 +159,11 @@
 	server.Peer = func() string { return loadAddr(&peer.serverAddr) }
 }
 
+// effectKey identifies a request across attempts and regions.
 type effectKey struct{ host, seq uint64 }
 
-// recordEffect counts what takes recordEffect at disk servers of either region.
+// recordEffect records that a request took effect at a disk server, and counts requests that took
+// effect more than once over both regions. Requests that are safe to repeat are not recorded.
 func (f *Fleet) recordEffect(request *diskproto.Do) {
 	if request.Effect == diskproto.Safe {
 		return
@@ -173,8 +177,9 @@
 	f.effects[key] = true
 }
 
-// LoseRegion ends everything in a region at once, and starts it again after down, with
-// the inventory that was put by, if any.
+// LoseRegion kills a region's inventory and hosts and powers off its disk servers at once. They start
+// again after the outage; the inventory starts from its stale state if staleStates has one. Nothing
+// happens if the region's inventory is already down.
 func (f *Fleet) LoseRegion(regionIndex int, outage time.Duration, staleStates [2]*standin.InventoryState) {
 	if !f.LoseInventory(regionIndex, outage, staleStates) {
 		return
@@ -195,14 +200,15 @@
 	}
 }
 
-// RegionLoss is the time for which a region was lost.
+// RegionLoss is one loss of a region, with the times of its start and end since the run's clock began.
 type RegionLoss struct {
 	Region         int
 	At, RestoredAt time.Duration
 }
 
-// LoseInventory ends a region's inventory, and starts it again after down, with what was
-// put by, if anything; false if it is down.
+// LoseInventory kills a region's inventory and starts it again after the outage, from its stale state
+// if staleStates has one, else from the state that it had saved. It reports false if the inventory is
+// already down.
 func (f *Fleet) LoseInventory(regionIndex int, outage time.Duration, staleStates [2]*standin.InventoryState) bool {
 	f.mu.Lock()
 	proc := f.inventories[regionIndex]
@@ -226,7 +232,7 @@
 			f.log.Error("inventory does not start", zap.Error(err))
 			return
 		}
-		for _, disk := range f.disks { // those that are up all the same
+		for _, disk := range f.disks { // disk servers that kept running are listed again
 			if disk.region == regionIndex && disk.server != nil {
 				f.changeInventory(regionIndex, true, disk.inventoryEntry())
 			}
@@ -235,14 +241,14 @@
 	return true
 }
 
-// RegionDown tells whether a region is lost as a whole.
+// RegionDown reports whether a whole region is lost.
 func (f *Fleet) RegionDown(regionIndex int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.regionDown[regionIndex]
 }
 
-// InventoryStates is a copy of what the inventories have now.
+// InventoryStates returns copies of the states of the inventories that are running, by region.
 func (f *Fleet) InventoryStates() (states [2]*standin.InventoryState) {
 	for regionIndex, proc := range f.inventories {
 		if proc.server != nil && proc.saved != nil {
@@ -252,7 +258,7 @@
 	return states
 }
 
-// regionPrograms names the regionPrograms of a region, without its clients.
+// regionPrograms returns the process names of a region's inventory, hosts and disk servers.
 func (f *Fleet) regionPrograms(regionIndex int) (names []string) {
 	names = append(names, f.inventories[regionIndex].name())
 	for i := range f.hosts {
@@ -268,7 +274,7 @@
 	return names
 }
 
-// SetCrossRegionLinks gives the ways from programs of one region to those of the other a state.
+// SetCrossRegionLinks sets the state of every link from processes of one region to those of the other.
 func (f *Fleet) SetCrossRegionLinks(from int, state world.LinkState) {
 	for _, source := range f.regionPrograms(from) {
 		for _, destination := range f.regionPrograms(1 - from) {
@@ -277,7 +283,7 @@
 	}
 }
 
-// SetInventoryLinks gives the ways from and to the inventories a state.
+// SetInventoryLinks sets the state of every link to and from the inventories.
 func (f *Fleet) SetInventoryLinks(state world.LinkState) {
 	programs := append(f.regionPrograms(0), f.regionPrograms(1)...)
 	for regionIndex := range 2 {
@@ -291,8 +297,9 @@
 	}
 }
 
-// preferLocalPaths has clients try the hosts of the region that their volume prefers first, and
-// others while those do not serve, as multipath does.
+// preferLocalPaths makes clients choose paths as multipath does: hosts in the preferred region of the
+// volume's first shard come first, and paths with repeated failures are avoided for a while. It also
+// marks the volumes whose writes are acknowledged before replication.
 func (c *Clients) preferLocalPaths() {
 	for volume, volumePaths := range c.paths {
 		preferred := int(preferredRegion(c.fleet.Settings.Volumes[volume].Layout[0]))
@@ -327,11 +334,12 @@
 }
 
 const (
-	maxPathFailures = 3
+	maxPathFailures = 3 // consecutive
 	pathAvoidTime   = time.Second
 )
 
-// recordResult notes how a command fared on the lane.
+// recordResult counts consecutive failures on the path; at maxPathFailures the path is avoided for
+// pathAvoidTime.
 func (path *clientPath) recordResult(now time.Duration, served bool) {
 	path.mu.Lock()
 	defer path.mu.Unlock()
@@ -342,21 +350,21 @@
 	}
 }
 
-// usable tells whether the lane is one to try now.
+// usable reports whether the path is not being avoided.
 func (path *clientPath) usable(now time.Duration) bool {
 	path.mu.Lock()
 	defer path.mu.Unlock()
 	return now >= path.avoidUntil
 }
 
-// AskInventory asks a region's inventory for something, as an operator would.
+// AskInventory sends a request to a region's inventory, as an operator would, and waits up to 1 s.
 func (f *Fleet) AskInventory(regionIndex int, request inventory.Ask) (inventory.List, error) {
 	caller := inventory.NewCaller(f.Environment, func() string { return loadAddr(&f.inventories[regionIndex].addr) })
 	defer caller.Close()
 	return caller.Ask(request, time.Second)
 }
 
-// StallHost has a host stand still and wake inside the lease that it had.
+// StallHost suspends a host for the given time: in a virtual world its process, on loopback its gateway.
 func (f *Fleet) StallHost(index int, stall time.Duration) {
 	f.mu.Lock()
 	host := f.hosts[index]
