--- a/internal/simulation/lab/changes.go
+++ b/internal/simulation/lab/changes.go
@@ -19,36 +19,36 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// SettingsChangeResult is what came of a day on which operators change the settings all the time.
+// SettingsChangeResult is the result of a run during which operators change the settings.
 type SettingsChangeResult struct {
 	*Result
 	Versions                  *rules.VersionChecker
 	Requested                 int
 	Accepted, Merged, Refused int
-	Unknown                   int      // calls whose answer was lost
-	Records                   int      // in the hosts' records
-	RecordFaults              []string // of the records
+	Unknown                   int      // calls without a response
+	Records                   int      // in the hosts' audit records
+	RecordFaults              []string // inconsistencies in the audit records
 	trail                     []trail.Event
 	meta                      *trail.Meta
 	applied                   map[string][]rules.AppliedSettings
 }
 
-// OK tells whether all was kept.
+// OK reports whether all checks passed.
 func (r *SettingsChangeResult) OK() bool {
 	return r.Result.OK() && r.Versions.ViolationCount == 0 && len(r.RecordFaults) == 0
 }
 
-// settingsChange is one call of an operator.
+// settingsChange is one call of an operator. Times are in microseconds.
 type settingsChange struct {
 	host                    string
 	reason                  string
-	version                 uint64 // 0: refused
+	version                 uint64 // 0: refused or unknown
 	requestedAt, answeredAt int64
 	unknown                 bool
 	merged                  bool
 }
 
-// changeOperators is the operators of a day.
+// changeOperators runs the operators of a run and holds the changes that they made.
 type changeOperators struct {
 	fleet       *Fleet
 	changesEach int
@@ -58,8 +58,8 @@
 	operators   env.WaitGroup
 }
 
-// RunSettingsChanges plays a bad day while operators change what hosts are told: each has so many
-// changes for hosts drawn anew, all at once, and merges where it may.
+// RunSettingsChanges runs BadDay while operators change the settings concurrently. Each makes an
+// equal part of the changes, each on a random host, half of them with Merge set.
 func RunSettingsChanges(ctx context.Context, options Options, operators, changes int) (*SettingsChangeResult, error) {
 	dir, err := os.MkdirTemp("", "records-")
 	if err != nil {
@@ -88,7 +88,7 @@
 	return load.check(dir, result, meta, events)
 }
 
-// runOperator is one operator's day.
+// runOperator makes the changes of one operator.
 func (ch *changeOperators) runOperator(ctx context.Context, operator int, rng *rand.Rand) {
 	for number := range ch.changesEach {
 		env.SleepContext(ctx, ch.fleet.Environment, time.Duration(float64(ch.meanPause)*(0.5+rng.Float64())))
@@ -107,10 +107,10 @@
 func (ch *changeOperators) changeOnce(ctx context.Context, host string, api *settings.API, reason string, rng *rand.Rand) {
 	proposed, err := api.Get(ctx)
 	if err != nil {
-		return // the host was ended in between
+		return // the host was stopped in between
 	}
 	ch.mutate(proposed, rng)
-	env.SleepContext(ctx, ch.fleet.Environment, time.Duration(float64(2*ch.meanPause)*rng.Float64())) // meanwhile others change things
+	env.SleepContext(ctx, ch.fleet.Environment, time.Duration(float64(2*ch.meanPause)*rng.Float64())) // lets other operators change the settings in between
 	change := settingsChange{host: trail.HostName(host), reason: reason, requestedAt: ch.now()}
 	applied, err := api.Put(ctx, proposed, settings.ChangeOptions{Why: reason, Who: "operator", Merge: rng.IntN(2) == 0})
 	change.answeredAt = ch.now()
@@ -130,9 +130,8 @@
 
 func (ch *changeOperators) now() int64 { return int64(ch.fleet.Environment.Now() / time.Microsecond) }
 
-// mutate draws a change. None goes beyond the settings of the day's beginning, by which
-// the rules are checked: deadlines, limits and attempts only shrink from there and grow
-// back to it.
+// mutate applies one to three random changes. Deadlines, limits and attempts never exceed the
+// initial settings, by which the rules are checked.
 func (ch *changeOperators) mutate(proposed *settings.Settings, rng *rand.Rand) {
 	initial := ch.fleet.Settings
 	for range 1 + rng.IntN(3) {
@@ -165,7 +164,7 @@
 	}
 }
 
-// check reads the hosts' records again and holds the trail to them.
+// check reads the hosts' audit records and checks the trail against them.
 func (ch *changeOperators) check(dir string, result *Result, meta *trail.Meta, events []trail.Event) (*SettingsChangeResult, error) {
 	checked := &SettingsChangeResult{Result: result, Requested: len(ch.changes), trail: events, meta: meta, applied: map[string][]rules.AppliedSettings{}}
 	changesByHost := map[string]map[string]settingsChange{}
@@ -196,8 +195,8 @@
 	return checked, nil
 }
 
-// checkRecord holds a host's checkRecord to what its operators were answered, and takes from it
-// which version was in force when.
+// checkRecord compares a host's audit records with the responses to its operators, and collects
+// from them the versions that the host applied.
 func (r *SettingsChangeResult) checkRecord(dir, name string, changes map[string]settingsChange) error {
 	store, err := settings.Open(filepath.Join(dir, name), nil)
 	if err != nil {
@@ -224,11 +223,11 @@
 				change, known := changes[record.Why]
 				switch {
 				case !known:
-					r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: record %d (%s) was never asked for", name, record.Seq, record.Why))
+					r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: record %d (%s) matches no requested change", name, record.Seq, record.Why))
 				case seen[record.Why]:
-					r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: change %s stands twice", name, record.Why))
+					r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: change %s is recorded twice", name, record.Why))
 				case change.version != record.Version && !change.unknown:
-					r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: change %s is version %d in the record and was answered %d", name, record.Why, record.Version, change.version))
+					r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: change %s has version %d in the record, %d in the response", name, record.Why, record.Version, change.version))
 				}
 				seen[record.Why] = true
 				version.RequestedAt, version.AppliedBy = change.requestedAt, change.answeredAt
@@ -238,13 +237,13 @@
 	}
 	for reason, change := range changes {
 		if change.version != 0 && !seen[reason] {
-			r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: change %s was accepted and is not in the record", name, reason))
+			r.RecordFaults = append(r.RecordFaults, fmt.Sprintf("%s: accepted change %s is missing from the record", name, reason))
 		}
 	}
 	return err
 }
 
-// Print writes what came of the day.
+// Print writes the counts of the run and the first violations.
 func (r *SettingsChangeResult) Print(w io.Writer) {
 	r.Checker.Print(w)
 	fmt.Fprintf(w, "%d changes asked for: %d accepted (%d of them merged), %d refused, %d without an answer; %d records at the hosts, %d faults\n",
--- a/internal/simulation/lab/counters.go
+++ b/internal/simulation/lab/counters.go
@@ -15,36 +15,36 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// nodeKey is a disk server's address as one start of a host knows it.
+// nodeKey identifies a disk server by its address, and the start of a host that counts for it.
 type nodeKey struct{ host, node string }
 
-// attemptCounters are what hosts' /metrics say of their attempts, by result.
+// attemptCounters holds the attempt counters of hosts' /metrics, by disk server and result.
 type attemptCounters struct {
 	attempts map[nodeKey]map[string]float64
 }
 
-// CounterCheck is what came of holding counters to the trail of the sockets.
+// CounterCheck is the result of comparing the attempt counters of hosts with the trail.
 type CounterCheck struct {
 	*Result
 	Hosts, Nodes int
-	ExactNodes   int // of the nodes: the trail knows each figure
+	ExactNodes   int // nodes without unanswered attempts, whose counters must equal the trail
 	Attempts     float64
 	Mismatches   []string
 	reported     attemptCounters
 	observed     map[nodeKey]*nodeTraffic
 }
 
-// OK tells whether no counter was wrong and all else was kept.
+// OK reports whether the run passed its checks and no counter differs from the trail.
 func (c *CounterCheck) OK() bool { return c.Result.OK() && len(c.Mismatches) == 0 }
 
-// nodeTraffic is what the trail has of a node.
+// nodeTraffic counts the frames of a node in the trail.
 type nodeTraffic struct {
 	sent    float64
 	answers map[string]float64
 }
 
-// CheckCounters plays a bad day and holds the counters of the hosts that are up at its end to
-// what passed on their sockets.
+// CheckCounters runs BadDay and compares the counters of the hosts that run at its end with the
+// frames on their sockets.
 func CheckCounters(ctx context.Context, options Options) (*CounterCheck, error) {
 	check := &CounterCheck{reported: attemptCounters{map[nodeKey]map[string]float64{}}, observed: map[nodeKey]*nodeTraffic{}}
 	var fetchErr error
@@ -72,7 +72,7 @@
 	return check, nil
 }
 
-// fetch parses a host's /metrics with a parser that the project did not write.
+// fetch reads a host's /metrics with the Prometheus parser, which is independent of the encoder.
 func (c *attemptCounters) fetch(ctx context.Context, host, addr string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/metrics", nil)
 	if err != nil {
@@ -112,14 +112,14 @@
 	return ""
 }
 
-// answerResults are the results of answers as the counters name them.
+// answerResults maps the results of answers to the labels of the counters.
 var answerResults = map[diskproto.Result]string{
 	diskproto.OK: "served", diskproto.Miscompare: "served", diskproto.Fenced: "served", diskproto.Failed: "server_error",
 	diskproto.Full: "turned_away", diskproto.Draining: "turned_away", diskproto.Expired: "turned_away",
 	diskproto.WrongShard: "not_sent", diskproto.Stale: "not_sent",
 }
 
-// countEvents counts what passed, on its own.
+// countEvents counts the Do and Answer frames of the trail, independently of the hosts' counters.
 func (c *CounterCheck) countEvents(events []trail.Event) {
 	for i := range events {
 		event := &events[i]
@@ -140,9 +140,9 @@
 	}
 }
 
-// compare holds each counter to the trail. An attempt that the host gave up, or whose
-// connection it lost, may have passed or not, and its answer too: by so many a figure may
-// differ. Where there are none it must be the same.
+// compare returns the counters that differ from the trail. For an attempt that the host cancelled
+// or timed out, or whose connection was lost, the trail may or may not have the Do frame and the
+// answer, so counters may differ by the number of such attempts. Without them they must be equal.
 func (c *CounterCheck) compare() (mismatches []string) {
 	for key, counts := range c.reported.attempts {
 		traffic := c.observed[key]
@@ -157,18 +157,18 @@
 			c.ExactNodes++
 		}
 		if traffic.sent < answered || traffic.sent > answered+unanswered+traffic.answers["not_sent"] {
-			mismatches = append(mismatches, fmt.Sprintf("%s to %s: %v attempts counted with an answer and %v without, %v passed", key.host, key.node, answered, unanswered, traffic.sent))
+			mismatches = append(mismatches, fmt.Sprintf("%s to %s: %v attempts counted with an answer and %v without, %v sent in the trail", key.host, key.node, answered, unanswered, traffic.sent))
 		}
 		for _, result := range []string{"served", "server_error", "turned_away"} {
 			if seen := traffic.answers[result]; counts[result] > seen || counts[result] < seen-unanswered {
-				mismatches = append(mismatches, fmt.Sprintf("%s to %s: %v counted as %s, %v such answers passed, %v may have come too late", key.host, key.node, counts[result], result, seen, unanswered))
+				mismatches = append(mismatches, fmt.Sprintf("%s to %s: %v counted as %s, %v such answers in the trail, of which %v may have arrived too late", key.host, key.node, counts[result], result, seen, unanswered))
 			}
 		}
 	}
 	return mismatches
 }
 
-// Print writes what was compared.
+// Print writes the counts of what was compared and the first mismatches.
 func (c *CounterCheck) Print(w io.Writer) {
 	c.Checker.Print(w)
 	fmt.Fprintf(w, "%d hosts, %d nodes as they know them, %v attempts counted; at %d nodes every figure is known from the trail; %d figures wrong\n",
--- a/internal/simulation/lab/layouts.go
+++ b/internal/simulation/lab/layouts.go
@@ -16,26 +16,27 @@
 	"merlinhitch/internal/fleet/rollout"
 )
 
-// LayoutStrategies names the ways of laying volumes out that are compared.
+// LayoutStrategies names the placement strategies that CompareLayouts compares.
 var LayoutStrategies = []string{"solver", "round robin", "by name", "largest first"}
 
-// BusyTroubles are the troubles of a busy day: more is asked for, and unevenly.
+// BusyTroubles are the fault kinds that raise the load and make it uneven.
 var BusyTroubles = []string{"burst", "hot_key", "tenant_burst"}
 
-// meanCommandUnits is what a command of the crowd counts in the mean, retries aside.
+// meanCommandUnits is the mean number of units of a client's command, without retries.
 const meanCommandUnits = 2.2
 
-// writeWorkFactor is the work of the crowd's units against that of reads alone.
+// writeWorkFactor is the work of the clients' mix of reads and writes, relative to reads only.
 const writeWorkFactor = 1.2
 
-// BusySettings is a service whose nodes differ threefold in each hall and whose volumes differ
-// thirtyfold, asked for so many commands a second in the mean.
+// BusySettings returns settings whose nodes differ up to threefold in capacity within each hall
+// and whose volumes differ up to thirtyfold in rate, with a total rate of that many commands per
+// second.
 func BusySettings(hosts, servers int, rate float64, seed uint64) *settings.Settings {
 	busy := settings.Example(hosts, servers)
 	rng := rand.New(rand.NewPCG(seed, 11))
 	busy.Placement.Parts = 8
 	unitWork := DefaultMachine(busy).UnitWork
-	for hall := range Halls { // each has as much, unevenly within
+	for hall := range Halls { // one draw per hall, so that nodes differ within a hall but halls hardly differ
 		coreOrder := rng.Perm(3)
 		for k, i := 0, hall; i < servers; k, i = k+1, i+len(Halls) {
 			busy.Nodes[i].Capacity = float64(1+coreOrder[k%3]) * 1000 / unitWork / writeWorkFactor
@@ -46,7 +47,7 @@
 		volume := &busy.Volumes[i]
 		skew := rng.Float64()
 		volume.Rate, volume.Layout, volume.MaxNodes = busy.RateOf(volume)*(0.2+5.8*skew*skew*skew), []int{i % servers}, 2+i%3
-		volume.WriteFraction = 0 // copies here are only read, once their hall is lost
+		volume.WriteFraction = 0 // copies only serve reads, after the loss of their hall
 		total += volume.Rate
 	}
 	for i := range busy.Volumes {
@@ -55,7 +56,7 @@
 	return busy
 }
 
-// withLayout returns the settings with one of Layouts in force.
+// withLayout returns the settings with the layout of one of LayoutStrategies.
 func withLayout(current *settings.Settings, name string) (*settings.Settings, error) {
 	layoutPlan, err := plan.From(current, plan.Options{})
 	if err != nil {
@@ -69,6 +70,7 @@
 	return layoutPlan.WithLayout(layout)
 }
 
+// computeLayout returns the layout of one of LayoutStrategies; any other name stands for the solver.
 func computeLayout(problem *placement.Problem, name string) (placement.Layout, error) {
 	switch name {
 	case "round robin":
@@ -85,21 +87,20 @@
 	return solution.Layout, nil
 }
 
-// layoutScenario is what happens to the layout in a day.
+// layoutScenario is what happens to the layout during a run.
 type layoutScenario int
 
 const (
 	layoutStatic layoutScenario = iota
 	layoutHallLost
-	layoutRollout // from round robin to the solver's, step by step
+	layoutRollout // from the initial layout to the solver's, step by step
 )
 
-// failoverDelay is how long after a hall is lost its copies are served from: what a
-// watchful tool needs to see it.
+// failoverDelay is the time from the loss of a hall until its volumes fail over to their copies.
 const failoverDelay = time.Second
 
-// scheduleHallLoss ends every disk server of a hall a third into the day, until its end, and
-// then has the other halls serve what they have copies of.
+// scheduleHallLoss stops every disk server of one hall for the last two thirds of the run and,
+// failoverDelay after the loss, fails the volumes over to their copies in other halls.
 func scheduleHallLoss(run *dayRun, duration time.Duration) {
 	fleet := run.fleet
 	hall := Halls[run.options.Seed%uint64(len(Halls))]
@@ -116,8 +117,9 @@
 	})
 }
 
-// scheduleSolverLayout takes the layout in force to the solver's, from a quarter of the day on
-// and as far as the day lasts. It is worked out before the day begins.
+// scheduleSolverLayout computes the steps from the current to the solver's layout at once, and
+// applies them from a quarter of the run on until they are done or two thirds of the run's
+// duration have passed since.
 func scheduleSolverLayout(run *dayRun, duration time.Duration) {
 	fleet := run.fleet
 	layoutPlan, steps, err := solverSteps(fleet.CurrentSettings())
@@ -125,12 +127,12 @@
 		run.recordError(err)
 		return
 	}
-	preview, err := plan.From(fleet.CurrentSettings(), plan.Options{}) // With moves a plan, and pl is still to be applied
+	preview, err := plan.From(fleet.CurrentSettings(), plan.Options{}) // a second plan: ApplyStep changes its plan, and layoutPlan is applied later
 	if err != nil {
 		run.recordError(err)
 		return
 	}
-	for _, step := range steps { // a host may have any of them when the day ends
+	for _, step := range steps { // the run may end after any step
 		possible, err := preview.ApplyStep(step)
 		if err != nil {
 			run.recordError(err)
@@ -158,8 +160,8 @@
 	})
 }
 
-// solverSteps are the way from the layout in force to the solver's, as far as there is
-// one.
+// solverSteps returns the steps from the current to the solver's layout, or those up to the point
+// where no further step is possible.
 func solverSteps(current *settings.Settings) (*plan.Plan, []placement.Step, error) {
 	layoutPlan, err := plan.From(current, plan.Options{})
 	if err != nil {
@@ -177,7 +179,7 @@
 	return layoutPlan, steps, err
 }
 
-// recordError keeps the first error of what is done beside the script.
+// recordError keeps the first error of operations that run alongside the scheduled faults.
 func (d *dayRun) recordError(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -192,14 +194,15 @@
 	}
 }
 
-// CurrentSettings is the settings that hosts start with now.
+// CurrentSettings returns the settings with which hosts start from now on.
 func (f *Fleet) CurrentSettings() *settings.Settings {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.currentSettings
 }
 
-// setCurrentSettings notes new layouts, for hosts that start from now on and for the trail.
+// setCurrentSettings sets the settings with which hosts start, and adds their layouts to the metadata
+// of the trail.
 func (f *Fleet) setCurrentSettings(current *settings.Settings) {
 	f.addPossibleLayouts(current)
 	f.mu.Lock()
@@ -207,7 +210,7 @@
 	f.currentSettings = current
 }
 
-// addPossibleLayouts tells the trail's reader of layouts that hosts may have.
+// addPossibleLayouts adds layouts that hosts may have to the metadata of the trail.
 func (f *Fleet) addPossibleLayouts(possible *settings.Settings) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -223,7 +226,7 @@
 	}
 }
 
-// putSettingsOnAllHosts hands settings to every host that is up.
+// putSettingsOnAllHosts puts settings on every running host, and on hosts that start later.
 func (f *Fleet) putSettingsOnAllHosts(target *settings.Settings) error {
 	hosts := f.AdminAPIs()
 	defer closeAPIs(hosts)
@@ -244,19 +247,19 @@
 	return nil
 }
 
-// LayoutRow is one layout over its seeds.
+// LayoutRow summarizes the runs of one scenario with one layout.
 type LayoutRow struct {
 	Layout, Scenario                string
 	Runs, Broken                    int
-	Goodput, WorstPlan, WorstWindow []float64 // of a day, of its worst plan, of its worst 10 s
+	Goodput, WorstPlan, WorstWindow []float64 // one value per run: total, of the worst plan, of the worst 10 s
 	Refused, Failed, Issued         int
 	Steps                           int
 	FirstFailure                    string
 }
 
-// CompareLayouts plays the busy day over seeds 1 to n with each layout, with a hall lost
-// too, and with the solver's layout applied in the midst; then a calm day at half the
-// rate with and without the change, where any refusal would be the change's own.
+// CompareLayouts runs each scenario with the seeds 1 to n: high load with each layout, the same
+// with the loss of a hall, high load during a change to the solver's layout, and half the rate
+// without faults, with and without that change, where any refusal is caused by the change.
 func CompareLayouts(ctx context.Context, options Options, seeds, parallel int, progress io.Writer) ([]LayoutRow, error) {
 	type variant struct {
 		layout, scenario string
@@ -322,7 +325,7 @@
 	}
 }
 
-// PrintLayouts writes the rows as a table that is also Markdown.
+// PrintLayouts writes the rows as a Markdown table, and the first failure of each row.
 func PrintLayouts(w io.Writer, rows []LayoutRow) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| day\t| layout\t| days\t| broken\t| goodput least\t| median\t| worst plan least\t| median\t| worst 10 s least\t| median\t| refused\t| failed\t| of\t| steps\t|")
@@ -349,7 +352,7 @@
 	return nil
 }
 
-// RunLayoutRollout is one busy day in the midst of which the solver's layout is applied.
+// RunLayoutRollout makes one run under high load during which the solver's layout is applied.
 func RunLayoutRollout(ctx context.Context, options Options) (*LayoutRow, error) {
 	options.SharedStores, options.FaultKinds = true, BusyTroubles
 	result, steps, err := runLayoutScenario(ctx, options, options.Rate, "round robin", layoutRollout)
--- a/internal/simulation/lab/losses.go
+++ b/internal/simulation/lab/losses.go
@@ -20,21 +20,20 @@
 	"merlinhitch/internal/simulation/standin"
 )
 
-// LossKinds are the ways in which a gateway loses the ability to serve.
+// LossKinds names the failures after which a gateway cannot serve some or all of its volumes.
 var LossKinds = []string{"all nodes", "a volume's nodes", "core hung", "process killed", "list lost past its bound"}
 
-// LossRow is one kind of loss over many.
+// LossRow summarizes the injected losses of one kind.
 type LossRow struct {
 	Kind               string
-	Delays             *hdrhistogram.Histogram // from the loss to the router's log, us
-	OverSecond         int                     // over a second
-	WrongAnnouncements int                     // announcements while unable to serve
-	NotSeen            int                     // not seen within ten seconds
+	Delays             *hdrhistogram.Histogram // from the loss to the route change at the router, microseconds
+	OverSecond         int                     // delays over 1 s
+	WrongAnnouncements int                     // announcements of prefixes that could not be served
+	NotSeen            int                     // losses without a route change within lossTimeout
 }
 
-// MeasureLosses injects so many losses of each kind into gateways that all announce to one
-// router, several gateways at once, and times on the router's sockets how long what it
-// was told went on leading there.
+// MeasureLosses injects perKind losses of each kind into several gateways that announce to one
+// router, and measures the time until the router receives the change of the routes.
 func MeasureLosses(ctx context.Context, perKind, gateways int, progress io.Writer) ([]LossRow, error) {
 	rig, err := newLossRig()
 	if err != nil {
@@ -86,7 +85,7 @@
 }
 
 const (
-	maxRecordedMicros = 60_000_000
+	maxRecordedMicros = 60_000_000 // largest value of the histograms
 	lossTimeout       = 10 * time.Second
 )
 
@@ -101,14 +100,14 @@
 		r.NotSeen++
 		return
 	}
-	r.Delays.RecordValue(max(result.delay.Microseconds(), 1)) // within range: lossWait is
+	r.Delays.RecordValue(max(result.delay.Microseconds(), 1)) // cannot fail: lossTimeout is within the range
 	if result.delay > time.Second {
 		r.OverSecond++
 	}
 	r.WrongAnnouncements += result.wrongAnnouncements
 }
 
-// lossRig is what the gateways share.
+// lossRig holds the inventory, disk servers and router that the gateways share.
 type lossRig struct {
 	environment env.Environment
 	inventory   *standin.Inventory
@@ -158,7 +157,7 @@
 	r.inventory.Close()
 }
 
-// awaitChange waits until the log, from an entry on, has what is asked for.
+// awaitChange waits for a route change that match accepts, among those from an index on.
 func (r *lossRig) awaitChange(from int, timeout time.Duration, match func(standin.RouteChange) bool) (standin.RouteChange, bool) {
 	deadline := r.environment.Now() + timeout
 	timer := r.environment.AfterFunc(timeout, r.wake.Broadcast)
@@ -184,14 +183,14 @@
 	return len(r.changes)
 }
 
-// The list's bound in the rig, and its steady time: short, so that many losses fit in a
-// minute; the way from a loss to the router does not depend on them.
+// Short values of settings that delay recovery, so that many losses fit in a minute. The delay
+// from a loss to the router does not depend on them.
 const (
 	lossMaxListAge = 300 * time.Millisecond
-	lossStableTime = 50
+	lossStableTime = 50 // ms
 )
 
-// lossGateway is a gateway that loses things.
+// lossGateway is a gateway into which losses are injected.
 type lossGateway struct {
 	rig          *lossRig
 	index        int
@@ -226,7 +225,7 @@
 	return tested, tested.start()
 }
 
-// start starts the gateway and waits until the router has both addresses.
+// start starts the gateway and waits until the router has both prefixes.
 func (s *lossGateway) start() (err error) {
 	from := s.rig.changeCount()
 	s.gateway, err = gateway.Start(gateway.Config{Environment: s.environment, Log: zap.NewNop(), Name: fmt.Sprint("h", s.index), Zone: Halls[0], Listen: "127.0.0.1:0",
@@ -240,23 +239,23 @@
 	return s.awaitAnnounced(from)
 }
 
-// awaitAnnounced waits until both addresses are announced in full.
+// awaitAnnounced waits until both prefixes are announced without graceful shutdown.
 func (s *lossGateway) awaitAnnounced(from int) error {
 	for _, prefix := range []netip.Prefix{s.singlePrefix, s.pairPrefix} {
 		if _, ok := s.rig.awaitChange(from, lossTimeout, func(change standin.RouteChange) bool {
 			return change.Prefix == prefix && change.Announced && !change.Path.Shutdown
 		}); !ok {
-			return fmt.Errorf("lab: gateway %d was not announced again", s.index)
+			return fmt.Errorf("lab: gateway %d: prefixes not announced in time", s.index)
 		}
 	}
 	return nil
 }
 
-// injectLoss has the gateway injectLoss something, waits until the router has heard of it, and
-// gives it back.
+// injectLoss injects a loss, waits until the router has the change of the lost prefixes, and
+// ends the loss.
 func (s *lossGateway) injectLoss(kind int) (lossResult, error) {
 	environment := s.rig.environment
-	env.Sleep(environment, time.Duration(s.rng.Int64N(int64(200*time.Millisecond))), nil) // at any point of its rounds
+	env.Sleep(environment, time.Duration(s.rng.Int64N(int64(200*time.Millisecond))), nil) // a random phase of the gateway's periodic work
 	addrs := make([]string, len(s.rig.disks))
 	for i, server := range s.rig.disks {
 		addrs[i] = server.Addr
@@ -293,7 +292,7 @@
 		result.seen = result.seen && ok
 		result.delay = max(result.delay, change.At-lostAt)
 	}
-	env.Sleep(environment, 100*time.Millisecond, nil) // nothing may come while it lasts
+	env.Sleep(environment, 100*time.Millisecond, nil) // no announcement may follow while the loss lasts
 	result.wrongAnnouncements = s.countWrongAnnouncements(from, lost, LossKinds[kind] == LossKinds[4])
 	from = s.rig.changeCount()
 	if err := heal(); err != nil || LossKinds[kind] == "process killed" {
@@ -302,8 +301,8 @@
 	return result, s.awaitRecovery(from, lost)
 }
 
-// countWrongAnnouncements counts what was announced of the lost addresses since the loss, but for the
-// last resort where that is what is due.
+// countWrongAnnouncements counts the announcements of lost prefixes since the loss, other than
+// those as a last resort where these are allowed.
 func (s *lossGateway) countWrongAnnouncements(from int, lost []netip.Prefix, allowLastResort bool) (n int) {
 	s.rig.mu.Lock()
 	defer s.rig.mu.Unlock()
@@ -322,13 +321,13 @@
 		if _, ok := s.rig.awaitChange(from, lossTimeout, func(change standin.RouteChange) bool {
 			return change.Prefix == prefix && change.Announced && !change.Path.Shutdown
 		}); !ok {
-			return fmt.Errorf("lab: gateway %d was not announced again: %+v", s.index, s.gateway.Routes())
+			return fmt.Errorf("lab: gateway %d: prefixes not announced again in time, routes %+v", s.index, s.gateway.Routes())
 		}
 	}
 	return nil
 }
 
-// PrintLosses writes the rows as a table that is also Markdown.
+// PrintLosses writes the rows as a Markdown table.
 func PrintLosses(w io.Writer, rows []LossRow) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| loss\t| injected\t| p1 ms\t| p50 ms\t| p90 ms\t| p99 ms\t| worst ms\t| over 1 s\t| not seen\t| announced while unable\t|")
--- a/internal/simulation/lab/peers.go
+++ b/internal/simulation/lab/peers.go
@@ -15,9 +15,9 @@
 	"merlinhitch/internal/simulation/standin"
 )
 
-// MeasureSpeaker measures one speaker before so many stand-in routers: the first telling of
-// so many prefixes, a change of all their paths, and their withdrawal. The routers run
-// in the same process; their part of the time is in the figures.
+// MeasureSpeaker measures one BGP speaker with that many stand-in routers as peers: the first
+// announcement of the prefixes, a change of all their paths, and their withdrawal. The routers
+// run in the same process, so the results include their time and memory.
 func MeasureSpeaker(ctx context.Context, peers, prefixes int, out io.Writer) error {
 	environment := env.NewReal()
 	var routers []*standin.Router
@@ -90,7 +90,7 @@
 			return len(routes) == prefixes
 		}
 	}
-	if err := measureStage("sessions and first telling", routesWith(full), hasOnly(full)); err != nil {
+	if err := measureStage("sessions and first announcement", routesWith(full), hasOnly(full)); err != nil {
 		return err
 	}
 	memGrowth := float64(memoryInUse() - memBefore)
--- a/internal/simulation/lab/routing.go
+++ b/internal/simulation/lab/routing.go
@@ -16,17 +16,17 @@
 	"merlinhitch/internal/runtime/env"
 )
 
-// Ways in which clients find a host.
+// Values of Options.Routing: how clients choose a host.
 const (
 	RouteAnnounced = "announced"
 	RouteFixed     = "fixed"
 )
 
-// addressGroupCount is the number of address addressGroupCount of an announced service in the lab.
+// addressGroupCount is the number of address groups in AnnouncedSettings.
 const addressGroupCount = 6
 
-// AnnouncedSettings is the example's service with every volume at every host, in
-// groups with an address each.
+// AnnouncedSettings returns the example settings with every volume on every host and the volumes
+// in groups with one announced prefix each.
 func AnnouncedSettings(hosts, servers int) *settings.Settings {
 	announced := settings.Example(hosts, servers)
 	allHosts := make([]int, hosts)
@@ -46,15 +46,16 @@
 	return announced
 }
 
-// groupOfVolume is the group of a volume: each has volumes of every hall.
+// groupOfVolume returns the group of the volume with an index. Each group has volumes of every hall.
 func groupOfVolume(volume int) int { return volume / len(Halls) % addressGroupCount }
 
 func groupPrefix(group int) netip.Prefix {
 	return netip.PrefixFrom(netip.AddrFrom4([4]byte{10, 1, 0, byte(group)}), 32)
 }
 
-// setRouting has clients choose hosts by rendezvous hashing: among those that the router's
-// best routes to the volume's address lead to, or among all, up or down.
+// setRouting has clients choose hosts by rendezvous hashing, for RouteAnnounced among the hosts of
+// the router's best routes to the volume's prefix, else among all hosts, running or not. "" leaves
+// the choice as it is.
 func (c *Clients) setRouting(routing string) {
 	if routing == "" {
 		return
@@ -76,7 +77,7 @@
 	}
 }
 
-// awaitRoutes waits until every host announces every group, or for so long.
+// awaitRoutes waits until every host announces every group, at most for the timeout.
 func (f *Fleet) awaitRoutes(ctx context.Context, timeout time.Duration) {
 	for deadline := f.Environment.Now() + timeout; f.Environment.Now() < deadline; {
 		missing := false
@@ -89,8 +90,8 @@
 	}
 }
 
-// rendezvousPath picks the lane whose hash with the volume is highest, so that a host that
-// comes or goes moves only its own clients.
+// rendezvousPath returns the path with the highest hash of volume and host, so that a host that
+// starts or stops moves only its own clients.
 func rendezvousPath(paths []*clientPath) (best *clientPath) {
 	highest := uint64(0)
 	for _, path := range paths {
@@ -101,10 +102,10 @@
 	return best
 }
 
-// RouteScenarios are the days on which announcements are measured.
+// RouteScenarios names the scenarios in which CompareRouting compares the choices of hosts.
 var RouteScenarios = []string{"a hall dark", "hosts killed"}
 
-// scheduleHallOutage ends a hall's servers and hosts for two fifths of the day.
+// scheduleHallOutage stops the disk servers and hosts of a hall for two fifths of the run.
 func scheduleHallOutage(run *dayRun, duration time.Duration) {
 	fleet := run.fleet
 	hall := Halls[run.options.Seed%uint64(len(Halls))]
@@ -122,7 +123,7 @@
 	})
 }
 
-// scheduleHostKills ends each host once, one after the other, for a sixth of the day.
+// scheduleHostKills kills each host once, one after the other, for a sixth of the run.
 func scheduleHostKills(run *dayRun, duration time.Duration) {
 	rng := rand.New(rand.NewPCG(run.options.Seed, 13))
 	for order, host := range rng.Perm(run.options.Hosts) {
@@ -130,7 +131,7 @@
 	}
 }
 
-// RouteRow is one kind of day with clients routed in one way.
+// RouteRow summarizes the runs of one scenario with one way of choosing hosts.
 type RouteRow struct {
 	Scenario, Routing          string
 	Runs, Broken               int
@@ -140,7 +141,8 @@
 	FirstFailure               string
 }
 
-// CompareRouting plays the days over seeds with announcements on and off.
+// CompareRouting runs each scenario with the seeds 1 to n, with a fixed choice of hosts and with
+// the choice by announcements.
 func CompareRouting(ctx context.Context, options Options, seeds, parallel int, progress io.Writer) ([]RouteRow, error) {
 	rows := make([]RouteRow, 2*len(RouteScenarios))
 	return rows, runSeeds(len(rows), seeds, parallel, progress, func(row int, seed uint64) (string, func(), error) {
@@ -170,7 +172,7 @@
 	}
 }
 
-// PrintRoutes writes the rows as a table that is also Markdown.
+// PrintRoutes writes the rows as a Markdown table, and the first failure of each row.
 func PrintRoutes(w io.Writer, rows []RouteRow) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| day\t| clients routed\t| days\t| broken\t| wanted\t| found no host\t| unanswered\t| refused\t| failed\t| worth served least\t| median\t| most\t|")
