--- a/internal/simulation/lab/lab_test.go
+++ b/internal/simulation/lab/lab_test.go
@@ -15,9 +15,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func runDay(t *testing.T, seed uint64, commands int, rate float64, troubles ...string) *lab.Result {
+func runDay(t *testing.T, seed uint64, commands int, rate float64, faultKinds ...string) *lab.Result {
 	t.Helper()
-	result, err := lab.BadDay(context.Background(), lab.Options{Seed: seed, Commands: commands, Rate: rate, Hosts: 3, Servers: 9, FaultKinds: troubles})
+	result, err := lab.BadDay(context.Background(), lab.Options{Seed: seed, Commands: commands, Rate: rate, Hosts: 3, Servers: 9, FaultKinds: faultKinds})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,19 +68,19 @@
 		history.EndWrite(second, lab.WriteAcked, seconds(4))
 		return history, first, second
 	}
-	read := func(history *lab.BlockHistory, lba uint64, data []byte, at float64) []string {
-		history.RecordRead("v", lba, data, 512, seconds(at), seconds(at+0.1))
+	read := func(history *lab.BlockHistory, lba uint64, data []byte, second float64) []string {
+		history.RecordRead("v", lba, data, 512, seconds(second), seconds(second+0.1))
 		return history.CheckReads()
 	}
-	l, _, b := newHistory()
-	if w := read(l, 10, lab.Stamp(b, 512), 5); len(w) != 0 {
-		t.Errorf("the last write: %v", w)
+	history, _, lastStamp := newHistory()
+	if violations := read(history, 10, lab.Stamp(lastStamp, 512), 5); len(violations) != 0 {
+		t.Errorf("the last write: %v", violations)
 	}
-	l, a, _ := newHistory()
-	if w := read(l, 10, lab.Stamp(a, 512), 3.5); len(w) != 0 {
-		t.Errorf("the write before, while the last is under way: %v", w)
+	history, firstStamp, _ := newHistory()
+	if violations := read(history, 10, lab.Stamp(firstStamp, 512), 3.5); len(violations) != 0 {
+		t.Errorf("the write before, while the last is under way: %v", violations)
 	}
-	bad := map[string]func(l *lab.BlockHistory, a, b uint64) []string{
+	impossibleReads := map[string]func(l *lab.BlockHistory, a, b uint64) []string{
 		"older than the last acknowledged": func(l *lab.BlockHistory, a, _ uint64) []string { return read(l, 10, lab.Stamp(a, 512), 5) },
 		"zeros after a write":              func(l *lab.BlockHistory, _, _ uint64) []string { return read(l, 11, make([]byte, 512), 5) },
 		"a write nobody sent":              func(l *lab.BlockHistory, _, _ uint64) []string { return read(l, 10, lab.Stamp(99, 512), 5) },
@@ -102,9 +102,9 @@
 			return read(l, 10, lab.Stamp(c, 512), 9)
 		},
 	}
-	for name, check := range bad {
-		l, a, b := newHistory()
-		if w := check(l, a, b); len(w) == 0 {
+	for name, check := range impossibleReads {
+		history, firstStamp, lastStamp := newHistory()
+		if violations := check(history, firstStamp, lastStamp); len(violations) == 0 {
 			t.Errorf("%s: accepted", name)
 		}
 	}
--- a/internal/simulation/lab/reservations_test.go
+++ b/internal/simulation/lab/reservations_test.go
@@ -93,7 +93,7 @@
 
 // newTwoSessionRig is a rig without faults, with a session of each of two initiators, through two
 // hosts.
-func newTwoSessionRig(t *testing.T) (*reservationRig, func(who int, kind string, typ byte, whom int, want string)) {
+func newTwoSessionRig(t *testing.T) (*reservationRig, func(initiatorIndex int, kind string, reservationType byte, preempted int, want string)) {
 	t.Helper()
 	environment := env.NewReal()
 	rig, err := newReservationRig(environment, loopbackTestbed{Environment: environment}, 1, false)
@@ -109,17 +109,17 @@
 		}
 		t.Cleanup(sessions[i].Close)
 	}
-	return rig, func(who int, kind string, typ byte, whom int, want string) {
+	return rig, func(initiatorIndex int, kind string, reservationType byte, preempted int, want string) {
 		t.Helper()
 		for attempt := 0; ; attempt++ {
-			step := ReservationStep{Initiator: who, Kind: kind, ReservationType: typ, Preempted: whom}
-			if done, _ := rig.execute(sessions[who], &step, rng); done {
+			step := ReservationStep{Initiator: initiatorIndex, Kind: kind, ReservationType: reservationType, Preempted: preempted}
+			if done, _ := rig.execute(sessions[initiatorIndex], &step, rng); done {
 				if step.Outcome == outcomeNoEffect && attempt < 500 { // a server is away: what is refused is asked again
 					env.Sleep(rig.environment, 10*time.Millisecond, nil)
 					continue
 				}
 				if step.Outcome != want {
-					t.Fatalf("initiator %d, %s: %s, want %s", who, kind, step.Outcome, want)
+					t.Fatalf("initiator %d, %s: %s, want %s", initiatorIndex, kind, step.Outcome, want)
 				}
 				return
 			}
@@ -168,14 +168,14 @@
 	rig, do := newTwoSessionRig(t)
 	do(0, stepRegister, 0, 0, outcomeGood)
 	do(0, stepReserve, 1, 0, outcomeGood)
-	old := rig.disks[0]
-	old.Drain()
+	predecessor := rig.disks[0]
+	predecessor.Drain()
 	if err := rig.startDisk(0); err != nil {
 		t.Fatal(err)
 	}
 	do(1, stepWrite, 0, 0, outcomeConflict)
 	do(0, stepWrite, 0, 0, outcomeGood)
-	old.Kill()
+	predecessor.Kill()
 }
 
 // The holder's write is on its way to the disk server when its host's pre-emption is
@@ -187,8 +187,8 @@
 	do(0, stepReserve, 1, 0, outcomeGood)
 	do(0, stepWrite, 0, 0, outcomeGood)
 	var addrs []string
-	for _, d := range rig.disks {
-		addrs = append(addrs, d.Addr)
+	for _, disk := range rig.disks {
+		addrs = append(addrs, disk.Addr)
 	}
 	rig.hostEnvironments[0].partition(partitionDelay, addrs...)
 	session := rig.dial(context.Background(), 0)
@@ -225,8 +225,8 @@
 	rig, do := newTwoSessionRig(t)
 	do(0, stepRegister, 0, 0, outcomeGood)
 	var addrs []string
-	for _, d := range rig.disks {
-		addrs = append(addrs, d.Addr)
+	for _, disk := range rig.disks {
+		addrs = append(addrs, disk.Addr)
 	}
 	session := rig.dial(context.Background(), 3) // through the same host
 	t.Cleanup(session.Close)
@@ -342,8 +342,8 @@
 func TestSameKeyThroughTwoHosts(t *testing.T) {
 	rig, do := newTwoSessionRig(t)
 	var registrations sync.WaitGroup
-	for _, who := range []int{0, 1} {
-		session := rig.dial(context.Background(), 10+who) // of keys of their own, changed to one
+	for _, initiatorIndex := range []int{0, 1} {
+		session := rig.dial(context.Background(), 10+initiatorIndex) // of keys of their own, changed to one
 		t.Cleanup(session.Close)
 		registrations.Go(func() {
 			parameters := make([]byte, 24)
--- a/internal/simulation/lab/virtual_test.go
+++ b/internal/simulation/lab/virtual_test.go
@@ -89,7 +89,7 @@
 	}
 	var digests []string
 	for _, procs := range []string{"1", "4"} {
-		command := exec.Command(os.Args[0], "-test.run=^TestSceneIsTheSameInTwoProcesses$")
+		command := exec.Command(os.Args[0], "-test.run=^TestScenarioIsDeterministicAcrossProcesses$")
 		command.Env = append(os.Environ(), digestVariable+"=1", "GOMAXPROCS="+procs)
 		output, err := command.CombinedOutput()
 		if err != nil {
@@ -287,7 +287,7 @@
 		}
 		return out
 	}
-	// A swap is asked after its read and loopbackIssued refusal asked again, so those may differ.
+	// A swap is asked after its read and a refusal asked again, so those may differ.
 	loopbackIssued, virtualIssued := issuedCommands(onLoopback), issuedCommands(inWorld)
 	for k, n := range loopbackIssued {
 		if d := n - virtualIssued[k]; d > 6 || d < -6 {
