--- a/internal/simulation/lab/clients.go
+++ b/internal/simulation/lab/clients.go
@@ -43,7 +43,7 @@
 	AbuseAbortFraction float64 // fraction of the latency target after which they abort
 	AbuseMaxRetries    int
 	AbandonShare       float64 // share of all commands that clients abandon early
-	PreferLastHost     bool    // clients prefer the last host of a volume over the first
+	PreferLastHost     bool    // clients prefer the last path to a volume over the first
 }
 
 // Clients are the clients of a fleet: an open-loop load generator with one session per volume and
@@ -51,7 +51,7 @@
 type Clients struct {
 	fleet   *Fleet
 	history *BlockHistory
-	paths   [][]*clientPath // by volume, in the order of its hosts
+	paths   [][]*clientPath // by volume, in order of preference
 
 	mu        sync.Mutex
 	rng       *rand.Rand
