--- a/internal/fleet/placement/baselines.go
+++ b/internal/fleet/placement/baselines.go
@@ -7,22 +7,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Layouts as they are made without a solver, to compare with. They keep copies in
-// another hall and bans, and look at nothing else; Check tells what they break.
+// Baseline layouts to compare the solver with. They place copies in another hall and observe
+// ExcludedNodes, but may violate any other constraint; Check reports which.
 
-// RoundRobin gives volumes their nodes in turn.
+// RoundRobin starts each volume at the next node in turn.
 func RoundRobin(problem *Problem) Layout {
 	next := 0
 	return equalPieces(problem, func(int) int { next++; return next - 1 })
 }
 
-// ByNameHash gives a volume the nodes after the hash of its name.
+// ByNameHash starts each volume at the node that the hash of its name selects.
 func ByNameHash(problem *Problem) Layout {
 	return equalPieces(problem, func(v int) int { return int(xxhash.Sum64String(problem.Volumes[v].Name) % uint64(len(problem.Nodes))) })
 }
 
-// LargestFirst gives volumes whole, the largest first, to the nodes with the most
-// room by then, and their copies likewise.
+// LargestFirst places volumes whole, in descending order of rate, each on the node with the most
+// free capacity. Copies are placed likewise.
 func LargestFirst(problem *Problem) Layout {
 	hallOf, _ := problem.indexHalls()
 	freeCapacity := make([]float64, len(problem.Nodes))
@@ -63,7 +63,8 @@
 	return layout
 }
 
-// equalPieces lays each volume in equal pieces on its most nodes from a first one on.
+// equalPieces divides each volume evenly over MaxNodes consecutive nodes, starting at firstNode(v).
+// Parts that fall on an excluded node are left out.
 func equalPieces(problem *Problem, firstNode func(v int) int) Layout {
 	hallOf, _ := problem.indexHalls()
 	layout := make(Layout, len(problem.Volumes))
--- a/internal/fleet/placement/bench_test.go
+++ b/internal/fleet/placement/bench_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// BenchmarkSolve measures large instances: time and the proved gap of the highest
-// use.
+// BenchmarkSolve measures the time and the gap of the highest utilization for large problems.
 func BenchmarkSolve(b *testing.B) {
 	for _, nodeCount := range []int{10, 47, 200, 1000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodeCount), func(b *testing.B) {
--- a/internal/fleet/placement/check.go
+++ b/internal/fleet/placement/check.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Check judges a layout from the definitions alone: what it breaks, and what it is
-// worth. It shares no bookkeeping with the search.
+// Check returns the objective of a layout and the constraints that it violates. It computes both
+// from the definitions and shares no incremental state with the search, so that it can verify it.
 func Check(problem *Problem, layout Layout) (Objective, []string) {
 	c := &checker{problem: problem, layout: layout}
 	if len(layout) != len(problem.Volumes) {
-		return Objective{}, []string{fmt.Sprintf("%d volumes of %d", len(layout), len(problem.Volumes))}
+		return Objective{}, []string{fmt.Sprintf("layout has %d volumes, want %d", len(layout), len(problem.Volumes))}
 	}
 	for v := range layout {
 		c.checkVolume(v)
@@ -40,44 +40,44 @@
 	}
 	for _, piece := range c.layout[v] {
 		if piece.Parts < 1 || piece.Node < 0 || piece.Node >= len(problem.Nodes) || piece.Copy >= len(problem.Nodes) {
-			c.addViolation("%s: piece %+v means nothing", volume.Name, piece)
+			c.addViolation("%s: piece %+v is invalid", volume.Name, piece)
 			return
 		}
 		if partsByNode[piece.Node] > 0 {
-			c.addViolation("%s has two pieces on %s", volume.Name, problem.Nodes[piece.Node].Name)
+			c.addViolation("%s has more than one piece on %s", volume.Name, problem.Nodes[piece.Node].Name)
 		}
 		placed += piece.Parts
 		partsByNode[piece.Node] += piece.Parts
 		halls[problem.Nodes[piece.Node].Hall] = true
 		if excluded[piece.Node] || piece.Copy >= 0 && excluded[piece.Copy] {
-			c.addViolation("%s lies on a banned node", volume.Name)
+			c.addViolation("%s is placed on an excluded node", volume.Name)
 		}
 		if (volume.Copies == 2) != (piece.Copy >= 0) {
-			c.addViolation("%s: a piece with the wrong number of copies", volume.Name)
+			c.addViolation("%s: a piece has the wrong number of copies", volume.Name)
 		}
 		if piece.Copy >= 0 {
 			copyPartsByNode[piece.Copy] += piece.Parts
 			if problem.Nodes[piece.Copy].Hall == problem.Nodes[piece.Node].Hall {
-				c.addViolation("%s: a copy in the hall of its data", volume.Name)
+				c.addViolation("%s: a copy is in the hall of its data", volume.Name)
 			}
 		}
 	}
 	if placed > problem.Parts {
-		c.addViolation("%s: %d parts of %d", volume.Name, placed, problem.Parts)
+		c.addViolation("%s: %d parts placed, maximum %d", volume.Name, placed, problem.Parts)
 	}
 	if !volume.IgnoreReserve && float64(placed) < problem.Tiers[volume.Tier].Reserve*float64(problem.Parts)-tolerance {
 		c.addViolation("%s: %d parts placed, below its reserve", volume.Name, placed)
 	}
 	if len(partsByNode) > volume.MaxNodes {
-		c.addViolation("%s lies on %d nodes, at most %d", volume.Name, len(partsByNode), volume.MaxNodes)
+		c.addViolation("%s is on %d nodes, maximum %d", volume.Name, len(partsByNode), volume.MaxNodes)
 	}
 	if placed == problem.Parts && len(halls) < volume.MinHalls {
-		c.addViolation("%s lies in %d halls, at least %d", volume.Name, len(halls), volume.MinHalls)
+		c.addViolation("%s is in %d halls, minimum %d", volume.Name, len(halls), volume.MinHalls)
 	}
 	if placed > 0 {
 		for _, n := range volume.PinnedNodes {
 			if partsByNode[n] == 0 {
-				c.addViolation("%s is pinned to %s and has nothing there", volume.Name, problem.Nodes[n].Name)
+				c.addViolation("%s is pinned to %s but has no data there", volume.Name, problem.Nodes[n].Name)
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 	for n := range problem.Nodes {
 		currentData, currentCopies := problem.currentParts(v, n)
 		if problem.Nodes[n].Draining && (partsByNode[n] > currentData || copyPartsByNode[n] > currentCopies) {
-			c.addViolation("%s puts something new on %s, which drains", volume.Name, problem.Nodes[n].Name)
+			c.addViolation("%s has new data or copies on %s, which is draining", volume.Name, problem.Nodes[n].Name)
 		}
 		if problem.Current != nil {
 			c.objective.Moves += volume.Rate / float64(problem.Parts) * float64(max(partsByNode[n]-currentData, 0)+max(copyPartsByNode[n]-currentCopies, 0))
@@ -93,7 +93,8 @@
 	}
 }
 
-// checkLoads reckons every node, with all halls and with each one lost.
+// checkLoads checks the load of every node, with no hall lost and with each one lost that must be
+// survived.
 func (c *checker) checkLoads() {
 	lostHalls := []string{""}
 	_, hallNames := c.problem.indexHalls()
@@ -111,7 +112,7 @@
 				continue
 			}
 			if load > node.Capacity*(1+tolerance)+tolerance {
-				c.addViolation("%s carries %.3f of %.3f with hall %q lost", node.Name, load, node.Capacity, hall)
+				c.addViolation("%s: load %.3f exceeds capacity %.3f with hall %q lost", node.Name, load, node.Capacity, hall)
 			}
 			if load > 0 && node.Capacity > 0 {
 				maxUtilization = max(maxUtilization, load/node.Capacity)
@@ -128,8 +129,8 @@
 	}
 }
 
-// Loads is what a layout puts on each node, units a second, with a hall lost or
-// with none ("").
+// Loads returns the load of each node, units/s, after the loss of lostHall, or with none lost if it
+// is "".
 func Loads(problem *Problem, layout Layout, lostHall string) []float64 {
 	loads := make([]float64, len(problem.Nodes))
 	for v, pieces := range layout {
@@ -150,7 +151,7 @@
 	return loads
 }
 
-// Halls names the halls, in the order of their first nodes.
+// Halls returns the names of the halls, in the order of their first nodes.
 func (p *Problem) Halls() []string {
 	_, names := p.indexHalls()
 	return names
--- a/internal/fleet/placement/conflict.go
+++ b/internal/fleet/placement/conflict.go
@@ -8,50 +8,50 @@
 	"slices"
 )
 
-// ConstraintKind is a kind of constraint.
+// ConstraintKind is the kind of a Constraint.
 type ConstraintKind int
 
-// The kinds, in the order in which a conflict tries to do without them: what is
-// left at the end is what operators can change most easily.
+// Kinds of constraints, in the order in which FindConflict tries to drop them. Those that operators
+// can change most easily come last, so that they tend to remain in the conflict.
 const (
-	KindDrain    ConstraintKind = iota // a node that drains takes nothing new
-	KindMinHalls                       // a volume lies in so many halls
-	KindCopy                           // a volume has a copy in another hall
-	KindMaxNodes                       // a volume lies on so many nodes at most
-	KindExclude                        // a volume lies not on a node
-	KindPin                            // a volume lies on a node
-	KindHallLoss                       // the loss of a hall is survived
-	KindReserve                        // a volume's reserve has a place
-	KindCapacity                       // a node carries no more than it can
+	KindDrain    ConstraintKind = iota // a draining node gets no new parts
+	KindMinHalls                       // Volume.MinHalls
+	KindCopy                           // a volume has copies in another hall
+	KindMaxNodes                       // Volume.MaxNodes
+	KindExclude                        // a node is in Volume.ExcludedNodes
+	KindPin                            // a node is in Volume.PinnedNodes
+	KindHallLoss                       // the load fits after the loss of a hall
+	KindReserve                        // the reserve of a volume is placed
+	KindCapacity                       // the load of a node is within its capacity
 )
 
-// Constraint is one member of a conflict. Volume, Node and Hall are set as its
-// kind needs them, else -1 and "".
+// Constraint is one constraint of a problem. Volume, Node and Hall are -1 or "" if they do not apply
+// to its kind.
 type Constraint struct {
 	Kind         ConstraintKind
 	Volume, Node int
 	Hall         string
 }
 
-// Conflict is a smallest set of constraints that contradict each other: with any
-// one of them dropped, the others can be kept together.
+// Conflict is a minimal set of contradictory constraints: without any one of them, the others can be
+// satisfied together.
 type Conflict struct {
 	Constraints []Constraint
-	Remedy      *Remedy // the cheapest that was found, nil if no single change will do
+	Remedy      *Remedy // the cheapest one found, nil if no single change makes the problem feasible
 }
 
-// Remedy is a change of one node that makes a layout possible.
+// Remedy is an increase of one node's capacity that makes the problem feasible.
 type Remedy struct {
 	Node          int
-	AddedCapacity float64 // units a second of capacity
-	Price         float64 // Add at the node's cost of a unit, or at 1 where that is 0
+	AddedCapacity float64 // units/s
+	Price         float64 // Add times Node.Cost, or times 1 if that is 0
 }
 
-// ErrUndecided says that the instance is too large to prove a conflict.
-var ErrUndecided = errors.New("placement: too large to prove which constraints contradict each other")
+// ErrUndecided reports that the search could not prove a subset of the constraints infeasible.
+var ErrUndecided = errors.New("placement: problem too large to determine conflicting constraints")
 
-// FindConflict explains why a problem has no layout. It returns nil where there is
-// one.
+// FindConflict returns a minimal conflict of an infeasible problem, or nil if the problem is feasible.
+// It drops one constraint after another as long as the rest is infeasible.
 func FindConflict(problem *Problem, options Options) (*Conflict, error) {
 	if err := problem.Validate(); err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 			return nil, err
 		}
 		if ok {
-			i++ // it is needed
+			i++ // needed for the conflict
 		} else {
 			kept = remaining
 		}
@@ -79,8 +79,8 @@
 	return conflict, err
 }
 
-// constraints lists what a problem asks, by kind, and within a kind the smallest
-// first, so that what is large stays in the explanation.
+// constraints lists the constraints of a problem in the order in which they are dropped: by kind, and
+// within a kind those of small volumes and of large nodes first.
 func constraints(problem *Problem) (out []Constraint) {
 	for n := range problem.Nodes {
 		if problem.Nodes[n].Draining {
@@ -115,7 +115,7 @@
 		case c.Volume >= 0:
 			return problem.Volumes[c.Volume].Rate
 		case c.Node >= 0:
-			return -problem.Nodes[c.Node].Capacity // a small node explains more than a large
+			return -problem.Nodes[c.Node].Capacity // small nodes last
 		}
 		return 0
 	}
@@ -125,7 +125,7 @@
 	return out
 }
 
-// Relax returns the problem with only those of its constraints.
+// Relax returns the problem with only the constraints in kept.
 func Relax(problem *Problem, kept []Constraint) *Problem {
 	relaxed := *problem
 	relaxed.Nodes, relaxed.Volumes = slices.Clone(problem.Nodes), slices.Clone(problem.Volumes)
@@ -168,12 +168,13 @@
 	return &relaxed
 }
 
+// conflictFinder tests subsets of the constraints of a problem.
 type conflictFinder struct {
 	problem *Problem
 	options Options
 }
 
-// feasible tells whether there is any layout that keeps those constraints.
+// feasible reports whether a layout satisfies the constraints in kept.
 func (f *conflictFinder) feasible(kept []Constraint) (bool, error) {
 	return f.hasLayout(Relax(f.problem, kept))
 }
@@ -194,11 +195,11 @@
 	return search.best != nil, nil
 }
 
-// capacityPrecision is how close, as a part of it, the capacity to add is worked out.
+// capacityPrecision is the relative precision of Remedy.AddedCapacity.
 const capacityPrecision = 1e-4
 
-// findRemedy looks for the node of the conflict whose growth is the cheapest way to a
-// layout of the whole problem.
+// findRemedy returns the cheapest capacity increase of one node of the conflict that makes the whole
+// problem feasible, or nil.
 func (f *conflictFinder) findRemedy(constraints []Constraint) (best *Remedy, err error) {
 	for _, constraint := range constraints {
 		if constraint.Kind != KindCapacity {
@@ -219,7 +220,8 @@
 	return best, nil
 }
 
-// minAddedCapacity is the least capacity that node n must be given more, within finest.
+// minAddedCapacity returns the least increase of node n's capacity that makes the problem feasible,
+// rounded up to a multiple of capacityPrecision. ok is false if no increase does.
 func (f *conflictFinder) minAddedCapacity(n int) (added float64, ok bool, err error) {
 	feasibleWith := func(added float64) (bool, error) {
 		enlarged := *f.problem
@@ -248,39 +250,39 @@
 	return math.Ceil(high/capacityPrecision) * capacityPrecision, true, nil
 }
 
-// Describe says a constraint plainly, with its figures.
+// Describe returns a text for operators, with the names and values of the constraint.
 func (c Constraint) Describe(problem *Problem) string {
 	switch c.Kind {
 	case KindDrain:
-		return fmt.Sprintf("node %s drains and takes nothing new", problem.Nodes[c.Node].Name)
+		return fmt.Sprintf("node %s is draining and takes no new data", problem.Nodes[c.Node].Name)
 	case KindMinHalls:
-		return fmt.Sprintf("volume %s must lie in %d halls", problem.Volumes[c.Volume].Name, problem.Volumes[c.Volume].MinHalls)
+		return fmt.Sprintf("volume %s must be in at least %d halls", problem.Volumes[c.Volume].Name, problem.Volumes[c.Volume].MinHalls)
 	case KindCopy:
 		return fmt.Sprintf("volume %s needs a copy of each piece in another hall", problem.Volumes[c.Volume].Name)
 	case KindMaxNodes:
-		return fmt.Sprintf("volume %s may lie on %d nodes at most", problem.Volumes[c.Volume].Name, problem.Volumes[c.Volume].MaxNodes)
+		return fmt.Sprintf("volume %s may be on at most %d nodes", problem.Volumes[c.Volume].Name, problem.Volumes[c.Volume].MaxNodes)
 	case KindExclude:
-		return fmt.Sprintf("volume %s is banned from node %s", problem.Volumes[c.Volume].Name, problem.Nodes[c.Node].Name)
+		return fmt.Sprintf("volume %s is excluded from node %s", problem.Volumes[c.Volume].Name, problem.Nodes[c.Node].Name)
 	case KindPin:
 		return fmt.Sprintf("volume %s is pinned to node %s", problem.Volumes[c.Volume].Name, problem.Nodes[c.Node].Name)
 	case KindHallLoss:
-		return fmt.Sprintf("the load that moves when %s is lost must fit", c.Hall)
+		return fmt.Sprintf("the redirected load must fit after the loss of %s", c.Hall)
 	case KindReserve:
 		volume := &problem.Volumes[c.Volume]
-		return fmt.Sprintf("volume %s needs %.3g of its %.3g units a second placed", volume.Name, problem.partRate(c.Volume)*float64(problem.minParts(c.Volume)), volume.Rate)
+		return fmt.Sprintf("volume %s has a reserve of %.3g of its %.3g units/s", volume.Name, problem.partRate(c.Volume)*float64(problem.minParts(c.Volume)), volume.Rate)
 	}
 	node := &problem.Nodes[c.Node]
-	return fmt.Sprintf("node %s in %s carries %.3g units a second", node.Name, node.Hall, node.Capacity)
+	return fmt.Sprintf("node %s in %s has a capacity of %.3g units/s", node.Name, node.Hall, node.Capacity)
 }
 
-// Describe says the whole conflict.
+// Describe returns a text for each constraint, and one for the remedy if there is one.
 func (c *Conflict) Describe(problem *Problem) []string {
 	var out []string
 	for _, constraint := range c.Constraints {
 		out = append(out, constraint.Describe(problem))
 	}
 	if c.Remedy != nil {
-		out = append(out, fmt.Sprintf("way out: %.4g units a second more at node %s", c.Remedy.AddedCapacity, problem.Nodes[c.Remedy.Node].Name))
+		out = append(out, fmt.Sprintf("remedy: %.4g units/s more capacity at node %s", c.Remedy.AddedCapacity, problem.Nodes[c.Remedy.Node].Name))
 	}
 	return out
 }
--- a/internal/fleet/placement/conflict_test.go
+++ b/internal/fleet/placement/conflict_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// On infeasible instances the set is contradictory, and no longer so when any one
-// member is dropped; both are judged by looking at every layout.
+// A conflict must be infeasible, and feasible without any one of its constraints. Both are checked by
+// enumerating all layouts.
 func TestConflictsAreMinimal(t *testing.T) {
 	want := 100
 	if *fullFamily {
@@ -27,19 +27,19 @@
 		}
 		if conflict == nil {
 			if layout, _, _ := bruteForce(problem); layout == nil {
-				t.Fatalf("seed %d: no conflict is found, and there is no layout", seed)
+				t.Fatalf("seed %d: no conflict found, but there is no feasible layout", seed)
 			}
 			continue
 		}
 		found++
 		constraintCount += len(conflict.Constraints)
 		if layout, _, _ := bruteForce(Relax(problem, conflict.Constraints)); layout != nil {
-			t.Fatalf("seed %d: %v is no contradiction: %v", seed, conflict.Describe(problem), layout)
+			t.Fatalf("seed %d: conflict %v is feasible: %v", seed, conflict.Describe(problem), layout)
 		}
 		for i := range conflict.Constraints {
 			reduced := slices.Delete(slices.Clone(conflict.Constraints), i, i+1)
 			if layout, _, _ := bruteForce(Relax(problem, reduced)); layout == nil {
-				t.Fatalf("seed %d: %v still contradicts without %q", seed, conflict.Describe(problem), conflict.Constraints[i].Describe(problem))
+				t.Fatalf("seed %d: conflict %v is not minimal: still infeasible without %q", seed, conflict.Describe(problem), conflict.Constraints[i].Describe(problem))
 			}
 		}
 		if conflict.Remedy != nil {
@@ -48,14 +48,14 @@
 			enlarged.Nodes = slices.Clone(problem.Nodes)
 			enlarged.Nodes[conflict.Remedy.Node].Capacity += conflict.Remedy.AddedCapacity
 			if layout, _, _ := bruteForce(&enlarged); layout == nil {
-				t.Fatalf("seed %d: %v is no way out", seed, conflict.Remedy)
+				t.Fatalf("seed %d: remedy %v does not make the problem feasible", seed, conflict.Remedy)
 			}
 		}
 	}
-	t.Logf("%d infeasible instances, %d members in all, %d with a way out by one node", found, constraintCount, remedies)
+	t.Logf("%d infeasible problems, %d constraints in their conflicts, %d with a remedy", found, constraintCount, remedies)
 }
 
-// The hard cases that operators name, in words with their figures.
+// Conflicts must be described with the names and values of their constraints.
 func TestConflictDescription(t *testing.T) {
 	problem := &Problem{Parts: 1, Tiers: []Tier{{Value: 1, Reserve: 1}},
 		Nodes:   []Node{{Name: "a1", Hall: "hall-a", Capacity: 10}, {Name: "b1", Hall: "hall-b", Capacity: 4}, {Name: "b2", Hall: "hall-b", Capacity: 0}},
@@ -64,28 +64,28 @@
 		t.Helper()
 		conflict, err := FindConflict(problem, Options{})
 		if err != nil || conflict == nil {
-			t.Fatalf("%s: %v, %v", name, conflict, err)
+			t.Fatalf("%s: got conflict %v, error %v, want a conflict", name, conflict, err)
 		}
 		text := strings.Join(conflict.Describe(problem), "\n")
 		for _, w := range want {
 			if !strings.Contains(text, w) {
-				t.Errorf("%s: %q is not in\n%s", name, w, text)
+				t.Errorf("%s: %q missing in\n%s", name, w, text)
 			}
 		}
 	}
-	check("a hall with little spare", "hall-b carries 4", "cards needs 9 of its 9", "way out: 5")
+	check("a hall with little spare capacity", "hall-b has a capacity of 4", "cards has a reserve of 9 of its 9", "remedy: 5")
 	problem.Nodes = problem.Nodes[:1]
-	check("one hall only", "cards needs a copy of each piece in another hall")
+	check("single hall", "cards needs a copy of each piece in another hall")
 	problem.Volumes[0].Copies, problem.Volumes[0].Rate = 1, 11
-	check("a volume larger than any node", "a1 in hall-a carries 10", "cards needs 11", "way out: 1")
+	check("a volume larger than any node", "a1 in hall-a has a capacity of 10", "cards has a reserve of 11", "remedy: 1")
 	problem.Volumes[0].Rate = 0
 	if conflict, err := FindConflict(problem, Options{}); conflict != nil || err != nil {
-		t.Errorf("a rate measured as 0: %v, %v", conflict, err)
+		t.Errorf("rate 0: got conflict %v, error %v, want none", conflict, err)
 	}
 }
 
-// The same problem gives the same layout, among equals too, and weights that differ
-// a thousandfold decide who goes without.
+// Equal problems must give equal layouts, also among equally good ones, and demand of the tier with
+// the lower value must be left out first.
 func TestDeterministicAndByTierValue(t *testing.T) {
 	problem := &Problem{Parts: 2, Tiers: []Tier{{Value: 1}, {Value: 1000}}, Nodes: []Node{{Name: "a", Hall: "x", Capacity: 5}, {Name: "b", Hall: "y", Capacity: 5}}}
 	for i := range 4 {
@@ -96,29 +96,29 @@
 		t.Fatal(err)
 	}
 	if first.Objective.Unmet != 10 || len(first.Layout[1]) == 0 || len(first.Layout[3]) == 0 || !first.Optimal {
-		t.Errorf("%+v of %v", first.Objective, first.Layout)
+		t.Errorf("got objective %+v of layout %v, want Unmet 10 with volumes 1 and 3 placed", first.Objective, first.Layout)
 	}
 	for range 5 {
 		if again, err := Solve(problem, Options{}); err != nil || fmt.Sprint(again.Layout) != fmt.Sprint(first.Layout) {
-			t.Fatalf("%v, then %v, %v", first.Layout, again.Layout, err)
+			t.Fatalf("layout %v, then %v, error %v", first.Layout, again.Layout, err)
 		}
 	}
 }
 
-// The layouts to compare with are layouts: whole, with copies in other halls.
+// Baseline layouts must place every volume and may violate only capacity and reserves.
 func TestBaselineLayouts(t *testing.T) {
 	problem := SyntheticProblem(30, 3)
 	problem.Volumes[5].ExcludedNodes = []int{4}
 	for name, layout := range map[string]Layout{"round robin": RoundRobin(problem), "by name": ByNameHash(problem), "largest first": LargestFirst(problem)} {
 		_, violations := Check(problem, layout)
 		for _, violation := range violations {
-			if !strings.Contains(violation, "carries") && !strings.Contains(violation, "reserve") {
+			if !strings.Contains(violation, "exceeds capacity") && !strings.Contains(violation, "reserve") {
 				t.Errorf("%s: %s", name, violation)
 			}
 		}
 		for v := range layout {
 			if len(layout[v]) == 0 {
-				t.Errorf("%s: volume %d has no place", name, v)
+				t.Errorf("%s: volume %d is not placed", name, v)
 			}
 		}
 	}
--- a/internal/fleet/placement/placement_test.go
+++ b/internal/fleet/placement/placement_test.go
@@ -9,9 +9,10 @@
 	"testing"
 )
 
-var fullFamily = flag.Bool("whole", false, "search the whole enumerated family, not every twentieth instance")
+var fullFamily = flag.Bool("whole", false, "test all enumerated problems instead of every twentieth, and more random ones")
 
-// bruteForce looks at every layout there is, and judges each by Check alone.
+// bruteForce enumerates all layouts and returns the best one according to Check, its objective and
+// the number examined.
 func bruteForce(problem *Problem) (best Layout, bestObjective Objective, examined int) {
 	candidates := make([][][]Piece, len(problem.Volumes))
 	for v := range problem.Volumes {
@@ -37,7 +38,7 @@
 	return best, bestObjective, examined
 }
 
-// enumeratePieces gives every number of parts to every node and every copy to each.
+// enumeratePieces lists all ways to distribute up to Parts parts of v and their copies over the nodes.
 func enumeratePieces(problem *Problem, v int) (out [][]Piece) {
 	var placeFrom func(n, left int, pieces []Piece)
 	placeFrom = func(n, left int, pieces []Piece) {
@@ -78,31 +79,31 @@
 	return layouts
 }
 
-// compareWithBruteForce compares the solver with the brute search on one instance.
+// compareWithBruteForce checks the solver against bruteForce on one problem.
 func compareWithBruteForce(t *testing.T, name string, problem *Problem) (feasible bool) {
 	t.Helper()
 	want, bestObjective, _ := bruteForce(problem)
 	got, err := Solve(problem, Options{})
 	switch {
 	case want == nil && !errors.Is(err, ErrNoLayout):
-		t.Fatalf("%s: there is no layout, and the solver says %v, %v", name, got, err)
+		t.Fatalf("%s: got %v, error %v, want ErrNoLayout", name, got, err)
 	case want != nil && err != nil:
-		t.Fatalf("%s: %v, but there is %v", name, err, want)
+		t.Fatalf("%s: got error %v, but layout %v is feasible", name, err, want)
 	case want == nil:
 		return false
 	}
 	objective, violations := Check(problem, got.Layout)
 	if len(violations) > 0 || !got.Optimal || objective.Compare(bestObjective) != 0 || objective.Compare(got.Objective) != 0 {
-		t.Fatalf("%s: %+v (says %+v) of %v breaks %v, best is %+v by %v", name, objective, got.Objective, got.Layout, violations, bestObjective, want)
+		t.Fatalf("%s: got objective %+v (reported %+v) of %v, violations %v, want %+v of %v", name, objective, got.Objective, got.Layout, violations, bestObjective, want)
 	}
 	if got.Bound.Compare(bestObjective) > 0 {
-		t.Fatalf("%s: the bound %+v is above the best, %+v", name, got.Bound, bestObjective)
+		t.Fatalf("%s: bound %+v is above the optimum %+v", name, got.Bound, bestObjective)
 	}
 	return true
 }
 
-// forEachInstance calls f with each instance of the enumerated forEachInstance: one to eight nodes
-// in one to three halls, three tiers, one to three volumes.
+// forEachInstance calls visit with each enumerated problem that is small enough for bruteForce: one to
+// eight nodes in one to three halls, three tiers, one to three volumes.
 func forEachInstance(visit func(name string, problem *Problem)) {
 	capacities := [][]float64{{4, 4, 4}, {2, 5, 8}, {0, 6, 3}, {1, 1, 9}}
 	rates := [][]float64{{3, 3, 3}, {6, 2, 1}, {8, 0, 4}, {1, 5, 12}}
@@ -118,7 +119,7 @@
 									for variant := range 4 {
 										problem := newInstance(nodes, halls, volumes, parts, copies, capacity, rate, reserve, variant)
 										if estimateLayouts(problem) <= 3000 {
-											visit(fmt.Sprintf("nodes %d halls %d volumes %d parts %d copies %d cap %d rate %d reserve %d kind %d",
+											visit(fmt.Sprintf("nodes %d halls %d volumes %d parts %d copies %d cap %d rate %d reserve %d variant %d",
 												nodes, halls, volumes, parts, copies, capacityIndex, rateIndex, reserveIndex, variant), problem)
 										}
 									}
@@ -132,8 +133,8 @@
 	}
 }
 
-// newInstance varies by kind: plain; survive; drains with a layout in force, pins and
-// bans; survive and spread with costs.
+// newInstance returns a problem by variant: 0 plain; 1 with SurviveHallLoss; 2 with a draining node, a
+// layout in force, pinned and excluded nodes; 3 with SurviveHallLoss and MinHalls.
 func newInstance(nodes, halls, volumes, parts, copies int, capacities, rates, reserves []float64, variant int) *Problem {
 	problem := &Problem{Parts: parts, SurviveHallLoss: variant == 1 || variant == 3}
 	for i := range nodes {
@@ -181,9 +182,9 @@
 			feasible++
 		}
 	})
-	t.Logf("%d of %d instances of the family, %d with a layout", examined, total, feasible)
+	t.Logf("%d of %d enumerated problems, %d feasible", examined, total, feasible)
 	if examined == 0 || feasible == 0 || feasible == examined {
-		t.Error("the family does not have both kinds")
+		t.Error("want both feasible and infeasible problems")
 	}
 }
 
@@ -230,7 +231,7 @@
 			feasible++
 		}
 	}
-	t.Logf("%d instances from seeds, %d with a layout", instances, feasible)
+	t.Logf("%d random problems, %d feasible", instances, feasible)
 }
 
 func TestValidate(t *testing.T) {
@@ -251,13 +252,13 @@
 		invalidate(problem)
 		var problemError *ProblemError
 		if _, err := Solve(problem, Options{}); !errors.As(err, &problemError) || problemError.Path != path {
-			t.Errorf("%s: %v", path, err)
+			t.Errorf("%s: got %v, want a ProblemError with this path", path, err)
 		}
 	}
 }
 
-// A layout in force that is near the best stays; what is moved from it is little,
-// and with equal goals nothing moves at all.
+// MaxRegression must reduce the moves at a bounded loss in the other goals, and nothing may move if
+// the other goals are equal.
 func TestMaxRegressionLimitsMoves(t *testing.T) {
 	problem := SyntheticProblem(20, 3)
 	first, err := Solve(problem, Options{})
@@ -280,7 +281,7 @@
 		t.Fatal(violations)
 	}
 	if near.Objective.Moves > strict.Objective.Moves || near.Objective.Use > strict.Objective.Use*1.02+1e-9 {
-		t.Errorf("near %+v, strict %+v", near.Objective, strict.Objective)
+		t.Errorf("objective %+v with MaxRegression, %+v without", near.Objective, strict.Objective)
 	}
 	for i := range problem.Volumes {
 		problem.Volumes[i].Rate = 0
@@ -290,6 +291,6 @@
 		t.Fatal(err)
 	}
 	if steps, err := Steps(problem, problem.Current, unchanged.Layout, 1e9); err != nil || len(steps) > 0 {
-		t.Errorf("rates of 0: %d steps, %v", len(steps), err)
+		t.Errorf("all rates 0: got %d steps, error %v, want none", len(steps), err)
 	}
 }
--- a/internal/fleet/placement/solve.go
+++ b/internal/fleet/placement/solve.go
@@ -7,42 +7,40 @@
 	"slices"
 )
 
-// ErrNoLayout says that no layout keeps every constraint; Conflict tells why.
-var ErrNoLayout = errors.New("placement: no layout keeps every constraint")
+// ErrNoLayout reports that the problem is proved infeasible; see FindConflict for the reason.
+var ErrNoLayout = errors.New("placement: no layout satisfies all constraints")
 
-// ErrStopped says that the search was stopped before it found any layout, and
-// before it was shown that there is none.
-var ErrStopped = errors.New("placement: stopped before a layout was found")
+// ErrStopped reports that the search ended before it found a layout or proved that there is none.
+var ErrStopped = errors.New("placement: search ended before a layout was found")
 
-// Options of a search.
+// Options are the options of a search.
 type Options struct {
-	// Stop is asked now and then; once it is true the best so far is the answer.
-	// nil never stops.
+	// Stop, if not nil, is polled; once it returns true, the search ends with the best layout so far.
 	Stop func() bool
-	// MaxSteps bounds the exact search; 0 means the default.
+	// MaxSteps bounds the nodes of the exact search tree; 0 means defaultMaxSteps.
 	MaxSteps int
-	// MaxRegression lets a layout that keeps to the one in force be chosen over one that moves
-	// more, as long as no goal above the moves is worse by more than that part of it.
-	// 0 keeps strictly to the order of the goals.
+	// MaxRegression is the fraction by which the goals before Objective.Moves may be worse than the
+	// best found, to prefer a layout derived from the one in force that moves less. 0 keeps the
+	// strict order of the goals.
 	MaxRegression float64
 }
 
-// defaultMaxSteps is some seconds of exact search.
+// defaultMaxSteps limits the exact search to some seconds.
 const defaultMaxSteps = 20_000_000
 
-// Result is a layout with what is known of the best possible.
+// Result is a layout with a bound on the best possible one.
 type Result struct {
 	Layout    Layout
 	Objective Objective
-	// Bound is not above the best objective, goal by goal in their order: each of
-	// its figures holds for layouts that reach the goals before it.
+	// Bound is a lower bound of the best objective. Its Use and LossUse hold for layouts that place
+	// all demand, and are 0 if demand exceeds capacity.
 	Bound   Objective
-	Optimal bool // proved: no layout is better
-	Steps   int
+	Optimal bool // proved that no layout is better
+	Steps   int  // of the exact search
 }
 
-// Gap is how much the highest use may lie above the best possible, as a part of
-// it; 0 where that is proved.
+// Gap returns by which fraction the highest utilization is above its lower bound; 0 if the layout is
+// proved optimal or there is no bound.
 func (r *Result) Gap() float64 {
 	if r.Optimal || r.Bound.Use <= 0 {
 		return 0
@@ -50,8 +48,7 @@
 	return max(r.Objective.Use/r.Bound.Use-1, 0)
 }
 
-// LossGap is the same for the highest use after the worst loss, against a bound
-// that holds for every layout.
+// LossGap is like Gap, for the highest utilization after the worst loss of a hall.
 func (r *Result) LossGap() float64 {
 	if r.Optimal || r.Bound.LossUse <= 0 {
 		return 0
@@ -59,9 +56,8 @@
 	return max(r.Objective.LossUse/r.Bound.LossUse-1, 0)
 }
 
-// Solve returns the best layout that it finds, proved where the exact search came
-// to its end. Without a layout the error is ErrNoLayout, which is a proof, or
-// ErrStopped.
+// Solve returns the best layout that it finds. The result is optimal if the exact search was
+// complete. If no layout was found, the error is ErrNoLayout if there is none, else ErrStopped.
 func Solve(problem *Problem, options Options) (*Result, error) {
 	if err := problem.Validate(); err != nil {
 		return nil, err
@@ -91,15 +87,15 @@
 	return result, nil
 }
 
-// isWithin tells whether o is at most that part worse than p in each goal above the
-// moves.
+// isWithin reports whether o is worse than other by at most fraction in each goal before Moves. It
+// is false if fraction is 0.
 func (o Objective) isWithin(other Objective, fraction float64) bool {
 	within := func(a, b float64) bool { return a <= b*(1+fraction)+tolerance }
 	return fraction > 0 && within(o.Unmet, other.Unmet) && within(o.Use, other.Use) && within(o.LossUse, other.LossUse) && within(o.Cost, other.Cost)
 }
 
-// improveCurrent betters the layout in force by small changes; nil if there is none, or
-// it breaks something that changes alone don't mend.
+// improveCurrent improves the layout in force by local search. It returns nil if there is none or if
+// it violates a constraint.
 func improveCurrent(problem *Problem, stop func() bool) *Result {
 	if problem.Current == nil {
 		return nil
@@ -128,7 +124,7 @@
 	return &Result{Layout: layout, Objective: objective}
 }
 
-// lowerBound is what no layout can be below, goal by goal in their order.
+// lowerBound returns a lower bound of the objective from relaxations; see Result.Bound.
 func lowerBound(problem *Problem) Objective {
 	var objective Objective
 	demand, capacity, maxCapacity := 0.0, 0.0, 0.0
@@ -140,7 +136,7 @@
 		demand += problem.Volumes[v].Rate
 	}
 	objective.Unmet = minUnmetValue(problem, demand-capacity)
-	carried, redirected := 0.0, 0.0 // by all nodes; by those that are left of a lost hall
+	carried, redirected := 0.0, 0.0 // load of all nodes; rate of the volumes with copies, which is redirected after a loss
 	for v := range problem.Volumes {
 		volume := &problem.Volumes[v]
 		carried += volume.Rate
@@ -157,13 +153,13 @@
 		}
 	}
 	if objective.Unmet > 0 || demand > capacity {
-		objective.Use, objective.LossUse = 0, 0 // what is left out may make any node lighter
+		objective.Use, objective.LossUse = 0, 0 // unplaced demand may reduce the load of any node
 	}
 	return objective
 }
 
-// lossUtilizationBound is the use of the nodes outside the hall whose loss leaves least, if
-// they carry what has copies.
+// lossUtilizationBound returns the mean utilization of the remaining nodes after the worst loss of a
+// hall, if they carry only the volumes with copies.
 func (p *Problem) lossUtilizationBound(redirected, capacity float64) (bound float64) {
 	_, hallNames := p.indexHalls()
 	for _, hall := range hallNames {
@@ -180,7 +176,8 @@
 	return bound
 }
 
-// volumeUtilizationBound is the use that v alone puts on some node, were it on the widest.
+// volumeUtilizationBound returns the utilization of a node of maxCapacity by the largest piece of v, if
+// v is divided evenly. It is 0 if v need not be placed whole.
 func (p *Problem) volumeUtilizationBound(v int, maxCapacity float64) float64 {
 	if p.minParts(v) < p.Parts || maxCapacity <= 0 {
 		return 0
@@ -190,7 +187,7 @@
 	return p.partRate(v) * minLargestPiece / maxCapacity
 }
 
-// minUnmetValue is the worth of that much demand, the least worthy first.
+// minUnmetValue returns the value of excess units/s of demand, taken from the lowest tiers first.
 func minUnmetValue(problem *Problem, excess float64) float64 {
 	if excess <= 0 {
 		return 0
@@ -210,15 +207,15 @@
 	return total
 }
 
-// exactSearch is a depth-first search with bounds, volume by volume.
+// exactSearch is a depth-first branch-and-bound search that places one volume per level.
 type exactSearch struct {
 	problem       *Problem
 	options       Options
 	state         *state
-	order         []int
+	order         []int // volumes by level
 	candidates    [][]candidate
-	restBounds    []Objective // what the volumes from here on add at the least
-	chosen        []int
+	restBounds    []Objective // by level: lower bound of what the remaining volumes add
+	chosen        []int       // index of the candidate of each volume
 	unmet         float64
 	movedRate     float64
 	best          Layout
@@ -226,10 +223,10 @@
 	steps         int
 	maxSteps      int
 	stopped       bool
-	acceptAny     bool // the first layout will do
+	acceptAny     bool // stop at the first layout
 }
 
-// newExactSearch lists the ways of every volume; nil if they are too many to search.
+// newExactSearch lists the candidates of every volume. It returns nil if there are too many.
 func newExactSearch(problem *Problem, options Options) *exactSearch {
 	search := &exactSearch{problem: problem, options: options, state: newState(problem), maxSteps: options.MaxSteps}
 	if search.maxSteps == 0 {
@@ -256,23 +253,23 @@
 	return search
 }
 
-// computeRestBounds sums, from the last volume back, the least that each adds.
+// computeRestBounds sums the least that each volume adds, from the last level up.
 func (x *exactSearch) computeRestBounds() {
 	x.restBounds = make([]Objective, len(x.order)+1)
 	for i := len(x.order) - 1; i >= 0; i-- {
 		v := x.order[i]
 		minimum := Objective{Unmet: math.Inf(1), Cost: math.Inf(1), Moves: math.Inf(1)}
-		for _, option := range x.candidates[v] {
-			minimum.Unmet, minimum.Moves = min(minimum.Unmet, option.unmet), min(minimum.Moves, option.movedRate)
-			minimum.Cost = min(minimum.Cost, x.costOf(v, option))
+		for _, choice := range x.candidates[v] {
+			minimum.Unmet, minimum.Moves = min(minimum.Unmet, choice.unmet), min(minimum.Moves, choice.movedRate)
+			minimum.Cost = min(minimum.Cost, x.costOf(v, choice))
 		}
 		x.restBounds[i] = Objective{Unmet: x.restBounds[i+1].Unmet + minimum.Unmet, Cost: x.restBounds[i+1].Cost + minimum.Cost, Moves: x.restBounds[i+1].Moves + minimum.Moves}
 	}
 }
 
-func (x *exactSearch) costOf(v int, option candidate) float64 {
+func (x *exactSearch) costOf(v int, choice candidate) float64 {
 	cost := 0.0
-	for _, piece := range option.pieces {
+	for _, piece := range choice.pieces {
 		load := x.problem.partRate(v) * float64(piece.Parts)
 		cost += load * x.problem.Nodes[piece.Node].Cost
 		if piece.Copy >= 0 {
@@ -282,13 +279,14 @@
 	return cost
 }
 
-// lowerBound is what a completion of the present choice is at the lowerBound.
+// lowerBound returns a lower bound of all completions of the partial layout at level i.
 func (x *exactSearch) lowerBound(i int) Objective {
 	use, lossUse := x.state.maxUtilization()
 	rest := x.restBounds[i]
 	return Objective{Unmet: x.unmet + rest.Unmet, Use: use, LossUse: lossUse, Cost: x.state.cost + rest.Cost, Moves: x.movedRate + rest.Moves}
 }
 
+// search extends the partial layout from level i on.
 func (x *exactSearch) search(i int) {
 	if x.steps++; x.steps > x.maxSteps || x.steps%1024 == 0 && x.options.Stop != nil && x.options.Stop() {
 		x.stopped = true
@@ -306,26 +304,26 @@
 	}
 	v := x.order[i]
 	for k := range x.candidates[v] {
-		option := &x.candidates[v][k]
-		x.apply(v, option, 1)
-		if x.fits(option) {
+		choice := &x.candidates[v][k]
+		x.apply(v, choice, 1)
+		if x.fits(choice) {
 			x.chosen[v] = k
 			x.search(i + 1)
 		}
-		x.apply(v, option, -1)
+		x.apply(v, choice, -1)
 	}
 }
 
-func (x *exactSearch) apply(v int, option *candidate, sign float64) {
-	for _, piece := range option.pieces {
+func (x *exactSearch) apply(v int, choice *candidate, sign float64) {
+	for _, piece := range choice.pieces {
 		x.state.addPiece(v, piece, sign)
 	}
-	x.unmet += sign * option.unmet
-	x.movedRate += sign * option.movedRate
+	x.unmet += sign * choice.unmet
+	x.movedRate += sign * choice.movedRate
 }
 
-func (x *exactSearch) fits(option *candidate) bool {
-	for _, piece := range option.pieces {
+func (x *exactSearch) fits(choice *candidate) bool {
+	for _, piece := range choice.pieces {
 		if !x.state.fits(piece) {
 			return false
 		}
@@ -333,7 +331,7 @@
 	return true
 }
 
-// recordBest keeps a layout that is better than the best.
+// recordBest stores the present layout as the best one.
 func (x *exactSearch) recordBest(objective Objective) {
 	x.bestObjective = objective
 	x.best = make(Layout, len(x.problem.Volumes))
@@ -342,9 +340,9 @@
 	}
 }
 
-// heuristicLayout returns a layout that keeps everything, nil if the heuristic finds none.
-// Where halls have little to spare, minding every hall's loss at each part paints
-// the search into a corner; it then fills the nodes first and mends the losses after.
+// heuristicLayout returns a layout that satisfies all constraints, or nil if the heuristic finds
+// none. If halls have little spare capacity, a greedy search that observes the loss of halls at each
+// part may reach a dead end. A second search ignores it and repairs the layout afterwards.
 func heuristicLayout(problem *Problem, stop func() bool) (Layout, Objective) {
 	for _, ignoreHallLoss := range [2]bool{false, true} {
 		if ignoreHallLoss && !problem.SurviveHallLoss {
@@ -359,8 +357,8 @@
 	return nil, Objective{}
 }
 
-// greedy places the largest first, part by part, each where the highest use stays
-// lowest, then moves parts off the fullest node while that helps.
+// greedy places volumes by descending tier value and rate, each part on the node where the resulting
+// utilization is lowest. It then improves the layout by local search.
 func greedy(problem *Problem, ignoreHallLoss bool, stop func() bool) (Layout, bool) {
 	b := &builder{problem: problem, state: newState(problem), layout: make(Layout, len(problem.Volumes))}
 	b.state.ignoreHallLoss = ignoreHallLoss
@@ -385,13 +383,15 @@
 	return b.layout, true
 }
 
+// builder is a layout under construction by the heuristic.
 type builder struct {
 	problem *Problem
 	state   *state
 	layout  Layout
 }
 
-// placeVolume puts v's parts one by one; false if its reserve has no placeVolume.
+// placeVolume places v part by part, those on pinned nodes first. If the reserve or the pinned nodes do
+// not fit, it removes v and reports whether v may be left out.
 func (g *builder) placeVolume(v int) bool {
 	volume := &g.problem.Volumes[v]
 	pinned := 0
@@ -415,13 +415,14 @@
 	return true
 }
 
-// placePart puts one placePart of v where it does least, or on that node alone.
+// placePart places one part of v where the resulting utilization is lowest, or on requiredNode if that
+// is not negative.
 func (g *builder) placePart(v, requiredNode int) bool {
 	volume := &g.problem.Volumes[v]
 	bestPiece, bestUtilization := Piece{-1, -1, 1}, math.Inf(1)
 	atMaxNodes := len(g.layout[v]) >= volume.MaxNodes
 	newHallOnly := g.needsNewHall(v)
-	copyNodeByHall := make([]int, g.state.hallCount) // by the hall of the data, looked for once
+	copyNodeByHall := make([]int, g.state.hallCount) // cached by the hall of the data
 	for h := range copyNodeByHall {
 		copyNodeByHall[h] = notSearched
 	}
@@ -458,7 +459,7 @@
 	return true
 }
 
-// needsNewHall tells whether the next part must go to a hall that has none of v.
+// needsNewHall reports whether the next part must go to a hall without data of v, to reach MinHalls.
 func (g *builder) needsNewHall(v int) bool {
 	volume := &g.problem.Volumes[v]
 	unplaced, usedHalls := g.problem.Parts, countHalls(g.layout[v], g.state.hallOf)
@@ -472,14 +473,16 @@
 	return slices.ContainsFunc(g.layout[v], func(piece Piece) bool { return g.state.hallOf[piece.Node] == hall })
 }
 
+// notSearched marks a hall whose copy node is not yet known; -1 means that there is none.
 const notSearched = -2
 
-// pieceIndex is the index of v's piece on n, -1 if there is none.
+// pieceIndex returns the index of v's piece on n, or -1.
 func (g *builder) pieceIndex(v, n int) int {
 	return slices.IndexFunc(g.layout[v], func(piece Piece) bool { return piece.Node == n })
 }
 
-// mayGrow holds nodes that drain to what they have.
+// mayGrow reports whether n may hold another part of v: a draining node may not exceed the layout in
+// force.
 func (g *builder) mayGrow(v, n, index int) bool {
 	if !g.problem.Nodes[n].Draining {
 		return true
@@ -488,7 +491,8 @@
 	return index < 0 && data > 0 || index >= 0 && g.layout[v][index].Parts < data
 }
 
-// selectCopyNode is the least used node of another hall; what drains takes no new copy.
+// selectCopyNode returns the node of another hall with the lowest utilization, counting the worst loss,
+// or -1. Draining nodes get no new copies.
 func (g *builder) selectCopyNode(v, n int) int {
 	bestNode, lowest := -1, math.Inf(1)
 	for c := range g.problem.Nodes {
@@ -506,13 +510,14 @@
 	return bestNode
 }
 
-// tryPiece is the use to which a piece brings its nodes, and whether it fits.
+// tryPiece returns the utilization of a piece's nodes if the piece is added, and whether it fits.
 func (g *builder) tryPiece(v int, piece Piece) (float64, bool) {
 	g.state.addPiece(v, piece, 1)
 	defer g.state.addPiece(v, piece, -1)
 	return g.pieceUtilization(piece), g.state.fits(piece)
 }
 
+// pieceUtilization returns the higher utilization of the two nodes of a piece.
 func (g *builder) pieceUtilization(piece Piece) float64 {
 	highest := utilization(g.state.load[piece.Node], g.problem.Nodes[piece.Node].Capacity)
 	if piece.Copy >= 0 {
@@ -521,7 +526,7 @@
 	return highest
 }
 
-// improve makes one change after another while one helps.
+// improve calls relieve until it finds no improvement, the rounds are used up or stop returns true.
 func (g *builder) improve(stop func() bool, relieve func() bool) {
 	for round := 0; round < 50*len(g.problem.Nodes) && (stop == nil || round%16 != 0 || !stop()); round++ {
 		if !relieve() {
@@ -530,13 +535,14 @@
 	}
 }
 
-// relieveBusiestAfterLoss takes a copy off the node that would be the fullest after the loss of
-// a hall, without making any node fuller than the fullest is now.
+// relieveBusiestAfterLoss moves or swaps a copy of the node with the highest utilization after the
+// loss of a hall. The nodes that gain load without a loss stay within the present maximum, or within
+// their capacity if the loss is not yet survived.
 func (g *builder) relieveBusiestAfterLoss() bool {
 	busiest, hall, highest := -1, -1, 0.0
 	maxUse, maxLossUse := g.state.maxUtilization()
 	if maxLossUse > 1 {
-		maxUse = 1 // what does not survive yet may cost use
+		maxUse = 1 // surviving a loss has priority over a low utilization
 	}
 	for i, loads := range g.state.lossLoads {
 		for n, load := range loads {
@@ -562,9 +568,9 @@
 	return false
 }
 
-// swapCopies lets a piece change copies with another whose data lies in a third
-// hall: what their nodes carry day by day hardly changes, what they would carry after
-// the loss does. False if no swap leaves both below high.
+// swapCopies exchanges the copy nodes of a piece and one whose data is in a third hall. This changes
+// the load after a loss, but hardly the load without one. It returns false if no swap leaves both
+// copy nodes below lossLimit after their worst loss.
 func (g *builder) swapCopies(v, i int, maxUse, lossLimit float64) bool {
 	piece := g.layout[v][i]
 	oldCopy, lostHall := piece.Copy, g.state.hallOf[piece.Node]
@@ -597,8 +603,8 @@
 	return false
 }
 
-// moveCopy gives a piece's copy another node: the one that the loss of a hall would
-// fill least, if that stays below high. False if there is none.
+// moveCopy moves the copy of a piece to the node with the lowest utilization after a loss. It returns
+// false if none stays below lossLimit.
 func (g *builder) moveCopy(v, i int, maxUse, lossLimit float64) bool {
 	piece := g.layout[v][i]
 	oldCopy, bestNode, lowest := piece.Copy, -1, lossLimit-tolerance
@@ -622,8 +628,8 @@
 	return bestNode >= 0
 }
 
-// relieveBusiest moves one part from the fullest node to where it does least; false if
-// none helps.
+// relieveBusiest moves a part or a piece away from the node with the highest utilization. It returns
+// false if no move lowers the load.
 func (g *builder) relieveBusiest() bool {
 	busiest, highest := -1, 0.0
 	for n := range g.state.load {
@@ -634,8 +640,8 @@
 	if busiest < 0 {
 		return false
 	}
-	// A part at a time first: it does the least to the nodes that take it. Then whole
-	// pieces, which may change their copy too.
+	// Single parts first, since they add the least load elsewhere. Then whole pieces, whose copies
+	// may move too.
 	for v := range g.layout {
 		i := g.pieceIndex(v, busiest)
 		if i < 0 || g.layout[v][i].Parts == 1 && g.isPinned(v, busiest) {
@@ -659,8 +665,8 @@
 	return slices.Contains(g.problem.Volumes[v].PinnedNodes, n)
 }
 
-// moveParts moves k parts of v's piece i elsewhere if all that they touch then stays
-// below the use they leave behind.
+// moveParts moves count parts of v's piece i to other pieces if their nodes stay below limit.
+// Otherwise it restores the layout and returns false.
 func (g *builder) moveParts(v, i, count int, limit float64) bool {
 	oldPieces := slices.Clone(g.layout[v])
 	piece := oldPieces[i]
@@ -685,7 +691,7 @@
 	return false
 }
 
-// relieved tells whether something has moved, and all that took it is below that use.
+// relieved reports whether parts have moved and the nodes of all pieces that grew are below limit.
 func (g *builder) relieved(before, after []Piece, limit float64) bool {
 	moved := false
 	for _, piece := range after {
@@ -701,6 +707,7 @@
 	return moved
 }
 
+// keepsMinHalls reports whether v is in at least MinHalls halls, or in no fewer than before.
 func (g *builder) keepsMinHalls(v int, oldPieces []Piece) bool {
 	return countHalls(g.layout[v], g.state.hallOf) >= min(countHalls(oldPieces, g.state.hallOf), g.problem.Volumes[v].MinHalls)
 }
--- a/internal/fleet/placement/state.go
+++ b/internal/fleet/placement/state.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// state is the loads of a partial layout, changed piece by piece.
+// state holds the loads of a partial layout. It is updated piece by piece.
 type state struct {
 	problem   *Problem
 	hallOf    []int
 	hallCount int
-	load      []float64   // by node
-	lossLoads [][]float64 // by lost hall, then node
-	lostHalls []int       // the halls of loss
+	load      []float64   // load of each node, units/s
+	lossLoads [][]float64 // load of each node after the loss of each of lostHalls
+	lostHalls []int       // indices of the halls whose loss must be survived
 	cost      float64
-	// ignoreHallLoss has fits look at no loss of a hall.
+	// ignoreHallLoss makes fits check only the loads without a loss.
 	ignoreHallLoss bool
 }
 
@@ -28,7 +28,8 @@
 	return loads
 }
 
-// addPiece adds a piece of v, or takes it away with sign -1.
+// addPiece adds a piece of v if sign is 1, and removes it if sign is -1. After the loss of the
+// data's hall, the copy carries the whole rate.
 func (s *state) addPiece(v int, piece Piece, sign float64) {
 	volume := &s.problem.Volumes[v]
 	rate := sign * s.problem.partRate(v) * float64(piece.Parts)
@@ -57,7 +58,7 @@
 	s.cost += rate * s.problem.Nodes[n].Cost
 }
 
-// fits tells whether the nodes of a piece carry what they have, in every case.
+// fits reports whether the nodes of a piece are within capacity, also after the loss of each hall.
 func (s *state) fits(piece Piece) bool {
 	for _, n := range [2]int{piece.Node, piece.Copy} {
 		if n < 0 {
@@ -83,7 +84,7 @@
 	return load / capacity
 }
 
-// utilizationAfterLoss is the use of a node after the loss that is worst for it.
+// utilizationAfterLoss returns the highest utilization of n after the loss of another hall.
 func (s *state) utilizationAfterLoss(n int) (worst float64) {
 	for i, loads := range s.lossLoads {
 		if s.hallOf[n] != s.lostHalls[i] {
@@ -93,7 +94,7 @@
 	return worst
 }
 
-// maxUtilization returns the highest use of a node, and after the worst loss of a hall.
+// maxUtilization returns the highest utilization of any node, without a loss and after the worst one.
 func (s *state) maxUtilization() (use, lossUse float64) {
 	for n := range s.load {
 		capacity := s.problem.Nodes[n].Capacity
@@ -105,18 +106,18 @@
 	return use, lossUse
 }
 
-// candidate is one way to place a volume.
+// candidate is one possible placement of a volume.
 type candidate struct {
 	pieces    []Piece
 	unmet     float64
 	movedRate float64
 }
 
-// maxCandidates bounds how many ways of one volume are listed.
+// maxCandidates bounds the placements that are listed for one volume.
 const maxCandidates = 200000
 
-// candidates lists every way to place v, nothing included where its reserve lets
-// that; ok is false if there are too many to list.
+// candidates lists all placements of v that its own constraints allow, including none at all if
+// the reserve permits. ok is false if there are more than maxCandidates.
 func (p *Problem) candidates(v int, hallOf []int) (out []candidate, ok bool) {
 	volume := &p.Volumes[v]
 	ok = true
@@ -156,7 +157,7 @@
 
 var noCopy = []int{-1}
 
-// copyNodes lists where a copy of what lies on n may lie.
+// copyNodes returns the nodes that may hold the copy of data on n, or noCopy if v has no copies.
 func (p *Problem) copyNodes(v, n int, hallOf []int) []int {
 	if p.Volumes[v].Copies == 1 {
 		return noCopy
@@ -170,7 +171,7 @@
 	return out
 }
 
-// countHalls is the number of halls that pieces lie in, copies apart.
+// countHalls returns the number of halls that hold data of the pieces, not counting copies.
 func countHalls(pieces []Piece, hallOf []int) int {
 	var halls []int
 	for _, piece := range pieces {
@@ -181,7 +182,7 @@
 	return len(halls)
 }
 
-// isAllowed holds a whole choice of pieces to pins, spread and drains.
+// isAllowed reports whether the pieces of v satisfy PinnedNodes, MinHalls and draining.
 func (p *Problem) isAllowed(v int, pieces []Piece, placed int, hallOf []int) bool {
 	volume := &p.Volumes[v]
 	if placed > 0 {
@@ -214,7 +215,8 @@
 	return true
 }
 
-// movedRate is what pieces put elsewhere than the layout in force has it.
+// movedRate returns the rate, units/s, of data and copies that are not where the layout in force has
+// them.
 func (p *Problem) movedRate(v int, pieces []Piece) float64 {
 	if p.Current == nil {
 		return 0
--- a/internal/fleet/placement/steps.go
+++ b/internal/fleet/placement/steps.go
@@ -5,33 +5,32 @@
 	"slices"
 )
 
-// Step is one change on the way to a layout: parts of a volume that go from one
-// piece's place to another's.
+// Step is one change in a migration between layouts: parts of a volume that move between the places
+// of two pieces.
 type Step struct {
 	Volume   int
-	From, To Piece // To.Parts go; From has what it was taken from, -1 where nothing was placed
-	Moved    float64
+	From, To Piece   // nodes before and after; both with the number of parts; Node -1: not placed
+	Moved    float64 // rate of data and copies that change nodes, units/s
 }
 
-// BlockedError says that no further step keeps capacity, spread and the amount.
+// BlockedError reports that no further step satisfies the constraints of Steps.
 type BlockedError struct {
-	Volumes    []string // that still lie otherwise than they should
-	StepsFound int      // steps that could be made
+	Volumes    []string // names of the volumes that are not yet placed as in the target
+	StepsFound int      // number of steps before that
 }
 
 func (e *BlockedError) Error() string {
-	return fmt.Sprintf("placement: after %d steps none is left for %d volumes, first %s", e.StepsFound, len(e.Volumes), e.Volumes[0])
+	return fmt.Sprintf("placement: no feasible step after the first %d, with %d volumes not in place, first %s", e.StepsFound, len(e.Volumes), e.Volumes[0])
 }
 
-// maxDetours bounds the steps that lead away from the target, to make room.
+// maxDetours bounds the steps to nodes outside the target layout, which free capacity for others.
 const maxDetours = 64
 
-// Steps orders the way from one layout to another so that after each step no node
-// is over its capacity, with any hall lost if that is asked for, no volume loses
-// its spread, and no step moves more than most units a second. On its way a volume
-// may lie on one node more than it may at the end. A new target that arrives
-// half-way starts from where things stand. Where no order is found the steps that
-// were are returned with a *BlockedError.
+// Steps returns a sequence of steps from one layout to another. Each step moves at most maxMoved
+// units/s. After it, the nodes that gained load are within capacity, also after the loss of a hall
+// that must be survived, unless the layout did not survive the loss before. Volumes keep MinHalls and
+// may be on one node more than MaxNodes meanwhile. If no complete sequence is found, the steps found
+// are returned with a *BlockedError.
 func Steps(problem *Problem, from, to Layout, maxMoved float64) ([]Step, error) {
 	search := &stepSearch{problem: problem, state: newState(problem), current: make(Layout, len(from)), target: to, maxMoved: maxMoved}
 	for v := range from {
@@ -59,7 +58,7 @@
 	}
 }
 
-// stepSearch is where a layout stands on its way.
+// stepSearch is the state of a migration.
 type stepSearch struct {
 	problem            *Problem
 	state              *state
@@ -67,18 +66,19 @@
 	target             Layout
 	maxMoved           float64
 	steps              []Step
-	maxLossUtilization float64 // use after the worst loss, before a loose step
+	maxLossUtilization float64 // before a step that ignores the loss of halls
 }
 
-// relaxHallLoss lets the next step pass by the loss of a hall, as long as the worst loss gets
-// no worse, where the layout as it stands does not survive it anyway.
+// relaxHallLoss makes the next step ignore the capacity after a loss if the present layout does not
+// survive the worst one. The utilization after the worst loss may still not rise; see
+// lossNotIncreased.
 func (w *stepSearch) relaxHallLoss() bool {
 	_, w.maxLossUtilization = w.state.maxUtilization()
 	w.state.ignoreHallLoss = w.maxLossUtilization > 1+tolerance
 	return w.state.ignoreHallLoss
 }
 
-// lossNotIncreased holds a loose step to the worst loss before it.
+// lossNotIncreased reports whether a step under relaxHallLoss kept the utilization after the worst loss.
 func (w *stepSearch) lossNotIncreased() bool {
 	if !w.state.ignoreHallLoss {
 		return true
@@ -87,7 +87,7 @@
 	return lossUse <= w.maxLossUtilization+tolerance
 }
 
-// parts of v at that place.
+// partsAt returns the number of parts in the piece with that node and copy node.
 func partsAt(pieces []Piece, node, copy int) int {
 	for _, piece := range pieces {
 		if piece.Node == node && piece.Copy == copy {
@@ -97,7 +97,7 @@
 	return 0
 }
 
-// remainingVolumes names the volumes that are not where they should be.
+// remainingVolumes returns the names of the volumes that are not yet placed as in the target.
 func (w *stepSearch) remainingVolumes() (out []string) {
 	for v := range w.current {
 		if w.differsFromTarget(v) {
@@ -114,7 +114,8 @@
 	return slices.ContainsFunc(w.target[v], func(piece Piece) bool { return partsAt(w.current[v], piece.Node, piece.Copy) != piece.Parts })
 }
 
-// findStep makes one step: towards the target, or as a detour to any node with room.
+// findStep makes the first feasible step: towards the target, or as a detour to any node. It reports
+// whether there was one.
 func (w *stepSearch) findStep(detour bool) bool {
 	for v := range w.current {
 		if !w.differsFromTarget(v) {
@@ -131,8 +132,8 @@
 	return false
 }
 
-// sources are the pieces that have more than they should; nothing, where too few
-// parts are placed.
+// sources returns the pieces of v with more parts than in the target, and a Piece with Node -1 for
+// parts that are yet to be placed.
 func (w *stepSearch) sources(v int) (out []Piece) {
 	placed, wanted := 0, 0
 	for _, piece := range w.current[v] {
@@ -150,8 +151,8 @@
 	return out
 }
 
-// targets are where parts may go: to pieces that have too few, or away for good
-// where too many are placed; a detour goes to any node, its copy with it.
+// targets returns where parts of source may go: to pieces with fewer parts than in the target, or to
+// Node -1 if too many are placed. A detour may go to any node and keeps its copy node.
 func (w *stepSearch) targets(v int, source Piece, detour bool) (out []Piece) {
 	if detour {
 		if source.Node < 0 {
@@ -173,7 +174,7 @@
 			out = append(out, Piece{piece.Node, piece.Copy, min(missing, source.Parts)})
 		}
 	}
-	// What can stay on its node does: on one that drains it could not come back.
+	// Prefer targets on the same node: parts that leave a draining node could not return.
 	slices.SortStableFunc(out, func(a, b Piece) int {
 		switch {
 		case a.Node == source.Node && b.Node != source.Node:
@@ -192,9 +193,9 @@
 	return out
 }
 
-// tryStep moves as many parts as the amount lets it, if what it leaves behind holds.
+// tryStep moves as many parts as maxMoved and the constraints allow, and reports whether any.
 func (w *stepSearch) tryStep(v int, source, target Piece) bool {
-	ratePerPart := 0.0 // what one part moves
+	ratePerPart := 0.0 // data and copies of one part that change nodes
 	if target.Node >= 0 && target.Node != source.Node {
 		ratePerPart += w.problem.partRate(v)
 	}
@@ -219,7 +220,8 @@
 	return false
 }
 
-// addParts adds k parts to a piece of v, which comes and goes with them.
+// addParts adds parts, which may be negative, to the piece of v at place. It creates or deletes the
+// piece as needed.
 func (w *stepSearch) addParts(v int, place Piece, parts int) {
 	if place.Node < 0 {
 		return
@@ -235,7 +237,7 @@
 	}
 }
 
-// growsOnDrainingNode tells whether a node that drains has more of v than before.
+// growsOnDrainingNode reports whether a draining node of target has more parts of v than before.
 func (w *stepSearch) growsOnDrainingNode(v int, before []Piece, target Piece) bool {
 	for _, n := range [2]int{target.Node, target.Copy} {
 		if n < 0 || !w.problem.Nodes[n].Draining {
@@ -249,7 +251,8 @@
 	return false
 }
 
-// keepsNodeAndHallLimits keeps spread and the number of nodes on the way.
+// keepsNodeAndHallLimits reports whether v is on at most MaxNodes+1 nodes, and in at least MinHalls
+// halls or in no fewer than before.
 func (w *stepSearch) keepsNodeAndHallLimits(v int, before []Piece) bool {
 	var nodes []int
 	for _, piece := range w.current[v] {
--- a/internal/fleet/placement/synthetic.go
+++ b/internal/fleet/placement/synthetic.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 )
 
-// SyntheticProblem draws an instance for measurements: that many nodes in three halls, eight
-// volumes a node with copies, half of what the nodes can do asked for, rates spread
-// tenfold, the loss of any hall to be survived.
+// SyntheticProblem returns a random problem for benchmarks: nodeCount nodes in three halls and eight
+// volumes per node, all with copies. Demand without copies is half of the total capacity, rates
+// differ by up to a factor of ten, and the loss of any hall must be survived.
 func SyntheticProblem(nodeCount int, seed uint64) *Problem {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	problem := &Problem{Parts: 8, SurviveHallLoss: true, Tiers: []Tier{{Name: "basico", Value: 1}, {Name: "normal", Value: 3}, {Name: "prioritario", Value: 6, Reserve: 1}}}
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/plan/plan.go
@@ -1,7 +1,6 @@
-// Package plan stands between the settings and the solver: it turns the settings
-// in force, with typed or measured rates, into an instance of package placement,
-// and layouts and steps back into settings. It is a core and decides nothing: what
-// goes where is placement's. docs/placement.md is the operators' page.
+// Package plan converts settings, with configured or measured rates, into a problem of package
+// placement, and converts layouts and steps back into settings. docs/placement.md is the operators'
+// page.
 package plan
 
 import (
@@ -13,39 +12,40 @@
 	"merlinhitch/internal/fleet/rates"
 )
 
-// Error says why settings can't be planned with.
+// Error reports settings or a step from which no plan can be made.
 type Error struct{ Path, Reason string }
 
 func (e *Error) Error() string { return "plan: " + e.Path + ": " + e.Reason }
 
-// Plan is an instance made from settings, with what leads back to them.
+// Plan is a placement problem made from settings, with the mapping back to them.
 type Plan struct {
 	Settings    *settings.Settings
 	Problem     *placement.Problem
-	Current     placement.Layout // what the settings have in force
-	slots       []slots          // by volume, one for each part
-	nodeOfShard map[int]int      // index in Problem.Nodes, by shard
+	Current     placement.Layout // layout of Settings
+	slots       []slots          // by volume
+	nodeOfShard map[int]int      // index in Problem.Nodes by shard
 }
 
-// slots are a volume's parts: the shard of each and the one of its copy (-1: none).
+// slots holds, for each part of a volume, the index of its node and that of its copy (-1: none).
 type slots struct{ data, copy []int }
 
 // Options of From.
 type Options struct {
-	// Measured, if not nil, takes the place of the typed rates: a volume that is
-	// not in it asked for nothing.
+	// Measured, if not nil, replaces the configured rates. Volumes that it does not contain have
+	// rate 0.
 	Measured []rates.Rate
-	// LostHalls halls carry nothing and take nothing; no further loss is planned for.
+	// LostHalls are halls that are down. They get no data, and the loss of a further hall need not be
+	// survived.
 	LostHalls []string
 }
 
-// maxParts bounds the parts of a volume, as package placement does.
+// maxParts is the largest Problem.Parts that package placement accepts.
 const maxParts = 1024
 
-// From makes the instance of the settings.
+// From makes a plan from settings.
 func From(s *settings.Settings, options Options) (*Plan, error) {
 	if len(s.Nodes) == 0 {
-		return nil, &Error{"nodes", "is empty: a layout needs each shard's hall and capacity"}
+		return nil, &Error{"nodes", "is empty, but the hall and capacity of each shard are needed"}
 	}
 	config := s.Placement
 	if config == (settings.Placement{}) {
@@ -55,7 +55,7 @@
 	for i := range s.Volumes {
 		parts = lcm(parts, len(s.Volumes[i].Layout))
 		if parts > maxParts {
-			return nil, &Error{fmt.Sprintf("volumes[%d].layout", i), fmt.Sprintf("with %d entries there is no common number of parts up to %d", len(s.Volumes[i].Layout), maxParts)}
+			return nil, &Error{fmt.Sprintf("volumes[%d].layout", i), fmt.Sprintf("has %d entries: the common number of parts of all volumes exceeds %d", len(s.Volumes[i].Layout), maxParts)}
 		}
 	}
 	layoutPlan := &Plan{Settings: s, Problem: &placement.Problem{Parts: parts, SurviveHallLoss: config.SurviveLoss && len(options.LostHalls) == 0}, nodeOfShard: map[int]int{}}
@@ -81,8 +81,8 @@
 	return a / x * b
 }
 
-// addTiers are the plans. Every volume must be reachable whole, so each tier's
-// reserve is all of it.
+// addTiers adds a tier for each plan of the settings. Its reserve is 1, since every volume must be
+// placed whole.
 func (pl *Plan) addTiers() {
 	for _, settingsPlan := range pl.Settings.Plans {
 		pl.Problem.Tiers = append(pl.Problem.Tiers, placement.Tier{Name: settingsPlan.Name, Value: settingsPlan.Weight, Reserve: 1})
@@ -126,19 +126,19 @@
 	}
 }
 
-// layoutSlots deals a volume's layout out over that many parts.
+// layoutSlots divides the layout of a volume into parts.
 func (pl *Plan) layoutSlots(volume *settings.Volume, parts int) slots {
-	cut := slots{make([]int, parts), make([]int, parts)}
+	divided := slots{make([]int, parts), make([]int, parts)}
 	for i := range parts {
-		cut.data[i], cut.copy[i] = pl.nodeOfShard[volume.Layout[i%len(volume.Layout)]], -1
+		divided.data[i], divided.copy[i] = pl.nodeOfShard[volume.Layout[i%len(volume.Layout)]], -1
 		if len(volume.CopyLayout) > 0 {
-			cut.copy[i] = pl.nodeOfShard[volume.CopyLayout[i%len(volume.CopyLayout)]]
+			divided.copy[i] = pl.nodeOfShard[volume.CopyLayout[i%len(volume.CopyLayout)]]
 		}
 	}
-	return cut
+	return divided
 }
 
-// groupPieces gathers parts by node and copy, in the order of the nodes.
+// groupPieces groups parts into pieces by node and copy node, in their order.
 func groupPieces(volumeSlots slots) (out []placement.Piece) {
 	for i := range volumeSlots.data {
 		index := slices.IndexFunc(out, func(piece placement.Piece) bool {
@@ -159,27 +159,27 @@
 	return out
 }
 
-// Steps orders the way from the layout in force to another, each within the amount
-// that the settings let one step move.
-func (pl *Plan) Steps(to placement.Layout) ([]placement.Step, error) {
-	most := pl.Settings.Placement.MaxMoved
-	if most == 0 {
-		most = settings.DefaultPlacement.MaxMoved
+// Steps returns the steps from the current layout to another, each within the limit of the settings
+// on what one step may move. Its errors are those of placement.Steps.
+func (pl *Plan) Steps(target placement.Layout) ([]placement.Step, error) {
+	maxMoved := pl.Settings.Placement.MaxMoved
+	if maxMoved == 0 {
+		maxMoved = settings.DefaultPlacement.MaxMoved
 	}
-	return placement.Steps(pl.Problem, pl.Current, to, most)
+	return placement.Steps(pl.Problem, pl.Current, target, maxMoved)
 }
 
-// ApplyStep returns the settings after a step. The plan then stands where the step led.
+// ApplyStep returns the settings after a step and makes them the plan's current ones.
 func (pl *Plan) ApplyStep(step placement.Step) (*settings.Settings, error) {
-	volumeSlots, left := pl.slots[step.Volume], step.To.Parts
+	volumeSlots, remaining := pl.slots[step.Volume], step.To.Parts
 	for i := range volumeSlots.data {
-		if left > 0 && volumeSlots.data[i] == step.From.Node && volumeSlots.copy[i] == step.From.Copy {
+		if remaining > 0 && volumeSlots.data[i] == step.From.Node && volumeSlots.copy[i] == step.From.Copy {
 			volumeSlots.data[i], volumeSlots.copy[i] = step.To.Node, step.To.Copy
-			left--
+			remaining--
 		}
 	}
-	if left > 0 {
-		return nil, &Error{"volumes." + pl.Problem.Volumes[step.Volume].Name, "the step does not begin where the layout stands"}
+	if remaining > 0 {
+		return nil, &Error{"volumes." + pl.Problem.Volumes[step.Volume].Name, "the step does not start from the current layout"}
 	}
 	pl.Current[step.Volume] = groupPieces(volumeSlots)
 	next := *pl.Settings
@@ -189,35 +189,35 @@
 	return &next, nil
 }
 
-// WithLayout returns the settings with a layout put in at once; for services that hold
-// no data yet, and for comparisons.
-func (pl *Plan) WithLayout(to placement.Layout) (*settings.Settings, error) {
+// WithLayout returns the settings with a complete layout, without migration steps. It is for services
+// that hold no data yet, and for comparisons. The plan itself is not changed.
+func (pl *Plan) WithLayout(target placement.Layout) (*settings.Settings, error) {
 	next := *pl.Settings
 	next.Volumes = slices.Clone(next.Volumes)
-	for v := range to {
+	for v := range target {
 		var volumeSlots slots
-		for _, piece := range to[v] {
+		for _, piece := range target[v] {
 			for range piece.Parts {
 				volumeSlots.data, volumeSlots.copy = append(volumeSlots.data, piece.Node), append(volumeSlots.copy, piece.Copy)
 			}
 		}
 		if len(volumeSlots.data) != pl.Problem.Parts {
-			return nil, &Error{"volumes." + pl.Problem.Volumes[v].Name, fmt.Sprintf("%d parts of %d have a place", len(volumeSlots.data), pl.Problem.Parts)}
+			return nil, &Error{"volumes." + pl.Problem.Volumes[v].Name, fmt.Sprintf("%d parts of %d are placed", len(volumeSlots.data), pl.Problem.Parts)}
 		}
 		pl.setLayout(&next.Volumes[v], interleave(volumeSlots))
 	}
 	return &next, next.Check()
 }
 
-// interleave spreads the parts of each piece evenly over the slots, so that neighbouring
-// extents, which are often busy together, lie apart.
+// interleave distributes the parts of each piece evenly over the slots. Otherwise adjacent extents,
+// which are often accessed together, would be on the same node.
 func interleave(grouped slots) slots {
 	count := len(grouped.data)
 	spread := slots{make([]int, count), make([]int, count)}
 	stride := 1
-	for candidate := count/2 + 1; candidate < count; candidate++ { // the nearest step above a half that meets every slot
-		if lcm(candidate, count) == candidate*count {
-			stride = candidate
+	for trial := count/2 + 1; trial < count; trial++ { // least stride above count/2 that visits every slot
+		if lcm(trial, count) == trial*count {
+			stride = trial
 			break
 		}
 	}
@@ -227,7 +227,7 @@
 	return spread
 }
 
-// setLayout writes parts into a volume.
+// setLayout writes the layout of the slots into a volume's settings.
 func (pl *Plan) setLayout(volume *settings.Volume, volumeSlots slots) {
 	volume.Layout, volume.CopyLayout = make([]int, len(volumeSlots.data)), nil
 	for i, n := range volumeSlots.data {
@@ -241,8 +241,8 @@
 	}
 }
 
-// FailOver returns the settings with what lies in a hall served from its copies,
-// and the names of volumes parts of which have none elsewhere.
+// FailOver returns the settings with all data in hall served from its copies, and the names of the
+// volumes that have parts without a copy in another hall.
 func FailOver(s *settings.Settings, hall string) (*settings.Settings, []string) {
 	inHall := map[int]bool{}
 	for _, n := range s.Nodes {
@@ -250,7 +250,7 @@
 	}
 	next := *s
 	next.Volumes = slices.Clone(s.Volumes)
-	var stranded []string
+	var unrecoverable []string
 	for i := range next.Volumes {
 		volume := &next.Volumes[i]
 		layout, hasLost := slices.Clone(volume.Layout), false
@@ -264,13 +264,13 @@
 			}
 		}
 		if volume.Layout = layout; hasLost {
-			stranded = append(stranded, volume.Name)
+			unrecoverable = append(unrecoverable, volume.Name)
 		}
 	}
-	return &next, stranded
+	return &next, unrecoverable
 }
 
-// minDomains is how many domains a volume must lie in: there are two regions at most.
+// minDomains returns the least number of failure domains of a volume, at most 2 if they are regions.
 func minDomains(s *settings.Settings, volume *settings.Volume) int {
 	if s.Placement.FailureDomain == settings.DomainRegion {
 		return min(volume.MinDomains, 2)
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -30,8 +30,8 @@
 	return result
 }
 
-// Steps one by one lead from any settings to the layout, each step's settings hold,
-// and a plan made from the last ones finds nothing left to do.
+// Steps must lead to the target layout through valid settings, and a plan made from the final settings
+// must need no further steps.
 func TestStepsLeadToTheLayout(t *testing.T) {
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 		if len(steps) == 0 {
-			t.Fatal("no steps: nothing is tested")
+			t.Fatal("got no steps, want some")
 		}
 		current := s
 		for _, step := range steps {
@@ -59,20 +59,20 @@
 		}
 		replanned := from(t, current, plan.Options{})
 		if remaining, err := replanned.Steps(result.Layout); err != nil || len(remaining) != 0 {
-			t.Fatalf("seed %d: %d steps left, %v", seed, len(remaining), err)
+			t.Fatalf("seed %d: %d steps left, error %v", seed, len(remaining), err)
 		}
 		final, err := layoutPlan.WithLayout(result.Layout)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if remaining, err := from(t, final, plan.Options{}).Steps(result.Layout); err != nil || len(remaining) != 0 {
-			t.Fatalf("seed %d: at once: %d steps left, %v", seed, len(remaining), err)
+			t.Fatalf("seed %d: WithLayout: %d steps left, error %v", seed, len(remaining), err)
 		}
 	}
 }
 
-// A step that does not begin where the layout stands changes nothing.
-func TestStepFromElsewhereIsAnError(t *testing.T) {
+// A step that does not start from the current layout must be refused without effect.
+func TestStepNotFromCurrentLayoutIsRefused(t *testing.T) {
 	layoutPlan := from(t, settings.Example(1, 3), plan.Options{})
 	before := slices.Clone(layoutPlan.Current[0])
 	wrongStep := placement.Step{Volume: 0, From: placement.Piece{Node: 2, Copy: 2, Parts: 1}, To: placement.Piece{Node: 1, Copy: 0, Parts: 1}}
@@ -81,11 +81,11 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(before, layoutPlan.Current[0]) {
-		t.Fatal("the plan has moved")
+		t.Fatal("the refused step changed the current layout")
 	}
 }
 
-func TestMeasuredRatesTakeThePlaceOfTypedOnes(t *testing.T) {
+func TestMeasuredRatesReplaceConfiguredOnes(t *testing.T) {
 	s := settings.Example(1, 3)
 	layoutPlan := from(t, s, plan.Options{Measured: []rates.Rate{{Volume: "vol-001", Mean: 10, StdDev: 3, WriteFraction: 0.5}}})
 	for i, v := range layoutPlan.Problem.Volumes {
@@ -94,26 +94,26 @@
 			want = 10 + 2*3
 		}
 		if v.Rate != want {
-			t.Errorf("%s: %g, want %g", s.Volumes[i].Name, v.Rate, want)
+			t.Errorf("%s: got rate %g, want %g", s.Volumes[i].Name, v.Rate, want)
 		}
 	}
-	// All that is measured as 0 still gets its place.
+	// Volumes with a measured rate of 0 must be placed too.
 	result := solve(t, from(t, s, plan.Options{Measured: []rates.Rate{}}))
 	for v, pieces := range result.Layout {
 		if len(pieces) == 0 {
-			t.Errorf("volume %d has no place", v)
+			t.Errorf("volume %d is not placed", v)
 		}
 	}
 }
 
-func TestALostHallTakesNothing(t *testing.T) {
+func TestLostHallGetsNoData(t *testing.T) {
 	s := settings.Example(3, 9)
 	layoutPlan := from(t, s, plan.Options{LostHalls: []string{"hall-b"}})
 	result := solve(t, layoutPlan)
 	for v, pieces := range result.Layout {
 		for _, piece := range pieces {
 			if s.Nodes[piece.Node].Hall == "hall-b" || piece.Copy >= 0 && s.Nodes[piece.Copy].Hall == "hall-b" {
-				t.Fatalf("volume %d lies in the lost hall", v)
+				t.Fatalf("volume %d is placed in the lost hall", v)
 			}
 		}
 	}
@@ -128,13 +128,13 @@
 	}
 	next, stranded := plan.FailOver(planned, "hall-a")
 	if len(stranded) != 0 {
-		t.Fatalf("stranded: %v", stranded)
+		t.Fatalf("volumes without a copy elsewhere: got %v, want none", stranded)
 	}
 	changed := 0
 	for i, v := range next.Volumes {
 		for slot, shard := range v.Layout {
 			if planned.Nodes[shard].Hall == "hall-a" {
-				t.Fatalf("%s still lies on shard %d", v.Name, shard)
+				t.Fatalf("%s is still on shard %d of the lost hall", v.Name, shard)
 			}
 			if shard != planned.Volumes[i].Layout[slot] {
 				changed++
@@ -142,14 +142,14 @@
 		}
 	}
 	if changed == 0 {
-		t.Fatal("nothing lay in the hall")
+		t.Fatal("no data was in the lost hall")
 	}
 	if _, stranded := plan.FailOver(s, "hall-a"); len(stranded) == 0 {
-		t.Fatal("without copies nothing was called stranded")
+		t.Fatal("no copies: got no volumes without a copy elsewhere, want some")
 	}
 }
 
-func TestSettingsThatCantBePlannedWith(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	s := settings.Example(1, 3)
 	s.Nodes = nil
 	var planError *plan.Error
@@ -164,10 +164,9 @@
 	}
 }
 
-// With regions as what is lost at once, every copy lies in the other region and the load
-// of either fits into the one that is left; where it can't, the contradiction names the
-// region.
-func TestARegionIsSurvived(t *testing.T) {
+// With regions as failure domains, every copy must be in the other region, and a problem must be
+// infeasible if one region cannot carry the whole load.
+func TestRegionLossIsSurvived(t *testing.T) {
 	s := settings.Example(3, 8)
 	for i := range s.Nodes {
 		s.Nodes[i].Region, s.Nodes[i].Capacity = i%2, 300
@@ -189,12 +188,12 @@
 	for v, pieces := range result.Layout {
 		for _, piece := range pieces {
 			if s.Nodes[piece.Node].Region == s.Nodes[piece.Copy].Region {
-				t.Errorf("volume %d: data and copy in one region", v)
+				t.Errorf("volume %d: data and copy are in the same region", v)
 			}
 		}
 	}
 	for i := range s.Nodes {
-		s.Nodes[i].Capacity = 150 // enough for all, not for half of them alone
+		s.Nodes[i].Capacity = 150 // enough for all nodes together, but not for one region
 	}
 	for i := range s.Plans {
 		s.Plans[i].Reserve = 0
@@ -204,8 +203,8 @@
 		layoutPlan.Problem.Tiers[i].Reserve = 1
 	}
 	if _, err := placement.Solve(layoutPlan.Problem, placement.Options{MaxSteps: 200000}); err == nil {
-		t.Fatal("half of the nodes can't carry it all, and yet there is a layout")
+		t.Fatal("one region cannot carry the whole load, but a layout was found")
 	}
 	layoutPlan.Problem.SurviveHallLoss = false
-	solve(t, layoutPlan) // it is the region's loss that does not fit
+	solve(t, layoutPlan) // feasible unless the loss of a region must be survived
 }
--- a/internal/fleet/plan/report.go
+++ b/internal/fleet/plan/report.go
@@ -8,13 +8,13 @@
 	"merlinhitch/internal/fleet/placement"
 )
 
-// LossCase is a state of the halls for which uses are worked out.
+// LossCase is a state of the halls: all up or one lost.
 type LossCase struct {
 	Name     string
-	LostHall string // hall, or none
+	LostHall string // hall, or "" for none
 }
 
-// LossCases are all halls up, then each lost.
+// LossCases returns the case without a loss, then the loss of each hall.
 func (pl *Plan) LossCases() []LossCase {
 	out := []LossCase{{"all up", ""}}
 	for _, hall := range pl.Problem.Halls() {
@@ -23,8 +23,8 @@
 	return out
 }
 
-// Utilization is each node's load over its capacity under a layout; -1 for nodes in a
-// lost hall, and for load on a node without capacity.
+// Utilization returns the load of each node divided by its capacity. It is -1 for nodes in lostHall
+// and for nodes that have load but no capacity.
 func (pl *Plan) Utilization(layout placement.Layout, lostHall string) []float64 {
 	utilization := placement.Loads(pl.Problem, layout, lostHall)
 	for n, load := range utilization {
@@ -39,7 +39,7 @@
 	return utilization
 }
 
-// Report is a plan as a machine reads it.
+// Report describes a plan; it is encoded as JSON.
 type Report struct {
 	Objective  placement.Objective `json:"objective"`
 	Bound      placement.Objective `json:"bound"`
@@ -47,14 +47,14 @@
 	Gap        float64             `json:"gap"`
 	LossGap    float64             `json:"loss_gap"`
 	Before     placement.Objective `json:"before"`
-	Violations []string            `json:"broken_before,omitempty"` // what the layout in force breaks
+	Violations []string            `json:"broken_before,omitempty"` // by the layout in force
 	Nodes      []NodeReport        `json:"nodes"`
 	Volumes    []VolumeReport      `json:"volumes"`
 	Steps      []StepReport        `json:"steps"`
-	Blocked    []string            `json:"blocked,omitempty"` // volumes that no order of steps brings to their place
+	Blocked    []string            `json:"blocked,omitempty"` // volumes for which no sequence of steps to the target was found
 }
 
-// NodeReport is one node before and after.
+// NodeReport describes a node before and after the migration. Loads are in units/s.
 type NodeReport struct {
 	Shard              int     `json:"shard"`
 	Hall               string  `json:"hall"`
@@ -63,35 +63,36 @@
 	LoadAfter          float64 `json:"load_after"`
 	SpareAfter         float64 `json:"spare_after"`
 	LoadAfterWorstLoss float64 `json:"load_after_worst_loss"`
-	// TierShares is the part of After that each tier has.
+	// TierShares holds the fraction of LoadAfter of each tier, by name.
 	TierShares map[string]float64 `json:"tier_shares"`
 }
 
-// VolumeReport is where a volume goes.
+// VolumeReport describes the target placement of a volume.
 type VolumeReport struct {
 	Name   string        `json:"name"`
 	Rate   float64       `json:"rate"`
 	Pieces []PieceReport `json:"pieces"`
 }
 
-// PieceReport is a share of a volume on one shard.
+// PieceReport is the fraction of a volume on one shard.
 type PieceReport struct {
 	Shard int     `json:"shard"`
-	Copy  int     `json:"copy"` // shard, -1: none
+	Copy  int     `json:"copy"` // shard of the copy, -1: none
 	Share float64 `json:"share"`
 }
 
-// StepReport is one step.
+// StepReport is one step of the migration.
 type StepReport struct {
 	Volume string  `json:"volume"`
 	From   int     `json:"from"`
 	To     int     `json:"to"`
-	Copy   int     `json:"copy"`
+	Copy   int     `json:"copy"` // target shard of the copy, -1: none
 	Parts  int     `json:"parts"`
-	Moved  float64 `json:"moved"`
+	Moved  float64 `json:"moved"` // units/s
 }
 
-// Report tells what a result means for the settings.
+// Report returns the report of a solver result. blocked names the volumes that steps do not bring to
+// the target.
 func (pl *Plan) Report(result *placement.Result, steps []placement.Step, blocked []string) *Report {
 	problem := pl.Problem
 	report := &Report{Objective: result.Objective, Bound: result.Bound, Optimal: result.Optimal, Gap: result.Gap(), LossGap: result.LossGap(), Blocked: blocked}
@@ -142,7 +143,7 @@
 	return pl.Settings.Nodes[node].Shard
 }
 
-// Print writes a report as a table for people.
+// Print writes the report as text for operators.
 func (r *Report) Print(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "shard\thall\tcapacity\tload before\tafter\tspare\tafter worst loss\t")
@@ -152,26 +153,26 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "\nhighest use %.3f (before %.3f), after the worst loss %.3f (before %.3f)\n", r.Objective.Use, r.Before.Use, r.Objective.LossUse, r.Before.LossUse)
+	fmt.Fprintf(w, "\nmax utilization %.3f (before %.3f), after the worst loss %.3f (before %.3f)\n", r.Objective.Use, r.Before.Use, r.Objective.LossUse, r.Before.LossUse)
 	if r.Optimal {
-		fmt.Fprintln(w, "proved: no layout is better")
+		fmt.Fprintln(w, "proved optimal")
 	} else {
-		fmt.Fprintf(w, "at most %.2f%% above the best possible use, %.1f%% above that after a loss\n", 100*r.Gap, 100*r.LossGap)
+		fmt.Fprintf(w, "at most %.2f%% above the optimal maximum utilization, %.1f%% above that after a loss\n", 100*r.Gap, 100*r.LossGap)
 	}
 	for i, violation := range r.Violations {
 		if i == 5 {
-			fmt.Fprintf(w, "the layout in force breaks %d more\n", len(r.Violations)-i)
+			fmt.Fprintf(w, "and %d more violations by the layout in force\n", len(r.Violations)-i)
 			break
 		}
-		fmt.Fprintln(w, "the layout in force breaks:", violation)
+		fmt.Fprintln(w, "violation by the layout in force:", violation)
 	}
 	moved := 0.0
 	for _, s := range r.Steps {
 		moved += s.Moved
 	}
-	fmt.Fprintf(w, "%d steps move %.1f units a second\n", len(r.Steps), moved)
+	fmt.Fprintf(w, "%d steps move %.1f units/s\n", len(r.Steps), moved)
 	if len(r.Blocked) > 0 {
-		fmt.Fprintf(w, "no order of steps within capacity brings %d volumes to their place, first %s\n", len(r.Blocked), r.Blocked[0])
+		fmt.Fprintf(w, "no feasible sequence of steps found for %d volumes, first %s\n", len(r.Blocked), r.Blocked[0])
 	}
 	return nil
 }
--- a/internal/fleet/rates/rates.go
+++ b/internal/fleet/rates/rates.go
@@ -1,7 +1,6 @@
-// Package rates measures what volumes ask for, in units a second, smoothed, with
-// the spread that a margin is taken from. It is a core: no I/O, no clock but the
-// times that it is given, and no work for a request that grows with the volumes.
-// It decides nothing.
+// Package rates measures the demand of volumes in units per second: an exponentially weighted mean
+// and standard deviation. It does no I/O, takes all times as arguments in milliseconds, and counts a
+// request in constant time.
 package rates
 
 import (
@@ -10,38 +9,38 @@
 	"slices"
 )
 
-// Rate is what one volume asked for.
+// Rate is the measured demand of one volume.
 type Rate struct {
 	Volume        string  `json:"volume"`
-	Mean          float64 `json:"mean"`   // units a second
-	StdDev        float64 `json:"spread"` // standard deviation of a second's units
-	WriteFraction float64 `json:"writes"` // part of Mean
+	Mean          float64 `json:"mean"`   // units/s
+	StdDev        float64 `json:"spread"` // standard deviation of the units in a second
+	WriteFraction float64 `json:"writes"` // fraction of Mean
 }
 
-// Meter counts by volume and whole second. The zero value is not ready: use New.
+// Meter counts units by volume in intervals of a whole second. Use New to create one.
 type Meter struct {
-	decay       float64 // what a second leaves of those before it
+	decay       float64 // factor by which a second reduces the weight of those before it
 	startSecond int64
 	volumes     map[string]*volumeSums
 }
 
-// volumeSums are of the seconds before at, each weighed by keep to the power of its age;
-// now is what second at has seen.
+// volumeSums holds the units of the current second and weighted sums of the seconds before it, each
+// weighted by decay to the power of its age.
 type volumeSums struct {
 	second                        int64
 	units, writtenUnits           float64
 	mean, meanSquare, meanWritten float64
 }
 
-// New starts a meter at a time in milliseconds; what is so many seconds old weighs
-// 1/e of what is new.
+// New returns a meter that starts at time now (ms). timeConstant, in seconds and at least 1, is the
+// age at which the weight of a request has decayed to 1/e.
 func New(now, timeConstant float64) *Meter {
 	return &Meter{decay: math.Exp(-1 / max(timeConstant, 1)), startSecond: wholeSecond(now), volumes: map[string]*volumeSums{}}
 }
 
 func wholeSecond(ms float64) int64 { return int64(math.Floor(ms / 1000)) }
 
-// Add counts a request.
+// Add counts a request at time now (ms).
 func (m *Meter) Add(now float64, volume string, units float64, write bool) {
 	sums := m.volumes[volume]
 	if sums == nil {
@@ -55,7 +54,8 @@
 	}
 }
 
-// advance closes the seconds before at; those without a request only let the others age.
+// advance adds the current second to the weighted sums and makes second the current one. Seconds
+// without a request only decay the sums.
 func (s *volumeSums) advance(second int64, decay float64) {
 	if second <= s.second {
 		return
@@ -67,8 +67,8 @@
 	s.units, s.writtenUnits, s.second = 0, 0, second
 }
 
-// VolumeRate is a volume's mean so far, units a second, the second under way included at the
-// weight that it has by then.
+// VolumeRate returns the mean rate of a volume at time now (ms), units/s. Unlike Rates, it includes
+// the current second, so that it reflects a surge at once.
 func (m *Meter) VolumeRate(now float64, volume string) float64 {
 	sums := m.volumes[volume]
 	if sums == nil {
@@ -80,11 +80,11 @@
 	return (sums.mean*m.decay + (1-m.decay)*sums.units) / weight
 }
 
-// minRate is a rate too small to tell from none.
+// minRate is the mean, units/s, below which a volume without current requests is removed.
 const minRate = 1e-9
 
-// Rates lists the volumes that asked for anything, by name. The second under way
-// does not count yet.
+// Rates returns the rates of all volumes with requests at time now (ms), sorted by name and without
+// the current second. It removes volumes whose rate has decayed below minRate.
 func (m *Meter) Rates(now float64) []Rate {
 	second := wholeSecond(now)
 	weight := 1 - math.Pow(m.decay, float64(second-m.startSecond))
@@ -107,8 +107,8 @@
 	return out
 }
 
-// Merge adds up what several hosts measured of the same volumes. Their spreads are
-// taken as independent.
+// Merge sums the rates that several hosts measured, by volume. Standard deviations are combined as of
+// independent variables.
 func Merge(hosts ...[]Rate) []Rate {
 	merged := map[string]Rate{}
 	for _, h := range hosts {
--- a/internal/fleet/rates/rates_test.go
+++ b/internal/fleet/rates/rates_test.go
@@ -18,11 +18,11 @@
 	}
 	got := meter.Rates(10_000)
 	if len(got) != 1 || !almostEqual(got[0].Mean, 4) || got[0].StdDev > 1e-6 || !almostEqual(got[0].WriteFraction, 0.25) {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v, want a mean of 4, no deviation and a write fraction of 0.25", got)
 	}
 }
 
-// Closing many idle seconds at once gives what closing each would.
+// Advancing over many idle seconds at once must equal advancing second by second.
 func TestIdleSecondsAtOnceAndOneByOne(t *testing.T) {
 	eachSecond, atOnce := rates.New(0, 20), rates.New(0, 20)
 	for s := range 5 {
@@ -34,7 +34,7 @@
 	}
 	gotEach, gotAtOnce := eachSecond.Rates(40_000), atOnce.Rates(40_000)
 	if len(gotEach) != 1 || len(gotAtOnce) != 1 || !almostEqual(gotEach[0].Mean, gotAtOnce[0].Mean) || !almostEqual(gotEach[0].StdDev, gotAtOnce[0].StdDev) {
-		t.Fatalf("%+v and %+v", gotEach, gotAtOnce)
+		t.Fatalf("got %+v second by second, %+v at once, want equal rates", gotEach, gotAtOnce)
 	}
 }
 
@@ -42,14 +42,14 @@
 	meter := rates.New(0, 2)
 	meter.Add(0, "a", 100, false)
 	if got := meter.Rates(0); got != nil {
-		t.Fatalf("before any second is over: %+v", got)
+		t.Fatalf("first second not over: got %+v, want none", got)
 	}
 	early, late := meter.Rates(1000)[0].Mean, meter.Rates(10_000)[0].Mean
 	if early < 99 || late > 2 {
-		t.Fatalf("%g, then %g", early, late)
+		t.Fatalf("mean %g after 1 s, %g after 10 s, want at least 99, then at most 2", early, late)
 	}
 	if got := meter.Rates(200_000); len(got) != 0 {
-		t.Fatalf("not forgotten: %+v", got)
+		t.Fatalf("got %+v after 200 s without requests, want none", got)
 	}
 }
 
@@ -58,7 +58,7 @@
 	want := []rates.Rate{{"a", 2, 0, 0}, {"b", 4, 5, 0.25}, {"c", 5, 0, 0}}
 	for i := range want {
 		if len(got) != 3 || got[i] != want[i] {
-			t.Fatalf("%+v, want %+v", got, want)
+			t.Fatalf("got %+v, want %+v", got, want)
 		}
 	}
 }
@@ -66,15 +66,15 @@
 func TestRateOfOneVolume(t *testing.T) {
 	meter := rates.New(0, 60)
 	if got := meter.VolumeRate(0, "a"); got != 0 {
-		t.Errorf("%g of a volume never seen", got)
+		t.Errorf("got rate %g for an unknown volume, want 0", got)
 	}
 	for s := range 5 {
 		meter.Add(float64(s*1000), "a", 7, false)
 	}
 	if got := meter.VolumeRate(4999, "a"); !almostEqual(got, 7) {
-		t.Errorf("%g, want 7", got)
+		t.Errorf("got rate %g, want 7", got)
 	}
 	if meter.Add(4999, "a", 700, false); meter.VolumeRate(4999, "a") < 100 {
-		t.Error("a surge in the second under way is not seen")
+		t.Error("a surge in the current second does not count")
 	}
 }
