--- a/internal/simulation/lab/changes.go
+++ b/internal/simulation/lab/changes.go
@@ -67,25 +67,25 @@
 	}
 	defer os.RemoveAll(dir)
 	options.stateDir = dir
-	load := &changeOperators{changesEach: changes / operators}
+	changers := &changeOperators{changesEach: changes / operators}
 	var events []trail.Event
 	var meta *trail.Meta
 	options.onStart = func(run *dayRun, duration time.Duration) {
-		load.fleet, load.meanPause = run.fleet, duration*4/10/time.Duration(max(load.changesEach, 1))
+		changers.fleet, changers.meanPause = run.fleet, duration*4/10/time.Duration(max(changers.changesEach, 1))
 		for operator := range operators {
 			rng := rand.New(rand.NewPCG(options.Seed, uint64(100+operator)))
-			load.operators.Go(run.fleet.Environment, func() { load.runOperator(ctx, operator, rng) })
+			changers.operators.Go(run.fleet.Environment, func() { changers.runOperator(ctx, operator, rng) })
 		}
 	}
 	options.onStopped = func(run *dayRun, recorded []trail.Event) {
-		load.operators.Wait(run.fleet.Environment)
+		changers.operators.Wait(run.fleet.Environment)
 		events, meta = recorded, run.fleet.Meta
 	}
 	result, err := BadDay(ctx, options)
 	if err != nil {
 		return nil, err
 	}
-	return load.check(dir, result, meta, events)
+	return changers.check(dir, result, meta, events)
 }
 
 // runOperator makes the changes of one operator.
@@ -104,6 +104,7 @@
 	}
 }
 
+// changeOnce reads the settings of a host, alters them, and puts them after a random pause.
 func (ch *changeOperators) changeOnce(ctx context.Context, host string, api *settings.API, reason string, rng *rand.Rand) {
 	proposed, err := api.Get(ctx)
 	if err != nil {
--- a/internal/simulation/lab/losses.go
+++ b/internal/simulation/lab/losses.go
@@ -114,7 +114,7 @@
 	disks       []*standin.DiskServer
 	router      *standin.Router
 	mu          sync.Mutex
-	wake        *sync.Cond
+	wake        *sync.Cond // signals a new entry in changes
 	changes     []standin.RouteChange
 }
 
--- a/internal/simulation/lab/reservations.go
+++ b/internal/simulation/lab/reservations.go
@@ -124,6 +124,7 @@
 	return &rig.history, rig.err
 }
 
+// reservationRig holds the inventory, disk servers and hosts of a run, and its history.
 type reservationRig struct {
 	environment      env.Environment
 	testbed          testbed
@@ -184,6 +185,8 @@
 	r.history.AppliedWrites[stamp] = append(r.history.AppliedWrites[stamp], r.environment.Now())
 }
 
+// startDisk starts the disk server of a shard, or its successor with the same store, and enters it
+// in the inventory.
 func (r *reservationRig) startDisk(i int) error {
 	machine := standin.NewMachine(standin.MachineConfig{Cores: 2, QueueLimit: 64, UnitWork: 1, WriteFactor: 1, ColdCapacity: 1, OverloadWindow: 1000, OverloadFactor: 2},
 		r.seed*10+uint64(i), r.stores[i], standin.NewDedupCache(6000), nil, uint32(i), 0, false)
@@ -232,6 +235,7 @@
 	r.inventory.Close()
 }
 
+// fail keeps the first error of the run.
 func (r *reservationRig) fail(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -323,6 +327,7 @@
 	}
 }
 
+// dial logs an initiator in through its host. It returns nil if that fails.
 func (r *reservationRig) dial(ctx context.Context, index int) *initiator.Client {
 	r.mu.Lock()
 	host := r.hosts[index%reservationHosts]
