--- a/internal/fleet/placement/placement_test.go
+++ b/internal/fleet/placement/placement_test.go
@@ -40,20 +40,20 @@
 
 // enumeratePieces lists all ways to distribute up to Parts parts of v and their copies over the nodes.
 func enumeratePieces(problem *Problem, v int) (out [][]Piece) {
-	var placeFrom func(n, left int, pieces []Piece)
-	placeFrom = func(n, left int, pieces []Piece) {
+	var placeFrom func(n, remaining int, pieces []Piece)
+	placeFrom = func(n, remaining int, pieces []Piece) {
 		if n == len(problem.Nodes) {
 			out = append(out, slices.Clone(pieces))
 			return
 		}
-		placeFrom(n+1, left, pieces)
-		for parts := 1; parts <= left; parts++ {
+		placeFrom(n+1, remaining, pieces)
+		for parts := 1; parts <= remaining; parts++ {
 			if problem.Volumes[v].Copies == 1 {
-				placeFrom(n+1, left-parts, append(pieces, Piece{n, -1, parts}))
+				placeFrom(n+1, remaining-parts, append(pieces, Piece{n, -1, parts}))
 				continue
 			}
 			for copyNode := range problem.Nodes {
-				placeFrom(n+1, left-parts, append(pieces, Piece{n, copyNode, parts}))
+				placeFrom(n+1, remaining-parts, append(pieces, Piece{n, copyNode, parts}))
 			}
 		}
 	}
--- a/internal/fleet/placement/state.go
+++ b/internal/fleet/placement/state.go
@@ -109,8 +109,8 @@
 // candidate is one possible placement of a volume.
 type candidate struct {
 	pieces    []Piece
-	unmet     float64
-	movedRate float64
+	unmet     float64 // value of the parts that are not placed
+	movedRate float64 // see Problem.movedRate
 }
 
 // maxCandidates bounds the placements that are listed for one volume.
--- a/internal/fleet/placement/steps_test.go
+++ b/internal/fleet/placement/steps_test.go
@@ -26,19 +26,19 @@
 			t.Fatalf("step %d moves %v, maximum %v", i, step.Moved, maxMoved)
 		}
 		for _, change := range []struct {
-			pc Piece
-			k  int
+			piece Piece
+			added int
 		}{{step.From, -step.From.Parts}, {step.To, step.To.Parts}} {
-			if change.pc.Node < 0 {
+			if change.piece.Node < 0 {
 				continue
 			}
 			pieces := current[step.Volume]
-			index := slices.IndexFunc(pieces, func(piece Piece) bool { return piece.Node == change.pc.Node && piece.Copy == change.pc.Copy })
+			index := slices.IndexFunc(pieces, func(piece Piece) bool { return piece.Node == change.piece.Node && piece.Copy == change.piece.Copy })
 			if index < 0 {
-				pieces = append(pieces, Piece{change.pc.Node, change.pc.Copy, 0})
+				pieces = append(pieces, Piece{change.piece.Node, change.piece.Copy, 0})
 				index = len(pieces) - 1
 			}
-			if pieces[index].Parts += change.k; pieces[index].Parts < 0 {
+			if pieces[index].Parts += change.added; pieces[index].Parts < 0 {
 				t.Fatalf("step %d moves parts that are not there", i)
 			}
 			current[step.Volume] = slices.DeleteFunc(pieces, func(piece Piece) bool { return piece.Parts == 0 })
