--- a/internal/simulation/lab/bench_test.go
+++ b/internal/simulation/lab/bench_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// BenchmarkGateway is the gateway's cost for a 4 KiB read at 100 connections of 8
-// outstanding, clients and servers included.
+// BenchmarkGateway measures the rate, CPU time and allocations of 4 KiB reads over 100 connections with 8
+// outstanding commands each, clients and disk servers included.
 func BenchmarkGateway(b *testing.B) {
 	gatewayAddr, closeAll, err := startBenchGateway(nil)
 	if err != nil {
--- a/internal/simulation/lab/changes_test.go
+++ b/internal/simulation/lab/changes_test.go
@@ -9,9 +9,8 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// Four operators change settings all through a bad day; no command is judged by a mixture
-// and the record is what they were answered. Then the trail is doctored in every way that
-// the checker is there for.
+// Four operators change settings while faults strike: each command is served by one version of the
+// settings. Then the checker must detect every kind of corrupted trail.
 func TestSettingsChangesUnderFaults(t *testing.T) {
 	rate := 150.0
 	if testing.Short() {
@@ -25,20 +24,20 @@
 	result.Print(&report)
 	t.Log("\n" + report.String())
 	if !result.OK() || result.Accepted < 20 || result.Versions.Commands < int(rate) {
-		t.Fatal("not kept, or too little happened")
+		t.Fatal("run failed, or too few changes or commands were checked")
 	}
 	for name, corrupt := range map[string]func(e *trail.Event) bool{
-		"a version that never was": func(e *trail.Event) bool { e.SettingsVersion = 9999; return true },
-		"another plan":             func(e *trail.Event) bool { e.Plan += "x"; return true },
-		"another effect":           func(e *trail.Event) bool { e.Effect = (e.Effect + 1) % 3; return true },
-		"more time":                func(e *trail.Event) bool { e.Deadline += 60e6; return true },
-		"more units":               func(e *trail.Event) bool { e.Units++; return e.Op == "read" || e.Op == "write" },
-		"an old version": func(e *trail.Event) bool {
+		"a version that never existed": func(e *trail.Event) bool { e.SettingsVersion = 9999; return true },
+		"another plan":                 func(e *trail.Event) bool { e.Plan += "x"; return true },
+		"another effect":               func(e *trail.Event) bool { e.Effect = (e.Effect + 1) % 3; return true },
+		"a later deadline":             func(e *trail.Event) bool { e.Deadline += 60e6; return true },
+		"more units":                   func(e *trail.Event) bool { e.Units++; return e.Op == "read" || e.Op == "write" },
+		"an outdated version": func(e *trail.Event) bool {
 			previous := e.SettingsVersion
 			e.SettingsVersion = 1
 			return previous > 3
 		},
-		"a version to come": func(e *trail.Event) bool {
+		"a future version": func(e *trail.Event) bool {
 			versions := result.applied[trail.HostName(e.Host)]
 			last := versions[len(versions)-1]
 			e.SettingsVersion = last.Settings.Version
@@ -59,7 +58,7 @@
 			}
 		}
 		if !found {
-			t.Errorf("%s was not found", name)
+			t.Errorf("corrupted trail not detected: %s", name)
 		}
 	}
 }
--- a/internal/simulation/lab/counters_test.go
+++ b/internal/simulation/lab/counters_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// The counters of a bad day are what passed on the sockets; one that is off by one is
-// found.
+// The counters agree with the trail of a run with faults, and any counter that is off by one is detected.
 func TestCountersAgreeWithTheTrail(t *testing.T) {
 	rate := 150.0
 	if testing.Short() {
@@ -21,7 +20,7 @@
 	counts.Print(&report)
 	t.Log("\n" + report.String())
 	if !counts.OK() || counts.Attempts < 2*rate || counts.ExactNodes == 0 {
-		t.Fatal("not kept, or too little was compared")
+		t.Fatal("counters differ, or too few were compared")
 	}
 	corrupted := 0
 	for key, results := range counts.reported.attempts {
@@ -31,13 +30,13 @@
 		for _, reason := range []string{"served", "server_error", "turned_away"} {
 			results[reason]++
 			if len(counts.compare()) == 0 {
-				t.Errorf("one more %s at %v was not found", reason, key)
+				t.Errorf("additional %s result at %v not detected", reason, key)
 			}
 			results[reason]--
 			corrupted++
 		}
 	}
 	if corrupted == 0 || len(counts.compare()) > 0 {
-		t.Error("nothing was doctored, or it was not undone")
+		t.Error("no counter was corrupted, or a corruption was not undone")
 	}
 }
--- a/internal/simulation/lab/experiment_test.go
+++ b/internal/simulation/lab/experiment_test.go
@@ -16,7 +16,7 @@
 		Seeds: 3, Duration: 6 * time.Second, Parallel: 4}
 }
 
-// An experiment is the same at each play, is read back as it was, and has its pictures.
+// An experiment gives the same figures when repeated, is read back unchanged, and has its charts.
 func TestExperimentIsReproducibleAndSaved(t *testing.T) {
 	rows, seconds, err := Experiment(context.Background(), smallGrid(), io.Discard)
 	if err != nil {
@@ -36,10 +36,10 @@
 	}
 	for i := range got {
 		if got[i] != rows[i] {
-			t.Fatalf("read back %+v, was %+v", got[i], rows[i])
+			t.Fatalf("row read back: got %+v, want %+v", got[i], rows[i])
 		}
 		if got[i].Digest != again[i].Digest || got[i].Goodput != again[i].Goodput || got[i].P99 != again[i].P99 {
-			t.Fatalf("played again %+v, was %+v", again[i], got[i])
+			t.Fatalf("row of the repeated experiment: got %+v, want %+v", again[i], got[i])
 		}
 	}
 	for _, name := range []string{TableFile, "goodput-hosts.png", "cost-hosts.png", "goodput-time.png", "p99-time.png"} {
@@ -49,12 +49,12 @@
 	}
 	for _, comparison := range CompareExperiments(got, again) {
 		if comparison.Verdict != "the same" {
-			t.Errorf("an experiment differs from itself: %+v", comparison)
+			t.Errorf("repeated experiment differs: %+v", comparison)
 		}
 	}
 }
 
-// What is within noise is called neither gain nor loss; what is not, is.
+// Differences within noise are neither gain nor loss; larger ones are.
 func TestComparisonSeparatesNoise(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	before := make([]ExperimentRow, 20)
@@ -74,23 +74,23 @@
 	}
 	noise := func() float64 { return rng.Float64() - 0.5 }
 	if v := change(func(r *ExperimentRow) { r.Goodput += 0.02 * noise(); r.P99 += 10 * noise() }); v["goodput"] != "within noise" || v["p99 ms"] != "within noise" {
-		t.Error("noise:", v)
+		t.Error("verdicts for noise:", v)
 	}
 	if v := change(func(r *ExperimentRow) { r.Goodput += 0.03 + 0.02*noise(); r.P99 += 20 + 5*noise() }); v["goodput"] != "gain" || v["p99 ms"] != "loss" {
-		t.Error("more goodput and latency:", v)
+		t.Error("verdicts for higher goodput and latency:", v)
 	}
 	if v := change(func(r *ExperimentRow) { r.Goodput -= 0.03 + 0.02*noise(); r.P99 -= 20 + 5*noise() }); v["goodput"] != "loss" || v["p99 ms"] != "gain" {
-		t.Error("less goodput and latency:", v)
+		t.Error("verdicts for lower goodput and latency:", v)
 	}
 	if v := change(func(r *ExperimentRow) { r.Setting, r.Value = "limits.max_attempts", 3 }); v["goodput"] != "the same" {
-		t.Error("experiments that differ by a figure:", v)
+		t.Error("verdicts for experiments that differ in one setting:", v)
 	}
 	if list := CompareExperiments(before[:2], before[:2]); list[0].Verdict != "too few pairs" {
-		t.Error("two pairs:", list[0])
+		t.Error("verdict for two pairs:", list[0])
 	}
 }
 
-// Bad grids and settings are refused by name.
+// Invalid grids and settings are rejected with an error that names the cause.
 func TestInvalidGridsAreRejected(t *testing.T) {
 	for want, change := range map[string]func(*Grid){
 		"earthquake":   func(g *Grid) { g.Troubles = []string{"earthquake"} },
@@ -108,14 +108,14 @@
 	}
 }
 
-// 170 hosts before 47 servers with 760 requests a second.
+// The rules hold with 170 hosts, 47 disk servers and 760 commands a second.
 func TestLargeFleet(t *testing.T) {
 	if testing.Short() {
-		t.Skip("long")
+		t.Skip("long test")
 	}
 	scenario := DrawScenario(1, 170, 47, 10*time.Second, 760, true)
 	outcome := runPassing(t, scenario)
 	if commands := outcome.Checker.Stats.Commands; commands < 7000 {
-		t.Fatalf("%d commands", commands)
+		t.Fatalf("got %d commands, want at least 7000", commands)
 	}
 }
--- a/internal/simulation/lab/regions_test.go
+++ b/internal/simulation/lab/regions_test.go
@@ -10,14 +10,15 @@
 	"merlinhitch/internal/verify/rules"
 )
 
+// regionScenario returns a scenario of a service over two regions with the given faults.
 func regionScenario(seed uint64, seconds int, script ...ScheduledFault) Scenario {
 	scenario := faultScenario(seed, seconds, script...)
 	scenario.Regions, scenario.Hosts, scenario.Servers = true, 4, 8
 	return scenario
 }
 
-// leaderWithRestartingHosts is a day on which the leader takes over just as its hosts come back:
-// with no lease of its own to wait for, it relies on the bounds of clocks alone.
+// leaderWithRestartingHosts returns a scenario in which the leader takes over shards as its own hosts
+// restart: without leases of its own to wait for, it relies on the clock drift bound alone.
 func leaderWithRestartingHosts(seed uint64) Scenario {
 	scenario := regionScenario(seed, 16, ScheduledFault{Kind: "region_cut", At: 5 * time.Second, Duration: 9 * time.Second},
 		ScheduledFault{Kind: "region_hosts", At: 5 * time.Second, Duration: time.Duration(3950+seed%10*20) * time.Millisecond})
@@ -26,16 +27,16 @@
 	return scenario
 }
 
-// A calm day of two regions serves all that is asked for, each shard at its home.
+// Without faults two regions serve at least 99% of the load, and the rule on homes holds.
 func TestTwoRegionsWithoutFaults(t *testing.T) {
 	outcome := runPassing(t, regionScenario(1, 10))
 	if outcome.Goodput < 0.99 || outcome.Checker.Checks[rules.Homes] == 0 {
-		t.Errorf("goodput %.3f, %d checks of homes", outcome.Goodput, outcome.Checker.Checks[rules.Homes])
+		t.Errorf("goodput %.3f, want at least 0.99; %d checks of the rule on homes, want some", outcome.Goodput, outcome.Checker.Checks[rules.Homes])
 	}
 }
 
-// seedForRegionLoss draws a strike's seed on which that region is struck, and comes back with the
-// inventory of long ago or not.
+// seedForRegionLoss returns the first seed with which a region_loss fault strikes the target region and
+// its inventory comes back with stale state or not.
 func seedForRegionLoss(target int, stale bool) uint64 {
 	for seed := uint64(1); ; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 4))
@@ -45,7 +46,7 @@
 	}
 }
 
-// The hard cases of two regions, each caused on some seeds.
+// Rules hold under each fault of two regions, and each case occurs with at least one of the seeds.
 func TestTwoRegionsUnderFaults(t *testing.T) {
 	skipIfShort(t)
 	second := time.Second
@@ -55,23 +56,23 @@
 		script  []ScheduledFault
 		caused  func(outcome *Outcome) bool
 	}{
-		{"half the packets dropped for two minutes", 170, []ScheduledFault{{Kind: "region_half", At: 5 * second, Duration: 120 * second}},
+		{"half of the packets dropped for two minutes", 170, []ScheduledFault{{Kind: "region_half", At: 5 * second, Duration: 120 * second}},
 			func(o *Outcome) bool { return o.Goodput < 0.995 }},
-		{"a cut there", 60, []ScheduledFault{{Kind: "region_one_way", At: 5 * second, Duration: 15 * second, Seed: 1}}, hasTakeover},
-		{"a cut back", 60, []ScheduledFault{{Kind: "region_one_way", At: 5 * second, Duration: 15 * second, Seed: 2}}, hasTakeover},
-		{"a region back with an old inventory", 70, []ScheduledFault{{Kind: "region_loss", At: 20 * second, Duration: 15 * second, Seed: seedForRegionLoss(1, true)}}, hasTakeover},
-		{"the leading region back with an old inventory", 70, []ScheduledFault{{Kind: "region_loss", At: 20 * second, Duration: 15 * second, Seed: seedForRegionLoss(0, true)}},
+		{"one-way partition from region 1 to region 0", 60, []ScheduledFault{{Kind: "region_one_way", At: 5 * second, Duration: 15 * second, Seed: 1}}, hasTakeover},
+		{"one-way partition from region 0 to region 1", 60, []ScheduledFault{{Kind: "region_one_way", At: 5 * second, Duration: 15 * second, Seed: 2}}, hasTakeover},
+		{"region restored with a stale inventory", 70, []ScheduledFault{{Kind: "region_loss", At: 20 * second, Duration: 15 * second, Seed: seedForRegionLoss(1, true)}}, hasTakeover},
+		{"leading region restored with a stale inventory", 70, []ScheduledFault{{Kind: "region_loss", At: 20 * second, Duration: 15 * second, Seed: seedForRegionLoss(0, true)}},
 			func(o *Outcome) bool { return hasTakeover(o) && o.OperatorCommands["lead"] > 0 }},
-		{"the leading region's inventory old, all else well", 60, []ScheduledFault{{Kind: "region_cut", At: 3 * second, Duration: 10 * second},
+		{"stale inventory in the leading region after a partition", 60, []ScheduledFault{{Kind: "region_cut", At: 3 * second, Duration: 10 * second},
 			{Kind: "inventory_old", At: 30 * second, Duration: 8 * second, Seed: seedForRegionLoss(0, true)}}, hasTakeover},
-		{"nobody reaches an inventory", 60, []ScheduledFault{{Kind: "inventory_cut", At: 5 * second, Duration: 15 * second}},
+		{"inventories unreachable", 60, []ScheduledFault{{Kind: "inventory_cut", At: 5 * second, Duration: 15 * second}},
 			func(o *Outcome) bool { return o.Checker.Stats.GoodputBetween(10, 18) < 0.05 }},
-		{"a host stands still for 30 s while its region is taken over", 80, []ScheduledFault{{Kind: "lease_stall", At: 8 * second, Duration: 30 * second, Seed: 3},
+		{"host suspended while its region is taken over", 80, []ScheduledFault{{Kind: "lease_stall", At: 8 * second, Duration: 30 * second, Seed: 3},
 			{Kind: "region_cut", At: 7 * second, Duration: 20 * second}}, hasTakeover},
-		{"lost at opening time, and back while the peak lasts", 80, []ScheduledFault{{Kind: "opening", At: 8 * second, Duration: 40 * second, Seed: seedForRegionLoss(1, false)}},
+		{"region lost and restored during a load peak", 80, []ScheduledFault{{Kind: "opening", At: 8 * second, Duration: 40 * second, Seed: seedForRegionLoss(1, false)}},
 			func(o *Outcome) bool { return hasTakeover(o) && o.OperatorCommands["return"] > 0 }},
-		{"lost again while it recovers", 80, []ScheduledFault{{Kind: "region_loss_two", At: 8 * second, Duration: 36 * second, Seed: seedForRegionLoss(1, true)}}, hasTakeover},
-		{"shards moved to and fro", 50, []ScheduledFault{{Kind: "moves", At: 3 * second, Duration: 20 * second, Seed: 5}},
+		{"region lost again while it recovers", 80, []ScheduledFault{{Kind: "region_loss_two", At: 8 * second, Duration: 36 * second, Seed: seedForRegionLoss(1, true)}}, hasTakeover},
+		{"shards moved between regions", 50, []ScheduledFault{{Kind: "moves", At: 3 * second, Duration: 20 * second, Seed: 5}},
 			func(o *Outcome) bool { return len(o.Checker.HomeHistory()) > 8 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -82,19 +83,19 @@
 				caused = c.caused(runPassing(t, scenario)) || caused
 			}
 			if !caused {
-				t.Error("the case was not caused")
+				t.Error("no seed caused the case")
 			}
 		})
 	}
 }
 
-// hasTakeover tells whether a shard was served in both regions, one after the other.
+// hasTakeover reports whether a shard was served outside its preferred region.
 func hasTakeover(outcome *Outcome) bool {
 	return slices.ContainsFunc(outcome.Checker.HomeHistory(), func(served rules.FirstServed) bool { return served.Region != int(preferredRegion(served.Shard)) })
 }
 
-// Writes that are acknowledged before their copy may be lost with a region, but no more of
-// a shard than are said.
+// Writes that are acknowledged before replication may be lost with a region, but no more of each shard
+// than the maximum replication lag.
 func TestRegionLossLosesBoundedWrites(t *testing.T) {
 	skipIfShort(t)
 	lost := 0
@@ -104,10 +105,10 @@
 		scenario.Rate, scenario.Commands = 400, 24*400
 		outcome := runPassing(t, scenario)
 		if lost += outcome.LostWrites; outcome.LostWrites > standin.MaxReplicationLag*scenario.Servers/2 {
-			t.Errorf("%d writes lost, at most %d of each shard may be", outcome.LostWrites, standin.MaxReplicationLag)
+			t.Errorf("%d writes lost, want at most %d of each shard", outcome.LostWrites, standin.MaxReplicationLag)
 		}
 	}
 	if lost == 0 {
-		t.Error("nothing was lost: the case was not caused")
+		t.Error("no write was lost: the scenarios did not cause the case")
 	}
 }
--- a/internal/simulation/lab/reservations_test.go
+++ b/internal/simulation/lab/reservations_test.go
@@ -13,6 +13,7 @@
 	"merlinhitch/internal/runtime/env"
 )
 
+// Random reservation commands through three hosts give valid histories.
 func TestReservationsOverThreeHosts(t *testing.T) {
 	for seed := range uint64(3) {
 		history, err := RunReservations(context.Background(), seed+1, 15, false)
@@ -25,7 +26,7 @@
 	}
 }
 
-// Disk servers that keep no fence are found out.
+// The checker detects disk servers that keep no fence.
 func TestMissingFenceIsDetected(t *testing.T) {
 	for seed := range uint64(40) {
 		history, err := RunReservations(context.Background(), seed+1, 15, true)
@@ -37,11 +38,11 @@
 			return
 		}
 	}
-	t.Error("forty runs without fences were all taken for good")
+	t.Error("missing fence not detected in 40 runs")
 }
 
-// validHistory has three initiators registered, the first holding a write exclusive
-// reservation that the second pre-empts.
+// validHistory returns a history of three registered initiators in which the second pre-empts the first
+// one's write-exclusive reservation.
 func validHistory() *ReservationHistory {
 	interval := func(n int) (time.Duration, time.Duration) { return time.Duration(10 * n), time.Duration(10*n + 5) }
 	history := &ReservationHistory{AppliedWrites: map[uint64][]time.Duration{1: {43}}}
@@ -61,29 +62,30 @@
 	return history
 }
 
+// The checker rejects corrupted histories.
 func TestInvalidHistoriesAreRejected(t *testing.T) {
 	if violation := validHistory().Check(); violation != "" {
 		t.Fatal(violation)
 	}
 	for name, corrupt := range map[string]func(*ReservationHistory){
-		"a pre-empted holder writes":          func(h *ReservationHistory) { h.Steps[7].Outcome = outcomeGood },
-		"a stranger writes":                   func(h *ReservationHistory) { h.Steps[5].Outcome = outcomeGood },
-		"the holder meets a conflict":         func(h *ReservationHistory) { h.Steps[8].Outcome = outcomeConflict },
-		"two hold at once":                    func(h *ReservationHistory) { h.Steps[6].Kind = stepReserve },
-		"a pre-emption of who is not there":   func(h *ReservationHistory) { h.Steps[6].Preempted = 3 },
-		"a reservation without a key":         func(h *ReservationHistory) { h.Steps[0].Kind = stepUnregister },
-		"a write lands after its pre-emption": func(h *ReservationHistory) { h.applyWriteAfterPreemption() },
+		"write by a pre-empted holder":                 func(h *ReservationHistory) { h.Steps[7].Outcome = outcomeGood },
+		"write by an initiator that is not the holder": func(h *ReservationHistory) { h.Steps[5].Outcome = outcomeGood },
+		"conflict reported to the holder":              func(h *ReservationHistory) { h.Steps[8].Outcome = outcomeConflict },
+		"two holders at once":                          func(h *ReservationHistory) { h.Steps[6].Kind = stepReserve },
+		"pre-emption of an unregistered initiator":     func(h *ReservationHistory) { h.Steps[6].Preempted = 3 },
+		"reservation without a key":                    func(h *ReservationHistory) { h.Steps[0].Kind = stepUnregister },
+		"write applied after the pre-emption":          func(h *ReservationHistory) { h.applyWriteAfterPreemption() },
 	} {
 		history := validHistory()
 		corrupt(history)
 		if history.Check() == "" {
-			t.Errorf("%s: taken for good", name)
+			t.Errorf("invalid history accepted: %s", name)
 		}
 	}
 }
 
-// applyWriteAfterPreemption has the pre-empted write land at a disk server long after the answer: it had
-// been sent before, and its client never heard.
+// applyWriteAfterPreemption changes the history so that a disk server applies the pre-empted
+// initiator's write, whose outcome its client does not know, after the pre-emption was answered.
 func (h *ReservationHistory) applyWriteAfterPreemption() {
 	h.Steps[3] = ReservationStep{Initiator: 1, Kind: stepReserve, ReservationType: 5, Outcome: outcomeGood, Call: 30, Return: 35}
 	h.Steps[4].Outcome, h.Steps[5].Outcome = outcomeUnknown, outcomeGood
@@ -91,8 +93,8 @@
 	h.AppliedWrites[1] = []time.Duration{70}
 }
 
-// newTwoSessionRig is a rig without faults, with a session of each of two initiators, through two
-// hosts.
+// newTwoSessionRig returns a rig without faults, and a function that executes a step in the session of
+// one of two initiators, through two hosts, and checks its outcome.
 func newTwoSessionRig(t *testing.T) (*reservationRig, func(initiatorIndex int, kind string, reservationType byte, preempted int, want string)) {
 	t.Helper()
 	environment := env.NewReal()
@@ -114,12 +116,12 @@
 		for attempt := 0; ; attempt++ {
 			step := ReservationStep{Initiator: initiatorIndex, Kind: kind, ReservationType: reservationType, Preempted: preempted}
 			if done, _ := rig.execute(sessions[initiatorIndex], &step, rng); done {
-				if step.Outcome == outcomeNoEffect && attempt < 500 { // a server is away: what is refused is asked again
+				if step.Outcome == outcomeNoEffect && attempt < 500 { // a server is down: the step is repeated
 					env.Sleep(rig.environment, 10*time.Millisecond, nil)
 					continue
 				}
 				if step.Outcome != want {
-					t.Fatalf("initiator %d, %s: %s, want %s", initiatorIndex, kind, step.Outcome, want)
+					t.Fatalf("initiator %d, step %s: got outcome %s, want %s", initiatorIndex, kind, step.Outcome, want)
 				}
 				return
 			}
@@ -127,7 +129,7 @@
 	}
 }
 
-// The holder's host has not heard of the pre-emption, which came through another.
+// A pre-emption through another host fences the holder, whose own host has not seen it.
 func TestPreemptionThroughAnotherHost(t *testing.T) {
 	_, do := newTwoSessionRig(t)
 	do(0, stepRegister, 0, 0, outcomeGood)
@@ -141,8 +143,8 @@
 	do(1, stepWrite, 0, 0, outcomeGood)
 }
 
-// The server that keeps the state loses power: with APTPL the reservation stands, without
-// it is gone, and either way nobody acts on what was before.
+// When the server that stores reservations loses power, a reservation survives with APTPL and is gone
+// without it.
 func TestPowerLossWithAndWithoutAPTPL(t *testing.T) {
 	for _, persist := range []bool{true, false} {
 		rig, do := newTwoSessionRig(t)
@@ -163,7 +165,7 @@
 	}
 }
 
-// The server that keeps the state is drained and its successor takes over.
+// A reservation survives a drain of the server that stores it.
 func TestReservationSurvivesDrain(t *testing.T) {
 	rig, do := newTwoSessionRig(t)
 	do(0, stepRegister, 0, 0, outcomeGood)
@@ -178,8 +180,7 @@
 	predecessor.Kill()
 }
 
-// The holder's write is on its way to the disk server when its host's pre-emption is
-// answered: it comes too late there.
+// A write of the former holder that is still in transit when the pre-emption is answered takes no effect.
 func TestPreemptionOvertakesAWrite(t *testing.T) {
 	rig, do := newTwoSessionRig(t)
 	do(0, stepRegister, 0, 0, outcomeGood)
@@ -206,7 +207,7 @@
 			}
 		}
 	}()
-	for rig.hostEnvironments[0].delayedBytes() < rig.settings.Volumes[0].BlockSize { // the write is in the link
+	for rig.hostEnvironments[0].delayedBytes() < rig.settings.Volumes[0].BlockSize { // until the write is in transit
 		env.Sleep(rig.environment, time.Millisecond, nil)
 	}
 	do(1, stepPreempt, 1, 0, outcomeGood)
@@ -215,12 +216,12 @@
 	rig.mu.Lock()
 	defer rig.mu.Unlock()
 	if step.Outcome == outcomeGood || len(rig.history.AppliedWrites[step.Stamp]) > 0 {
-		t.Errorf("%s, %d effects", step.Outcome, len(rig.history.AppliedWrites[step.Stamp]))
+		t.Errorf("overtaken write: got outcome %s and %d effects, want it refused without effect", step.Outcome, len(rig.history.AppliedWrites[step.Stamp]))
 	}
 }
 
-// An abort of a registration under way is answered once the registration is made, or
-// certainly is not.
+// An abort of a registration in progress is answered only once the registration has either taken effect
+// or can no longer do so.
 func TestAbortOfARegistration(t *testing.T) {
 	rig, do := newTwoSessionRig(t)
 	do(0, stepRegister, 0, 0, outcomeGood)
@@ -230,7 +231,7 @@
 	}
 	session := rig.dial(context.Background(), 3) // through the same host
 	t.Cleanup(session.Close)
-	if _, err := session.Do(context.Background(), make([]byte, 6), nil, 0); err != nil { // takes a unit attention, if any
+	if _, err := session.Do(context.Background(), make([]byte, 6), nil, 0); err != nil { // clears a pending unit attention
 		t.Fatal(err)
 	}
 	rig.hostEnvironments[0].partition(partitionDelay, addrs...)
@@ -243,16 +244,16 @@
 	env.Sleep(rig.environment, 100*time.Millisecond, nil)
 	select {
 	case <-answered:
-		t.Error("answered while it may still be made")
+		t.Error("abort answered while the registration may still take effect")
 	default:
 	}
 	rig.hostEnvironments[0].heal(addrs...)
 	if code := <-answered; code != iscsi.FunctionComplete {
-		t.Errorf("response %d", code)
+		t.Errorf("abort response: got %d, want function complete", code)
 	}
 }
 
-// A host stands still for longer than its lease while the reservation passes on.
+// A host that was suspended past its lease refuses the former holder's write after a pre-emption.
 func TestHostPausedPastItsLease(t *testing.T) {
 	rig, do := newTwoSessionRig(t)
 	do(0, stepRegister, 0, 0, outcomeGood)
@@ -261,13 +262,13 @@
 	var resume env.Gate
 	rig.hosts[0].Freeze(&resume)
 	do(1, stepPreempt, 1, 0, outcomeGood)
-	env.Sleep(rig.environment, 1200*time.Millisecond, nil) // past the lease, which is a time of the product's own
+	env.Sleep(rig.environment, 1200*time.Millisecond, nil) // past the lease
 	resume.Open()
 	do(0, stepWrite, 0, 0, outcomeConflict)
 	do(1, stepWrite, 0, 0, outcomeGood)
 }
 
-// delayedBytes is the number of bytes that are held on their way.
+// delayedBytes returns the number of bytes that the partition holds in transit.
 func (environment *partitionEnvironment) delayedBytes() (total int) {
 	environment.mu.Lock()
 	defer environment.mu.Unlock()
@@ -279,8 +280,8 @@
 	return total
 }
 
-// registerKeys registers so many initiators with a key each, some at once, and returns the keys
-// that are read back.
+// registerKeys registers n initiators with a key each, a bounded number in parallel, and returns the
+// number of keys that are read back.
 func registerKeys(t *testing.T, n, parallel int) int {
 	t.Helper()
 	environment := env.NewReal()
@@ -307,7 +308,7 @@
 					return
 				}
 				if !alive {
-					t.Error("a session is over")
+					t.Error("session ended during registration")
 					return
 				}
 			}
@@ -325,25 +326,25 @@
 
 func TestBurstOfRegistrations(t *testing.T) {
 	if got := registerKeys(t, 64, 64); got != 64 {
-		t.Errorf("%d keys of 64", got)
+		t.Errorf("got %d registered keys, want 64", got)
 	}
 }
 
 func TestThousandRegisteredSessions(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a thousand sessions")
+		t.Skip("long test")
 	}
 	if got := registerKeys(t, 1000, 16); got != 1000 {
-		t.Errorf("%d keys of 1000", got)
+		t.Errorf("got %d registered keys, want 1000", got)
 	}
 }
 
-// Two hosts register the same key at once: both nexus have it, and each is its own.
+// Two nexuses that register the same key through two hosts at once are separate registrations.
 func TestSameKeyThroughTwoHosts(t *testing.T) {
 	rig, do := newTwoSessionRig(t)
 	var registrations sync.WaitGroup
 	for _, initiatorIndex := range []int{0, 1} {
-		session := rig.dial(context.Background(), 10+initiatorIndex) // of keys of their own, changed to one
+		session := rig.dial(context.Background(), 10+initiatorIndex) // initiators 10 and 11 both register key 0x77
 		t.Cleanup(session.Close)
 		registrations.Go(func() {
 			parameters := make([]byte, 24)
@@ -362,6 +363,6 @@
 	defer reader.Close()
 	res, err := reader.Do(context.Background(), []byte{0x5e, 0, 0, 0, 0, 0, 0, 1, 0, 0}, nil, 256)
 	if err != nil || len(res.Data) != 8+3*8 {
-		t.Fatalf("%x %v", res.Data, err)
+		t.Fatalf("registered keys: got %x and error %v, want 3 keys", res.Data, err)
 	}
 }
--- a/internal/simulation/lab/virtual_test.go
+++ b/internal/simulation/lab/virtual_test.go
@@ -18,40 +18,42 @@
 	"merlinhitch/internal/verify/trail"
 )
 
-// skipIfShort skips what the race detector would take minutes for: one goroutine at a time
-// leaves it nothing to find.
+// skipIfShort skips long tests under -short. The race detector runs with it: it would take minutes, and
+// the virtual world runs one goroutine at a time, which leaves no race to find.
 func skipIfShort(t *testing.T) {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("long")
+		t.Skip("long test")
 	}
 }
 
-func runScenario(t *testing.T, s Scenario) *Outcome {
+// runScenario runs a scenario and returns its outcome, failed or not.
+func runScenario(t *testing.T, scenario Scenario) *Outcome {
 	t.Helper()
-	out, err := s.Run(context.Background(), "")
+	outcome, err := scenario.Run(context.Background(), "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return out
+	return outcome
 }
 
-func runPassing(t *testing.T, s Scenario) *Outcome {
+// runPassing runs a scenario and fails the test if the scenario fails.
+func runPassing(t *testing.T, scenario Scenario) *Outcome {
 	t.Helper()
-	out := runScenario(t, s)
-	if out.Failure != nil {
-		t.Fatalf("seed %d: %v", s.Seed, out.Failure)
+	outcome := runScenario(t, scenario)
+	if outcome.Failure != nil {
+		t.Fatalf("seed %d: %v", scenario.Seed, outcome.Failure)
 	}
-	return out
+	return outcome
 }
 
-// passingTrail is the trail of a scene that keeps everything.
-func passingTrail(t *testing.T, s Scenario) []trail.Event {
+// passingTrail runs a scenario that must pass and returns its trail.
+func passingTrail(t *testing.T, scenario Scenario) []trail.Event {
 	t.Helper()
 	path := t.TempDir() + "/trail.parquet"
-	out, err := s.Run(context.Background(), path)
-	if err != nil || out.Failure != nil {
-		t.Fatal(err, out.Failure)
+	outcome, err := scenario.Run(context.Background(), path)
+	if err != nil || outcome.Failure != nil {
+		t.Fatal(err, outcome.Failure)
 	}
 	_, events, err := trail.Read(path)
 	if err != nil {
@@ -60,7 +62,7 @@
 	return events
 }
 
-// The same seed gives the same run, event for event, whatever the machine.
+// One seed gives the same events at any GOMAXPROCS; another seed gives others.
 func TestScenarioIsDeterministicAcrossGOMAXPROCS(t *testing.T) {
 	before := runtime.GOMAXPROCS(0)
 	defer runtime.GOMAXPROCS(before)
@@ -70,17 +72,18 @@
 		digests = append(digests, runPassing(t, DrawScenario(1, 3, 9, 12*time.Second, 120, false)).Scenario.Digest)
 	}
 	if digests[0] != digests[1] || digests[1] != digests[2] {
-		t.Fatalf("three runs of one seed differ: %x", digests)
+		t.Fatalf("digests of three runs of one seed differ: %x", digests)
 	}
 	if runScenario(t, DrawScenario(2, 3, 9, 12*time.Second, 120, false)).Scenario.Digest == digests[0] {
-		t.Fatal("another seed gives the same run")
+		t.Fatal("two seeds give the same digest")
 	}
 }
 
-// digestVariable has the test that is named in the environment say a scene's digest.
-const digestVariable = "MERLINHITCH_SAY_DIGEST"
+// digestVariable is the environment variable that makes the child process print a scenario's digest.
+const digestVariable = "MERLINHITCH_PRINT_DIGEST"
 
-// Two processes play one seed alike: nothing of a process reaches the world.
+// Two processes get the same digest from one seed: no process state, such as map seeds or addresses,
+// leaks into the virtual world.
 func TestScenarioIsDeterministicAcrossProcesses(t *testing.T) {
 	skipIfShort(t)
 	if os.Getenv(digestVariable) != "" {
@@ -99,10 +102,11 @@
 		digests = append(digests, strings.Fields(string(output)[i:])[1])
 	}
 	if digests[0] != digests[1] || len(digests[0]) < 8 {
-		t.Fatalf("two processes differ: %v", digests)
+		t.Fatalf("digests of two processes differ: %v", digests)
 	}
 }
 
+// hexDigest formats a digest as 16 hexadecimal digits.
 func hexDigest(v uint64) string {
 	const hex = "0123456789abcdef"
 	digits := make([]byte, 16)
@@ -112,32 +116,33 @@
 	return string(digits)
 }
 
-// What the exploration found in the product, each by the scene or run that showed it.
+// Regressions for faults that exploration found, each with the seeds that showed it.
 func TestExplorationRegressions(t *testing.T) {
 	skipIfShort(t)
-	scenes := map[uint64]string{
-		1:   "a retired connection to a server that died without a word was never closed",
-		48:  "attempts that waited for their connection passed the budget when they went",
-		103: "a host that died while its list was cut",
-		748: "commands that waited for the window never ended when their connection did",
+	problems := map[uint64]string{
+		1:   "retired connection to a silently failed server never closed",
+		48:  "attempts waiting for a connection exceeded the retry budget",
+		103: "host died while its inventory connections were dropped",
+		748: "commands waiting for the window outlived their connection",
 	}
 	for _, seed := range []uint64{1, 48, 103, 748} {
-		t.Run(scenes[seed], func(t *testing.T) { runPassing(t, DrawScenario(seed, 3, 9, 60*time.Second, 120, true)) })
+		t.Run(problems[seed], func(t *testing.T) { runPassing(t, DrawScenario(seed, 3, 9, 60*time.Second, 120, true)) })
 	}
-	t.Run("a reservation change that others overtook was called a conflict", func(t *testing.T) {
+	t.Run("overtaken reservation change reported as a conflict", func(t *testing.T) {
 		for _, seed := range []uint64{371, 661, 1709} {
 			history, err := RunVirtualReservations(context.Background(), seed, 40, false)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if verdict := history.Check(); verdict != "" {
-				t.Fatalf("seed %d: %s", seed, verdict)
+			if violation := history.Check(); violation != "" {
+				t.Fatalf("seed %d: %s", seed, violation)
 			}
 		}
 	})
 }
 
-// faultScenario is a scene of some troubles at given times, with the load of a calm day.
+// faultScenario returns a scenario with the given faults under ordinary load. It sets the seeds of faults
+// that have none.
 func faultScenario(seed uint64, seconds int, faults ...ScheduledFault) Scenario {
 	for i := range faults {
 		if faults[i].Seed == 0 {
@@ -147,26 +152,24 @@
 	return Scenario{Seed: seed, Hosts: 3, Servers: 9, Commands: 120 * seconds, Rate: 120, Faults: faults}
 }
 
-// A hall's servers restart inside the window in which repeats of txn-write are dropped,
-// while answers are late and connections torn: the repeats that hosts then want to send
-// must stay in the window and in the group.
+// A hall's servers restart within the deduplication window of txn-write while answers are late and
+// connections break: retries must stay within the window and the deduplication group.
 func TestMassRestartWithinTheDedupWindow(t *testing.T) {
 	skipIfShort(t)
 	repeats := 0
 	for seed := range uint64(4) {
-		out := runPassing(t, faultScenario(seed+1, 20,
+		outcome := runPassing(t, faultScenario(seed+1, 20,
 			ScheduledFault{Kind: "net_late", At: 3 * time.Second, Duration: 5 * time.Second},
 			ScheduledFault{Kind: "net_torn", At: 3 * time.Second, Duration: 5 * time.Second},
 			ScheduledFault{Kind: "mass_restart", At: 5 * time.Second, Duration: 4 * time.Second}))
-		repeats += out.Checker.Checks[2]
+		repeats += outcome.Checker.Checks[2]
 	}
 	if repeats == 0 {
-		t.Fatal("nothing was repeated: the case was not caused")
+		t.Fatal("no retry was checked: the scenario did not cause the case")
 	}
 }
 
-// Answers come long after their attempts timed out, on connections that carry newer
-// ones meanwhile.
+// Answers arrive after their attempts timed out, on connections that carry newer attempts by then.
 func TestAnswersAfterAttemptTimeout(t *testing.T) {
 	skipIfShort(t)
 	late := 0
@@ -175,11 +178,11 @@
 		late += lateAnswers(passingTrail(t, scenario))
 	}
 	if late == 0 {
-		t.Fatal("no answer came after its attempt's time: the case was not caused")
+		t.Fatal("no answer came after its attempt's deadline: the scenario did not cause the case")
 	}
 }
 
-// lateAnswers counts answers that passed after their attempt's deadline.
+// lateAnswers counts answers after their attempt's deadline.
 func lateAnswers(events []trail.Event) (late int) {
 	type key struct{ conn, tag uint32 }
 	deadlines := map[key]int64{}
@@ -196,56 +199,56 @@
 	return late
 }
 
-// Hosts end as their bytes leave: whatever was sent, nothing of it is known any more.
+// Hosts die in the middle of a write, so that their successors know nothing of what was sent.
 func TestHostsDieWhileSending(t *testing.T) {
 	skipIfShort(t)
 	for seed := range uint64(4) {
 		scenario := faultScenario(seed+1, 15, ScheduledFault{Kind: "host_torn", At: 2 * time.Second, Duration: 4 * time.Second},
 			ScheduledFault{Kind: "host_torn", At: 5 * time.Second, Duration: 4 * time.Second})
 		if !slices.ContainsFunc(passingTrail(t, scenario), func(e trail.Event) bool { return e.Kind == trail.Killed }) {
-			t.Fatal("no host died: the case was not caused")
+			t.Fatal("no host died: the scenario did not cause the case")
 		}
 	}
 }
 
-// A host stands still for longer than any deadline and wakes with every timer due.
+// A suspended host resumes with expired timers, and goodput recovers.
 func TestStalledHostResumesWithExpiredTimers(t *testing.T) {
 	skipIfShort(t)
 	for seed := range uint64(3) {
 		scenario := faultScenario(seed+1, 25, ScheduledFault{Kind: "host_stall", At: 3 * time.Second, Duration: 8 * time.Second}, ScheduledFault{Kind: "crash", At: 4 * time.Second, Duration: 4 * time.Second})
-		out := runPassing(t, scenario)
-		if out.RecoveryGoodput < minRecoveryGoodput {
-			t.Fatalf("goodput %.3f after the stall", out.RecoveryGoodput)
+		outcome := runPassing(t, scenario)
+		if outcome.RecoveryGoodput < minRecoveryGoodput {
+			t.Fatalf("goodput after the stall: got %.3f", outcome.RecoveryGoodput)
 		}
 	}
 }
 
-// A clock that jumps forward by seconds takes along the deadlines that disk servers are
-// told, so that an abort can be answered too early (docs/world.md). All the rest holds.
+// A forward clock jump also moves the deadlines sent to disk servers, so that an abort may be answered
+// too early, which breaks rule 2. No other rule may break.
 func TestClockJumpsForward(t *testing.T) {
 	skipIfShort(t)
 	for seed := range uint64(4) {
-		out := runScenario(t, faultScenario(seed+1, 20, ScheduledFault{Kind: "clock_jump", At: 4 * time.Second, Duration: time.Second}, ScheduledFault{Kind: "clock_jump", At: 9 * time.Second, Duration: time.Second}))
-		if out.Failure != nil && out.Failure.Kind != "rule 2" {
-			t.Fatalf("seed %d: %v", seed+1, out.Failure)
+		outcome := runScenario(t, faultScenario(seed+1, 20, ScheduledFault{Kind: "clock_jump", At: 4 * time.Second, Duration: time.Second}, ScheduledFault{Kind: "clock_jump", At: 9 * time.Second, Duration: time.Second}))
+		if outcome.Failure != nil && outcome.Failure.Kind != "rule 2" {
+			t.Fatalf("seed %d: %v", seed+1, outcome.Failure)
 		}
 	}
 }
 
-// Events of one instant happen in the order in which they were set, in every run.
+// Events at the same virtual time run in the order in which they were scheduled, in every run.
 func TestSimultaneousEventsKeepTheirOrder(t *testing.T) {
 	run := func() (order []int) {
-		w := world.New(1)
-		err := w.Run("main", time.Second, func(p *world.Process) {
-			var all env.WaitGroup
-			all.Add(50)
+		virtual := world.New(1)
+		err := virtual.Run("main", time.Second, func(process *world.Process) {
+			var pending env.WaitGroup
+			pending.Add(50)
 			for i := range 50 {
-				p.AfterFunc(time.Millisecond, func() {
+				process.AfterFunc(time.Millisecond, func() {
 					order = append(order, i)
-					all.Done()
+					pending.Done()
 				})
 			}
-			all.Wait(p)
+			pending.Wait(process)
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -254,11 +257,12 @@
 	}
 	first := run()
 	if !slices.IsSorted(first) || !slices.Equal(first, run()) {
-		t.Fatalf("order of events of one instant: %v", first)
+		t.Fatalf("simultaneous events out of order or different between runs: %v", first)
 	}
 }
 
-// One scripted day in both places: what does not depend on the machine's time agrees.
+// A run on loopback and one in the virtual world with the same options agree in issued commands and in
+// goodput.
 func TestLoopbackAndVirtualRunsAgree(t *testing.T) {
 	skipIfShort(t)
 	options := Options{Seed: 3, Commands: 600, Rate: 120, Hosts: 3, Servers: 9, FaultKinds: []string{"none"}}
@@ -277,30 +281,31 @@
 	}
 	for _, r := range []*Result{onLoopback, inWorld} {
 		if err != nil || !r.OK() {
-			t.Fatal("a calm day was not kept:", err, r.failureSummary())
+			t.Fatal("run without faults failed:", err, r.failureSummary())
 		}
 	}
 	issuedCommands := func(r *Result) map[string]int {
-		out := map[string]int{}
+		issued := map[string]int{}
 		for key, row := range r.Checker.Stats.ByClass {
-			out[key.Class+" "+key.Plan] = row.Issued
+			issued[key.Class+" "+key.Plan] = row.Issued
 		}
-		return out
+		return issued
 	}
-	// A swap is asked after its read and a refusal asked again, so those may differ.
+	// Compare-and-swap writes follow their reads and refused commands are sent again, so that timing may
+	// change the counts a little.
 	loopbackIssued, virtualIssued := issuedCommands(onLoopback), issuedCommands(inWorld)
-	for k, n := range loopbackIssued {
-		if d := n - virtualIssued[k]; d > 6 || d < -6 {
-			t.Errorf("%s: %d asked on sockets, %d in the world", k, n, virtualIssued[k])
+	for key, count := range loopbackIssued {
+		if difference := count - virtualIssued[key]; difference > 6 || difference < -6 {
+			t.Errorf("%s: %d commands issued on loopback, %d in the virtual world", key, count, virtualIssued[key])
 		}
 	}
-	if g, h := onLoopback.Checker.Stats.Goodput(), inWorld.Checker.Stats.Goodput(); g < 0.9 || h < 0.9 {
-		t.Errorf("goodput of a calm day: %.3f on sockets, %.3f in the world", g, h)
+	if loopbackGoodput, virtualGoodput := onLoopback.Checker.Stats.Goodput(), inWorld.Checker.Stats.Goodput(); loopbackGoodput < 0.9 || virtualGoodput < 0.9 {
+		t.Errorf("goodput without faults: %.3f on loopback, %.3f in the virtual world, want at least 0.9", loopbackGoodput, virtualGoodput)
 	}
 }
 
-// Each planted fault is found, plays again as it was, and gets smaller. Only in a build
-// with the tag "planted".
+// Exploration finds each planted fault, reproduces the failure and shrinks its scenario. Needs the build
+// tag "planted".
 func TestPlantedFaultsAreDetected(t *testing.T) {
 	if !faultinject.Enabled {
 		t.Skip("needs the build tag planted")
@@ -325,11 +330,11 @@
 				t.Fatal(err)
 			}
 			if len(summary.Failures) == 0 {
-				t.Fatalf("not found in %d scenes", summary.Runs)
+				t.Fatalf("fault not found in %d scenarios", summary.Runs)
 			}
 			found := summary.Failures[0]
 			if again := runScenario(t, found); again.Scenario.Digest != found.Digest || again.Failure == nil || again.Failure.Kind != found.Failure.Kind {
-				t.Fatalf("played again: %v, was %v", again.Failure, found.Failure)
+				t.Fatalf("scenario not reproduced: got failure %v, want %v", again.Failure, found.Failure)
 			}
 			shrunk, err := found.Shrink(context.Background(), 30, &strings.Builder{})
 			if err != nil {
@@ -338,14 +343,14 @@
 			faultinject.Activate("")
 			withoutFault := found
 			withoutFault.Planted, withoutFault.Failure = "", nil
-			runPassing(t, withoutFault) // it is the fault that fails it
-			t.Logf("seed %d of %d played: %v; %d troubles shrunk to %d, %d commands to %d, %d hosts", found.Seed, summary.Runs, found.Failure, len(found.Faults),
+			runPassing(t, withoutFault) // the planted fault alone causes the failure
+			t.Logf("seed %d, %d scenarios run: %v; shrunk from %d faults to %d, from %d commands to %d, with %d hosts", found.Seed, summary.Runs, found.Failure, len(found.Faults),
 				len(shrunk.Faults), found.Commands, shrunk.Commands, shrunk.Hosts)
 		})
 	}
 }
 
-// A scene's file is read back as it was; another is refused with a reason.
+// Scenario files are read back unchanged; damaged files and invalid scenarios are rejected.
 func TestScenarioFiles(t *testing.T) {
 	scenario := DrawScenario(rand.Uint64(), 3, 9, time.Minute, 120, true)
 	path := t.TempDir() + "/scene.json"
@@ -354,21 +359,21 @@
 	}
 	got, err := LoadScenario(path)
 	if err != nil || got.Seed != scenario.Seed || !slices.Equal(got.Faults, scenario.Faults) {
-		t.Fatal("read back:", got, err)
+		t.Fatal("scenario file read back:", got, err)
 	}
 	if err := os.WriteFile(path, []byte("{"), 0o666); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := LoadScenario(path); err == nil {
-		t.Fatal("a damaged file was taken")
+		t.Fatal("damaged scenario file accepted")
 	}
-	for _, bad := range []Scenario{{Hosts: 0, Servers: 9, Commands: 1, Rate: 1}, {Hosts: 1, Servers: 9, Commands: 1, Rate: 1, Faults: []ScheduledFault{{Kind: "earthquake"}}},
+	for _, invalid := range []Scenario{{Hosts: 0, Servers: 9, Commands: 1, Rate: 1}, {Hosts: 1, Servers: 9, Commands: 1, Rate: 1, Faults: []ScheduledFault{{Kind: "earthquake"}}},
 		{Hosts: 1, Servers: 9, Commands: 1, Rate: 1, Planted: faultinject.HostFaults[0] + "?"}} {
-		if bad.Planted != "" && faultinject.Enabled {
+		if invalid.Planted != "" && faultinject.Enabled {
 			continue
 		}
-		if _, err := bad.Run(context.Background(), ""); err == nil {
-			t.Fatalf("%+v was played", bad)
+		if _, err := invalid.Run(context.Background(), ""); err == nil {
+			t.Fatalf("invalid scenario %+v was run", invalid)
 		}
 	}
 }
