--- a/internal/simulation/lab/regioncost.go
+++ b/internal/simulation/lab/regioncost.go
@@ -30,7 +30,7 @@
 	Runs            int
 	Failures        []string
 	Outages         []time.Duration // see takeoverOutages
-	LostWorth       []float64       // per run: worth offered from the loss on and not served, in seconds of the calm worth per second
+	LostValue       []float64       // per run: worth offered from the loss on and not served, in seconds of the calm worth per second
 	RecoveryTimes   []time.Duration // per run that recovered: from the loss until goodput is back at recoveredGoodput
 	NotRecovered    int             // runs whose goodput was not back while the region was lost
 	LostAckedWrites int             // lost writes that were acknowledged before replication
@@ -57,8 +57,8 @@
 // costCases are the kinds of loss that are measured. Their faults start at costLossStart and last
 // costLossDuration.
 var costCases = []struct {
-	name   string
-	script func(rng *rand.Rand) []ScheduledFault
+	name       string
+	drawFaults func(rng *rand.Rand) []ScheduledFault
 }{
 	{"loss of the region that does not lead", func(rng *rand.Rand) []ScheduledFault {
 		return []ScheduledFault{{Kind: "region_loss", Seed: faultSeedForRegion(rng, 1)}}
@@ -99,7 +99,7 @@
 			return costs.Limits[limit].Name, func() { costs.Limits[limit].add(usage) }, cmp.Or(ctx.Err(), err)
 		}
 		scenario, lossRow := costScenario(seed), costs.Losses[row]
-		for _, fault := range costCases[row].script(rand.New(rand.NewPCG(seed-1, 41))) {
+		for _, fault := range costCases[row].drawFaults(rand.New(rand.NewPCG(seed-1, 41))) {
 			fault.At, fault.Duration = costLossStart, costLossDuration
 			scenario.Faults = append(scenario.Faults, fault)
 		}
@@ -123,13 +123,13 @@
 	r.Outages, r.LostAckedWrites = append(r.Outages, outcome.Outages...), r.LostAckedWrites+outcome.LostWrites
 	stats := outcome.Checker.Stats
 	duration := int64(costRunDuration / time.Second)
-	calmWorth, calmSeconds := 0.0, 0.0
+	baselineValue, baselineSeconds := 0.0, 0.0
 	for second := int64(5); second < int64(costLossStart/time.Second); second++ {
 		if row := stats.PerSecond[second]; row != nil {
-			calmWorth, calmSeconds = calmWorth+row.Offered, calmSeconds+1
+			baselineValue, baselineSeconds = baselineValue+row.Offered, baselineSeconds+1
 		}
 	}
-	lostWorth, recovery := 0.0, time.Duration(-1)
+	lostValue, recovery := 0.0, time.Duration(-1)
 	for second := range duration {
 		row := stats.PerSecond[second]
 		if row == nil || row.Offered == 0 {
@@ -140,12 +140,12 @@
 		if second < int64(costLossStart/time.Second) {
 			continue
 		}
-		lostWorth += row.Offered - row.Served
+		lostValue += row.Offered - row.Served
 		if recovery < 0 && second > int64(costLossStart/time.Second)+1 && stats.GoodputBetween(second, second+3) >= recoveredGoodput {
 			recovery = time.Duration(second)*time.Second - costLossStart
 		}
 	}
-	r.LostWorth = append(r.LostWorth, lostWorth/(calmWorth/calmSeconds))
+	r.LostValue = append(r.LostValue, lostValue/(baselineValue/baselineSeconds))
 	if recovery < 0 || recovery > costLossDuration {
 		r.NotRecovered++
 	}
@@ -207,10 +207,10 @@
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
 	for _, row := range c.Losses {
 		outages := summaryQuantiles(row.Outages, time.Duration.Seconds)
-		lostWorth := summaryQuantiles(row.LostWorth, func(x float64) float64 { return x })
+		lostValue := summaryQuantiles(row.LostValue, func(x float64) float64 { return x })
 		recovery := summaryQuantiles(row.RecoveryTimes, time.Duration.Seconds)
 		fmt.Fprintf(tw, "| %s\t| %d\t| %d\t| %d\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.1f\t| %.0f\t| %.0f\t| %d\t| %d\t|\n", row.Name, row.Runs, len(row.Failures), len(row.Outages),
-			outages[0], outages[1], outages[2], outages[3], lostWorth[1], lostWorth[2], lostWorth[3], recovery[1], recovery[3], row.NotRecovered, row.LostAckedWrites)
+			outages[0], outages[1], outages[2], outages[3], lostValue[1], lostValue[2], lostValue[3], recovery[1], recovery[3], row.NotRecovered, row.LostAckedWrites)
 	}
 	if err := tw.Flush(); err != nil {
 		return err
--- a/internal/simulation/lab/regionday.go
+++ b/internal/simulation/lab/regionday.go
@@ -159,12 +159,12 @@
 // operator simulates the human operator of a service over two regions. It makes the surviving region
 // lead when the other is lost, and returns shards to their preferred regions once both have caught up.
 type operator struct {
-	managedFleet  *Fleet
-	lostSince     [2]time.Duration // by region; 0 while the region is up
-	calmSince     time.Duration    // since when shards could be returned; 0: not so
-	noGrantSince  time.Duration    // since when both inventories answer but neither grants leases; 0: not so
-	CommandCounts map[string]int   // by operation
-	returnsShards bool             // whether displaced shards are returned
+	managedFleet    *Fleet
+	lostSince       [2]time.Duration // by region; 0 while the region is up
+	returnableSince time.Duration    // since when shards could be returned; 0: not so
+	noGrantSince    time.Duration    // since when both inventories answer but neither grants leases; 0: not so
+	CommandCounts   map[string]int   // by operation
+	returnsShards   bool             // whether displaced shards are returned
 }
 
 // run polls the service until finished opens.
@@ -231,18 +231,18 @@
 	displaced := false
 	for _, home := range reply.Record.Homes {
 		if home.Alone || home.Region == region.Nowhere {
-			o.calmSince = 0
+			o.returnableSince = 0
 			return
 		}
 		displaced = displaced || home.Region != home.Prefer
 	}
 	switch {
 	case reply.Status.HeardMS > 500 || !displaced || !o.returnsShards:
-		o.calmSince = 0
-	case o.calmSince == 0:
-		o.calmSince = now
-	case now-o.calmSince > operatorDelay:
-		o.calmSince = 0
+		o.returnableSince = 0
+	case o.returnableSince == 0:
+		o.returnableSince = now
+	case now-o.returnableSince > operatorDelay:
+		o.returnableSince = 0
 		o.send(regionIndex, "return")
 	}
 }
@@ -289,14 +289,14 @@
 
 // EveryRegionFault returns a schedule with one fault of each region kind in turn, each lasting each and
 // separated by calm, and the length of the schedule.
-func EveryRegionFault(each, calm time.Duration, seed uint64) (script []ScheduledFault, span time.Duration) {
+func EveryRegionFault(faultDuration, gap time.Duration, seed uint64) (faults []ScheduledFault, span time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 23))
-	span = calm / 2
+	span = gap / 2
 	for _, kind := range RegionFaultKinds() {
-		script = append(script, ScheduledFault{Kind: kind, At: span, Duration: each, Seed: rng.Uint64()})
-		span += each + calm
+		faults = append(faults, ScheduledFault{Kind: kind, At: span, Duration: faultDuration, Seed: rng.Uint64()})
+		span += faultDuration + gap
 	}
-	return script, span
+	return faults, span
 }
 
 // RegionDay runs a service over two regions with scheduled faults on loopback.
--- a/internal/simulation/lab/regions_test.go
+++ b/internal/simulation/lab/regions_test.go
@@ -11,8 +11,8 @@
 )
 
 // regionScenario returns a scenario of a service over two regions with the given faults.
-func regionScenario(seed uint64, seconds int, script ...ScheduledFault) Scenario {
-	scenario := faultScenario(seed, seconds, script...)
+func regionScenario(seed uint64, seconds int, faults ...ScheduledFault) Scenario {
+	scenario := faultScenario(seed, seconds, faults...)
 	scenario.Regions, scenario.Hosts, scenario.Servers = true, 4, 8
 	return scenario
 }
@@ -53,8 +53,8 @@
 	for _, c := range []struct {
 		name    string
 		seconds int
-		script  []ScheduledFault
-		caused  func(outcome *Outcome) bool
+		faults  []ScheduledFault
+		causes  func(outcome *Outcome) bool
 	}{
 		{"half of the packets dropped for two minutes", 170, []ScheduledFault{{Kind: "region_half", At: 5 * second, Duration: 120 * second}},
 			func(o *Outcome) bool { return o.Goodput < 0.995 }},
@@ -79,8 +79,8 @@
 			t.Parallel()
 			caused := false
 			for seed := range uint64(2) {
-				scenario := regionScenario(seed+1, c.seconds, append(slices.Clone(c.script), ScheduledFault{Kind: "tenant_burst", At: 4 * second, Duration: 20 * second, Seed: seed})...)
-				caused = c.caused(runPassing(t, scenario)) || caused
+				scenario := regionScenario(seed+1, c.seconds, append(slices.Clone(c.faults), ScheduledFault{Kind: "tenant_burst", At: 4 * second, Duration: 20 * second, Seed: seed})...)
+				caused = c.causes(runPassing(t, scenario)) || caused
 			}
 			if !caused {
 				t.Error("no seed caused the case")
