--- a/internal/simulation/lab/reservations.go
+++ b/internal/simulation/lab/reservations.go
@@ -84,27 +84,27 @@
 }
 
 // RunReservations makes one run on loopback sockets, in which each initiator completes the given
-// number of steps. If unfenced is set, the disk servers ignore fences, which a check must find.
-func RunReservations(ctx context.Context, seed uint64, steps int, unfenced bool) (*ReservationHistory, error) {
+// number of steps. If ignoreFences is set, the disk servers ignore fences, which a check must find.
+func RunReservations(ctx context.Context, seed uint64, steps int, ignoreFences bool) (*ReservationHistory, error) {
 	environment := env.NewReal()
-	return runReservations(ctx, environment, loopbackTestbed{Environment: environment}, seed, steps, unfenced)
+	return runReservations(ctx, environment, loopbackTestbed{Environment: environment}, seed, steps, ignoreFences)
 }
 
 // maxReservationTime limits the virtual time of a run.
 const maxReservationTime = 10 * time.Minute
 
 // RunVirtualReservations is RunReservations in a virtual world, where a run is determined by its seed.
-func RunVirtualReservations(ctx context.Context, seed uint64, steps int, unfenced bool) (h *ReservationHistory, err error) {
+func RunVirtualReservations(ctx context.Context, seed uint64, steps int, ignoreFences bool) (h *ReservationHistory, err error) {
 	virtualWorld := world.New(seed)
 	var runErr error
 	err = virtualWorld.Run("lab", maxReservationTime, func(process *world.Process) {
-		h, runErr = runReservations(ctx, process, virtualTestbed{virtualWorld}, seed, steps, unfenced)
+		h, runErr = runReservations(ctx, process, virtualTestbed{virtualWorld}, seed, steps, ignoreFences)
 	})
 	return h, cmp.Or(err, runErr)
 }
 
-func runReservations(ctx context.Context, environment env.Environment, bed testbed, seed uint64, steps int, unfenced bool) (*ReservationHistory, error) {
-	rig, err := newReservationRig(environment, bed, seed, unfenced)
+func runReservations(ctx context.Context, environment env.Environment, bed testbed, seed uint64, steps int, ignoreFences bool) (*ReservationHistory, error) {
+	rig, err := newReservationRig(environment, bed, seed, ignoreFences)
 	if err != nil {
 		return nil, err
 	}
@@ -142,7 +142,7 @@
 	lastStamp        uint64
 }
 
-func newReservationRig(environment env.Environment, bed testbed, seed uint64, unfenced bool) (*reservationRig, error) {
+func newReservationRig(environment env.Environment, bed testbed, seed uint64, ignoreFences bool) (*reservationRig, error) {
 	rig := &reservationRig{environment: environment, testbed: bed, rng: rand.New(rand.NewPCG(seed, 21)), seed: seed, settings: settings.Example(reservationHosts, reservationShards)}
 	rig.history = ReservationHistory{Persist: rig.rng.Float64() < persistProbability, AppliedWrites: map[uint64][]time.Duration{}}
 	volume := rig.settings.Volumes[5] // its plan has no limit
@@ -159,7 +159,7 @@
 	}
 	for i := range reservationShards {
 		store := standin.NewShardStore(func(string) int { return volume.BlockSize })
-		store.OnExecute, store.IgnoreFences = rig.recordWrite, unfenced
+		store.OnExecute, store.IgnoreFences = rig.recordWrite, ignoreFences
 		rig.stores, rig.disks = append(rig.stores, store), append(rig.disks, nil)
 		if err := rig.startDisk(i); err != nil {
 			return nil, err
--- a/internal/simulation/lab/routing.go
+++ b/internal/simulation/lab/routing.go
@@ -133,12 +133,12 @@
 
 // RouteRow summarizes the runs of one scenario with one way of choosing hosts.
 type RouteRow struct {
-	Scenario, Routing          string
-	Runs, Broken               int
-	WantedGoodput              []float64
-	NoHost, Unanswered, Issued int
-	Refused, Failed            int
-	FirstFailure               string
+	Scenario, Routing            string
+	Runs, Broken                 int
+	GoodputWithUnrouted          []float64
+	Unrouted, Unanswered, Issued int
+	Refused, Failed              int
+	FirstFailure                 string
 }
 
 // CompareRouting runs each scenario with the seeds 1 to n, with a fixed choice of hosts and with
@@ -159,8 +159,8 @@
 func (r *RouteRow) add(scenario, routing string, seed uint64, result *Result) {
 	r.Scenario, r.Routing = scenario, routing
 	r.Runs++
-	r.WantedGoodput = append(r.WantedGoodput, result.GoodputWithUnrouted)
-	r.NoHost, r.Unanswered = r.NoHost+result.Unrouted, r.Unanswered+result.Unanswered
+	r.GoodputWithUnrouted = append(r.GoodputWithUnrouted, result.GoodputWithUnrouted)
+	r.Unrouted, r.Unanswered = r.Unrouted+result.Unrouted, r.Unanswered+result.Unanswered
 	for _, class := range result.Checker.Stats.ByClass {
 		r.Refused, r.Failed, r.Issued = r.Refused+class.Refused, r.Failed+class.Failed, r.Issued+class.Issued
 	}
@@ -178,9 +178,9 @@
 	fmt.Fprintln(tw, "| day\t| clients routed\t| days\t| broken\t| wanted\t| found no host\t| unanswered\t| refused\t| failed\t| worth served least\t| median\t| most\t|")
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
 	for _, row := range rows {
-		slices.Sort(row.WantedGoodput)
-		fmt.Fprintf(tw, "| %s\t| %s\t| %d\t| %d\t| %d\t| %d\t| %d\t| %d\t| %d\t| %.3f\t| %.3f\t| %.3f\t|\n", row.Scenario, row.Routing, row.Runs, row.Broken, row.Issued, row.NoHost,
-			row.Unanswered, row.Refused, row.Failed, row.WantedGoodput[0], row.WantedGoodput[len(row.WantedGoodput)/2], row.WantedGoodput[len(row.WantedGoodput)-1])
+		slices.Sort(row.GoodputWithUnrouted)
+		fmt.Fprintf(tw, "| %s\t| %s\t| %d\t| %d\t| %d\t| %d\t| %d\t| %d\t| %d\t| %.3f\t| %.3f\t| %.3f\t|\n", row.Scenario, row.Routing, row.Runs, row.Broken, row.Issued, row.Unrouted,
+			row.Unanswered, row.Refused, row.Failed, row.GoodputWithUnrouted[0], row.GoodputWithUnrouted[len(row.GoodputWithUnrouted)/2], row.GoodputWithUnrouted[len(row.GoodputWithUnrouted)-1])
 	}
 	if err := tw.Flush(); err != nil {
 		return err
