--- a/internal/simulation/lab/regioncost.go
+++ b/internal/simulation/lab/regioncost.go
@@ -30,7 +30,7 @@
 	Runs            int
 	Failures        []string
 	Outages         []time.Duration // see takeoverOutages
-	LostValue       []float64       // per run: worth offered from the loss on and not served, in seconds of the calm worth per second
+	LostValue       []float64       // per run: value offered from the loss on and not served, in seconds of the mean load before the loss
 	RecoveryTimes   []time.Duration // per run that recovered: from the loss until goodput is back at recoveredGoodput
 	NotRecovered    int             // runs whose goodput was not back while the region was lost
 	LostAckedWrites int             // lost writes that were acknowledged before replication
@@ -72,7 +72,7 @@
 	}},
 }
 
-// faultSeedForRegion draws a seed with which a region_loss fault strikes the target region.
+// faultSeedForRegion draws a seed with which a region_loss fault hits the target region.
 func faultSeedForRegion(rng *rand.Rand, target int) uint64 {
 	for {
 		seed := rng.Uint64()
@@ -203,7 +203,7 @@
 // Print writes both tables in Markdown, then one line for each failed run.
 func (c *RegionLossCosts) Print(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
-	fmt.Fprintln(tw, "| fault\t| runs\t| failed\t| shards taken over\t| time without service, s: min\t| median\t| p90\t| max\t| worth lost, s of calm load: median\t| p90\t| max\t| time to goodput 0.9, s: median\t| max\t| not recovered during the fault\t| writes lost\t|")
+	fmt.Fprintln(tw, "| fault\t| runs\t| failed\t| shards taken over\t| time without service, s: min\t| median\t| p90\t| max\t| value lost, s of load before the fault: median\t| p90\t| max\t| time to goodput 0.9, s: median\t| max\t| not recovered during the fault\t| writes lost\t|")
 	fmt.Fprintln(tw, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
 	for _, row := range c.Losses {
 		outages := summaryQuantiles(row.Outages, time.Duration.Seconds)
@@ -274,7 +274,7 @@
 			outages = append(outages, outageLine)
 		}
 	}
-	if err := chart.Lines(filepath.Join(dir, "region-goodput.png"), "goodput with a region fault from 20 to 45 s", "s", "fraction of the worth offered", goodput...); err != nil {
+	if err := chart.Lines(filepath.Join(dir, "region-goodput.png"), "goodput with a region fault from 20 to 45 s", "s", "fraction of the value offered", goodput...); err != nil {
 		return err
 	}
 	return chart.Lines(filepath.Join(dir, "region-outages.png"), "time without service of shards taken over", "s", "fraction of the shards", outages...)
--- a/internal/simulation/lab/regionday.go
+++ b/internal/simulation/lab/regionday.go
@@ -287,8 +287,8 @@
 	fmt.Fprintf(w, "%d writes lost that were acknowledged before replication; operator commands: lead %d times, return %d times\n", e.LostWrites, e.OperatorCommands["lead"], e.OperatorCommands["return"])
 }
 
-// EveryRegionFault returns a schedule with one fault of each region kind in turn, each lasting each and
-// separated by calm, and the length of the schedule.
+// EveryRegionFault returns a schedule with one fault of each region kind in turn, each of faultDuration
+// and separated by gap, and the length of the schedule.
 func EveryRegionFault(faultDuration, gap time.Duration, seed uint64) (faults []ScheduledFault, span time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 23))
 	span = gap / 2
--- a/internal/simulation/lab/regions_test.go
+++ b/internal/simulation/lab/regions_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// seedForRegionLoss returns the first seed with which a region_loss fault strikes the target region and
+// seedForRegionLoss returns the first seed with which a region_loss fault hits the target region and
 // its inventory comes back with stale state or not.
 func seedForRegionLoss(target int, stale bool) uint64 {
 	for seed := uint64(1); ; seed++ {
