--- a/internal/simulation/lab/badday.go
+++ b/internal/simulation/lab/badday.go
@@ -38,7 +38,7 @@
 	Settings *settings.Settings
 	// SharedStores gives all disk servers the same block store, which changes of layouts require.
 	SharedStores bool
-	// Routing selects how clients choose a host: by the routes that a router received (RouteOn), by a
+	// Routing selects how clients choose a host: by the routes that a router received (RouteAnnounced), by a
 	// fixed choice among all hosts (RouteFixed), or, if "", by the order of the volume's hosts.
 	Routing string
 	// onStart, if set, is called as the run begins, for faults that are no kind of fault.
