--- a/internal/control/scheduler/discovery.go
+++ b/internal/control/scheduler/discovery.go
@@ -94,7 +94,7 @@
 			return
 		}
 		d.needsFullList = d.needsFullList || isUnreadable(err)
-		d.onError("discovery watch ended", err)
+		d.onError("watch ended", err)
 		env.Sleep(d.environment, d.backoff, &d.ended)
 		d.backoff = min(2*d.backoff, maxWatchBackoff)
 	}
